--- a/bench/copies_explore.py
+++ b/bench/copies_explore.py
@@ -16,14 +16,26 @@
 from martenstep.lab.explore import BreachError, Budget, Explorer
 
 NONE = {"beats": 0, "commands": 0, "crashes": 0, "cuts": 0}
-WORLDS = [Budget(**{**NONE, **told}) for told in (
-    {"timeouts": 1, "commands": 2}, {"timeouts": 1, "commands": 2, "crashes": 1},
-    {"timeouts": 1, "commands": 2, "lost": 1}, {"timeouts": 1, "commands": 2, "cuts": 1},
-    {"timeouts": 1, "commands": 2, "beats": 1}, {"timeouts": 2, "commands": 1},
-    {"timeouts": 2, "crashes": 1}, {"timeouts": 2, "old": 1}, {"timeouts": 2, "cuts": 1},
-    {"timeouts": 2, "commands": 1, "lost": 1}, {"timeouts": 2, "commands": 1, "crashes": 1},
-    {"timeouts": 2, "commands": 1, "old": 1}, {"timeouts": 2, "commands": 1, "cuts": 1},
-    {"timeouts": 2, "commands": 2}, {"timeouts": 2, "commands": 2, "lost": 1, "cuts": 1})]
+WORLDS = [
+    Budget(**{**NONE, **told})
+    for told in (
+        {"timeouts": 1, "commands": 2},
+        {"timeouts": 1, "commands": 2, "crashes": 1},
+        {"timeouts": 1, "commands": 2, "lost": 1},
+        {"timeouts": 1, "commands": 2, "cuts": 1},
+        {"timeouts": 1, "commands": 2, "beats": 1},
+        {"timeouts": 2, "commands": 1},
+        {"timeouts": 2, "crashes": 1},
+        {"timeouts": 2, "old": 1},
+        {"timeouts": 2, "cuts": 1},
+        {"timeouts": 2, "commands": 1, "lost": 1},
+        {"timeouts": 2, "commands": 1, "crashes": 1},
+        {"timeouts": 2, "commands": 1, "old": 1},
+        {"timeouts": 2, "commands": 1, "cuts": 1},
+        {"timeouts": 2, "commands": 2},
+        {"timeouts": 2, "commands": 2, "lost": 1, "cuts": 1},
+    )
+]
 
 
 def explored(work: tuple[Budget, int]) -> tuple[Budget, bool, str, int, int, float]:
@@ -46,8 +58,10 @@
     with ProcessPoolExecutor(workers or os.cpu_count()) as pool:
         for budget, whole, breach, states, events, took in pool.map(explored, [(one, most) for one in WORLDS]):
             told = ", ".join(f"{getattr(budget, name)} {name}" for name in budget.__slots__ if getattr(budget, name))
-            click.echo(f"{told}: {states} states, {events} events, {took:.0f} s, "
-                       + (breach or ("all" if whole else "not all")))
+            click.echo(
+                f"{told}: {states} states, {events} events, {took:.0f} s, "
+                + (breach or ("all" if whole else "not all"))
+            )
             broken += bool(breach)
     sys.exit(3 if broken else 0)
 
--- a/bench/copies_promises.py
+++ b/bench/copies_promises.py
@@ -29,8 +29,21 @@
 from martenstep.lab.fleet.schedule import Step, parse_schedule
 
 WHOLE_S = 90.0
-KINDS = ("kept", "kept", "wiped", "wiped", "wiped", "old", "paused", "cut", "unheard", "deaf", "slow disk", "full disk",
-         "sync fails")
+KINDS = (
+    "kept",
+    "kept",
+    "wiped",
+    "wiped",
+    "wiped",
+    "old",
+    "paused",
+    "cut",
+    "unheard",
+    "deaf",
+    "slow disk",
+    "full disk",
+    "sync fails",
+)
 HARD = ("all processes", "all machines", "zone lost")
 KILLS = ("kept", "wiped")
 
@@ -42,8 +55,10 @@
         self.rng = random.Random(seed)
         self.kinds = KINDS + (HARD if hard else ()) + (("two wiped",) if hard and count == 5 else ())
         self.slots, self.count, self._per_s = slots, count, per_s
-        text = (f'name: "promises" members: {doors} zones: 3 seeds: 3 period_ms: 200 suspect_least_ms: 2000 '
-                f"slots: {slots} copies: {count} final_ms: 600000")
+        text = (
+            f'name: "promises" members: {doors} zones: 3 seeds: 3 period_ms: 200 suspect_least_ms: 2000 '
+            f"slots: {slots} copies: {count} final_ms: 600000"
+        )
         self.schedule = parse_schedule(text, "promises")
         self.rig = Rig(self.schedule, seed, out, lambda part, what: None)
         self.names = [f"d{number:03d}" for number in range(doors)]
@@ -71,7 +86,9 @@
         return len(groups) == self.slots and all(
             len(group["at"]) == self.count
             and all(one["counts"] and one["present"] and (one["behind"] or 0) < 1000 for one in group["at"])
-            and sorted(one["place"] for one in group["at"]) == sorted(group["wanted"]) for group in groups.values())
+            and sorted(one["place"] for one in group["at"]) == sorted(group["wanted"])
+            for group in groups.values()
+        )
 
     async def until_whole(self) -> None:
         begin = time.monotonic()
@@ -88,8 +105,11 @@
     async def _leads(self) -> str:
         """A door that leads something, mostly."""
         views = await asyncio.gather(*(self.rig.held(name) for name in self.names))
-        leading = [name for name, view in zip(self.names, views, strict=True) if view is not None
-                   and any(group["role"] == "leader" for group in view["groups"])]
+        leading = [
+            name
+            for name, view in zip(self.names, views, strict=True)
+            if view is not None and any(group["role"] == "leader" for group in view["groups"])
+        ]
         return self.rng.choice(leading) if leading and self.rng.random() < 0.7 else self.rng.choice(self.names)
 
     async def _again(self, who: list[str], kind: str, down_s: float) -> None:
@@ -154,8 +174,12 @@
             await asyncio.sleep(2.0)
             self._step(entry, False, who)
         else:
-            entry = pb.Break(what=pb.CUT, source=who if kind != "deaf" else "*", sink=who if kind == "deaf" else "*",
-                             both=kind == "cut")
+            entry = pb.Break(
+                what=pb.CUT,
+                source=who if kind != "deaf" else "*",
+                sink=who if kind == "deaf" else "*",
+                both=kind == "cut",
+            )
             self._step(entry, True)
             await asyncio.sleep(self.rng.uniform(0.5, 5.0))
             self._step(entry, False)
@@ -187,11 +211,20 @@
             await made.play(kills)
         finally:
             await made.rig.close()
+
     asyncio.run(run())
     breaches = made.promises.judge(made.rig.copies_folders())
-    return {"seed": seed, "breaches": breaches, "notes": made.notes + made.rig._faults, "counts": dict(made.counts),
-            "whole_s": made.whole_s, "gaps": made.gaps, "told": made.promises.told,
-            "tries": sum(len(asker.tries) for asker in made.promises.askers), **made.promises.summary()}
+    return {
+        "seed": seed,
+        "breaches": breaches,
+        "notes": made.notes + made.rig._faults,
+        "counts": dict(made.counts),
+        "whole_s": made.whole_s,
+        "gaps": made.gaps,
+        "told": made.promises.told,
+        "tries": sum(len(asker.tries) for asker in made.promises.askers),
+        **made.promises.summary(),
+    }
 
 
 def part(values: list[float], share: float) -> float:
@@ -209,11 +242,14 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--hard", is_flag=True, help="All doors at once, and whole zones, too.")
 @click.option("--out", type=click.Path(path_type=Path, file_okay=False), default=Path("out/promises"))
-def main(kills: int, fleets: int, doors: int, slots: int, copies: str, per_s: float, seed: int, hard: bool,
-         out: Path) -> None:
+def main(
+    kills: int, fleets: int, doors: int, slots: int, copies: str, per_s: float, seed: int, hard: bool, out: Path
+) -> None:
     """Play them all."""
-    works = [(str(out / f"{seed + number}"), seed + number, -(-kills // fleets), doors, slots, int(copies), per_s, hard)
-             for number in range(fleets)]
+    works = [
+        (str(out / f"{seed + number}"), seed + number, -(-kills // fleets), doors, slots, int(copies), per_s, hard)
+        for number in range(fleets)
+    ]
     for folder, *_ in works:
         shutil.rmtree(folder, ignore_errors=True)  # what an earlier play held would be held beside this one's
         Path(folder).mkdir(parents=True)
@@ -229,17 +265,24 @@
             told, tries, whole = told + made["told"], tries + made["tries"], whole + made["whole_s"]
             for kind, values in made["gaps"].items():
                 gaps.setdefault(kind, []).extend(values)
-            click.echo(f"seed {made['seed']}: {made['verdicts']}, p50 {made['p50_ms']:.1f} ms, "
-                       f"p99 {made['p99_ms']:.0f} ms")
-    click.echo(f"{fleets} fleets of {doors} doors, {slots} slots of {copies} copies, {time.monotonic() - begin:.0f} s: "
-               + ", ".join(f"{name} {count}" for name, count in sorted(counts.items())))
+            click.echo(
+                f"seed {made['seed']}: {made['verdicts']}, p50 {made['p50_ms']:.1f} ms, p99 {made['p99_ms']:.0f} ms"
+            )
+    click.echo(
+        f"{fleets} fleets of {doors} doors, {slots} slots of {copies} copies, {time.monotonic() - begin:.0f} s: "
+        + ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
+    )
     click.echo(f"{told} adds acknowledged, {tries} tries promised, {broken} fleets with a broken promise")
     for kind, values in sorted(gaps.items()):
-        click.echo(f"longest of any slot without answers after a kill, disk {kind}: p50 {part(values, 0.5):.2f} s, "
-                   f"p99 {part(values, 0.99):.2f} s, longest {max(values):.2f} s")
+        click.echo(
+            f"longest of any slot without answers after a kill, disk {kind}: p50 {part(values, 0.5):.2f} s, "
+            f"p99 {part(values, 0.99):.2f} s, longest {max(values):.2f} s"
+        )
     if whole:
-        click.echo(f"whole again, from 0.5 s after the trouble's end: p50 {statistics.median(whole):.1f} s, "
-                   f"longest {max(whole):.1f} s")
+        click.echo(
+            f"whole again, from 0.5 s after the trouble's end: p50 {statistics.median(whole):.1f} s, "
+            f"longest {max(whole):.1f} s"
+        )
     sys.exit(3 if broken else 0)
 
 
--- a/bench/copies_rate.py
+++ b/bench/copies_rate.py
@@ -127,8 +127,10 @@
         finally:
             await copies.stop()
     p50, p99 = np.percentile(away, [50, 99])
-    click.echo(f"{times} leaders killed: without answers p50 {p50:.0f} ms, p99 {p99:.0f} ms, most {max(away):.0f} ms; "
-               f"total {total:.0f} of {times} adds")
+    click.echo(
+        f"{times} leaders killed: without answers p50 {p50:.0f} ms, p99 {p99:.0f} ms, most {max(away):.0f} ms; "
+        f"total {total:.0f} of {times} adds"
+    )
     if total != times:
         sys.exit(3)
 
--- a/bench/counter.py
+++ b/bench/counter.py
@@ -59,13 +59,17 @@
             break
     writer.close()
     times.sort()
-    return {"per_s": len(times) / seconds, "p50_ms": times[len(times) // 2] * 1000,
-            "p99_ms": times[int(len(times) * 0.99)] * 1000}
+    return {
+        "per_s": len(times) / seconds,
+        "p50_ms": times[len(times) // 2] * 1000,
+        "p99_ms": times[int(len(times) * 0.99)] * 1000,
+    }
 
 
 async def redis_adds(port: int, seconds: float, depth: int) -> dict[str, Any]:
     """The same over redis-py: pipelines of INCRBYFLOAT and PEXPIRE NX."""
     import redis.asyncio as redis
+
     client = redis.Redis(port=port)
     times: list[float] = []
     until = time.perf_counter() + seconds
@@ -80,18 +84,45 @@
         times += [time.perf_counter() - now] * depth
     await client.aclose()
     times.sort()
-    return {"per_s": len(times) / seconds, "p50_ms": times[len(times) // 2] * 1000,
-            "p99_ms": times[int(len(times) * 0.99)] * 1000}
+    return {
+        "per_s": len(times) / seconds,
+        "p50_ms": times[len(times) // 2] * 1000,
+        "p99_ms": times[int(len(times) * 0.99)] * 1000,
+    }
 
 
 def loaded(kind: str, port: int, seconds: float, depth: int) -> dict[str, Any]:
     """Load from two processes."""
-    loads = [subprocess.Popen(["taskset", "-c", core, sys.executable, "-m", "bench.counter", kind, "--port", str(port),
-                               "--seconds", str(seconds), "--depth", str(depth), "--door", f"d{core}"],
-                              stdout=subprocess.PIPE, text=True) for core in ("3", "4")]
+    loads = [
+        subprocess.Popen(
+            [
+                "taskset",
+                "-c",
+                core,
+                sys.executable,
+                "-m",
+                "bench.counter",
+                kind,
+                "--port",
+                str(port),
+                "--seconds",
+                str(seconds),
+                "--depth",
+                str(depth),
+                "--door",
+                f"d{core}",
+            ],
+            stdout=subprocess.PIPE,
+            text=True,
+        )
+        for core in ("3", "4")
+    ]
     told = [json.loads(process.communicate()[0]) for process in loads]
-    return {"per_s": sum(one["per_s"] for one in told), "p50_ms": sum(one["p50_ms"] for one in told) / 2,
-            "p99_ms": max(one["p99_ms"] for one in told)}
+    return {
+        "per_s": sum(one["per_s"] for one in told),
+        "p50_ms": sum(one["p50_ms"] for one in told) / 2,
+        "p99_ms": max(one["p99_ms"] for one in told),
+    }
 
 
 def fsyncs(folder: Path, seconds: float) -> tuple[float, float]:
@@ -145,8 +176,10 @@
 def chart(rows: list[tuple[str, float, float]], path: Path) -> None:
     """Adds a second as bars, the slowest hundredth beside them."""
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 3.6), sharey=True)
     labels = [label for label, _, _ in rows]
     left.barh(labels, [rate for _, rate, _ in rows], color="#4477aa")
@@ -184,8 +217,10 @@
         print(f"| fsync alone, 4 kB each | {rate:.0f} syncs | {median:.2f} |")
         for durable, commit in ((True, 0.0), (True, 1.0), (True, 2.0), (True, 5.0), (True, 10.0), (False, 2.0)):
             file = folder / "c.txtpb"
-            file.write_text(f'name: "c" log {{ directory: "{folder}/log-{durable}-{commit}" commit_ms: {commit} '
-                            f'durable: {str(durable).lower()} snapshot_records: 0 }}')
+            file.write_text(
+                f'name: "c" log {{ directory: "{folder}/log-{durable}-{commit}" commit_ms: {commit} '
+                f"durable: {str(durable).lower()} snapshot_records: 0 }}"
+            )
             process, told = start("0", "-m", "martenstep", "counter", "serve", str(file))
             try:
                 got = loaded("adds", told["ready"]["port"], words.seconds, words.depth)
--- a/bench/hooks.py
+++ b/bench/hooks.py
@@ -13,7 +13,7 @@
 ROUNDS = 3000
 REQUEST = ("GET", "/p/1", "h", "anna", "studio", "read", 1.0, "de", "text/html", [("accept", "text/html")], 0.0)
 REFUSAL = (429.0, "quota", 2500.0)
-TYPICAL = '''
+TYPICAL = """
 fn words(r: Request) -> text {
   match r.language { "de" | "at" -> "Zu viel auf einmal", "fr" -> "Trop à la fois", _ -> "Too much at once" }
 }
@@ -24,14 +24,15 @@
     Words { body: words(r), content_type: "text/plain" }
   }
 }
-'''
-LOOP = 'on refusal(r, why) { Words { body: text(for x in range(100), a = 0 { a + x * 2 }) } }'
+"""
+LOOP = "on refusal(r, why) { Words { body: text(for x in range(100), a = 0 { a + x * 2 }) } }"
 
 
 def words(request: tuple[Any, ...]) -> str:
     """The typical hook's function in Python."""
     return {"de": "Zu viel auf einmal", "at": "Zu viel auf einmal", "fr": "Trop à la fois"}.get(
-        request[7], "Too much at once")
+        request[7], "Too much at once"
+    )
 
 
 def typical(request: tuple[Any, ...], why: tuple[Any, ...]) -> tuple[Any, ...]:
@@ -72,8 +73,9 @@
 
 def bad() -> None:
     """How soon hooks that go too far are cut off."""
-    print("\n| hook | ends by | translated: median, longest | interpreted: median, longest |\n"
-          "| --- | --- | --- | --- |")
+    print(
+        "\n| hook | ends by | translated: median, longest | interpreted: median, longest |\n| --- | --- | --- | --- |"
+    )
     for name, body in BAD.items():
         program = compile_source(f'on refusal(r, why) {{ Words {{ body: {body}, content_type: "text/plain" }} }}')
         given = ((*REQUEST[:9], MANY, 0.0), REFUSAL)
@@ -96,18 +98,29 @@
 
 def main() -> None:
     """Print the tables."""
-    print("| hook | steps | translated | interpreted | the same in Python | steps a us |\n"
-          "| --- | --- | --- | --- | --- | --- |")
+    print(
+        "| hook | steps | translated | interpreted | the same in Python | steps a us |\n"
+        "| --- | --- | --- | --- | --- | --- |"
+    )
     empty: Callable[..., Any] = lambda request, why: ("", "", 0.0, [])  # noqa: E731
-    for name, source, python in (("empty", "on refusal(r, why) { Words {} }", empty), ("typical", TYPICAL, typical),
-                                 ("a loop of 100", LOOP, loop)):
+    for name, source, python in (
+        ("empty", "on refusal(r, why) { Words {} }", empty),
+        ("typical", TYPICAL, typical),
+        ("a loop of 100", LOOP, loop),
+    ):
         program = compile_source(source)
         fast = translate(program)
         machine = Machine(program, fast=fast)
         machine.run(program.points["refusal"], (REQUEST, REFUSAL))
         steps = STEPS - machine.steps
-        ours, slow = (timed(lambda program=program, fast=each: Machine(program, fast=fast).run(  # type: ignore[misc]
-            program.points["refusal"], (REQUEST, REFUSAL))) for each in (fast, None))
+        ours, slow = (
+            timed(
+                lambda program=program, fast=each: Machine(program, fast=fast).run(  # type: ignore[misc]
+                    program.points["refusal"], (REQUEST, REFUSAL)
+                )
+            )
+            for each in (fast, None)
+        )
         theirs = timed(lambda python=python: python(REQUEST, REFUSAL))  # type: ignore[misc]
         print(f"| {name} | {steps} | {ours:.1f} us | {slow:.1f} us | {theirs:.2f} us | {steps / ours:.2f} |")
 
--- a/bench/languages.py
+++ b/bench/languages.py
@@ -15,8 +15,10 @@
 from martenstep.hooks.vm import Machine
 
 LANGUAGE, ACCEPT, CUSTOMER, WAIT_S = REQUEST[7], REQUEST[8], REQUEST[3], REFUSAL[2] / 1000
-CHOICE = ("('Zu viel auf einmal' if language == 'de' or language == 'at' else 'Trop' if language == 'fr' "
-          "else 'Too much at once')")
+CHOICE = (
+    "('Zu viel auf einmal' if language == 'de' or language == 'at' else 'Trop' if language == 'fr' "
+    "else 'Too much at once')"
+)
 EXPRESSION = f"('<p>' + {CHOICE} + ', ' + customer + ': ' + str(wait) + 's</p>') if 'html' in accept else {CHOICE}"
 NAMES: dict[str, Any] = {"language": LANGUAGE, "accept": ACCEPT, "customer": CUSTOMER, "wait": WAIT_S}
 LUA = """
@@ -58,8 +60,11 @@
     for source in (TYPICAL, LOOP):
         program = compile_source(source)
         fast = None if interpreted else translate(program)
-        made.append(lambda program=program, fast=fast: Machine(program, fast=fast).run(
-            program.points["refusal"], (REQUEST, REFUSAL)))
+        made.append(
+            lambda program=program, fast=fast: Machine(program, fast=fast).run(
+                program.points["refusal"], (REQUEST, REFUSAL)
+            )
+        )
     return made[0], made[1]
 
 
@@ -110,22 +115,34 @@
     """Google's expression language, in Python."""
     module = importlib.import_module("celpy")
     environment = module.Environment()
-    text = ("accept.contains('html') ? '<p>' + (language == 'de' || language == 'at' ? 'Zu viel auf einmal' : "
-            "language == 'fr' ? 'Trop' : 'Too much at once') + ', ' + customer + ': ' + string(wait) + 's</p>' : 'x'")
+    text = (
+        "accept.contains('html') ? '<p>' + (language == 'de' || language == 'at' ? 'Zu viel auf einmal' : "
+        "language == 'fr' ? 'Trop' : 'Too much at once') + ', ' + customer + ': ' + string(wait) + 's</p>' : 'x'"
+    )
     program = environment.program(environment.compile(text))
     types = module.celtypes
-    given = {"language": types.StringType(LANGUAGE), "accept": types.StringType(ACCEPT),
-             "customer": types.StringType(CUSTOMER), "wait": types.DoubleType(WAIT_S)}
+    given = {
+        "language": types.StringType(LANGUAGE),
+        "accept": types.StringType(ACCEPT),
+        "customer": types.StringType(CUSTOMER),
+        "wait": types.DoubleType(WAIT_S),
+    }
     return lambda: program.evaluate(given), None
 
 
 def main() -> None:
     """Print a table."""
     rows: list[tuple[str, Callable[[], Pair]]] = [
-        ("ours, translated", lambda: ours(False)), ("ours, interpreted", lambda: ours(True)),
+        ("ours, translated", lambda: ours(False)),
+        ("ours, interpreted", lambda: ours(True)),
         ("Python itself", lambda: ((lambda: typical(REQUEST, REFUSAL)), lambda: loop(REQUEST, REFUSAL))),
-        ("simpleeval", simpleeval), ("asteval", asteval), ("cel-python", cel), ("Lua (lupa)", lua),
-        ("JavaScript (quickjs)", quickjs), ("Starlark (starlark-pyo3)", starlark)]
+        ("simpleeval", simpleeval),
+        ("asteval", asteval),
+        ("cel-python", cel),
+        ("Lua (lupa)", lua),
+        ("JavaScript (quickjs)", quickjs),
+        ("Starlark (starlark-pyo3)", starlark),
+    ]
     base = [0.0, 0.0]
     print("| language | words of a refusal | ratio | a loop of 100 | ratio |\n| --- | --- | --- | --- | --- |")
     for name, make in rows:
@@ -136,8 +153,9 @@
             continue
         took = [timed(one) if one is not None else 0.0 for one in pair]
         base = base if base[0] else took
-        cells = [f"{each:.1f} us | {each / first:.2f}" if each else "none | "
-                 for each, first in zip(took, base, strict=True)]
+        cells = [
+            f"{each:.1f} us | {each / first:.2f}" if each else "none | " for each, first in zip(took, base, strict=True)
+        ]
         print(f"| {name} | {' | '.join(cells)} |")
 
 
--- a/bench/light.py
+++ b/bench/light.py
@@ -28,7 +28,7 @@
         self._buffer += data
         count = self._buffer.count(b"\r\n\r\n")
         if count:
-            self._buffer = self._buffer[self._buffer.rfind(b"\r\n\r\n") + 4:]
+            self._buffer = self._buffer[self._buffer.rfind(b"\r\n\r\n") + 4 :]
             self._transport.write(self.answer * count)
 
 
@@ -40,8 +40,10 @@
 
     def data_received(self, data: bytes) -> None:
         count = data.count(b"\r\n\r\n")
-        answer = (b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-auth-customer: c1\r\ncache-control: max-age=%d\r\n\r\n"
-                  % self.keep_s) * count
+        answer = (
+            b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-auth-customer: c1\r\ncache-control: max-age=%d\r\n\r\n"
+            % self.keep_s
+        ) * count
         if self.delay_s:
             asyncio.get_running_loop().call_later(self.delay_s, self._transport.write, answer)
         else:
@@ -73,11 +75,13 @@
 
     async def _ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, began: float) -> None:
         customer = self._rng.randrange(self._customers)
-        writer.write(b"GET /read/1 HTTP/1.1\r\nhost: door\r\nx-customer: c%d\r\nauthorization: Bearer c%d\r\n\r\n"
-                     % (customer, customer))
+        writer.write(
+            b"GET /read/1 HTTP/1.1\r\nhost: door\r\nx-customer: c%d\r\nauthorization: Bearer c%d\r\n\r\n"
+            % (customer, customer)
+        )
         head = await reader.readuntil(b"\r\n\r\n")
         at = head.lower().index(b"content-length:") + 15
-        await reader.readexactly(int(head[at:head.index(b"\r\n", at)]))
+        await reader.readexactly(int(head[at : head.index(b"\r\n", at)]))
         status = head[9:12].decode()
         self.statuses[status] = self.statuses.get(status, 0) + 1
         self.times.append(time.perf_counter() - began)
@@ -123,8 +127,17 @@
     else:
         await made.closed(words.connections, words.seconds)
     times = sorted(made.times)
-    print(json.dumps({"count": len(times), "per_s": len(times) / words.seconds, "statuses": made.statuses,
-                      "p50_ms": times[len(times) // 2] * 1000, "p99_ms": times[int(len(times) * 0.99)] * 1000}))
+    print(
+        json.dumps(
+            {
+                "count": len(times),
+                "per_s": len(times) / words.seconds,
+                "statuses": made.statuses,
+                "p50_ms": times[len(times) // 2] * 1000,
+                "p99_ms": times[int(len(times) * 0.99)] * 1000,
+            }
+        )
+    )
 
 
 def main() -> None:
--- a/bench/limiters.py
+++ b/bench/limiters.py
@@ -55,10 +55,22 @@
     "two primaries 3 s": (("failover", {"split_ms": 3000}), None),
     "slots move 1 s": (("move", {"slots": 6000, "to": 0, "for_ms": 1000}), None),
 }
-COMMON = ["none", "paused 2 s", "emptied", "20 ms slow", "down", "hangs on writes", "full", "loading",
-          "partial replies"]
-RUNS = {ALONE: COMMON, SENTINEL: ["none", "paused 2 s", "failover", "two primaries 3 s"],
-        CLUSTER: ["none", "paused 2 s", "failover", "slots move 1 s"]}
+COMMON = [
+    "none",
+    "paused 2 s",
+    "emptied",
+    "20 ms slow",
+    "down",
+    "hangs on writes",
+    "full",
+    "loading",
+    "partial replies",
+]
+RUNS = {
+    ALONE: COMMON,
+    SENTINEL: ["none", "paused 2 s", "failover", "two primaries 3 s"],
+    CLUSTER: ["none", "paused 2 s", "failover", "slots move 1 s"],
+}
 
 
 class Limiter(ABC):
@@ -89,13 +101,36 @@
         super().__init__()
         plan = api.Plan("studio", RATE, BURST, ceiling_rate=CEILING, ceiling_burst=CEILING, ceiling_slack=SLACK)
         cls = api.RequestClass("read", 1000.0, 4000.0, api.Effect.SAFE)
-        self.gateway = Gateway(api.Settings(
-            me=number, gateways=DOORS, zone="a", tick_ms=2.0, classes=(cls,), plans=(plan,), has_counter=True,
-            counter_timeout_ms=TIMEOUT_MS, max_attempts=3, can_cancel=True, retry_after=True, cold_from=1.0,
-            warm_within_ms=0.0, fall_multiple=1.0, fall_window_ms=0.0, answer_slack_ms=8.0), number)
+        self.gateway = Gateway(
+            api.Settings(
+                me=number,
+                gateways=DOORS,
+                zone="a",
+                tick_ms=2.0,
+                classes=(cls,),
+                plans=(plan,),
+                has_counter=True,
+                counter_timeout_ms=TIMEOUT_MS,
+                max_attempts=3,
+                can_cancel=True,
+                retry_after=True,
+                cold_from=1.0,
+                warm_within_ms=0.0,
+                fall_multiple=1.0,
+                fall_window_ms=0.0,
+                answer_slack_ms=8.0,
+            ),
+            number,
+        )
         topology = {ALONE: pb.Store.ALONE, SENTINEL: pb.Store.SENTINEL, CLUSTER: pb.Store.CLUSTER}[kind]
-        settings = pb.Store(topology=topology, timeout_ms=TIMEOUT_MS, scripts=scripts, primary_name="counts",
-                            node=[pb.Store.Node(port=port) for port in ports], port=ports[0])
+        settings = pb.Store(
+            topology=topology,
+            timeout_ms=TIMEOUT_MS,
+            scripts=scripts,
+            primary_name="counts",
+            node=[pb.Store.Node(port=port) for port in ports],
+            port=ports[0],
+        )
         self.store = RedisStore(settings, self._counted, f"door-{number}")
         self._names: dict[int, tuple[int, float]] = {}
         self._waiting: dict[str, asyncio.Future[bool]] = {}
@@ -180,7 +215,8 @@
         self.client: Any
         if kind == SENTINEL:
             self.client = Sentinel(  # type: ignore[no-untyped-call]
-                [("127.0.0.1", port) for port in ports]).master_for("counts")
+                [("127.0.0.1", port) for port in ports]
+            ).master_for("counts")
         elif kind == CLUSTER:
             self.client = RedisCluster(startup_nodes=[ClusterNode("127.0.0.1", port) for port in ports])
         else:
@@ -223,6 +259,7 @@
 
 def twins() -> dict[str, Any]:
     """What the library's two scripts do, by their digests."""
+
     def fixed(get: Any, put: Any, keys: list[bytes], args: list[bytes]) -> Any:
         count = int(get(keys[0]) or b"0") + int(args[1])
         put(keys[0], b"%d" % count, float(args[0]) * 1000 if count == int(args[1]) else 0.0)
@@ -237,8 +274,11 @@
         entries = ([stamp] * amount + entries)[:limit]
         put(keys[0], b" ".join(b"%.17g" % entry for entry in entries), expiry * 1000)
         return 1
-    return {hashlib.sha1(text).hexdigest(): twin for text, twin in (
-        (RedisBridge.SCRIPT_INCR_EXPIRE, fixed), (RedisBridge.SCRIPT_ACQUIRE_MOVING_WINDOW, moving))}
+
+    return {
+        hashlib.sha1(text).hexdigest(): twin
+        for text, twin in ((RedisBridge.SCRIPT_INCR_EXPIRE, fixed), (RedisBridge.SCRIPT_ACQUIRE_MOVING_WINDOW, moving))
+    }
 
 
 LIMITERS: dict[str, Any] = {
@@ -282,8 +322,8 @@
         await door.start()
     rng = random.Random(7)
     arrivals = sorted(
-        (at, customer) for customer in range(CUSTOMERS)
-        for at in _poisson(rng, 4 * RATE if customer % 2 else RATE / 2))
+        (at, customer) for customer in range(CUSTOMERS) for at in _poisson(rng, 4 * RATE if customer % 2 else RATE / 2)
+    )
     tries: dict[int, list[tuple[float, bool]]] = defaultdict(list)
     waits: list[float] = []
     begin = time.monotonic() + 0.3
@@ -321,8 +361,10 @@
     result = {
         "over ceiling": max(beyond(times, CEILING, CEILING + SLACK) for times in admitted.values()),
         "over quota": sum(beyond(times, RATE, BURST) for times in admitted.values()),
-        "short": sum(short(found) for found in tries.values()), "tries": count,
-        "calls": sum(door.calls for door in doors) / count, "recovery_ms": recovery * 1000,
+        "short": sum(short(found) for found in tries.values()),
+        "tries": count,
+        "calls": sum(door.calls for door in doors) / count,
+        "recovery_ms": recovery * 1000,
         "p99_wait": sorted(waits)[int(0.99 * len(waits))],
         "counts": dict(sum((door.store.core.counts for door in doors if isinstance(door, Ours)), Counter())),
     }
@@ -355,20 +397,30 @@
     words.add_argument("--fault", default="", help="this fault alone")
     words.add_argument("--at-once", type=int, default=4)
     told = words.parse_args()
-    runs = [(limiter, kind, fault) for limiter in LIMITERS if told.only in limiter
-            for kind, faults in RUNS.items() if told.kind in ("", kind)
-            for fault in faults if told.fault in ("", fault)]
-    print("| topology | fault | limiter | over ceiling | over quota | short of one bucket | recovery | p99 wait | "
-          "calls a try |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+    runs = [
+        (limiter, kind, fault)
+        for limiter in LIMITERS
+        if told.only in limiter
+        for kind, faults in RUNS.items()
+        if told.kind in ("", kind)
+        for fault in faults
+        if told.fault in ("", fault)
+    ]
+    print(
+        "| topology | fault | limiter | over ceiling | over quota | short of one bucket | recovery | p99 wait | "
+        "calls a try |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |"
+    )
     with ProcessPoolExecutor(told.at_once) as pool:
         found = [done.result() for done in [pool.submit(play, *run) for run in runs]]
     for limiter, kind, fault, made in sorted(found, key=lambda one: (one[1], list(FAULTS).index(one[2]))):
         if "error" in made:
             print(f"| {kind} | {fault} | {limiter} | did not run: {made['error'][:80]} | | | | | |")
             continue
-        print(f"| {kind} | {fault} | {limiter} | {made['over ceiling']:.0f} | {made['over quota']:.0f} | "
-              f"{made['short']} of {made['tries']} | {made['recovery_ms']:.0f} ms | {made['p99_wait']:.0f} ms | "
-              f"{made['calls']:.2f} |")
+        print(
+            f"| {kind} | {fault} | {limiter} | {made['over ceiling']:.0f} | {made['over quota']:.0f} | "
+            f"{made['short']} of {made['tries']} | {made['recovery_ms']:.0f} ms | {made['p99_wait']:.0f} ms | "
+            f"{made['calls']:.2f} |"
+        )
         sys.stderr.write(json.dumps([limiter, kind, fault, made["counts"]]) + "\n")
 
 
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -19,7 +19,7 @@
         writer.write(b"GET /read/1 HTTP/1.1\r\nhost: d\r\nx-customer: c%d\r\n\r\n" % customer)
         head = await reader.readuntil(b"\r\n\r\n")
         at = head.lower().index(b"content-length:") + 15
-        await reader.readexactly(int(head[at:head.index(b"\r\n", at)]))
+        await reader.readexactly(int(head[at : head.index(b"\r\n", at)]))
     writer.close()
 
 
@@ -38,8 +38,10 @@
     await asyncio.sleep(0.5)
     held = await asyncio.to_thread(metrics, admin)
     more = resident_kb(pid)
-    print(f"| {int(held['martenstep_client_connections'])} connections open | {more} | {more - now} | "
-          f"{(more - now) * 1024 // CONNECTIONS} |")
+    print(
+        f"| {int(held['martenstep_client_connections'])} connections open | {more} | {more - now} | "
+        f"{(more - now) * 1024 // CONNECTIONS} |"
+    )
     for _, writer in wires:
         writer.close()
 
--- a/bench/store_cost.py
+++ b/bench/store_cost.py
@@ -25,10 +25,12 @@
 
 def serve(ports: Any) -> None:
     """The stand-in, until it is ended."""
+
     async def run() -> None:
         server = RedisServer(Trace(None))
         ports.put(await server.start())
         await asyncio.sleep(600)
+
     asyncio.run(run())
 
 
@@ -38,8 +40,12 @@
     def __init__(self, port: int, gather_ms: float = 0.0, scripts: bool = True, connections: int = 4) -> None:
         self._out: dict[int, asyncio.Future[Verdict]] = {}
         self._numbers = itertools.count(1)
-        self.store = RedisStore(pb.Store(port=port, timeout_ms=2000, gather_ms=gather_ms, scripts=scripts,
-                                         connections=connections, waiting=5000), self._told)
+        self.store = RedisStore(
+            pb.Store(
+                port=port, timeout_ms=2000, gather_ms=gather_ms, scripts=scripts, connections=connections, waiting=5000
+            ),
+            self._told,
+        )
 
     def _told(self, call: int, verdict: Verdict, total: float, kept_ms: float) -> None:
         self._out.pop(call).set_result(verdict)
@@ -62,6 +68,7 @@
         at = time.perf_counter()
         await call(name)
         took.append((time.perf_counter() - at) * 1000)
+
     begin, cpu, number = time.perf_counter(), time.process_time(), 0
     while (now := time.perf_counter() - begin) < seconds:
         while number < now * rate:
@@ -81,6 +88,7 @@
     async def one() -> None:
         for number in left:
             await call(number % NAMES)
+
     begin, cpu = time.perf_counter(), time.process_time()
     await asyncio.gather(*(one() for _ in range(at_once)))
     return CALLS / (time.perf_counter() - begin), (time.process_time() - cpu) / CALLS * 1e6
@@ -96,6 +104,7 @@
             pipe.incrbyfloat(f"bare:{name}", 1.0)
             pipe.pexpire(f"bare:{name}", 60_000, nx=True)
             await pipe.execute()
+
     print("| 32 calls at once | calls a second | CPU a call at the door |\n| --- | --- | --- |")
     for _ in range(2):
         rate, cpu = await closed(bare, 32)
@@ -112,8 +121,10 @@
         desk.store.start()
         p50, p99, cpu = await at_rate(desk.add, 2000, 4.0)
         counts = desk.store.core.counts
-        print(f"| waits {gather:g} ms for others | {p50:.1f} ms | {p99:.1f} ms | {cpu:.0f} us | "
-              f"{counts['statements'] / counts['writes']:.1f} |")
+        print(
+            f"| waits {gather:g} ms for others | {p50:.1f} ms | {p99:.1f} ms | {cpu:.0f} us | "
+            f"{counts['statements'] / counts['writes']:.1f} |"
+        )
         await desk.store.stop()
     print("\n| doors, 2,000 calls a second together, 2 connections each | p50 | p99 |\n| --- | --- | --- |")
     for number in (1, 10, 50, 100, 200):
@@ -124,6 +135,7 @@
 
         async def spread(name: int, turn: Any = turn) -> None:
             await next(turn).add(name)
+
         p50, p99, _ = await at_rate(spread, 2000, 4.0)
         print(f"| {number} | {p50:.1f} ms | {p99:.1f} ms |")
         for desk in desks:
@@ -134,8 +146,10 @@
 
 async def rebuild(port: int) -> None:
     """How long until an emptied store holds again what the doors had added."""
-    print("\n| doors with 10,000 names each, store emptied | until all names are back | door's CPU a name |\n"
-          "| --- | --- | --- |")
+    print(
+        "\n| doors with 10,000 names each, store emptied | until all names are back | door's CPU a name |\n"
+        "| --- | --- | --- |"
+    )
     for number in (1, 5):
         desks = [Desk(port) for _ in range(number)]
         for place, desk in enumerate(desks):
--- a/bench/stores.py
+++ b/bench/stores.py
@@ -32,6 +32,7 @@
         for number in range(first, first + GROUP):
             keeper.command(None, session, Add(number, number % NAMES, 1.0, 1e12))
         keeper.commit()
+
     return commit
 
 
@@ -41,8 +42,11 @@
     writer = Writer(files, open_log(files), 64 << 20)
 
     def commit(first: int) -> None:
-        writer.write([_ADD.pack(ENTRY_ADD, 1.0, 0, number, number % NAMES, 1.0, 1e12)
-                      for number in range(first, first + GROUP)], True)
+        writer.write(
+            [_ADD.pack(ENTRY_ADD, 1.0, 0, number, number % NAMES, 1.0, 1e12) for number in range(first, first + GROUP)],
+            True,
+        )
+
     return commit
 
 
@@ -58,8 +62,13 @@
                 held = txn.get(key, db=totals)
                 total = (struct.unpack(">d", held)[0] if held else 0.0) + 1.0
                 txn.put(key, struct.pack(">d", total), db=totals)
-                txn.put(number.to_bytes(8, "big"), struct.pack(">dQQdd", 1.0, number, number % NAMES, 1.0, 1e12),
-                        db=records, append=True)
+                txn.put(
+                    number.to_bytes(8, "big"),
+                    struct.pack(">dQQdd", 1.0, number, number % NAMES, 1.0, 1e12),
+                    db=records,
+                    append=True,
+                )
+
     return commit
 
 
@@ -73,11 +82,16 @@
 
     def commit(first: int) -> None:
         db.execute("begin")
-        db.executemany("insert into totals values (?, 1.0) on conflict (name) do update set total = total + 1.0",
-                       [(number % NAMES,) for number in range(first, first + GROUP)])
-        db.executemany("insert into records values (?, 1.0, ?, 1.0, 1e12)",
-                       [(number, number % NAMES) for number in range(first, first + GROUP)])
+        db.executemany(
+            "insert into totals values (?, 1.0) on conflict (name) do update set total = total + 1.0",
+            [(number % NAMES,) for number in range(first, first + GROUP)],
+        )
+        db.executemany(
+            "insert into records values (?, 1.0, ?, 1.0, 1e12)",
+            [(number, number % NAMES) for number in range(first, first + GROUP)],
+        )
         db.execute("commit")
+
     return commit
 
 
@@ -85,8 +99,12 @@
     """Print a table; rounds alternate."""
     found: dict[str, list[float]] = {}
     sizes: dict[str, int] = {}
-    kinds = {"log of our own, whole keeper": by_log, "log of our own, entries only": by_entries, "lmdb": by_lmdb,
-             "sqlite, WAL": by_sqlite}
+    kinds = {
+        "log of our own, whole keeper": by_log,
+        "log of our own, entries only": by_entries,
+        "lmdb": by_lmdb,
+        "sqlite, WAL": by_sqlite,
+    }
     for _ in range(3):
         for what, made in kinds.items():
             with tempfile.TemporaryDirectory(dir=".") as name:
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -56,8 +56,13 @@
 
 def start(cores: str, *words: str, folder: Path | None = None) -> Started:
     """Start a Python process on these cores, in a folder whose code comes first, and read its first line."""
-    process = subprocess.Popen(["taskset", "-c", cores, sys.executable, *words], stdout=subprocess.PIPE, text=True,
-                               stderr=subprocess.DEVNULL, cwd=folder)
+    process = subprocess.Popen(
+        ["taskset", "-c", cores, sys.executable, *words],
+        stdout=subprocess.PIPE,
+        text=True,
+        stderr=subprocess.DEVNULL,
+        cwd=folder,
+    )
     assert process.stdout is not None
     return process, json.loads(process.stdout.readline())
 
@@ -66,15 +71,21 @@
     """Load from two processes; figures added up."""
     more = [part for name, value in words.items() for part in (f"--{name}", str(value))]
     base = [sys.executable, "-m", "bench.light", "load", "--port", str(port), "--seconds", str(seconds), *more]
-    loads = [subprocess.Popen(["taskset", "-c", core, *base, "--seed", str(index)], stdout=subprocess.PIPE, text=True)
-             for index, core in enumerate(LOADS)]
+    loads = [
+        subprocess.Popen(["taskset", "-c", core, *base, "--seed", str(index)], stdout=subprocess.PIPE, text=True)
+        for index, core in enumerate(LOADS)
+    ]
     told = [json.loads(process.communicate()[0]) for process in loads]
     statuses: dict[str, int] = {}
     for one in told:
         for status, count in one["statuses"].items():
             statuses[status] = statuses.get(status, 0) + count
-    return {"per_s": sum(one["per_s"] for one in told), "statuses": statuses,
-            "p50_ms": statistics.mean(one["p50_ms"] for one in told), "p99_ms": max(one["p99_ms"] for one in told)}
+    return {
+        "per_s": sum(one["per_s"] for one in told),
+        "statuses": statuses,
+        "p50_ms": statistics.mean(one["p50_ms"] for one in told),
+        "p99_ms": max(one["p99_ms"] for one in told),
+    }
 
 
 @contextlib.contextmanager
@@ -93,11 +104,13 @@
         made.append(feed)
         redis, store = start("6", "-m", "martenstep", "standin", "redis")
         made.append(redis)
-        entries = [{"id": n + 1, "host": "127.0.0.1", "port": port, "zone": "a", "state": "up"}
-                   for n, port in enumerate(ports)]
+        entries = [
+            {"id": n + 1, "host": "127.0.0.1", "port": port, "zone": "a", "state": "up"} for n, port in enumerate(ports)
+        ]
         import asyncio
 
         from martenstep.standins.base import steer
+
         asyncio.run(steer(told["ready"]["control"], "update", servers=entries, now=True))
         yield ports + services, told["ready"]["port"], store["ready"]["port"]
     finally:
@@ -106,8 +119,7 @@
             process.wait()
 
 
-def subject(kind: str, ports: list[int], feed: int, store: int, folder: Path,
-            other: Path | None = None) -> Started:
+def subject(kind: str, ports: list[int], feed: int, store: int, folder: Path, other: Path | None = None) -> Started:
     """Start what is measured; a kind that begins with "other " is of another checkout."""
     if "pass-through" in kind:
         module = "bench.passthrough_llhttp" if "llhttp" in kind else "bench.passthrough"
@@ -130,13 +142,21 @@
             process, told_of = start(OTHERS, "-m", "bench.peers", str(key), str(PEERS))
             (folder / "fleet-port").write_text(str(told_of["ready"]["port"]))
             atexit.register(process.kill)
-        guarded += (f' fleet {{ cluster: "bench" key_file: "{key}" '
-                    f'seed {{ port: {(folder / "fleet-port").read_text()} }} }}')
+        guarded += (
+            f' fleet {{ cluster: "bench" key_file: "{key}" seed {{ port: {(folder / "fleet-port").read_text()} }} }}'
+        )
     if "workers" in kind:
         guarded += f" workers {{ count: {int(kind.split()[-2])} share: {'REUSE_PORT' if 'own' in kind else 'PASSED'} }}"
     file.write_text(DOOR.format(store=told, feed=feed, plan=plan, auth=guarded, identity=identity))
-    return start(str(CORE), "-m", "martenstep", "serve", str(file), *(["--uvloop"] if "uvloop" in kind else []),
-                 folder=other if kind.startswith("other ") else None)
+    return start(
+        str(CORE),
+        "-m",
+        "martenstep",
+        "serve",
+        str(file),
+        *(["--uvloop"] if "uvloop" in kind else []),
+        folder=other if kind.startswith("other ") else None,
+    )
 
 
 def hooks(folder: Path, sources: tuple[str, ...]) -> Path:
@@ -178,8 +198,11 @@
     parser.add_argument("--servers", type=int, nargs="+", default=[14])
     parser.add_argument("--bytes", type=int, default=1000, help="of an answer")
     parser.add_argument("--rate", type=float, default=250.0, help="of each of two loads, for the added time")
-    parser.add_argument("--kinds", nargs="+", default=[
-        "pass-through", "door, no quota", "door, quota", "door, quota, store", "door, quota, store, uvloop"])
+    parser.add_argument(
+        "--kinds",
+        nargs="+",
+        default=["pass-through", "door, no quota", "door, quota", "door, quota, store", "door, quota, store, uvloop"],
+    )
     parser.add_argument("--other", type=Path, help="a checkout whose door kinds that begin with 'other ' measure")
     words = parser.parse_args()
     for count in words.servers:
@@ -206,17 +229,21 @@
         base99 = statistics.median(one["p99_ms"] for one in slow[words.kinds[0]])
         print(f"\n{count} servers, {words.rounds} rounds, cores {os.cpu_count()}\n")
         base_cpu = statistics.median(one["cpu_us"] for one in found[words.kinds[0]])
-        print("| what | requests a second | ratio | CPU a request, ratio | p50, p99 at "
-              f"{2 * words.rate:.0f}/s | added p50, p99 | statuses |\n"
-              "| --- | --- | --- | --- | --- | --- | --- |")
+        print(
+            "| what | requests a second | ratio | CPU a request, ratio | p50, p99 at "
+            f"{2 * words.rate:.0f}/s | added p50, p99 | statuses |\n"
+            "| --- | --- | --- | --- | --- | --- | --- |"
+        )
         for kind in words.kinds:
             rate = statistics.median(one["per_s"] for one in found[kind])
             p50 = statistics.median(one["p50_ms"] for one in slow[kind])
             p99 = statistics.median(one["p99_ms"] for one in slow[kind])
             cpu = statistics.median(one["cpu_us"] for one in found[kind])
-            print(f"| {kind} | {rate:.0f} | {rate / base:.2f} | {cpu:.0f} us, {base_cpu / cpu:.2f} | "
-                  f"{p50:.2f}, {p99:.2f} ms | {p50 - base50:+.2f}, {p99 - base99:+.2f} ms | "
-                  f"{found[kind][-1]['statuses']} |")
+            print(
+                f"| {kind} | {rate:.0f} | {rate / base:.2f} | {cpu:.0f} us, {base_cpu / cpu:.2f} | "
+                f"{p50:.2f}, {p99:.2f} ms | {p50 - base50:+.2f}, {p99 - base99:+.2f} ms | "
+                f"{found[kind][-1]['statuses']} |"
+            )
 
 
 def metrics(port: int) -> dict[str, float]:
--- a/bench/workers.py
+++ b/bench/workers.py
@@ -24,13 +24,27 @@
 
 def loaded(port: int, seconds: float, connections: int) -> dict[str, Any]:
     """Load from several processes that may run anywhere."""
-    words = [sys.executable, "-m", "bench.light", "load", "--port", str(port), "--seconds", str(seconds),
-             "--connections", str(connections)]
-    loads = [subprocess.Popen([*words, "--seed", str(number)], stdout=subprocess.PIPE, text=True)
-             for number in range(LOADS)]
+    words = [
+        sys.executable,
+        "-m",
+        "bench.light",
+        "load",
+        "--port",
+        str(port),
+        "--seconds",
+        str(seconds),
+        "--connections",
+        str(connections),
+    ]
+    loads = [
+        subprocess.Popen([*words, "--seed", str(number)], stdout=subprocess.PIPE, text=True) for number in range(LOADS)
+    ]
     told = [json.loads(process.communicate()[0]) for process in loads]
-    return {"per_s": sum(one["per_s"] for one in told), "p99_ms": max(one["p99_ms"] for one in told),
-            "requests": sum(sum(one["statuses"].values()) for one in told)}
+    return {
+        "per_s": sum(one["per_s"] for one in told),
+        "p99_ms": max(one["p99_ms"] for one in told),
+        "requests": sum(sum(one["statuses"].values()) for one in told),
+    }
 
 
 def main() -> None:
@@ -40,18 +54,33 @@
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=2.0)
     words = parser.parse_args()
-    cases = [(count, share) for count in words.workers for share in ("PASSED", "REUSE_PORT") if count > 1 or share ==
-             "PASSED"]
+    cases = [
+        (count, share)
+        for count in words.workers
+        for share in ("PASSED", "REUSE_PORT")
+        if count > 1 or share == "PASSED"
+    ]
     found: dict[tuple[int, str], list[dict[str, Any]]] = {case: [] for case in cases}
     with backends(14) as (_, feed, _), tempfile.TemporaryDirectory() as folder:
         for _ in range(words.rounds):
             for count, share in cases:
                 file = Path(folder) / f"{count}-{share}.txtpb"
-                file.write_text(DOOR.format(store="", feed=feed, plan='name: "p" rate: 100000 burst: 200000', auth="",
-                                            identity='customer_header: "x-customer"')
-                                + f"workers {{ count: {count} share: {share} }}")
-                process = subprocess.Popen([sys.executable, "-m", "martenstep", "serve", str(file)], text=True,
-                                           stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+                file.write_text(
+                    DOOR.format(
+                        store="",
+                        feed=feed,
+                        plan='name: "p" rate: 100000 burst: 200000',
+                        auth="",
+                        identity='customer_header: "x-customer"',
+                    )
+                    + f"workers {{ count: {count} share: {share} }}"
+                )
+                process = subprocess.Popen(
+                    [sys.executable, "-m", "martenstep", "serve", str(file)],
+                    text=True,
+                    stdout=subprocess.PIPE,
+                    stderr=subprocess.DEVNULL,
+                )
                 try:
                     assert process.stdout is not None
                     ports = json.loads(process.stdout.readline())["ready"]
@@ -71,13 +100,17 @@
                     process.wait()
     base = statistics.median(one["per_s"] for one in found[cases[0]])
     print(f"\n{os.cpu_count()} cores, {LOADS} load processes, {words.rounds} rounds\n")
-    print("| workers | shared by | requests a second | ratio | CPU a request | p99 | the busiest worker's part of the "
-          "mean |\n| --- | --- | --- | --- | --- | --- | --- |")
+    print(
+        "| workers | shared by | requests a second | ratio | CPU a request | p99 | the busiest worker's part of the "
+        "mean |\n| --- | --- | --- | --- | --- | --- | --- |"
+    )
     for case in cases:
-        rate, cpu, p99, spread = (statistics.median(one[name] for one in found[case])
-                                  for name in ("per_s", "cpu_us", "p99_ms", "spread"))
-        print(f"| {case[0]} | {case[1]} | {rate:.0f} | {rate / base:.2f} | {cpu:.0f} us | {p99:.0f} ms | "
-              f"{spread:.2f} |")
+        rate, cpu, p99, spread = (
+            statistics.median(one[name] for one in found[case]) for name in ("per_s", "cpu_us", "p99_ms", "spread")
+        )
+        print(
+            f"| {case[0]} | {case[1]} | {rate:.0f} | {rate / base:.2f} | {cpu:.0f} us | {p99:.0f} ms | {spread:.2f} |"
+        )
 
 
 if __name__ == "__main__":
--- a/conftest.py
+++ b/conftest.py
@@ -27,8 +27,11 @@
     names, files = {item.nodeid for item in items}, {item.nodeid.partition("::")[0] for item in items}
     whole = not any("::" in arg for arg in config.args) and not config.option.keyword and not config.option.markexpr
     for test in config.stash[LISTED]:
-        if whole and test not in names and (test.partition("::")[0] in files or not Path(
-                config.rootpath, test.partition("::")[0]).exists()):
+        if (
+            whole
+            and test not in names
+            and (test.partition("::")[0] in files or not Path(config.rootpath, test.partition("::")[0]).exists())
+        ):
             raise pytest.UsageError(f"KNOWN-RED.txt: no test is named {test}")
 
 
--- a/martenstep/__main__.py
+++ b/martenstep/__main__.py
@@ -11,6 +11,7 @@
     """Mind signals first, since the imports take their time; then the command line."""
     early.arm(sys.argv[1:])
     from martenstep.cli.main import main as commands
+
     commands()
 
 
--- a/martenstep/auth/answerer.py
+++ b/martenstep/auth/answerer.py
@@ -64,7 +64,7 @@
         if path != self._prefix and not path.startswith(self._prefix.rstrip(b"/") + b"/"):
             return Unasked(404, "no route")
         if self._profile == pb.ForwardAuth.SAME:
-            rest = target[len(self._prefix.rstrip(b"/")):]
+            rest = target[len(self._prefix.rstrip(b"/")) :]
             return self._bounded(method, rest or b"/")
         methods, targets = ABOUT[self._profile]
         told_method, told_target = self._one(headers, methods), self._one(headers, targets)
--- a/martenstep/auth/core.py
+++ b/martenstep/auth/core.py
@@ -235,16 +235,22 @@
     @property
     def held(self) -> dict[str, int]:
         """What is kept."""
-        return {"asks": len(self._asks), "checks": len(self._checks), "queued": len(self._queue),
-                "cached": len(self._cache), "passed": len(self._passed),
-                "out": sum(service.out for service in self._services)}
+        return {
+            "asks": len(self._asks),
+            "checks": len(self._checks),
+            "queued": len(self._queue),
+            "cached": len(self._cache),
+            "passed": len(self._passed),
+            "out": sum(service.out for service in self._services),
+        }
 
     def next_at(self) -> float | None:
         """When `tick` is due."""
         return self._timers[0][0] if self._timers else None
 
-    def ask(self, now: float, ticket: int, key: bytes, left_ms: float, group: str, fail_open: bool,
-            payload: Any) -> list[Action]:
+    def ask(
+        self, now: float, ticket: int, key: bytes, left_ms: float, group: str, fail_open: bool, payload: Any
+    ) -> list[Action]:
         """A request waits for the verdict on its credential, of which `key` is a digest."""
         kept = self._cache.get(key)
         if kept is not None:
@@ -404,7 +410,7 @@
         service.limit = max(service.limit * LIMIT_DOWN, 1.0)
         service.failed += 1
         if service.failed >= OPEN_AFTER or service.opened:
-            span = self._rules.open_ms * min(2.0 ** service.opened, OPEN_MOST_TIMES)
+            span = self._rules.open_ms * min(2.0**service.opened, OPEN_MOST_TIMES)
             service.open_until = now + span * (0.5 + self._rng.random())  # doors must not come back in step
             service.opened += 1
             self._timer(service.open_until, "breaker", 0, 0)
@@ -443,9 +449,11 @@
         fresh = [place for place in free if place not in tried]
         if not free:
             return None
+
         def cost(place: int) -> tuple[float, float]:
             service = self._services[place]
             return (service.latency or 1.0) * (1 + service.out), self._rng.random()
+
         return min(fresh or free, key=cost)
 
     def _shed(self) -> None:
--- a/martenstep/cli/copies.py
+++ b/martenstep/cli/copies.py
@@ -41,11 +41,23 @@
     """A view as staff read it."""
     rows = [COLUMNS]
     for group in view["groups"]:
-        places = [one["place"] + ("" if one["counts"] else "(learns)") + ("" if one["present"] else "(away)")
-                  for one in group["at"]]
+        places = [
+            one["place"] + ("" if one["counts"] else "(learns)") + ("" if one["present"] else "(away)")
+            for one in group["at"]
+        ]
         behind = [one["behind"] for one in group["at"] if one["behind"] is not None]
-        rows.append((group["group"], group["role"], str(group["term"]), str(group["commit"]), group["leader"] or "-",
-                     " ".join(places), str(max(behind)) if behind else "-", notes(group, view["copies"])))
+        rows.append(
+            (
+                group["group"],
+                group["role"],
+                str(group["term"]),
+                str(group["commit"]),
+                group["leader"] or "-",
+                " ".join(places),
+                str(max(behind)) if behind else "-",
+                notes(group, view["copies"]),
+            )
+        )
     widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     lines = ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows]
     led = sum(group["role"] == "leader" for group in view["groups"])
@@ -66,6 +78,7 @@
 
     from martenstep.replication.keeper import KeeperError, disk_identity
     from martenstep.storage.files import Disk, LockedError
+
     try:
         with contextlib.closing(Disk(directory)) as disk:
             click.echo(disk_identity(disk).id)
@@ -99,6 +112,7 @@
     is damaged or two differ."""
     from martenstep.replication.verify import differences, read_folder
     from martenstep.storage.files import LockedError
+
     try:
         found = [one for each in directory for one in read_folder(each)]
     except (LockedError, OSError) as error:
--- a/martenstep/cli/fleet.py
+++ b/martenstep/cli/fleet.py
@@ -27,8 +27,9 @@
 
 def _summary(name: str, breaches: list[str], figures: dict[str, Any]) -> str:
     parts = [f"{key} {figures[key]:g}" for key in SHOWN if key in figures]
-    parts += [f"{key} {figures[key]['median']:.0f} (most {figures[key]['most']:.0f})" for key in SPREAD
-              if key in figures]
+    parts += [
+        f"{key} {figures[key]['median']:.0f} (most {figures[key]['most']:.0f})" for key in SPREAD if key in figures
+    ]
     lines = [f"{name}: {'kept' if not breaches else f'{len(breaches)} breaches'}; {', '.join(parts)}"]
     lines += [f"  {breach}" for breach in breaches[:TOLD_BREACHES]]
     if len(breaches) > TOLD_BREACHES:
@@ -52,6 +53,7 @@
     from martenstep.lab.fleet.rig import play_rig
     from martenstep.lab.fleet.schedule import load_schedule
     from martenstep.lab.play import PlayError
+
     try:
         schedule = load_schedule(file)
     except Faults as error:
@@ -77,6 +79,7 @@
     from martenstep.lab.fleet.judge import judge
     from martenstep.lab.fleet.records import RecordError, read_records
     from martenstep.lab.fleet.schedule import load_schedule
+
     try:
         schedule = load_schedule(folder / "schedule.txtpb")
         verdict = judge(schedule, list(read_records(folder / "records.jsonl")))
@@ -95,13 +98,15 @@
 @click.option("--members", type=click.IntRange(2, 400), default=None, help="In place of the schedules' own.")
 @click.option("--workers", type=click.IntRange(1, 256), default=None, help="Processes; all cores otherwise.")
 @click.option("--json", "as_json", is_flag=True, help="One line of JSON for each play.")
-def emulate(files: tuple[Path, ...], seeds: int, first: int, members: int | None, workers: int | None,
-            as_json: bool) -> None:
+def emulate(
+    files: tuple[Path, ...], seeds: int, first: int, members: int | None, workers: int | None, as_json: bool
+) -> None:
     """Play the schedules of FILES in virtual time, each with several seeds; exit 3 where a rule was broken."""
     from google.protobuf import text_format
 
     from martenstep.lab.fleet.plays import play_all
     from martenstep.lab.fleet.schedule import load_schedule
+
     texts = []
     for file in files:
         try:
@@ -117,11 +122,23 @@
         for played in play_all(texts, range(first, first + seeds), workers or 0):
             kept = kept and not played.breaches
             if as_json:
-                click.echo(msgspec.json.encode({"name": played.name, "members": played.members, "seed": played.seed,
-                                                "breaches": played.breaches, "figures": played.figures}))
+                click.echo(
+                    msgspec.json.encode(
+                        {
+                            "name": played.name,
+                            "members": played.members,
+                            "seed": played.seed,
+                            "breaches": played.breaches,
+                            "figures": played.figures,
+                        }
+                    )
+                )
             else:
-                click.echo(_summary(f"{played.name} ({played.members} doors, seed {played.seed})", played.breaches,
-                                    played.figures))
+                click.echo(
+                    _summary(
+                        f"{played.name} ({played.members} doors, seed {played.seed})", played.breaches, played.figures
+                    )
+                )
     except Faults as error:
         faults_told(error)
     sys.exit(0 if kept else BROKEN)
--- a/martenstep/cli/hooks.py
+++ b/martenstep/cli/hooks.py
@@ -53,8 +53,10 @@
         odd = given.keys() - {name for name, _ in RECORDS[kind]}
         if odd:
             raise ValueError(f"{where}: no field {sorted(odd)[0]!r}")
-        return tuple(value_of(of, given.get(name, [] if of.name == "list" else ZERO.get(of.name)), f"{where}.{name}")
-                     for name, of in RECORDS[kind])
+        return tuple(
+            value_of(of, given.get(name, [] if of.name == "list" else ZERO.get(of.name)), f"{where}.{name}")
+            for name, of in RECORDS[kind]
+        )
     wanted = {"text": str, "bool": bool}.get(kind.name, float)
     if wanted is float and isinstance(given, int) and not isinstance(given, bool):
         given = float(given)
@@ -193,17 +195,36 @@
 @click.argument("source", type=FILE)
 @click.argument("directory", type=FILE)
 @click.option("--version", type=click.IntRange(min=1), required=True, help="Above all that are there.")
-@click.option("--share", type=click.FloatRange(0, 1, min_open=True), default=1.0, show_default=True,
-              help="Of the customers; below 1 it is a trial.")
+@click.option(
+    "--share",
+    type=click.FloatRange(0, 1, min_open=True),
+    default=1.0,
+    show_default=True,
+    help="Of the customers; below 1 it is a trial.",
+)
 @click.option("--trial-customer", "customers", multiple=True, help="Belongs to the trial in any case.")
 @click.option("--about", default="", help="A line for the others.")
 @click.option("--sign", "signing", type=FILE, default=None, help="The private key, as `hook key` wrote it.")
-def publish(source: Path, directory: Path, version: int, share: float, customers: tuple[str, ...], about: str,
-            signing: Path | None) -> None:
+def publish(
+    source: Path,
+    directory: Path,
+    version: int,
+    share: float,
+    customers: tuple[str, ...],
+    about: str,
+    signing: Path | None,
+) -> None:
     """Put the hooks of SOURCE, all or those that its manifest names, into DIRECTORY as one release."""
     try:
-        made = files.publish(source, directory, version, share=share, about=about, customers=customers,
-                             key=files.load_key(signing) if signing is not None else None)
+        made = files.publish(
+            source,
+            directory,
+            version,
+            share=share,
+            about=about,
+            customers=customers,
+            key=files.load_key(signing) if signing is not None else None,
+        )
     except files.ReleaseError as error:
         raise click.UsageError(str(error)) from None
     except OSError as error:
@@ -229,12 +250,21 @@
         raise click.UsageError(f"{error.filename}: {error.strerror}") from None
     acting = choose(releases, withdrawn)
     for release in sorted(releases, key=lambda one: one.version):
-        state = ("withdrawn" if release.version in withdrawn else "acts" if release is acting[0] else
-                 "on trial" if release is acting[1] else "not acting")
+        state = (
+            "withdrawn"
+            if release.version in withdrawn
+            else "acts"
+            if release is acting[0]
+            else "on trial"
+            if release is acting[1]
+            else "not acting"
+        )
         points = ", ".join(f"{one.point} ({one.name})" for one in release.hooks) or "no hooks"
         signed = f"; signed by {release.signer[:16]}" if release.signer else ""
-        click.echo(f"{release.version}: {state}; share {release.share:g}; {points}{signed}"
-                   f"{'; ' + release.about if release.about else ''}")
+        click.echo(
+            f"{release.version}: {state}; share {release.share:g}; {points}{signed}"
+            f"{'; ' + release.about if release.about else ''}"
+        )
     for text in wrong:
         click.echo(f"cannot be taken: {text}", err=True)
     if customer is not None:
@@ -280,5 +310,7 @@
         click.echo(f"{file}: {point}: {error}", err=True)
         sys.exit(1)
     took.sort()
-    click.echo(f"{steps} steps; median {took[ROUNDS // 2]:.1f} us, p99 {took[ROUNDS * 99 // 100]:.1f} us; "
-               f"{steps / took[ROUNDS // 2]:.2f} steps a us")
+    click.echo(
+        f"{steps} steps; median {took[ROUNDS // 2]:.1f} us, p99 {took[ROUNDS * 99 // 100]:.1f} us; "
+        f"{steps / took[ROUNDS // 2]:.2f} steps a us"
+    )
--- a/martenstep/cli/lab.py
+++ b/martenstep/cli/lab.py
@@ -33,6 +33,7 @@
     from martenstep.lab.day import load_day
     from martenstep.lab.emulate import judged
     from martenstep.lab.emulate.world import NotEmulatedError
+
     kept = True
     for file in files:
         begin = time.perf_counter()
@@ -74,10 +75,12 @@
     from martenstep.lab.experiment.plan import load_plan
     from martenstep.lab.experiment.run import RunError, load_result, run_plan
     from martenstep.lab.play import PlayError
+
     try:
         made = load_plan(plan)
-        file = run_plan(made, read_text(plan), plan.parent, out, workers or max((os.cpu_count() or 2) - 1, 1),
-                        _Progress(), sockets)
+        file = run_plan(
+            made, read_text(plan), plan.parent, out, workers or max((os.cpu_count() or 2) - 1, 1), _Progress(), sockets
+        )
         rows, _ = load_result(file)
     except Faults as error:
         faults_told(error)
@@ -96,6 +99,7 @@
 def _result(path: Path, names: tuple[str, ...]) -> tuple[list[dict[str, Any]], dict[str, str], list[str]]:
     from martenstep.lab.experiment.compare import metrics
     from martenstep.lab.experiment.run import RunError, load_result
+
     try:
         rows, held = load_result(path)
     except RunError as error:
@@ -121,6 +125,7 @@
 def compare(result: Path, baseline: str, names: tuple[str, ...]) -> None:
     """Print means with 95% intervals, and paired differences, of RESULT."""
     from martenstep.lab.experiment.compare import table
+
     rows, _, shown = _result(result, names)
     click.echo(table(rows, shown, _baseline(rows, baseline)))
 
@@ -134,6 +139,7 @@
     """Draw RESULT: charts as SVG and PNG, a table, one HTML page with all of it."""
     from martenstep.lab.experiment.plan import parse_plan
     from martenstep.lab.experiment.report import write
+
     rows, held, _ = _result(result, names)
     plan = parse_plan(held["plan"], str(result))
     _, _, shown = _result(result, names or tuple(plan.metric))
@@ -159,6 +165,7 @@
     from martenstep.lab.day import load_day
     from martenstep.lab.experiment import search as searching
     from martenstep.lab.experiment.run import measure
+
     try:
         base = load_day(day)
     except Faults as error:
@@ -169,13 +176,16 @@
         if metric not in found:
             raise click.UsageError(f"no metric {metric!r} (there are: {', '.join(found)})")
         return float("inf") if found["broken"] else -found[metric] if low else found[metric]
+
     found = searching.search(base, badness, runs, seed, told=lambda tried, worst: _Progress()(tried, runs, 0.0))
     small = searching.shrink(found, badness, shrink_runs)
     small.day.name = out.stem
     out.write_text(text_format.MessageToString(small.day), encoding="utf-8")
     rule = small.badness == float("inf")
-    click.echo(f"{out}: {'a rule breaks' if rule else f'{metric} {abs(small.badness):.4g}'}, {len(small.day.event)} "
-               f"troubles; {small.tried} days tried")
+    click.echo(
+        f"{out}: {'a rule breaks' if rule else f'{metric} {abs(small.badness):.4g}'}, {len(small.day.event)} "
+        f"troubles; {small.tried} days tried"
+    )
     sys.exit(BROKEN if rule else 0)
 
 
@@ -190,6 +200,7 @@
     Exit 3 where a rule broke."""
     from martenstep.lab.experiment import sweep as sweeping
     from martenstep.lab.experiment.run import RunError
+
     try:
         made = sweeping.load_sweep(plan)
         made.days = days or made.days
@@ -210,6 +221,7 @@
     from martenstep.lab.emulate.match import match as matched
     from martenstep.lab.emulate.world import NotEmulatedError
     from martenstep.lab.report import TraceError
+
     apart = False
     click.echo("| day | " + " | ".join(TOLERANCES) + " |\n| --- |" + " --- |" * len(TOLERANCES))
     for folder in folders:
--- a/martenstep/cli/load.py
+++ b/martenstep/cli/load.py
@@ -15,19 +15,42 @@
 @click.option("--anywhere", is_flag=True, help="The host is not this machine, and is yours to load.")
 @click.option("--path", "paths", multiple=True, default=("/",), help="Asked by chance where there are several.")
 @click.option("--header", "headers", multiple=True, help="As 'name: value'.")
-@click.option("--customers", type=click.IntRange(min=0), default=100, show_default=True,
-              help="Of the header x-customer, by chance; 0: without it.")
+@click.option(
+    "--customers",
+    type=click.IntRange(min=0),
+    default=100,
+    show_default=True,
+    help="Of the header x-customer, by chance; 0: without it.",
+)
 @click.option("--rate", type=float, default=100.0, show_default=True, help="Requests a second; the first of a search.")
 @click.option("--seconds", type=float, default=5.0, show_default=True, help="Of each step.")
 @click.option("--processes", type=click.IntRange(1, 64), default=2, show_default=True)
 @click.option("--until-p99", type=float, default=None, help="Search the highest rate with p99 below so many ms.")
 @click.option("--most", type=float, default=20_000.0, show_default=True, help="Rate at which a search ends.")
-@click.option("--failures", type=click.FloatRange(0, 1), default=0.001, show_default=True,
-              help="Share of failed requests that a step may have.")
-def load(port: int, host: str, anywhere: bool, paths: tuple[str, ...], headers: tuple[str, ...], customers: int,
-         rate: float, seconds: float, processes: int, until_p99: float | None, most: float, failures: float) -> None:
+@click.option(
+    "--failures",
+    type=click.FloatRange(0, 1),
+    default=0.001,
+    show_default=True,
+    help="Share of failed requests that a step may have.",
+)
+def load(
+    port: int,
+    host: str,
+    anywhere: bool,
+    paths: tuple[str, ...],
+    headers: tuple[str, ...],
+    customers: int,
+    rate: float,
+    seconds: float,
+    processes: int,
+    until_p99: float | None,
+    most: float,
+    failures: float,
+) -> None:
     """Load the door at PORT and tell times from each request's own moment.  Exit 1 where a request failed."""
     from martenstep.lab import load as loading
+
     pairs = []
     for header in headers:
         name, found, value = header.partition(":")
@@ -41,12 +64,15 @@
         if until_p99 is None:
             steps = [(rate, True, loading.load(aim, rate, seconds, processes))]
         else:
-            steps = loading.highest(lambda at: loading.load(aim, at, seconds, processes), rate, most, until_p99,
-                                    failures, 20)
+            steps = loading.highest(
+                lambda at: loading.load(aim, at, seconds, processes), rate, most, until_p99, failures, 20
+            )
     except loading.LoadError as error:
         raise click.UsageError(str(error)) from None
-    click.echo("| requests a second | p50 | p90 | p99 | p99.9 | longest | sent late by | answers |\n"
-               "| --- | --- | --- | --- | --- | --- | --- | --- |")
+    click.echo(
+        "| requests a second | p50 | p90 | p99 | p99.9 | longest | sent late by | answers |\n"
+        "| --- | --- | --- | --- | --- | --- | --- | --- |"
+    )
     for at, held, result in steps:
         answers = ", ".join(f"{what} {count}" for what, count in sorted(result.answers.items()))
         cells = " | ".join(f"{result.ms(part):.1f}" for part in (50, 90, 99, 99.9, 100))
--- a/martenstep/cli/main.py
+++ b/martenstep/cli/main.py
@@ -44,16 +44,19 @@
 @click.option("--workers", type=click.IntRange(1, 256), default=None, help="In place of the settings' workers.count.")
 def serve(file: Path, seed: int | None, uvloop: bool, workers: int | None) -> None:
     """Run a door with the settings in FILE until SIGTERM; SIGHUP takes up what changed in it."""
+
     def load() -> pb.Door:
         made = load_door(file)
         if workers is not None:
             made.workers.count = workers
         return made
+
     try:
         door = load()
     except Faults as error:
         faults_told(error)
     from martenstep.supervise.service import run
+
     if uvloop:
         try:
             import uvloop as loops
@@ -67,6 +70,7 @@
 def worker() -> None:
     """Run one worker of a supervisor, which steers it over standard input."""
     from martenstep.supervise.worker import work
+
     sys.exit(asyncio.run(work()))
 
 
@@ -117,21 +121,29 @@
 def photo_server(settings: str, trace: Path | None) -> None:
     """A photo server."""
     from martenstep.standins import photo
+
     made = _json(settings, photo.PhotoConfig, "--config")
     asyncio.run(photo.run(made, trace))
 
 
 @standin.command("redis", epilog=_example("martenstep standin redis --port 6390"))
 @PORT
-@click.option("--kind", type=click.Choice(["alone", "sentinel", "cluster"]), default="alone", show_default=True,
-              help="One server; a primary with a replica and three sentinels; primaries with a replica each.")
+@click.option(
+    "--kind",
+    type=click.Choice(["alone", "sentinel", "cluster"]),
+    default="alone",
+    show_default=True,
+    help="One server; a primary with a replica and three sentinels; primaries with a replica each.",
+)
 @click.option("--shards", type=click.IntRange(1, 64), default=3, show_default=True, help="Primaries of a cluster.")
-@click.option("--lag-ms", type=click.FloatRange(min=0), default=100.0, show_default=True,
-              help="Replicas are so far behind.")
+@click.option(
+    "--lag-ms", type=click.FloatRange(min=0), default=100.0, show_default=True, help="Replicas are so far behind."
+)
 @TRACE
 def redis(port: int, kind: str, shards: int, lag_ms: float, trace: Path | None) -> None:
     """A Redis, as far as a door needs one.  --port is for one server alone; others take ports that are free."""
     from martenstep.standins.redis import fleet
+
     asyncio.run(fleet.run(port, trace, kind, shards, lag_ms))
 
 
@@ -142,6 +154,7 @@
 def feed(port: int, lag_ms: float, trace: Path | None) -> None:
     """A members feed."""
     from martenstep.standins import feed as stand_in
+
     asyncio.run(stand_in.run(port, lag_ms, trace))
 
 
@@ -152,6 +165,7 @@
 def auth(port: int, max_age_s: int, trace: Path | None) -> None:
     """An authentication service."""
     from martenstep.standins import auth as stand_in
+
     asyncio.run(stand_in.run(port, max_age_s, trace))
 
 
@@ -162,6 +176,7 @@
 def clients(schedule: Path, manners: str, trace: Path | None) -> None:
     """Clients that play a schedule, open loop."""
     from martenstep.standins import clients as stand_in
+
     made = _json(manners, stand_in.Manners, "--manners")
     asyncio.run(stand_in.run(schedule, made, trace))
 
@@ -173,6 +188,7 @@
 
 def _judge(folder: Path) -> NoReturn:
     from martenstep.lab import report
+
     try:
         result = report.judge_folder(folder)
     except report.TraceError as error:
@@ -190,6 +206,7 @@
     """Play the day in FILE and judge it; exit 3 where a rule was broken."""
     from martenstep.lab.day import load_day
     from martenstep.lab.play import PlayError, play_day
+
     try:
         loaded = load_day(file)
     except Faults as error:
@@ -228,6 +245,7 @@
     from google.protobuf import text_format
 
     from martenstep.lab.tap import TapError, day_from
+
     try:
         with tap.open(encoding="utf-8") as lines:
             made = day_from(lines, tap.stem, rate, servers, doors)
@@ -253,6 +271,7 @@
     from martenstep.counter.follow import RefusedError
     from martenstep.storage.files import LockedError
     from martenstep.storage.log import LogError
+
     try:
         yield
     except (CopyError, LogError, LockedError, RefusedError, TlsError, OSError) as error:
@@ -266,6 +285,7 @@
     """Run a counter service with the settings in FILE until SIGTERM."""
     from martenstep.counter import service
     from martenstep.counter.settings import load_service
+
     try:
         settings = load_service(file)
     except Faults as error:
@@ -273,29 +293,37 @@
     with _log_faults():
         if settings.HasField("copies"):
             from martenstep.counter import copied_service
+
             sys.exit(asyncio.run(copied_service.serve(settings, lambda: load_service(file))))
         sys.exit(asyncio.run(service.serve(settings)))
 
 
-@counter.command("identity", epilog=_example(
-    "martenstep counter identity /var/lib/martenstep/counter --witness /run/martenstep/counter"))
+@counter.command(
+    "identity",
+    epilog=_example("martenstep counter identity /var/lib/martenstep/counter --witness /run/martenstep/counter"),
+)
 @click.argument("directory", type=click.Path(path_type=Path, file_okay=False))
-@click.option("--witness", type=click.Path(path_type=Path, file_okay=False), required=True,
-              help="The copy's witness directory, as in its settings.")
+@click.option(
+    "--witness",
+    type=click.Path(path_type=Path, file_okay=False),
+    required=True,
+    help="The copy's witness directory, as in its settings.",
+)
 def counter_identity(directory: Path, witness: Path) -> None:
     """Tell which copy's disk DIRECTORY is; an empty one becomes a new copy's."""
     from martenstep.counter.copied_service import identity_of
+
     with _log_faults():
         click.echo(identity_of(directory, witness))
 
 
-@counter.command("follow", epilog=_example(
-    "martenstep counter follow /var/lib/martenstep/copy --leader 10.0.0.5:6400"))
+@counter.command("follow", epilog=_example("martenstep counter follow /var/lib/martenstep/copy --leader 10.0.0.5:6400"))
 @click.argument("directory", type=click.Path(path_type=Path, file_okay=False))
 @click.option("--leader", required=True, help="HOST:PORT of the service.")
 def counter_follow(directory: Path, leader: str) -> None:
     """Keep a copy of a service's log in DIRECTORY until SIGTERM."""
     from martenstep.counter import follow
+
     address = address_of("--leader", leader)
     with _log_faults(), contextlib.suppress(KeyboardInterrupt), contextlib.closing(follow.Follower(directory)) as made:
         click.echo(msgspec.json.encode({"ready": {"records": made.records, "term": made.term}}))
@@ -307,6 +335,7 @@
 def counter_promote(directory: Path) -> None:
     """Begin a new term in a follower's log.  Serve it then, and point the doors at it: the old leader is fenced."""
     from martenstep.counter import follow
+
     with _log_faults():
         term = follow.promote(directory)
     click.echo(f"term {term} has begun")
@@ -317,20 +346,28 @@
 def counter_verify(directory: Path) -> None:
     """Read all of a log; exit 1 at the first damage, with file and offset."""
     from martenstep.counter import read
+
     with _log_faults():
         found = read.verify(directory)
-    click.echo(f"{found.records} records in {found.segments} segments, {found.snapshots} snapshots, all whole; "
-               f"{found.torn} bytes of a torn tail")
-
-
-@counter.command("repair", epilog=_example(
-    "martenstep counter repair /var/lib/martenstep/counter --file seg-0000000000000000.log --upto 123456"))
+    click.echo(
+        f"{found.records} records in {found.segments} segments, {found.snapshots} snapshots, all whole; "
+        f"{found.torn} bytes of a torn tail"
+    )
+
+
+@counter.command(
+    "repair",
+    epilog=_example(
+        "martenstep counter repair /var/lib/martenstep/counter --file seg-0000000000000000.log --upto 123456"
+    ),
+)
 @DIRECTORY
 @click.option("--file", "name", required=True, help="The segment that verify names.")
 @click.option("--upto", type=int, required=True, help="Offset that it is cut at.")
 def counter_repair(directory: Path, name: str, upto: int) -> None:
     """Cut a damaged log.  What is cut may have been acknowledged: only with a backup at hand."""
     from martenstep.counter import read
+
     with _log_faults():
         lost = read.repair(directory, name, upto)
     click.echo(f"{lost} bytes are cut")
@@ -346,22 +383,46 @@
     """Rebuild the state from the log, and print the totals by customer, plan and period as JSON lines."""
     from martenstep.counter import read
     from martenstep.counter.state import Limits
+
     with _log_faults():
         made = read.rebuilt(directory, Limits(period_ms=period_ms))
     for (customer, plan, period), use in sorted(made.uses().items()):
-        click.echo(msgspec.json.encode({"customer": customer, "plan": plan, "from_ms": period * period_ms,
-                                        "tries": use.tries, "units": use.units, "beyond": use.beyond}))
+        click.echo(
+            msgspec.json.encode(
+                {
+                    "customer": customer,
+                    "plan": plan,
+                    "from_ms": period * period_ms,
+                    "tries": use.tries,
+                    "units": use.units,
+                    "beyond": use.beyond,
+                }
+            )
+        )
     click.echo(msgspec.json.encode(made.sizes), err=True)
 
 
 def _export(directory: Path, customer: str | None, since: float | None, until: float | None) -> None:
     from martenstep.counter import read
+
     with _log_faults():
-        for door, told in read.each_try(directory, customer, float("-inf") if since is None else since,
-                                        float("inf") if until is None else until):
-            click.echo(msgspec.json.encode({
-                "time_ms": told.time_ms, "request": told.request, "customer": told.customer, "plan": told.plan,
-                "class": told.cls, "units": told.units, "beyond": told.beyond, "door": door}))
+        for door, told in read.each_try(
+            directory, customer, float("-inf") if since is None else since, float("inf") if until is None else until
+        ):
+            click.echo(
+                msgspec.json.encode(
+                    {
+                        "time_ms": told.time_ms,
+                        "request": told.request,
+                        "customer": told.customer,
+                        "plan": told.plan,
+                        "class": told.cls,
+                        "units": told.units,
+                        "beyond": told.beyond,
+                        "door": door,
+                    }
+                )
+            )
 
 
 SINCE = click.option("--from", "since", type=float, default=None, help="Unix ms.")
@@ -398,6 +459,7 @@
 def trace_show(file: Path, request: str) -> None:
     """Print what became of REQUEST as a time line."""
     from martenstep.lab.timeline import TimelineError, timeline
+
     try:
         with file.open("rb") as lines:
             click.echo(timeline(lines, request))
--- a/martenstep/cli/maintenance.py
+++ b/martenstep/cli/maintenance.py
@@ -74,18 +74,35 @@
     place = {request: number for number, request in enumerate(view.order)}
     held = [one for one in view.requests if ended or one.state is not State.ENDED]
     for one in sorted(held, key=lambda one: (one.state is State.WAITING, place.get(one.id, -1), one.number)):
-        rows.append((one.id, one.machine, one.state.value, str(one.token or "-"), f"{one.for_ms / 60_000:g}m",
-                     one.plan or "-", one.reason or "-", one.end or view.waits.get(one.id, "-")))
+        rows.append(
+            (
+                one.id,
+                one.machine,
+                one.state.value,
+                str(one.token or "-"),
+                f"{one.for_ms / 60_000:g}m",
+                one.plan or "-",
+                one.reason or "-",
+                one.end or view.waits.get(one.id, "-"),
+            )
+        )
     widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     limits = view.limits
-    head = (f"{view.leader} leads the book; {limits.most_out} may be out, {limits.most_out_zone} in a zone, "
-            f"{limits.most_share:.0%} of the capacity" + (", zone by zone" if limits.by_zone else ""))
+    head = (
+        f"{view.leader} leads the book; {limits.most_out} may be out, {limits.most_out_zone} in a zone, "
+        f"{limits.most_share:.0%} of the capacity" + (", zone by zone" if limits.by_zone else "")
+    )
     notes = [f"paused: {view.paused}"] if view.paused is not None else []
     notes += [f"plan {plan} stands: {why}" for plan, why in sorted(view.plans.items())]
     away = [one.name for one in view.machines if not one.healthy]
     notes += [f"not healthy: {', '.join(away)}"] if away else []
-    return "\n".join([head, *notes, *("  ".join(
-        cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows)])
+    return "\n".join(
+        [
+            head,
+            *notes,
+            *("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows),
+        ]
+    )
 
 
 @click.group()
@@ -93,8 +110,9 @@
     """Machines taken out for work, in an order that the doors settle."""
 
 
-@maintenance.command("ask", epilog=example(
-    "martenstep maintenance ask --machine d004 --for 20m --reason kernel --admin 127.0.0.1:9080"))
+@maintenance.command(
+    "ask", epilog=example("martenstep maintenance ask --machine d004 --for 20m --reason kernel --admin 127.0.0.1:9080")
+)
 @click.option("--machine", multiple=True, help="Name of a door; may stand several times.")
 @click.option("--all", "every", is_flag=True, help="All doors, as one plan.")
 @click.option("--zone", help="With --all: of one zone.")
@@ -104,8 +122,17 @@
 @click.option("--urgent", is_flag=True, help="Before all that are not, as a failing disk.")
 @click.option("--id", "given", help="The same id twice is one request; of several machines, the plan's name.")
 @ADMIN
-def ask(machine: tuple[str, ...], every: bool, zone: str | None, for_ms: float, reason: str, before: float,
-        urgent: bool, given: str | None, admin: str) -> None:
+def ask(
+    machine: tuple[str, ...],
+    every: bool,
+    zone: str | None,
+    for_ms: float,
+    reason: str,
+    before: float,
+    urgent: bool,
+    given: str | None,
+    admin: str,
+) -> None:
     """Ask for machines to be taken out.  A plan that was asked in part is gone on with by asking it again."""
     if bool(machine) == every:
         raise click.UsageError("either --machine or --all")
@@ -113,8 +140,10 @@
     base = given or f"{'roll' if len(names) != 1 else names[0]}-{int(time.time())}"
     several = len(names) != 1
     for name in names:
-        answer = tell(admin, Ask(f"{base}-{name}" if several else base, name, for_ms, reason, urgent, before,
-                                 base if several else ""))
+        answer = tell(
+            admin,
+            Ask(f"{base}-{name}" if several else base, name, for_ms, reason, urgent, before, base if several else ""),
+        )
         if answer.request is not None:
             click.echo(f"{answer.request.id}: {answer.request.state.value}")
 
@@ -173,8 +202,9 @@
     tell(admin, Done(request, _token(look(admin), request), why is None, why or ""))
 
 
-@maintenance.command("extend", epilog=example(
-    "martenstep maintenance extend kernel-d004 --for 30m --admin 127.0.0.1:9080"))
+@maintenance.command(
+    "extend", epilog=example("martenstep maintenance extend kernel-d004 --for 30m --admin 127.0.0.1:9080")
+)
 @click.argument("request")
 @click.option("--for", "for_ms", type=Span(), required=True, help="From now.")
 @ADMIN
@@ -221,8 +251,10 @@
 def limits(admin: str, **given: Any) -> None:
     """Change limits; those that are not given stay."""
     held: Limits = look(admin).limits
-    tell(admin, SetLimits(msgspec.structs.replace(held, **{name: value for name, value in given.items()
-                                                          if value is not None})))
+    tell(
+        admin,
+        SetLimits(msgspec.structs.replace(held, **{name: value for name, value in given.items() if value is not None})),
+    )
 
 
 @maintenance.command("watch", epilog=example("martenstep maintenance watch --admin 127.0.0.1:9080"))
--- a/martenstep/cli/members.py
+++ b/martenstep/cli/members.py
@@ -19,8 +19,18 @@
     rows = [COLUMNS]
     for one in view["members"]:
         says = " ".join(word for word in ("deaf", "unheard") if one[word])
-        rows.append((one["name"], one["state"], one["zone"], f"{one['host']}:{one['port']}", str(one["incarnation"]),
-                     f"{one['since_ms'] / 1000:.0f}", says or "-", one["by"] or "-"))
+        rows.append(
+            (
+                one["name"],
+                one["state"],
+                one["zone"],
+                f"{one['host']}:{one['port']}",
+                str(one["incarnation"]),
+                f"{one['since_ms'] / 1000:.0f}",
+                says or "-",
+                one["by"] or "-",
+            )
+        )
     widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     lines = ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows]
     own = [word for word in ("deaf", "unheard") if view.get(word)]
--- a/martenstep/config/changes.py
+++ b/martenstep/config/changes.py
@@ -15,20 +15,60 @@
 from martenstep.config import door_pb2 as pb
 
 # Read at each use, or built anew at one stroke.
-LIVE = frozenset({
-    "customer", "route", "default_plan", "stop_ms", "log.lines_per_s",
-    "listener.max_connections", "listener.max_open", "listener.head_bytes", "listener.body_bytes",
-    "listener.idle_ms", "listener.head_ms", "listener.leave_on_half_close", "listener.answer_margin_ms",
-    "listener.host_name", "listener.whole_body",
-    "upstream.answer_idle_ms", "upstream.keep_body_bytes", "upstream.hold_answer_bytes",
-    "upstream.answer_bytes",
-    "hooks.directory", "hooks.trusted_key", "hooks.class", "hooks.plan", "hooks.customer", "hooks.least_units",
-    "hooks.most_units", "hooks.path_prefix", "hooks.failure_share", "hooks.mean_steps", "hooks.least_runs",
-    "hooks.backstop_ms",
-})
+LIVE = frozenset(
+    {
+        "customer",
+        "route",
+        "default_plan",
+        "stop_ms",
+        "log.lines_per_s",
+        "listener.max_connections",
+        "listener.max_open",
+        "listener.head_bytes",
+        "listener.body_bytes",
+        "listener.idle_ms",
+        "listener.head_ms",
+        "listener.leave_on_half_close",
+        "listener.answer_margin_ms",
+        "listener.host_name",
+        "listener.whole_body",
+        "upstream.answer_idle_ms",
+        "upstream.keep_body_bytes",
+        "upstream.hold_answer_bytes",
+        "upstream.answer_bytes",
+        "hooks.directory",
+        "hooks.trusted_key",
+        "hooks.class",
+        "hooks.plan",
+        "hooks.customer",
+        "hooks.least_units",
+        "hooks.most_units",
+        "hooks.path_prefix",
+        "hooks.failure_share",
+        "hooks.mean_steps",
+        "hooks.least_runs",
+        "hooks.backstop_ms",
+    }
+)
 # Built or taken down with their coming and going, even where all their fields are the usual ones.
-PARTS = frozenset({"admin", "advertise", "auth", "book", "copies", "counter", "fleet", "forward_auth", "hooks",
-                   "maintenance", "members", "store", "tls", "tracing"})
+PARTS = frozenset(
+    {
+        "admin",
+        "advertise",
+        "auth",
+        "book",
+        "copies",
+        "counter",
+        "fleet",
+        "forward_auth",
+        "hooks",
+        "maintenance",
+        "members",
+        "store",
+        "tls",
+        "tracing",
+    }
+)
 HIDDEN = frozenset({"forward_auth.secret"})  # never in a log
 THERE = {True: "there", False: "not there"}
 MOST_TOLD = 200  # characters of a value
@@ -80,6 +120,7 @@
     def told(keys: list[str], all_of: list[Any]) -> str:
         shown = ", ".join(repr(key) for key in keys[:MOST_NAMES]) + (", ..." if len(keys) > MOST_NAMES else "")
         return f"{len(all_of)} entries" + (f" ({shown})" if keys else "")
+
     if not gone and not came and not changed:
         return told([], before), told([], after) + " in another order"
     return told(gone + changed, before), told(came + changed, after)
--- a/martenstep/config/generate.py
+++ b/martenstep/config/generate.py
@@ -7,8 +7,14 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-SCHEMAS = ("martenstep/config/door.proto", "martenstep/lab/day.proto", "martenstep/counter/counter.proto",
-           "martenstep/hooks/manifest.proto", "martenstep/lab/plan.proto", "martenstep/lab/fleet/fleet.proto")
+SCHEMAS = (
+    "martenstep/config/door.proto",
+    "martenstep/lab/day.proto",
+    "martenstep/counter/counter.proto",
+    "martenstep/hooks/manifest.proto",
+    "martenstep/lab/plan.proto",
+    "martenstep/lab/fleet/fleet.proto",
+)
 
 
 def generate(out: Path) -> list[Path]:
--- a/martenstep/config/settings.py
+++ b/martenstep/config/settings.py
@@ -57,8 +57,10 @@
         for name in names:
             value = getattr(message, name)
             if not 0 < value < math.inf:
-                self.fault(node.at(name), f"expected above 0, got {value:g}" if message.HasField(name)
-                           else "missing, expected above 0")
+                self.fault(
+                    node.at(name),
+                    f"expected above 0, got {value:g}" if message.HasField(name) else "missing, expected above 0",
+                )
 
     def needed(self, message: Any, node: Node, *names: str) -> None:
         """Words that must be there."""
@@ -87,8 +89,9 @@
     def port(self, message: Any, node: Node, any_free: bool) -> None:
         """A port number; 0 stands for any that is free, where that makes sense."""
         if message.port > MOST_PORT:
-            self.fault(node.at("port"), f"expected a port from {0 if any_free else 1} to {MOST_PORT}, "
-                                        f"got {message.port}")
+            self.fault(
+                node.at("port"), f"expected a port from {0 if any_free else 1} to {MOST_PORT}, got {message.port}"
+            )
         elif not message.port and not any_free:
             self.fault(node.at("port"), f"missing, expected a port from 1 to {MOST_PORT}")
 
@@ -98,8 +101,9 @@
     check.needed(entry, node, "name")
     check.above_zero(entry, node, "aim_ms", "deadline_ms")
     if entry.aim_ms > entry.deadline_ms > 0:
-        check.fault(node.at("aim_ms"), f"expected no more than the deadline of {entry.deadline_ms:g}, "
-                                       f"got {entry.aim_ms:g}")
+        check.fault(
+            node.at("aim_ms"), f"expected no more than the deadline of {entry.deadline_ms:g}, got {entry.aim_ms:g}"
+        )
     check.number(entry, node, "worth", 0)
     if entry.effect == pb.KEYED:
         check.above_zero(entry, node, "window_ms")
@@ -112,8 +116,7 @@
 def check_plan(check: Checker, entry: pb.Plan, node: Node) -> None:
     """One plan."""
     check.needed(entry, node, "name")
-    for name in ("rate", "burst", "price", "over_worth", "over_cost", "ceiling_rate", "ceiling_burst",
-                 "ceiling_slack"):
+    for name in ("rate", "burst", "price", "over_worth", "over_cost", "ceiling_rate", "ceiling_burst", "ceiling_slack"):
         check.number(entry, node, name, 0, 1e12)
     if entry.rate > 0 and not entry.burst > 0:
         check.fault(node.at("burst"), "missing, expected above 0 where there is a rate")
@@ -184,9 +187,11 @@
     """What the settings leave open to hooks."""
     told = door.hooks
     check.needed(told, node, "directory")
-    for name, known in (("class", {entry.name for entry in getattr(door, "class")}),
-                        ("plan", {entry.name for entry in door.plan}),
-                        ("customer", {entry.key for entry in door.customer})):
+    for name, known in (
+        ("class", {entry.name for entry in getattr(door, "class")}),
+        ("plan", {entry.name for entry in door.plan}),
+        ("customer", {entry.key for entry in door.customer}),
+    ):
         for value, at in zip(getattr(told, name), node.all(name), strict=True):
             if value not in known:
                 check.fault(at, f"no {name} is named {value!r}")
@@ -425,7 +430,8 @@
     check.number(door, root, "max_retry_after_ms", 0, 1e9)
     classes, plans = list(getattr(door, "class")), list(door.plan)
     tables: list[tuple[str, list[Any], Callable[[Checker, Any, Node], None]]] = [
-        ("class", classes, check_class), ("plan", plans, check_plan),
+        ("class", classes, check_class),
+        ("plan", plans, check_plan),
     ]
     for name, entries, one in tables:
         nodes = root.all(name)
@@ -501,31 +507,56 @@
 
 def class_of(entry: pb.RequestClass) -> api.RequestClass:
     """A class in the module's terms."""
-    return api.RequestClass(name=entry.name, aim_ms=entry.aim_ms, deadline_ms=entry.deadline_ms,
-                            effect=EFFECTS[entry.effect], group=GROUPS[entry.group],
-                            window_ms=entry.window_ms, worth=entry.worth)
+    return api.RequestClass(
+        name=entry.name,
+        aim_ms=entry.aim_ms,
+        deadline_ms=entry.deadline_ms,
+        effect=EFFECTS[entry.effect],
+        group=GROUPS[entry.group],
+        window_ms=entry.window_ms,
+        worth=entry.worth,
+    )
 
 
 def plan_of(entry: pb.Plan) -> api.Plan:
     """A plan in the module's terms."""
-    return api.Plan(name=entry.name, rate=entry.rate, burst=entry.burst, open_limit=entry.open_limit,
-                    price=entry.price, over_worth=entry.over_worth, over_cost=entry.over_cost,
-                    ceiling_rate=entry.ceiling_rate, ceiling_burst=entry.ceiling_burst,
-                    ceiling_slack=entry.ceiling_slack)
+    return api.Plan(
+        name=entry.name,
+        rate=entry.rate,
+        burst=entry.burst,
+        open_limit=entry.open_limit,
+        price=entry.price,
+        over_worth=entry.over_worth,
+        over_cost=entry.over_cost,
+        ceiling_rate=entry.ceiling_rate,
+        ceiling_burst=entry.ceiling_burst,
+        ceiling_slack=entry.ceiling_slack,
+    )
 
 
 def module_settings(door: pb.Door) -> api.Settings:
     """What the module is told at its start."""
     rules = door.rules
     return api.Settings(
-        me=door.instance, gateways=door.instances, zone=door.zone, tick_ms=TICK_MS,
+        me=door.instance,
+        gateways=door.instances,
+        zone=door.zone,
+        tick_ms=TICK_MS,
         classes=tuple(class_of(entry) for entry in getattr(door, "class")),
         plans=tuple(plan_of(entry) for entry in door.plan),
         has_counter=door.HasField("store") or door.HasField("counter"),
         counter_timeout_ms=door.counter.timeout_ms if door.HasField("counter") else door.store.timeout_ms,
-        max_units=door.max_units, max_attempts=door.upstream.max_attempts, can_cancel=door.upstream.cancel,
-        retry_after=True, max_retry_after_ms=door.max_retry_after_ms, must_subscribe=True,
-        ask_within_ms=0.0, answer_slack_ms=rules.answer_slack_ms, cold_from=rules.cold_from,
-        warm_within_ms=rules.warm_within_ms, fall_multiple=rules.fall_multiple,
-        fall_window_ms=rules.fall_window_ms, sized=True,
+        max_units=door.max_units,
+        max_attempts=door.upstream.max_attempts,
+        can_cancel=door.upstream.cancel,
+        retry_after=True,
+        max_retry_after_ms=door.max_retry_after_ms,
+        must_subscribe=True,
+        ask_within_ms=0.0,
+        answer_slack_ms=rules.answer_slack_ms,
+        cold_from=rules.cold_from,
+        warm_within_ms=rules.warm_within_ms,
+        fall_multiple=rules.fall_multiple,
+        fall_window_ms=rules.fall_window_ms,
+        sized=True,
     )
--- a/martenstep/config/text.py
+++ b/martenstep/config/text.py
@@ -225,8 +225,11 @@
         return "one of " + ", ".join(known.enum_type.values_by_name)
     if kind in INTEGERS:
         return f"a whole number from {INTEGERS[kind][0]} to {INTEGERS[kind][1]}"
-    words = {FieldDescriptor.CPPTYPE_STRING: "a string in quotes", FieldDescriptor.CPPTYPE_BOOL: "true or false",
-             FieldDescriptor.CPPTYPE_MESSAGE: "a message in braces"}
+    words = {
+        FieldDescriptor.CPPTYPE_STRING: "a string in quotes",
+        FieldDescriptor.CPPTYPE_BOOL: "true or false",
+        FieldDescriptor.CPPTYPE_MESSAGE: "a message in braces",
+    }
     return words.get(kind, "a finite number")
 
 
--- a/martenstep/counter/books.py
+++ b/martenstep/counter/books.py
@@ -44,8 +44,9 @@
 class Books:
     """One door's part in them."""
 
-    def __init__(self, me: str, keeper: Keeper, deliver: Callable[[Try], bool],
-                 note: Callable[[str, dict[str, Any]], None]) -> None:
+    def __init__(
+        self, me: str, keeper: Keeper, deliver: Callable[[Try], bool], note: Callable[[str, dict[str, Any]], None]
+    ) -> None:
         """`deliver` hands a try to the counter's client, False where that has no room; `recorded` is to be told when
         the counter has it."""
         self.me, self._keeper, self._deliver, self._note = me, keeper, deliver, note
@@ -94,11 +95,13 @@
         waiting, self._queue = self._queue, []
         by_request = {made.request: (made, future) for made, future in waiting}
         for told in puts([made for made, _ in waiting]):
-            self._tasks.spawn(self._proposed(told.tries, entry(told),
-                                             [by_request[made.request] for made in told.tries]))
+            self._tasks.spawn(
+                self._proposed(told.tries, entry(told), [by_request[made.request] for made in told.tries])
+            )
 
-    async def _proposed(self, tries: tuple[Try, ...], data: bytes,
-                        waiting: list[tuple[Try, asyncio.Future[bool]]]) -> None:
+    async def _proposed(
+        self, tries: tuple[Try, ...], data: bytes, waiting: list[tuple[Try, asyncio.Future[bool]]]
+    ) -> None:
         host = self._keeper.host(self.own)
         stands = False
         try:
@@ -158,8 +161,11 @@
         own = self._keeper.host(self.own)
         if own is not None and own.copy.leader is not None:
             self._led_at = now_ms()
-        if own is None or now_ms() - self._led_at > LEADERLESS_MS or (
-                isinstance(own.machine, Book) and own.machine.sealed):
+        if (
+            own is None
+            or now_ms() - self._led_at > LEADERLESS_MS
+            or (isinstance(own.machine, Book) and own.machine.sealed)
+        ):
             self._note("book ends", {"group": self.own})
             self._led_at = now_ms()
             if own is not None and len(own.copy.config.voters) < self._keeper.holding.count:
@@ -199,5 +205,8 @@
         """For metrics."""
         led = self.led()
         own = self._keeper.host(self.own)
-        return {"books_led": len(led), "books_pending": sum(len(book.pending) for _, book in led),
-                "books_own_copies": len(own.copy.config.voters) if own is not None else 0}
+        return {
+            "books_led": len(led),
+            "books_pending": sum(len(book.pending) for _, book in led),
+            "books_own_copies": len(own.copy.config.voters) if own is not None else 0,
+        }
--- a/martenstep/counter/client.py
+++ b/martenstep/counter/client.py
@@ -58,11 +58,23 @@
 class CounterClient:
     """A store port over one counter service."""
 
-    def __init__(self, addresses: Sequence[Address] | Callable[[], Sequence[Address]], door: str, journal: Journal,
-                 answer: Answer, note: Note, *, timeout_ms: float = 50.0, waiting: int = 10_000, map_version: int = 1,
-                 tls: ssl.SSLContext | None = None, server_name: str = "", group: str = "",
-                 way: Callable[[Address], Address] = lambda address: address,
-                 recorded: Callable[[str], None] = lambda request: None) -> None:
+    def __init__(
+        self,
+        addresses: Sequence[Address] | Callable[[], Sequence[Address]],
+        door: str,
+        journal: Journal,
+        answer: Answer,
+        note: Note,
+        *,
+        timeout_ms: float = 50.0,
+        waiting: int = 10_000,
+        map_version: int = 1,
+        tls: ssl.SSLContext | None = None,
+        server_name: str = "",
+        group: str = "",
+        way: Callable[[Address], Address] = lambda address: address,
+        recorded: Callable[[str], None] = lambda request: None,
+    ) -> None:
         """Several `addresses` are those of the copies that hold the counter: one of them leads at a time.  Where they
         change, a function gives those of now, the likeliest first; `group` is the one that is meant there, and `way`
         leads to an address.  `recorded` is told of each try that is acknowledged, by its request."""
@@ -135,8 +147,9 @@
             self._out.pop(sequence, None)
             self._answer(call, Verdict.CONNECT_FAILED, 0.0, 0.0)
 
-    def record(self, time_ms: float, units: float, beyond: bool, request: str, customer: str, plan: str,
-               cls: str) -> bool:
+    def record(
+        self, time_ms: float, units: float, beyond: bool, request: str, customer: str, plan: str, cls: str
+    ) -> bool:
         """Promise a try; False where the journal is full, and nothing is promised."""
         made = Record(0, time_ms, units, beyond, request, customer, plan, cls)
         if not self._journal.promise(made):
@@ -153,9 +166,17 @@
             self._queue_record(replace(command, time_ms=LATEST_MS))
             return
         if status in LOST:
-            self._note("try refused by the counter", {
-                "request": command.request, "customer": command.customer, "plan": command.plan,
-                "units": command.units, "beyond": command.beyond, "status": status.name})
+            self._note(
+                "try refused by the counter",
+                {
+                    "request": command.request,
+                    "customer": command.customer,
+                    "plan": command.plan,
+                    "units": command.units,
+                    "beyond": command.beyond,
+                    "status": status.name,
+                },
+            )
         self._promised_here.discard(command.request)
         self._journal.done(command.request)
         self._recorded(command.request)
@@ -228,12 +249,16 @@
         try:
             async with asyncio.timeout(self._silent_s):
                 reader, writer = await asyncio.open_connection(
-                    host, port, ssl=self._tls, server_hostname=(self._server_name or None) if self._tls else None)
+                    host, port, ssl=self._tls, server_hostname=(self._server_name or None) if self._tls else None
+                )
         except TimeoutError:
             raise ConnectionError("no connection in time") from None
         self._writer = writer
-        writer.write(encode(Hello(self._door, self._journal.epoch, self._map_version, term=self._journal.term,
-                           group=self._group)))
+        writer.write(
+            encode(
+                Hello(self._door, self._journal.epoch, self._map_version, term=self._journal.term, group=self._group)
+            )
+        )
         frames = Frames()
         while data := await self._read(reader):
             for payload in frames.feed(data):
@@ -263,5 +288,6 @@
         call = self._calls.pop(reply.sequence, None)
         if isinstance(reply, Total) and call is not None:
             good = reply.status in (Status.DONE, Status.REPEATED)
-            self._answer(call, Verdict.OK if good else Verdict.FULL, reply.total,
-                         (time.monotonic() - self._welcomed) * 1000)
+            self._answer(
+                call, Verdict.OK if good else Verdict.FULL, reply.total, (time.monotonic() - self._welcomed) * 1000
+            )
--- a/martenstep/counter/copied.py
+++ b/martenstep/counter/copied.py
@@ -32,7 +32,7 @@
     name = door.encode()
     if len(name) > 0xFFFF:
         raise FrameError(f"a door's name of {len(name)} bytes")
-    return _HEAD.pack(now, epoch, len(name)) + name + frames.encode(command)[frames.HEAD.size:]
+    return _HEAD.pack(now, epoch, len(name)) + name + frames.encode(command)[frames.HEAD.size :]
 
 
 def _read(data: bytes) -> tuple[float, str, int, Hello | Add | Record]:
--- a/martenstep/counter/copied_service.py
+++ b/martenstep/counter/copied_service.py
@@ -76,8 +76,13 @@
 class CopiedService:
     """The listener of a machine that holds copies."""
 
-    def __init__(self, held: Callable[[str], Host | None], where: Callable[[str, int | None], str | None],
-                 bounds: Bounds | None = None, clock: Callable[[], float] | None = None) -> None:
+    def __init__(
+        self,
+        held: Callable[[str], Host | None],
+        where: Callable[[str, int | None], str | None],
+        bounds: Bounds | None = None,
+        clock: Callable[[], float] | None = None,
+    ) -> None:
         """`held` gives the copy of a group that is here, its machine a CopiedCounter; `where` the address for doors, as
         HOST:PORT, of one copy of a group, or of any that may know who leads; `clock` Unix seconds, where it is not
         to be the wall clock as of now, carried on steadily."""
@@ -194,8 +199,11 @@
 
     def _ask(self, hello: Hello, command: Hello | Add | Read | Record) -> None:
         full = len(self._out) >= self._service.bounds.waiting and not isinstance(command, Hello)
-        self._out.append(without(command, Status.FULL) if full and not isinstance(command, Hello)
-                         else self._service.ask(hello, command))
+        self._out.append(
+            without(command, Status.FULL)
+            if full and not isinstance(command, Hello)
+            else self._service.ask(hello, command)
+        )
         if len(self._out) == 1:
             self._telling = asyncio.get_running_loop().create_task(self._tell(hello))
 
@@ -304,14 +312,18 @@
         store = _opened(disk, witness)
         listed = Listed(told)
         if store.id not in listed.copies:
-            raise CopyError(f"{settings.log.directory} is the disk of copy {store.id}, not among those of the settings "
-                            f"({', '.join(map(str, listed.copies))}): an emptied disk is another copy")
+            raise CopyError(
+                f"{settings.log.directory} is the disk of copy {store.id}, not among those of the settings "
+                f"({', '.join(map(str, listed.copies))}): an emptied disk is another copy"
+            )
         machine = CopiedCounter(limits_of(settings))
         links = Links(told.group, str(store.id), lambda: keys, listed.address)
         host = Host(told.group, store, listed.first, machine, links, _note, place_of=str)
         service = CopiedService(
-            lambda group: host, lambda group, copy: listed.doors(copy),
-            Bounds(settings.max_connections, settings.max_waiting, settings.unsent_bytes, settings.idle_ms / 1000))
+            lambda group: host,
+            lambda group, copy: listed.doors(copy),
+            Bounds(settings.max_connections, settings.max_waiting, settings.unsent_bytes, settings.idle_ms / 1000),
+        )
         mine = listed.copies[store.id]
         await links.start(mine.host, mine.port)
         host.start()
--- a/martenstep/counter/frames.py
+++ b/martenstep/counter/frames.py
@@ -272,7 +272,7 @@
             _, version, map_version, term, highest = _WELCOME.unpack(payload)
             return Welcome(highest, map_version, version, term)
         if kind == ENTRIES:
-            return Entries(_ENTRIES.unpack_from(payload)[1], payload[_ENTRIES.size:])
+            return Entries(_ENTRIES.unpack_from(payload)[1], payload[_ENTRIES.size :])
         if kind == FOLLOW:
             _, version, term, after, check = _FOLLOW.unpack(payload)
             return Follow(term, after, check, version)
--- a/martenstep/counter/held.py
+++ b/martenstep/counter/held.py
@@ -36,23 +36,47 @@
     """What the settings ask of each door."""
     copies = door.copies
     more = (ORDERS,) if door.HasField("maintenance") else ()
-    return Holding(slots(copies) + more, tuple(Founder(one.door, one.disk) for one in copies.founder), copies.count,
-                   copies.final_ms)
+    return Holding(
+        slots(copies) + more,
+        tuple(Founder(one.door, one.disk) for one in copies.founder),
+        copies.count,
+        copies.final_ms,
+    )
 
 
 class HeldByDoors:
     """One door's part in it: the copies that are here, their links, and the listener for all doors' commands."""
 
-    def __init__(self, door: pb.Door, membership: Membership, note: Callable[[str, dict[str, Any]], None],
-                 deliver: Callable[[Try], bool]) -> None:
+    def __init__(
+        self,
+        door: pb.Door,
+        membership: Membership,
+        note: Callable[[str, dict[str, Any]], None],
+        deliver: Callable[[Try], bool],
+    ) -> None:
         """`deliver` hands a try of somebody's book to this door's clients of the counter."""
         self._copies, self._membership = door.copies, membership
         self._host = door.fleet.host
-        self.keeper = Keeper(door.name, Path(door.copies.directory), Path(door.copies.witness), holding(door),
-                             self._machine, self._places, note, also=is_book, first=self._owner)
+        self.keeper = Keeper(
+            door.name,
+            Path(door.copies.directory),
+            Path(door.copies.witness),
+            holding(door),
+            self._machine,
+            self._places,
+            note,
+            also=is_book,
+            first=self._owner,
+        )
         self.books = Books(door.name, self.keeper, deliver, note) if door.copies.HasField("book") else None
-        self.links = Links(door.fleet.cluster, door.name, lambda: membership.keys, self._link_address,
-                           self.keeper.word, self.keeper.nobody)
+        self.links = Links(
+            door.fleet.cluster,
+            door.name,
+            lambda: membership.keys,
+            self._link_address,
+            self.keeper.word,
+            self.keeper.nobody,
+        )
         self.service = CopiedService(self._counter, self._where, Bounds(map_version=door.copies.slots))
 
     async def start(self) -> dict[str, int]:
@@ -114,5 +138,8 @@
         """Where a slot's leader may be: those that should hold it first, then all others."""
         likely = self.keeper.wanted(group)
         rest = sorted(place.name for place in self._places() if place.present and place.name not in likely)
-        return [address for place in [*likely, *rest]
-                if (address := self._address(place, self._copies.counter_port)) is not None]
+        return [
+            address
+            for place in [*likely, *rest]
+            if (address := self._address(place, self._copies.counter_port)) is not None
+        ]
--- a/martenstep/counter/journal.py
+++ b/martenstep/counter/journal.py
@@ -28,7 +28,7 @@
     """Write all of some bytes to a file, however many calls that takes; raises OSError."""
     view = memoryview(data)
     while view:
-        view = view[os.write(number, view):]
+        view = view[os.write(number, view) :]
 
 
 def replace_file(path: Path, data: bytes) -> int:
--- a/martenstep/counter/keeper.py
+++ b/martenstep/counter/keeper.py
@@ -62,8 +62,15 @@
 class Keeper:
     """The counter over a directory."""
 
-    def __init__(self, files: Files, limits: Limits, segment_bytes: int = 64 << 20, durable: bool = True,
-                 snapshot_records: int = 0, keep_ms: float = 0.0) -> None:
+    def __init__(
+        self,
+        files: Files,
+        limits: Limits,
+        segment_bytes: int = 64 << 20,
+        durable: bool = True,
+        snapshot_records: int = 0,
+        keep_ms: float = 0.0,
+    ) -> None:
         self._files, self._durable = files, durable
         self._snapshot_records, self._keep_ms = snapshot_records, keep_ms
         opened = open_log(files)
@@ -157,8 +164,10 @@
         # Nobody is told of what may not be there: neither this group nor what was decided upon it since.
         since, self.group = self.group, Group()
         doubtful = [*group.replies, *since.replies]
-        return [(who, without(reply, Status.UNWRITTEN) if isinstance(reply, Total | Stored) else reply)
-                for who, reply in doubtful]
+        return [
+            (who, without(reply, Status.UNWRITTEN) if isinstance(reply, Total | Stored) else reply)
+            for who, reply in doubtful
+        ]
 
     def recovered(self) -> Recovered:
         """Read the directory anew and make all that it tells durable in files of its own: what stands in the old ones
@@ -192,8 +201,11 @@
 
     def snapshot_due(self) -> bool:
         """Whether so many records came since the last snapshot."""
-        return bool(self._snapshot_records) and not self.failed and (
-            self.records - self._last_snapshot >= self._snapshot_records)
+        return (
+            bool(self._snapshot_records)
+            and not self.failed
+            and (self.records - self._last_snapshot >= self._snapshot_records)
+        )
 
     def snapshot(self) -> tuple[int, bytes]:
         """The state as a snapshot's body, and how many records are in it.  Only with no group between; raises
--- a/martenstep/counter/read.py
+++ b/martenstep/counter/read.py
@@ -53,7 +53,7 @@
             raise LogError(file, offset, f"expected an offset from {HEADER.size} to {size}")
         lost = size - offset
         place = names.index(file)
-        for later in found[place + 1:]:
+        for later in found[place + 1 :]:
             lost += len(disk.read(later.name))
             disk.remove(later.name)
         disk.append(file, offset).close()
@@ -70,8 +70,9 @@
         return rebuild(open_log(disk), limits)
 
 
-def each_try(directory: Path, customer: str | None = None, since_ms: float = float("-inf"),
-             until_ms: float = float("inf")) -> Iterator[tuple[str, TryEntry]]:
+def each_try(
+    directory: Path, customer: str | None = None, since_ms: float = float("-inf"), until_ms: float = float("inf")
+) -> Iterator[tuple[str, TryEntry]]:
     """Every recorded try that is kept, old segments too, in the order of the log, with its door's name: once each."""
     doors: dict[int, str] = {}
     with Disk(directory) as disk:
--- a/martenstep/counter/service.py
+++ b/martenstep/counter/service.py
@@ -210,7 +210,8 @@
     async def _old(self, first: int, until: int) -> tuple[bytes, int]:
         """Records that may no longer be in memory, up to the end of their segment, and the number behind them."""
         return await asyncio.get_running_loop().run_in_executor(
-            None, read_records, self._service.keeper.files, first, until)
+            None, read_records, self._service.keeper.files, first, until
+        )
 
 
 def _parts(first: int, data: bytes) -> Iterator[Entries]:
@@ -308,10 +309,16 @@
         """Bind; gives the port."""
         loop = asyncio.get_running_loop()
         self._tls = ServerContext(self.settings.tls) if self.settings.HasField("tls") else None
-        self._server = await loop.create_server(lambda: Connection(self), self.settings.host, self.settings.port,
-                                                ssl=self._tls.context if self._tls else None)
-        self._tasks = [asyncio.create_task(self._commit()),
-                       asyncio.create_task(cut_off_silent(self.connections, self.settings.idle_ms / 1000))]
+        self._server = await loop.create_server(
+            lambda: Connection(self),
+            self.settings.host,
+            self.settings.port,
+            ssl=self._tls.context if self._tls else None,
+        )
+        self._tasks = [
+            asyncio.create_task(self._commit()),
+            asyncio.create_task(cut_off_silent(self.connections, self.settings.idle_ms / 1000)),
+        ]
         return int(self._server.sockets[0].getsockname()[1])
 
     def reload(self) -> None:
--- a/martenstep/counter/shards.py
+++ b/martenstep/counter/shards.py
@@ -44,8 +44,9 @@
         """Ask the name's service for one add."""
         self._of(f"n{name:x}").add(call, name, units, expire_ms, proof)
 
-    def record(self, time_ms: float, units: float, beyond: bool, request: str, customer: str, plan: str,
-               cls: str) -> bool:
+    def record(
+        self, time_ms: float, units: float, beyond: bool, request: str, customer: str, plan: str, cls: str
+    ) -> bool:
         """Promise a try to its customer's service; False where its journal is full."""
         return self._of(f"c{customer}").record(time_ms, units, beyond, request, customer, plan, cls)
 
--- a/martenstep/counter/state.py
+++ b/martenstep/counter/state.py
@@ -151,8 +151,9 @@
             self._sweep()
             if len(self._names) >= self._limits.max_names:
                 return without(command, Status.FULL), None
-        entry = _ADD.pack(ENTRY_ADD, self.now, door.number, command.sequence, command.name, command.units,
-                          command.expire_ms)
+        entry = _ADD.pack(
+            ENTRY_ADD, self.now, door.number, command.sequence, command.name, command.units, command.expire_ms
+        )
         self.apply(entry)
         return Total(command.sequence, Status.DONE, door.results[command.sequence][1]), entry
 
@@ -171,8 +172,17 @@
         texts = [text.encode() for text in (command.request, command.customer, command.plan, command.cls)]
         if sum(map(len, texts)) > 0xFFFF:
             raise FrameError("a try whose words are too long")
-        entry = _TRY.pack(ENTRY_TRY, self.now, door.number, command.sequence, time_ms, command.units,
-                          command.beyond, known, *map(len, texts)) + b"".join(texts)
+        entry = _TRY.pack(
+            ENTRY_TRY,
+            self.now,
+            door.number,
+            command.sequence,
+            time_ms,
+            command.units,
+            command.beyond,
+            known,
+            *map(len, texts),
+        ) + b"".join(texts)
         self.apply(entry)
         return Stored(command.sequence, Status.KNOWN if known else Status.DONE), entry
 
@@ -201,8 +211,9 @@
             self._remember(door, told.sequence, _digest_of(told), float(told.known))
             if not told.known:
                 self._tries[try_key(told.request)] = told.time_ms
-                use = self._uses.setdefault((told.customer, told.plan, int(told.time_ms // self._limits.period_ms)),
-                                            Use())
+                use = self._uses.setdefault(
+                    (told.customer, told.plan, int(told.time_ms // self._limits.period_ms)), Use()
+                )
                 use.tries += 1
                 use.units += told.units
                 use.beyond += told.units if told.beyond else 0.0
@@ -277,18 +288,37 @@
     @property
     def sizes(self) -> dict[str, int]:
         """How much is kept."""
-        return {"names": len(self._names), "doors": len(self._doors), "tries": len(self._tries),
-                "uses": len(self._uses), "applied": self.applied}
+        return {
+            "names": len(self._names),
+            "doors": len(self._doors),
+            "tries": len(self._tries),
+            "uses": len(self._uses),
+            "applied": self.applied,
+        }
 
     def snapshot(self) -> bytes:
         """The whole state."""
         self._sweep()
-        return msgspec.msgpack.encode(_Snapshot(
-            self.now, [(name, total, expires) for name, (total, expires) in sorted(self._names.items())],
-            [(door.number, door.name, door.epoch, door.highest,
-              [(key, digest, result) for key, (digest, result) in door.results.items()]) for door in self._by_number],
-            list(self._tries.items()),
-            [(*key, use.tries, use.units, use.beyond) for key, use in self._uses.items()], self.applied, self.term))
+        return msgspec.msgpack.encode(
+            _Snapshot(
+                self.now,
+                [(name, total, expires) for name, (total, expires) in sorted(self._names.items())],
+                [
+                    (
+                        door.number,
+                        door.name,
+                        door.epoch,
+                        door.highest,
+                        [(key, digest, result) for key, (digest, result) in door.results.items()],
+                    )
+                    for door in self._by_number
+                ],
+                list(self._tries.items()),
+                [(*key, use.tries, use.units, use.beyond) for key, use in self._uses.items()],
+                self.applied,
+                self.term,
+            )
+        )
 
     @classmethod
     def restored(cls, limits: Limits, data: bytes) -> Counter:
@@ -303,8 +333,10 @@
             made._doors[name] = door
             made._by_number.append(door)
         made._tries = OrderedDict(told.tries)
-        made._uses = {(customer, plan, period): Use(tries, units, beyond)
-                      for customer, plan, period, tries, units, beyond in told.uses}
+        made._uses = {
+            (customer, plan, period): Use(tries, units, beyond)
+            for customer, plan, period, tries, units, beyond in told.uses
+        }
         made._horizon = told.now - limits.try_window_ms
         return made
 
--- a/martenstep/counter/steady_clock.py
+++ b/martenstep/counter/steady_clock.py
@@ -15,8 +15,9 @@
 class SteadyClock:
     """Unix milliseconds that never go back or leap while the process runs."""
 
-    def __init__(self, wall: Callable[[], float] | None = None,
-                 monotonic: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self, wall: Callable[[], float] | None = None, monotonic: Callable[[], float] = time.monotonic
+    ) -> None:
         """`wall` is read once; both in seconds."""
         self._monotonic = monotonic
         self._offset_s = (wall or time.time)() - monotonic()
--- a/martenstep/decide.py
+++ b/martenstep/decide.py
@@ -12,8 +12,31 @@
 from typing import Literal
 
 from martenstep.interface import (
-    Action, Cancel, ClockStepped, Due, Effect, Event, Fail, Group, Left, Members, Outcome, Reason, Refuse, Request,
-    RequestClass, Scope, Send, Server, Settings, State, Subscribe, Total, Verdict, Wake, Where,
+    Action,
+    Cancel,
+    ClockStepped,
+    Due,
+    Effect,
+    Event,
+    Fail,
+    Group,
+    Left,
+    Members,
+    Outcome,
+    Reason,
+    Refuse,
+    Request,
+    RequestClass,
+    Scope,
+    Send,
+    Server,
+    Settings,
+    State,
+    Subscribe,
+    Total,
+    Verdict,
+    Wake,
+    Where,
 )
 from martenstep.quota import FLUSH_SHARE, HOLD_TIMES, Ledger, Quota
 
@@ -296,7 +319,7 @@
                 met.append(peer)
                 chances.append(draw())
         else:
-            met = self._up[:math.ceil(width)]
+            met = self._up[: math.ceil(width)]
             chances = [draw() for _ in met]
         for peer, chance in zip(met, chances, strict=True):
             if chance >= win:
@@ -601,8 +624,11 @@
 
     def _give_up(self, now: float, job: Job, reason: Reason) -> list[Action]:
         """The final answer: a refusal where a client's retry is certain to do no harm, else a failure."""
-        harmless = (job.first_risk is None or job.cls.effect is Effect.SAFE
-                    or (job.cls.effect is Effect.KEYED and job.cls.group is Group.ALL))
+        harmless = (
+            job.first_risk is None
+            or job.cls.effect is Effect.SAFE
+            or (job.cls.effect is Effect.KEYED and job.cls.group is Group.ALL)
+        )
         if harmless:
             return self._refuse(now, job, job.cls.aim_ms * 0.1, reason)
         self._drop(job.request.id)
--- a/martenstep/door/admin.py
+++ b/martenstep/door/admin.py
@@ -60,10 +60,14 @@
 
     def collect(self) -> list[Metric]:
         """All of them."""
-        made: list[Metric] = [CounterMetricFamily(f"martenstep_{name}", name.replace("_", " "), value=value)
-                              for name, value in self._counts().items()]
-        made += [GaugeMetricFamily(f"martenstep_{name}", name.replace("_", " "), value=value)
-                 for name, value in self._gauges().items()]
+        made: list[Metric] = [
+            CounterMetricFamily(f"martenstep_{name}", name.replace("_", " "), value=value)
+            for name, value in self._counts().items()
+        ]
+        made += [
+            GaugeMetricFamily(f"martenstep_{name}", name.replace("_", " "), value=value)
+            for name, value in self._gauges().items()
+        ]
         return made
 
 
@@ -145,6 +149,7 @@
             return 404, "text/plain", b"the settings have no maintenance\n"
         from martenstep.maintenance.book import What
         from martenstep.replication.keeper import UnansweredError
+
         if path != "/maintenance":
             return 404, "text/plain", b"there is: /maintenance\n"
         try:
@@ -183,8 +188,10 @@
                     status, kind, body = await self.maintenance(event.method.decode(), path, query)
                 else:
                     status, kind, body = self.answer(path)
-                head = h11.Response(status_code=status, headers=[
-                    ("content-type", kind), ("content-length", str(len(body))), ("connection", "close")])
+                head = h11.Response(
+                    status_code=status,
+                    headers=[("content-type", kind), ("content-length", str(len(body))), ("connection", "close")],
+                )
                 writer.write(connection.send(head) or b"")
                 writer.write(connection.send(h11.Data(data=body)) or b"")
                 writer.write(connection.send(h11.EndOfMessage()) or b"")
--- a/martenstep/door/checks.py
+++ b/martenstep/door/checks.py
@@ -46,8 +46,13 @@
     def __init__(self, host: Host, settings: pb.Auth) -> None:
         self._host, self._bound = host, settings.body_bytes
         self.tls = [ClientContext(settings.tls)] if settings.HasField("tls") else []
-        self.pool = Pool(settings.per_service + 1, IDLE_MS, host.refused, self.tls[0].context if self.tls else None,
-                         settings.tls.server_name)
+        self.pool = Pool(
+            settings.per_service + 1,
+            IDLE_MS,
+            host.refused,
+            self.tls[0].context if self.tls else None,
+            settings.tls.server_name,
+        )
         self._flying: dict[int, _Flying] = {}
 
     def ask(self, action: ev.Ask) -> None:
--- a/martenstep/door/daemon.py
+++ b/martenstep/door/daemon.py
@@ -66,8 +66,12 @@
         if door.HasField("hooks"):
             told = door.hooks
             self._history = History(Path(told.history), door.name) if told.history else None
-            self.shelf = Shelf(Limits(told.failure_share, told.mean_steps, told.least_runs), self._hooks_told,
-                               withdrawn=self._withdrawn(), late=self._backstop.begin)
+            self.shelf = Shelf(
+                Limits(told.failure_share, told.mean_steps, told.least_runs),
+                self._hooks_told,
+                withdrawn=self._withdrawn(),
+                late=self._backstop.begin,
+            )
         self._seed = random.SystemRandom().getrandbits(63) if seed is None else seed
         self.engine = engine_of(door, self._seed, self.shelf, time.time() * 1000 - now_ms())
         self.driver = driver_of(door, self.engine, self.notes.note)
@@ -119,6 +123,7 @@
         # Imported only where it is asked for: a door without it carries none of it.
         from martenstep.members.gossip.driver import Membership
         from martenstep.members.gossip.keys import KeyFileError
+
         try:
             self.fleet = Membership(self.door.fleet, self.door.name, self.door.zone, self.notes.note)
             self.ports["fleet"] = await self.fleet.start()
@@ -135,6 +140,7 @@
         from martenstep.counter.held import HeldByDoors
         from martenstep.replication.keeper import KeeperError
         from martenstep.storage.files import LockedError
+
         self.copies = HeldByDoors(self.door, fleet, self.notes.note, self._deliver)
         try:
             self.ports.update(await self.copies.start())
@@ -144,8 +150,17 @@
         self._admin.copies(self.copies.keeper)
         if self.door.HasField("maintenance"):
             from martenstep.maintenance.orders import Orders
-            self.orders = Orders(self.door.name, self.door.zone, self.door.maintenance.capacity, self.copies.keeper,
-                                 lambda: self.ready, self._known_doors, self._leave_for_work, self.notes.note)
+
+            self.orders = Orders(
+                self.door.name,
+                self.door.zone,
+                self.door.maintenance.capacity,
+                self.copies.keeper,
+                lambda: self.ready,
+                self._known_doors,
+                self._leave_for_work,
+                self.notes.note,
+            )
             self.orders.start()
             self._admin.orders(self.orders)
 
@@ -263,13 +278,22 @@
             made = ClientContext(told.tls)
             self.driver.client_tls.append(made)
             tls = made.context
-        endpoints = [(one.name, [(copy.host, copy.port) for copy in one.copy] or [(one.host, one.port)])
-                     for one in told.service] or [("", [(told.host, told.port)])]
+        endpoints = [
+            (one.name, [(copy.host, copy.port) for copy in one.copy] or [(one.host, one.port)]) for one in told.service
+        ] or [("", [(told.host, told.port)])]
         return {
-            name: CounterClient(addresses, self.door.name,
-                                Journal(Path(told.journal) / name, told.journal_tries, self.notes.note), self._counted,
-                                self.notes.note, timeout_ms=told.timeout_ms, waiting=told.waiting,
-                                map_version=told.map_version, tls=tls, server_name=told.tls.server_name)
+            name: CounterClient(
+                addresses,
+                self.door.name,
+                Journal(Path(told.journal) / name, told.journal_tries, self.notes.note),
+                self._counted,
+                self.notes.note,
+                timeout_ms=told.timeout_ms,
+                waiting=told.waiting,
+                map_version=told.map_version,
+                tls=tls,
+                server_name=told.tls.server_name,
+            )
             for name, addresses in endpoints
         }
 
@@ -277,25 +301,34 @@
         """One client a slot.  A door that knows of no other asks nobody, and decides without: as with a counter that is
         away."""
         from martenstep.counter.held import slots
+
         told = self.door.counter
 
         def addresses(slot: str) -> list[tuple[str, int]]:
             return self.copies.addresses(slot) if self.copies is not None else []
 
         return {
-            slot: CounterClient(partial(addresses, slot), self.door.name,
-                                Journal(Path(told.journal) / slot, told.journal_tries, self.notes.note),
-                                self._counted, self.notes.note,
-                                timeout_ms=told.timeout_ms, waiting=told.waiting, map_version=self.door.copies.slots,
-                                group=slot, way=self.fleet.way if self.fleet is not None else lambda address: address,
-                                recorded=self._recorded)
+            slot: CounterClient(
+                partial(addresses, slot),
+                self.door.name,
+                Journal(Path(told.journal) / slot, told.journal_tries, self.notes.note),
+                self._counted,
+                self.notes.note,
+                timeout_ms=told.timeout_ms,
+                waiting=told.waiting,
+                map_version=self.door.copies.slots,
+                group=slot,
+                way=self.fleet.way if self.fleet is not None else lambda address: address,
+                recorded=self._recorded,
+            )
             for slot in slots(self.door.copies)
         }
 
     def _deliver(self, made: Try) -> bool:
         """A try out of a book that this door leads."""
-        return self._counter is not None and self._counter.record(made.time_ms, made.units, made.beyond, made.request,
-                                                                  made.customer, made.plan, made.cls)
+        return self._counter is not None and self._counter.record(
+            made.time_ms, made.units, made.beyond, made.request, made.customer, made.plan, made.cls
+        )
 
     def _recorded(self, request: str) -> None:
         if self.copies is not None and self.copies.books is not None:
@@ -306,13 +339,24 @@
         promised = None
         if self.copies is not None and self.copies.books is not None:
             from martenstep.counter.book import Try
-            made = self.copies.books.promise(Try(tried.request, time.time() * 1000, tried.units, tried.beyond,
-                                                 tried.customer, tried.plan, tried.cls))
+
+            made = self.copies.books.promise(
+                Try(tried.request, time.time() * 1000, tried.units, tried.beyond, tried.customer, tried.plan, tried.cls)
+            )
             promised = made if self.door.copies.book.before_answer else None
-        if not self._counter.record(time.time() * 1000, tried.units, tried.beyond, tried.request, tried.customer,
-                                    tried.plan, tried.cls):
-            self.notes.note("try not recorded", {"request": tried.request, "customer": tried.customer,
-                                                 "plan": tried.plan, "units": tried.units, "beyond": tried.beyond})
+        if not self._counter.record(
+            time.time() * 1000, tried.units, tried.beyond, tried.request, tried.customer, tried.plan, tried.cls
+        ):
+            self.notes.note(
+                "try not recorded",
+                {
+                    "request": tried.request,
+                    "customer": tried.customer,
+                    "plan": tried.plan,
+                    "units": tried.units,
+                    "beyond": tried.beyond,
+                },
+            )
         return promised
 
     def _listed(self, listed: Listed) -> None:
@@ -356,8 +400,11 @@
                 held.update(self.copies.books.gauges())
             if self.orders is not None:
                 held.update(self.orders.gauges())
-        return {**held, "client_connections": len(self.driver.clients),
-                "upstream_connections": self.driver.pool.connections}
+        return {
+            **held,
+            "client_connections": len(self.driver.clients),
+            "upstream_connections": self.driver.pool.connections,
+        }
 
 
 def loop_fault(daemon: Daemon, context: dict[str, Any]) -> None:
--- a/martenstep/door/driver.py
+++ b/martenstep/door/driver.py
@@ -94,7 +94,7 @@
 
     def take(self) -> bytes:
         """What the present attempt has not written yet."""
-        data = bytes(self.kept[self.pos - self.base:])
+        data = bytes(self.kept[self.pos - self.base :])
         self.pos = self.size
         return data
 
@@ -117,8 +117,23 @@
 class Flight:
     """One client request on its way."""
 
-    __slots__ = ("answer_bytes", "body", "client", "done", "held", "held_bytes", "number", "passing", "progress",
-                 "promised", "pump", "task", "ticket", "upstream", "withheld")
+    __slots__ = (
+        "answer_bytes",
+        "body",
+        "client",
+        "done",
+        "held",
+        "held_bytes",
+        "number",
+        "passing",
+        "progress",
+        "promised",
+        "pump",
+        "task",
+        "ticket",
+        "upstream",
+        "withheld",
+    )
 
     def __init__(self, ticket: int, client: Client, body: Body | None, done: asyncio.Future[None]) -> None:
         self.ticket, self.client, self.body, self.done = ticket, client, body, done
@@ -143,8 +158,9 @@
 class Client:
     """One client connection."""
 
-    def __init__(self, driver: Driver, reader: WatchedReader, writer: asyncio.StreamWriter,
-                 protocol: WatchedProtocol) -> None:
+    def __init__(
+        self, driver: Driver, reader: WatchedReader, writer: asyncio.StreamWriter, protocol: WatchedProtocol
+    ) -> None:
         self._driver, self.reader, self.writer = driver, reader, writer
         self.wire = Answering(driver.listener.head_bytes)
         self.flight: Flight | None = None
@@ -190,8 +206,13 @@
 
     def close_idle(self) -> bool:
         """End a connection between two requests; False where one may have begun."""
-        if self.closing or may_close(self.flight is not None, self.partial or bool(self.reader.unread),
-                                     ready_for(self.writer, select.POLLIN)) is not None:
+        if (
+            self.closing
+            or may_close(
+                self.flight is not None, self.partial or bool(self.reader.unread), ready_for(self.writer, select.POLLIN)
+            )
+            is not None
+        ):
             return False
         self.closing = True
         self._driver.counts["connections_closed_idle"] += 1
@@ -421,10 +442,17 @@
 class Driver:
     """One door on sockets."""
 
-    def __init__(self, listener: ListenerBounds, upstream: UpstreamBounds, engine: Engine,
-                 note: Callable[[str, dict[str, Any]], None], tls: ServerContext | None = None,
-                 upstream_tls: ClientContext | None = None, server_name: str = "",
-                 clock: LoopClock | None = None) -> None:
+    def __init__(
+        self,
+        listener: ListenerBounds,
+        upstream: UpstreamBounds,
+        engine: Engine,
+        note: Callable[[str, dict[str, Any]], None],
+        tls: ServerContext | None = None,
+        upstream_tls: ClientContext | None = None,
+        server_name: str = "",
+        clock: LoopClock | None = None,
+    ) -> None:
         """`clock` tells when what the loop finds ready came at the earliest."""
         self._clock = clock or ClockNow()
         self.listener, self.upstream = listener, upstream
@@ -432,9 +460,14 @@
         self.loop = asyncio.get_running_loop()
         self.tls = tls
         self.client_tls = [upstream_tls] if upstream_tls is not None else []
-        self.pool = Pool(upstream.connections, upstream.idle_ms, self.refused,
-                         upstream_tls.context if upstream_tls is not None else None, server_name,
-                         upstream.all_connections)
+        self.pool = Pool(
+            upstream.connections,
+            upstream.idle_ms,
+            self.refused,
+            upstream_tls.context if upstream_tls is not None else None,
+            server_name,
+            upstream.all_connections,
+        )
         self.flights: dict[int, Flight] = {}
         self.clients: set[Client] = set()
         self.strangers: dict[Client, None] = {}  # of these, those that are not known yet, the oldest first
@@ -449,10 +482,21 @@
         # Whether the list of servers may be behind what counts as told: then attempts wait, for a bounded time.
         self.list_behind: Callable[[], bool] = lambda: False
         self.trace: Callable[[Trace], None] | None = None  # where traces go
-        self.counts: dict[str, int] = {"connections_turned_away": 0, "connections_closed_for_room": 0, "requests": 0,
-                                       "attempts": 0, "replies": 0, "passed": 0, "broken": 0, "handshakes_refused": 0,
-                                       "answers_not_waited_for": 0, "accepts_failed": 0, "connections_closed_idle": 0,
-                                       "requests_too_slow": 0, "clients_left": 0}
+        self.counts: dict[str, int] = {
+            "connections_turned_away": 0,
+            "connections_closed_for_room": 0,
+            "requests": 0,
+            "attempts": 0,
+            "replies": 0,
+            "passed": 0,
+            "broken": 0,
+            "handshakes_refused": 0,
+            "answers_not_waited_for": 0,
+            "accepts_failed": 0,
+            "connections_closed_idle": 0,
+            "requests_too_slow": 0,
+            "clients_left": 0,
+        }
         self._now = -math.inf  # of what is being done
         self._step_watch, self._step_looked = StepWatch(), -math.inf
         self._actions: deque[ev.Action] = deque()
@@ -466,9 +510,16 @@
         self._turning_away: set[asyncio.Task[None]] = set()
         self._checks: Checks | None = None
         self._carry: dict[type, Callable[[Any], None]] = {
-            ev.Open: self._open, ev.Abandon: self._abandon, ev.Pass: self._pass, ev.Reply: self._reply,
-            ev.Break: self._break, ev.Add: self._add, ev.Tried: self._tried, ev.Listen: self._listen,
-            ev.Note: self._told, ev.Traced: self._traced,
+            ev.Open: self._open,
+            ev.Abandon: self._abandon,
+            ev.Pass: self._pass,
+            ev.Reply: self._reply,
+            ev.Break: self._break,
+            ev.Add: self._add,
+            ev.Tried: self._tried,
+            ev.Listen: self._listen,
+            ev.Note: self._told,
+            ev.Traced: self._traced,
         }
 
     # Life -----------------------------------------------------------------------------------------------
@@ -485,6 +536,7 @@
 
     async def start(self, sock: socket.socket | None = None, reuse_port: bool = False) -> int:
         """Bind, or take a socket that is bound already, and accept; gives the port."""
+
         def factory(since: float) -> asyncio.Protocol:
             reader = WatchedReader(self._clock)
             reader.connected = since, self._clock.looked_ms
@@ -495,8 +547,9 @@
 
         if sock is None:
             family = socket.AF_INET6 if ":" in self.listener.host else socket.AF_INET
-            sock = socket.create_server((self.listener.host, self.listener.port), family=family,
-                                        reuse_port=reuse_port, backlog=BACKLOG)
+            sock = socket.create_server(
+                (self.listener.host, self.listener.port), family=family, reuse_port=reuse_port, backlog=BACKLOG
+            )
         self._listener = Listener(sock, factory, self._not_accepted, self._clock)
         self._sweeper = standing(self._sweep, self.failed)
         return self._listener.port
--- a/martenstep/door/engine.py
+++ b/martenstep/door/engine.py
@@ -41,8 +41,9 @@
 NO_HEADERS: ev.Headers = []
 NOBODY = api.Plan("")  # of a request whose customer is not known yet
 # Of a denying answer, what a client needs to do better: where to log in, and how.
-DENY_HEADERS = frozenset((b"content-type", b"www-authenticate", b"location", b"set-cookie", b"retry-after",
-                          b"cache-control"))
+DENY_HEADERS = frozenset(
+    (b"content-type", b"www-authenticate", b"location", b"set-cookie", b"retry-after", b"cache-control")
+)
 GATEWAY_ERROR, GATEWAY_TIMEOUT, UNAVAILABLE = 502, 504, 503
 
 
@@ -61,13 +62,33 @@
 class Exchange:
     """One client request, from its head to the end of its last attempt."""
 
-    __slots__ = ("arrived", "attempt", "credential", "deadline", "edition", "guarded", "head", "label", "one_attempt",
-                 "rid", "risk_at", "routed", "runner", "sending", "servers", "settled",
-                 "shown", "shown_as", "ticket", "timed_out", "told", "trace",
-                 "verdict")
-
-    def __init__(self, arrived: ev.Arrived, routed: Routed, rid: str, label: str, now: float,
-                 deadline: float) -> None:
+    __slots__ = (
+        "arrived",
+        "attempt",
+        "credential",
+        "deadline",
+        "edition",
+        "guarded",
+        "head",
+        "label",
+        "one_attempt",
+        "rid",
+        "risk_at",
+        "routed",
+        "runner",
+        "sending",
+        "servers",
+        "settled",
+        "shown",
+        "shown_as",
+        "ticket",
+        "timed_out",
+        "told",
+        "trace",
+        "verdict",
+    )
+
+    def __init__(self, arrived: ev.Arrived, routed: Routed, rid: str, label: str, now: float, deadline: float) -> None:
         self.ticket, self.rid, self.label, self.routed = arrived.ticket, rid, label, routed
         self.head = arrived
         self.arrived, self.deadline = now, deadline
@@ -128,18 +149,29 @@
         self._order = 0
         # Bound once, so that a timer is known by its object.
         self._at_uncounted, self._at_deadline, self._at_unconnected = (
-            self._uncounted, self._deadline, self._unconnected)
+            self._uncounted,
+            self._deadline,
+            self._unconnected,
+        )
         self._calls: dict[int, tuple[int, float]] = {}  # Adds out: name, and since when
         self._out: list[ev.Action] = []
         self._todo: deque[api.Event] = deque()  # what the module is to be told next
         self._now = 0.0
         self._stopped = False  # no request is taken any more
         self._handlers: dict[type, Callable[[Any], None]] = {
-            ev.Arrived: self._arrived, ev.ClockStepped: self._clock_stepped,
-            ev.ClientLeft: self._client_left, ev.BodyDropped: self._body_dropped,
-            ev.Written: self._written, ev.AnswerHead: self._answer_head, ev.AnswerBegun: self._answer_begun,
-            ev.AnswerWhole: self._answer_whole, ev.AttemptEnded: self._attempt_ended, ev.Counted: self._counted,
-            ev.Listed: self._listed, ev.Tick: self._tick, ev.Checked: self._checked,
+            ev.Arrived: self._arrived,
+            ev.ClockStepped: self._clock_stepped,
+            ev.ClientLeft: self._client_left,
+            ev.BodyDropped: self._body_dropped,
+            ev.Written: self._written,
+            ev.AnswerHead: self._answer_head,
+            ev.AnswerBegun: self._answer_begun,
+            ev.AnswerWhole: self._answer_whole,
+            ev.AttemptEnded: self._attempt_ended,
+            ev.Counted: self._counted,
+            ev.Listed: self._listed,
+            ev.Tick: self._tick,
+            ev.Checked: self._checked,
             ev.CheckFailed: self._check_failed,
         }
 
@@ -153,8 +185,13 @@
     @property
     def held(self) -> dict[str, int]:
         """What is kept, for metrics and for tests that all books balance."""
-        held = {"exchanges": len(self._exchanges), "calls": len(self._calls), "timers": len(self._timers),
-                "servers": len(self._addresses), "open": self._open}
+        held = {
+            "exchanges": len(self._exchanges),
+            "calls": len(self._calls),
+            "timers": len(self._timers),
+            "servers": len(self._addresses),
+            "open": self._open,
+        }
         if self._auth is not None:
             held.update({f"auth_{name}": count for name, count in self._auth.held.items()})
         return held
@@ -195,15 +232,29 @@
         if exchange is None or attempt is None:
             return Denial.ANSWERED
         cls = exchange.routed.cls
-        return self._denied_now(exchange, may_begin(AttemptFacts(
-            now, exchange.deadline, exchange.settled, self._stopped, attempt.number == action.attempt and attempt.open,
-            self._answerer is not None or action.server in self._taking, cls.effect, exchange.risk_at, cls.window_ms)))
+        return self._denied_now(
+            exchange,
+            may_begin(
+                AttemptFacts(
+                    now,
+                    exchange.deadline,
+                    exchange.settled,
+                    self._stopped,
+                    attempt.number == action.attempt and attempt.open,
+                    self._answerer is not None or action.server in self._taking,
+                    cls.effect,
+                    exchange.risk_at,
+                    cls.window_ms,
+                )
+            ),
+        )
 
     def _denied_now(self, exchange: Exchange, denial: Denial | None) -> Denial | None:
         if denial is not None:
             self.denials[denial.name] = self.denials.get(denial.name, 0) + 1
-            self._out.append(ev.Note("attempt denied", {"request": exchange.label, "why": denial.value,
-                                                        "servers": exchange.servers}))
+            self._out.append(
+                ev.Note("attempt denied", {"request": exchange.label, "why": denial.value, "servers": exchange.servers})
+            )
         return denial
 
     def worded(self, reason: str) -> tuple[ev.Headers, bytes]:
@@ -252,8 +303,9 @@
             case api.Count(name=name, units=units, expire_ms=expire_ms, proof=proof):
                 self._serial += 1
                 self._calls[self._serial] = name, self._now
-                self._timer(self._now + self.settings.counter_timeout_ms + COUNT_GRACE_MS, self._at_uncounted,
-                            self._serial)
+                self._timer(
+                    self._now + self.settings.counter_timeout_ms + COUNT_GRACE_MS, self._at_uncounted, self._serial
+                )
                 self._out.append(ev.Add(self._serial, name, units, expire_ms, proof))
             case api.Wake(at_ms=at, token=token):
                 self._timer(at, self._due, token)
@@ -276,8 +328,17 @@
             trace.end("counter", self._now)
         if self._records and number == 0:
             routed = exchange.routed
-            self._out.append(ev.Tried(exchange.label, routed.key, routed.plan.name, routed.cls.name, routed.units,
-                                      action.beyond, exchange.ticket))
+            self._out.append(
+                ev.Tried(
+                    exchange.label,
+                    routed.key,
+                    routed.plan.name,
+                    routed.cls.name,
+                    routed.units,
+                    action.beyond,
+                    exchange.ticket,
+                )
+            )
         if self._answerer is not None:
             self._let_pass(exchange, number, action.server)
             return
@@ -302,11 +363,32 @@
         parent = b""
         if trace is not None:
             parent = trace.outgoing(trace.begin("attempt", self._now, attempt=number, server=action.server))
-        headers = wording.headers(head.headers, copied, given, exchange.label, exchange.rid, number, left, head.peer,
-                                  parent, exchange.routed.cls.effect is api.Effect.KEYED)
+        headers = wording.headers(
+            head.headers,
+            copied,
+            given,
+            exchange.label,
+            exchange.rid,
+            number,
+            left,
+            head.peer,
+            parent,
+            exchange.routed.cls.effect is api.Effect.KEYED,
+        )
         self._timer(min(self._now + self._connect_ms, exchange.deadline), self._at_unconnected, exchange.ticket, number)
-        self._out.append(ev.Open(exchange.ticket, number, action.server, address, head.method, target, headers,
-                                 exchange.deadline, self._deliver_by(exchange)))
+        self._out.append(
+            ev.Open(
+                exchange.ticket,
+                number,
+                action.server,
+                address,
+                head.method,
+                target,
+                headers,
+                exchange.deadline,
+                self._deliver_by(exchange),
+            )
+        )
 
     def restate(self, now: float, action: ev.Open) -> None:
         """Have an attempt tell what is left by now, after its dial: a server that believes more works for nobody."""
@@ -325,9 +407,13 @@
         the request itself ends never comes back here: the module learns of no latency and no failure, so its brake
         stays open, and what it keeps is quota and ceiling."""
         routed = exchange.routed
-        headers: ev.Headers = [(b"content-length", b"0"), *self._limits(routed),
-                               (b"x-customer", routed.key.encode("latin-1", "replace")),
-                               (b"x-plan", routed.plan.name.encode()), *self._wording.signed(exchange.label)]
+        headers: ev.Headers = [
+            (b"content-length", b"0"),
+            *self._limits(routed),
+            (b"x-customer", routed.key.encode("latin-1", "replace")),
+            (b"x-plan", routed.plan.name.encode()),
+            *self._wording.signed(exchange.label),
+        ]
         self._settle(exchange, 200, "let pass", None)
         self._out.append(ev.Reply(exchange.ticket, 200, headers, b""))
         self._forget(exchange)
@@ -404,8 +490,13 @@
             if words is not None:
                 wait = min(words.retry_after_ms, max(self._max_wait, wait))
                 body = words.body
-                headers = [(b"content-type", words.content_type.encode()), reason_header(reason), *waits(wait),
-                           (b"content-length", str(len(body)).encode()), *encoded(words.headers)]
+                headers = [
+                    (b"content-type", words.content_type.encode()),
+                    reason_header(reason),
+                    *waits(wait),
+                    (b"content-length", str(len(body)).encode()),
+                    *encoded(words.headers),
+                ]
         headers += [*self._limits(exchange.routed), *self._wording.signed(exchange.label)]
         self._settle(exchange, status, reason, wait)
         self._out.append(ev.Reply(exchange.ticket, status, headers, body))
@@ -419,8 +510,9 @@
         if exchange.trace is not None:
             root = exchange.trace.root
             root.end = self._now
-            root.attributes.update({"status": status, "reason": reason, "customer": exchange.routed.key,
-                                    "plan": exchange.routed.plan.name})
+            root.attributes.update(
+                {"status": status, "reason": reason, "customer": exchange.routed.key, "plan": exchange.routed.plan.name}
+            )
             for name in ("auth", "counter"):
                 exchange.trace.end(name, self._now)
         self._open -= 1
@@ -429,8 +521,14 @@
             return
         routed = exchange.routed
         fields: dict[str, Any] = {
-            "request": exchange.label, "customer": routed.key, "plan": routed.plan.name, "class": routed.cls.name,
-            "status": status, "reason": reason, "attempts": len(exchange.servers), "servers": exchange.servers,
+            "request": exchange.label,
+            "customer": routed.key,
+            "plan": routed.plan.name,
+            "class": routed.cls.name,
+            "status": status,
+            "reason": reason,
+            "attempts": len(exchange.servers),
+            "servers": exchange.servers,
             "ms": round(self._now - exchange.arrived, 3),
         }
         if wait is not None:
@@ -440,8 +538,11 @@
             fields["hooks"] = runner.release.version
             if runner.has("log"):
                 assert self._points is not None
-                fields.update(self._points.fields(self._now, runner, exchange, status,
-                                                  len(exchange.servers), self._now - exchange.arrived))
+                fields.update(
+                    self._points.fields(
+                        self._now, runner, exchange, status, len(exchange.servers), self._now - exchange.arrived
+                    )
+                )
         self._out.append(ev.Note("answer", fields))
 
     def _forget(self, exchange: Exchange) -> None:
@@ -496,8 +597,13 @@
         exchange = Exchange(event, routed, rid, named, arrived, self._now + remaining)
         if self._sampler is not None:
             exchange.trace = self._sampler.trace(
-                header(event.headers, b"traceparent"), self._now, request=named, door=self._name,
-                method=method.decode("latin-1"), path=target.partition(b"?")[0].decode("latin-1"))
+                header(event.headers, b"traceparent"),
+                self._now,
+                request=named,
+                door=self._name,
+                method=method.decode("latin-1"),
+                path=target.partition(b"?")[0].decode("latin-1"),
+            )
             if exchange.trace is not None:
                 exchange.trace.root.attributes["class"] = routed.cls.name
         if self._shelf is not None:
@@ -522,13 +628,24 @@
             exchange.routed = before = routed
             routed = self._points.classify(self._now, runner, exchange)
             if routed.cls.deadline_ms < before.cls.deadline_ms:  # an earlier end takes effect, a later one never
-                exchange.deadline = min(exchange.deadline,
-                                        max(exchange.arrived + routed.cls.deadline_ms - self._margin, self._now))
+                exchange.deadline = min(
+                    exchange.deadline, max(exchange.arrived + routed.cls.deadline_ms - self._margin, self._now)
+                )
                 self._timer(exchange.deadline, self._at_deadline, exchange.ticket)
         exchange.routed, exchange.told = routed, True
-        self._tell(api.Request(exchange.rid, routed.cls.name, routed.plan.name, routed.customer,
-                               max(exchange.deadline - self._now, 0.0), routed.units, routed.spread, routed.first,
-                               routed.retry))
+        self._tell(
+            api.Request(
+                exchange.rid,
+                routed.cls.name,
+                routed.plan.name,
+                routed.customer,
+                max(exchange.deadline - self._now, 0.0),
+                routed.units,
+                routed.spread,
+                routed.first,
+                routed.retry,
+            )
+        )
         if exchange.trace is not None and not exchange.settled and not exchange.servers:
             exchange.trace.begin("counter", self._now)  # the module waits for the total
 
@@ -549,10 +666,14 @@
         if self._auth_told.by_target:
             digest.update(head.method + b" " + head.target)
         host = header(head.headers, b"host") or b""
-        sent += [(b"x-forwarded-method", head.method), (b"x-forwarded-proto", b"http"),
-                 (b"x-forwarded-host", host), (b"x-forwarded-uri", head.target),
-                 (b"x-forwarded-for", head.peer.encode()),
-                 (self._id_header, exchange.label.encode("latin-1", "replace"))]
+        sent += [
+            (b"x-forwarded-method", head.method),
+            (b"x-forwarded-proto", b"http"),
+            (b"x-forwarded-host", host),
+            (b"x-forwarded-uri", head.target),
+            (b"x-forwarded-for", head.peer.encode()),
+            (self._id_header, exchange.label.encode("latin-1", "replace")),
+        ]
         # Who gives way where too many wait goes by plan, as the credential's last verdict told it; those that nobody
         # has vouched for yet go by host.
         key = exchange.credential = digest.digest()
@@ -582,8 +703,9 @@
             exchange.verdict = answer
             found = list(answer.headers)
             key, plan = header(found, self._auth_told.customer_header), header(found, self._auth_told.plan_header)
-            routed = self._routes.identify(exchange.guarded, (key or b"").decode("latin-1").strip(),
-                                           (plan or b"").decode("latin-1").strip())
+            routed = self._routes.identify(
+                exchange.guarded, (key or b"").decode("latin-1").strip(), (plan or b"").decode("latin-1").strip()
+            )
         if isinstance(routed, Unroutable):
             self._answer(exchange, routed.status, routed.reason, None)
         else:
@@ -599,8 +721,11 @@
         if exchange.told:
             self._tell(api.Left(exchange.rid))
         headers = [pair for pair in answer.headers if pair[0] in DENY_HEADERS]
-        headers += [(b"content-length", str(len(answer.body)).encode()), (b"x-reason", b"denied"),
-                    *self._wording.signed(exchange.label)]
+        headers += [
+            (b"content-length", str(len(answer.body)).encode()),
+            (b"x-reason", b"denied"),
+            *self._wording.signed(exchange.label),
+        ]
         self._settle(exchange, answer.status, "denied", None)
         self._out.append(ev.Reply(exchange.ticket, answer.status, headers, answer.body))
         self._forget(exchange)
@@ -617,8 +742,9 @@
         assert self._auth is not None
         self._ask_did(self._auth.failed(self._now, event.check, event.attempt))
 
-    def _turn_away(self, event: ev.Arrived, status: int, reason: str, label: str, wait: float | None,
-                   more: ev.Headers = NO_HEADERS) -> None:
+    def _turn_away(
+        self, event: ev.Arrived, status: int, reason: str, label: str, wait: float | None, more: ev.Headers = NO_HEADERS
+    ) -> None:
         """Answer what never reaches the module."""
         headers, body = self._wording.own(reason, label, wait) if status != NO_CONTENT else ([], b"")
         headers += [*more, *self._wording.signed(label)]
@@ -684,9 +810,18 @@
         runner = exchange.runner
         if runner is not None and runner.has("answer"):
             assert self._points is not None
-            headers = overlaid(headers, self._points.answer(
-                self._now, runner, exchange, attempt.status, len(exchange.servers), self._now - exchange.arrived,
-                headers))
+            headers = overlaid(
+                headers,
+                self._points.answer(
+                    self._now,
+                    runner,
+                    exchange,
+                    attempt.status,
+                    len(exchange.servers),
+                    self._now - exchange.arrived,
+                    headers,
+                ),
+            )
         headers += [*self._limits(exchange.routed), *self._wording.signed(exchange.label)]
         self._out.append(ev.Pass(exchange.ticket, attempt.number, attempt.status, headers, whole))
 
@@ -746,8 +881,13 @@
         told = None if event.scope is api.Scope.FULL else {server.id for server in event.servers}
         for exchange in list(self._exchanges.values()):
             attempt = exchange.attempt
-            if (attempt and attempt.open and not attempt.written and attempt.server not in taking
-                    and (told is None or attempt.server in told)):
+            if (
+                attempt
+                and attempt.open
+                and not attempt.written
+                and attempt.server not in taking
+                and (told is None or attempt.server in told)
+            ):
                 # Its dial may come up after the grace that a drain leaves: a dial may take longer than that.
                 self._withdraw(exchange, attempt)
 
--- a/martenstep/door/events.py
+++ b/martenstep/door/events.py
@@ -144,8 +144,22 @@
     attempt: int
 
 
-Event = (Arrived | ClockStepped | ClientLeft | BodyDropped | Checked | CheckFailed | Written | AnswerHead | AnswerBegun
-         | AnswerWhole | AttemptEnded | Counted | Listed | Tick)
+Event = (
+    Arrived
+    | ClockStepped
+    | ClientLeft
+    | BodyDropped
+    | Checked
+    | CheckFailed
+    | Written
+    | AnswerHead
+    | AnswerBegun
+    | AnswerWhole
+    | AttemptEnded
+    | Counted
+    | Listed
+    | Tick
+)
 
 # Actions ----------------------------------------------------------------------------------------------
 
--- a/martenstep/door/fitting.py
+++ b/martenstep/door/fitting.py
@@ -28,12 +28,28 @@
     if not door.HasField("auth"):
         return None
     told = door.auth
-    rules = auth.Rules(told.share, told.attempt_ms, told.attempts, told.per_service, told.total, told.waiting,
-                       told.cache_entries, told.cache_ms, told.deny_ms, told.open_ms)
+    rules = auth.Rules(
+        told.share,
+        told.attempt_ms,
+        told.attempts,
+        told.per_service,
+        told.total,
+        told.waiting,
+        told.cache_entries,
+        told.cache_ms,
+        told.deny_ms,
+        told.open_ms,
+    )
     names = told.credential_header or ("authorization", "cookie")
-    return AuthParts(rules, [(one.host, one.port) for one in told.service], told.path.encode(), told.by_target,
-                     [name.lower().encode() for name in names], told.customer_header.lower().encode(),
-                     told.plan_header.lower().encode())
+    return AuthParts(
+        rules,
+        [(one.host, one.port) for one in told.service],
+        told.path.encode(),
+        told.by_target,
+        [name.lower().encode() for name in names],
+        told.customer_header.lower().encode(),
+        told.plan_header.lower().encode(),
+    )
 
 
 def parts_of(door: pb.Door, seed: int, shelf: Shelf | None = None, epoch_ms: float = 0.0) -> Parts:
@@ -53,15 +69,23 @@
             secret.add(door.forward_auth.secret_header.lower().encode())
         points = Points(door, routes, secret - {b""}, {*wording.own_names, *named, *only}, epoch_ms)
     return Parts(
-        name=door.name, settings=module_settings(door), routes=routes,
+        name=door.name,
+        settings=module_settings(door),
+        routes=routes,
         targets=Targets(listener.HasField("tls"), list(listener.host_name)),
-        status=StatusTable(upstream.refusal_status, upstream.refusal_header,
-                           frozenset(upstream.error_status or ERROR_STATUS)),
-        wording=wording, id_header=listener.request_id_header.lower().encode(),
-        margin_ms=listener.answer_margin_ms, max_open=listener.max_open, connect_ms=upstream.connect_ms,
-        cancel=upstream.cancel, max_wait_ms=door.max_retry_after_ms,
+        status=StatusTable(
+            upstream.refusal_status, upstream.refusal_header, frozenset(upstream.error_status or ERROR_STATUS)
+        ),
+        wording=wording,
+        id_header=listener.request_id_header.lower().encode(),
+        margin_ms=listener.answer_margin_ms,
+        max_open=listener.max_open,
+        connect_ms=upstream.connect_ms,
+        cancel=upstream.cancel,
+        max_wait_ms=door.max_retry_after_ms,
         records=door.HasField("counter"),  # the counter service keeps tries, Redis only counts
-        auth=asked, answerer=Answerer(door.forward_auth) if door.HasField("forward_auth") else None,
+        auth=asked,
+        answerer=Answerer(door.forward_auth) if door.HasField("forward_auth") else None,
         sampler=Sampler(door.tracing.share, random.Random(~seed)) if door.HasField("tracing") else None,
         points=points,
     )
@@ -75,9 +99,15 @@
 def driver_of(door: pb.Door, engine: Engine, note: Callable[[str, dict[str, Any]], None]) -> Driver:
     """A driver by a door's settings; raises TlsError."""
     listener, upstream = door.listener, door.upstream
-    driver = Driver(listener, upstream, engine, note,
-                    ServerContext(listener.tls) if listener.HasField("tls") else None,
-                    ClientContext(upstream.tls) if upstream.HasField("tls") else None, upstream.tls.server_name)
+    driver = Driver(
+        listener,
+        upstream,
+        engine,
+        note,
+        ServerContext(listener.tls) if listener.HasField("tls") else None,
+        ClientContext(upstream.tls) if upstream.HasField("tls") else None,
+        upstream.tls.server_name,
+    )
     if door.HasField("auth"):
         driver.check_by(Checks(driver, door.auth))
     return driver
--- a/martenstep/door/http.py
+++ b/martenstep/door/http.py
@@ -14,12 +14,29 @@
 from martenstep.door.events import Headers
 from martenstep.interface import Plan, Reason
 
-HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization",
-                        b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade"))
+HOP_BY_HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+    )
+)
 DROPPED = HOP_BY_HOP | {b"expect"}  # the door answers 100-continue itself
 STATUS = {
-    Reason.QUOTA: 429, Reason.UNHEARD: 429, Reason.CEILING: 429, Reason.OPEN_LIMIT: 429,
-    Reason.OVERLOAD: 503, Reason.NO_SERVER: 503, Reason.SPENT: 503, Reason.LATE: 503,
+    Reason.QUOTA: 429,
+    Reason.UNHEARD: 429,
+    Reason.CEILING: 429,
+    Reason.OPEN_LIMIT: 429,
+    Reason.OVERLOAD: 503,
+    Reason.NO_SERVER: 503,
+    Reason.SPENT: 503,
+    Reason.LATE: 503,
 }
 WORDS = {
     "quota": "the plan's quota is used for now",
@@ -112,8 +129,10 @@
 
 def waits(wait_ms: float) -> Headers:
     """A wait, in whole seconds (RFC 9110) and exactly."""
-    return [(b"retry-after", str(math.ceil(wait_ms / SECOND_MS)).encode()),
-            (b"retry-after-ms", f"{wait_ms:.3f}".encode())]
+    return [
+        (b"retry-after", str(math.ceil(wait_ms / SECOND_MS)).encode()),
+        (b"retry-after-ms", f"{wait_ms:.3f}".encode()),
+    ]
 
 
 def reason_header(reason: str) -> tuple[bytes, bytes]:
--- a/martenstep/door/listener.py
+++ b/martenstep/door/listener.py
@@ -19,16 +19,34 @@
 RETRY_S = 0.02  # after an accept for which there was no room
 # The connection that was to be accepted is lost, and nothing else: accept(2) tells pending network errors of the new
 # socket too.
-LOST_CONNECTION = frozenset((
-    errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
-    errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ECONNRESET, errno.ETIMEDOUT))
+LOST_CONNECTION = frozenset(
+    (
+        errno.ECONNABORTED,
+        errno.EPROTO,
+        errno.EPERM,
+        errno.ENETDOWN,
+        errno.ENOPROTOOPT,
+        errno.EHOSTDOWN,
+        errno.ENONET,
+        errno.EHOSTUNREACH,
+        errno.EOPNOTSUPP,
+        errno.ENETUNREACH,
+        errno.ECONNRESET,
+        errno.ETIMEDOUT,
+    )
+)
 
 
 class Listener:
     """One listening socket and the connections that are being made from it."""
 
-    def __init__(self, sock: socket.socket, factory: Callable[[float], asyncio.Protocol],
-                 failed: Callable[[OSError], None], clock: LoopClock) -> None:
+    def __init__(
+        self,
+        sock: socket.socket,
+        factory: Callable[[float], asyncio.Protocol],
+        failed: Callable[[OSError], None],
+        clock: LoopClock,
+    ) -> None:
         """`factory` makes a protocol for each connection, which came at the given time at the earliest; `failed` hears
         of each accept for which there was no room; `clock` tells when what is ready may have come."""
         self._sock, self._factory, self._failed = sock, factory, failed
--- a/martenstep/door/log.py
+++ b/martenstep/door/log.py
@@ -20,11 +20,17 @@
 
 def configure(form: pb.Log.Form) -> None:
     """Set the form of all lines: JSON for machines, or console; to standard error."""
-    renderer: Any = (structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty()) if form == pb.Log.CONSOLE
-                     else structlog.processors.JSONRenderer())
+    renderer: Any = (
+        structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+        if form == pb.Log.CONSOLE
+        else structlog.processors.JSONRenderer()
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    renderer],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            renderer,
+        ],
         logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
         cache_logger_on_first_use=True,
     )
@@ -33,8 +39,7 @@
 class Notes:
     """Where the door's notes go."""
 
-    def __init__(self, log: pb.Log, door: str, clock: Callable[[], float] = time.monotonic,
-                 logger: Any = None) -> None:
+    def __init__(self, log: pb.Log, door: str, clock: Callable[[], float] = time.monotonic, logger: Any = None) -> None:
         self._bound, self._clock = log.lines_per_s, clock
         self._logger = logger if logger is not None else structlog.get_logger().bind(door=door)
         self._second, self._written, self._left_out = 0, 0, 0
--- a/martenstep/door/parts.py
+++ b/martenstep/door/parts.py
@@ -95,8 +95,19 @@
     def copied(self, headers: Headers) -> Headers:
         """Of an authentication service's answer what servers are told."""
 
-    def headers(self, client: Headers, more: Headers, given: Headers, label: str, rid: str, attempt: int,
-                left_ms: float, peer: str, traceparent: bytes, keyed: bool) -> Headers:
+    def headers(
+        self,
+        client: Headers,
+        more: Headers,
+        given: Headers,
+        label: str,
+        rid: str,
+        attempt: int,
+        left_ms: float,
+        peer: str,
+        traceparent: bytes,
+        keyed: bool,
+    ) -> Headers:
         """An attempt's headers."""
 
     def expiry(self, left_ms: float) -> tuple[bytes, bytes]:
--- a/martenstep/door/points.py
+++ b/martenstep/door/points.py
@@ -60,8 +60,7 @@
         classes = routes.classes
         self._known: dict[tuple[str, float], border.Bounds] = {}
         self._classes = {
-            name: frozenset(other for other in getattr(told, "class")
-                            if border.may_become(cls, classes[other]))
+            name: frozenset(other for other in getattr(told, "class") if border.may_become(cls, classes[other]))
             for name, cls in classes.items()
         }
 
@@ -73,8 +72,14 @@
 
     def _bounds_of(self, routed: Routed) -> border.Bounds:
         least = min(routed.units, self._least) if not self._own_least else routed.units
-        return border.Bounds(self._classes[routed.cls.name], self._plans, self._customers, least,
-                             max(self._most, routed.units), self._kept)
+        return border.Bounds(
+            self._classes[routed.cls.name],
+            self._plans,
+            self._customers,
+            least,
+            max(self._most, routed.units),
+            self._kept,
+        )
 
     def _request(self, subject: Subject) -> tuple[Any, ...]:
         """The Request record (see hooks.types), made once for all points as long as the request stays where it is."""
@@ -94,9 +99,19 @@
                     continue
                 shown.append((str(name, "latin-1"), str(value, "latin-1")))
             subject.shown_as = routed
-            subject.shown = (str(head.method, "latin-1"), origin_form(head.target), str(host, "latin-1"), routed.key,
-                             routed.plan.name, routed.cls.name, float(routed.units), _first(language), _first(accept),
-                             shown[:MOST_GIVEN], (subject.arrived + self._epoch_ms) / 1000.0)
+            subject.shown = (
+                str(head.method, "latin-1"),
+                origin_form(head.target),
+                str(host, "latin-1"),
+                routed.key,
+                routed.plan.name,
+                routed.cls.name,
+                float(routed.units),
+                _first(language),
+                _first(accept),
+                shown[:MOST_GIVEN],
+                (subject.arrived + self._epoch_ms) / 1000.0,
+            )
         return subject.shown
 
     def classify(self, now: float, runner: Runner, subject: Subject) -> Routed:
@@ -104,11 +119,20 @@
         routed = subject.routed
         before = border.Placed(routed.cls.name, routed.key, routed.plan.name, routed.units)
         bounds = self._bounds(routed)
-        placed = runner.call(now, "classify", routed.key, routed.plan.name,
-                             lambda: (self._request(subject),),
-                             lambda made: border.placed(made, before, bounds), before)
-        return routed if placed == before else self._routes.placed(routed, placed.cls, placed.customer, placed.plan,
-                                                                   placed.units)
+        placed = runner.call(
+            now,
+            "classify",
+            routed.key,
+            routed.plan.name,
+            lambda: (self._request(subject),),
+            lambda made: border.placed(made, before, bounds),
+            before,
+        )
+        return (
+            routed
+            if placed == before
+            else self._routes.placed(routed, placed.cls, placed.customer, placed.plan, placed.units)
+        )
 
     def sending(self, now: float, runner: Runner, subject: Subject) -> tuple[bytes, Headers]:
         """Target and headers of what goes to a server: the same at each attempt, so it is asked for once."""
@@ -121,16 +145,18 @@
                 return head.target, encoded(given)
             target = path.encode("latin-1")
             # A path of another class could be one whose repeats do what this one's may not.
-            if path_of(target) is None or (not path.startswith(self._prefixes)
-                                           and self._routes.class_at(head.method, target) != routed.cls.name):
+            if path_of(target) is None or (
+                not path.startswith(self._prefixes) and self._routes.class_at(head.method, target) != routed.cls.name
+            ):
                 raise border.BorderError(f"path {path[:64]!r}: is of another class, and below no path_prefix")
             return target, encoded(given)
+
         own: tuple[bytes, Headers] = head.target, []
-        return runner.call(now, "sending", routed.key, routed.plan.name,
-                           lambda: (self._request(subject),), take, own)
+        return runner.call(now, "sending", routed.key, routed.plan.name, lambda: (self._request(subject),), take, own)
 
-    def refusal(self, now: float, runner: Runner, subject: Subject, status: int, reason: str,
-                wait_ms: float) -> border.Words | None:
+    def refusal(
+        self, now: float, runner: Runner, subject: Subject, status: int, reason: str, wait_ms: float
+    ) -> border.Words | None:
         """A refusal's words; None: the door's own."""
         routed = subject.routed
         bounds = self._bounds(routed)
@@ -138,27 +164,51 @@
         def take(made: Any) -> border.Words | None:
             body, kind, retry, given = made
             return border.words((body, kind or DEFAULT_BODY, retry, given), wait_ms, bounds)
-        return runner.call(now, "refusal", routed.key, routed.plan.name,
-                           lambda: (self._request(subject), (float(status), reason, wait_ms)), take, None)
 
-    def answer(self, now: float, runner: Runner, subject: Subject, status: int, attempts: int,
-               took_ms: float, headers: Headers) -> Headers:
+        return runner.call(
+            now,
+            "refusal",
+            routed.key,
+            routed.plan.name,
+            lambda: (self._request(subject), (float(status), reason, wait_ms)),
+            take,
+            None,
+        )
+
+    def answer(
+        self, now: float, runner: Runner, subject: Subject, status: int, attempts: int, took_ms: float, headers: Headers
+    ) -> Headers:
         """Headers that a served answer gets besides."""
         routed = subject.routed
         bounds = self._bounds(routed)
-        return runner.call(now, "answer", routed.key, routed.plan.name,
-                           lambda: (self._request(subject),
-                                    (float(status), float(attempts), took_ms, self._shown(headers))),
-                           lambda made: encoded(border.headers(made, bounds)), [])
-
-    def fields(self, now: float, runner: Runner, subject: Subject, status: int, attempts: int,
-               took_ms: float) -> dict[str, str]:
+        return runner.call(
+            now,
+            "answer",
+            routed.key,
+            routed.plan.name,
+            lambda: (self._request(subject), (float(status), float(attempts), took_ms, self._shown(headers))),
+            lambda made: encoded(border.headers(made, bounds)),
+            [],
+        )
+
+    def fields(
+        self, now: float, runner: Runner, subject: Subject, status: int, attempts: int, took_ms: float
+    ) -> dict[str, str]:
         """Fields of the answer's line."""
         routed = subject.routed
-        return runner.call(now, "log", routed.key, routed.plan.name,
-                           lambda: (self._request(subject), (float(status), float(attempts), took_ms, [])),
-                           border.log_fields, {})
+        return runner.call(
+            now,
+            "log",
+            routed.key,
+            routed.plan.name,
+            lambda: (self._request(subject), (float(status), float(attempts), took_ms, [])),
+            border.log_fields,
+            {},
+        )
 
     def _shown(self, headers: Headers) -> list[tuple[str, str]]:
-        return [(str(name, "latin-1"), str(value, "latin-1")) for name, value in headers[:MOST_GIVEN]
-                if name != b"set-cookie"]
+        return [
+            (str(name, "latin-1"), str(value, "latin-1"))
+            for name, value in headers[:MOST_GIVEN]
+            if name != b"set-cookie"
+        ]
--- a/martenstep/door/routes.py
+++ b/martenstep/door/routes.py
@@ -36,15 +36,25 @@
         self._doors = door.instances
         self._default = self._plans.get(door.default_plan)
         self._customers: dict[str, tuple[int, api.Plan, int, int]] = {
-            entry.key: (customer_id(entry.key), self._plans[entry.plan], entry.doors or door.instances,
-                        entry.first_door)
+            entry.key: (
+                customer_id(entry.key),
+                self._plans[entry.plan],
+                entry.doors or door.instances,
+                entry.first_door,
+            )
             for entry in door.customer
         }
         self._rules = [
-            _Rule(frozenset(method.encode() for method in entry.method), entry.path_prefix,
-                  self._classes[getattr(entry, "class")], entry.units,
-                  entry.customer_header.lower().encode(), entry.customer_segment, entry.authenticate,
-                  entry.fail_open)
+            _Rule(
+                frozenset(method.encode() for method in entry.method),
+                entry.path_prefix,
+                self._classes[getattr(entry, "class")],
+                entry.units,
+                entry.customer_header.lower().encode(),
+                entry.customer_segment,
+                entry.authenticate,
+                entry.fail_open,
+            )
             for entry in door.route
         ]
         self.classes: Mapping[str, api.RequestClass] = self._classes
--- a/martenstep/door/stages/outgoing.py
+++ b/martenstep/door/stages/outgoing.py
@@ -38,8 +38,7 @@
         if not self._auth_only:
             return [pair for pair in headers if pair[0] not in drop]
         # Some servers read x_auth_customer as x-auth-customer.
-        return [pair for pair in headers if pair[0] not in drop
-                and pair[0].replace(b"_", b"-") not in self._auth_only]
+        return [pair for pair in headers if pair[0] not in drop and pair[0].replace(b"_", b"-") not in self._auth_only]
 
     def copied(self, headers: Headers) -> Headers:
         """Of a service's answer what servers are told."""
@@ -57,8 +56,19 @@
         """Headers and body of an answer of the door's own."""
         return own_answer(reason, label, wait_ms)
 
-    def headers(self, client: Headers, more: Headers, given: Headers, label: str, rid: str, attempt: int,
-                left_ms: float, peer: str, traceparent: bytes, keyed: bool) -> Headers:
+    def headers(
+        self,
+        client: Headers,
+        more: Headers,
+        given: Headers,
+        label: str,
+        rid: str,
+        attempt: int,
+        left_ms: float,
+        peer: str,
+        traceparent: bytes,
+        keyed: bool,
+    ) -> Headers:
         """An attempt's headers: the client's, a service's (`more`), a hook's (`given`), and the door's own."""
         made = overlaid(self.kept(client) + more, given)
         made += [*self.signed(label), (self._attempt, b"%d" % attempt), self.expiry(left_ms)]
--- a/martenstep/door/traces.py
+++ b/martenstep/door/traces.py
@@ -120,8 +120,11 @@
 
     def __init__(self, path: Path, door: str, wall_ms: Callable[[], float], clock_ms: Callable[[], float]) -> None:
         self._ids = _Given()
-        self._provider = TracerProvider(resource=Resource({"service.name": "martenstep", "door": door}),
-                                        id_generator=self._ids, shutdown_on_exit=False)
+        self._provider = TracerProvider(
+            resource=Resource({"service.name": "martenstep", "door": door}),
+            id_generator=self._ids,
+            shutdown_on_exit=False,
+        )
         self._provider.add_span_processor(BatchSpanProcessor(_Lines(path)))
         self._tracer = self._provider.get_tracer("martenstep.door")
         self._offset = wall_ms() - clock_ms()
@@ -137,8 +140,9 @@
         context = set_span_in_context(parent) if trace.parent else None
         for span in (trace.root, *trace.parts):
             self._ids.span = span.id
-            made = self._tracer.start_span(span.name, context, start_time=self._ns(span.start),
-                                           attributes=span.attributes)
+            made = self._tracer.start_span(
+                span.name, context, start_time=self._ns(span.start), attributes=span.attributes
+            )
             made.end(self._ns(span.end or trace.root.end))
             if span is trace.root:
                 context = set_span_in_context(NonRecordingSpan(SpanContext(trace.id, span.id, False, sampled)))
--- a/martenstep/door/wire/bodies.py
+++ b/martenstep/door/wire/bodies.py
@@ -77,7 +77,7 @@
         try:
             while not self.whole:
                 if self._state == "data":
-                    part = bytes(data[at:at + self._left])
+                    part = bytes(data[at : at + self._left])
                     if not part:
                         return
                     at, self._left = at + len(part), self._left - len(part)
@@ -88,7 +88,7 @@
                         if len(data) > at and data[at] != CRLF[0]:
                             raise Fault(400, "bad body")
                         return
-                    if data[at:at + 2] != CRLF:
+                    if data[at : at + 2] != CRLF:
                         raise Fault(400, "bad body")
                     at, self._state = at + 2, "size"
                 elif self._state == "size":
@@ -103,7 +103,7 @@
                     at, self._left = end + 2, int(found[1], 16)
                     self._state = "data" if self._left else "trailer"
                 else:
-                    none = data[at:at + 2] == CRLF
+                    none = data[at : at + 2] == CRLF
                     found_at = at if none else data.find(END_OF_HEAD, at)
                     if found_at < 0:
                         if len(data) - at > TRAILER_BYTES:
--- a/martenstep/door/wire/heads.py
+++ b/martenstep/door/wire/heads.py
@@ -161,8 +161,12 @@
         raise Fault(502, "bad answer") from error
     minor = {"1.1": 1, "1.0": 0}.get(parser.get_http_version())
     status = parser.get_status_code()
-    if not parts.done or minor is None or not 100 <= status <= 599 or not raw.startswith(b"HTTP/1.%d %03d" % (
-            minor, status)):
+    if (
+        not parts.done
+        or minor is None
+        or not 100 <= status <= 599
+        or not raw.startswith(b"HTTP/1.%d %03d" % (minor, status))
+    ):
         raise Fault(502, "bad answer")
     length, chunked, ends, _, _ = _framing(parts.headers, minor)
     return AnswerHead(status, parts.status, minor, parts.headers, length, chunked, not ends)
--- a/martenstep/door/wire/readers.py
+++ b/martenstep/door/wire/readers.py
@@ -51,8 +51,9 @@
         if not data:
             self._ended = True
         elif isinstance(self._body, Sized) and not self._data and not self._direct:
-            self._direct, rest = (data, b"") if len(data) <= self._body.left else (
-                data[: self._body.left], data[self._body.left:])
+            self._direct, rest = (
+                (data, b"") if len(data) <= self._body.left else (data[: self._body.left], data[self._body.left :])
+            )
             self._data += rest
         else:
             self._data += data
--- a/martenstep/door/wires.py
+++ b/martenstep/door/wires.py
@@ -197,7 +197,8 @@
         peer = plain.get_extra_info("peername")
         try:
             secured = await asyncio.get_running_loop().start_tls(
-                plain, self._made, self._context, server_side=True, ssl_handshake_timeout=self._within)
+                plain, self._made, self._context, server_side=True, ssl_handshake_timeout=self._within
+            )
         except (ssl.SSLError, OSError, TimeoutError) as error:
             plain.abort()
             self._told(str(peer[0]) if peer else "", getattr(error, "reason", None) or str(error) or "closed")
@@ -272,7 +273,8 @@
         self._bounded = ms is not None
         with suppress(OSError):  # it has ended already
             self.writer.get_extra_info("socket").setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, max(int(ms), 1) if ms is not None else 0)
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, max(int(ms), 1) if ms is not None else 0
+            )
 
     def abort(self) -> None:
         """Close at once, with a reset (Pool.dial): what is still buffered, here or in the kernel, reaches nobody.
@@ -289,8 +291,15 @@
 class Pool:
     """The connections to all servers: idle ones by address, and how many there are in all."""
 
-    def __init__(self, bound: int, idle_ms: float, refused: Refused, tls: ssl.SSLContext | None = None,
-                 server_name: str = "", bound_of_all: int = 0) -> None:
+    def __init__(
+        self,
+        bound: int,
+        idle_ms: float,
+        refused: Refused,
+        tls: ssl.SSLContext | None = None,
+        server_name: str = "",
+        bound_of_all: int = 0,
+    ) -> None:
         """`bound` connections to one address, `bound_of_all` together (0: no such bound)."""
         self._bound, self._idle_ms, self._refused = bound, idle_ms, refused
         self._bound_of_all = bound_of_all
@@ -372,8 +381,11 @@
         reader = WatchedReader()
         try:
             transport, protocol = await loop.create_connection(
-                lambda: WatchedProtocol(reader), *address, ssl=self._tls,
-                server_hostname=(self._server_name or None) if self._tls else None)
+                lambda: WatchedProtocol(reader),
+                *address,
+                ssl=self._tls,
+                server_hostname=(self._server_name or None) if self._tls else None,
+            )
         except BaseException as error:
             self.release(address)
             if isinstance(error, ssl.SSLError):
