--- a/martenstep/hooks/border.py
+++ b/martenstep/hooks/border.py
@@ -26,11 +26,39 @@
 PATH = re.compile(r"/[\x21-\x22\x24-\x7e]*")  # no blank, no fragment, nothing that is not ASCII
 FIELD = re.compile(r"[a-z][a-z0-9_]{0,31}")
 # What frames the message, what the door says itself, and what proves things to others: never a hook's.
-KEPT_HEADERS = frozenset({
-    "connection", "content-encoding", "content-length", "content-type", "date", "host", "idempotency-key", "keep-alive",
-    "proxy-authenticate", "proxy-authorization", "proxy-connection", "ratelimit", "ratelimit-policy", "retry-after",
-    "retry-after-ms", "te", "traceparent", "tracestate", "trailer", "transfer-encoding", "upgrade", "via", "x-attempt",
-    "x-customer", "x-deadline-ms", "x-forwarded-for", "x-not-run", "x-reason", "x-request-id"})
+KEPT_HEADERS = frozenset(
+    {
+        "connection",
+        "content-encoding",
+        "content-length",
+        "content-type",
+        "date",
+        "host",
+        "idempotency-key",
+        "keep-alive",
+        "proxy-authenticate",
+        "proxy-authorization",
+        "proxy-connection",
+        "ratelimit",
+        "ratelimit-policy",
+        "retry-after",
+        "retry-after-ms",
+        "te",
+        "traceparent",
+        "tracestate",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "via",
+        "x-attempt",
+        "x-customer",
+        "x-deadline-ms",
+        "x-forwarded-for",
+        "x-not-run",
+        "x-reason",
+        "x-request-id",
+    }
+)
 
 
 class BorderError(Exception):
@@ -102,8 +130,10 @@
     if len(body) > MOST_BODY:
         raise BorderError(f"a body of {len(body)} signs, at most {MOST_BODY}")
     if not MEDIA.fullmatch(content_type):
-        raise BorderError(f"content type {content_type[:64]!r}: expected text/plain, text/html, application/json or "
-                          "application/problem+json")
+        raise BorderError(
+            f"content type {content_type[:64]!r}: expected text/plain, text/html, application/json or "
+            "application/problem+json"
+        )
     if not 0 <= retry <= max(MOST_RETRY_MS, retry_after_ms):
         raise BorderError(f"a retry-after of {retry:g} ms")
     try:
@@ -125,8 +155,11 @@
 def placed(made: Any, before: Placed, bounds: Bounds) -> Placed:
     """A request's place: what is empty stays as it was; raises BorderError."""
     cls, customer, plan, units = made
-    for what, got, was, known in (("class", cls, before.cls, bounds.classes), ("plan", plan, before.plan, bounds.plans),
-                                  ("customer", customer, before.customer, bounds.customers)):
+    for what, got, was, known in (
+        ("class", cls, before.cls, bounds.classes),
+        ("plan", plan, before.plan, bounds.plans),
+        ("customer", customer, before.customer, bounds.customers),
+    ):
         if got and got != was and got not in known:
             raise BorderError(f"{what} {got[:64]!r} is not one that hooks may choose")
     if units and not bounds.least_units <= units <= bounds.most_units:
--- a/martenstep/hooks/check.py
+++ b/martenstep/hooks/check.py
@@ -26,10 +26,18 @@
 ORDERED = (NUMBER, DURATION, TEXT)
 # Signs on two plain types, and what they make.
 MADE: dict[tuple[str, Type, Type], Type] = {
-    ("+", NUMBER, NUMBER): NUMBER, ("-", NUMBER, NUMBER): NUMBER, ("*", NUMBER, NUMBER): NUMBER,
-    ("/", NUMBER, NUMBER): NUMBER, ("%", NUMBER, NUMBER): NUMBER, ("+", TEXT, TEXT): TEXT,
-    ("+", DURATION, DURATION): DURATION, ("-", DURATION, DURATION): DURATION, ("*", DURATION, NUMBER): DURATION,
-    ("*", NUMBER, DURATION): DURATION, ("/", DURATION, NUMBER): DURATION, ("/", DURATION, DURATION): NUMBER,
+    ("+", NUMBER, NUMBER): NUMBER,
+    ("-", NUMBER, NUMBER): NUMBER,
+    ("*", NUMBER, NUMBER): NUMBER,
+    ("/", NUMBER, NUMBER): NUMBER,
+    ("%", NUMBER, NUMBER): NUMBER,
+    ("+", TEXT, TEXT): TEXT,
+    ("+", DURATION, DURATION): DURATION,
+    ("-", DURATION, DURATION): DURATION,
+    ("*", DURATION, NUMBER): DURATION,
+    ("*", NUMBER, DURATION): DURATION,
+    ("/", DURATION, NUMBER): DURATION,
+    ("/", DURATION, DURATION): NUMBER,
 }
 
 
@@ -54,8 +62,10 @@
         for function in self._file.functions:
             if function.name in self.functions or function.name in BUILT_IN:
                 raise HookFault(function.place, f"the function {function.name!r} is there already")
-            self.functions[function.name] = (tuple(self._written(made) for _, made in function.params),
-                                             self._written(function.gives))
+            self.functions[function.name] = (
+                tuple(self._written(made) for _, made in function.params),
+                self._written(function.gives),
+            )
         for function in self._file.functions:
             params, gives = self.functions[function.name]
             names = [name for name, _ in function.params]
@@ -70,8 +80,11 @@
             seen.add(hook.point)
             given, gives = POINTS[hook.point]
             if len(hook.params) != len(given):
-                raise HookFault(hook.place, f"{hook.point} is given {len(given)} values ("
-                                            f"{', '.join(map(str, given))}), named are {len(hook.params)}")
+                raise HookFault(
+                    hook.place,
+                    f"{hook.point} is given {len(given)} values ("
+                    f"{', '.join(map(str, given))}), named are {len(hook.params)}",
+                )
             self._body(hook.place, hook.params, given, hook.body, gives, "")
         for test in self._file.tests:
             self._body(test.place, [], (), test.body, BOOL, "")
@@ -89,6 +102,7 @@
                         raise HookFault(place, f"calls nested deeper than {syn.MOST_DEPTH}")
                     visit(called, (*under, name))
             done.add(name)
+
         for function in self._file.functions:
             visit(function.name, ())
 
@@ -102,8 +116,9 @@
             raise HookFault(made.place, f"no type is named {made.name!r} {_near([*BY_NAME, 'list'])}")
         return found
 
-    def _body(self, place: Place, names: list[str], given: tuple[Type, ...], body: syn.Block, gives: Type,
-              inside: str) -> None:
+    def _body(
+        self, place: Place, names: list[str], given: tuple[Type, ...], body: syn.Block, gives: Type, inside: str
+    ) -> None:
         if len(set(names)) < len(names):
             raise HookFault(place, "two parameters of one name")
         self._inside, self._slots = inside, len(names)
@@ -130,8 +145,9 @@
             case syn.Text():
                 for part in made.parts:
                     if not isinstance(part, str) and self.type(part, names) not in PLAIN.values():
-                        raise HookFault(part.place, f"expected something plain to put into a text, got "
-                                                    f"{self.types[id(part)]}")
+                        raise HookFault(
+                            part.place, f"expected something plain to put into a text, got {self.types[id(part)]}"
+                        )
                 return TEXT
             case syn.Name():
                 if made.name not in names:
@@ -278,8 +294,7 @@
     def _call(self, made: syn.Call, names: dict[str, Type]) -> Type:
         known = self.functions.get(made.name) or BUILT_IN.get(made.name)
         if known is None:
-            raise HookFault(made.place, f"no function is named {made.name!r} "
-                                        f"{_near([*self.functions, *BUILT_IN])}")
+            raise HookFault(made.place, f"no function is named {made.name!r} {_near([*self.functions, *BUILT_IN])}")
         if made.name in self.functions and self._inside:
             self._calls.setdefault(self._inside, {}).setdefault(made.name, made.place)
         params, gives = known
--- a/martenstep/hooks/code.py
+++ b/martenstep/hooks/code.py
@@ -58,8 +58,19 @@
     RETURN = auto()
 
 
-TAKES = {Op.CONST: 0, Op.LOAD: 0, Op.STORE: 1, Op.JUMP: 0, Op.JUMP_FALSE: 1, Op.NEG: 1, Op.NOT: 1, Op.FIELD: 1,
-         Op.SHOW: 1, Op.NEXT: 0, Op.RETURN: 1}
+TAKES = {
+    Op.CONST: 0,
+    Op.LOAD: 0,
+    Op.STORE: 1,
+    Op.JUMP: 0,
+    Op.JUMP_FALSE: 1,
+    Op.NEG: 1,
+    Op.NOT: 1,
+    Op.FIELD: 1,
+    Op.SHOW: 1,
+    Op.NEXT: 0,
+    Op.RETURN: 1,
+}
 GIVES_NOTHING = (Op.STORE, Op.JUMP, Op.JUMP_FALSE, Op.RETURN)
 
 
@@ -96,8 +107,9 @@
         self._slots = 0
 
     def program(self) -> Program:
-        functions = [self._function(one.name, [name for name, _ in one.params], one.body)
-                     for one in self._file.functions]
+        functions = [
+            self._function(one.name, [name for name, _ in one.params], one.body) for one in self._file.functions
+        ]
         points = {}
         for hook in self._file.hooks:
             points[hook.point] = len(functions)
@@ -389,9 +401,11 @@
 
 def _takes(program: Program, function: Function, op: Op, one: int, other: int) -> int:
     """How many values an instruction takes; raises CodeError on an argument that is none."""
+
     def within(value: int, bound: int) -> None:
         if not 0 <= value < bound:
             raise CodeError(f"{function.name}: {op.name} {value} is out of bounds")
+
     match op:
         case Op.CONST:
             within(one, len(program.constants))
--- a/martenstep/hooks/fast.py
+++ b/martenstep/hooks/fast.py
@@ -199,4 +199,3 @@
         exec(compile(writer.text(), f"<hook {number}>", "exec"), names)
         made.append(names[f"f{number}"])
     return made
-
--- a/martenstep/hooks/files.py
+++ b/martenstep/hooks/files.py
@@ -142,8 +142,15 @@
         if hook.point not in program.points:
             raise ReleaseError(f"{hook.file}: holds no hook on {hook.point}")
         hooks.append(Hook(hook.point, hook.file, program, frozenset(hook.customer), frozenset(hook.plan)))
-    return Release(made.version, hashlib.sha256(raw).hexdigest(), tuple(hooks), made.share,
-                   frozenset(made.trial_customer), made.about, signer)
+    return Release(
+        made.version,
+        hashlib.sha256(raw).hexdigest(),
+        tuple(hooks),
+        made.share,
+        frozenset(made.trial_customer),
+        made.about,
+        signer,
+    )
 
 
 def read_directory(directory: Path, trusted: Sequence[str] = ()) -> tuple[list[Release], list[str]]:
@@ -198,8 +205,16 @@
         os.close(handle)
 
 
-def publish(source: Path, directory: Path, version: int, *, share: float = 1.0, about: str = "",
-            customers: Iterable[str] = (), key: Ed25519PrivateKey | None = None) -> Path:
+def publish(
+    source: Path,
+    directory: Path,
+    version: int,
+    *,
+    share: float = 1.0,
+    about: str = "",
+    customers: Iterable[str] = (),
+    key: Ed25519PrivateKey | None = None,
+) -> Path:
     """Make a release of all .hook files of a folder, or of the hooks that its manifest names, and put it beside the
     others at one stroke.  Raises ReleaseError, OSError."""
     made = pb.Manifest()
@@ -283,5 +298,8 @@
 
     def withdrawn(self) -> set[int]:
         """The versions that this door took back; raises OSError."""
-        return {line["version"] for line in self.lines()
-                if line.get("event") == "hooks withdrawn" and isinstance(line.get("version"), int)}
+        return {
+            line["version"]
+            for line in self.lines()
+            if line.get("event") == "hooks withdrawn" and isinstance(line.get("version"), int)
+        }
--- a/martenstep/hooks/fmt.py
+++ b/martenstep/hooks/fmt.py
@@ -8,8 +8,22 @@
 
 WIDTH = 100
 INDENT = "  "
-LEVEL = {"or": 1, "and": 2, "==": 4, "!=": 4, "<": 4, "<=": 4, ">": 4, ">=": 4, "in": 4, "+": 5, "-": 5, "*": 6, "/": 6,
-         "%": 6}
+LEVEL = {
+    "or": 1,
+    "and": 2,
+    "==": 4,
+    "!=": 4,
+    "<": 4,
+    "<=": 4,
+    ">": 4,
+    ">=": 4,
+    "in": 4,
+    "+": 5,
+    "-": 5,
+    "*": 6,
+    "/": 6,
+    "%": 6,
+}
 NOT, MINUS, PRIMARY = 3, 7, 8
 ESCAPED = {"\n": "\\n", "\t": "\\t", '"': '\\"', "\\": "\\\\"}
 
@@ -43,13 +57,17 @@
     def _expr(self, made: Expr, depth: int, bare: bool) -> tuple[str, int]:
         match made:
             case syn.Number():
-                return (f"-{number(syn.Number(-made.value, made.duration, place=made.place))}", MINUS) \
-                    if made.value < 0 else (number(made), PRIMARY)
+                return (
+                    (f"-{number(syn.Number(-made.value, made.duration, place=made.place))}", MINUS)
+                    if made.value < 0
+                    else (number(made), PRIMARY)
+                )
             case syn.Bool():
                 return ("true" if made.value else "false"), PRIMARY
             case syn.Text():
-                return '"' + "".join(text(part) if isinstance(part, str) else "${" + self.expr(part, 0) + "}"
-                                     for part in made.parts) + '"', PRIMARY
+                return '"' + "".join(
+                    text(part) if isinstance(part, str) else "${" + self.expr(part, 0) + "}" for part in made.parts
+                ) + '"', PRIMARY
             case syn.Name():
                 return made.name, PRIMARY
             case syn.Call():
@@ -75,12 +93,17 @@
                 return self._if(made, depth), PRIMARY
             case syn.Match():
                 pad = INDENT * (depth + 1)
-                arms = "".join(f"{pad}{' | '.join(self.expr(v, depth) for v in arm.values) or '_'} -> "
-                               f"{self.expr(arm.then, depth + 1)},\n" for arm in made.arms)
+                arms = "".join(
+                    f"{pad}{' | '.join(self.expr(v, depth) for v in arm.values) or '_'} -> "
+                    f"{self.expr(arm.then, depth + 1)},\n"
+                    for arm in made.arms
+                )
                 return f"match {self.expr(made.of, depth, 0, True)} {{\n{arms}{INDENT * depth}}}", PRIMARY
             case syn.For():
-                head = (f"for {made.item} in {self.expr(made.over, depth, 0, True)}, {made.carried} = "
-                        f"{self.expr(made.start, depth, 0, True)}")
+                head = (
+                    f"for {made.item} in {self.expr(made.over, depth, 0, True)}, {made.carried} = "
+                    f"{self.expr(made.start, depth, 0, True)}"
+                )
                 return f"{head} {self.block(made.body, depth)}", PRIMARY
             case syn.Block():
                 return self.block(made, depth), PRIMARY
--- a/martenstep/hooks/release.py
+++ b/martenstep/hooks/release.py
@@ -50,5 +50,8 @@
 
     def holds(self, customer: str) -> bool:
         """Whether a customer belongs to it: the same word at every door."""
-        return (self.whole or customer in self.trial_customers
-                or xxhash.xxh64_intdigest(customer.encode("utf-8", "replace")) < self.share * HASH_RANGE)
+        return (
+            self.whole
+            or customer in self.trial_customers
+            or xxhash.xxh64_intdigest(customer.encode("utf-8", "replace")) < self.share * HASH_RANGE
+        )
--- a/martenstep/hooks/releases.py
+++ b/martenstep/hooks/releases.py
@@ -50,8 +50,14 @@
 class Shelf:
     """The releases that one door knows."""
 
-    def __init__(self, limits: Limits, note: Note, *, withdrawn: Iterable[int] = (),
-                 late: Callable[[], Callable[[], bool]] = lambda: NEVER) -> None:
+    def __init__(
+        self,
+        limits: Limits,
+        note: Note,
+        *,
+        withdrawn: Iterable[int] = (),
+        late: Callable[[], Callable[[], bool]] = lambda: NEVER,
+    ) -> None:
         """`note` is told of each change, `late` asked for a backstop at the begin of each run."""
         self._limits, self._note, self._late = limits, note, late
         self._known: dict[int, Release] = {}
@@ -64,8 +70,10 @@
     def acting(self) -> dict[str, int]:
         """The versions that act, for metrics; 0 where none does."""
         made = self.edition
-        return {"whole": made.whole.release.version if made.whole else 0,
-                "trial": made.trial.release.version if made.trial else 0}
+        return {
+            "whole": made.whole.release.version if made.whole else 0,
+            "trial": made.trial.release.version if made.trial else 0,
+        }
 
     def limit(self, limits: Limits) -> None:
         """Other bounds on what a release may fail and cost."""
--- a/martenstep/hooks/runner.py
+++ b/martenstep/hooks/runner.py
@@ -57,18 +57,31 @@
 class Runner:
     """The hooks of one release; a request keeps the runner that it began with."""
 
-    def __init__(self, release: Release, note: Note, limits: Limits | None = None, *, steps: int = STEPS,
-                 bytes_: int = BYTES, counts: Counter[str] | None = None,
-                 late: Callable[[], Callable[[], bool]] = lambda: NEVER,
-                 bad: Callable[[Release, str], None] = lambda release, reason: None) -> None:
+    def __init__(
+        self,
+        release: Release,
+        note: Note,
+        limits: Limits | None = None,
+        *,
+        steps: int = STEPS,
+        bytes_: int = BYTES,
+        counts: Counter[str] | None = None,
+        late: Callable[[], Callable[[], bool]] = lambda: NEVER,
+        bad: Callable[[Release, str], None] = lambda release, reason: None,
+    ) -> None:
         """`late` is asked for a backstop at the begin of each run; `bad` is told, once, that the release must go."""
         self.release = release
         self._at: dict[str, list[_Standing]] = {}
         for hook in release.hooks:
-            self._at.setdefault(hook.point, []).append(_Standing(
-                hook, Machine(hook.program, Counters(), fast=hook.fast),
-                hook.program.points[hook.point], not hook.customers and not hook.plans,
-                f"{hook.point} good"))
+            self._at.setdefault(hook.point, []).append(
+                _Standing(
+                    hook,
+                    Machine(hook.program, Counters(), fast=hook.fast),
+                    hook.program.points[hook.point],
+                    not hook.customers and not hook.plans,
+                    f"{hook.point} good",
+                )
+            )
         self.limits = limits or Limits()
         self._note, self._steps, self._bytes = note, steps, bytes_
         self._late, self._told_bad = late, bad
@@ -82,8 +95,16 @@
         """Whether a hook stands at a point."""
         return point in self._at
 
-    def call(self, now: float, point: str, customer: str, plan: str, given: Callable[[], tuple[Any, ...]],
-             take: Callable[[Any], T], default: T) -> T:
+    def call(
+        self,
+        now: float,
+        point: str,
+        customer: str,
+        plan: str,
+        given: Callable[[], tuple[Any, ...]],
+        take: Callable[[Any], T],
+        default: T,
+    ) -> T:
         """What the hook at a point gives for a customer, taken in by the border; the default where there is none, or
         it fails."""
         for standing in self._at.get(point, ()):
--- a/martenstep/hooks/syntax.py
+++ b/martenstep/hooks/syntax.py
@@ -35,12 +35,16 @@
 
 MOST_BYTES = 65_536  # of a source
 MOST_DEPTH = 40  # of what is nested: every pass over the tree goes this deep on the interpreter's own stack
-KEYWORDS = frozenset({"fn", "on", "test", "let", "if", "else", "match", "for", "in", "and", "or", "not", "true",
-                      "false"})
+KEYWORDS = frozenset(
+    {"fn", "on", "test", "let", "if", "else", "match", "for", "in", "and", "or", "not", "true", "false"}
+)
 UNITS_MS = {"ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
 ESCAPES = {"n": "\n", "t": "\t", '"': '"', "\\": "\\", "$": "$"}
-TOKEN = re.compile(r"(?P<space>[ \t\r\n]+)|(?P<comment>#[^\n]*)|(?P<number>\d+(?:\.\d+)?(?P<unit>[A-Za-z_]\w*)?)"
-                   r"|(?P<name>[A-Za-z_]\w*)|(?P<sign>->|==|!=|<=|>=|[-+*/%<>=(){}\[\],;:.|])", re.ASCII)
+TOKEN = re.compile(
+    r"(?P<space>[ \t\r\n]+)|(?P<comment>#[^\n]*)|(?P<number>\d+(?:\.\d+)?(?P<unit>[A-Za-z_]\w*)?)"
+    r"|(?P<name>[A-Za-z_]\w*)|(?P<sign>->|==|!=|<=|>=|[-+*/%<>=(){}\[\],;:.|])",
+    re.ASCII,
+)
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -64,7 +68,7 @@
         line = lines[self.place.line - 1] if self.place.line <= len(lines) else ""
         start = max(self.place.column - 60, 0)  # a line of a whole file is not shown whole
         mark = " " * (self.place.column - 1 - start) + "^"
-        return f"{file}:{self}\n  {line[start:start + 100].replace(chr(9), ' ')}\n  {mark}"
+        return f"{file}:{self}\n  {line[start : start + 100].replace(chr(9), ' ')}\n  {mark}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -344,7 +348,7 @@
             if sign == "\\":
                 escape = self._source[self._at + 1 : self._at + 2]
                 if escape not in ESCAPES or not escape:
-                    raise HookFault(self._place(), f"no such escape: \\{escape} (there are: \\n \\t \\\" \\\\ \\$)")
+                    raise HookFault(self._place(), f'no such escape: \\{escape} (there are: \\n \\t \\" \\\\ \\$)')
                 piece.append(ESCAPES[escape])
                 self._at += 2
             elif self._source.startswith("${", self._at):
@@ -607,8 +611,9 @@
         if minus:
             self._take()
         made = self._primary(bare=True)
-        plain = isinstance(made, Number | Bool) or (isinstance(made, Text) and all(
-            isinstance(part, str) for part in made.parts))
+        plain = isinstance(made, Number | Bool) or (
+            isinstance(made, Text) and all(isinstance(part, str) for part in made.parts)
+        )
         if not plain or (minus and not isinstance(made, Number)):
             raise HookFault(place, "expected a plain number, text, duration, true or false")
         if minus and isinstance(made, Number):
--- a/martenstep/hooks/vm.py
+++ b/martenstep/hooks/vm.py
@@ -75,9 +75,16 @@
 
     __slots__ = ("_counters", "_depth", "_fast", "_late", "_program", "bytes", "look", "steps")
 
-    def __init__(self, program: Program, counters: Counters | None = None, *, steps: int = STEPS, bytes_: int = BYTES,
-                 late: Callable[[], bool] = NEVER,
-                 fast: Sequence[Callable[..., Any] | None] | None = None) -> None:
+    def __init__(
+        self,
+        program: Program,
+        counters: Counters | None = None,
+        *,
+        steps: int = STEPS,
+        bytes_: int = BYTES,
+        late: Callable[[], bool] = NEVER,
+        fast: Sequence[Callable[..., Any] | None] | None = None,
+    ) -> None:
         """`fast` are the program's functions as hooks.fast makes them; without them all is interpreted."""
         self._program, self._counters = program, counters if counters is not None else Counters()
         self.steps, self.bytes = steps, bytes_
@@ -91,8 +98,15 @@
             return self._run(function, given) if ready is None else ready(self, *given)
         except HookError:
             raise
-        except (TypeError, AttributeError, LookupError, ValueError, ArithmeticError, RecursionError,
-                PatternError) as error:
+        except (
+            TypeError,
+            AttributeError,
+            LookupError,
+            ValueError,
+            ArithmeticError,
+            RecursionError,
+            PatternError,
+        ) as error:
             # No checked source comes here; code from elsewhere may.
             raise HookError("ill-typed", f"{type(error).__name__}: {error}") from None
 
@@ -185,8 +199,8 @@
                     raise HookError("calls", f"more than {MOST_CALLS} in one another")
                 frames.append((code, slots, at))
                 function = functions[one]
-                values = stack[len(stack) - other:]
-                del stack[len(stack) - other:]
+                values = stack[len(stack) - other :]
+                del stack[len(stack) - other :]
                 slots = [*values, *([0.0] * (function.slots - other))]
                 self._cost(function.slots // ITEMS_A_STEP)
                 code, at = function.code, 0
@@ -232,8 +246,8 @@
     @staticmethod
     def _top(stack: list[Any], count: int) -> list[Any]:
         """The last so many values, taken off."""
-        found = stack[len(stack) - count:]
-        del stack[len(stack) - count:]
+        found = stack[len(stack) - count :]
+        del stack[len(stack) - count :]
         return found
 
     def _two(self, op: int, left: Any, right: Any) -> Any:
@@ -305,7 +319,7 @@
             case "part":
                 begin, end = (int(min(max(value, 0.0), len(first))) for value in args[1:])
                 self._room(max(end - begin, 0))
-                return first[begin:max(begin, end)]
+                return first[begin : max(begin, end)]
             case "matches":
                 pattern = _pattern(args[1])
                 self._cost((len(first) + 1) * pattern.states // 4)
--- a/martenstep/interface.py
+++ b/martenstep/interface.py
@@ -115,8 +115,17 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        for key in ("rate", "burst", "open_limit", "price", "over_worth", "over_cost", "ceiling_rate",
-                    "ceiling_burst", "ceiling_slack"):
+        for key in (
+            "rate",
+            "burst",
+            "open_limit",
+            "price",
+            "over_worth",
+            "over_cost",
+            "ceiling_rate",
+            "ceiling_burst",
+            "ceiling_slack",
+        ):
             _at_least(f"plans.{self.name}.{key}", getattr(self, key), 0.0)
         if self.rate > 0 and not self.burst > 0:
             raise ValueError(f"setting plans.{self.name}.burst: expected above 0 where there is a rate")
@@ -156,8 +165,18 @@
         _at_least("gateways", self.gateways, 1)
         _at_least("me", self.me, 0)
         _at_least("max_attempts", self.max_attempts, 1)
-        for key in ("tick_ms", "counter_timeout_ms", "max_units", "max_retry_after_ms", "ask_within_ms",
-                    "answer_slack_ms", "cold_from", "warm_within_ms", "fall_multiple", "fall_window_ms"):
+        for key in (
+            "tick_ms",
+            "counter_timeout_ms",
+            "max_units",
+            "max_retry_after_ms",
+            "ask_within_ms",
+            "answer_slack_ms",
+            "cold_from",
+            "warm_within_ms",
+            "fall_multiple",
+            "fall_window_ms",
+        ):
             _at_least(key, getattr(self, key), 0.0)
 
 
--- a/martenstep/lab/copies.py
+++ b/martenstep/lab/copies.py
@@ -24,8 +24,9 @@
 
 async def started(file: Path, stderr: int | None = None) -> tuple[asyncio.subprocess.Process, int]:
     """`counter serve` with the settings in a file, once it is ready, and its port."""
-    process = await asyncio.create_subprocess_exec(sys.executable, "-m", "martenstep", "counter", "serve", str(file),
-                                                   stdout=asyncio.subprocess.PIPE, stderr=stderr)
+    process = await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "martenstep", "counter", "serve", str(file), stdout=asyncio.subprocess.PIPE, stderr=stderr
+    )
     assert process.stdout is not None
     line = await process.stdout.readline()
     if not line:
@@ -54,12 +55,15 @@
         began = self.count if began is None else began
         listed = "".join(
             f'copy {{ id: {self.ids[n]} port: {self._ports[n]} doors: "127.0.0.1:{self.ports[n]}" '
-            f'{"later: true" if n >= began else ""} }} ' for n in numbers)
+            f"{'later: true' if n >= began else ''} }} "
+            for n in numbers
+        )
         for n in numbers:
             self.file(n).write_text(
                 f'name: "c{n}" port: {self.ports[n]} log {{ directory: "{self.folder}/log-{n}" }} '
                 f'copies {{ group: "g" key_file: "{self.folder}/keys" witness: "{self._witness}/witness-{n}" '
-                f'{listed} }}')
+                f"{listed} }}"
+            )
 
     def file(self, number: int) -> Path:
         """A copy's settings."""
@@ -77,8 +81,11 @@
 
     def notes(self, number: int) -> list[dict[str, Any]]:
         """What a copy told staff."""
-        return [json.loads(line) for line in (self.folder / f"{number}.log").read_text().splitlines()
-                if line.startswith("{") and line.endswith("}")]
+        return [
+            json.loads(line)
+            for line in (self.folder / f"{number}.log").read_text().splitlines()
+            if line.startswith("{") and line.endswith("}")
+        ]
 
     async def start_all(self) -> None:
         """Run all."""
--- a/martenstep/lab/day.py
+++ b/martenstep/lab/day.py
@@ -31,10 +31,30 @@
 from martenstep.store.slots import SLOTS
 
 DOOR_TROUBLES = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_LOST, pb.DOOR_CUT_FROM_FEED)
-STORE_TROUBLES = (pb.STORE_PAUSED, pb.STORE_EMPTIED, pb.STORE_SLOW, pb.STORE_DOWN, pb.STORE_FAILOVER, pb.STORE_HANGS,
-                  pb.STORE_LOADING, pb.STORE_FULL, pb.STORE_CUTS, pb.STORE_SLOTS_MOVE, pb.COUNTER_KILLED)
-AUTH_TROUBLES = (pb.AUTH_SLOW, pb.AUTH_SILENT, pb.AUTH_ERRORS, pb.AUTH_RESETS, pb.AUTH_TWICE, pb.AUTH_BROKEN,
-                 pb.AUTH_CONTRADICTS, pb.AUTH_DOWN, pb.AUTH_DRIPS)
+STORE_TROUBLES = (
+    pb.STORE_PAUSED,
+    pb.STORE_EMPTIED,
+    pb.STORE_SLOW,
+    pb.STORE_DOWN,
+    pb.STORE_FAILOVER,
+    pb.STORE_HANGS,
+    pb.STORE_LOADING,
+    pb.STORE_FULL,
+    pb.STORE_CUTS,
+    pb.STORE_SLOTS_MOVE,
+    pb.COUNTER_KILLED,
+)
+AUTH_TROUBLES = (
+    pb.AUTH_SLOW,
+    pb.AUTH_SILENT,
+    pb.AUTH_ERRORS,
+    pb.AUTH_RESETS,
+    pb.AUTH_TWICE,
+    pb.AUTH_BROKEN,
+    pb.AUTH_CONTRADICTS,
+    pb.AUTH_DOWN,
+    pb.AUTH_DRIPS,
+)
 FEED_TROUBLES = (pb.FEED_STALE, pb.FEED_PARTIAL, pb.FEED_DOWN)
 LEAVES_BY = 0.1  # parts of the aim: a client that leaves does so while its request is on its way
 KINDS = ("standard", "slow")
@@ -71,12 +91,19 @@
     elif event.count > number:
         check.fault(node.at("count"), f"expected no more than {number}")
     if event.trouble in STORE_TROUBLES and (event.trouble == pb.COUNTER_KILLED) != day.own_counter:
-        check.fault(node.at("trouble"), "fits only a day with own_counter" if not day.own_counter
-                    else "fits only a day without own_counter")
+        check.fault(
+            node.at("trouble"),
+            "fits only a day with own_counter" if not day.own_counter else "fits only a day without own_counter",
+        )
     if (event.trouble == pb.COUNTER_KILLED and day.HasField("held_by_doors")) or (
-            event.trouble == pb.DOOR_LOST and not day.HasField("held_by_doors")):
-        check.fault(node.at("trouble"), "fits only a day with held_by_doors" if event.trouble == pb.DOOR_LOST
-                    else "there is no counter process on a day with held_by_doors")
+        event.trouble == pb.DOOR_LOST and not day.HasField("held_by_doors")
+    ):
+        check.fault(
+            node.at("trouble"),
+            "fits only a day with held_by_doors"
+            if event.trouble == pb.DOOR_LOST
+            else "there is no counter process on a day with held_by_doors",
+        )
     if event.trouble == pb.STORE_FAILOVER and day.store_topology == cfg.Store.ALONE:
         check.fault(node.at("trouble"), "fits only a store with replicas: set store_topology")
     if event.trouble == pb.STORE_SLOTS_MOVE:
@@ -221,9 +248,14 @@
 
 def door_settings(day: pb.Day, number: int, ports: dict[str, int], warm_copy: Path) -> cfg.Door:
     """The settings of one door; ports: listener, admin, store, feed."""
-    door = cfg.Door(name=f"door-{number}", instance=number, instances=day.fleet.doors,
-                    zone=zone_name(number % day.fleet.zones), max_units=max_units(day),
-                    default_plan=day.customers[0].plan)
+    door = cfg.Door(
+        name=f"door-{number}",
+        instance=number,
+        instances=day.fleet.doors,
+        zone=zone_name(number % day.fleet.zones),
+        max_units=max_units(day),
+        default_plan=day.customers[0].plan,
+    )
     door.listener.port = ports["listener"]
     door.admin.port = ports["admin"]
     if day.own_counter:
@@ -261,16 +293,27 @@
         setattr(route, "class", name)
     for group in customers_of(day):
         for customer in group:
-            door.customer.add(key=customer.key, plan=customer.plan, first_door=customer.first,
-                              doors=len(customer.doors))
+            door.customer.add(
+                key=customer.key, plan=customer.plan, first_door=customer.first, doors=len(customer.doors)
+            )
     return door
 
 
 def door_settings_at(day: pb.Day, number: int) -> cfg.Door:
     """The settings of a door without a machine: its ports are numbers that nobody binds."""
-    return door_settings(day, number, {
-        "listener": 0, "admin": 0, "store": 1, "feed": 1, "store-0": 1,
-        **{f"auth-{service}": service + 1 for service in range(day.auth_services.number)}}, Path())
+    return door_settings(
+        day,
+        number,
+        {
+            "listener": 0,
+            "admin": 0,
+            "store": 1,
+            "feed": 1,
+            "store-0": 1,
+            **{f"auth-{service}": service + 1 for service in range(day.auth_services.number)},
+        },
+        Path(),
+    )
 
 
 def written(door: cfg.Door) -> str:
@@ -285,23 +328,46 @@
     work = {}
     for entry in day.work:
         name = getattr(entry, "class")
-        work[name] = WorkOf(entry.least_ms, entry.most_ms, entry.answer_bytes,
-                            classes[name].window_ms if classes[name].effect == cfg.KEYED else 0.0)
+        work[name] = WorkOf(
+            entry.least_ms,
+            entry.most_ms,
+            entry.answer_bytes,
+            classes[name].window_ms if classes[name].effect == cfg.KEYED else 0.0,
+        )
     rules = day.rules
     return PhotoConfig(
-        id=number + 1, port=port, cores=day.fleet.cores, speed=1 / day.fleet.slow_factor if slow else 1.0,
-        queue=day.fleet.queue, connections=day.fleet.connections, cold_from=rules.cold_from,
-        warm_ms=rules.warm_within_ms, fall_multiple=rules.fall_multiple if rules.warm_within_ms else 0.0,
-        fall_window_ms=rules.fall_window_ms or 1000.0, cold=cold, seed=day.seed * 1000 + number,
-        refusal_status=day.upstream.refusal_status, refusal_header=day.upstream.refusal_header, work=work)
+        id=number + 1,
+        port=port,
+        cores=day.fleet.cores,
+        speed=1 / day.fleet.slow_factor if slow else 1.0,
+        queue=day.fleet.queue,
+        connections=day.fleet.connections,
+        cold_from=rules.cold_from,
+        warm_ms=rules.warm_within_ms,
+        fall_multiple=rules.fall_multiple if rules.warm_within_ms else 0.0,
+        fall_window_ms=rules.fall_window_ms or 1000.0,
+        cold=cold,
+        seed=day.seed * 1000 + number,
+        refusal_status=day.upstream.refusal_status,
+        refusal_header=day.upstream.refusal_header,
+        work=work,
+    )
 
 
 def entry_of(day: pb.Day, number: int, port: int, state: str, started_unix_ms: float) -> dict[str, object]:
     """One server as the feed lists it."""
     slow = number < round(day.fleet.slow_share * day.fleet.servers)
-    return {"id": number + 1, "host": "127.0.0.1", "port": port, "zone": zone_name(number % day.fleet.zones),
-            "kind": KINDS[slow], "cell": number % day.fleet.cells, "state": state,
-            "size": round(1 / day.fleet.slow_factor, 3) if slow else 1.0, "started_unix_ms": started_unix_ms}
+    return {
+        "id": number + 1,
+        "host": "127.0.0.1",
+        "port": port,
+        "zone": zone_name(number % day.fleet.zones),
+        "kind": KINDS[slow],
+        "cell": number % day.fleet.cells,
+        "state": state,
+        "size": round(1 / day.fleet.slow_factor, 3) if slow else 1.0,
+        "started_unix_ms": started_unix_ms,
+    }
 
 
 class _Draw:
@@ -333,7 +399,8 @@
             self._burst = not self._burst
             self._until += self._rng.expovariate(1 / (phase.burst_ms if self._burst else phase.calm_ms))
         now = (phase.burst_times if self._burst else 1.0) * (
-            1 + phase.swing * math.sin(2 * math.pi * ms / phase.swing_ms))
+            1 + phase.swing * math.sin(2 * math.pi * ms / phase.swing_ms)
+        )
         return self._rng.random() * self.peak < now
 
 
@@ -366,8 +433,12 @@
             group = day.customers[index]
             if not hot and rng.random() < group.once_share:
                 first = rng.randrange(day.fleet.doors)
-                customer = Customer(f"{group.plan}-once-{number}", group.plan, first,
-                                    tuple((first + step) % day.fleet.doors for step in range(day.fleet.doors)))
+                customer = Customer(
+                    f"{group.plan}-once-{number}",
+                    group.plan,
+                    first,
+                    tuple((first + step) % day.fleet.doors for step in range(day.fleet.doors)),
+                )
             work = rng.choices(works, [entry.share for entry in works])[0]
             cls = classes[getattr(work, "class")]
             doors = list(customer.doors)
@@ -382,10 +453,19 @@
             if day.HasField("auth_services"):
                 bad = rng.random() < day.auth_services.bad_share
                 credential = f"Basic guess-{number}" if bad else f"Bearer {customer.key}"
-            yield Planned(at_ms=round(at, 3), rid=f"r{number}", customer=customer.key, cls=cls.name,
-                          units=work.units, doors=doors, patience_ms=round(patience, 3), body=work.body_bytes,
-                          leave_ms=round(leave, 3), credential=credential,
-                          abuse=bool(clients.abuse_plan) and group.plan == clients.abuse_plan)
+            yield Planned(
+                at_ms=round(at, 3),
+                rid=f"r{number}",
+                customer=customer.key,
+                cls=cls.name,
+                units=work.units,
+                doors=doors,
+                patience_ms=round(patience, 3),
+                body=work.body_bytes,
+                leave_ms=round(leave, 3),
+                credential=credential,
+                abuse=bool(clients.abuse_plan) and group.plan == clients.abuse_plan,
+            )
             number += 1
         start += phase.for_ms
         if not phase.only_plan:
--- a/martenstep/lab/emulate/clients.py
+++ b/martenstep/lab/emulate/clients.py
@@ -19,8 +19,15 @@
 class EmuCrowd:
     """All clients of a day."""
 
-    def __init__(self, sim: Sim, net: Network, doors: dict[int, EmuDoor], manners: Manners, draws: Draws,
-                 write: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        sim: Sim,
+        net: Network,
+        doors: dict[int, EmuDoor],
+        manners: Manners,
+        draws: Draws,
+        write: Callable[..., None],
+    ) -> None:
         self._sim, self._net, self._doors, self._manners = sim, net, doors, manners
         self._draws, self._write = draws, write
         self._schedule: Iterator[Planned] = iter(())
@@ -62,8 +69,19 @@
 class _Try:
     """One try of one request."""
 
-    __slots__ = ("_caller", "_crowd", "_door", "_forth", "_over", "_ticket", "_timer", "number", "planned", "rid",
-                 "until")
+    __slots__ = (
+        "_caller",
+        "_crowd",
+        "_door",
+        "_forth",
+        "_over",
+        "_ticket",
+        "_timer",
+        "number",
+        "planned",
+        "rid",
+        "until",
+    )
 
     def __init__(self, crowd: EmuCrowd, planned: Planned, number: int, until: float) -> None:
         self._crowd, self.planned, self.number, self.until = crowd, planned, number, until
@@ -77,9 +95,18 @@
         crowd, planned = self._crowd, self.planned
         number = planned.doors[self.number % len(planned.doors)]
         self._door = crowd._doors[number]
-        crowd._write("try", rid=self.rid, door=number, customer=planned.customer, cls=planned.cls,
-                     units=planned.units, deadline_ms=planned.patience_ms, first=planned.rid, number=self.number,
-                     bad=bool(planned.credential) and not planned.credential.endswith(planned.customer))
+        crowd._write(
+            "try",
+            rid=self.rid,
+            door=number,
+            customer=planned.customer,
+            cls=planned.cls,
+            units=planned.units,
+            deadline_ms=planned.patience_ms,
+            first=planned.rid,
+            number=self.number,
+            bad=bool(planned.credential) and not planned.credential.endswith(planned.customer),
+        )
         here = Place("client", self._door.place.zone)
         self._forth = Pipe(crowd._net, here, self._door.place)
         self._caller = Caller(self._answer, Pipe(crowd._net, self._door.place, here))
@@ -95,15 +122,19 @@
         if not door.accepts():
             self._caller.pipe.send(self._unreached)
             return
-        headers: ev.Headers = [(b"host", b"door"), (b"x-request-id", self.rid.encode()),
-                               (b"x-customer", planned.customer.encode()),
-                               (b"x-deadline-ms", f"{planned.patience_ms:.3f}".encode())]
+        headers: ev.Headers = [
+            (b"host", b"door"),
+            (b"x-request-id", self.rid.encode()),
+            (b"x-customer", planned.customer.encode()),
+            (b"x-deadline-ms", f"{planned.patience_ms:.3f}".encode()),
+        ]
         if planned.credential:
             headers.append((b"authorization", planned.credential.encode()))
         if planned.body:
             headers.append((b"content-length", str(planned.body).encode()))
-        self._ticket = door.asked(self._caller, b"POST" if planned.body else b"GET",
-                                  f"/{planned.cls}/{self.rid}".encode(), headers)
+        self._ticket = door.asked(
+            self._caller, b"POST" if planned.body else b"GET", f"/{planned.cls}/{self.rid}".encode(), headers
+        )
 
     def _finish(self) -> bool:
         if self._over:
@@ -154,5 +185,6 @@
     """How a day's clients behave."""
     told = day.clients
     safe = [entry.name for entry in getattr(day, "class") if entry.effect == cfg.SAFE]
-    return Manners([], told.retries, told.wait_ms, told.advice == pb.Clients.HONOUR, told.advice_most_ms, safe,
-                   day.seed)
+    return Manners(
+        [], told.retries, told.wait_ms, told.advice == pb.Clients.HONOUR, told.advice_most_ms, safe, day.seed
+    )
--- a/martenstep/lab/emulate/core.py
+++ b/martenstep/lab/emulate/core.py
@@ -74,8 +74,9 @@
 
     def of(self, name: str) -> np.random.Generator:
         """The stream of a name, from its begin."""
-        return np.random.Generator(np.random.PCG64(np.random.SeedSequence(
-            self._seed, spawn_key=(zlib.crc32(name.encode()),))))
+        return np.random.Generator(
+            np.random.PCG64(np.random.SeedSequence(self._seed, spawn_key=(zlib.crc32(name.encode()),)))
+        )
 
 
 class Draws:
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -97,9 +97,20 @@
 class EmuDoor:
     """One door's process."""
 
-    def __init__(self, sim: Sim, net: Network, settings: cfg.Door, number: int, seed: int,
-                 servers: dict[int, EmuServer], zones: dict[int, str], redis: EmuStore | None, costs: Costs,
-                 subscribe: Callable[[EmuDoor], None], services: dict[int, EmuAuth]) -> None:
+    def __init__(
+        self,
+        sim: Sim,
+        net: Network,
+        settings: cfg.Door,
+        number: int,
+        seed: int,
+        servers: dict[int, EmuServer],
+        zones: dict[int, str],
+        redis: EmuStore | None,
+        costs: Costs,
+        subscribe: Callable[[EmuDoor], None],
+        services: dict[int, EmuAuth],
+    ) -> None:
         """`services` authenticate, by the port that the settings name; `zones` are the servers', by number;
         `subscribe` asks the feed to tell of changes."""
         self._services = services
@@ -127,16 +138,27 @@
         self._core: store.Core | None = None
         if redis is not None:
             told = settings.store
-            self._core = store.Core(store.Options(told.timeout_ms, told.connections, told.waiting, told.gather_ms,
-                                                  told.prefix, told.scripts), random.Random(seed))
+            self._core = store.Core(
+                store.Options(
+                    told.timeout_ms, told.connections, told.waiting, told.gather_ms, told.prefix, told.scripts
+                ),
+                random.Random(seed),
+            )
             self._lanes: dict[store.Lane, tuple[Pipe, Pipe]] = {}
             self._store_place = Place(STORE_NODE, ZONE_OF_STORE)
             self._core.topology(sim.now, [STORE_NODE])
             self._store_act()
         self._does: dict[type, Callable[[Any], None]] = {
-            ev.Open: self._open, ev.Abandon: self._abandon, ev.Pass: self._pass, ev.Reply: self._reply,
-            ev.Break: self._break, ev.Add: self._add, ev.Listen: self._listen, ev.Note: self._note,
-            ev.Ask: self._ask_service, ev.StopAsking: self._stop_asking,
+            ev.Open: self._open,
+            ev.Abandon: self._abandon,
+            ev.Pass: self._pass,
+            ev.Reply: self._reply,
+            ev.Break: self._break,
+            ev.Add: self._add,
+            ev.Listen: self._listen,
+            ev.Note: self._note,
+            ev.Ask: self._ask_service,
+            ev.StopAsking: self._stop_asking,
         }
 
     # Engine ---------------------------------------------------------------------------------------------
@@ -270,8 +292,12 @@
         if self._out.get(action.ticket) is not connection:
             return
         headers = action.headers
-        told = {"rid": (header(headers, b"x-request-id") or b"").decode(), "attempt": action.attempt,
-                "door": self.name, "server": action.server}
+        told = {
+            "rid": (header(headers, b"x-request-id") or b"").decode(),
+            "attempt": action.attempt,
+            "door": self.name,
+            "server": action.server,
+        }
         cls = action.target.decode("latin-1").split("/")[1]
         key = (header(headers, b"idempotency-key") or b"").decode()
         customer = (header(headers, b"x-auth-customer") or header(headers, b"x-customer") or b"").decode()
@@ -360,8 +386,10 @@
                 case store.Write(lane=lane):
                     self._lanes[lane][0].send(self._at_store, action, size=120 * len(action.ops))
                 case store.Open(lane=lane):
-                    pipes = (Pipe(self._net, self.place, self._store_place),
-                             Pipe(self._net, self._store_place, self.place))
+                    pipes = (
+                        Pipe(self._net, self.place, self._store_place),
+                        Pipe(self._net, self._store_place, self.place),
+                    )
                     self._lanes[lane] = pipes
                     pipes[0].send(self._store_knock, lane, pipes, size=60)
                 case store.Close(lane=lane):
@@ -405,8 +433,7 @@
         elif pipes is not None and self._redis.cut_share:
             self._sim.at(done, pipes[1].send, self.store_lost, write.lane, pipes)
 
-    def _store_said(self, lane: store.Lane, pipes: tuple[Pipe, Pipe],
-                    answers: list[store.Held | store.Fault]) -> None:
+    def _store_said(self, lane: store.Lane, pipes: tuple[Pipe, Pipe], answers: list[store.Held | store.Fault]) -> None:
         if self._lanes.get(lane) is pipes and self.alive and self._core is not None:
             for answer in answers:
                 self._core.replied(self._sim.now, lane, answer)
@@ -436,6 +463,7 @@
 
         def reply(status: int, headers: ev.Headers, body: bytes) -> None:
             back.send(self._verdict, action, status, headers, body)
+
         forth.send(service.ask, credential, rid, reply, lambda: back.send(self._check_failed, action))
 
     def _verdict(self, action: ev.Ask, status: int, headers: ev.Headers, body: bytes) -> None:
@@ -502,4 +530,3 @@
     def _left(self, done: Callable[[], None]) -> None:
         self.kill()
         done()
-
--- a/martenstep/lab/emulate/limited.py
+++ b/martenstep/lab/emulate/limited.py
@@ -22,8 +22,9 @@
         self._kind, self._timeout, self._call_ms = day.limiter, day.store_timeout_ms, day.store_call_ms
         self._own, self._central = Buckets(), central
         self._plans = {plan.name: plan for plan in day.plan}
-        self._known = {customer.key: (customer.plan, len(customer.doors))
-                       for group in customers_of(day) for customer in group}
+        self._known = {
+            customer.key: (customer.plan, len(customer.doors)) for group in customers_of(day) for customer in group
+        }
         self._units = {getattr(work, "class"): work.units for work in day.work}
         self._default = day.customers[0].plan
         super().__init__(*words)
@@ -53,6 +54,7 @@
             if not done[0]:
                 done[0] = True
                 self._decided(event, wait)
+
         forth, back = Pipe(self._net, self.place, self._store_place), Pipe(self._net, self._store_place, self.place)
         forth.send(self._at_central, customer, plan, units, back, answer, size=120)
         late = 0.0 if self._kind.endswith("open") else CLOSED_WAIT_MS
--- a/martenstep/lab/emulate/match.py
+++ b/martenstep/lab/emulate/match.py
@@ -22,9 +22,14 @@
 
 # A played day parts from itself, played again, by about half of these: its processes share one noisy machine.
 TOLERANCES = {
-    "requests_served": Tolerance(0.02), "tries_a_request": Tolerance(0.05, 0.06), "tries_refused": Tolerance(0.05),
-    "tries_otherwise": Tolerance(0.03), "attempts_a_sent": Tolerance(0.02), "p50_ms": Tolerance(5.0, 0.1),
-    "p99_ms": Tolerance(20.0, 0.15), "over_share": Tolerance(0.01),
+    "requests_served": Tolerance(0.02),
+    "tries_a_request": Tolerance(0.05, 0.06),
+    "tries_refused": Tolerance(0.05),
+    "tries_otherwise": Tolerance(0.03),
+    "attempts_a_sent": Tolerance(0.02),
+    "p50_ms": Tolerance(5.0, 0.1),
+    "p99_ms": Tolerance(20.0, 0.15),
+    "over_share": Tolerance(0.01),
 }
 
 
--- a/martenstep/lab/emulate/store.py
+++ b/martenstep/lab/emulate/store.py
@@ -57,9 +57,20 @@
             total = run(self._session, self._sim.now, [b"HINCRBYFLOAT", key, b"t", b"%.17g" % op.units])
             run(self._session, self._sim.now, [b"PEXPIRE", key, b"%d" % op.life_ms, b"NX"])
             return Fault(str(total)) if isinstance(total, ErrorReply) else Held(float(total), -1)  # type: ignore[arg-type]
-        reply = run(self._session, self._sim.now, [
-            b"EVALSHA", script.DIGEST.encode(), b"1", key, b"%b:1" % door.encode(), b"%d" % op.version,
-            b"%.17g" % op.total, b"%d" % op.life_ms])
+        reply = run(
+            self._session,
+            self._sim.now,
+            [
+                b"EVALSHA",
+                script.DIGEST.encode(),
+                b"1",
+                key,
+                b"%b:1" % door.encode(),
+                b"%d" % op.version,
+                b"%.17g" % op.total,
+                b"%d" % op.life_ms,
+            ],
+        )
         if isinstance(reply, ErrorReply):
             return Fault(str(reply))
         assert isinstance(reply, list) and isinstance(reply[0], bytes) and isinstance(reply[1], bytes)
--- a/martenstep/lab/emulate/world.py
+++ b/martenstep/lab/emulate/world.py
@@ -124,12 +124,16 @@
 
     def _message(self, index: int) -> tuple[bytes, str, list[dict[str, Any]]]:
         scope, servers = self._since(index)
-        return json.dumps({"index": self._index, "scope": scope, "now_unix_ms": self._sim.now,
-                           "servers": servers}).encode(), scope, servers
+        return (
+            json.dumps(
+                {"index": self._index, "scope": scope, "now_unix_ms": self._sim.now, "servers": servers}
+            ).encode(),
+            scope,
+            servers,
+        )
 
     def _since(self, index: int) -> tuple[str, list[dict[str, Any]]]:
-        if self._partial or not index or index > self._index or not self._changes or (
-                index < self._changes[0][0] - 1):
+        if self._partial or not index or index > self._index or not self._changes or (index < self._changes[0][0] - 1):
             servers = list(self._servers.values())
             if self._partial:
                 servers = servers[: max(round(len(servers) * (1 - self._partial)), 1)]
@@ -140,16 +144,23 @@
     def _tell(self, door: EmuDoor, message: tuple[bytes, str, list[dict[str, Any]]]) -> None:
         body, scope, servers = message
         if servers or scope == "full":
-            self._write("told", door=door.name, scope=scope, servers=[
-                {"id": one["id"], "state": one["state"], "started": one["started_unix_ms"]} for one in servers])
+            self._write(
+                "told",
+                door=door.name,
+                scope=scope,
+                servers=[
+                    {"id": one["id"], "state": one["state"], "started": one["started_unix_ms"]} for one in servers
+                ],
+            )
             self._doors[door].send(door.told, body, size=len(body))
 
 
 class World:
     """A day's fleet."""
 
-    def __init__(self, day: pb.Day, seed: int | None = None, weather: Weather | None = None,
-                 costs: Costs | None = None) -> None:
+    def __init__(
+        self, day: pb.Day, seed: int | None = None, weather: Weather | None = None, costs: Costs | None = None
+    ) -> None:
         """Raises NotEmulatedError; another `seed` than the day's moves the chance in the models, not the schedule."""
         self.day = day
         for event in day.event:
@@ -167,21 +178,30 @@
         self._costs = costs or Costs()
         fleet = day.fleet
         self.redis = EmuStore(self.sim, Draws(streams.of("store")), day.store_call_ms)
-        self.feed = EmuFeed(self.sim, self.net, fleet.feed_lag_ms, Draws(streams.of("feed")),
-                            self._writer(self.traces.feed))
+        self.feed = EmuFeed(
+            self.sim, self.net, fleet.feed_lag_ms, Draws(streams.of("feed")), self._writer(self.traces.feed)
+        )
         self.servers: dict[int, EmuServer] = {}
         self._zones: dict[int, str] = {}
         self._started = [0.0] * fleet.servers
         for number in range(fleet.servers):
             config = server_settings(day, number, False, 0)
-            self.servers[number + 1] = EmuServer(self.sim, config, Draws(streams.of(f"server {number}")),
-                                                 self._writer(self.traces.servers))
+            self.servers[number + 1] = EmuServer(
+                self.sim, config, Draws(streams.of(f"server {number}")), self._writer(self.traces.servers)
+            )
             self._zones[number + 1] = zone_name(number % fleet.zones)
             self._event("server", server=number + 1, zone=self._zones[number + 1], cell=number % fleet.cells)
         self.feed.update([self._entry(number, "up") for number in range(fleet.servers)], now=True)
-        self.auth = {number + 1: EmuAuth(self.sim, number, day.auth_services.max_age_s,
-                                         Draws(streams.of(f"auth {number}")), self._writer(self.traces.auth))
-                     for number in range(day.auth_services.number if day.HasField("auth_services") else 0)}
+        self.auth = {
+            number + 1: EmuAuth(
+                self.sim,
+                number,
+                day.auth_services.max_age_s,
+                Draws(streams.of(f"auth {number}")),
+                self._writer(self.traces.auth),
+            )
+            for number in range(day.auth_services.number if day.HasField("auth_services") else 0)
+        }
         self.doors: dict[int, EmuDoor] = {}
         self._lives = [0] * fleet.doors
         self._away: Counter[int] = Counter()  # troubles that a door is down for
@@ -193,8 +213,14 @@
                     plan.ClearField(name)
         for number in range(fleet.doors):
             self._door(number)
-        self.crowd = EmuCrowd(self.sim, self.net, self.doors, manners_of(day), Draws(streams.of("clients")),
-                              self._writer(self.traces.clients))
+        self.crowd = EmuCrowd(
+            self.sim,
+            self.net,
+            self.doors,
+            manners_of(day),
+            Draws(streams.of("clients")),
+            self._writer(self.traces.clients),
+        )
 
     def _writer(self, lines: list[Line]) -> Callable[..., None]:
         sim = self.sim
@@ -202,6 +228,7 @@
         def write(what: str, **words: Any) -> None:
             words["t"], words["what"] = sim.now, what
             lines.append(words)
+
         return write
 
     def _event(self, what: str, **words: Any) -> None:
@@ -219,8 +246,19 @@
         settings.zone = zone_name(number % self.day.fleet.zones)
         self._lives[number] += 1
         seed = self._seed * 1_000_003 + number * 101 + self._lives[number]
-        words = (self.sim, self.net, settings, number, seed, self.servers, self._zones, self.redis, self._costs,
-                 self.feed.subscribe, self.auth)
+        words = (
+            self.sim,
+            self.net,
+            settings,
+            number,
+            seed,
+            self.servers,
+            self._zones,
+            self.redis,
+            self._costs,
+            self.feed.subscribe,
+            self.auth,
+        )
         door = LimitedDoor(self.day, self._central, *words) if self.day.limiter else EmuDoor(*words)
         self.doors[number] = door
         door.warm(before.follower.copy(self.sim.now) if before is not None else None)
@@ -253,10 +291,12 @@
         self._event("trouble", name=name, targets=targets, on=True, **ways)
         off = getattr(self, f"_{name.lower()}")(event, targets)
         if event.for_ms:
+
             def end() -> None:
                 if off is not None:
                     off()
                 self._event("trouble", name=name, targets=targets, on=False, **ways)
+
             self.sim.after(event.for_ms, end)
 
     def _servers_of(self, targets: list[int]) -> list[EmuServer]:
@@ -291,6 +331,7 @@
             def left(number: int = number) -> None:
                 self._event("door left", door=number, code=0)
                 self.sim.after(event.for_ms, self._doors_back, [number])
+
             self.doors[number].leave(left)
 
     def _door_cut_from_feed(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
@@ -333,6 +374,7 @@
         def give(share: float) -> None:
             for server in self._servers_of(targets):
                 server.shares[name] = share
+
         give(event.share)
         return lambda: give(0.0)
 
@@ -352,6 +394,7 @@
         def give(factor: float) -> None:
             for server in self._servers_of(targets):
                 server.factor = factor
+
         give(event.factor)
         return lambda: give(1.0)
 
@@ -359,6 +402,7 @@
         def give(cls: str) -> None:
             for server in self._servers_of(targets):
                 server.class_fails = cls
+
         give(getattr(event, "class"))
         return lambda: give("")
 
@@ -408,6 +452,7 @@
         def give(value: Any) -> None:
             for number in targets:
                 setattr(self.auth[number + 1], name, value)
+
         give(on)
         return lambda: give(off)
 
@@ -415,6 +460,7 @@
         def give(share: float) -> None:
             for number in targets:
                 self.auth[number + 1].shares[name] = share
+
         give(event.share)
         return lambda: give(0.0)
 
@@ -459,6 +505,7 @@
         def heal() -> None:
             for way in ways:
                 self.net.cut(*way, on=False)
+
         return heal
 
     # Feed
@@ -477,4 +524,5 @@
 
         def back() -> None:
             self.feed.down = False
+
         return back
--- a/martenstep/lab/experiment/compare.py
+++ b/martenstep/lab/experiment/compare.py
@@ -58,8 +58,11 @@
 def metrics(rows: list[Row]) -> list[str]:
     """What was measured."""
     held = ("repetition", "seed")
-    return [name for name, value in rows[0].items()
-            if isinstance(value, float) and name not in held and not name.startswith("value_")]
+    return [
+        name
+        for name, value in rows[0].items()
+        if isinstance(value, float) and name not in held and not name.startswith("value_")
+    ]
 
 
 def table(rows: list[Row], names: list[str], baseline: str = "") -> str:
--- a/martenstep/lab/experiment/pool.py
+++ b/martenstep/lab/experiment/pool.py
@@ -13,10 +13,12 @@
 
 def _follow(parent: int) -> None:
     """A killed parent leaves its workers waiting for work for ever, each with all that it has loaded."""
+
     def look() -> None:
         while os.getppid() == parent:
             time.sleep(LOOK_S)
         os._exit(1)
+
     threading.Thread(target=look, daemon=True).start()
 
 
--- a/martenstep/lab/experiment/report.py
+++ b/martenstep/lab/experiment/report.py
@@ -16,8 +16,10 @@
 from martenstep.lab.experiment.compare import arms, interval, of_arm, table
 
 Row = dict[str, Any]
-STYLE = ("body{font:15px system-ui;max-width:70em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}"
-         "td,th{border:1px solid #ccc;padding:.3em .6em;text-align:left}img{max-width:100%}.broken{color:#b00}")
+STYLE = (
+    "body{font:15px system-ui;max-width:70em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}"
+    "td,th{border:1px solid #ccc;padding:.3em .6em;text-align:left}img{max-width:100%}.broken{color:#b00}"
+)
 
 
 def _factors(rows: list[Row]) -> list[str]:
@@ -41,8 +43,9 @@
         means = [point[2].mean for point in points]
         below = [point[2].mean - point[2].low for point in points]
         above = [point[2].high - point[2].mean for point in points]
-        axes.errorbar([point[0] for point in points], means, yerr=[below, above], marker="o", capsize=3,
-                      label=name or None)
+        axes.errorbar(
+            [point[0] for point in points], means, yerr=[below, above], marker="o", capsize=3, label=name or None
+        )
     ticks = {point[0]: point[1] for points in lines.values() for point in points}
     axes.set_xticks(list(ticks), list(ticks.values()))
     if factors:
@@ -72,8 +75,9 @@
         figure.savefig(held_in, format="png", dpi=110)
         plt.close(figure)
         data = base64.b64encode(held_in.getvalue()).decode()
-        pictures.append(f'<h2>{html.escape(metric)}</h2><img alt="{html.escape(metric)}" '
-                        f'src="data:image/png;base64,{data}">')
+        pictures.append(
+            f'<h2>{html.escape(metric)}</h2><img alt="{html.escape(metric)}" src="data:image/png;base64,{data}">'
+        )
     text = table(rows, names, baseline)
     (out / "table.md").write_text(text + "\n", encoding="utf-8")
     lines = [line.strip("| ").split(" | ") for line in text.splitlines() if not line.startswith("| ---")]
@@ -82,9 +86,11 @@
     name, plan = html.escape(held.get("name", "")), html.escape(held.get("plan", ""))
     against = f"; in brackets the paired difference from {html.escape(baseline)}" if baseline else ""
     heads = "".join(f"<th>{html.escape(one)}</th>" for one in head)
-    page = (f"<!doctype html><meta charset=utf-8><title>{name}</title><style>{STYLE}</style><h1>{name}</h1>"
-            f"<p>Revision {html.escape(held.get('revision', '') or 'unknown')}; emulated doors, servers and store. "
-            f"Means with 95% bootstrap intervals{against}, * where 0 lies outside its interval.</p>"
-            f"<table><tr>{heads}</tr>{cells}</table>{''.join(pictures)}<h2>Plan</h2><pre>{plan}</pre>")
+    page = (
+        f"<!doctype html><meta charset=utf-8><title>{name}</title><style>{STYLE}</style><h1>{name}</h1>"
+        f"<p>Revision {html.escape(held.get('revision', '') or 'unknown')}; emulated doors, servers and store. "
+        f"Means with 95% bootstrap intervals{against}, * where 0 lies outside its interval.</p>"
+        f"<table><tr>{heads}</tr>{cells}</table>{''.join(pictures)}<h2>Plan</h2><pre>{plan}</pre>"
+    )
     (out / "report.html").write_text(page, encoding="utf-8")
     return [*made, out / "table.md", out / "report.html"]
--- a/martenstep/lab/experiment/run.py
+++ b/martenstep/lab/experiment/run.py
@@ -39,8 +39,10 @@
 
 def revision() -> str:
     """The code's commit, with a mark where files differ from it; nothing outside a checkout."""
+
     def git(*words: str) -> str:
         return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=True).stdout.strip()
+
     try:
         return git("rev-parse", "--short=12", "HEAD") + ("+" if git("status", "--porcelain", "martenstep") else "")
     except (OSError, subprocess.CalledProcessError):
@@ -55,9 +57,15 @@
     told = summary(day, traffic, figures(day, traffic))
     breaches = Judge(day, traffic).all()
     tries = max(len(traffic.tries), 1)
-    return {**told, "breaches": float(len(breaches)), "broken": sorted({breach.rule for breach in breaches}),
-            "tries": float(tries), "store_calls_a_1000_tries": 1000.0 * world.redis.calls / tries,
-            "events": float(world.sim.events), "seconds": round(time.perf_counter() - begin, 3)}
+    return {
+        **told,
+        "breaches": float(len(breaches)),
+        "broken": sorted({breach.rule for breach in breaches}),
+        "tries": float(tries),
+        "store_calls_a_1000_tries": 1000.0 * world.redis.calls / tries,
+        "events": float(world.sim.events),
+        "seconds": round(time.perf_counter() - begin, 3),
+    }
 
 
 def measure_played(day: day_pb2.Day, folder: Path) -> Row:
@@ -66,18 +74,37 @@
     asyncio.run(play_day(day, folder, lambda part, what: None))
     traffic, breaches = judged_traffic(folder, day)
     told = summary(day, traffic, figures(day, traffic))
-    return {**told, "breaches": float(len(breaches)), "broken": sorted({breach.rule for breach in breaches}),
-            "tries": float(len(traffic.tries)), "store_calls_a_1000_tries": 0.0, "events": 0.0,
-            "seconds": round(time.perf_counter() - begin, 3)}
-
-
-def _one(arm: str, levels: tuple[tuple[str, str], ...], values: tuple[float, ...], repetition: int, seed: int,
-         data: bytes, folder: Path | None) -> Row:
+    return {
+        **told,
+        "breaches": float(len(breaches)),
+        "broken": sorted({breach.rule for breach in breaches}),
+        "tries": float(len(traffic.tries)),
+        "store_calls_a_1000_tries": 0.0,
+        "events": 0.0,
+        "seconds": round(time.perf_counter() - begin, 3),
+    }
+
+
+def _one(
+    arm: str,
+    levels: tuple[tuple[str, str], ...],
+    values: tuple[float, ...],
+    repetition: int,
+    seed: int,
+    data: bytes,
+    folder: Path | None,
+) -> Row:
     day = day_pb2.Day()
     day.ParseFromString(data)
     found = measure(day) if folder is None else measure_played(day, folder / f"{arm.replace('/', '-')}-{repetition}")
-    return {"arm": arm, "repetition": repetition, "seed": seed, **{f"factor_{name}": level for name, level in levels},
-            **{f"value_{name}": value for (name, _), value in zip(levels, values, strict=True)}, **found}
+    return {
+        "arm": arm,
+        "repetition": repetition,
+        "seed": seed,
+        **{f"factor_{name}": level for name, level in levels},
+        **{f"value_{name}": value for (name, _), value in zip(levels, values, strict=True)},
+        **found,
+    }
 
 
 def _key(row: Row) -> tuple[str, int]:
@@ -102,16 +129,27 @@
     return rows
 
 
-def run_plan(plan: plan_pb2.Plan, text: str, folder: Path, out: Path, workers: int,
-             progress: Callable[[int, int, float], None], sockets: bool = False) -> Path:
+def run_plan(
+    plan: plan_pb2.Plan,
+    text: str,
+    folder: Path,
+    out: Path,
+    workers: int,
+    progress: Callable[[int, int, float], None],
+    sockets: bool = False,
+) -> Path:
     """Run what is not there yet, in virtual time or on loopback sockets (one at a time, since the machine is part of
     what is measured there); gives the result's file.  `progress` is told of runs done, of all, and of the seconds
     left about.  Raises RunError, Faults, OSError."""
     runs = runs_of(plan, folder)
     out.mkdir(parents=True, exist_ok=True)
     days = hashlib.sha256(b"".join(run.day for run in runs)).hexdigest()[:16]
-    head: Row = {"plan": hashlib.sha256(text.encode()).hexdigest()[:16], "days": days, "revision": revision(),
-                 "sockets": sockets}
+    head: Row = {
+        "plan": hashlib.sha256(text.encode()).hexdigest()[:16],
+        "days": days,
+        "revision": revision(),
+        "sockets": sockets,
+    }
     workers = 1 if sockets else workers
     journal = out / JOURNAL
     rows = kept_rows(journal, head)
@@ -130,8 +168,18 @@
             while True:
                 for run in todo:
                     arm = run.arm
-                    out_now.add(pool.submit(_one, arm.name, arm.levels, arm.values, run.repetition, run.seed, run.day,
-                                            out / "played" if sockets else None))
+                    out_now.add(
+                        pool.submit(
+                            _one,
+                            arm.name,
+                            arm.levels,
+                            arm.values,
+                            run.repetition,
+                            run.seed,
+                            run.day,
+                            out / "played" if sockets else None,
+                        )
+                    )
                     if len(out_now) >= 2 * workers:
                         break
                 if not out_now:
@@ -147,8 +195,9 @@
                     progress(len(rows), len(runs), each * (len(left) - finished))
     order = {(run.arm.name, run.repetition): number for number, run in enumerate(runs)}
     rows.sort(key=lambda row: order[_key(row)])
-    table = pyarrow.Table.from_pylist(rows).replace_schema_metadata({
-        b"plan": text.encode(), b"revision": str(head["revision"]).encode(), b"name": plan.name.encode()})
+    table = pyarrow.Table.from_pylist(rows).replace_schema_metadata(
+        {b"plan": text.encode(), b"revision": str(head["revision"]).encode(), b"name": plan.name.encode()}
+    )
     pyarrow.parquet.write_table(table, out / (RESULT + ".new"))
     (out / (RESULT + ".new")).replace(out / RESULT)
     return out / RESULT
@@ -163,4 +212,3 @@
         raise RunError(f"{file}: {error}") from None
     held = table.schema.metadata or {}
     return table.to_pylist(), {name.decode(): value.decode() for name, value in held.items() if name != b"ARROW:schema"}
-
--- a/martenstep/lab/experiment/search.py
+++ b/martenstep/lab/experiment/search.py
@@ -14,9 +14,27 @@
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import length_ms
 
-KINDS = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_CUT_FROM_FEED, pb.SERVER_SILENT, pb.SERVER_SLOW, pb.SERVER_ERRORS,
-         pb.SERVER_RESETS, pb.SERVER_DRAINED, pb.SERVER_KILLED, pb.SERVER_RESTARTED, pb.ANSWERS_LOST, pb.STORE_PAUSED,
-         pb.STORE_EMPTIED, pb.STORE_SLOW, pb.STORE_DOWN, pb.STORE_FULL, pb.FEED_STALE, pb.FEED_PARTIAL, pb.FEED_DOWN)
+KINDS = (
+    pb.DOOR_KILLED,
+    pb.DOOR_ROLLED,
+    pb.DOOR_CUT_FROM_FEED,
+    pb.SERVER_SILENT,
+    pb.SERVER_SLOW,
+    pb.SERVER_ERRORS,
+    pb.SERVER_RESETS,
+    pb.SERVER_DRAINED,
+    pb.SERVER_KILLED,
+    pb.SERVER_RESTARTED,
+    pb.ANSWERS_LOST,
+    pb.STORE_PAUSED,
+    pb.STORE_EMPTIED,
+    pb.STORE_SLOW,
+    pb.STORE_DOWN,
+    pb.STORE_FULL,
+    pb.FEED_STALE,
+    pb.FEED_PARTIAL,
+    pb.FEED_DOWN,
+)
 OF_DOORS = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_CUT_FROM_FEED)
 AT_ONCE = (pb.STORE_EMPTIED, pb.STORE_FAILOVER)  # without a length
 MOST_TROUBLES = 6
@@ -75,14 +93,20 @@
     return made
 
 
-def search(base: pb.Day, badness: Badness, runs: int, seed: int, kinds: tuple[int, ...] = KINDS,
-           told: Told = lambda tried, worst: None) -> Found:
+def search(
+    base: pb.Day,
+    badness: Badness,
+    runs: int,
+    seed: int,
+    kinds: tuple[int, ...] = KINDS,
+    told: Told = lambda tried, worst: None,
+) -> Found:
     """The worst day of so many drawn ones."""
     rng = random.Random(seed)
     held: list[tuple[float, int, pb.Day]] = []
     for number in range(runs):
         fresh = len(held) < GENERATION or rng.random() < 0.4
-        day = _drawn(rng, base, kinds) if fresh else _mutant(rng, rng.choice(held[:GENERATION // 2])[2], kinds)
+        day = _drawn(rng, base, kinds) if fresh else _mutant(rng, rng.choice(held[: GENERATION // 2])[2], kinds)
         held.append((badness(day), -number, day))
         held.sort(key=lambda one: one[:2], reverse=True)
         del held[GENERATION:]
@@ -101,6 +125,7 @@
         other.CopyFrom(day)
         made.append(other)
         return other
+
     for number, event in enumerate(day.event):
         if len(day.event) > 1:
             del copy().event[number]
--- a/martenstep/lab/experiment/sweep.py
+++ b/martenstep/lab/experiment/sweep.py
@@ -36,11 +36,21 @@
 CRASHED = "crashed"
 SHRINK_RUNS = 40
 MOST_SAVED = 20  # breaches that are shrunk and saved: behind so many lies one cause, or several that are enough
-KINDS = tuple(value for name, value in pb.Trouble.items()
-              if not name.startswith(NOT_HERE) and value not in (pb.NONE, pb.DOOR_LOST, *AUTH_TROUBLES))
+KINDS = tuple(
+    value
+    for name, value in pb.Trouble.items()
+    if not name.startswith(NOT_HERE) and value not in (pb.NONE, pb.DOOR_LOST, *AUTH_TROUBLES)
+)
 SIZES = (1, 2, 4, 8, 16, 32, 64, 128, 256, 512)  # of fleets, for the summary's rows
-CUTS = (("door-*", "store"), ("store", "door-*"), ("door-0", "store"), ("store", "door-0"), ("door-0", "server-*"),
-        ("server-1", "door-*"), ("zone-a", "zone-b"))
+CUTS = (
+    ("door-*", "store"),
+    ("store", "door-*"),
+    ("door-0", "store"),
+    ("store", "door-0"),
+    ("door-0", "server-*"),
+    ("server-1", "door-*"),
+    ("zone-a", "zone-b"),
+)
 CLASSES = ("read", "write", "pay")
 Row = dict[str, Any]
 Emulates = Callable[[pb.Day], dict[str, Any]]
@@ -48,8 +58,12 @@
 
 def _check(check: Checker, plan: plan_pb2.Sweep, root: Node) -> None:
     check.needed(plan, root, "name")
-    for name, least, most in (("days", 1, 1_000_000), ("doors_most", 1, 512), ("tries_most", 10, 100_000),
-                              ("troubles_most", 0, 50)):
+    for name, least, most in (
+        ("days", 1, 1_000_000),
+        ("doors_most", 1, 512),
+        ("tries_most", 10, 100_000),
+        ("troubles_most", 0, 50),
+    ):
         check.number(plan, root, name, least, most)
     for kind in plan.trouble:
         if kind not in KINDS:
@@ -77,15 +91,21 @@
 def _classes(rng: random.Random, day: pb.Day) -> None:
     for name, effect in zip(CLASSES, (cfg.SAFE, cfg.KEYED, cfg.UNSAFE), strict=True):
         aim = round(rng.uniform(300, 1500), -1)
-        made = getattr(day, "class").add(name=name, aim_ms=aim, deadline_ms=round(aim * rng.uniform(1.5, 4), -1),
-                                         effect=effect)
+        made = getattr(day, "class").add(
+            name=name, aim_ms=aim, deadline_ms=round(aim * rng.uniform(1.5, 4), -1), effect=effect
+        )
         if effect == cfg.KEYED:
             made.group = rng.choice((cfg.ALL, cfg.ZONE, cfg.CELL))
             made.window_ms = round(rng.uniform(500, 4000), -1)
         least = round(rng.uniform(10, 80), 0)
-        day.work.add(**{"class": name}, share=round(rng.uniform(0.05, 1), 2), least_ms=least,
-                     most_ms=round(least * rng.uniform(1, 4), 0), answer_bytes=rng.randrange(100, 20_000),
-                     units=rng.choice((1, 1, 1, 2)))
+        day.work.add(
+            **{"class": name},
+            share=round(rng.uniform(0.05, 1), 2),
+            least_ms=least,
+            most_ms=round(least * rng.uniform(1, 4), 0),
+            answer_bytes=rng.randrange(100, 20_000),
+            units=rng.choice((1, 1, 1, 2)),
+        )
 
 
 def _plans(rng: random.Random, day: pb.Day) -> None:
@@ -93,25 +113,40 @@
     for number in range(rng.randint(1, 3)):
         rate = _log(rng, 0.5, 20)
         burst = max(round(rate * rng.uniform(0.8, 6), 1), 2 * units)
-        plan = day.plan.add(name=f"p{number}", rate=rate, burst=burst, price=round(rng.uniform(0.5, 2), 1),
-                            over_cost=round(rng.uniform(0, 1.2), 1), over_worth=rng.choice((0, 0, 0.2, 1)))
+        plan = day.plan.add(
+            name=f"p{number}",
+            rate=rate,
+            burst=burst,
+            price=round(rng.uniform(0.5, 2), 1),
+            over_cost=round(rng.uniform(0, 1.2), 1),
+            over_worth=rng.choice((0, 0, 0.2, 1)),
+        )
         if rng.random() < 0.7:
             plan.ceiling_rate = round(rate * rng.uniform(1.05, 3), 2)
             plan.ceiling_burst = round(max(burst * rng.uniform(1, 2), 4 * units), 1)
             plan.ceiling_slack = round(max(0.1 * plan.ceiling_burst, units) * rng.uniform(1, 2), 1)
         if rng.random() < 0.15:
             plan.open_limit = rng.randint(2, 20)
-        day.customers.add(plan=plan.name, number=rng.choice((1, 3, 10, 40)), share=round(rng.uniform(0.1, 1), 2),
-                          doors=rng.randint(1, day.fleet.doors), skew=round(rng.uniform(0, 1.5), 1),
-                          once_share=rng.choice((0, 0, 0.1)))
+        day.customers.add(
+            plan=plan.name,
+            number=rng.choice((1, 3, 10, 40)),
+            share=round(rng.uniform(0.1, 1), 2),
+            doors=rng.randint(1, day.fleet.doors),
+            skew=round(rng.uniform(0, 1.5), 1),
+            once_share=rng.choice((0, 0, 0.1)),
+        )
 
 
 def _phases(rng: random.Random, day: pb.Day, tries: float) -> None:
     number = rng.randint(1, 3)
     for _ in range(number):
         for_ms = round(rng.uniform(1500, 5000), -2)
-        phase = day.phase.add(for_ms=for_ms, rate=round(tries / number / for_ms * 1000, 1),
-                              first_door_share=round(rng.uniform(0, 1), 1), shift_share=rng.choice((0, 0.5, 1)))
+        phase = day.phase.add(
+            for_ms=for_ms,
+            rate=round(tries / number / for_ms * 1000, 1),
+            first_door_share=round(rng.uniform(0, 1), 1),
+            shift_share=rng.choice((0, 0.5, 1)),
+        )
         if rng.random() < 0.3:
             phase.burst_times = round(rng.uniform(2, 8), 1)
         if rng.random() < 0.4:
@@ -197,15 +232,23 @@
     begin = time.perf_counter()
     day = drawn(plan_pb2.Sweep.FromString(plan), number)
     broken, told = broken_in(day)
-    return {"number": number, "doors": day.fleet.doors, "ceilings": sum(p.ceiling_rate > 0 for p in day.plan),
-            "troubles": [pb.Trouble.Name(event.trouble) for event in day.event], "broken": broken, "told": told,
-            "seconds": round(time.perf_counter() - begin, 2)}
+    return {
+        "number": number,
+        "doors": day.fleet.doors,
+        "ceilings": sum(p.ceiling_rate > 0 for p in day.plan),
+        "troubles": [pb.Trouble.Name(event.trouble) for event in day.event],
+        "broken": broken,
+        "told": told,
+        "seconds": round(time.perf_counter() - begin, 2),
+    }
 
 
 def smallest(day: pb.Day, rules: list[str], runs: int = SHRINK_RUNS, emulates: Emulates = emulate) -> pb.Day:
     """The smallest day found that breaks one of the same rules."""
+
     def badness(made: pb.Day) -> float:
         return float("inf") if set(broken_in(made, emulates)[0]) & set(rules) else 0.0
+
     return shrink(Found(day, float("inf"), 0), badness, runs).day
 
 
@@ -244,8 +287,11 @@
             progress(len(rows), plan.days, (time.monotonic() - begin) / finished * (len(left) - finished))
         rows.sort(key=lambda row: int(row["number"]))
         broken = [row for row in rows if row["broken"]][:MOST_SAVED]
-        small = [(row, pool.submit(_small_text, data, row["number"], row["broken"])) for row in broken
-                 if not (out / f"broken-{row['number']}.txtpb").exists()]
+        small = [
+            (row, pool.submit(_small_text, data, row["number"], row["broken"]))
+            for row in broken
+            if not (out / f"broken-{row['number']}.txtpb").exists()
+        ]
         for row, made in small:
             (out / f"broken-{row['number']}.txtpb").write_text(made.result(), encoding="utf-8")
     (out / SUMMARY).write_text(summary(plan, rows), encoding="utf-8")
@@ -256,23 +302,30 @@
     """What was swept, by size of fleet and by trouble, and what broke."""
     broken = [row for row in rows if row["broken"]]
     by_rule = Counter(rule for row in broken for rule in row["broken"])
-    lines = [f"# Sweep {plan.name}", "",
-             f"{len(rows)} days drawn from seed {plan.seed}, {len(broken)} of them broke a rule"
-             + "".join(f"; {rule}: {number}" for rule, number in sorted(by_rule.items())) + ".", "",
-             "| Doors | Days | Of them with a ceiling | Broken |", "| --- | --- | --- | --- |"]
+    lines = [
+        f"# Sweep {plan.name}",
+        "",
+        f"{len(rows)} days drawn from seed {plan.seed}, {len(broken)} of them broke a rule"
+        + "".join(f"; {rule}: {number}" for rule, number in sorted(by_rule.items()))
+        + ".",
+        "",
+        "| Doors | Days | Of them with a ceiling | Broken |",
+        "| --- | --- | --- | --- |",
+    ]
     for low, high in zip(SIZES, (*SIZES[1:], math.inf), strict=True):
         of = [row for row in rows if low <= row["doors"] < high]
         if of:
             name = str(low) if high == low + 1 else f"{low} to {min(high - 1, plan.doors_most):g}"
-            lines.append(f"| {name} | {len(of)} | {sum(row['ceilings'] > 0 for row in of)} | "
-                         f"{sum(bool(row['broken']) for row in of)} |")
+            lines.append(
+                f"| {name} | {len(of)} | {sum(row['ceilings'] > 0 for row in of)} | "
+                f"{sum(bool(row['broken']) for row in of)} |"
+            )
     lines += ["", "| Trouble | Days with it | Broken |", "| --- | --- | --- |"]
     with_it = Counter(name for row in rows for name in set(row["troubles"] or ["none"]))
     broke = Counter(name for row in broken for name in set(row["troubles"] or ["none"]))
-    lines += [f"| {name.lower().replace('_', ' ')} | {number} | {broke[name]} |"
-              for name, number in sorted(with_it.items())]
+    lines += [
+        f"| {name.lower().replace('_', ' ')} | {number} | {broke[name]} |" for name, number in sorted(with_it.items())
+    ]
     if broken:
         lines += ["", *(f"- day {row['number']}: {row['told'].splitlines()[-1]}" for row in broken[:MOST_SAVED])]
     return "\n".join(lines) + "\n"
-
-
--- a/martenstep/lab/explore.py
+++ b/martenstep/lab/explore.py
@@ -79,9 +79,19 @@
 
     def clone(self) -> World:
         """Another one, the same."""
-        return World({number: Node(_clone(node.copy), replace(node.kept, entries=list(node.kept.entries)))
-                      for number, node in self.nodes.items()}, dict(self.queues), self.budget, self.cut,
-                     dict(self.leaders), dict(self.stands), self.told, self.proposed)
+        return World(
+            {
+                number: Node(_clone(node.copy), replace(node.kept, entries=list(node.kept.entries)))
+                for number, node in self.nodes.items()
+            },
+            dict(self.queues),
+            self.budget,
+            self.cut,
+            dict(self.leaders),
+            dict(self.stands),
+            self.told,
+            self.proposed,
+        )
 
     def key(self, names: list[dict[int, int]]) -> int:
         """The same for states from which the same can follow, whatever the copies are called."""
@@ -91,18 +101,37 @@
         nodes = []
         for number, node in self.nodes.items():
             copy = node.copy
-            nodes.append((name[number], copy.term, copy.vote and name[copy.vote], copy.log, copy.commit,
-                          copy.role.value, copy.leader and name[copy.leader], copy.proven, copy._floor,
-                          sorted([name[one] for one in copy._votes]), sorted([name[one] for one in copy._told]),
-                          sorted([(name[to], peer.next, peer.match) for to, peer in copy._peers.items()]),
-                          copy._heard_leader > LONG_AGO))
+            nodes.append(
+                (
+                    name[number],
+                    copy.term,
+                    copy.vote and name[copy.vote],
+                    copy.log,
+                    copy.commit,
+                    copy.role.value,
+                    copy.leader and name[copy.leader],
+                    copy.proven,
+                    copy._floor,
+                    sorted([name[one] for one in copy._votes]),
+                    sorted([name[one] for one in copy._told]),
+                    sorted([(name[to], peer.next, peer.match) for to, peer in copy._peers.items()]),
+                    copy._heard_leader > LONG_AGO,
+                )
+            )
         nodes.sort(key=_first)
-        queues = sorted([(name[source], name[to], queue) for (source, to), queue in self.queues.items() if queue],
-                        key=_two)
-        told = (nodes, queues, self.budget, sorted([(name[source], name[to]) for source, to in self.cut]),
-                sorted([(term, name[number]) for term, number in self.leaders.items()]),
-                sorted(self.stands.items()), self.told,
-                sorted([(name[number], index, term) for number, index, term in self.proposed]))
+        queues = sorted(
+            [(name[source], name[to], queue) for (source, to), queue in self.queues.items() if queue], key=_two
+        )
+        told = (
+            nodes,
+            queues,
+            self.budget,
+            sorted([(name[source], name[to]) for source, to in self.cut]),
+            sorted([(term, name[number]) for term, number in self.leaders.items()]),
+            sorted(self.stands.items()),
+            self.told,
+            sorted([(name[number], index, term) for number, index, term in self.proposed]),
+        )
         return xxhash.xxh3_128_intdigest(msgspec.msgpack.encode(told))
 
 
@@ -127,8 +156,9 @@
 def _over(message: Message, copy: Copy) -> bool:
     """It can change nothing at this copy, now or later."""
     if isinstance(message, GiveVote):
-        return message.term < copy.term or (message.term == copy.term and (
-            not message.granted or copy.role is not Role.CANDIDATE))
+        return message.term < copy.term or (
+            message.term == copy.term and (not message.granted or copy.role is not Role.CANDIDATE)
+        )
     if isinstance(message, Appended):
         return message.term < copy.term or (message.term == copy.term and copy.role is not Role.LEADER)
     return False
@@ -156,8 +186,9 @@
         return world
 
     def _copy(self, number: int, kept: Kept, proven: bool = True) -> Copy:
-        made = self._make(number, replace(kept, entries=list(kept.entries)), self._first, Settings(), random.Random(1),
-                          NOW, proven)
+        made = self._make(
+            number, replace(kept, entries=list(kept.entries)), self._first, Settings(), random.Random(1), NOW, proven
+        )
         made._heap.clear()
         return made
 
@@ -220,19 +251,29 @@
         if isinstance(message, AskVote) and world.nodes[to].copy._heard_leader > LONG_AGO:
             lately = [True, False]
         for heard in lately:
+
             def event(copy: Copy, heard: bool = heard) -> None:
                 if not heard:
                     copy._heard_leader = LONG_AGO
                 copy.message(NOW, source, message)
+
             name = f"{to} gets {type(message).__name__} of {source}" + ("" if heard else ", long after its leader")
             yield from self._event(world, to, name, event, popped=pair)
 
-    def _event(self, world: World, number: int, name: str, event: Callable[[Copy], None], popped: Pair | None = None,
-               **spent: int) -> Iterator[tuple[str, World]]:
+    def _event(
+        self,
+        world: World,
+        number: int,
+        name: str,
+        event: Callable[[Copy], None],
+        popped: Pair | None = None,
+        **spent: int,
+    ) -> Iterator[tuple[str, World]]:
         """One event at one copy, and the same with a crash in the middle of it."""
         after = world.clone()
-        after.budget = replace(world.budget, **{what: getattr(world.budget, what) - count
-                                                for what, count in spent.items()})
+        after.budget = replace(
+            world.budget, **{what: getattr(world.budget, what) - count for what, count in spent.items()}
+        )
         if popped is not None:
             after.queues[popped] = after.queues[popped][1:]
         broken = after.clone() if after.budget.crashes else None
@@ -332,8 +373,10 @@
     @staticmethod
     def _committed(world: World, number: int, entry: Entry) -> None:
         if world.stands.setdefault(entry.index, entry) != entry:
-            raise BreachError(f"entry {entry.index} stands as of term {world.stands[entry.index].term}, at {number} as "
-                              f"of term {entry.term}")
+            raise BreachError(
+                f"entry {entry.index} stands as of term {world.stands[entry.index].term}, at {number} as "
+                f"of term {entry.term}"
+            )
         asked = number, entry.index, entry.term
         if entry.kind is Kind.COMMAND and asked in world.proposed:
             world.proposed -= {asked}
--- a/martenstep/lab/explore_orders.py
+++ b/martenstep/lab/explore_orders.py
@@ -76,17 +76,25 @@
 
     def key(self) -> int:
         """The same for states from which the same can follow."""
-        told = (self.book, sorted(self.agents.items()), sorted(self.lives.items()), sorted(self.gone.items()),
-                sorted(self.ill), self.on, self.lap,
-                (self.budget.laps, self.budget.crashes, self.budget.losses, self.budget.people))
+        told = (
+            self.book,
+            sorted(self.agents.items()),
+            sorted(self.lives.items()),
+            sorted(self.gone.items()),
+            sorted(self.ill),
+            self.on,
+            self.lap,
+            (self.budget.laps, self.budget.crashes, self.budget.losses, self.budget.people),
+        )
         return xxhash.xxh3_128_intdigest(msgspec.msgpack.encode(told))
 
 
 class Explorer:
     """Of one small world."""
 
-    def __init__(self, budget: Budget, book: Callable[[], Book] = Book,
-                 agent: Callable[[str, float], Agent] = Agent) -> None:
+    def __init__(
+        self, budget: Budget, book: Callable[[], Book] = Book, agent: Callable[[str, float], Agent] = Agent
+    ) -> None:
         self._budget, self._book, self._agent = budget, book, agent
         self.states = self.events = self.left = 0
 
@@ -96,8 +104,16 @@
         limits = Limits(self._budget.most_out, 3, 1.0, lease_ms=LEASE, grace_ms=1e9, starve_ms=1e9, overdue_holds=False)
         for what in (SetLimits(limits), self._sight(frozenset()), Ask("r0", "m0", 5.0), Ask("r1", "m1", 5.0)):
             book.apply(entry(0.0, what))
-        return World(book.snapshot(), dict.fromkeys(NAMES, ("here", "", 0)), dict.fromkeys(NAMES, 1), {}, frozenset(),
-                     (), 0, self._budget)
+        return World(
+            book.snapshot(),
+            dict.fromkeys(NAMES, ("here", "", 0)),
+            dict.fromkeys(NAMES, 1),
+            {},
+            frozenset(),
+            (),
+            0,
+            self._budget,
+        )
 
     @staticmethod
     def _sight(ill: frozenset[str]) -> Sight:
@@ -139,8 +155,10 @@
                 self.left += 1
                 held = self._held(after).requests.get(action.request)
                 if held is None or held.state not in (State.OUT, State.COMING):
-                    raise BreachError(f"{name} leaves by {action.request}, which is "
-                                      f"{held.state.value if held is not None else 'unknown'}")
+                    raise BreachError(
+                        f"{name} leaves by {action.request}, which is "
+                        f"{held.state.value if held is not None else 'unknown'}"
+                    )
                 # From now on it says of itself that it does not serve.
                 after = replace(after, gone={**after.gone, name: action.request}, ill=after.ill | {name})
                 self._judge(after, self._held(after))
@@ -149,8 +167,9 @@
         return after
 
     def _judge(self, world: World, book: Book) -> None:
-        may = {held.machine for held in book.requests.values()
-               if held.state in (State.GRANTED, State.OUT, State.COMING)}
+        may = {
+            held.machine for held in book.requests.values() if held.state in (State.GRANTED, State.OUT, State.COMING)
+        }
         away = may | set(world.gone)
         if len(away) > self._budget.most_out:
             raise BreachError(f"{', '.join(sorted(away))} are away or may go, and {self._budget.most_out} may")
@@ -165,28 +184,41 @@
         for name in NAMES[:2]:
             step = world.agents[name][0]
             if world.lives[name] > 0:
+
                 def look(agent: Agent) -> None:
                     agent.seen(now, list(self._held(world).requests.values()))
+
                 yield f"{name} looks into the book", self._run(world, name, look)
                 if step == "asking":
                     yield f"{name} asks again", self._run(world, name, lambda agent: agent._ask(now))
                 if step == "going":
                     yield f"{name} has drained", self._run(world, name, lambda agent: agent.left(now))
                 if budget.crashes:
-                    after = replace(world, budget=replace(budget, crashes=budget.crashes - 1), ill=world.ill | {name},
-                                    lives={**world.lives, name: -world.lives[name]})
+                    after = replace(
+                        world,
+                        budget=replace(budget, crashes=budget.crashes - 1),
+                        ill=world.ill | {name},
+                        lives={**world.lives, name: -world.lives[name]},
+                    )
                     yield f"{name} ends", after
             if step == "gone" or world.lives[name] <= 0:
                 gone = {one: request for one, request in world.gone.items() if one != name}
-                after = replace(world, lives={**world.lives, name: abs(world.lives[name]) + 1}, gone=gone,
-                                ill=world.ill - {name}, agents={**world.agents, name: ("here", "", 0)})
+                after = replace(
+                    world,
+                    lives={**world.lives, name: abs(world.lives[name]) + 1},
+                    gone=gone,
+                    ill=world.ill - {name},
+                    agents={**world.agents, name: ("here", "", 0)},
+                )
                 yield f"{name} is back with a new process", after
         for number, told in enumerate(world.on):
-            rest = replace(world, on=world.on[:number] + world.on[number + 1:])
+            rest = replace(world, on=world.on[:number] + world.on[number + 1 :])
             yield from self._arrives(rest, told)
             if budget.losses:
-                yield f"what {told[0]} sent or was sent is lost", replace(
-                    rest, budget=replace(budget, losses=budget.losses - 1))
+                yield (
+                    f"what {told[0]} sent or was sent is lost",
+                    replace(rest, budget=replace(budget, losses=budget.losses - 1)),
+                )
         yield "the leader sees", self._put(world, self._sight(world.ill))[0]
         if budget.laps:
             after = replace(world, lap=world.lap + 1, budget=replace(budget, laps=budget.laps - 1))
@@ -204,8 +236,10 @@
             if world.lives[name] == life and what.request is not None:
                 start = Start(what.request.id, what.request.token)
                 now = self._now(world)
-                yield f"{name} gets its answer", self._run(
-                    world, name, lambda agent: agent.started(now, start, asked, what))
+                yield (
+                    f"{name} gets its answer",
+                    self._run(world, name, lambda agent: agent.started(now, start, asked, what)),
+                )
             else:
                 yield f"{name} is not there for its answer", world
             return
--- a/martenstep/lab/fleet/baseline.py
+++ b/martenstep/lab/fleet/baseline.py
@@ -53,8 +53,11 @@
                 self.counts["sent_bytes"] += len(data)
                 self.out.append(Datagram(to, data))
         for fact in list(self.table):
-            if fact.present and fact.name != self.me.name and \
-                    now - self._heard.get(fact.name, now) > self.settings.suspect_least_ms:
+            if (
+                fact.present
+                and fact.name != self.me.name
+                and now - self._heard.get(fact.name, now) > self.settings.suspect_least_ms
+            ):
                 self._put(now, with_state(fact, State.DEAD, self.me.name), "dead")
 
     def _put(self, now: float, fact: Fact, kind: str) -> None:
--- a/martenstep/lab/fleet/groups.py
+++ b/martenstep/lab/fleet/groups.py
@@ -113,8 +113,9 @@
         self._gone: set[int] = set()  # identities whose disk is lost
         for number in range(1, plan.copies + 1):
             drift = plan.settings.drift
-            node = Node(f"m{number}", number, rate=1 + self.rng.uniform(-drift, drift) / 2,
-                        offset=self.rng.uniform(0, 1e6))
+            node = Node(
+                f"m{number}", number, rate=1 + self.rng.uniform(-drift, drift) / 2, offset=self.rng.uniform(0, 1e6)
+            )
             self.nodes[number] = node
         self._names = {node.name for node in self.nodes.values()}
         self.first = Config(tuple(self.nodes), (), tuple((node.id, node.name) for node in self.nodes.values()))
@@ -129,8 +130,15 @@
         kept = node.disk.copied()
         if kept.snapshot is not None:
             node.state = _commands(kept.snapshot.body)
-        node.copy = self._make(node.id, kept, first, self.plan.settings, random.Random(self.rng.getrandbits(60)),
-                               node.clock(self.sim.now), proven)
+        node.copy = self._make(
+            node.id,
+            kept,
+            first,
+            self.plan.settings,
+            random.Random(self.rng.getrandbits(60)),
+            node.clock(self.sim.now),
+            proven,
+        )
         node.unproven_since = None if proven else self.sim.now
         self._after(node)
 
@@ -273,8 +281,9 @@
             copy = node.copy
             if copy is not None and not node.paused and copy.commit - copy.base > 2 * KEEP:
                 index = copy.commit - KEEP
-                body = [entry.data for number in range(1, index + 1)
-                        if (entry := self._stands[number]).kind is Kind.COMMAND]
+                body = [
+                    entry.data for number in range(1, index + 1) if (entry := self._stands[number]).kind is Kind.COMMAND
+                ]
                 copy.compact(index, b"\n".join(body))
                 self._after(node)
 
@@ -305,9 +314,22 @@
         rng = self.rng
         node = rng.choice(list(self.nodes.values()))
         kinds: list[Callable[[Node], None]] = [
-            self._process_again, self._process_again, self._machine_again, self._pause, self._pause, self._cut_one_way,
-            self._cut_one_way, self._cut_off, self._slow_disk, self._hand_over, self._lossy, self._all_again,
-            self._leader_alone, self._leader_unheard, self._leader_stands]
+            self._process_again,
+            self._process_again,
+            self._machine_again,
+            self._pause,
+            self._pause,
+            self._cut_one_way,
+            self._cut_one_way,
+            self._cut_off,
+            self._slow_disk,
+            self._hand_over,
+            self._lossy,
+            self._all_again,
+            self._leader_alone,
+            self._leader_unheard,
+            self._leader_stands,
+        ]
         if self._spare > 0:
             kinds += [self._old_disk, self._lost_disk, self._lost_disk]
         kind = rng.choice(kinds)
@@ -369,8 +391,14 @@
         self._cut({(node.id, one) for one in others} | {(one, node.id) for one in others})
 
     def _leader(self) -> Node | None:
-        return next((node for node in self.nodes.values() if node.copy is not None and not node.paused
-                     and node.copy.role is Role.LEADER), None)
+        return next(
+            (
+                node
+                for node in self.nodes.values()
+                if node.copy is not None and not node.paused and node.copy.role is Role.LEADER
+            ),
+            None,
+        )
 
     def _leader_alone(self, _: Node) -> None:
         """Cut off, and read from as long as it believes its lease."""
@@ -507,9 +535,13 @@
         if len(self._told) == self._healed_at:
             raise BrokenError(f"nothing was committed in {HEAL_MS:.0f} ms without faults: {self._states()}")
         self.sim.run(self.sim.now + 1500.0)
-        leaders = [node for node in self.nodes.values() if node.copy is not None and node.copy.role is Role.LEADER
-                   and node.copy.commit == max(other.copy.commit for other in self.nodes.values()
-                                               if other.copy is not None)]
+        leaders = [
+            node
+            for node in self.nodes.values()
+            if node.copy is not None
+            and node.copy.role is Role.LEADER
+            and node.copy.commit == max(other.copy.commit for other in self.nodes.values() if other.copy is not None)
+        ]
         if not leaders:
             raise BrokenError(f"nobody leads at the end: {self._states()}")
         held = set(leaders[0].state)
@@ -520,8 +552,21 @@
             raise BrokenError("a command stands twice")
 
     def _states(self) -> list[Any]:
-        return [(node.id, node.copy and (node.copy.role.value, node.copy.term, node.copy.last_index, node.copy.commit,
-                                         node.copy.proven, node.copy.config)) for node in self.nodes.values()]
+        return [
+            (
+                node.id,
+                node.copy
+                and (
+                    node.copy.role.value,
+                    node.copy.term,
+                    node.copy.last_index,
+                    node.copy.commit,
+                    node.copy.proven,
+                    node.copy.config,
+                ),
+            )
+            for node in self.nodes.values()
+        ]
 
 
 def _commands(body: bytes) -> list[bytes]:
--- a/martenstep/lab/fleet/judge.py
+++ b/martenstep/lab/fleet/judge.py
@@ -98,19 +98,24 @@
                 elif kind == "fault ends" and number in faults:
                     faults[number].end = at
         members = members_of(schedule)
-        self._touched = [(span, frozenset(fitting(entry.source, members)), frozenset(fitting(entry.sink, members)))
-                         for span, entry in self.cuts]
+        self._touched = [
+            (span, frozenset(fitting(entry.source, members)), frozenset(fitting(entry.sink, members)))
+            for span, entry in self.cuts
+        ]
         self._bound = schedule.suspect_least_ms - 1500.0
 
     def cut(self, name: str, begin: float, end: float) -> bool:
         """Whether some wire from or to a member was cut."""
-        return any(span.meets(begin, end) and (name in sources or name in sinks)
-                   for span, sources, sinks in self._touched)
+        return any(
+            span.meets(begin, end) and (name in sources or name in sinks) for span, sources, sinks in self._touched
+        )
 
     def stood_within(self, place: str, begin: float, end: float, longer_than: float = 0.0) -> bool:
         """Whether a process stood for longer than so long."""
-        return any(span.meets(begin, end) and min(span.end, end) - span.begin > longer_than
-                   for span in self.stood.get(place, []))
+        return any(
+            span.meets(begin, end) and min(span.end, end) - span.begin > longer_than
+            for span in self.stood.get(place, [])
+        )
 
     def ran_through(self, place: str, begin: float, end: float) -> bool:
         """Whether one process of it ran from one moment, or from its begin well before the other, to the other."""
@@ -119,8 +124,11 @@
     def well(self, name: str, at: float) -> bool:
         """Nothing was done to a member, in the window before a moment, that it may be called dead for."""
         begin = at - WINDOW_MS
-        return (self.ran_through(name, begin, at) and not self.cut(name, begin, at)
-                and not self.stood_within(name, begin, at, self._bound))
+        return (
+            self.ran_through(name, begin, at)
+            and not self.cut(name, begin, at)
+            and not self.stood_within(name, begin, at, self._bound)
+        )
 
 
 def judge(schedule: pb.Schedule, records: Iterable[Record]) -> Verdict:
@@ -152,7 +160,8 @@
             if death not in false and not lossy:
                 verdict.breaches.append(
                     f"alive: {belief.about} is dead to {belief.place} {_seconds(story, belief.at_ms)}, by "
-                    f"{belief.fields.get('by')}, and was well")
+                    f"{belief.fields.get('by')}, and was well"
+                )
             false.add(death)
     verdict.figures["false_deaths"] = len(false)
 
@@ -163,13 +172,17 @@
             continue
         begin = belief.at_ms - AFTER_MS
         faulty = story.stood_within(belief.place, begin, belief.at_ms) or story.cut(
-            story.name_of.get(belief.place, ""), begin, belief.at_ms)
-        well = (story.ran_through(belief.about, begin - AFTER_MS, belief.at_ms)
-                and not story.cut(belief.about, begin, belief.at_ms)
-                and not story.stood_within(belief.about, begin - AFTER_MS, belief.at_ms))
+            story.name_of.get(belief.place, ""), begin, belief.at_ms
+        )
+        well = (
+            story.ran_through(belief.about, begin - AFTER_MS, belief.at_ms)
+            and not story.cut(belief.about, begin, belief.at_ms)
+            and not story.stood_within(belief.about, begin - AFTER_MS, belief.at_ms)
+        )
         if faulty and well:
-            verdict.breaches.append(f"witness: {belief.place}, at fault itself, accuses {belief.about} "
-                                    f"{_seconds(story, belief.at_ms)}")
+            verdict.breaches.append(
+                f"witness: {belief.place}, at fault itself, accuses {belief.about} {_seconds(story, belief.at_ms)}"
+            )
 
 
 def _agree(story: _Story, views: list[View], verdict: Verdict) -> None:
@@ -190,8 +203,10 @@
         other = sorted(name for name in held.keys() & running.keys() if held[name] != running[name])
         for what, names in (("lacks", missing), ("holds", extra), ("holds an old life of", other)):
             if names:
-                verdict.breaches.append(f"agree: {place} {what} {', '.join(names[:5])} at the end"
-                                        + (f" and {len(names) - 5} more" if len(names) > 5 else ""))
+                verdict.breaches.append(
+                    f"agree: {place} {what} {', '.join(names[:5])} at the end"
+                    + (f" and {len(names) - 5} more" if len(names) > 5 else "")
+                )
 
 
 def _forget(schedule: pb.Schedule, story: _Story, views: list[View], verdict: Verdict) -> None:
@@ -208,11 +223,19 @@
     return {"least": ordered[0], "median": ordered[len(ordered) // 2], "most": ordered[-1], "of": len(ordered)}
 
 
-def _figures(schedule: pb.Schedule, story: _Story, every: list[Record], beliefs: list[Belief],
-             verdict: Verdict) -> None:
+def _figures(
+    schedule: pb.Schedule, story: _Story, every: list[Record], beliefs: list[Belief], verdict: Verdict
+) -> None:
     figures = verdict.figures
-    hours = sum(min(span.end, story.ends) - max(span.begin, story.begins)
-                for spans in story.runs.values() for span in spans if span.end > story.begins) / 3_600_000
+    hours = (
+        sum(
+            min(span.end, story.ends) - max(span.begin, story.begins)
+            for spans in story.runs.values()
+            for span in spans
+            if span.end > story.begins
+        )
+        / 3_600_000
+    )
     figures["member_hours"] = hours
     figures["false_deaths_a_member_hour"] = figures["false_deaths"] / hours if hours else 0.0
     first, told_all, suspected = [], [], []
@@ -222,14 +245,23 @@
             dead[belief.about].append(belief)
     for kill in story.kills:
         again = min((span.begin for span in story.runs[kill.place] if span.begin > kill.at_ms), default=story.ends)
-        early = [belief.at_ms - kill.at_ms for belief in beliefs if belief.kind == "suspect"
-                 and belief.about == kill.who and kill.at_ms <= belief.at_ms < again]
+        early = [
+            belief.at_ms - kill.at_ms
+            for belief in beliefs
+            if belief.kind == "suspect" and belief.about == kill.who and kill.at_ms <= belief.at_ms < again
+        ]
         if early:
             suspected.append(min(early))
-        told = {belief.place: belief.at_ms - kill.at_ms for belief in reversed(dead[kill.who])
-                if kill.at_ms <= belief.at_ms < again}
-        still = {place for place, spans in story.runs.items() if place != kill.place
-                 and any(span.begin < kill.at_ms and span.end >= again for span in spans)}
+        told = {
+            belief.place: belief.at_ms - kill.at_ms
+            for belief in reversed(dead[kill.who])
+            if kill.at_ms <= belief.at_ms < again
+        }
+        still = {
+            place
+            for place, spans in story.runs.items()
+            if place != kill.place and any(span.begin < kill.at_ms and span.end >= again for span in spans)
+        }
         if told:
             first.append(min(told.values()))
             if still <= told.keys():
@@ -253,8 +285,9 @@
                 heals.append(after[0] - span.end)
     if heals:
         figures["healed_ms"] = _middle(heals)
-    figures["suspicions"] = sum(1 for b in beliefs if b.kind == "suspect" and b.fields.get("by")
-                                == story.name_of.get(b.place))
+    figures["suspicions"] = sum(
+        1 for b in beliefs if b.kind == "suspect" and b.fields.get("by") == story.name_of.get(b.place)
+    )
     figures["events"] = len(beliefs)
     at_begin = {r.place: r.counts for r in every if isinstance(r, View) and r.at_ms <= story.begins}
     at_end = {r.place: r.counts for r in every if isinstance(r, View) and r.at_ms > story.begins}
@@ -263,5 +296,6 @@
     if through and story.ends > story.begins:
         seconds = (story.ends - story.begins) / 1000 * len(through)
         for count in ("sent", "sent_bytes", "exchanges"):
-            figures[f"{count}_a_second"] = sum(at_end[place].get(count, 0.0) - at_begin[place].get(count, 0.0)
-                                               for place in through) / seconds
+            figures[f"{count}_a_second"] = (
+                sum(at_end[place].get(count, 0.0) - at_begin[place].get(count, 0.0) for place in through) / seconds
+            )
--- a/martenstep/lab/fleet/orders.py
+++ b/martenstep/lab/fleet/orders.py
@@ -77,18 +77,37 @@
 class Play:
     """One seed."""
 
-    def __init__(self, seed: int, machines: int = 6, length_ms: float = 300_000.0,
-                 book: Callable[[], Book] = Book, agent: Callable[[str, float], Agent] = Agent) -> None:
+    def __init__(
+        self,
+        seed: int,
+        machines: int = 6,
+        length_ms: float = 300_000.0,
+        book: Callable[[], Book] = Book,
+        agent: Callable[[str, float], Agent] = Agent,
+    ) -> None:
         self.sim, self.rng = Sim(), random.Random(seed)
         self.counts: Counter[str] = Counter()
         self.book, self._agent, self._length = book(), agent, length_ms
-        self.limits = Limits(self.rng.choice((1, 2, 3)), self.rng.choice((1, 2)), self.rng.choice((0.34, 0.5)),
-                             self.rng.random() < 0.3, self.rng.random() < 0.5, 8000.0, 4000.0, 120_000.0)
+        self.limits = Limits(
+            self.rng.choice((1, 2, 3)),
+            self.rng.choice((1, 2)),
+            self.rng.choice((0.34, 0.5)),
+            self.rng.random() < 0.3,
+            self.rng.random() < 0.5,
+            8000.0,
+            4000.0,
+            120_000.0,
+        )
         self.places = {}
         for number in range(machines):
             name = f"m{number}"
-            self.places[name] = Place(name, ZONES[number % 3], agent(name, self.limits.lease_ms),
-                                      1 + self.rng.uniform(-DRIFT, DRIFT) / 2, self.rng.uniform(0, 1e6))
+            self.places[name] = Place(
+                name,
+                ZONES[number % 3],
+                agent(name, self.limits.lease_ms),
+                1 + self.rng.uniform(-DRIFT, DRIFT) / 2,
+                self.rng.uniform(0, 1e6),
+            )
         names = list(self.places)
         self.groups = tuple(Group(f"g{number}", tuple(self.rng.sample(names, 3))) for number in range(2))
         self._clock: Clock | None = Clock(0.0, 0.0)
@@ -117,8 +136,11 @@
 
     def _away(self) -> set[str]:
         """Machines that are really away by grant, or may go at any moment."""
-        mine = {held.machine for held in self.book.requests.values()
-                if held.state in (State.GRANTED, State.OUT, State.COMING)}
+        mine = {
+            held.machine
+            for held in self.book.requests.values()
+            if held.state in (State.GRANTED, State.OUT, State.COMING)
+        }
         return mine | {place.name for place in self.places.values() if place.gone_by}
 
     def _granted(self, request: str, machine: str, token: int) -> None:
@@ -152,6 +174,7 @@
 
     def _to(self, place: Place, agent: Agent, call: Callable[[], None]) -> None:
         """To a machine's process as it was: another one does not know of it."""
+
         def arrive() -> None:
             if not place.up or place.agent is not agent:
                 return
@@ -159,6 +182,7 @@
                 place.inbox.append(call)
             else:
                 call()
+
         self._sends(arrive)
 
     def _look(self, place: Place) -> None:
@@ -171,6 +195,7 @@
             if self._clock is not None:
                 held = [msgspec.structs.replace(one) for one in self.book.requests.values()]
                 self._to(place, agent, lambda: self._seen(place, agent, held))
+
         self._sends(ask)
         agent.wake(place.clock(self.sim.now))
         self._after(place)
@@ -201,6 +226,7 @@
             answer = self._apply(start)
             if answer is not None:
                 self._to(place, agent, lambda: self._started(place, agent, start, asked, answer))
+
         self._sends(arrive)
         if self._faults and not place.paused and self.rng.random() < 0.2:
             self._pause(place)  # the answer comes into its buffer
@@ -241,8 +267,15 @@
 
     def _sight(self) -> None:
         self.sim.after(SIGHT_MS * self.rng.uniform(0.8, 1.2), self._sight)
-        self._apply(Sight(tuple(Machine(place.name, place.zone, 1.0, place.healthy, place.name == "m0")
-                                for place in self.places.values()), self.groups))
+        self._apply(
+            Sight(
+                tuple(
+                    Machine(place.name, place.zone, 1.0, place.healthy, place.name == "m0")
+                    for place in self.places.values()
+                ),
+                self.groups,
+            )
+        )
 
     # What people and the world do.
 
@@ -255,8 +288,13 @@
         if roll < 0.6:
             self._number += 1
             name = self.rng.choice(list(self.places))
-            what: What = Ask(f"r{self._number}", name, self.rng.uniform(2000, 30_000),
-                             urgent=self.rng.random() < 0.2, before=self.rng.choice((0.0, 1e12 + self._number)))
+            what: What = Ask(
+                f"r{self._number}",
+                name,
+                self.rng.uniform(2000, 30_000),
+                urgent=self.rng.random() < 0.2,
+                before=self.rng.choice((0.0, 1e12 + self._number)),
+            )
             for _ in range(self.rng.choice((1, 1, 3))):  # a tool that asks again and again
                 answer = self._apply(what)
                 if answer is not None and answer.ok:
@@ -267,9 +305,16 @@
                     self._apply(GiveUp(one.id))  # again and again: granted once it may be
         elif held:
             one = self.rng.choice([one for one in held if one.state is State.OUT] or held)
-            what = self.rng.choice((Cancel(one.id), GiveUp(one.id), Extend(one.id, one.token, 5000.0),
-                                    Done(one.id, one.token), Done(one.id, one.token - 1, back=True),
-                                    Start(one.id, one.token + 1)))
+            what = self.rng.choice(
+                (
+                    Cancel(one.id),
+                    GiveUp(one.id),
+                    Extend(one.id, one.token, 5000.0),
+                    Done(one.id, one.token),
+                    Done(one.id, one.token - 1, back=True),
+                    Start(one.id, one.token + 1),
+                )
+            )
             self._apply(what)
 
     def _world(self) -> None:
@@ -288,8 +333,16 @@
             self._clock = None
             self.sim.after(self.rng.uniform(100, 15_000), self._led)
         elif kind == "limits":
-            self.limits = Limits(self.rng.choice((1, 2, 3)), self.rng.choice((1, 2)), self.rng.choice((0.34, 0.5)),
-                                 self.limits.by_zone, self.limits.overdue_holds, 8000.0, 4000.0, 120_000.0)
+            self.limits = Limits(
+                self.rng.choice((1, 2, 3)),
+                self.rng.choice((1, 2)),
+                self.rng.choice((0.34, 0.5)),
+                self.limits.by_zone,
+                self.limits.overdue_holds,
+                8000.0,
+                4000.0,
+                120_000.0,
+            )
             self._apply(SetLimits(self.limits))
         elif kind == "never back":
             place.never_back = True
@@ -335,8 +388,10 @@
                 break
             self.sim.run(self.sim.now + 10_000.0)
         else:
-            raise BrokenError("not all came to an end: " + ", ".join(
-                f"{held.id} of {held.machine} is {held.state}" for held in waiting))
+            raise BrokenError(
+                "not all came to an end: "
+                + ", ".join(f"{held.id} of {held.machine} is {held.state}" for held in waiting)
+            )
         self._apply(Tick())
         ended = {held.id for held in self.book.requests.values()}
         lost = set(self._asked) - ended
--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -48,11 +48,22 @@
             return list(addresses)
 
         self._slots = [f"counter-{slot}" for slot in range(slots)]
-        self.shards = Shards({
-            f"counter-{slot}": CounterClient(
-                likely, name, Journal(folder / f"counter-{slot}", 1_000_000), self._answered, self._note,
-                timeout_ms=TIMEOUT_MS, waiting=100_000, map_version=slots, group=f"counter-{slot}")
-            for slot in range(slots)})
+        self.shards = Shards(
+            {
+                f"counter-{slot}": CounterClient(
+                    likely,
+                    name,
+                    Journal(folder / f"counter-{slot}", 1_000_000),
+                    self._answered,
+                    self._note,
+                    timeout_ms=TIMEOUT_MS,
+                    waiting=100_000,
+                    map_version=slots,
+                    group=f"counter-{slot}",
+                )
+                for slot in range(slots)
+            }
+        )
 
     @staticmethod
     def _note(event: str, fields: dict[str, object]) -> None:
@@ -77,8 +88,10 @@
             self.sent[name] -= 1  # it never left
         if verdict is Verdict.OK:
             if total <= self.acknowledged[name]:
-                self.breaches.append(f"{self.name} was told {total} of name {name} after {self.acknowledged[name]} of "
-                                     "its own adds were acknowledged")
+                self.breaches.append(
+                    f"{self.name} was told {total} of name {name} after {self.acknowledged[name]} of "
+                    "its own adds were acknowledged"
+                )
             self.acknowledged[name] += 1
             self.took.record_value(int((now - asked) * 1e6))
             self.answers[owner(self._slots, f"n{name:x}")].append(now)
@@ -87,11 +100,14 @@
 class Promises:
     """Several doors that ask, at an even rate."""
 
-    def __init__(self, folder: Path, addresses: Sequence[Address], slots: int, askers: int = 4, names: int = 40,
-                 seed: int = 1) -> None:
+    def __init__(
+        self, folder: Path, addresses: Sequence[Address], slots: int, askers: int = 4, names: int = 40, seed: int = 1
+    ) -> None:
         self._names = names
-        self.askers = [Asker(f"asker-{number}", folder / f"asker-{number}", addresses, slots,
-                             random.Random(f"{seed} {number}")) for number in range(askers)]
+        self.askers = [
+            Asker(f"asker-{number}", folder / f"asker-{number}", addresses, slots, random.Random(f"{seed} {number}"))
+            for number in range(askers)
+        ]
         self._asking: asyncio.Task[None] | None = None
 
     def start(self, per_s: float) -> None:
@@ -153,9 +169,12 @@
         for asker in self.askers:
             verdicts.update(asker.verdicts)
             took.add(asker.took)
-        return {"verdicts": dict(verdicts), "p50_ms": took.get_value_at_percentile(50) / 1000,
-                "p99_ms": took.get_value_at_percentile(99) / 1000,
-                "longest_without_s": round(self.without_answers_s(), 3)}
+        return {
+            "verdicts": dict(verdicts),
+            "p50_ms": took.get_value_at_percentile(50) / 1000,
+            "p99_ms": took.get_value_at_percentile(99) / 1000,
+            "longest_without_s": round(self.without_answers_s(), 3),
+        }
 
 
 def _held(found: list[Found], names: int) -> tuple[Counter[int], int]:
--- a/martenstep/lab/fleet/relay.py
+++ b/martenstep/lab/fleet/relay.py
@@ -41,7 +41,8 @@
                 return "127.0.0.1", port
             try:
                 self._transport, _ = await loop.create_datagram_endpoint(
-                    lambda: Datagrams(self._arrived), local_addr=("127.0.0.1", port))
+                    lambda: Datagrams(self._arrived), local_addr=("127.0.0.1", port)
+                )
             except OSError:
                 server.close()
                 continue
@@ -71,8 +72,9 @@
         try:
             await self._held(self._source, self._sink)  # nothing of a connection's begin passes a cut either
             there, back = await asyncio.open_connection(*self._to)
-            await asyncio.gather(self._pump(reader, back, self._source, self._sink),
-                                 self._pump(there, writer, self._sink, self._source))
+            await asyncio.gather(
+                self._pump(reader, back, self._source, self._sink), self._pump(there, writer, self._sink, self._source)
+            )
         except OSError:
             pass
         finally:
--- a/martenstep/lab/fleet/rig.py
+++ b/martenstep/lab/fleet/rig.py
@@ -80,11 +80,17 @@
         return self.folder / "disk-faults.json"
 
 
-def door_settings(schedule: pb.Schedule, place: Place, number: int, seeds: list[Address], key_file: Path,
-                  feed_port: int, record: Path) -> cfg.Door:
+def door_settings(
+    schedule: pb.Schedule, place: Place, number: int, seeds: list[Address], key_file: Path, feed_port: int, record: Path
+) -> cfg.Door:
     """The settings of one door: what a door must have, and its fleet."""
-    door = cfg.Door(name=place.member.name, instance=number, instances=max(schedule.members, number + 1),
-                    zone=place.member.zone, default_plan="open")
+    door = cfg.Door(
+        name=place.member.name,
+        instance=number,
+        instances=max(schedule.members, number + 1),
+        zone=place.member.zone,
+        default_plan="open",
+    )
     door.listener.port = door.admin.port = 0
     door.members.port = feed_port
     getattr(door, "class").add(name="read", aim_ms=1000, deadline_ms=4000)
@@ -229,8 +235,7 @@
         settings.write_text(text_format.MessageToString(door), encoding="utf-8")
         if place.log is None:
             place.log = (place.folder / "door.log").open("ab")
-        place.process = Process(place.name, ["serve", str(settings)], place.log,
-                                {FAULTS: str(place.faults)})
+        place.process = Process(place.name, ["serve", str(settings)], place.log, {FAULTS: str(place.faults)})
         place.paused = place.ended = False
         try:
             await place.process.start()
@@ -273,9 +278,12 @@
             async with asyncio.timeout(JOIN_S):
                 while True:
                     views = await asyncio.gather(*(self._view(place) for place in self._running()))
-                    if all(view is not None and view["stage"] == "joined" and sum(
-                            one["state"] == "alive" for one in view["members"]) == len(self._members)
-                            for view in views):
+                    if all(
+                        view is not None
+                        and view["stage"] == "joined"
+                        and sum(one["state"] == "alive" for one in view["members"]) == len(self._members)
+                        for view in views
+                    ):
                         return
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
@@ -284,8 +292,15 @@
     # Truths.
 
     def _truth(self, kind: str, place: Place | None = None, **fields: Any) -> None:
-        self._records.append(Truth(now_ms(), kind, place.member.name if place is not None else "",
-                                   place.name if place is not None else "", fields))
+        self._records.append(
+            Truth(
+                now_ms(),
+                kind,
+                place.member.name if place is not None else "",
+                place.name if place is not None else "",
+                fields,
+            )
+        )
 
     # Faults.
 
@@ -338,8 +353,12 @@
     def apply(self, step: Step) -> None:
         """Let a fault begin or end, now."""
         entry, what = step.entry, step.entry.what
-        self._truth("fault begins" if step.on else "fault ends", number=step.number, what=pb.Breaks.Name(what),
-                    who=list(step.who))
+        self._truth(
+            "fault begins" if step.on else "fault ends",
+            number=step.number,
+            what=pb.Breaks.Name(what),
+            who=list(step.who),
+        )
         self._wires.step(step)
         places = [self._places[name] for name in step.who]
         if what == pb.PAUSE:
@@ -455,13 +474,16 @@
         return made
 
 
-async def play_rig(schedule: pb.Schedule, seed: int, out: Path,
-                   progress: Callable[[float, str], None] = lambda part, what: None) -> tuple[list[Record], float]:
+async def play_rig(
+    schedule: pb.Schedule, seed: int, out: Path, progress: Callable[[float, str], None] = lambda part, what: None
+) -> tuple[list[Record], float]:
     """Play a schedule into a folder, whose old play is removed; gives the records and how long the fleet took to be
     ready.  Raises PlayError."""
     if schedule.members > MOST_DOORS:
-        raise PlayError(f"{schedule.name}: {schedule.members} doors are too many processes for one machine (at most "
-                        f"{MOST_DOORS}); without --sockets they are emulated")
+        raise PlayError(
+            f"{schedule.name}: {schedule.members} doors are too many processes for one machine (at most "
+            f"{MOST_DOORS}); without --sockets they are emulated"
+        )
     for entry in schedule.trouble:
         if entry.what in VIRTUAL_ONLY:
             raise PlayError(f"{schedule.name}: {pb.Breaks.Name(entry.what)} is emulated only")
--- a/martenstep/lab/fleet/schedule.py
+++ b/martenstep/lab/fleet/schedule.py
@@ -47,8 +47,11 @@
 def fitting(patterns: str, members: Iterable[Member]) -> list[str]:
     """The names that fit, by name or by zone."""
     each = [pattern.strip() for pattern in patterns.split(",")]
-    return [member.name for member in members
-            if any(fnmatchcase(member.name, one) or fnmatchcase(member.zone, one) for one in each)]
+    return [
+        member.name
+        for member in members
+        if any(fnmatchcase(member.name, one) or fnmatchcase(member.zone, one) for one in each)
+    ]
 
 
 def _check_break(check: Checker, entry: pb.Break, node: Node, schedule: pb.Schedule) -> None:
--- a/martenstep/lab/fleet/virtual.py
+++ b/martenstep/lab/fleet/virtual.py
@@ -97,8 +97,13 @@
         schedule = self.schedule
         number = schedule.members if schedule.heartbeats else schedule.seeds
         seeds = tuple(self.places[member.name].address for member in self.members[:number])
-        return Settings("emulated", seeds, period_ms=schedule.period_ms, reclaim_ms=schedule.reclaim_ms,
-                        suspect_least_ms=schedule.suspect_least_ms)
+        return Settings(
+            "emulated",
+            seeds,
+            period_ms=schedule.period_ms,
+            reclaim_ms=schedule.reclaim_ms,
+            suspect_least_ms=schedule.suspect_least_ms,
+        )
 
     def start(self, place: Place) -> None:
         """Its process begins."""
@@ -106,10 +111,19 @@
         starts = place.disk.starts + 1
         if not place.disk_broken:  # else this start is not kept, and the next begins as low
             place.disk.starts = starts
-        me = Fact(place.member.name, 0, place.disk.identity, starts, State.ALIVE,
-                  self.rng.getrandbits(62), *place.address, place.member.zone)
-        place.core = self._make(self.settings(), me, self._keys, random.Random(self.rng.getrandbits(62)),
-                                self.sim.now + place.offset)
+        me = Fact(
+            place.member.name,
+            0,
+            place.disk.identity,
+            starts,
+            State.ALIVE,
+            self.rng.getrandbits(62),
+            *place.address,
+            place.member.zone,
+        )
+        place.core = self._make(
+            self.settings(), me, self._keys, random.Random(self.rng.getrandbits(62)), self.sim.now + place.offset
+        )
         place.paused = False
         place.inbox.clear()
         self._at[place.address] = place
@@ -260,8 +274,12 @@
 
     def _step(self, step: Step) -> None:
         entry, what = step.entry, step.entry.what
-        self._truth("fault begins" if step.on else "fault ends", number=step.number,
-                    what=pb.Breaks.Name(what), who=list(step.who))
+        self._truth(
+            "fault begins" if step.on else "fault ends",
+            number=step.number,
+            what=pb.Breaks.Name(what),
+            who=list(step.who),
+        )
         self.wires.step(step)
         places = [self.places[name] for name in step.who]
         if what == pb.PAUSE:
@@ -352,8 +370,10 @@
 
     def _all_in(self) -> bool:
         number = len(self.members)
-        return all(place.core is not None and place.core.stage is Stage.JOINED and place.core.table.present == number
-                   for place in self.places.values())
+        return all(
+            place.core is not None and place.core.stage is Stage.JOINED and place.core.table.present == number
+            for place in self.places.values()
+        )
 
     def _sample(self, until: float) -> None:
         """Whether all views agree with what is: told when that changes."""
@@ -366,8 +386,9 @@
 
     def _agree(self) -> bool:
         """All running members that are not refused hold each other alive, and nobody else."""
-        members = [place.core for place in self.places.values()
-                   if place.core is not None and place.core.stage is Stage.JOINED]
+        members = [
+            place.core for place in self.places.values() if place.core is not None and place.core.stage is Stage.JOINED
+        ]
         running = frozenset((core.me.name, core.me.life) for core in members)
         for core in members:
             version, present = self._present.get(core.me.life, (-1, frozenset()))
@@ -383,5 +404,12 @@
             core = place.core
             if core is not None:
                 held = [Held(fact.name, fact.state.name.lower(), fact.life, fact.says) for fact in core.table]
-                self.records.append(View(self.sim.now, place.name, core.stage.value, sorted(
-                    held, key=lambda one: one.name), dict(core.counts)))
+                self.records.append(
+                    View(
+                        self.sim.now,
+                        place.name,
+                        core.stage.value,
+                        sorted(held, key=lambda one: one.name),
+                        dict(core.counts),
+                    )
+                )
--- a/martenstep/lab/fleet/wires.py
+++ b/martenstep/lab/fleet/wires.py
@@ -61,8 +61,9 @@
             return []
         known = self._known.get((source, sink))
         if known is None:
-            known = self._known[source, sink] = [effect.entry for effect in self.effects.values()
-                                                 if (source, sink) in effect.pairs]
+            known = self._known[source, sink] = [
+                effect.entry for effect in self.effects.values() if (source, sink) in effect.pairs
+            ]
         return known
 
     def is_cut(self, source: str, sink: str) -> bool:
@@ -99,25 +100,34 @@
             if what == pb.LOSS:
                 copies = [copy for copy in copies if rng.random() >= entry.share]
             elif what == pb.DELAY:
-                copies = [Arrival(copy.after_ms + entry.ms + rng.uniform(0, entry.jitter_ms), copy.data)
-                          for copy in copies]
+                copies = [
+                    Arrival(copy.after_ms + entry.ms + rng.uniform(0, entry.jitter_ms), copy.data) for copy in copies
+                ]
             elif what == pb.DUPLICATE:
                 copies += [copy for copy in copies if rng.random() < entry.share]
             elif what == pb.REPLAY:
-                copies += [Arrival(copy.after_ms + rng.uniform(0, entry.ms), copy.data) for copy in copies
-                           if rng.random() < entry.share]
+                copies += [
+                    Arrival(copy.after_ms + rng.uniform(0, entry.ms), copy.data)
+                    for copy in copies
+                    if rng.random() < entry.share
+                ]
             elif what == pb.REORDER:
-                copies = [Arrival(copy.after_ms + rng.uniform(0, entry.ms), copy.data)
-                          if rng.random() < entry.share else copy for copy in copies]
+                copies = [
+                    Arrival(copy.after_ms + rng.uniform(0, entry.ms), copy.data) if rng.random() < entry.share else copy
+                    for copy in copies
+                ]
             elif what == pb.CORRUPT:
-                copies = [Arrival(copy.after_ms, spoilt(rng, copy.data)) if rng.random() < entry.share else copy
-                          for copy in copies]
+                copies = [
+                    Arrival(copy.after_ms, spoilt(rng, copy.data)) if rng.random() < entry.share else copy
+                    for copy in copies
+                ]
             elif what == pb.BANDWIDTH:
                 copies = list(self._narrow(now, (source, sink), entry.bytes_per_s, copies))
         return copies
 
-    def _narrow(self, now: float, pair: tuple[str, str], bytes_per_s: float,
-                copies: Iterable[Arrival]) -> Iterable[Arrival]:
+    def _narrow(
+        self, now: float, pair: tuple[str, str], bytes_per_s: float, copies: Iterable[Arrival]
+    ) -> Iterable[Arrival]:
         for copy in copies:
             free = max(self._free_at.get(pair, now), now)
             if free - now > MOST_QUEUE_MS:
--- a/martenstep/lab/held.py
+++ b/martenstep/lab/held.py
@@ -71,8 +71,13 @@
 def recorded_tries(out: Path) -> list[tuple[str, str, float]]:
     """Request, customer and units of each try that the doors' counter recorded, from the furthest copy of each slot.
     Raises LockedError where a door still runs, OSError."""
-    found = [one for folder in sorted((out / FOLDER).glob("door-*/copies")) if (folder / GROUPS).exists()
-             for one in read_folder(folder) if one.group.startswith("counter-")]
+    found = [
+        one
+        for folder in sorted((out / FOLDER).glob("door-*/copies"))
+        if (folder / GROUPS).exists()
+        for one in read_folder(folder)
+        if one.group.startswith("counter-")
+    ]
     return [told for one in furthest(found).values() for told in _tries(one)]
 
 
--- a/martenstep/lab/load.py
+++ b/martenstep/lab/load.py
@@ -72,8 +72,10 @@
 def bounded(rate: float, seconds: float) -> None:
     """Raises LoadError for load without a sensible end."""
     if not 0 < rate <= MOST_RATE or not 0 < seconds <= MOST_S or rate * seconds > MOST_REQUESTS:
-        raise LoadError(f"{rate:g} a second for {seconds:g} s: at most {MOST_RATE:g} a second, {MOST_S:g} s and "
-                        f"{MOST_REQUESTS} requests in all")
+        raise LoadError(
+            f"{rate:g} a second for {seconds:g} s: at most {MOST_RATE:g} a second, {MOST_S:g} s and "
+            f"{MOST_REQUESTS} requests in all"
+        )
 
 
 class _Wire:
@@ -173,8 +175,9 @@
     bounded(rate, seconds)
     result = Result(rate)
     with ProcessPoolExecutor(processes, get_context("spawn")) as pool:
-        made = [pool.submit(_process, aim, rate / processes, seconds, seed * 1000 + number)
-                for number in range(processes)]
+        made = [
+            pool.submit(_process, aim, rate / processes, seconds, seed * 1000 + number) for number in range(processes)
+        ]
         for one in made:
             answers, times, late = one.result()
             result.answers += answers
@@ -183,8 +186,9 @@
     return result
 
 
-def highest(run: Callable[[float], Result], least: float, most: float, p99_ms: float, failures: float,
-            steps: int) -> list[tuple[float, bool, Result]]:
+def highest(
+    run: Callable[[float], Result], least: float, most: float, p99_ms: float, failures: float, steps: int
+) -> list[tuple[float, bool, Result]]:
     """Steps to the highest rate that keeps p99 and the share of failures within bounds: doubling from the least while
     it holds, then halving the gap.  Gives every step, and whether it held."""
     made: list[tuple[float, bool, Result]] = []
--- a/martenstep/lab/play.py
+++ b/martenstep/lab/play.py
@@ -60,9 +60,16 @@
     async def start(self) -> dict[str, int]:
         """Start it and wait for its ready line; raises PlayError."""
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "martenstep", *self._words, stdin=asyncio.subprocess.DEVNULL,
-            stdout=asyncio.subprocess.PIPE, stderr=self._log, env=self._environment,
-            start_new_session=True)
+            sys.executable,
+            "-m",
+            "martenstep",
+            *self._words,
+            stdin=asyncio.subprocess.DEVNULL,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=self._log,
+            env=self._environment,
+            start_new_session=True,
+        )
         assert self._process.stdout is not None
         try:
             line = await asyncio.wait_for(self._process.stdout.readline(), READY_S)
@@ -132,8 +139,9 @@
     pb.SERVER_RESETS: _share("servers", "resets"),
     pb.SERVER_CUTS: _share("servers", "cuts"),
     pb.ANSWERS_LOST: _share("servers", "lost"),
-    pb.SERVER_CLASS_FAILS: Steered("servers", "class_fails", lambda event: {"class": getattr(event, "class")},
-                                   {"class": ""}),
+    pb.SERVER_CLASS_FAILS: Steered(
+        "servers", "class_fails", lambda event: {"class": getattr(event, "class")}, {"class": ""}
+    ),
     pb.AUTH_SLOW: _amount("auth", "delay", "ms", 0.0),
     pb.AUTH_SILENT: _switch("auth", "silent"),
     pb.AUTH_DOWN: _switch("auth", "down"),
@@ -172,14 +180,23 @@
         held = day.HasField("held_by_doors")
         self._held = HeldFleet(day, out, held_ports(3)) if held else None
         self._redis = self._store() if not held else None
-        self._feed = self._process("feed", ["standin", "feed", "--lag-ms", str(fleet.feed_lag_ms),
-                                            "--trace", str(out / "feed.jsonl")])
+        self._feed = self._process(
+            "feed", ["standin", "feed", "--lag-ms", str(fleet.feed_lag_ms), "--trace", str(out / "feed.jsonl")]
+        )
         self._auth: dict[int, Process] = {}
         if day.HasField("auth_services"):
             for number in range(day.auth_services.number):
-                self._auth[number] = self._process(f"auth-{number}", [
-                    "standin", "auth", "--max-age-s", str(day.auth_services.max_age_s),
-                    "--trace", str(out / f"auth-{number}.jsonl")])
+                self._auth[number] = self._process(
+                    f"auth-{number}",
+                    [
+                        "standin",
+                        "auth",
+                        "--max-age-s",
+                        str(day.auth_services.max_age_s),
+                        "--trace",
+                        str(out / f"auth-{number}.jsonl"),
+                    ],
+                )
         self._clients: Process | None = None
         self._started = [0.0] * fleet.servers  # of each server, in the feed's terms
         self._tasks: list[asyncio.Task[None]] = []
@@ -188,13 +205,17 @@
         """Redis's stand-in, or the project's own counter service."""
         if not self._day.own_counter:
             kind = cfg.Store.Topology.Name(self._day.store_topology).lower()
-            return self._process("redis", ["standin", "redis", "--kind", kind,
-                                           "--trace", str(self._out / "redis.jsonl")])
+            return self._process(
+                "redis", ["standin", "redis", "--kind", kind, "--trace", str(self._out / "redis.jsonl")]
+            )
         if not self._counter_port:
             [self._counter_port] = held_ports(1)
         file = self._out / "counter.txtpb"
-        file.write_text(f'name: "counter" port: {self._counter_port} log {{ directory: "{self._out / "counter"}" '
-                        'segment_bytes: 1000000 snapshot_records: 20000 }', encoding="utf-8")
+        file.write_text(
+            f'name: "counter" port: {self._counter_port} log {{ directory: "{self._out / "counter"}" '
+            "segment_bytes: 1000000 snapshot_records: 20000 }",
+            encoding="utf-8",
+        )
         return self._process("counter", ["counter", "serve", str(file)])
 
     def _process(self, name: str, words: list[str]) -> Process:
@@ -227,8 +248,10 @@
             if not release.at_ms:
                 self._publish(number)
         self._progress(0.0, "starting")
-        await asyncio.gather(*(process.start() for process in (self._redis, self._feed) if process is not None),
-                             *(process.start() for process in self._auth.values()))
+        await asyncio.gather(
+            *(process.start() for process in (self._redis, self._feed) if process is not None),
+            *(process.start() for process in self._auth.values()),
+        )
         for number in range(self._day.fleet.servers):
             self._servers[number] = self._server(number, cold=False)
         await asyncio.gather(*(process.start() for process in self._servers.values()))
@@ -240,22 +263,40 @@
         plan = self._out / "schedule.jsonl"
         encoder = msgspec.json.Encoder()
         plan.write_bytes(b"".join(encoder.encode(planned) + b"\n" for planned in schedule(self._day)))
-        self._clients = self._process("clients", [
-            "standin", "clients", str(plan), "--manners", json.dumps(self._manners()),
-            "--trace", str(self._out / "clients.jsonl")])
+        self._clients = self._process(
+            "clients",
+            [
+                "standin",
+                "clients",
+                str(plan),
+                "--manners",
+                json.dumps(self._manners()),
+                "--trace",
+                str(self._out / "clients.jsonl"),
+            ],
+        )
         await self._clients.start()
 
     def _manners(self) -> dict[str, Any]:
         clients = self._day.clients
         safe = [entry.name for entry in getattr(self._day, "class") if entry.effect == cfg.SAFE]
-        return {"ports": self._door_ports, "retries": clients.retries, "wait_ms": clients.wait_ms,
-                "honour": clients.advice == pb.Clients.HONOUR, "advice_most_ms": clients.advice_most_ms,
-                "repeat_after_failure": safe, "seed": self._day.seed}
+        return {
+            "ports": self._door_ports,
+            "retries": clients.retries,
+            "wait_ms": clients.wait_ms,
+            "honour": clients.advice == pb.Clients.HONOUR,
+            "advice_most_ms": clients.advice_most_ms,
+            "repeat_after_failure": safe,
+            "seed": self._day.seed,
+        }
 
     def _door(self, number: int) -> Process:
-        ports = {"listener": self._door_ports[number], "admin": self._admin_ports[number],
-                 "store": self._counter_port or (self._redis.ready["port"] if self._redis is not None else 0),
-                 "feed": self._feed.ready["port"]}
+        ports = {
+            "listener": self._door_ports[number],
+            "admin": self._admin_ports[number],
+            "store": self._counter_port or (self._redis.ready["port"] if self._redis is not None else 0),
+            "feed": self._feed.ready["port"],
+        }
         if not self._counter_port and self._redis is not None:
             nodes: Any = self._redis.ready["ports"]
             ports.update({f"store-{number}": port for number, port in enumerate(nodes)})
@@ -269,11 +310,24 @@
 
     def _server(self, number: int, cold: bool) -> Process:
         settings = server_settings(self._day, number, cold, self._server_ports[number])
-        self._events.write("server", server=number + 1, zone=zone_name(number % self._day.fleet.zones),
-                           cell=number % self._day.fleet.cells, cold=cold)
-        return self._process(f"server-{number}", [
-            "standin", "photo-server", "--config", msgspec.json.encode(settings).decode(),
-            "--trace", str(self._out / f"server-{number}.jsonl")])
+        self._events.write(
+            "server",
+            server=number + 1,
+            zone=zone_name(number % self._day.fleet.zones),
+            cell=number % self._day.fleet.cells,
+            cold=cold,
+        )
+        return self._process(
+            f"server-{number}",
+            [
+                "standin",
+                "photo-server",
+                "--config",
+                msgspec.json.encode(settings).decode(),
+                "--trace",
+                str(self._out / f"server-{number}.jsonl"),
+            ],
+        )
 
     def _entry(self, number: int, state: str) -> dict[str, object]:
         return entry_of(self._day, number, self._server_ports[number], state, self._started[number])
@@ -467,8 +521,10 @@
                 path.unlink()
     out.mkdir(parents=True, exist_ok=True)
     if day.fleet.doors > MOST_DOORS or day.fleet.servers > MOST_SERVERS:
-        raise PlayError(f"{day.name}: {day.fleet.doors} doors and {day.fleet.servers} servers are too many processes "
-                        f"for one machine (at most {MOST_DOORS} and {MOST_SERVERS}); martenstep lab emulate plays it")
+        raise PlayError(
+            f"{day.name}: {day.fleet.doors} doors and {day.fleet.servers} servers are too many processes "
+            f"for one machine (at most {MOST_DOORS} and {MOST_SERVERS}); martenstep lab emulate plays it"
+        )
     if day.limiter or any(event.trouble == pb.NET_CUT for event in day.event):
         raise PlayError(f"{day.name}: limiters and cuts of the network are emulated only (martenstep lab emulate)")
     if shutil.disk_usage(out).free < 100 << 20:
--- a/martenstep/lab/report.py
+++ b/martenstep/lab/report.py
@@ -79,10 +79,17 @@
     sent = sum(bool(tried.visits) for tried in traffic.tries.values())
     attempts = len(traffic.visits)
     return {
-        "requests": len(firsts), "requests_served": sum(firsts.values()), "tries": len(traffic.tries),
-        "served": served, "served_in_aim": in_aim, "refused": dict(sorted(refused.items())),
-        "otherwise": dict(sorted(other.items())), "sent_on": sent, "attempts": attempts,
-        "p50_ms": percentile(times, 0.5), "p99_ms": percentile(times, 0.99),
+        "requests": len(firsts),
+        "requests_served": sum(firsts.values()),
+        "tries": len(traffic.tries),
+        "served": served,
+        "served_in_aim": in_aim,
+        "refused": dict(sorted(refused.items())),
+        "otherwise": dict(sorted(other.items())),
+        "sent_on": sent,
+        "attempts": attempts,
+        "p50_ms": percentile(times, 0.5),
+        "p99_ms": percentile(times, 0.99),
     }
 
 
@@ -93,15 +100,22 @@
     if missing:
         raise TraceError(f"{folder}: no {', '.join(missing)}")
     servers = [line for path in sorted(folder.glob("server-*.jsonl")) for line in read_lines(path)]
-    traffic = gather(read_lines(folder / "clients.jsonl"), servers, read_lines(folder / "feed.jsonl"),
-                     read_lines(folder / "events.jsonl"))
+    traffic = gather(
+        read_lines(folder / "clients.jsonl"),
+        servers,
+        read_lines(folder / "feed.jsonl"),
+        read_lines(folder / "events.jsonl"),
+    )
     if not traffic.tries:
         raise TraceError(f"{folder}: no request was made")
     breaches = Judge(day, traffic).all()
     if day.own_counter:
         try:
-            exported = recorded_tries(folder) if day.HasField("held_by_doors") else [
-                (told.request, told.customer, told.units) for _, told in each_try(folder / "counter")]
+            exported = (
+                recorded_tries(folder)
+                if day.HasField("held_by_doors")
+                else [(told.request, told.customer, told.units) for _, told in each_try(folder / "counter")]
+            )
         except (LogError, LockedError, OSError, ValueError) as error:
             raise TraceError(f"{folder}: {error}") from None
         breaches += recorded(traffic, exported)
@@ -118,8 +132,11 @@
     rules = {}
     for rule in names:
         found = [breach for breach in breaches if breach.rule == rule]
-        rules[rule] = {"kept": not found, "breaches": len(found),
-                       "first": [msgspec.to_builtins(breach) for breach in found[:SHOWN]]}
+        rules[rule] = {
+            "kept": not found,
+            "breaches": len(found),
+            "first": [msgspec.to_builtins(breach) for breach in found[:SHOWN]],
+        }
     return {"day": day.name, "kept": not breaches, "figures": figures(day, traffic), "rules": rules}
 
 
@@ -146,11 +163,14 @@
     refused = ", ".join(f"{reason} {number}" for reason, number in told["refused"].items()) or "none"
     otherwise = ", ".join(f"{what} {number}" for what, number in told["otherwise"].items()) or "none"
     rows = [
-        ("day", result["day"]), ("requests", f"{told['requests']} in {told['tries']} tries"),
+        ("day", result["day"]),
+        ("requests", f"{told['requests']} in {told['tries']} tries"),
         ("requests served", f"{told['requests_served']}"),
         ("tries served", f"{told['served']}, in their aim {told['served_in_aim']}"),
-        ("refused", refused), ("otherwise", otherwise),
-        ("sent on", f"{told['sent_on']} in {told['attempts']} attempts"), ("p50, p99", f"{p50}, {p99}"),
+        ("refused", refused),
+        ("otherwise", otherwise),
+        ("sent on", f"{told['sent_on']} in {told['attempts']} attempts"),
+        ("p50, p99", f"{p50}, {p99}"),
     ]
     for rule, found in result["rules"].items():
         rows.append((f"rule: {rule}", "kept" if found["kept"] else f"BROKEN {found['breaches']} times"))
--- a/martenstep/lab/rules.py
+++ b/martenstep/lab/rules.py
@@ -120,8 +120,16 @@
     for line in clients:
         what = line["what"]
         if what == "try":
-            traffic.tries[line["rid"]] = Try(line["rid"], line["door"], line["customer"], line["cls"], line["units"],
-                                             line["t"], line["deadline_ms"], line.get("bad", False))
+            traffic.tries[line["rid"]] = Try(
+                line["rid"],
+                line["door"],
+                line["customer"],
+                line["cls"],
+                line["units"],
+                line["t"],
+                line["deadline_ms"],
+                line.get("bad", False),
+            )
         elif what in FINAL and line["rid"] in traffic.tries:
             traffic.tries[line["rid"]].ends.append(line)
     open_visits: dict[tuple[str, int, int], Visit] = {}
@@ -133,8 +141,15 @@
             continue
         where = line["rid"], line["attempt"], line["server"]
         if what == "arrive":
-            visit = Visit(line["rid"], line["attempt"], line["server"], line["door"], line["key"], line["t"],
-                          line.get("customer", ""))
+            visit = Visit(
+                line["rid"],
+                line["attempt"],
+                line["server"],
+                line["door"],
+                line["key"],
+                line["t"],
+                line.get("customer", ""),
+            )
             open_visits[where] = visit
             traffic.visits.append(visit)
             if line["rid"] in traffic.tries:
@@ -166,8 +181,9 @@
                 if line["on"]:
                     traffic.cuts.append(Cut(source, sink, line["t"]))
                 else:
-                    next(cut for cut in traffic.cuts if (cut.source, cut.sink, cut.to) == (source, sink, math.inf)
-                         ).to = line["t"]
+                    next(
+                        cut for cut in traffic.cuts if (cut.source, cut.sink, cut.to) == (source, sink, math.inf)
+                    ).to = line["t"]
         elif line["what"] == "server":
             traffic.zones[line["server"]], traffic.cells[line["server"]] = line["zone"], line["cell"]
     for door, at in killed.items():
@@ -186,15 +202,23 @@
         if tried is None:
             yield Breach(RECORDED, "recorded, and no client made it", request)
         elif (tried.customer, tried.units) != (customer, units):
-            yield Breach(RECORDED, f"recorded for {customer} with {units:g} units, made by {tried.customer} with "
-                                   f"{tried.units:g}", request)
+            yield Breach(
+                RECORDED,
+                f"recorded for {customer} with {units:g} units, made by {tried.customer} with {tried.units:g}",
+                request,
+            )
     for request, count in seen.items():
         if count > 1:
             yield Breach(RECORDED, f"recorded {count} times", request)
     for tried in traffic.tries.values():
         if tried.visits and not seen[tried.rid] and not _lost_with_its_door(traffic, tried):
-            yield Breach(RECORDED, "reached a server, and is not recorded", tried.rid, (tried.visits[0].server,),
-                         (tried.visits[0].at,))
+            yield Breach(
+                RECORDED,
+                "reached a server, and is not recorded",
+                tried.rid,
+                (tried.visits[0].server,),
+                (tried.visits[0].at,),
+            )
 
 
 def _lost_with_its_door(traffic: Traffic, tried: Try) -> bool:
@@ -225,8 +249,11 @@
             sums, ends[where] = at_node[where], line["until"]
             sums[line["door"]] = line["sum"]
             if trusted and abs(sum(sums.values()) - line["total"]) > 1e-6:
-                yield Breach(COUNTED, f"{line['key']} holds {line['total']:g}, and its doors stated "
-                                      f"{sum(sums.values()):g}", times=(line["t"],))
+                yield Breach(
+                    COUNTED,
+                    f"{line['key']} holds {line['total']:g}, and its doors stated {sum(sums.values()):g}",
+                    times=(line["t"],),
+                )
             known = newest.get((line["key"], line["door"]))
             if known is None or line["version"] >= known[0]:
                 newest[line["key"], line["door"]] = line["version"], line["sum"], line["until"], line["t"]
@@ -256,12 +283,24 @@
     for tried in traffic.tries.values():
         for visit in tried.visits:
             if visit.customer != tried.customer:
-                yield Breach(CHECKED, f"sent on as {visit.customer!r}, made by {tried.customer!r}", tried.rid,
-                             (visit.server,), (visit.at,))
-            elif tried.bad or not any(at <= visit.at + slack and visit.at <= at + keep + tried.deadline_ms + slack
-                                      for at, keep in given[tried.customer]):
-                yield Breach(CHECKED, "reached a server without a positive verdict on its credential", tried.rid,
-                             (visit.server,), (visit.at,))
+                yield Breach(
+                    CHECKED,
+                    f"sent on as {visit.customer!r}, made by {tried.customer!r}",
+                    tried.rid,
+                    (visit.server,),
+                    (visit.at,),
+                )
+            elif tried.bad or not any(
+                at <= visit.at + slack and visit.at <= at + keep + tried.deadline_ms + slack
+                for at, keep in given[tried.customer]
+            ):
+                yield Breach(
+                    CHECKED,
+                    "reached a server without a positive verdict on its credential",
+                    tried.rid,
+                    (visit.server,),
+                    (visit.at,),
+                )
 
 
 class Judge:
@@ -283,8 +322,9 @@
         traffic = self._traffic
         if any(tried.at <= to and since <= until for since, to in traffic.down[tried.door]):
             return True
-        return not tried.visits and any(since - self._slack <= tried.at <= to
-                                        for since, to in traffic.rolled[tried.door])
+        return not tried.visits and any(
+            since - self._slack <= tried.at <= to for since, to in traffic.rolled[tried.door]
+        )
 
     def answered(self) -> Iterable[Breach]:
         """One final answer for each try, in time, and nothing sent for it afterwards."""
@@ -302,13 +342,20 @@
                 yield Breach(ANSWERED, f"no final answer (the client saw: {how})", tried.rid, times=(tried.at,))
             if answers and answers[0]["t"] > deadline + late_by and not partly:
                 over = answers[0]["t"] - deadline
-                yield Breach(ANSWERED, f"answered {over:.1f} ms after the deadline", tried.rid,
-                             times=(deadline, answers[0]["t"]))
+                yield Breach(
+                    ANSWERED, f"answered {over:.1f} ms after the deadline", tried.rid, times=(deadline, answers[0]["t"])
+                )
             over_at = min([end["t"] for end in tried.ends if end["what"] != "unreached"] + [deadline])
             for visit in tried.visits:
                 if visit.at > over_at + self._slack:
-                    yield Breach(ANSWERED, f"attempt {visit.attempt} reached a server {visit.at - over_at:.1f} ms "
-                                 "after the request was over", tried.rid, (visit.server,), (over_at, visit.at))
+                    yield Breach(
+                        ANSWERED,
+                        f"attempt {visit.attempt} reached a server {visit.at - over_at:.1f} ms "
+                        "after the request was over",
+                        tried.rid,
+                        (visit.server,),
+                        (over_at, visit.at),
+                    )
 
     def _same_group(self, cls: cfg.RequestClass, one: int, other: int) -> bool:
         group = GROUPS[cls.group]
@@ -319,11 +366,18 @@
 
     def _cuts_of(self, visit: Visit) -> Iterable[Cut]:
         """Cuts between a visit's door and its server."""
-        places = ((visit.door, zone_name(int(visit.door.rpartition("-")[2]) % self._day.fleet.zones)),
-                  (f"server-{visit.server}", self._traffic.zones.get(visit.server, "")))
-        return (cut for cut in self._traffic.cuts
-                if all(any(fnmatchcase(name, pattern) for name in names)
-                       for names, pattern in zip(places, (cut.source, cut.sink), strict=True)))
+        places = (
+            (visit.door, zone_name(int(visit.door.rpartition("-")[2]) % self._day.fleet.zones)),
+            (f"server-{visit.server}", self._traffic.zones.get(visit.server, "")),
+        )
+        return (
+            cut
+            for cut in self._traffic.cuts
+            if all(
+                any(fnmatchcase(name, pattern) for name in names)
+                for names, pattern in zip(places, (cut.source, cut.sink), strict=True)
+            )
+        )
 
     def _cut_off(self, visit: Visit, at: float) -> bool:
         """Whether nothing got from a visit's door to its server at that moment: a reset that calls it off is then lost
@@ -334,8 +388,11 @@
         """Whether a request that had come to its door before a moment may have been sent before it too, and was held
         by a cut until just now."""
         tried = self._traffic.tries.get(visit.rid)
-        return tried is not None and tried.at <= before and any(
-            cut.since <= before and visit.at <= cut.to + HELD_MS for cut in self._cuts_of(visit))
+        return (
+            tried is not None
+            and tried.at <= before
+            and any(cut.since <= before and visit.at <= cut.to + HELD_MS for cut in self._cuts_of(visit))
+        )
 
     def double(self) -> Iterable[Breach]:
         """Never two attempts out at once; repeats only as class, group and window allow; refusals only where a
@@ -346,29 +403,57 @@
             effect = EFFECTS[cls.effect]
             for before, after in pairwise(visits):
                 if before.attempt == after.attempt:
-                    yield Breach(DOUBLE, f"attempt {after.attempt} reached two servers", tried.rid,
-                                 (before.server, after.server), (before.at, after.at))
+                    yield Breach(
+                        DOUBLE,
+                        f"attempt {after.attempt} reached two servers",
+                        tried.rid,
+                        (before.server, after.server),
+                        (before.at, after.at),
+                    )
                 elif before.end > after.at + self._slack and not self._cut_off(before, after.at):
-                    yield Breach(DOUBLE, f"attempt {after.attempt} went out while {before.attempt} was out", tried.rid,
-                                 (before.server, after.server), (before.at, after.at, before.end))
+                    yield Breach(
+                        DOUBLE,
+                        f"attempt {after.attempt} went out while {before.attempt} was out",
+                        tried.rid,
+                        (before.server, after.server),
+                        (before.at, after.at, before.end),
+                    )
             risky = [visit for visit in visits if visit.how != "refused"]
             if effect is not Effect.SAFE and len(risky) > 1:
                 first = risky[0]
                 for after in risky[1:]:
-                    allowed = (effect is Effect.KEYED and self._same_group(cls, first.server, after.server)
-                               and after.at <= first.at + cls.window_ms + self._slack)
+                    allowed = (
+                        effect is Effect.KEYED
+                        and self._same_group(cls, first.server, after.server)
+                        and after.at <= first.at + cls.window_ms + self._slack
+                    )
                     if not allowed:
-                        yield Breach(DOUBLE, f"attempt {after.attempt} of a {effect.value} class after attempt "
-                                     f"{first.attempt} that may have run", tried.rid, (first.server, after.server),
-                                     (first.at, after.at))
+                        yield Breach(
+                            DOUBLE,
+                            f"attempt {after.attempt} of a {effect.value} class after attempt "
+                            f"{first.attempt} that may have run",
+                            tried.rid,
+                            (first.server, after.server),
+                            (first.at, after.at),
+                        )
                     elif first.key != after.key or not after.key:
-                        yield Breach(DOUBLE, "a repeat without the key of the first attempt", tried.rid,
-                                     (first.server, after.server), (first.at, after.at))
+                        yield Breach(
+                            DOUBLE,
+                            "a repeat without the key of the first attempt",
+                            tried.rid,
+                            (first.server, after.server),
+                            (first.at, after.at),
+                        )
             answer = next((end for end in tried.ends if end["what"] == "answer"), None)
             harmless = effect is Effect.SAFE or (effect is Effect.KEYED and GROUPS[cls.group] is Group.ALL)
             if answer and answer["status"] in REFUSED and risky and not harmless:
-                yield Breach(DOUBLE, f"refused with {answer['status']} though attempt {risky[0].attempt} may have run",
-                             tried.rid, (risky[0].server,), (risky[0].at, answer["t"]))
+                yield Breach(
+                    DOUBLE,
+                    f"refused with {answer['status']} though attempt {risky[0].attempt} may have run",
+                    tried.rid,
+                    (risky[0].server,),
+                    (risky[0].at, answer["t"]),
+                )
 
     @cached_property
     def _told(self) -> dict[str, list[tuple[float, int, str, float]]]:
@@ -402,8 +487,13 @@
                 elif since is None:
                     since = at
             if since is not None and visit.at > since + grace and not self._held(visit, since + grace):
-                yield Breach(DRAINS, f"{visit.door} sent to a server {visit.at - since:.0f} ms after it was told that "
-                             "it drains", visit.rid, (visit.server,), (since, visit.at))
+                yield Breach(
+                    DRAINS,
+                    f"{visit.door} sent to a server {visit.at - since:.0f} ms after it was told that it drains",
+                    visit.rid,
+                    (visit.server,),
+                    (since, visit.at),
+                )
 
     def cold(self) -> Iterable[Breach]:
         """No cold server pushed over by doors that had been told of its start."""
@@ -411,12 +501,22 @@
         for line in self._traffic.fell:
             at, server = line["t"], line["server"]
             work = [visit for visit in self._traffic.visits if visit.server == server and at - window <= visit.at <= at]
-            knew = [visit for visit in work
-                    if any(t <= visit.at and which == server and state == "up" and started > 0
-                           for t, which, state, started in self._told[visit.door])]
+            knew = [
+                visit
+                for visit in work
+                if any(
+                    t <= visit.at and which == server and state == "up" and started > 0
+                    for t, which, state, started in self._told[visit.door]
+                )
+            ]
             if work and len(knew) >= TOLD_SHARE * len(work):
-                yield Breach(COLD, f"a cold server fell over: {len(work)} requests in its last window, {len(knew)} of "
-                             "them from doors that knew it as new", servers=(server,), times=(at,))
+                yield Breach(
+                    COLD,
+                    f"a cold server fell over: {len(work)} requests in its last window, {len(knew)} of "
+                    "them from doors that knew it as new",
+                    servers=(server,),
+                    times=(at,),
+                )
 
     def ceilings(self) -> Iterable[Breach]:
         """What all doors together sent on first for a customer stays within its ceiling and the slack."""
@@ -443,9 +543,13 @@
                 clocks = plan.ceiling_rate * self._slack / 1000
                 beyond = -held - plan.ceiling_slack - clocks
                 if beyond > 0:
-                    yield Breach(CEILINGS, f"{customer} is {-held:.2f} units below its ceiling's store: slack "
-                                 f"{plan.ceiling_slack:g}, {clocks:.2f} for the clocks, {beyond:.2f} beyond both",
-                                 rid, times=(at,))
+                    yield Breach(
+                        CEILINGS,
+                        f"{customer} is {-held:.2f} units below its ceiling's store: slack "
+                        f"{plan.ceiling_slack:g}, {clocks:.2f} for the clocks, {beyond:.2f} beyond both",
+                        rid,
+                        times=(at,),
+                    )
                     break
 
     def invented(self) -> Iterable[Breach]:
@@ -453,5 +557,10 @@
         for visit in self._traffic.visits:
             if visit.rid not in self._traffic.tries:
                 whose = visit.customer or "nobody"
-                yield Breach(INVENTED, f"{visit.door} sent a request of {whose} that no client made", visit.rid,
-                             (visit.server,), (visit.at,))
+                yield Breach(
+                    INVENTED,
+                    f"{visit.door} sent a request of {whose} that no client made",
+                    visit.rid,
+                    (visit.server,),
+                    (visit.at,),
+                )
--- a/martenstep/lab/soak/clients.py
+++ b/martenstep/lab/soak/clients.py
@@ -57,8 +57,9 @@
         """Requests at random, so many a second."""
         while time.monotonic() < until:
             await asyncio.sleep(self._rng.expovariate(rate))
-            kind = self._rng.choices((self._usual, self._leaves, self._stops, self._pipelines),
-                                     (0.85, 0.08, 0.02, 0.05))[0]
+            kind = self._rng.choices(
+                (self._usual, self._leaves, self._stops, self._pipelines), (0.85, 0.08, 0.02, 0.05)
+            )[0]
             task = asyncio.create_task(kind())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -80,17 +81,32 @@
         # A few customers press against their ceilings through all gateways.
         customer = self._rng.randrange(HOT) if self._rng.random() < HOT_SHARE else self._rng.randrange(HOT, CUSTOMERS)
         plan = "small" if customer % 2 == 0 else "free"
-        lines = [f"{method} /{name}/{customer:016x} HTTP/1.1", f"Host: {self.target.name}",
-                 f"X-Trace-Id: {request_id}", f"X-Qos: {name}", f"X-Plan: {plan}",
-                 f"X-Expires-In-Ms: {left_ms}", f"X-Quota: units=1,spread={self._spread},first=0"]
+        lines = [
+            f"{method} /{name}/{customer:016x} HTTP/1.1",
+            f"Host: {self.target.name}",
+            f"X-Trace-Id: {request_id}",
+            f"X-Qos: {name}",
+            f"X-Plan: {plan}",
+            f"X-Expires-In-Ms: {left_ms}",
+            f"X-Quota: units=1,spread={self._spread},first=0",
+        ]
         if effect == "keyed":
             lines.append(f"Idempotency-Key: key-{request_id}")
         body = b"x" * self._rng.choice((0, 100, 5000)) if method == "POST" else b""
         if method == "POST":
             lines.append(f"Content-Length: {len(body)}")
         data = "\r\n".join([*lines, "", ""]).encode() + body
-        return request_id, data, SentRequest(self.target.name, time.monotonic() + left_ms / 1000, effect, WINDOW_S,
-                                             str(customer) if plan == "small" else "")
+        return (
+            request_id,
+            data,
+            SentRequest(
+                self.target.name,
+                time.monotonic() + left_ms / 1000,
+                effect,
+                WINDOW_S,
+                str(customer) if plan == "small" else "",
+            ),
+        )
 
     async def _connect(self) -> Connection | None:
         if not self.target.accepts:
@@ -124,7 +140,7 @@
             pause_s = self._rng.uniform(0.01, 0.3)
             await asyncio.sleep(pause_s)
             request.deadline += pause_s  # counted from its last byte
-            connection.writer.write(data[len(data) // 2:])
+            connection.writer.write(data[len(data) // 2 :])
         else:
             connection.writer.write(data)
         self._oracle.sent(request_id, request)
@@ -223,13 +239,13 @@
                 if self.target.lives != connection.life:
                     request.excused = "gateway killed"
                 self._oracle.unanswered(request_id, time.monotonic(), f"pipelined, place {place}: {error!r}")
-                for later, _, other in made[place + 1:]:
+                for later, _, other in made[place + 1 :]:
                     other.excused = "behind one without an answer"
                     self._oracle.unanswered(later, time.monotonic(), "pipelined")
                 break
             self._oracle.answered(request_id, time.monotonic(), status, body)
             if closes:
-                for later, _, other in made[place + 1:]:
+                for later, _, other in made[place + 1 :]:
                     other.excused = "" if other.attempts else "the connection was said to end"
                     self._oracle.unanswered(later, time.monotonic(), "forwarded behind an end")
                 break
--- a/martenstep/lab/soak/oracle.py
+++ b/martenstep/lab/soak/oracle.py
@@ -130,8 +130,12 @@
         request = self.requests[request_id]
         self.counts[f"status {status}"] += 1
         if at > request.deadline + LATE_ANSWER_S and request.excused != STOPPED:
-            self.broken(Rule.LOST, at, request.gateway,
-                        f"{request_id}: {status} {at - request.deadline:.3f} s after its deadline")
+            self.broken(
+                Rule.LOST,
+                at,
+                request.gateway,
+                f"{request_id}: {status} {at - request.deadline:.3f} s after its deadline",
+            )
         if status == 200 and body != request_id:
             self.broken(Rule.WRONG_ANSWER, at, request.gateway, f"{request_id}: answered with {body[:40]!r}")
         if status in (429, 503) and request.runs and request.effect == "unsafe":
@@ -155,11 +159,16 @@
             return
         self.counts["attempts"] += 1
         if request.closed_at is not None and begun > request.closed_at + AFTER_CLOSE_S:
-            self.broken(Rule.AFTER_CLOSE, at, gateway,
-                        f"{request_id}: {begun - request.closed_at:.3f} s after its client's close")
+            self.broken(
+                Rule.AFTER_CLOSE,
+                at,
+                gateway,
+                f"{request_id}: {begun - request.closed_at:.3f} s after its client's close",
+            )
         if expires_s > request.deadline - begun + HELD_UP_S:
-            self.broken(Rule.EXPIRY, at, gateway,
-                        f"{request_id}: told {expires_s:.3f} s, left {request.deadline - begun:.3f} s")
+            self.broken(
+                Rule.EXPIRY, at, gateway, f"{request_id}: told {expires_s:.3f} s, left {request.deadline - begun:.3f} s"
+            )
         told = self._told_to_drain.get((gateway, backend), math.inf)
         if begun > told + self._drain_grace_s + RULE_SLACK_S:
             self.broken(Rule.DRAIN, at, gateway, f"{request_id} to {backend}: {begun - told:.3f} s after it was told")
--- a/martenstep/lab/soak/parties.py
+++ b/martenstep/lab/soak/parties.py
@@ -115,8 +115,14 @@
             await reader.readexactly(int(headers.get("content-length", "0")))
             await self._answer(words, headers, begun, reader, writer)
 
-    async def _answer(self, words: list[str], headers: Headers, begun: float, reader: asyncio.StreamReader,
-                      writer: asyncio.StreamWriter) -> None:
+    async def _answer(
+        self,
+        words: list[str],
+        headers: Headers,
+        begun: float,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
         request_id, gateway = headers.get("x-trace-id", ""), headers.get("host", "")
         expires_s = float(headers.get("x-expires-in-ms", "0")) / 1000
         mode = self.mode
@@ -176,8 +182,15 @@
         """A backend's entry is new, or another."""
         self.revision += 1
         self.entries[backend.name] = {
-            "uid": backend.name, "endpoint": f"127.0.0.1:{backend.port}", "az": "north", "model": "m", "pod_group": 0,
-            "state": backend.state, "capacity_hint": 1.0, "boot_ms": backend.boot_ms}
+            "uid": backend.name,
+            "endpoint": f"127.0.0.1:{backend.port}",
+            "az": "north",
+            "model": "m",
+            "pod_group": 0,
+            "state": backend.state,
+            "capacity_hint": 1.0,
+            "boot_ms": backend.boot_ms,
+        }
         self.changes.append((self.revision, backend.name))
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
@@ -222,7 +235,7 @@
                 if self._rng.random() < 0.3:
                     return
                 await asyncio.sleep(0.02)
-                out = out[len(out) // 2:]
+                out = out[len(out) // 2 :]
             writer.write(out)
 
     def ended(self, writer: asyncio.StreamWriter) -> None:
--- a/martenstep/lab/soak/run.py
+++ b/martenstep/lab/soak/run.py
@@ -42,24 +42,50 @@
 CEILING = Ceiling(units_per_s=5.0, depth=14.0, slack=3.0)
 QUIET_EVENTS = ("fault",)  # log events that a gateway must never write
 SETTINGS: dict[str, Any] = {
-    "zone": "north", "tick_ms": 2.0,
+    "zone": "north",
+    "tick_ms": 2.0,
     "classes": [
         {"name": "read", "slo_ms": 600.0, "deadline_ms": DEADLINE_MS, "idempotency": "idempotent"},
-        {"name": "book", "slo_ms": 600.0, "deadline_ms": DEADLINE_MS, "idempotency": "deduplicated", "group": "all",
-         "window_ms": WINDOW_S * 1000},
+        {
+            "name": "book",
+            "slo_ms": 600.0,
+            "deadline_ms": DEADLINE_MS,
+            "idempotency": "deduplicated",
+            "group": "all",
+            "window_ms": WINDOW_S * 1000,
+        },
         {"name": "pay", "slo_ms": 600.0, "deadline_ms": DEADLINE_MS, "idempotency": "at_most_once"},
     ],
     "contracts": [
-        {"name": "small", "units_per_s": 3.0, "most_at_once": 12.0, "beyond_costs": 0.5,
-         "hard_rate": CEILING.units_per_s, "cap_depth": CEILING.depth, "tolerance": CEILING.slack},
+        {
+            "name": "small",
+            "units_per_s": 3.0,
+            "most_at_once": 12.0,
+            "beyond_costs": 0.5,
+            "hard_rate": CEILING.units_per_s,
+            "cap_depth": CEILING.depth,
+            "tolerance": CEILING.slack,
+        },
         {"name": "free"},
     ],
     "family_info": {"has_counter": True, "counter_timeout_ms": 40.0, "max_units": 3},
-    "policy_limits": {"try_limit": 3, "cancelling": True, "conn_idle_ms": 1500.0, "dial_timeout_ms": 200.0,
-                      "max_open": 500, "retry_after": True, "max_retry_after_ms": 700.0},
-    "rules": {"answer_slack_ms": 10.0, "cold_from": SLOW_START.cold_from, "drain_grace_ms": DRAIN_GRACE_S * 1000,
-              "warm_within_ms": SLOW_START.warm_within_s * 1000, "fall_multiple": SLOW_START.multiple,
-              "overload_for_ms": SLOW_START.window_s * 1000},
+    "policy_limits": {
+        "try_limit": 3,
+        "cancelling": True,
+        "conn_idle_ms": 1500.0,
+        "dial_timeout_ms": 200.0,
+        "max_open": 500,
+        "retry_after": True,
+        "max_retry_after_ms": 700.0,
+    },
+    "rules": {
+        "answer_slack_ms": 10.0,
+        "cold_from": SLOW_START.cold_from,
+        "drain_grace_ms": DRAIN_GRACE_S * 1000,
+        "warm_within_ms": SLOW_START.warm_within_s * 1000,
+        "fall_multiple": SLOW_START.multiple,
+        "overload_for_ms": SLOW_START.window_s * 1000,
+    },
 }
 
 
@@ -88,21 +114,34 @@
         """The configuration as of now."""
         soak = self._soak
         aside = self._path.with_suffix(".new")
-        aside.write_text(json.dumps({
-            "name": self.target.name, "listen": f"127.0.0.1:{self.target.port}",
-            "discovery": f"127.0.0.1:{self.agent.port}", "counter": f"127.0.0.1:{soak.counter.port}",
-            "seed": f"{soak.rng.getrandbits(60):x}", "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 400},
-            "known": soak.known,
-            "settings": {**SETTINGS, "me": self._place, "instances": soak.count}}), encoding="utf-8")
+        aside.write_text(
+            json.dumps(
+                {
+                    "name": self.target.name,
+                    "listen": f"127.0.0.1:{self.target.port}",
+                    "discovery": f"127.0.0.1:{self.agent.port}",
+                    "counter": f"127.0.0.1:{soak.counter.port}",
+                    "seed": f"{soak.rng.getrandbits(60):x}",
+                    "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 400},
+                    "known": soak.known,
+                    "settings": {**SETTINGS, "me": self._place, "instances": soak.count},
+                }
+            ),
+            encoding="utf-8",
+        )
         os.replace(aside, self._path)
 
     async def start(self) -> None:
         """Start the process, and let clients come once it is ready."""
         self.write_config()
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "martenstep.node",
+            sys.executable,
+            "-m",
+            "martenstep.node",
             env={**os.environ, "NODE_CONFIG": str(self._path), **self.control.environment},
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+        )
         first = len(self.lines)
         self._reading = asyncio.create_task(self._read())
         until = time.monotonic() + READY_S
@@ -396,10 +435,20 @@
         self.counter.silent = False
 
     async def _fail_calls(self, gateway: Gateway) -> None:
-        call, error = self.rng.choice((
-            (Call.ACCEPT, errno.ENFILE), (Call.ACCEPT, errno.ENOBUFS), (Call.SOCKET, errno.ENFILE),
-            (Call.CONNECT, errno.EADDRNOTAVAIL), (Call.CONNECT, errno.ENETUNREACH), (Call.RECV, SHORT_COUNT),
-            (Call.SEND, SHORT_COUNT), (Call.RECV, errno.EINTR), (Call.SEND, errno.EINTR), (Call.ACCEPT, errno.EINTR)))
+        call, error = self.rng.choice(
+            (
+                (Call.ACCEPT, errno.ENFILE),
+                (Call.ACCEPT, errno.ENOBUFS),
+                (Call.SOCKET, errno.ENFILE),
+                (Call.CONNECT, errno.EADDRNOTAVAIL),
+                (Call.CONNECT, errno.ENETUNREACH),
+                (Call.RECV, SHORT_COUNT),
+                (Call.SEND, SHORT_COUNT),
+                (Call.RECV, errno.EINTR),
+                (Call.SEND, errno.EINTR),
+                (Call.ACCEPT, errno.EINTR),
+            )
+        )
         self.history.append(f"{time.monotonic() - self._began:7.3f}   {gateway.target.name} {call.name} {error}")
         gateway.control.fail(call, error, per_million=self.rng.choice((100_000, 500_000)))
         await asyncio.sleep(self.rng.uniform(0.1, 1.0))
--- a/martenstep/lab/tap.py
+++ b/martenstep/lab/tap.py
@@ -156,13 +156,19 @@
         word = entry["idempotency"]
         if word not in EFFECTS:
             raise TapError(f"classes[].idempotency: {word!r} is not known")
-        made = getattr(day, "class").add(name=entry["name"], aim_ms=entry["slo_ms"], deadline_ms=entry["deadline_ms"],
-                                         effect=EFFECTS[word], worth=entry.get("worth", 1.0))
+        made = getattr(day, "class").add(
+            name=entry["name"],
+            aim_ms=entry["slo_ms"],
+            deadline_ms=entry["deadline_ms"],
+            effect=EFFECTS[word],
+            worth=entry.get("worth", 1.0),
+        )
         if word == "deduplicated":
             made.group, made.window_ms = GROUPS[entry.get("group", "all")], entry["window_ms"]
         if read.classes[entry["name"]]:
-            work = day.work.add(share=round(read.classes[entry["name"]] / total, 4), least_ms=WORK_MS[0],
-                                most_ms=WORK_MS[1])
+            work = day.work.add(
+                share=round(read.classes[entry["name"]] / total, 4), least_ms=WORK_MS[0], most_ms=WORK_MS[1]
+            )
             setattr(work, "class", entry["name"])
 
 
@@ -170,14 +176,27 @@
     total = sum(read.plans.values())
     for entry in read.settings["contracts"]:
         name = entry["name"]
-        day.plan.add(name=name, rate=entry["units_per_s"], burst=entry["most_at_once"], open_limit=entry["open"],
-                     price=entry["worth_factor"], over_worth=entry["over_worth"], over_cost=entry["beyond_costs"],
-                     ceiling_rate=entry["hard_rate"], ceiling_burst=entry["cap_depth"],
-                     ceiling_slack=entry["tolerance"] if entry["hard_rate"] else 0.0)
+        day.plan.add(
+            name=name,
+            rate=entry["units_per_s"],
+            burst=entry["most_at_once"],
+            open_limit=entry["open"],
+            price=entry["worth_factor"],
+            over_worth=entry["over_worth"],
+            over_cost=entry["beyond_costs"],
+            ceiling_rate=entry["hard_rate"],
+            ceiling_burst=entry["cap_depth"],
+            ceiling_slack=entry["tolerance"] if entry["hard_rate"] else 0.0,
+        )
         if read.plans[name]:
             number = max(round(len(read.callers[name]) * scale), 1)
-            day.customers.add(plan=name, number=number, share=round(read.plans[name] / total, 4),
-                              doors=min(2, day.fleet.doors), skew=0.5)
+            day.customers.add(
+                plan=name,
+                number=number,
+                share=round(read.plans[name] / total, 4),
+                doors=min(2, day.fleet.doors),
+                skew=0.5,
+            )
 
 
 def day_from(lines: Iterable[str], name: str, rate: float, servers: int, doors: int) -> pb.Day:
@@ -231,10 +250,13 @@
     for server, at, what in sorted(read.drains, key=lambda drain: drain[1]):
         if what != "drained" or at < busy.get(server_of[server], -math.inf):
             continue
-        again = [when for other, when, how in read.drains
-                 if other == server and how == "restarted" and when > at]
-        add(pb.SERVER_RESTARTED if again else pb.SERVER_DRAINED, at,
-            again[0] - at if again else day.rules.drain_grace_ms * 2, server_of[server])
+        again = [when for other, when, how in read.drains if other == server and how == "restarted" and when > at]
+        add(
+            pb.SERVER_RESTARTED if again else pb.SERVER_DRAINED,
+            at,
+            again[0] - at if again else day.rules.drain_grace_ms * 2,
+            server_of[server],
+        )
         busy[server_of[server]] = again[0] if again else math.inf
     for since, until in read.unanswered:
         if until - since >= PAUSE_LEAST_MS:
--- a/martenstep/lifetime.py
+++ b/martenstep/lifetime.py
@@ -11,8 +11,7 @@
 from typing import Any
 
 
-async def until_stopped(ready: dict[str, Any], stop: Callable[[], Awaitable[None]] | None = None,
-                        **more: Any) -> None:
+async def until_stopped(ready: dict[str, Any], stop: Callable[[], Awaitable[None]] | None = None, **more: Any) -> None:
     """Tell that all is bound, with what else there is to tell, then wait for SIGTERM or SIGINT."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/martenstep/maintenance/book.py
+++ b/martenstep/maintenance/book.py
@@ -252,8 +252,19 @@
 
     def snapshot(self) -> bytes:
         """All of the state."""
-        return _encode(_Image(self.now, self._number, self._token, self.limits, self.paused, self.plans, self.sight,
-                              self.sight_at, list(self.requests.values())))
+        return _encode(
+            _Image(
+                self.now,
+                self._number,
+                self._token,
+                self.limits,
+                self.paused,
+                self.plans,
+                self.sight,
+                self.sight_at,
+                list(self.requests.values()),
+            )
+        )
 
     def restore(self, body: bytes) -> None:
         """In place of all that was; raises ValueError where it is no snapshot."""
@@ -319,8 +330,18 @@
             if other.machine == what.machine and other.state is not State.ENDED:
                 return Answer(False, f"{what.machine} has request {other.id}, which is {other.state}", other)
         self._number += 1
-        made = Request(what.id, what.machine, what.for_ms, what.reason[:MOST_WORDS], what.urgent, what.before,
-                       what.plan, self._number, self.now, since=self.now)
+        made = Request(
+            what.id,
+            what.machine,
+            what.for_ms,
+            what.reason[:MOST_WORDS],
+            what.urgent,
+            what.before,
+            what.plan,
+            self._number,
+            self.now,
+            since=self.now,
+        )
         self.requests[made.id] = made
         return Answer(True, "", made)
 
@@ -333,8 +354,10 @@
             return f"no machine {machine} is known"
         total = sum(one.capacity for one in seen.values())
         if machine in seen and total and seen[machine].capacity > limits.most_share * total:
-            return (f"{machine} alone is {seen[machine].capacity / total:.0%} of the capacity, and "
-                    f"{limits.most_share:.0%} may be out")
+            return (
+                f"{machine} alone is {seen[machine].capacity / total:.0%} of the capacity, and "
+                f"{limits.most_share:.0%} may be out"
+            )
         return ""
 
     def _cancel(self, held: Request) -> Answer:
@@ -394,8 +417,12 @@
         return Answer(True)
 
     def _set_limits(self, limits: Limits) -> Answer:
-        if limits.most_out < 0 or limits.most_out_zone < 0 or not 0 <= limits.most_share <= 1 or not all(
-                0 < value < math.inf for value in (limits.lease_ms, limits.grace_ms, limits.starve_ms)):
+        if (
+            limits.most_out < 0
+            or limits.most_out_zone < 0
+            or not 0 <= limits.most_share <= 1
+            or not all(0 < value < math.inf for value in (limits.lease_ms, limits.grace_ms, limits.starve_ms))
+        ):
             return Answer(False, "limits that are none")
         self.limits = limits
         return Answer(True)
--- a/martenstep/maintenance/orders.py
+++ b/martenstep/maintenance/orders.py
@@ -78,17 +78,33 @@
 def view_of(book: Book, leader: str) -> View:
     """What is told of a book."""
     order = rule.order(book)
-    return View(leader, book.limits, book.paused, book.plans, list(book.requests.values()),
-                {held.id: rule.waits_for(book, held) or "its turn" for held in order}, [held.id for held in order],
-                list(book.sight.machines), list(book.sight.short))
+    return View(
+        leader,
+        book.limits,
+        book.paused,
+        book.plans,
+        list(book.requests.values()),
+        {held.id: rule.waits_for(book, held) or "its turn" for held in order},
+        [held.id for held in order],
+        list(book.sight.machines),
+        list(book.sight.short),
+    )
 
 
 class Orders:
     """One door's part."""
 
-    def __init__(self, me: str, zone: str, capacity: float, keeper: Keeper, ready: Callable[[], bool],
-                 known: Callable[[], Iterable[tuple[str, str]]], leave: Callable[[str], None],
-                 note: Callable[[str, dict[str, Any]], None]) -> None:
+    def __init__(
+        self,
+        me: str,
+        zone: str,
+        capacity: float,
+        keeper: Keeper,
+        ready: Callable[[], bool],
+        known: Callable[[], Iterable[tuple[str, str]]],
+        leave: Callable[[str], None],
+        note: Callable[[str, dict[str, Any]], None],
+    ) -> None:
         """`known` are all machines that the membership has heard of, with their zones; `leave` begins to stop this
         door, given the request."""
         self.me, self._zone, self._capacity, self._keeper = me, zone, capacity, keeper
@@ -158,8 +174,16 @@
         zones = {one.name: one.zone for one in book.sight.machines} | dict(self._known())
         zones |= {name: told.zone for name, told in fresh.items()}
         capacity = {one.name: one.capacity for one in book.sight.machines}
-        machines = tuple(Machine(name, zones[name], fresh[name].capacity if name in fresh else capacity.get(name, 1.0),
-                                 name in fresh and fresh[name].ready, name == self.me) for name in sorted(zones))
+        machines = tuple(
+            Machine(
+                name,
+                zones[name],
+                fresh[name].capacity if name in fresh else capacity.get(name, 1.0),
+                name in fresh and fresh[name].ready,
+                name == self.me,
+            )
+            for name in sorted(zones)
+        )
         groups = {group.name: group for told in fresh.values() for group in told.groups}
         for group in book.sight.groups:
             groups.setdefault(group.name, msgspec.structs.replace(group, whole=False))  # nobody tells that it leads it
@@ -215,8 +239,9 @@
         asked = now_ms()
         answer = await self.tell(start)
         agent.started(now_ms(), start, asked, answer)
-        self._note("maintenance start", {"request": start.id, "token": start.token, "ok": answer.ok,
-                                         "why": answer.text})
+        self._note(
+            "maintenance start", {"request": start.id, "token": start.token, "ok": answer.ok, "why": answer.text}
+        )
         for action in agent.out:
             if isinstance(action, Leave):
                 self._leave(action.request)
@@ -228,4 +253,3 @@
             return {}
         states = [held.state for held in host.machine.requests.values()]
         return {f"maintenance_{state.value}": states.count(state) for state in State}
-
--- a/martenstep/maintenance/rule.py
+++ b/martenstep/maintenance/rule.py
@@ -88,9 +88,14 @@
         if begun is not None and zones[held.machine] != begun:
             return f"zone {begun or '-'} is not done"
     leads = {one.name for one in book.sight.machines if one.leads}
-    others = [other for other in book.requests.values() if other.state == "waiting" and other.machine not in leads
-              # Danger: of all zones, the others would wait for its zone, and it for them.
-              and (not book.limits.by_zone or zones.get(other.machine) == zones[held.machine])]
+    others = [
+        other
+        for other in book.requests.values()
+        if other.state == "waiting"
+        and other.machine not in leads
+        # Danger: of all zones, the others would wait for its zone, and it for them.
+        and (not book.limits.by_zone or zones.get(other.machine) == zones[held.machine])
+    ]
     if held.machine in leads and others:
         return "it leads the book, and goes last"
     return ""
@@ -98,6 +103,7 @@
 
 def order(book: Book) -> list[Request]:
     """Those that wait, the first first."""
+
     def key(held: Request) -> tuple[bool, float, int]:
         return not held.urgent, held.before or math.inf, held.number
 
