--- a/martenstep/members/feed.py
+++ b/martenstep/members/feed.py
@@ -101,14 +101,17 @@
         scope = Scope.FULL if answer.scope == "full" else Scope.CHANGES
         return self._told(scope, listed, answer.now_unix_ms, now, unseen_ms), odd
 
-    def _told(self, scope: Scope, listed: dict[int, Entry], now_unix_ms: float, now: float,
-              unseen_ms: float = math.inf) -> Listed:
+    def _told(
+        self, scope: Scope, listed: dict[int, Entry], now_unix_ms: float, now: float, unseen_ms: float = math.inf
+    ) -> Listed:
         servers = []
         for entry in listed.values():
             started = self._starts.local_start(
-                entry.id, entry.started_unix_ms, now_unix_ms - entry.started_unix_ms, now, unseen_ms)
-            servers.append(Server(entry.id, entry.zone, entry.kind, entry.cell, State(entry.state), entry.size,
-                                  started))
+                entry.id, entry.started_unix_ms, now_unix_ms - entry.started_unix_ms, now, unseen_ms
+            )
+            servers.append(
+                Server(entry.id, entry.zone, entry.kind, entry.cell, State(entry.state), entry.size, started)
+            )
         gone = [key for key, entry in self._entries.items() if entry.state == "gone"]
         for key in gone:
             del self._entries[key]
@@ -135,8 +138,14 @@
 class Feed:
     """Follows the feed over a socket and keeps the copy."""
 
-    def __init__(self, members: pb.MembersFeed, door: str, tell: Callable[[Listed], None],
-                 note: Callable[[str, str], None], clock: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        members: pb.MembersFeed,
+        door: str,
+        tell: Callable[[Listed], None],
+        note: Callable[[str, str], None],
+        clock: Callable[[], float],
+    ) -> None:
         self._members, self._door, self._tell, self._note, self._clock = members, door, tell, note, clock
         self._follower = Follower()
         self._path = Path(members.warm_copy) if members.warm_copy else None
@@ -176,14 +185,23 @@
     async def _follow(self) -> None:
         """Poll over one connection until it breaks."""
         reader, writer = await asyncio.wait_for(
-            asyncio.open_connection(self._members.host, self._members.port), LATE_MS / 1000)
+            asyncio.open_connection(self._members.host, self._members.port), LATE_MS / 1000
+        )
         connection = h11.Connection(h11.CLIENT)
         try:
             while True:
                 wait = self._members.wait_ms
                 target = f"{self._members.path}?index={self._follower.index}&wait={wait:.0f}&door={self._door}"
-                writer.write(connection.send(h11.Request(method="GET", target=target, headers=[
-                    ("host", f"{self._members.host}:{self._members.port}")])) or b"")
+                writer.write(
+                    connection.send(
+                        h11.Request(
+                            method="GET",
+                            target=target,
+                            headers=[("host", f"{self._members.host}:{self._members.port}")],
+                        )
+                    )
+                    or b""
+                )
                 writer.write(connection.send(h11.EndOfMessage()) or b"")
                 async with asyncio.timeout((wait + LATE_MS) / 1000):
                     body = await self._answer(reader, connection)
--- a/martenstep/members/gossip/core.py
+++ b/martenstep/members/gossip/core.py
@@ -268,13 +268,17 @@
     def _better(self) -> None:
         self.health = max(self.health - 1, 0)
 
-    def _say(self, now: float, incarnation: int | None = None, state: State = State.ALIVE,
-             says: int | None = None) -> None:
+    def _say(
+        self, now: float, incarnation: int | None = None, state: State = State.ALIVE, says: int | None = None
+    ) -> None:
         """Raise the own saying."""
         me = self.me
         self.me = msgspec.structs.replace(
-            me, incarnation=me.incarnation + 1 if incarnation is None else incarnation, state=state,
-            says=me.says if says is None else says)
+            me,
+            incarnation=me.incarnation + 1 if incarnation is None else incarnation,
+            state=state,
+            says=me.says if says is None else says,
+        )
         self._raised_at = now
         self._behind.clear()
         self.table.put(now, self.me)
@@ -378,8 +382,12 @@
     def _ask(self, now: float, target: Fact, tried: bool = False) -> None:
         nonce = self._rng.getrandbits(62)
         self._probes[nonce] = _Probe(target, tried=tried)
-        self._send_with_news(target.address, target.life, target.name,
-                             Ping(self._sender, nonce, target.name, self._seen(target.name), self.table.digest))
+        self._send_with_news(
+            target.address,
+            target.life,
+            target.name,
+            Ping(self._sender, nonce, target.name, self._seen(target.name), self.table.digest),
+        )
         slower = 1 + self.health
         if tried:
             self._at(now + self.settings.period_ms * slower, self._verdict, nonce)
@@ -396,13 +404,17 @@
         target = probe.target
         life = self._lives.get(target.address, target.life)
         for helper in helpers:
-            self._send(helper.address, helper.life,
-                       Relay(self._sender, nonce, target.name, target.host, target.port, life))
+            self._send(
+                helper.address, helper.life, Relay(self._sender, nonce, target.name, target.host, target.port, life)
+            )
 
     def _helpers(self, now: float, target: Fact) -> list[Fact]:
         """From different zones as far as there are some: a cut between two zones is then seen round."""
-        usable = [fact for fact in self._others() if fact.state is State.ALIVE and fact.name != target.name
-                  and not fact.says & Says.DEAF]
+        usable = [
+            fact
+            for fact in self._others()
+            if fact.state is State.ALIVE and fact.name != target.name and not fact.says & Says.DEAF
+        ]
         self._rng.shuffle(usable)
         chosen: list[Fact] = []
         zones: set[str] = set()
@@ -478,8 +490,9 @@
         self._at(held.until, self._ran_out, name)
 
     def _suspicion_ms(self, held: _Suspicion) -> float:
-        return suspicion_ms(self.table.present, len(held.accusers) - 1, self.settings.period_ms,
-                            self.settings.suspect_least_ms)
+        return suspicion_ms(
+            self.table.present, len(held.accusers) - 1, self.settings.period_ms, self.settings.suspect_least_ms
+        )
 
     def _ran_out(self, now: float, name: str) -> None:
         held = self._suspicions.get(name)
@@ -530,8 +543,11 @@
             # At a random place of the round under way (SWIM, section 4.3).  Danger: left to the next round, one that
             # came and died would be asked by nobody for as many periods as there are doors.
             self._round.insert(self._rng.randrange(len(self._round) + 1), fact.name)
-        if fact.life and self._lives.get(fact.address, fact.life) != fact.life and (
-                before is None or before.life != fact.life):
+        if (
+            fact.life
+            and self._lives.get(fact.address, fact.life) != fact.life
+            and (before is None or before.life != fact.life)
+        ):
             del self._lives[fact.address]
         if fact.says & Says.DEAF and (before is None or fact.incarnation > before.incarnation):
             self._renewed[fact.name] = now
@@ -577,7 +593,8 @@
                 self._refuse(now)
             return
         if fact.incarnation < me.incarnation or (
-                fact.incarnation == me.incarnation and (fact.state <= me.state or me.state is State.LEFT)):
+            fact.incarnation == me.incarnation and (fact.state <= me.state or me.state is State.LEFT)
+        ):
             return
         if fact.life != me.life and fact.present and fact.address != me.address and self.stage is Stage.JOINED:
             # A copy of this door's disk speaks elsewhere.  Refuted all the same: the copy asks first, when it joins.
@@ -621,8 +638,9 @@
             return
         others = self._others()
         for fact in self._rng.sample(others, min(FANOUT, len(others))):
-            self._send_with_news(fact.address, fact.life, fact.name,
-                                 Tell(self._sender, self._seen(fact.name), self.table.digest))
+            self._send_with_news(
+                fact.address, fact.life, fact.name, Tell(self._sender, self._seen(fact.name), self.table.digest)
+            )
 
     def leave(self, now: float) -> None:
         """Say that this door goes; `gone` is told once that is spread."""
@@ -664,8 +682,12 @@
 
     def _housekeeping(self, now: float) -> None:
         self._at(now + 1000.0, self._housekeeping)
-        if self.stage is Stage.JOINED and self._differs and not self.deaf and now - self._last_exchange > \
-                self._settle_ms:
+        if (
+            self.stage is Stage.JOINED
+            and self._differs
+            and not self.deaf
+            and now - self._last_exchange > self._settle_ms
+        ):
             self._differs = False
             others = [fact for fact in self._others() if fact.state is State.ALIVE]
             if others:
@@ -673,8 +695,13 @@
         if now < self._look_at:
             return
         self._look_at = now + LOOK_MS
-        gone = [fact.name for fact in self.table if not fact.present and fact.name != self.me.name
-                and now - self.table.since[fact.name] > self.settings.reclaim_ms]
+        gone = [
+            fact.name
+            for fact in self.table
+            if not fact.present
+            and fact.name != self.me.name
+            and now - self.table.since[fact.name] > self.settings.reclaim_ms
+        ]
         for name in gone:
             self.table.drop(name)
             self._spread.drop(name)
@@ -758,8 +785,12 @@
             answer = encode(Have(self._sender, self.me, sorted(parts), facts))
             if self.stage is Stage.ALONE and message.own.name != self.me.name:
                 self._joined(now)
-            if held is None or held.identity == message.own.identity or not held.present \
-                    or held.address == message.own.address:
+            if (
+                held is None
+                or held.identity == message.own.identity
+                or not held.present
+                or held.address == message.own.address
+            ):
                 self._take_joining(now, message.own)
             return answer
         if isinstance(message, Push):
@@ -919,8 +950,11 @@
             since, number = now, 0
         self._challenged = since, number + 1
         if number < CHALLENGES_A_S:
-            self._send_plain((message.sender.host, message.sender.port), source,
-                             Challenge(self._sender, self.me.life, self.me.identity))
+            self._send_plain(
+                (message.sender.host, message.sender.port),
+                source,
+                Challenge(self._sender, self.me.life, self.me.identity),
+            )
 
     def _send_plain(self, to: Address, life: int, message: Message) -> None:
         """To the very life that wrote, whatever is known of the address."""
@@ -936,9 +970,12 @@
         self._lives[source] = message.life
         for nonce, probe in self._probes.items():
             if probe.target.address == source and not probe.answered:
-                self._send_with_news(source, message.life, fact.name,
-                                     Ping(self._sender, nonce, fact.name, self._seen(fact.name),
-                                          self.table.digest))
+                self._send_with_news(
+                    source,
+                    message.life,
+                    fact.name,
+                    Ping(self._sender, nonce, fact.name, self._seen(fact.name), self.table.digest),
+                )
 
     def _pinged(self, now: float, life: int, source: Address, message: Ping) -> None:
         if message.to != self.me.name:
@@ -946,8 +983,12 @@
         self._hear_seen(now, message.sender.name, message.seen)
         self._take_all(now, message.facts)
         self._compare(message.digest)
-        self._send_with_news(source, life, message.sender.name,
-                             Ack(self._sender, message.nonce, self._seen(message.sender.name), self.table.digest))
+        self._send_with_news(
+            source,
+            life,
+            message.sender.name,
+            Ack(self._sender, message.nonce, self._seen(message.sender.name), self.table.digest),
+        )
 
     def _acked(self, now: float, message: Ack) -> None:
         errand = self._errands.pop(message.nonce, None)
@@ -986,8 +1027,12 @@
         nonce = self._rng.getrandbits(62)
         self._errands[nonce] = _Errand(source, life, message.nonce)
         target = message.host, message.port
-        self._send_with_news(target, message.life, message.to,
-                             Ping(self._sender, nonce, message.to, self._seen(message.to), self.table.digest))
+        self._send_with_news(
+            target,
+            message.life,
+            message.to,
+            Ping(self._sender, nonce, message.to, self._seen(message.to), self.table.digest),
+        )
         self._at(now + self.settings.ack_ms, self._errand_over, nonce)
 
     def _errand_over(self, now: float, nonce: int) -> None:
--- a/martenstep/members/gossip/driver.py
+++ b/martenstep/members/gossip/driver.py
@@ -67,8 +67,14 @@
 class Membership:
     """One door's part in the fleet, on sockets."""
 
-    def __init__(self, fleet: pb.Fleet, name: str, zone: str, note: Callable[[str, dict[str, Any]], None],
-                 changed: Callable[[Event], None] | None = None) -> None:
+    def __init__(
+        self,
+        fleet: pb.Fleet,
+        name: str,
+        zone: str,
+        note: Callable[[str, dict[str, Any]], None],
+        changed: Callable[[Event], None] | None = None,
+    ) -> None:
         """Raises KeyFileError where the keys cannot be read."""
         self._fleet, self._name, self._zone, self._note = fleet, name, zone, note
         self._changed = changed
@@ -102,7 +108,8 @@
         family = self._server.sockets[0].family
         try:
             self._transport, _ = await loop.create_datagram_endpoint(
-                lambda: Datagrams(self._arrived), local_addr=(fleet.host, self.port), family=family)
+                lambda: Datagrams(self._arrived), local_addr=(fleet.host, self.port), family=family
+            )
         except OSError:
             self._server.close()
             raise
@@ -111,18 +118,34 @@
         told = fleet.advertise
         host, port = (told.host, told.port) if fleet.HasField("advertise") else (fleet.host, self.port)
         life = self._rng.getrandbits(62)
-        me = Fact(self._name, 0, self._identity.identity, self._identity.starts, State.ALIVE, life, host, port,
-                  self._zone)
+        me = Fact(
+            self._name, 0, self._identity.identity, self._identity.starts, State.ALIVE, life, host, port, self._zone
+        )
         seeds = [(seed.host, seed.port) for seed in fleet.seed]
         seeds += [address for address in self._identity.addresses if address not in seeds]
-        settings = Settings(fleet.cluster, tuple(seeds), fleet.period_ms, fleet.ack_ms, fleet.gossip_ms,
-                            fleet.suspect_least_ms, fleet.reclaim_ms)
+        settings = Settings(
+            fleet.cluster,
+            tuple(seeds),
+            fleet.period_ms,
+            fleet.ack_ms,
+            fleet.gossip_ms,
+            fleet.suspect_least_ms,
+            fleet.reclaim_ms,
+        )
         if fleet.record:
             self._record = await asyncio.to_thread(Path(fleet.record).open, "ab", 0)
         self.core = Gossip(settings, me, self._keys, random.Random(self._rng.getrandbits(62)), now_ms())
         self._write("life", self._name, {"life": life, "host": host, "port": port})
-        self._note("fleet", {"cluster": fleet.cluster, "host": host, "port": port,
-                             "identity": f"{me.identity:016x}", "incarnation": me.incarnation})
+        self._note(
+            "fleet",
+            {
+                "cluster": fleet.cluster,
+                "host": host,
+                "port": port,
+                "identity": f"{me.identity:016x}",
+                "incarnation": me.incarnation,
+            },
+        )
         self._after()
         if self._disk is not None:
             self._tasks.spawn(self._keep_addresses())
@@ -193,8 +216,9 @@
     def _keep(self) -> None:
         if self.core is None or self._disk is None:
             return
-        self._identity.addresses = [fact.address for fact in self.core.table
-                                    if fact.present and fact.name != self._name][: kept.MOST_ADDRESSES]
+        self._identity.addresses = [
+            fact.address for fact in self.core.table if fact.present and fact.name != self._name
+        ][: kept.MOST_ADDRESSES]
         wrong = kept.keep(self._disk, self._identity)
         if wrong:
             self._note("fleet identity", {"wrong": wrong})
@@ -231,8 +255,10 @@
     def _told(self, event: Event) -> None:
         self._write(event.kind, event.name, event.fields)
         if event.kind not in QUIET:
-            self._note("fleet member" if event.name != self._name else "fleet self",
-                       {"what": event.kind, "member": event.name, **event.fields})
+            self._note(
+                "fleet member" if event.name != self._name else "fleet self",
+                {"what": event.kind, "member": event.name, **event.fields},
+            )
         if event.kind == "gone":
             self._gone.set()
         self._moved.set()
@@ -242,8 +268,14 @@
 
     def _write(self, kind: str, about: str, fields: dict[str, Any]) -> None:
         if self._record is not None:
-            line = {"type": "belief", "at_ms": now_ms(), "place": self._name, "kind": kind, "about": about,
-                    "fields": fields}
+            line = {
+                "type": "belief",
+                "at_ms": now_ms(),
+                "place": self._name,
+                "kind": kind,
+                "about": about,
+                "fields": fields,
+            }
             with contextlib.suppress(OSError):
                 self._record.write(msgspec.json.encode(line) + b"\n")
 
@@ -330,15 +362,33 @@
             return {"stage": "off", "members": []}
         now = now_ms()
         return {
-            "cluster": self._fleet.cluster, "me": core.me.name, "stage": core.stage.value, "version": self.version,
-            "deaf": core.deaf, "unheard": core.unheard, "health": core.health, "life": core.me.life,
-            "members": [{
-                "name": fact.name, "state": fact.state.name.lower(), "zone": fact.zone, "host": fact.host,
-                "port": fact.port, "era": fact.era, "incarnation": fact.incarnation, "life": fact.life,
-                "identity": f"{fact.identity:016x}", "deaf": bool(fact.says & Says.DEAF),
-                "unheard": bool(fact.says & Says.UNHEARD), "by": fact.by, "says": fact.says,
-                "since_ms": round(now - core.table.since.get(fact.name, now)),
-            } for fact in sorted(core.table, key=lambda fact: fact.name)],
+            "cluster": self._fleet.cluster,
+            "me": core.me.name,
+            "stage": core.stage.value,
+            "version": self.version,
+            "deaf": core.deaf,
+            "unheard": core.unheard,
+            "health": core.health,
+            "life": core.me.life,
+            "members": [
+                {
+                    "name": fact.name,
+                    "state": fact.state.name.lower(),
+                    "zone": fact.zone,
+                    "host": fact.host,
+                    "port": fact.port,
+                    "era": fact.era,
+                    "incarnation": fact.incarnation,
+                    "life": fact.life,
+                    "identity": f"{fact.identity:016x}",
+                    "deaf": bool(fact.says & Says.DEAF),
+                    "unheard": bool(fact.says & Says.UNHEARD),
+                    "by": fact.by,
+                    "says": fact.says,
+                    "since_ms": round(now - core.table.since.get(fact.name, now)),
+                }
+                for fact in sorted(core.table, key=lambda fact: fact.name)
+            ],
             "counts": dict(core.counts),
         }
 
@@ -356,7 +406,11 @@
         made: dict[str, float] = {f"fleet_members_{state.name.lower()}": 0 for state in State}
         for fact in core.table:
             made[f"fleet_members_{fact.state.name.lower()}"] += 1
-        return {**made, "fleet_joined": core.joined, "fleet_deaf": core.deaf, "fleet_unheard": core.unheard,
-                "fleet_health": core.health, "fleet_version": self.version}
-
-
+        return {
+            **made,
+            "fleet_joined": core.joined,
+            "fleet_deaf": core.deaf,
+            "fleet_unheard": core.unheard,
+            "fleet_health": core.health,
+            "fleet_version": self.version,
+        }
--- a/martenstep/members/gossip/holders.py
+++ b/martenstep/members/gossip/holders.py
@@ -19,8 +19,9 @@
 
     Names must differ.  The order in which members are given does not matter.
     """
-    scored = sorted(((xxhash.xxh3_128_intdigest(f"{key}\0{name}".encode()), name, zone) for name, zone in members),
-                    reverse=True)
+    scored = sorted(
+        ((xxhash.xxh3_128_intdigest(f"{key}\0{name}".encode()), name, zone) for name, zone in members), reverse=True
+    )
     line: defaultdict[str, int] = defaultdict(int)
     placed = []
     for order, (_, name, zone) in enumerate(scored):
--- a/martenstep/members/start_times.py
+++ b/martenstep/members/start_times.py
@@ -24,8 +24,9 @@
     def __init__(self) -> None:
         self._known: OrderedDict[Hashable, tuple[float, float]] = OrderedDict()  # reported, and on this clock
 
-    def local_start(self, server: Hashable, reported_ms: float, age_ms: float, now: float,
-                    unseen_ms: float = math.inf) -> float:
+    def local_start(
+        self, server: Hashable, reported_ms: float, age_ms: float, now: float, unseen_ms: float = math.inf
+    ) -> float:
         """A server's start on the clock that `now` is of.
 
         `reported_ms` is its start as the list tells it, `age_ms` what a wall clock makes of that, `unseen_ms` how long
--- a/martenstep/node/config.py
+++ b/martenstep/node/config.py
@@ -39,9 +39,21 @@
 
 
 # What a system call fails with where something is short, or down, for a moment (socket(2), bind(2), open(2)).
-PASSING_ERRORS = frozenset((
-    errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR, errno.EIO, errno.EMFILE, errno.ENETDOWN,
-    errno.ENETUNREACH, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+PASSING_ERRORS = frozenset(
+    (
+        errno.EADDRINUSE,
+        errno.EADDRNOTAVAIL,
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.EIO,
+        errno.EMFILE,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+    )
+)
 
 
 class ConfigError(Exception):
@@ -151,18 +163,32 @@
     for name in (settings.zone, *(cls.name for cls in settings.classes), *(plan.name for plan in settings.plans)):
         if not isinstance(name, str):
             raise ConfigError(f"settings: expected a name of a zone, class or plan, got {name!r}")
-    least = [(settings.gateways, "instances", 1.0), (settings.me, "me", 0.0), (settings.max_attempts, "try_limit", 1.0),
-             (settings.counter_timeout_ms, "counter_timeout_ms", 0.0), (settings.warm_within_ms, "warm_within_ms", 0.0),
-             (settings.fall_window_ms, "overload_for_ms", 0.0), (settings.cold_from, "cold_from", 0.0),
-             (settings.tick_ms, "tick_ms", 0.0)]
+    least = [
+        (settings.gateways, "instances", 1.0),
+        (settings.me, "me", 0.0),
+        (settings.max_attempts, "try_limit", 1.0),
+        (settings.counter_timeout_ms, "counter_timeout_ms", 0.0),
+        (settings.warm_within_ms, "warm_within_ms", 0.0),
+        (settings.fall_window_ms, "overload_for_ms", 0.0),
+        (settings.cold_from, "cold_from", 0.0),
+        (settings.tick_ms, "tick_ms", 0.0),
+    ]
     above = [(settings.max_units, "max_units"), (settings.fall_multiple, "fall_multiple")]
     for cls in settings.classes:
         above += [(cls.aim_ms, f"classes[{cls.name}].slo_ms"), (cls.deadline_ms, f"classes[{cls.name}].deadline_ms")]
         least += [(cls.window_ms, f"classes[{cls.name}].window_ms", 0.0)]
     for plan in settings.plans:
-        least += [(value, f"contracts[{plan.name}].{name}", 0.0) for value, name in (
-            (plan.rate, "units_per_s"), (plan.burst, "most_at_once"), (plan.open_limit, "open"),
-            (plan.ceiling_rate, "hard_rate"), (plan.ceiling_burst, "cap_depth"), (plan.ceiling_slack, "tolerance"))]
+        least += [
+            (value, f"contracts[{plan.name}].{name}", 0.0)
+            for value, name in (
+                (plan.rate, "units_per_s"),
+                (plan.burst, "most_at_once"),
+                (plan.open_limit, "open"),
+                (plan.ceiling_rate, "hard_rate"),
+                (plan.ceiling_burst, "cap_depth"),
+                (plan.ceiling_slack, "tolerance"),
+            )
+        ]
     for value, field, bound in least:
         if value < bound:
             raise ConfigError(f"settings.{field}: expected at least {bound:g}, got {value!r}")
@@ -203,9 +229,11 @@
         name=str(raw.get("name", "")),
         listener=Listener(host, port, clients),
         upstream=Upstream(
-            connections=max(int(to_backends * SERVER_SHARE), 1), all_connections=to_backends,
+            connections=max(int(to_backends * SERVER_SHARE), 1),
+            all_connections=to_backends,
             idle_ms=IDLE_PART * _figure(policy, "settings.policy_limits.conn_idle_ms", 30_000.0, 0.0),
-            connect_ms=_figure(policy, "settings.policy_limits.dial_timeout_ms", 250.0, 1.0)),
+            connect_ms=_figure(policy, "settings.policy_limits.dial_timeout_ms", 250.0, 1.0),
+        ),
         discovery=address_of(raw.get("discovery"), "discovery"),
         counter=counter,
         known=raw.get("known"),
--- a/martenstep/node/counter.py
+++ b/martenstep/node/counter.py
@@ -68,15 +68,15 @@
             return None
         first, line = data[:1], bytes(data[1:end])
         if first == b"-":  # -BUSY and -ERR: nothing was added
-            del data[:end + 2]
+            del data[: end + 2]
             return Verdict.FULL, 0.0
         if first != b"$" or not line.isdigit() or int(line) > LINE_BYTES:
             raise UnreadableError("not a total")
         size, start = int(line), end + 2
         if len(data) < start + size + 2:
             return None
-        text = bytes(data[start:start + size])
-        if data[start + size:start + size + 2] != CRLF:
+        text = bytes(data[start : start + size])
+        if data[start + size : start + size + 2] != CRLF:
             raise UnreadableError("a total without an end")
         try:
             total = float(text)
@@ -84,7 +84,7 @@
             raise UnreadableError("not a number") from None
         if not -1e15 < total < 1e15:
             raise UnreadableError("not a number that can be")
-        del data[:start + size + 2]
+        del data[: start + size + 2]
         return Verdict.OK, total
 
     def lost(self) -> None:
@@ -131,8 +131,12 @@
 class Counter:
     """The calls of one front door."""
 
-    def __init__(self, address: tuple[str, int], answered: Answered,
-                 failed: Callable[[str, BaseException], None] = lambda where, error: None) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        answered: Answered,
+        failed: Callable[[str, BaseException], None] = lambda where, error: None,
+    ) -> None:
         """`failed` is told where a standing task ended by what nobody expected."""
         self._address, self.tell, self._failed = address, answered, failed
         self._links: list[_Link] = []
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -83,7 +83,7 @@
             told = {"t": round(now, 3), "event": event}
             line = json.dumps({**told, **fields}, default=repr)
             if len(line) > LINE_BYTES:
-                line = json.dumps({**told, "cut": line[:LINE_BYTES // 4]})
+                line = json.dumps({**told, "cut": line[: LINE_BYTES // 4]})
             with suppress(OSError, ValueError):  # whoever read the log has gone
                 # Or reads no more, and the pipe is full: a write would wait, and with it every request.
                 if not self._piped or polled(sys.stdout.fileno(), select.POLLOUT):
@@ -94,8 +94,9 @@
 class Node:
     """One front door."""
 
-    def __init__(self, config: Config, path: Path, pending: PendingSignals | None = None,
-                 selector: LagSelector | None = None) -> None:
+    def __init__(
+        self, config: Config, path: Path, pending: PendingSignals | None = None, selector: LagSelector | None = None
+    ) -> None:
         """`pending` holds the signals that have come already; `selector` is the event loop's."""
         self._path, self._pending = path, pending
         self.config = config
@@ -109,8 +110,9 @@
         self._follower = Follower()
         self._timing = SERVICE if config.settings.must_subscribe else AGENT
         self._discovery = Discovery(config.discovery, self._follower, self._listed, self._notes.note, self._timing)
-        self._counter = (Counter(config.counter, self._counted, self.driver.failed) if config.counter is not None
-                         else None)
+        self._counter = (
+            Counter(config.counter, self._counted, self.driver.failed) if config.counter is not None else None
+        )
         self._telling: asyncio.Task[None] | None = None
         self._started: dict[int, float] = {}  # when each listed server started, as last told
         self._first_list = asyncio.Event()
@@ -245,10 +247,18 @@
         """What the operators see of a door at work: totals since its start."""
         while True:
             await asyncio.sleep(TELL_S)
-            self._notes.note("totals", {
-                "answers": self.engine.answers, "verdicts": self.engine.verdicts, "denials": self.engine.denials,
-                **self.engine.held,
-                **self.driver.counts, "clients": len(self.driver.clients), "upstream": self.driver.pool.connections})
+            self._notes.note(
+                "totals",
+                {
+                    "answers": self.engine.answers,
+                    "verdicts": self.engine.verdicts,
+                    "denials": self.engine.denials,
+                    **self.engine.held,
+                    **self.driver.counts,
+                    "clients": len(self.driver.clients),
+                    "upstream": self.driver.pool.connections,
+                },
+            )
 
     async def stop(self) -> None:
         """Serve on for a while, answer what is held, end."""
@@ -261,8 +271,16 @@
         self._discovery.stop()
         if self._counter is not None:
             self._counter.stop()
-        self._notes.note("stopped", {"clean": clean, "answers": self.engine.answers, "denials": self.engine.denials,
-                                     **self.driver.counts, **self.engine.held})
+        self._notes.note(
+            "stopped",
+            {
+                "clean": clean,
+                "answers": self.engine.answers,
+                "denials": self.engine.denials,
+                **self.driver.counts,
+                **self.engine.held,
+            },
+        )
 
     def _fault(self, context: dict[str, Any]) -> None:
         self._notes.note("fault", {"where": str(context.get("message", "")), "error": repr(context.get("exception"))})
@@ -291,8 +309,11 @@
         self._discovery.move(config.discovery)
         if self._counter is not None and config.counter is not None:
             self._counter.move(config.counter)
-        waits = [name for name in ("name", "listener", "upstream", "settings", "max_open")
-                 if getattr(config, name) != getattr(self.config, name)]
+        waits = [
+            name
+            for name in ("name", "listener", "upstream", "settings", "max_open")
+            if getattr(config, name) != getattr(self.config, name)
+        ]
         if (self._counter is None) != (config.counter is None):
             waits.append("counter")
         self._notes.note("configuration taken up", {"after_a_restart": waits} if waits else {})
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -204,8 +204,11 @@
 
     def doubted(self) -> Listed:
         """The same where any of them may be draining: none takes anything new."""
-        return Listed(Scope.CHANGES, tuple(replace(server, state=State.DRAINING) for server in self._servers.values()),
-                      dict(self.addresses))
+        return Listed(
+            Scope.CHANGES,
+            tuple(replace(server, state=State.DRAINING) for server in self._servers.values()),
+            dict(self.addresses),
+        )
 
     def target(self, wait_ms: float = 0.0) -> str:
         """What to ask next; a watch may wait for so long."""
@@ -277,15 +280,29 @@
         host, port = address_of(entry.get("endpoint"), "endpoint")
         if IPV4.fullmatch(host) is None:
             host = str(ip_address(host))  # there is no DNS: a name would be looked up for seconds
-        return _Entry(uid, str(entry.get("az", "")), str(entry.get("model", "")), int(entry.get("pod_group", 0)),
-                      STATES[entry["state"]], size, started, (host, port))
+        return _Entry(
+            uid,
+            str(entry.get("az", "")),
+            str(entry.get("model", "")),
+            int(entry.get("pod_group", 0)),
+            STATES[entry["state"]],
+            size,
+            started,
+            (host, port),
+        )
 
 
 class Discovery:
     """Follows the agent over a socket."""
 
-    def __init__(self, address: tuple[str, int], follower: Follower, tell: Callable[[Listed], None],
-                 note: Callable[[str, dict[str, Any]], None], timing: Timing = AGENT) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        follower: Follower,
+        tell: Callable[[Listed], None],
+        note: Callable[[str, dict[str, Any]], None],
+        timing: Timing = AGENT,
+    ) -> None:
         self._timing, self._pace = timing, Pace(timing)
         self._address, self._follower, self._tell, self._note = address, follower, tell, note
         self._task: asyncio.Task[None] | None = None
@@ -384,8 +401,9 @@
         if self._minding is not None:
             self._minding.cancel()
         at = self._freshness.next_at(now)
-        self._minding = (None if at is None else
-                         asyncio.get_running_loop().call_later((at - now) / 1000 + 0.001, self._mind))
+        self._minding = (
+            None if at is None else asyncio.get_running_loop().call_later((at - now) / 1000 + 0.001, self._mind)
+        )
 
     async def _follow(self) -> None:
         """Call over one connection until it breaks."""
--- a/martenstep/node/protocol.py
+++ b/martenstep/node/protocol.py
@@ -27,7 +27,14 @@
 from martenstep.node.config import ANSWER_BYTES, MARGIN_MS, Config
 
 ID, CLASS, PLAN, DEADLINE, RETRY, QUOTA, KEY = (
-    b"x-trace-id", b"x-qos", b"x-plan", b"x-expires-in-ms", b"x-second-try", b"x-quota", b"idempotency-key")
+    b"x-trace-id",
+    b"x-qos",
+    b"x-plan",
+    b"x-expires-in-ms",
+    b"x-second-try",
+    b"x-quota",
+    b"idempotency-key",
+)
 LENGTH, CODING, NEVER_RAN = b"content-length", b"transfer-encoding", b"x-never-ran"
 PASSED = frozenset((b"host", ID, KEY, LENGTH))  # of a client's headers those that go on
 OWN = frozenset((ID, CLASS, PLAN, DEADLINE, RETRY, QUOTA, KEY))
@@ -170,8 +177,19 @@
         """Nothing: no service is asked."""
         return []
 
-    def headers(self, client: Headers, more: Headers, given: Headers, label: str, rid: str, attempt: int,
-                left_ms: float, peer: str, traceparent: bytes, keyed: bool) -> Headers:
+    def headers(
+        self,
+        client: Headers,
+        more: Headers,
+        given: Headers,
+        label: str,
+        rid: str,
+        attempt: int,
+        left_ms: float,
+        peer: str,
+        traceparent: bytes,
+        keyed: bool,
+    ) -> Headers:
         """The client's id and key, and how long the door will wait."""
         made = [pair for pair in client if pair[0] in PASSED]
         made.append(self.expiry(left_ms))
@@ -201,7 +219,18 @@
     """An engine's parts by the platform's protocol."""
     settings = config.settings
     return Parts(
-        name=config.name, settings=settings, routes=requests, targets=requests, status=Statuses(), wording=Words(),
-        id_header=ID, margin_ms=MARGIN_MS, max_open=config.max_open, connect_ms=config.upstream.connect_ms,
-        cancel=settings.can_cancel, max_wait_ms=settings.max_retry_after_ms, streams=False,
-        noted=False)
+        name=config.name,
+        settings=settings,
+        routes=requests,
+        targets=requests,
+        status=Statuses(),
+        wording=Words(),
+        id_header=ID,
+        margin_ms=MARGIN_MS,
+        max_open=config.max_open,
+        connect_ms=config.upstream.connect_ms,
+        cancel=settings.can_cancel,
+        max_wait_ms=settings.max_retry_after_ms,
+        streams=False,
+        noted=False,
+    )
--- a/martenstep/quota.py
+++ b/martenstep/quota.py
@@ -80,13 +80,54 @@
 class Ledger:
     """What this gateway knows of one customer's use."""
 
-    __slots__ = ("abandoned", "asked", "base", "cap", "cap_empty_at", "conform", "counted", "customer", "flushing",
-                 "guessed", "head", "last_base", "maybe", "mine", "open", "others", "owed", "own", "pending", "period",
-                 "period_ms", "phase", "plan", "quota", "renumbered", "seen", "shift_ms", "since", "spread", "stranger",
-                 "told", "turned", "unclosed", "used", "waiting")
-
-    def __init__(self, plan: Plan, request: Request, settings: Settings, now: float, started: float,
-                 shift_ms: float = 0.0, cap_empty_at: float = -math.inf) -> None:
+    __slots__ = (
+        "abandoned",
+        "asked",
+        "base",
+        "cap",
+        "cap_empty_at",
+        "conform",
+        "counted",
+        "customer",
+        "flushing",
+        "guessed",
+        "head",
+        "last_base",
+        "maybe",
+        "mine",
+        "open",
+        "others",
+        "owed",
+        "own",
+        "pending",
+        "period",
+        "period_ms",
+        "phase",
+        "plan",
+        "quota",
+        "renumbered",
+        "seen",
+        "shift_ms",
+        "since",
+        "spread",
+        "stranger",
+        "told",
+        "turned",
+        "unclosed",
+        "used",
+        "waiting",
+    )
+
+    def __init__(
+        self,
+        plan: Plan,
+        request: Request,
+        settings: Settings,
+        now: float,
+        started: float,
+        shift_ms: float = 0.0,
+        cap_empty_at: float = -math.inf,
+    ) -> None:
         self.plan, self.customer = plan, request.customer
         self.spread = spread = max(1, min(request.spread, settings.gateways))
         self.quota = Meter(plan.rate, plan.burst, now)
@@ -264,7 +305,7 @@
         wait = led.quota.wait(now, units) if led.told else 0.0
         part = led.part()
         if self._rng.random() < self._chance - CALL_LEAST:
-            part = max(part, led.spread ** -0.5)
+            part = max(part, led.spread**-0.5)
         led.own.per_unit = led.quota.per_unit / part
         wait = max(wait, led.own.wait(now, units))
         return wait if self._pays(led) else max(wait, led.quota.per_unit)
@@ -297,8 +338,11 @@
         unseen = led.others * (now - led.seen) / SECOND_MS
         room = led.quota.room(now) - unseen - units
         fresh = led.told and now - led.seen < FRESH_PERIODS * led.period_ms
-        return (fresh and room > min(self._chance, 1.0) * led.plan.burst
-                and (led.head is None or led.head.room(now) >= units))
+        return (
+            fresh
+            and room > min(self._chance, 1.0) * led.plan.burst
+            and (led.head is None or led.head.room(now) >= units)
+        )
 
     def judged(self, led: Ledger, good: bool) -> None:
         """Learn from a try that the counter told of whether such tries conform."""
@@ -381,8 +425,9 @@
             led.mine += weight * (units / (now - led.seen) * SECOND_MS - led.mine)
         led.base, led.seen = event.total, now
         most = 1.0 if led.plan.ceiling_rate > 0 or self._chance >= 1 else CLOSE_BELOW
-        short = led.unclosed and (quota.room(now) < most * led.plan.burst
-                                  or (led.cap is not None and led.cap.wait(now, units) > 0))
+        short = led.unclosed and (
+            quota.room(now) < most * led.plan.burst or (led.cap is not None and led.cap.wait(now, units) > 0)
+        )
         if short and self.call_weight(now, led, 1.0):
             return led, True, [self._call(led, led.period - 1, 0.0)]
         return led, True, []
--- a/martenstep/replication/aside.py
+++ b/martenstep/replication/aside.py
@@ -60,7 +60,7 @@
         os.closerange(write + 1, MOST_FILES)
         data = memoryview(make())
         while data:
-            data = data[os.write(write, data):]
+            data = data[os.write(write, data) :]
         code = 0
     finally:
         os._exit(code)
--- a/martenstep/replication/core.py
+++ b/martenstep/replication/core.py
@@ -143,8 +143,16 @@
 class Copy:
     """One copy of a group."""
 
-    def __init__(self, me: int, kept: Kept, first: Config, settings: Settings, rng: random.Random, now: float,
-                 proven: bool = True) -> None:
+    def __init__(
+        self,
+        me: int,
+        kept: Kept,
+        first: Config,
+        settings: Settings,
+        rng: random.Random,
+        now: float,
+        proven: bool = True,
+    ) -> None:
         """`first` is the group as it began; what the log says later holds in its place."""
         self.me, self.settings, self._rng = me, settings, rng
         self.term, self.vote = kept.term, kept.vote
@@ -255,8 +263,9 @@
 
     # Durable writes.
 
-    def _write(self, cut_from: int | None = None, entries: tuple[Entry, ...] = (),
-               snapshot: Snapshot | None = None) -> int:
+    def _write(
+        self, cut_from: int | None = None, entries: tuple[Entry, ...] = (), snapshot: Snapshot | None = None
+    ) -> int:
         self._ticket += 1
         self._index_of[self._ticket] = self.last_index
         self.out.append(Write(self._ticket, self.term, self.vote, self._floor, cut_from, entries, snapshot))
@@ -316,8 +325,7 @@
     @property
     def may_stand(self) -> bool:
         """This copy is a voter, and its log holds all that it may have acknowledged."""
-        return (self.me in self.config.voters and self.proven and not self.halted
-                and not self.short)
+        return self.me in self.config.voters and self.proven and not self.halted and not self.short
 
     def _not_heard(self, now: float, number: int) -> None:
         if number != self._election or self.role is Role.LEADER:
@@ -402,8 +410,12 @@
     def may_read(self, now: float) -> bool:
         """Whether what is delivered here holds all that was committed before now: it leads, its lease runs, and it has
         delivered an entry of its own term and all that is committed."""
-        return (self.role is Role.LEADER and now < self.lease_until and self._delivered == self.commit
-                and self.term_at(self.commit) == self.term)
+        return (
+            self.role is Role.LEADER
+            and now < self.lease_until
+            and self._delivered == self.commit
+            and self.term_at(self.commit) == self.term
+        )
 
     def change(self, now: float, config: Config) -> bool:
         """Put another group in place, one voter more or less; False where that may not be now."""
@@ -421,8 +433,10 @@
         if len(before ^ after) > 1 or not after or len(set(config.everyone)) != len(config.everyone):
             return False
         # Whoever counts holds the entry that took it in.  Danger: it could believe an older word that it is out.
-        return all(one in self._peers and self._peers[one].match >= max(self.last_index - NEAR, self._config_index)
-                   for one in after - before)
+        return all(
+            one in self._peers and self._peers[one].match >= max(self.last_index - NEAR, self._config_index)
+            for one in after - before
+        )
 
     @property
     def heard_at(self) -> float:
@@ -441,15 +455,25 @@
 
     def lags(self) -> dict[int, int]:
         """At a leader: by how many entries each other copy is behind, as far as it has acknowledged."""
-        return {copy: self.last_index - (self._peers[copy].match if copy in self._peers else 0)
-                for copy in self.config.everyone if copy != self.me} if self.role is Role.LEADER else {}
+        return (
+            {
+                copy: self.last_index - (self._peers[copy].match if copy in self._peers else 0)
+                for copy in self.config.everyone
+                if copy != self.me
+            }
+            if self.role is Role.LEADER
+            else {}
+        )
 
     def hand_over(self, now: float, to: int | None = None) -> bool:
         """Let another lead; False where nobody can."""
         if self.role is not Role.LEADER:
             return False
-        near = [other for other in self.config.voters if other != self.me and other in self._peers
-                and (to is None or other == to)]
+        near = [
+            other
+            for other in self.config.voters
+            if other != self.me and other in self._peers and (to is None or other == to)
+        ]
         if not near:
             return False
         self._handing = max(near, key=lambda other: self._peers[other].match)
@@ -512,8 +536,12 @@
             peer.next = peer.match + 1  # what was sent and not acknowledged for three beats is sent again
         entries: list[Entry] = []
         size, at = 0, peer.next
-        while at <= self.last_index and at <= peer.match + MOST_AHEAD and len(entries) < MOST_ENTRIES and \
-                size < MOST_BYTES:
+        while (
+            at <= self.last_index
+            and at <= peer.match + MOST_AHEAD
+            and len(entries) < MOST_ENTRIES
+            and size < MOST_BYTES
+        ):
             held = self.entry(at)
             assert held is not None
             entries.append(held)
@@ -534,8 +562,21 @@
         elif not beat:
             return  # one piece at a time; lost ones are sent again by the beat
         data = snapshot.body[peer.piece_at : peer.piece_at + PIECE_BYTES]
-        self.out.append(Send(other, Piece(self.term, snapshot.index, snapshot.term, snapshot.config, peer.piece_at,
-                                          data, len(snapshot.body), self._round)))
+        self.out.append(
+            Send(
+                other,
+                Piece(
+                    self.term,
+                    snapshot.index,
+                    snapshot.term,
+                    snapshot.config,
+                    peer.piece_at,
+                    data,
+                    len(snapshot.body),
+                    self._round,
+                ),
+            )
+        )
 
     def _own_match(self) -> int:
         """What of this copy's own log is durable."""
@@ -543,8 +584,13 @@
 
     def _advance(self, now: float) -> None:
         """What a majority holds durably stands, where it is of this term (thesis, 3.6.2)."""
-        held = sorted((self._own_match() if voter == self.me else self._peers[voter].match
-                       if voter in self._peers else 0 for voter in self.config.voters), reverse=True)
+        held = sorted(
+            (
+                self._own_match() if voter == self.me else self._peers[voter].match if voter in self._peers else 0
+                for voter in self.config.voters
+            ),
+            reverse=True,
+        )
         index = held[self.config.majority - 1]
         if index > self.commit and self._may_commit(index):
             self.commit = index
@@ -564,8 +610,13 @@
             self.out.append(Committed(held))
 
     def _renew_lease(self, now: float) -> None:
-        rounds = sorted((self._round if voter == self.me else self._peers[voter].acked_round
-                         if voter in self._peers else 0 for voter in self.config.voters), reverse=True)
+        rounds = sorted(
+            (
+                self._round if voter == self.me else self._peers[voter].acked_round if voter in self._peers else 0
+                for voter in self.config.voters
+            ),
+            reverse=True,
+        )
         acked = rounds[self.config.majority - 1]
         sent = self._sent_at.get(acked)
         if sent is None:
@@ -808,8 +859,9 @@
         return None
 
     def _of_them(self, asked: WhatOfMe) -> OfYou:
-        return OfYou(asked.nonce, self.term, self.last_index, self.last_term, self.config, self._config_index,
-                     self.settled)
+        return OfYou(
+            asked.nonce, self.term, self.last_index, self.last_term, self.config, self._config_index, self.settled
+        )
 
     def _of_me(self, now: float, source: int, told: OfYou) -> None:
         if self.proven or told.nonce != self._nonce:
@@ -842,4 +894,3 @@
         self._write()  # the floor as well: the next start knows no better
         self._heard_leader = now
         self._arm(now)
-
--- a/martenstep/replication/host.py
+++ b/martenstep/replication/host.py
@@ -56,17 +56,32 @@
 class Host:
     """One copy."""
 
-    def __init__(self, group: str, store: Store, first: Config, machine: Machine, links: Links,
-                 note: Callable[[str, dict[str, Any]], None], settings: Settings | None = None,
-                 place_of: Callable[[int], str | None] | None = None) -> None:
+    def __init__(
+        self,
+        group: str,
+        store: Store,
+        first: Config,
+        machine: Machine,
+        links: Links,
+        note: Callable[[str, dict[str, Any]], None],
+        settings: Settings | None = None,
+        place_of: Callable[[int], str | None] | None = None,
+    ) -> None:
         """`links` are the machine's; `place_of` tells where a copy is, without it the group's own homes do."""
         self.group, self.store, self.machine, self._note = group, store, machine, note
         self._links, self._place_of = links, place_of or self.home
         kept = store.image()
         if kept.snapshot is not None:
             machine.restore(kept.snapshot.body)
-        self.copy = Copy(store.id, kept, first, settings or Settings(), random.Random(random.SystemRandom().random()),
-                         now_ms(), store.proven)
+        self.copy = Copy(
+            store.id,
+            kept,
+            first,
+            settings or Settings(),
+            random.Random(random.SystemRandom().random()),
+            now_ms(),
+            store.proven,
+        )
         self._port: Port | None = None
         self._waiting: dict[int, tuple[int, asyncio.Future[Any]]] = {}
         self._writes: list[Write] = []
@@ -234,8 +249,9 @@
                 future.set_exception(InDoubtError("another entry stands in its place: it does not"))
 
     def _became(self, became: Became) -> None:
-        self._note("copy", {"group": self.group, "role": became.role.value, "term": became.term,
-                            "leader": became.leader})
+        self._note(
+            "copy", {"group": self.group, "role": became.role.value, "term": became.term, "leader": became.leader}
+        )
         if became.role is not Role.LEADER:
             # Whether they stand, the next leader knows.
             for _, future in self._waiting.values():
--- a/martenstep/replication/keeper.py
+++ b/martenstep/replication/keeper.py
@@ -144,10 +144,19 @@
 class Keeper:
     """One machine's copies."""
 
-    def __init__(self, me: str, folder: Path, witness: Path, holding: Holding, machine: Callable[[str], Machine],
-                 places: Callable[[], Iterable[Place]], note: Callable[[str, dict[str, Any]], None],
-                 settings: Settings | None = None, also: Callable[[str], bool] = lambda group: False,
-                 first: Callable[[str], str | None] = lambda group: None) -> None:
+    def __init__(
+        self,
+        me: str,
+        folder: Path,
+        witness: Path,
+        holding: Holding,
+        machine: Callable[[str], Machine],
+        places: Callable[[], Iterable[Place]],
+        note: Callable[[str, dict[str, Any]], None],
+        settings: Settings | None = None,
+        also: Callable[[str], bool] = lambda group: False,
+        first: Callable[[str], str | None] = lambda group: None,
+    ) -> None:
         """`machine` makes the state of a group from its name; `places` are those that the membership knows.  `also`
         tells which groups are held beside those of the settings, each begun by one place alone; `first` tells at which
         place a group should be in any case, and be led."""
@@ -229,11 +238,19 @@
         try:
             machine = self._machine(group)
             disks = [Disk(folder), Disk(witness)]
-            store = await asyncio.to_thread(Store, disks[0], disks[1], random.SystemRandom(), founding,
-                                            group not in self.holding.groups)
+            store = await asyncio.to_thread(
+                Store, disks[0], disks[1], random.SystemRandom(), founding, group not in self.holding.groups
+            )
             first = self._first(group, store.id)
-            host = Host(group, store, first if store.id in first.voters else Config((0,)), machine, self._links(),
-                        self._note, self._settings)
+            host = Host(
+                group,
+                store,
+                first if store.id in first.voters else Config((0,)),
+                machine,
+                self._links(),
+                self._note,
+                self._settings,
+            )
         except (StoreError, LockedError, OSError, ValueError) as error:
             for disk in disks:
                 disk.close()
@@ -244,8 +261,9 @@
             return None
         self._held[group] = _Held(host, (disks[0], disks[1]), folder)
         host.start()
-        self._note("copy begins", {"group": group, "copy": store.id, "proven": store.proven,
-                                   "entries": host.copy.last_index})
+        self._note(
+            "copy begins", {"group": group, "copy": store.id, "proven": store.proven, "entries": host.copy.last_index}
+        )
         return host
 
     def _links(self) -> Links:
@@ -294,8 +312,9 @@
         copy = host.copy
         _, present = self._sight()
         # Those that are not there first.  Danger: the last two would be one that is there and one that is not.
-        others = sorted((one for one in copy.config.everyone if one != copy.me),
-                        key=lambda one: host.home(one) in present)
+        others = sorted(
+            (one for one in copy.config.everyone if one != copy.me), key=lambda one: host.home(one) in present
+        )
         if others:
             if copy.settled:
                 host.change(without(copy.config, others[0]))
@@ -306,7 +325,7 @@
     def abandon(self, group: str) -> None:
         """Let go of the copy that is here, and tell whoever asks that the group is over.  Danger: what only this copy
         holds is lost; it is for groups that promise nothing any more."""
-        self._identity.over = [*self._identity.over[1 - MOST_OVER:], group]
+        self._identity.over = [*self._identity.over[1 - MOST_OVER :], group]
         self._keep_identity()
         self._let_go(group, "nobody needs it any more")
 
@@ -328,8 +347,9 @@
         zones, present = self._sight()
         host = self.host(group)
         config = host.copy.config if host is not None else Config(())
-        return wanted(group, config, zones, present, self._away.lost(now_ms()), self.holding.count,
-                      self._prefers(group))
+        return wanted(
+            group, config, zones, present, self._away.lost(now_ms()), self.holding.count, self._prefers(group)
+        )
 
     async def _tend(self) -> None:
         while True:
@@ -358,8 +378,16 @@
                 continue
             first = self._prefers(host.group)
             places = wanted(host.group, config, zones, willing, lost, self.holding.count, first)
-            step = next_step(config, host.copy.me, places, self._gone.get(host.group, ()), willing, self.holding.count,
-                             filling < MOST_FILLING, first if self._may_hand(now, host) else None)
+            step = next_step(
+                config,
+                host.copy.me,
+                places,
+                self._gone.get(host.group, ()),
+                willing,
+                self.holding.count,
+                filling < MOST_FILLING,
+                first if self._may_hand(now, host) else None,
+            )
             if isinstance(step, InviteStep):
                 filling += 1
                 self._invite(now, host, step.place)
@@ -368,8 +396,15 @@
                 host.hand_over(step.to)
             elif isinstance(step, Change) and host.change(step.config):
                 self.counts["changes"] += 1
-                self._note("copies change", {"group": host.group, "why": step.why, "voters": step.config.voters,
-                                             "learners": step.config.learners})
+                self._note(
+                    "copies change",
+                    {
+                        "group": host.group,
+                        "why": step.why,
+                        "voters": step.config.voters,
+                        "learners": step.config.learners,
+                    },
+                )
         for held in list(self._held.values()):
             self._ask_if_out(now, held)
 
@@ -502,10 +537,13 @@
             if host.copy.role is Role.LEADER:
                 places = [host.home(one) or "" for one in config.voters]
                 lags = host.copy.lags()
-                whole = (len(config.voters) >= self.holding.count and not config.learners
-                         and all(place in present for place in places)
-                         and not self._gone.get(host.group, set()) & set(config.voters)
-                         and all(lags.get(one, 0) < NEAR for one in config.voters))
+                whole = (
+                    len(config.voters) >= self.holding.count
+                    and not config.learners
+                    and all(place in present for place in places)
+                    and not self._gone.get(host.group, set()) & set(config.voters)
+                    and all(lags.get(one, 0) < NEAR for one in config.voters)
+                )
                 made.append((host.group, places, whole))
         return made
 
@@ -569,36 +607,66 @@
         for group, held in sorted(self._held.items()):
             copy = held.host.copy
             lags = copy.lags()
-            made.append({
-                "group": group, "copy": copy.me, "role": "halted" if copy.halted else copy.role.value,
-                "term": copy.term, "commit": copy.commit, "last": copy.last_index, "proven": copy.proven,
-                "leader": held.host.home(copy.leader) if copy.leader is not None else None,
-                "at": [{"copy": one, "place": held.host.home(one) or "", "counts": one in copy.config.voters,
-                        "present": held.host.home(one) in present and one not in self._gone.get(group, ()),
-                        "behind": lags.get(one)}
-                       for one in copy.config.everyone],
-                "wanted": self.wanted(group)})
-        return {"me": self.me, "disk": self._identity.id, "copies": self.holding.count, "groups": made,
-                "counts": dict(self.counts)}
+            made.append(
+                {
+                    "group": group,
+                    "copy": copy.me,
+                    "role": "halted" if copy.halted else copy.role.value,
+                    "term": copy.term,
+                    "commit": copy.commit,
+                    "last": copy.last_index,
+                    "proven": copy.proven,
+                    "leader": held.host.home(copy.leader) if copy.leader is not None else None,
+                    "at": [
+                        {
+                            "copy": one,
+                            "place": held.host.home(one) or "",
+                            "counts": one in copy.config.voters,
+                            "present": held.host.home(one) in present and one not in self._gone.get(group, ()),
+                            "behind": lags.get(one),
+                        }
+                        for one in copy.config.everyone
+                    ],
+                    "wanted": self.wanted(group),
+                }
+            )
+        return {
+            "me": self.me,
+            "disk": self._identity.id,
+            "copies": self.holding.count,
+            "groups": made,
+            "counts": dict(self.counts),
+        }
 
     def gauges(self) -> dict[str, float]:
         """For metrics."""
         _, present = self._sight()
         hosts = [held.host for held in self._held.values()]
         leading = [host for host in hosts if host.copy.role is Role.LEADER]
-        weak = sum(sum(host.home(one) in present and one not in self._gone.get(host.group, ())
-                       for one in host.copy.config.voters) < self.holding.count for host in leading)
-        return {"copies_held": len(hosts), "copies_led": len(leading), "copies_under_strength": weak,
-                "copies_halted": sum(host.copy.halted for host in hosts),
-                "copies_unproven": sum(not host.copy.proven for host in hosts),
-                "copies_no_leader": sum(host.copy.leader is None for host in hosts),
-                "copies_most_behind": max((lag for host in leading for lag in host.copy.lags().values()), default=0)}
+        weak = sum(
+            sum(
+                host.home(one) in present and one not in self._gone.get(host.group, ())
+                for one in host.copy.config.voters
+            )
+            < self.holding.count
+            for host in leading
+        )
+        return {
+            "copies_held": len(hosts),
+            "copies_led": len(leading),
+            "copies_under_strength": weak,
+            "copies_halted": sum(host.copy.halted for host in hosts),
+            "copies_unproven": sum(not host.copy.proven for host in hosts),
+            "copies_no_leader": sum(host.copy.leader is None for host in hosts),
+            "copies_most_behind": max((lag for host in leading for lag in host.copy.lags().values()), default=0),
+        }
 
     def move(self, group: str, to: str) -> bool:
         """Let the copy at another place lead a group that is led here."""
         host = self.host(group)
         if host is None or host.copy.role is not Role.LEADER:
             return False
-        copy = next((one for one, place in host.copy.config.homes if place == to and one in host.copy.config.voters),
-                    None)
+        copy = next(
+            (one for one, place in host.copy.config.homes if place == to and one in host.copy.config.voters), None
+        )
         return copy is not None and host.hand_over(copy)
--- a/martenstep/replication/links.py
+++ b/martenstep/replication/links.py
@@ -121,8 +121,14 @@
 class Port:
     """One copy's end of the links."""
 
-    def __init__(self, links: Links, group: str, me: int, place_of: Callable[[int], str | None],
-                 take: Callable[[int, Message], None]) -> None:
+    def __init__(
+        self,
+        links: Links,
+        group: str,
+        me: int,
+        place_of: Callable[[int], str | None],
+        take: Callable[[int, Message], None],
+    ) -> None:
         self.group, self.me, self.take = group, me, take
         self._links, self._place_of = links, place_of
         self.heard: dict[int, str] = {}  # where copies spoke from that nothing else tells of yet
@@ -141,9 +147,15 @@
 class Links:
     """One machine's connections."""
 
-    def __init__(self, cluster: str, me: str, keys: Callable[[], Keys], address_of: Callable[[str], Address | None],
-                 words: Callable[[str, str, int, Word], None] = lambda place, group, copy, word: None,
-                 nobody: Callable[[str, str, int, int], None] = lambda place, group, source, target: None) -> None:
+    def __init__(
+        self,
+        cluster: str,
+        me: str,
+        keys: Callable[[], Keys],
+        address_of: Callable[[str], Address | None],
+        words: Callable[[str, str, int, Word], None] = lambda place, group, copy, word: None,
+        nobody: Callable[[str, str, int, int], None] = lambda place, group, source, target: None,
+    ) -> None:
         """`me` is this machine's place, `address_of` tells where a place is now.  `words` is given what places say to
         each other (place, group, copy, word); `nobody` is told of a message for a copy that is not here (place, group,
         source, target)."""
@@ -170,8 +182,9 @@
         for task in list(self._served):
             task.cancel()
 
-    def open(self, group: str, me: int, place_of: Callable[[int], str | None],
-             take: Callable[[int, Message], None]) -> Port:
+    def open(
+        self, group: str, me: int, place_of: Callable[[int], str | None], take: Callable[[int, Message], None]
+    ) -> Port:
         """A copy's end, one a group; `take` is given what others send to it."""
         port = self._ports[group] = Port(self, group, me, place_of, take)
         return port
--- a/martenstep/replication/placing.py
+++ b/martenstep/replication/placing.py
@@ -62,8 +62,15 @@
         return {place for place, since in self._since.items() if now - since >= self._final}
 
 
-def wanted(group: str, config: Config, zones: Mapping[str, str], present: Collection[str], lost: Collection[str],
-           count: int, first: str | None = None) -> list[str]:
+def wanted(
+    group: str,
+    config: Config,
+    zones: Mapping[str, str],
+    present: Collection[str],
+    lost: Collection[str],
+    count: int,
+    first: str | None = None,
+) -> list[str]:
     """The places that should hold a group, fewer than `count` where there are fewer.
 
     `zones` tells the zone of every place that is known; a holder that is not known counts as a zone of its own.
@@ -81,9 +88,11 @@
 
 def without(config: Config, copy: int) -> Config:
     """The same without one copy."""
-    return Config(tuple(one for one in config.voters if one != copy),
-                  tuple(one for one in config.learners if one != copy),
-                  tuple(home for home in config.homes if home[0] != copy))
+    return Config(
+        tuple(one for one in config.voters if one != copy),
+        tuple(one for one in config.learners if one != copy),
+        tuple(home for home in config.homes if home[0] != copy),
+    )
 
 
 def learning(config: Config, copy: int, place: str) -> Config:
@@ -96,8 +105,16 @@
     return Config((*config.voters, copy), tuple(one for one in config.learners if one != copy), config.homes)
 
 
-def next_step(config: Config, me: int, places: list[str], gone: Collection[int], present: Collection[str],
-              count: int, may_fill: bool, first: str | None = None) -> Step | None:
+def next_step(
+    config: Config,
+    me: int,
+    places: list[str],
+    gone: Collection[int],
+    present: Collection[str],
+    count: int,
+    may_fill: bool,
+    first: str | None = None,
+) -> Step | None:
     """What a group's leader, copy `me`, should do next; None where all is as it should be, or must wait.
 
     `places` should hold the group (`wanted`); `gone` are copies that their place says it does not hold; `present` are
--- a/martenstep/replication/store.py
+++ b/martenstep/replication/store.py
@@ -108,13 +108,20 @@
     groups: list[list[Write]] = []
     for write in writes:
         last = groups[-1][-1] if groups else None
-        if (last is not None and write.cut_from is None and write.snapshot is None and last.snapshot is None
-                and (write.term, write.vote, write.floor) == (last.term, last.vote, last.floor)):
+        if (
+            last is not None
+            and write.cut_from is None
+            and write.snapshot is None
+            and last.snapshot is None
+            and (write.term, write.vote, write.floor) == (last.term, last.vote, last.floor)
+        ):
             groups[-1].append(write)
         else:
             groups.append([write])
-    return [replace(group[0], ticket=group[-1].ticket, entries=tuple(entry for one in group for entry in one.entries))
-            for group in groups]
+    return [
+        replace(group[0], ticket=group[-1].ticket, entries=tuple(entry for one in group for entry in one.entries))
+        for group in groups
+    ]
 
 
 def lines_of(write: Write) -> list[bytes]:
@@ -135,8 +142,9 @@
 class Store:
     """One copy's disk."""
 
-    def __init__(self, files: Files, witness: Files | None, rng: random.Random, founding: int | None = None,
-                 alone: bool = False) -> None:
+    def __init__(
+        self, files: Files, witness: Files | None, rng: random.Random, founding: int | None = None, alone: bool = False
+    ) -> None:
         """Read all that is there; raises StoreError where it is damaged.  An empty disk becomes a new identity: a drawn
         one, or the one that is given to a copy that founds its group.
 
@@ -236,5 +244,3 @@
     def image(self) -> Kept:
         """What holds now, as its own."""
         return replace(self.kept, entries=list(self.kept.entries))
-
-
--- a/martenstep/replication/verify.py
+++ b/martenstep/replication/verify.py
@@ -74,13 +74,15 @@
     sound = [one for one in copies if not one.wrong]
     for number, first in enumerate(sound):
         held = {entry.index: entry for entry in first.kept.entries}
-        for second in sound[number + 1:]:
+        for second in sound[number + 1 :]:
             if second.group != first.group:
                 continue
             for entry in second.kept.entries:
                 other = held.get(entry.index)
                 if other is not None and other.term == entry.term and other != entry:
-                    told.append(f"{first.group}: entry {entry.index} of term {entry.term} is not the same in "
-                                f"{first.folder} and {second.folder}")
+                    told.append(
+                        f"{first.group}: entry {entry.index} of term {entry.term} is not the same in "
+                        f"{first.folder} and {second.folder}"
+                    )
                     break
     return told
--- a/martenstep/standins/auth.py
+++ b/martenstep/standins/auth.py
@@ -58,8 +58,14 @@
             headers.append(("cache-control", f"max-age={self._max_age}"))
         return 200, headers, b""
 
-    async def _answer(self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                      request: h11.Request, body: int) -> bool:
+    async def _answer(
+        self,
+        connection: h11.Connection,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        request: h11.Request,
+        body: int,
+    ) -> bool:
         self.asked += 1
         headers = dict(request.headers)
         rid = headers.get(b"x-request-id", b"").decode("latin-1")
@@ -82,8 +88,9 @@
             writer.write(out[: len(out) // 2])
             return False
         # The credential itself is not written down: whose it is, is.
-        self._trace.write("verdict", rid=rid, customer=credential.removeprefix(GOOD), status=status,
-                          max_age=self._max_age)
+        self._trace.write(
+            "verdict", rid=rid, customer=credential.removeprefix(GOOD), status=status, max_age=self._max_age
+        )
         if self._rng.random() < self._shares["drips"]:
             for place in range(len(out)):
                 writer.write(out[place : place + 1])
--- a/martenstep/standins/base.py
+++ b/martenstep/standins/base.py
@@ -188,8 +188,9 @@
             connection.start_next_cycle()
 
     @staticmethod
-    async def _request(connection: h11.Connection, reader: asyncio.StreamReader,
-                       writer: asyncio.StreamWriter) -> tuple[h11.Request | None, int]:
+    async def _request(
+        connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> tuple[h11.Request | None, int]:
         request: h11.Request | None = None
         size = 0
         while True:
@@ -208,14 +209,23 @@
                 return None, 0
 
     @abstractmethod
-    async def _answer(self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                      request: h11.Request, body: int) -> bool:
+    async def _answer(
+        self,
+        connection: h11.Connection,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        request: h11.Request,
+        body: int,
+    ) -> bool:
         """Answer one request with so many bytes of body; False where the connection ends with it."""
 
 
-def response(connection: h11.Connection, status: int, headers: list[tuple[str, str]],
-             body: bytes) -> tuple[bytes, bytes]:
+def response(
+    connection: h11.Connection, status: int, headers: list[tuple[str, str]], body: bytes
+) -> tuple[bytes, bytes]:
     """The bytes of a whole answer: its head, and the rest."""
     head = h11.Response(status_code=status, headers=[*headers, ("content-length", str(len(body)))])
-    return (connection.send(head) or b"",
-            (connection.send(h11.Data(data=body)) or b"") + (connection.send(h11.EndOfMessage()) or b""))
+    return (
+        connection.send(head) or b"",
+        (connection.send(h11.Data(data=body)) or b"") + (connection.send(h11.EndOfMessage()) or b""),
+    )
--- a/martenstep/standins/clients.py
+++ b/martenstep/standins/clients.py
@@ -98,9 +98,18 @@
     async def _try(self, planned: Planned, rid: str, door: int, number: int) -> tuple[bool, float]:
         """One try; gives whether the client may repeat it, and the advice it got."""
         patience = planned.patience_ms
-        self._trace.write("try", rid=rid, door=door, customer=planned.customer, cls=planned.cls,
-                          units=planned.units, deadline_ms=patience, first=planned.rid, number=number,
-                          bad=bool(planned.credential) and not planned.credential.endswith(planned.customer))
+        self._trace.write(
+            "try",
+            rid=rid,
+            door=door,
+            customer=planned.customer,
+            cls=planned.cls,
+            units=planned.units,
+            deadline_ms=patience,
+            first=planned.rid,
+            number=number,
+            bad=bool(planned.credential) and not planned.credential.endswith(planned.customer),
+        )
         wire: _Wire | None = None
         seen: list[int] = []  # the status, as soon as the head has come
         safe = planned.cls in self._manners.repeat_after_failure
@@ -123,8 +132,14 @@
             self._trace.write("broken", rid=rid, how=type(error).__name__, status=seen[0] if seen else 0)
             return safe, 0.0
         advice = float(headers.get(b"retry-after-ms", b"0"))
-        self._trace.write("answer", rid=rid, status=status, whole=whole, advice=advice,
-                          reason=headers.get(b"x-reason", b"").decode("latin-1"))
+        self._trace.write(
+            "answer",
+            rid=rid,
+            status=status,
+            whole=whole,
+            advice=advice,
+            reason=headers.get(b"x-reason", b"").decode("latin-1"),
+        )
         if status in (429, 503):
             return True, advice
         return safe and status in (502, 504), 0.0
@@ -141,11 +156,16 @@
         except OSError:
             return None
 
-    async def _exchange(self, wire: _Wire, planned: Planned, rid: str,
-                        patience: float, seen: list[int]) -> tuple[int, dict[bytes, bytes], bool]:
+    async def _exchange(
+        self, wire: _Wire, planned: Planned, rid: str, patience: float, seen: list[int]
+    ) -> tuple[int, dict[bytes, bytes], bool]:
         door = wire
-        headers = [("host", "door"), ("x-request-id", rid), ("x-customer", planned.customer),
-                   ("x-deadline-ms", f"{patience:.3f}")]
+        headers = [
+            ("host", "door"),
+            ("x-request-id", rid),
+            ("x-customer", planned.customer),
+            ("x-deadline-ms", f"{patience:.3f}"),
+        ]
         if planned.credential:
             headers.append(("authorization", planned.credential))
         if planned.body:
--- a/martenstep/standins/feed.py
+++ b/martenstep/standins/feed.py
@@ -93,8 +93,14 @@
                     merged[server["id"]] = server
         return "changes", list(merged.values())
 
-    async def _answer(self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                      request: h11.Request, body: int) -> bool:
+    async def _answer(
+        self,
+        connection: h11.Connection,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        request: h11.Request,
+        body: int,
+    ) -> bool:
         words = parse_qs(request.target.decode("latin-1").partition("?")[2])
         index, wait = int(words.get("index", ["0"])[0]), float(words.get("wait", ["0"])[0])
         door = self._writers[writer] = words.get("door", [""])[0]
@@ -113,13 +119,21 @@
             scope, servers, told = "changes", list[dict[str, Any]](), index
         else:
             (scope, servers), told = self._since(index), self._index
-        text = json.dumps({"index": told, "scope": scope, "now_unix_ms": time.time() * 1000,
-                           "servers": servers}).encode()
+        text = json.dumps(
+            {"index": told, "scope": scope, "now_unix_ms": time.time() * 1000, "servers": servers}
+        ).encode()
         headers = [("content-type", "application/json"), ("x-index", str(told))]
         writer.write(b"".join(response(connection, 200, headers, text)))
         if servers or scope == "full":
-            self._trace.write("told", door=door, index=told, scope=scope, servers=[
-                {"id": s["id"], "state": s["state"], "started": s.get("started_unix_ms", 0.0)} for s in servers])
+            self._trace.write(
+                "told",
+                door=door,
+                index=told,
+                scope=scope,
+                servers=[
+                    {"id": s["id"], "state": s["state"], "started": s.get("started_unix_ms", 0.0)} for s in servers
+                ],
+            )
         await writer.drain()
         return True
 
--- a/martenstep/standins/photo.py
+++ b/martenstep/standins/photo.py
@@ -164,8 +164,14 @@
     def _takes(self) -> bool:
         return super()._takes() and not self._fallen and len(self._writers) < self.config.connections
 
-    async def _answer(self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                      request: h11.Request, body: int) -> bool:
+    async def _answer(
+        self,
+        connection: h11.Connection,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        request: h11.Request,
+        body: int,
+    ) -> bool:
         headers = dict(request.headers)
         cls = request.target.decode("latin-1").split("/")[1] if b"/" in request.target else ""
         told = {
--- a/martenstep/standins/redis/fleet.py
+++ b/martenstep/standins/redis/fleet.py
@@ -77,12 +77,21 @@
 class Fleet:
     """All servers of a topology, steered as one."""
 
-    def __init__(self, trace: Trace, kind: str = ALONE, *, shards: int = 3, sentinels: int = 3,
-                 lag_ms: float = 100.0, port: int = 0) -> None:
+    def __init__(
+        self,
+        trace: Trace,
+        kind: str = ALONE,
+        *,
+        shards: int = 3,
+        sentinels: int = 3,
+        lag_ms: float = 100.0,
+        port: int = 0,
+    ) -> None:
         self.kind, self._trace = kind, trace
         count = shards if kind == CLUSTER else 1
-        self.pairs = [Pair(trace, number, kind != ALONE, lag_ms, port if kind == ALONE else 0)
-                      for number in range(count)]
+        self.pairs = [
+            Pair(trace, number, kind != ALONE, lag_ms, port if kind == ALONE else 0) for number in range(count)
+        ]
         self.sentinels = [RedisServer(Trace(None), name=f"sentinel-{n}") for n in range(sentinels * (kind == SENTINEL))]
         self._owner = [slot * count // SLOTS for slot in range(SLOTS)]  # pair by slot
         self._moving: dict[int, int] = {}  # slots under way, and to which pair
@@ -157,6 +166,7 @@
         async def rejoin() -> None:
             await asyncio.sleep(split_ms / 1000)
             pair.rejoin(old)
+
         if split_ms:
             self._task(rejoin())
         else:
@@ -180,6 +190,7 @@
         async def settle() -> None:
             await asyncio.sleep(for_ms / 1000)
             self._settle(chosen)
+
         if for_ms:
             self._task(settle())
         else:
@@ -209,6 +220,7 @@
             if asking and to is not None and server is self.pairs[to].primary:
                 return None
             return ErrorReply(f"MOVED {slot} 127.0.0.1:{owner.port}")
+
         return answer
 
     def _cluster(self, words: list[bytes]) -> Reply:
@@ -235,10 +247,17 @@
                 if owner_ is pair:
                     slots += [first, last]
             nodes: list[Reply] = [
-                {"id": server.keyspace.run_id.encode(), "port": server.port, "ip": HOST, "endpoint": HOST,
-                 "role": b"replica" if server.keyspace.replica else b"master",
-                 "replication-offset": server.keyspace.offset, "health": b"online"}
-                for server in pair.servers]
+                {
+                    "id": server.keyspace.run_id.encode(),
+                    "port": server.port,
+                    "ip": HOST,
+                    "endpoint": HOST,
+                    "role": b"replica" if server.keyspace.replica else b"master",
+                    "replication-offset": server.keyspace.offset,
+                    "health": b"online",
+                }
+                for server in pair.servers
+            ]
             shards.append({"slots": slots, "nodes": nodes})
         return shards
 
@@ -254,16 +273,26 @@
         if what == b"GET-MASTER-ADDR-BY-NAME" and len(words) == 3:
             return [HOST, b"%d" % pair.primary.port] if words[2] == MASTER else None
         if what == b"MASTERS":
-            return [{"name": MASTER, "ip": HOST, "port": b"%d" % pair.primary.port, "flags": b"master",
-                     "num-slaves": b"%d" % (pair.replica is not None),
-                     "num-other-sentinels": b"%d" % (len(self.sentinels) - 1), "quorum": b"2"}]
+            return [
+                {
+                    "name": MASTER,
+                    "ip": HOST,
+                    "port": b"%d" % pair.primary.port,
+                    "flags": b"master",
+                    "num-slaves": b"%d" % (pair.replica is not None),
+                    "num-other-sentinels": b"%d" % (len(self.sentinels) - 1),
+                    "quorum": b"2",
+                }
+            ]
         if what in (b"REPLICAS", b"SLAVES", b"SENTINELS"):
             if words[2:] != [MASTER]:
                 return ErrorReply("ERR No such master with that name")
             others = self.sentinels if what == b"SENTINELS" else [pair.replica] if pair.replica else []
             flags = b"sentinel" if what == b"SENTINELS" else b"slave"
-            return [{"name": b"%s:%d" % (HOST, server.port), "ip": HOST, "port": b"%d" % server.port, "flags": flags}
-                    for server in others]
+            return [
+                {"name": b"%s:%d" % (HOST, server.port), "ip": HOST, "port": b"%d" % server.port, "flags": flags}
+                for server in others
+            ]
         return ErrorReply("ERR Unknown sentinel subcommand")
 
 
--- a/martenstep/standins/redis/keyspace.py
+++ b/martenstep/standins/redis/keyspace.py
@@ -26,19 +26,47 @@
 NO_SCRIPT = ErrorReply("NOSCRIPT No matching script. Please use EVAL.")
 OOM = ErrorReply("OOM command not allowed when used memory > 'maxmemory'.")
 READ_ONLY = ErrorReply("READONLY You can't write against a read only replica.")
-WRITES = {b"SET", b"DEL", b"INCRBYFLOAT", b"INCRBY", b"PEXPIRE", b"HSET", b"HINCRBYFLOAT", b"EVAL", b"EVALSHA",
-          b"FLUSHALL"}
+WRITES = {
+    b"SET",
+    b"DEL",
+    b"INCRBYFLOAT",
+    b"INCRBY",
+    b"PEXPIRE",
+    b"HSET",
+    b"HINCRBYFLOAT",
+    b"EVAL",
+    b"EVALSHA",
+    b"FLUSHALL",
+}
 GROWS = WRITES - {b"DEL", b"PEXPIRE", b"FLUSHALL"}  # what a full store turns down
-FIRST_KEY = {name: 1 for name in (b"GET", b"SET", b"DEL", b"PTTL", b"TTL", b"EXISTS", b"INCRBYFLOAT", b"INCRBY",
-                                  b"PEXPIRE", b"HGET", b"HSET", b"HINCRBYFLOAT", b"HGETALL", b"TYPE")}
+FIRST_KEY = {
+    name: 1
+    for name in (
+        b"GET",
+        b"SET",
+        b"DEL",
+        b"PTTL",
+        b"TTL",
+        b"EXISTS",
+        b"INCRBYFLOAT",
+        b"INCRBY",
+        b"PEXPIRE",
+        b"HGET",
+        b"HSET",
+        b"HINCRBYFLOAT",
+        b"HGETALL",
+        b"TYPE",
+    )
+}
 FIRST_KEY |= {b"EVAL": 3, b"EVALSHA": 3}
 NO_AUTH = (b"HELLO", b"AUTH", b"QUIT")
 
 Value = bytes | dict[bytes, bytes]
 # What another's script does: reads a key, writes a key that lives for so many milliseconds (0: as it did), and its keys
 # and arguments.
-Twin = Callable[[Callable[[bytes], bytes | None], Callable[[bytes, bytes, float], None], list[bytes], list[bytes]],
-                "Reply"]
+Twin = Callable[
+    [Callable[[bytes], bytes | None], Callable[[bytes, bytes, float], None], list[bytes], list[bytes]], "Reply"
+]
 
 
 def key_of(words: list[bytes]) -> bytes | None:
@@ -102,16 +130,36 @@
         # Each statement that changed something: key, door, version, the door's sum, total, and the key's end.
         self.stated: Callable[[bytes, bytes, int, float, float, float], None] | None = None
         self._table: dict[bytes, tuple[int, Callable[[Session, float, list[bytes]], Reply]]] = {
-            b"PING": (-1, self._ping), b"ECHO": (2, lambda s, n, a: a[1]), b"GET": (2, self._get),
-            b"SET": (-3, self._set), b"DEL": (-2, self._del), b"PTTL": (2, self._pttl), b"TTL": (2, self._ttl),
-            b"EXISTS": (-2, self._exists), b"INFO": (-1, self._info), b"CLIENT": (-2, self._client),
-            b"HELLO": (-1, self._hello), b"SELECT": (2, self._select), b"DBSIZE": (1, self._dbsize),
-            b"FLUSHALL": (-1, self._flushall), b"INCRBYFLOAT": (3, self._incrbyfloat),
-            b"INCRBY": (3, self._incrby), b"PEXPIRE": (-3, self._pexpire), b"COMMAND": (-1, self._command),
-            b"QUIT": (-1, lambda s, n, a: OK), b"TYPE": (2, self._type), b"AUTH": (-2, self._auth),
-            b"HGET": (3, self._hget), b"HSET": (-4, self._hset), b"HGETALL": (2, self._hgetall),
-            b"HINCRBYFLOAT": (4, self._hincrbyfloat), b"EVALSHA": (-3, self._evalsha), b"EVAL": (-3, self._eval),
-            b"SCRIPT": (-2, self._script), b"ROLE": (1, self._role), b"ASKING": (1, self._asking),
+            b"PING": (-1, self._ping),
+            b"ECHO": (2, lambda s, n, a: a[1]),
+            b"GET": (2, self._get),
+            b"SET": (-3, self._set),
+            b"DEL": (-2, self._del),
+            b"PTTL": (2, self._pttl),
+            b"TTL": (2, self._ttl),
+            b"EXISTS": (-2, self._exists),
+            b"INFO": (-1, self._info),
+            b"CLIENT": (-2, self._client),
+            b"HELLO": (-1, self._hello),
+            b"SELECT": (2, self._select),
+            b"DBSIZE": (1, self._dbsize),
+            b"FLUSHALL": (-1, self._flushall),
+            b"INCRBYFLOAT": (3, self._incrbyfloat),
+            b"INCRBY": (3, self._incrby),
+            b"PEXPIRE": (-3, self._pexpire),
+            b"COMMAND": (-1, self._command),
+            b"QUIT": (-1, lambda s, n, a: OK),
+            b"TYPE": (2, self._type),
+            b"AUTH": (-2, self._auth),
+            b"HGET": (3, self._hget),
+            b"HSET": (-4, self._hset),
+            b"HGETALL": (2, self._hgetall),
+            b"HINCRBYFLOAT": (4, self._hincrbyfloat),
+            b"EVALSHA": (-3, self._evalsha),
+            b"EVAL": (-3, self._eval),
+            b"SCRIPT": (-2, self._script),
+            b"ROLE": (1, self._role),
+            b"ASKING": (1, self._asking),
         }
 
     def run(self, session: Session, now: float, words: list[bytes]) -> Reply:
@@ -159,8 +207,11 @@
 
     def contents(self) -> Iterable[tuple[int, bytes, Value, float]]:
         """Database, key, value and expiry of all there is."""
-        return [(number, key, value if isinstance(value, bytes) else dict(value), expires)
-                for number, data in self._databases.items() for key, (value, expires) in data.items()]
+        return [
+            (number, key, value if isinstance(value, bytes) else dict(value), expires)
+            for number, data in self._databases.items()
+            for key, (value, expires) in data.items()
+        ]
 
     def take(self, database: int, key: bytes, value: Value | None, expires: float) -> None:
         """One change as the primary made it."""
@@ -396,8 +447,9 @@
 
         def put(key: bytes, value: bytes, life_ms: float) -> None:
             self._put(session, key, value, now + life_ms if life_ms else self._expires(session, key))
+
         count = int(words[2])
-        return twin(get, put, words[3:3 + count], words[3 + count:])
+        return twin(get, put, words[3 : 3 + count], words[3 + count :])
 
     def _state(self, session: Session, now: float, words: list[bytes]) -> Reply:
         if len(words) != 8 or words[2] != b"1":
@@ -459,9 +511,12 @@
             return 0
         expires = self._data(session)[words[1]][1]
         has = expires != math.inf
-        if ((b"NX" in options and has) or (b"XX" in options and not has)
-                or (b"GT" in options and (not has or now + span <= expires))
-                or (b"LT" in options and has and now + span >= expires)):
+        if (
+            (b"NX" in options and has)
+            or (b"XX" in options and not has)
+            or (b"GT" in options and (not has or now + span <= expires))
+            or (b"LT" in options and has and now + span >= expires)
+        ):
             return 0
         if span <= 0:
             self._remove(session, words[1])
@@ -471,11 +526,22 @@
 
     def _info(self, session: Session, now: float, words: list[bytes]) -> Reply:
         keys = sum(len(data) for data in self._databases.values())
-        lines = ["# Server", f"redis_version:{VERSION}", f"run_id:{self.run_id}", "# Memory",
-                 f"used_memory:{self._bytes}", f"maxmemory:{self.max_bytes}", "# Stats",
-                 f"total_commands_processed:{self.commands}", f"evicted_keys:{self.evicted}", "# Replication",
-                 f"role:{'slave' if self.replica else 'master'}", f"master_repl_offset:{self.offset}",
-                 "# Keyspace", f"db0:keys={keys},expires=0"]
+        lines = [
+            "# Server",
+            f"redis_version:{VERSION}",
+            f"run_id:{self.run_id}",
+            "# Memory",
+            f"used_memory:{self._bytes}",
+            f"maxmemory:{self.max_bytes}",
+            "# Stats",
+            f"total_commands_processed:{self.commands}",
+            f"evicted_keys:{self.evicted}",
+            "# Replication",
+            f"role:{'slave' if self.replica else 'master'}",
+            f"master_repl_offset:{self.offset}",
+            "# Keyspace",
+            f"db0:keys={keys},expires=0",
+        ]
         return "".join(line + "\r\n" for line in lines).encode()
 
     def _client(self, session: Session, now: float, words: list[bytes]) -> Reply:
@@ -504,18 +570,27 @@
                 session.name = words[at + 1]
                 at += 2
             elif option == b"AUTH" and at + 2 < len(words):
-                answer = self._auth(session, now, words[at:at + 3])
+                answer = self._auth(session, now, words[at : at + 3])
                 if isinstance(answer, ErrorReply):
                     return answer
                 at += 3
             else:
                 return ErrorReply("ERR syntax error in HELLO option")
         if self.users and session.user is None:
-            return ErrorReply("NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO "
-                              "<proto> AUTH <user> <pass> option can be used to authenticate the client")
+            return ErrorReply(
+                "NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO "
+                "<proto> AUTH <user> <pass> option can be used to authenticate the client"
+            )
         session.protocol = protocol
-        return {"server": b"redis", "version": VERSION.encode(), "proto": protocol, "id": session.number,
-                "mode": b"standalone", "role": b"replica" if self.replica else b"master", "modules": []}
+        return {
+            "server": b"redis",
+            "version": VERSION.encode(),
+            "proto": protocol,
+            "id": session.number,
+            "mode": b"standalone",
+            "role": b"replica" if self.replica else b"master",
+            "modules": [],
+        }
 
     def _select(self, session: Session, now: float, words: list[bytes]) -> Reply:
         try:
--- a/martenstep/standins/redis/server.py
+++ b/martenstep/standins/redis/server.py
@@ -72,15 +72,27 @@
         self._trace.write("add", key=key.decode("latin-1"), amount=float(amount), total=float(total), node=self.name)
 
     def _stated(self, key: bytes, door: bytes, version: int, own: float, total: float, until: float) -> None:
-        self._trace.write("stated", key=key.decode("latin-1"), door=door.decode("latin-1"), version=version, sum=own,
-                          total=total, until=until, node=self.name)
+        self._trace.write(
+            "stated",
+            key=key.decode("latin-1"),
+            door=door.decode("latin-1"),
+            version=version,
+            sum=own,
+            total=total,
+            until=until,
+            node=self.name,
+        )
 
     def tell_contents(self) -> None:
         """What each name holds, into the trace."""
         for _, key, value, _ in self.keyspace.contents():
             if isinstance(value, dict):
-                self._trace.write("held", key=key.decode("latin-1"), node=self.name, fields={
-                    name.decode("latin-1"): held.decode("latin-1") for name, held in value.items()})
+                self._trace.write(
+                    "held",
+                    key=key.decode("latin-1"),
+                    node=self.name,
+                    fields={name.decode("latin-1"): held.decode("latin-1") for name, held in value.items()},
+                )
 
     def _steered(self, do: str, words: dict[str, Any]) -> dict[str, Any] | None:
         keys = self.keyspace
@@ -172,5 +184,3 @@
         finally:
             for channel in session.channels:
                 self._subscribers[channel].pop(writer, None)
-
-
--- a/martenstep/storage/files.py
+++ b/martenstep/storage/files.py
@@ -92,7 +92,7 @@
             self._faults.write()
         view = memoryview(data)
         while view:
-            view = view[os.write(self._number, view):]
+            view = view[os.write(self._number, view) :]
 
     def sync(self) -> None:
         if self._faults is not None:
--- a/martenstep/storage/log.py
+++ b/martenstep/storage/log.py
@@ -77,14 +77,19 @@
 
 def segments(files: Files) -> list[Segment]:
     """All segments, in order."""
-    return [Segment(name, int(name[4:20], 16)) for name in sorted(files.names())
-            if name.startswith("seg-") and name.endswith(".log")]
+    return [
+        Segment(name, int(name[4:20], 16))
+        for name in sorted(files.names())
+        if name.startswith("seg-") and name.endswith(".log")
+    ]
 
 
 def snapshots(files: Files) -> list[tuple[str, int]]:
     """All snapshots, the newest first."""
-    return sorted(((name, int(name[5:21], 16)) for name in files.names()
-                   if name.startswith("snap-") and name.endswith(".snap")), key=lambda pair: -pair[1])
+    return sorted(
+        ((name, int(name[5:21], 16)) for name in files.names() if name.startswith("snap-") and name.endswith(".snap")),
+        key=lambda pair: -pair[1],
+    )
 
 
 def read_snapshot(files: Files, name: str) -> bytes:
@@ -93,7 +98,7 @@
     if len(data) < SNAP_HEADER.size:
         raise LogError(name, 0, "shorter than its header")
     magic, version, _, check = SNAP_HEADER.unpack_from(data)
-    body = data[SNAP_HEADER.size:]
+    body = data[SNAP_HEADER.size :]
     if magic != SNAP_MAGIC or version != VERSION:
         raise LogError(name, 0, "not a snapshot of this version")
     if crc32c(body) != check:
@@ -240,17 +245,21 @@
         read = scan(files, segment, last)
         end = segment.first + len(read.entries)
         if not last and found[index + 1].first != end:
-            raise LogError(segment.name, read.end, f"ends at record {end}, the next segment begins at "
-                                                   f"{found[index + 1].first}")
+            raise LogError(
+                segment.name, read.end, f"ends at record {end}, the next segment begins at {found[index + 1].first}"
+            )
         scans.append(read)
         reached = max(reached, end)
 
     def entries() -> Iterator[bytes]:
         for read in scans:
-            yield from read.entries[max(start - read.segment.first, 0):]
+            yield from read.entries[max(start - read.segment.first, 0) :]
 
-    count = sum(len(read.entries) - max(start - read.segment.first, 0) for read in scans
-                if read.segment.first + len(read.entries) > start)
+    count = sum(
+        len(read.entries) - max(start - read.segment.first, 0)
+        for read in scans
+        if read.segment.first + len(read.entries) > start
+    )
     tail, cut = None, 0
     if scans:
         final = scans[-1]
--- a/martenstep/store/core.py
+++ b/martenstep/store/core.py
@@ -733,5 +733,3 @@
         if self._options.topology and now - self._learned >= LEARN_MS:
             self._learned = now
             self._actions.append(Learn())
-
-
--- a/martenstep/store/redis_store.py
+++ b/martenstep/store/redis_store.py
@@ -60,9 +60,18 @@
         # Another life's register is never gone on with: its sums are not known any more.
         self._door = f"{door}:{time.time_ns():x}{random.SystemRandom().getrandbits(16):04x}"
         many = store.topology != pb.Store.ALONE
-        self.core = Core(Options(
-            timeout_ms=store.timeout_ms, lanes=store.connections, waiting=store.waiting, gather_ms=store.gather_ms,
-            prefix=store.prefix, scripts=store.scripts, topology=many), random.Random())
+        self.core = Core(
+            Options(
+                timeout_ms=store.timeout_ms,
+                lanes=store.connections,
+                waiting=store.waiting,
+                gather_ms=store.gather_ms,
+                prefix=store.prefix,
+                scripts=store.scripts,
+                topology=many,
+            ),
+            random.Random(),
+        )
         self._links: dict[Lane, _Link] = {}
         self._known: list[str] = []
         self._timer: asyncio.TimerHandle | None = None
@@ -93,8 +102,11 @@
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
-        tasks = [task for task in (self._learning, self._hearing, *(link.task for link in self._links.values()))
-                 if task is not None]
+        tasks = [
+            task
+            for task in (self._learning, self._hearing, *(link.task for link in self._links.values()))
+            if task is not None
+        ]
         self._links.clear()
         for task in tasks:
             task.cancel()
@@ -203,10 +215,17 @@
         key = self.core.key(op.name)
         first: list[tuple[Any, ...]] = [("ASKING",)] if op.asking else []
         if plain:
-            return [*first, ("MULTI",), ("HINCRBYFLOAT", key, script.TOTAL, f"{op.units:.9g}"),
-                    ("PEXPIRE", key, str(op.life_ms), "NX"), ("EXEC",)]
-        return [*first, ("EVALSHA", script.DIGEST, "1", key, self._door, str(op.version), f"{op.total:.17g}",
-                         str(op.life_ms))]
+            return [
+                *first,
+                ("MULTI",),
+                ("HINCRBYFLOAT", key, script.TOTAL, f"{op.units:.9g}"),
+                ("PEXPIRE", key, str(op.life_ms), "NX"),
+                ("EXEC",),
+            ]
+        return [
+            *first,
+            ("EVALSHA", script.DIGEST, "1", key, self._door, str(op.version), f"{op.total:.17g}", str(op.life_ms)),
+        ]
 
     async def _result(self, connection: Connection, op: Op, plain: bool) -> Held | Fault:
         if op.asking:
--- a/martenstep/store/topology.py
+++ b/martenstep/store/topology.py
@@ -44,8 +44,15 @@
         """One connection, not opened yet.  The library's own retries are off: it would send a plain add twice."""
         host, _, port = node.rpartition(":")
         words: dict[str, Any] = {
-            "host": host, "port": int(port), "retry": Retry(NoBackoff(), 0), "decode_responses": True,
-            "driver_info": None, "protocol": 2, "socket_timeout": None, "socket_connect_timeout": None}
+            "host": host,
+            "port": int(port),
+            "retry": Retry(NoBackoff(), 0),
+            "decode_responses": True,
+            "driver_info": None,
+            "protocol": 2,
+            "socket_timeout": None,
+            "socket_connect_timeout": None,
+        }
         if sentinel:
             words["password"] = self._sentinel_password
         else:
@@ -53,8 +60,9 @@
         if not self._store.HasField("tls"):
             return Connection(**words)
         tls = self._store.tls
-        return SSLConnection(ssl_ca_certs=tls.ca or None, ssl_certfile=tls.certificate or None,
-                             ssl_keyfile=tls.key or None, **words)
+        return SSLConnection(
+            ssl_ca_certs=tls.ca or None, ssl_certfile=tls.certificate or None, ssl_keyfile=tls.key or None, **words
+        )
 
     async def ask(self, known: list[str]) -> list[str]:
         """Node by slot, or one node for all; raises TopologyError."""
--- a/martenstep/supervise/notify.py
+++ b/martenstep/supervise/notify.py
@@ -27,8 +27,9 @@
         """Send fields, such as READY=1; True where they went out."""
         if not self._address:
             return False
-        lines = "".join(f"{name}={str(value).splitlines()[0] if str(value) else ''}\n"
-                        for name, value in fields.items())
+        lines = "".join(
+            f"{name}={str(value).splitlines()[0] if str(value) else ''}\n" for name, value in fields.items()
+        )
         try:
             with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as out:
                 out.setblocking(False)
--- a/martenstep/supervise/resources.py
+++ b/martenstep/supervise/resources.py
@@ -42,8 +42,10 @@
     """How many clients' connections so many files leave room for; raises ResourceError."""
     left = connections - max(need.files - files, 0)
     if left < LEAST_CONNECTIONS:
-        raise ResourceError(f"{files} open files are allowed, {need.files} are needed for {connections} connections; "
-                            f"raise the bound (LimitNOFILE, ulimit -n) or lower max_connections")
+        raise ResourceError(
+            f"{files} open files are allowed, {need.files} are needed for {connections} connections; "
+            f"raise the bound (LimitNOFILE, ulimit -n) or lower max_connections"
+        )
     return left
 
 
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -37,13 +37,26 @@
     files = resources.raise_files(-(-need.files // workers) + resources.OWN_FILES) * workers
     left = resources.fit_connections(need, door.listener.max_connections, files)
     if left < door.listener.max_connections:
-        note("fewer connections", {"max_connections": left, "instead_of": door.listener.max_connections,
-                                   "open_files": files, "needed": need.files})
+        note(
+            "fewer connections",
+            {
+                "max_connections": left,
+                "instead_of": door.listener.max_connections,
+                "open_files": files,
+                "needed": need.files,
+            },
+        )
         door.listener.max_connections = left
     has = resources.memory()
     if has is not None and need.bytes > has:
-        note("memory may not suffice", {"held_at_most_mb": need.bytes >> 20, "free_mb": has >> 20,
-                                        "lower": "listener.max_open, upstream.keep_body_bytes or hold_answer_bytes"})
+        note(
+            "memory may not suffice",
+            {
+                "held_at_most_mb": need.bytes >> 20,
+                "free_mb": has >> 20,
+                "lower": "listener.max_open, upstream.keep_body_bytes or hold_answer_bytes",
+            },
+        )
 
 
 def _ready(ports: dict[str, int]) -> None:
@@ -54,9 +67,15 @@
 class Reloader:
     """SIGHUP: the settings' file read again, all that changed or nothing."""
 
-    def __init__(self, load: Callable[[], pb.Door] | None, note: Note, notifier: Notifier,
-                 present: Callable[[], pb.Door], take_up: Callable[[pb.Door], Coroutine[Any, Any, str]],
-                 renew: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        load: Callable[[], pb.Door] | None,
+        note: Note,
+        notifier: Notifier,
+        present: Callable[[], pb.Door],
+        take_up: Callable[[pb.Door], Coroutine[Any, Any, str]],
+        renew: Callable[[], None],
+    ) -> None:
         """`load` reads the settings and raises Faults; `renew` reads hooks and certificates anew, which stand in files
         of their own."""
         self._load, self._note, self._notifier = load, note, notifier
@@ -141,6 +160,7 @@
     async def take_up(made: pb.Door) -> str:
         daemon.reconfigure(made)
         return ""
+
     reloader = Reloader(load, daemon.notes.note, notifier, lambda: daemon.door, take_up, daemon.renew)
     await daemon.start()
     _ready(daemon.ports)
@@ -164,13 +184,15 @@
         status = f"{supervisor.serving} of {door.workers.count} workers serve at port {supervisor.port}"
         if supervisor.all_ready.is_set() and not told:
             told = True
-            admins = {f"admin-{number}": ports["admin"] for number, ports in enumerate(supervisor.workers)
-                      if "admin" in ports}
+            admins = {
+                f"admin-{number}": ports["admin"] for number, ports in enumerate(supervisor.workers) if "admin" in ports
+            }
             first = {"admin": admins["admin-0"]} if "admin-0" in admins else {}
             _ready({"listener": supervisor.port, **first, **admins})
             notifier.tell(READY=1, STATUS=status)
         else:
             notifier.tell(STATUS=status)
+
     supervisor.start(changed)
     telling = asyncio.create_task(_until_told(stop, notifier, reloader))
     ending = asyncio.create_task(supervisor.wait())
--- a/martenstep/supervise/supervisor.py
+++ b/martenstep/supervise/supervisor.py
@@ -46,8 +46,14 @@
 class Supervisor:
     """The workers of one door."""
 
-    def __init__(self, door: pb.Door, note: Note, seed: int | None = None, words: tuple[str, ...] = WORDS,
-                 rng: random.Random | None = None) -> None:
+    def __init__(
+        self,
+        door: pb.Door,
+        note: Note,
+        seed: int | None = None,
+        words: tuple[str, ...] = WORDS,
+        rng: random.Random | None = None,
+    ) -> None:
         self.door, self._note, self._seed, self._words = door, note, seed, words
         count = door.workers.count
         self._slots = [_Slot(number) for number in range(count)]
@@ -74,8 +80,11 @@
     @property
     def workers(self) -> list[dict[str, int]]:
         """Process and ports of each worker that serves."""
-        return [{"pid": slot.process.pid, **slot.ports} for slot in self._slots
-                if slot.process is not None and slot.ports is not None]
+        return [
+            {"pid": slot.process.pid, **slot.ports}
+            for slot in self._slots
+            if slot.process is not None and slot.ports is not None
+        ]
 
     def bind(self) -> None:
         """Bind the listener's address; raises OSError.
@@ -161,13 +170,24 @@
         passed = () if self._own_sockets else (self._listener.fileno(),)
         try:
             process = await asyncio.create_subprocess_exec(
-                *self._words, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, pass_fds=passed,
-                process_group=0)  # a terminal's SIGINT is the supervisor's to pass on
+                *self._words,
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                pass_fds=passed,
+                process_group=0,
+            )  # a terminal's SIGINT is the supervisor's to pass on
         except OSError as error:
             return f"not started: {error.strerror}"
         slot.process, slot.generation = process, self._generation
-        self._send(slot, Begin(self._settings(slot).SerializeToString(), passed[0] if passed else -1, self._own_sockets,
-                               None if self._seed is None else self._seed + slot.number))
+        self._send(
+            slot,
+            Begin(
+                self._settings(slot).SerializeToString(),
+                passed[0] if passed else -1,
+                self._own_sockets,
+                None if self._seed is None else self._seed + slot.number,
+            ),
+        )
         if self._stopping.is_set():
             self._signal(slot, signal.SIGTERM)
         assert process.stdout is not None
@@ -175,8 +195,10 @@
             try:
                 self._heard(slot, msgspec.json.decode(line, type=Said))
             except msgspec.DecodeError:
-                self._note("worker said nothing that is known", {"worker": slot.number, "line": line[:200].decode(
-                    "utf-8", "replace")})
+                self._note(
+                    "worker said nothing that is known",
+                    {"worker": slot.number, "line": line[:200].decode("utf-8", "replace")},
+                )
         code = await process.wait()
         return f"signal {signal.Signals(-code).name}" if code < 0 else f"exit code {code}"
 
--- a/martenstep/tasks.py
+++ b/martenstep/tasks.py
@@ -9,9 +9,12 @@
 AGAIN_S = 0.05  # before a standing task that failed is begun anew: one that fails at once must not take all the time
 
 
-def standing(work: Callable[[], Coroutine[Any, Any, None]], failed: Callable[[str, BaseException], None],
-             ) -> asyncio.Task[None]:
+def standing(
+    work: Callable[[], Coroutine[Any, Any, None]],
+    failed: Callable[[str, BaseException], None],
+) -> asyncio.Task[None]:
     """A task that runs as long as its owner: whatever it raises is told, and it is begun anew."""
+
     async def run() -> None:
         while True:
             try:
@@ -19,6 +22,7 @@
             except Exception as error:
                 failed(work.__qualname__, error)
             await asyncio.sleep(AGAIN_S)
+
     return asyncio.get_running_loop().create_task(run())
 
 
--- a/martenstep/wirehost.py
+++ b/martenstep/wirehost.py
@@ -32,8 +32,14 @@
     "warm_copy": api.Scope.WARM_COPY,
     "lost": api.Scope.LOST,
 }
-REPORT_FIELDS = {"rif": "in_flight", "q": "queue", "busy": "busy", "lat_ms": "latency_ms", "rate": "rate",
-                 "fail_rate": "error_rate"}
+REPORT_FIELDS = {
+    "rif": "in_flight",
+    "q": "queue",
+    "busy": "busy",
+    "lat_ms": "latency_ms",
+    "rate": "rate",
+    "fail_rate": "error_rate",
+}
 LAST_FIELDS = ("params", "text")
 
 
@@ -91,8 +97,9 @@
         value = self._pairs.get(name, "")
         if value in ("", "-"):
             return ()
-        return tuple(self._as(name, lambda text: [float(part) for part in text.split(",")],
-                              "numbers set apart by commas", None))
+        return tuple(
+            self._as(name, lambda text: [float(part) for part in text.split(",")], "numbers set apart by commas", None)
+        )
 
 
 def split_line(line: str) -> tuple[str, Fields]:
--- a/tests/counter_rig.py
+++ b/tests/counter_rig.py
@@ -116,7 +116,7 @@
         assert len(old) == len(data) and at // SECTOR == (at + len(data) - 1) // SECTOR
 
         def put(part: bytes) -> None:
-            file.durable = file.durable[:at] + part + file.durable[at + len(data):]
+            file.durable = file.durable[:at] + part + file.durable[at + len(data) :]
 
         if self._step():
             put(self._rng.choice((old, data, bytes(len(data)))))
--- a/tests/door_rig.py
+++ b/tests/door_rig.py
@@ -39,6 +39,7 @@
     door = parse_door(DOOR, "door.txtpb")
     if text:
         from google.protobuf import text_format
+
         text_format.Merge(text, door)
     return door
 
@@ -52,8 +53,9 @@
 class Rig:
     """The engine, its clock and all actions so far."""
 
-    def __init__(self, text: str = "", servers: tuple[int, ...] = (1, 2, 3, 4), seed: int = 1,
-                 shelf: Shelf | None = None) -> None:
+    def __init__(
+        self, text: str = "", servers: tuple[int, ...] = (1, 2, 3, 4), seed: int = 1, shelf: Shelf | None = None
+    ) -> None:
         self.engine = engine_of(settings(text), seed, shelf)
         self.now = START
         self.did: list[ev.Action] = []
@@ -85,8 +87,11 @@
 
     def of(self, kind: type[A], ticket: int | None = None) -> list[A]:
         """All actions of a kind so far, of one request or of all."""
-        return [action for action in self.did
-                if isinstance(action, kind) and (ticket is None or getattr(action, "ticket", ticket) == ticket)]
+        return [
+            action
+            for action in self.did
+            if isinstance(action, kind) and (ticket is None or getattr(action, "ticket", ticket) == ticket)
+        ]
 
     def opened(self, ticket: int) -> ev.Open:
         """The last attempt of a request."""
@@ -118,8 +123,7 @@
 
     def finals(self, ticket: int) -> list[ev.Reply | ev.Pass | ev.Break]:
         """The final answers of a request: there must be one."""
-        return [action for action in self.did
-                if isinstance(action, ev.Reply | ev.Pass) and action.ticket == ticket]
+        return [action for action in self.did if isinstance(action, ev.Reply | ev.Pass) and action.ticket == ticket]
 
     def reply(self, ticket: int) -> ev.Reply:
         """The door's own answer to a request."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -50,14 +50,22 @@
     return made
 
 
-def request(rid: str, cls: str = "read", plan: str = "plain", customer: int = 7, units: float = 1.0,
-            spread: int = 2, remaining: float = 4000.0) -> api.Request:
+def request(
+    rid: str,
+    cls: str = "read",
+    plan: str = "plain",
+    customer: int = 7,
+    units: float = 1.0,
+    spread: int = 2,
+    remaining: float = 4000.0,
+) -> api.Request:
     """One client try."""
     return api.Request(rid, cls, plan, customer, remaining, units, spread)
 
 
-def outcome(send: api.Send, verdict: api.Verdict, attempt: int = 0, rtt: float = 50.0,
-            ended: bool | None = None) -> api.Outcome:
+def outcome(
+    send: api.Send, verdict: api.Verdict, attempt: int = 0, rtt: float = 50.0, ended: bool | None = None
+) -> api.Outcome:
     """The end of an attempt; a good one ends the request."""
     done = verdict is api.Verdict.OK if ended is None else ended
     return api.Outcome(send.id, attempt, send.server, verdict, rtt, done)
@@ -68,9 +76,7 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def answer(
-    made: Gateway, now: float, counts: Iterable[api.Count], totals: dict[int, float]
-) -> list[api.Action]:
+def answer(made: Gateway, now: float, counts: Iterable[api.Count], totals: dict[int, float]) -> list[api.Action]:
     """Play the counter: add to the totals and give each answer back, to the calls that follow as well."""
     out: list[api.Action] = []
     todo = list(counts)
@@ -86,5 +92,4 @@
 def admit(made: Gateway, now: float, event: api.Request, totals: dict[int, float]) -> list[api.Action]:
     """Bring a request and answer the calls it causes."""
     actions = made.handle(now, event)
-    return [a for a in actions if not isinstance(a, api.Count)] + answer(
-        made, now, only(actions, api.Count), totals)
+    return [a for a in actions if not isinstance(a, api.Count)] + answer(made, now, only(actions, api.Count), totals)
--- a/tests/hook_programs.py
+++ b/tests/hook_programs.py
@@ -16,7 +16,7 @@
 P = syn.Place(1, 1)
 PLAIN = (NUMBER, TEXT, BOOL, DURATION)
 KINDS = (*PLAIN, list_of(NUMBER), list_of(TEXT), REFUSAL)
-WORDS = st.text("ab \"\\\n${}é", max_size=6)
+WORDS = st.text('ab "\\\n${}é', max_size=6)
 NUMBERS = st.sampled_from((0.0, 1.0, 2.0, 7.0, 0.5, 100.0, 1e9))
 
 
@@ -53,8 +53,7 @@
         return syn.Match(part(of), arms, place=P)
     if way == "for":
         item = draw(st.sampled_from((NUMBER, TEXT)))
-        return syn.For("it", part(list_of(item)), "acc", part(kind),
-                       block({**names, "it": item, "acc": kind}), place=P)
+        return syn.For("it", part(list_of(item)), "acc", part(kind), block({**names, "it": item, "acc": kind}), place=P)
     if way == "index":
         return syn.Index(part(list_of(kind)), part(NUMBER), place=P) if kind in (NUMBER, TEXT) else _plain(draw, kind)
     if way == "field" and kind in PLAIN and kind != BOOL:
@@ -85,29 +84,64 @@
 
     def two(sign: str, left: Type, right: Type) -> syn.Expr:
         return syn.Binary(sign, part(left), part(right), place=P)
+
     if kind == NUMBER:
-        return draw(st.sampled_from((
-            lambda: two(draw(st.sampled_from("+-*/%")), NUMBER, NUMBER), lambda: two("/", DURATION, DURATION),
-            lambda: syn.Unary("-", part(NUMBER), place=P), lambda: call("len", TEXT),
-            lambda: call("len", list_of(TEXT)), lambda: call("number", TEXT, NUMBER), lambda: call("hash", TEXT),
-            lambda: call("max", NUMBER, NUMBER), lambda: call("floor", NUMBER), lambda: call("seconds", DURATION))))()
+        return draw(
+            st.sampled_from(
+                (
+                    lambda: two(draw(st.sampled_from("+-*/%")), NUMBER, NUMBER),
+                    lambda: two("/", DURATION, DURATION),
+                    lambda: syn.Unary("-", part(NUMBER), place=P),
+                    lambda: call("len", TEXT),
+                    lambda: call("len", list_of(TEXT)),
+                    lambda: call("number", TEXT, NUMBER),
+                    lambda: call("hash", TEXT),
+                    lambda: call("max", NUMBER, NUMBER),
+                    lambda: call("floor", NUMBER),
+                    lambda: call("seconds", DURATION),
+                )
+            )
+        )()
     if kind == TEXT:
-        return draw(st.sampled_from((
-            lambda: two("+", TEXT, TEXT), lambda: call("upper", TEXT), lambda: call("replace", TEXT, TEXT, TEXT),
-            lambda: call("join", list_of(TEXT), TEXT), lambda: call("part", TEXT, NUMBER, NUMBER),
-            lambda: call("text", draw(st.sampled_from(PLAIN))),
-            lambda: syn.Text(["x", part(draw(st.sampled_from(PLAIN))), draw(WORDS) + "y"], place=P))))()
+        return draw(
+            st.sampled_from(
+                (
+                    lambda: two("+", TEXT, TEXT),
+                    lambda: call("upper", TEXT),
+                    lambda: call("replace", TEXT, TEXT, TEXT),
+                    lambda: call("join", list_of(TEXT), TEXT),
+                    lambda: call("part", TEXT, NUMBER, NUMBER),
+                    lambda: call("text", draw(st.sampled_from(PLAIN))),
+                    lambda: syn.Text(["x", part(draw(st.sampled_from(PLAIN))), draw(WORDS) + "y"], place=P),
+                )
+            )
+        )()
     if kind == BOOL:
         of = draw(st.sampled_from((NUMBER, TEXT, DURATION)))
-        return draw(st.sampled_from((
-            lambda: two(draw(st.sampled_from(("<", "<=", ">", ">=", "==", "!="))), of, of),
-            lambda: two(draw(st.sampled_from(("and", "or"))), BOOL, BOOL), lambda: two("==", REFUSAL, REFUSAL),
-            lambda: syn.Unary("not", part(BOOL), place=P), lambda: two("in", TEXT, TEXT),
-            lambda: two("in", NUMBER, list_of(NUMBER)), lambda: call("starts_with", TEXT, TEXT),
-            lambda: syn.Call("matches", [part(TEXT), syn.Text(["^a*(b|é)?.$"], place=P)], place=P))))()
+        return draw(
+            st.sampled_from(
+                (
+                    lambda: two(draw(st.sampled_from(("<", "<=", ">", ">=", "==", "!="))), of, of),
+                    lambda: two(draw(st.sampled_from(("and", "or"))), BOOL, BOOL),
+                    lambda: two("==", REFUSAL, REFUSAL),
+                    lambda: syn.Unary("not", part(BOOL), place=P),
+                    lambda: two("in", TEXT, TEXT),
+                    lambda: two("in", NUMBER, list_of(NUMBER)),
+                    lambda: call("starts_with", TEXT, TEXT),
+                    lambda: syn.Call("matches", [part(TEXT), syn.Text(["^a*(b|é)?.$"], place=P)], place=P),
+                )
+            )
+        )()
     if kind == DURATION:
-        return draw(st.sampled_from((lambda: two("+", DURATION, DURATION), lambda: two("*", DURATION, NUMBER),
-                                     lambda: syn.Unary("-", part(DURATION), place=P))))()
+        return draw(
+            st.sampled_from(
+                (
+                    lambda: two("+", DURATION, DURATION),
+                    lambda: two("*", DURATION, NUMBER),
+                    lambda: syn.Unary("-", part(DURATION), place=P),
+                )
+            )
+        )()
     if kind == list_of(NUMBER):
         return draw(st.sampled_from((lambda: two("+", kind, kind), lambda: call("range", NUMBER))))()
     if kind == list_of(TEXT):
@@ -124,6 +158,7 @@
 
     def name(of: Type) -> syn.TypeName:
         return syn.TypeName(of.name, name(of.of) if of.of is not None else None, place=P)
+
     function = syn.Function("f", [(param, name(of)) for param, of in params.items()], name(kind), body, place=P)
     test = syn.Test("t", syn.Block([], draw(value(BOOL, {}, 3)), place=P), place=P)
     return syn.File([function], [], [test])
@@ -141,14 +176,17 @@
 
 def evaluate(made: syn.Expr, names: dict[str, Any], types: dict[int, Type]) -> Any:
     """The tree's value, plainly."""
+
     def of(part: syn.Expr, more: dict[str, Any] | None = None) -> Any:
         return evaluate(part, names if more is None else more, types)
+
     match made:
         case syn.Number() | syn.Bool():
             return made.value
         case syn.Text():
-            return "".join(part if isinstance(part, str) else shown(of(part), types[id(part)] == DURATION)
-                           for part in made.parts)
+            return "".join(
+                part if isinstance(part, str) else shown(of(part), types[id(part)] == DURATION) for part in made.parts
+            )
         case syn.Name():
             return names[made.name]
         case syn.Items():
@@ -156,8 +194,10 @@
         case syn.Make():
             given = dict(made.fields)
             zero: dict[str, Any] = {"text": "", "bool": False, "list": []}
-            return tuple(of(given[name]) if name in given else zero.get(kind.name, 0.0)
-                         for name, kind in RECORDS[types[id(made)]])
+            return tuple(
+                of(given[name]) if name in given else zero.get(kind.name, 0.0)
+                for name, kind in RECORDS[types[id(made)]]
+            )
         case syn.Field():
             fields = [name for name, _ in RECORDS[types[id(made.of)]]]
             return of(made.of)[fields.index(made.name)]
@@ -186,8 +226,14 @@
                     return finite(left / right if made.sign == "/" else math.fmod(left, right))
                 case "in":
                     return left in right
-            return {"==": lambda: left == right, "!=": lambda: left != right, "<": lambda: left < right,
-                    "<=": lambda: left <= right, ">": lambda: left > right, ">=": lambda: left >= right}[made.sign]()
+            return {
+                "==": lambda: left == right,
+                "!=": lambda: left != right,
+                "<": lambda: left < right,
+                "<=": lambda: left <= right,
+                ">": lambda: left > right,
+                ">=": lambda: left >= right,
+            }[made.sign]()
         case syn.Block():
             inner = dict(names)
             for name, part in made.lets:
@@ -234,7 +280,7 @@
             return sign.join(texts)
         case "part", [text, begin, end]:
             low, high = (int(min(max(at, 0), len(text))) for at in (begin, end))
-            return text[low:max(low, high)]
+            return text[low : max(low, high)]
         case "text", [plain]:
             return shown(plain, types[id(made.args[0])] == DURATION)
         case "starts_with", [text, other]:
--- a/tests/hook_rig.py
+++ b/tests/hook_rig.py
@@ -13,8 +13,9 @@
 from tests.door_rig import Rig
 
 
-def release(version: int, *sources: str, share: float = 1.0, customers: tuple[str, ...] = (),
-            trial: tuple[str, ...] = ()) -> Release:
+def release(
+    version: int, *sources: str, share: float = 1.0, customers: tuple[str, ...] = (), trial: tuple[str, ...] = ()
+) -> Release:
     """A release of whole sources, each with one hook, for all customers or for some."""
     hooks = []
     for number, source in enumerate(sources):
@@ -32,9 +33,14 @@
 class HookRig(Rig):
     """A door with a shelf."""
 
-    def __init__(self, *releases: Release, text: str = "", limits: Limits | None = None,
-                 late: Callable[[], Callable[[], bool]] = lambda: NEVER,
-                 servers: tuple[int, ...] = (1, 2, 3, 4)) -> None:
+    def __init__(
+        self,
+        *releases: Release,
+        text: str = "",
+        limits: Limits | None = None,
+        late: Callable[[], Callable[[], bool]] = lambda: NEVER,
+        servers: tuple[int, ...] = (1, 2, 3, 4),
+    ) -> None:
         self.told: list[tuple[str, dict[str, Any]]] = []
         self.shelf = Shelf(limits or Limits(), lambda event, fields: self.told.append((event, fields)), late=late)
         self.shelf.stock(releases)
--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -26,9 +26,11 @@
 
 def run(test: Coroutine[Any, Any, None], bound_s: float = BOUND_S) -> None:
     """Run one test's coroutine; the bound only ends a fault."""
+
     async def bounded() -> None:
         async with asyncio.timeout(bound_s):
             await test
+
     asyncio.run(bounded())
 
 
--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -146,8 +146,11 @@
         for _ in range(400):
             self.deliver()
             self.pass_time(10.0)
-            if all(core.settled for core in self.cores) and not self.opening and not any(
-                    wire.there or wire.back for wire in self.wires):
+            if (
+                all(core.settled for core in self.cores)
+                and not self.opening
+                and not any(wire.there or wire.back for wire in self.wires)
+            ):
                 # Once more after a probe: a loss that nobody noticed yet is noticed by it.
                 for _ in range(80):
                     self.pass_time(10.0)
@@ -176,8 +179,11 @@
 
     def counted(self, name: int, *verdicts: Verdict) -> float:
         """Units of the calls for a name that were told so."""
-        return sum(units for call, (_, called, units, _) in self.calls.items()
-                   if called == name and self.told[call][0] in verdicts)
+        return sum(
+            units
+            for call, (_, called, units, _) in self.calls.items()
+            if called == name and self.told[call][0] in verdicts
+        )
 
     # What the doors do -----------------------------------------------------------------------------------------
 
@@ -189,9 +195,20 @@
             total = self.keys.run(self.session, self.now, [b"HINCRBYFLOAT", key, b"t", b"%.17g" % op.units])
             self.keys.run(self.session, self.now, [b"PEXPIRE", key, b"%d" % op.life_ms, b"NX"])
             return Fault(str(total)) if isinstance(total, ErrorReply) else Held(float(total), -1)  # type: ignore[arg-type]
-        reply = self.keys.run(self.session, self.now, [
-            b"EVALSHA", script.DIGEST.encode(), b"1", key, b"door-%d:%d" % (door, self.lives[door]), b"%d" % op.version,
-            b"%.17g" % op.total, b"%d" % op.life_ms])
+        reply = self.keys.run(
+            self.session,
+            self.now,
+            [
+                b"EVALSHA",
+                script.DIGEST.encode(),
+                b"1",
+                key,
+                b"door-%d:%d" % (door, self.lives[door]),
+                b"%d" % op.version,
+                b"%.17g" % op.total,
+                b"%d" % op.life_ms,
+            ],
+        )
         if isinstance(reply, ErrorReply):
             return Fault(str(reply))
         assert isinstance(reply, list) and isinstance(reply[0], bytes) and isinstance(reply[1], bytes)
--- a/tests/test_auth_answerer.py
+++ b/tests/test_auth_answerer.py
@@ -35,10 +35,21 @@
 
     def sub(self, uri: str = "/read/1", customer: str = "free", peer: str = "10.0.0.1", **more: str) -> int:
         self._ticket += 1
-        headers = {"x-forwarded-method": "GET", "x-forwarded-uri": uri, "x-customer": customer,
-                   **{name.replace("_", "-"): value for name, value in more.items()}}
-        self.tell(ev.Arrived(self._ticket, b"GET", b"/auth",
-                             [(name.encode(), value.encode()) for name, value in headers.items() if value], peer))
+        headers = {
+            "x-forwarded-method": "GET",
+            "x-forwarded-uri": uri,
+            "x-customer": customer,
+            **{name.replace("_", "-"): value for name, value in more.items()},
+        }
+        self.tell(
+            ev.Arrived(
+                self._ticket,
+                b"GET",
+                b"/auth",
+                [(name.encode(), value.encode()) for name, value in headers.items() if value],
+                peer,
+            )
+        )
         return self._ticket
 
 
@@ -75,11 +86,20 @@
     assert rig.reply(rig.sub(customer="nobody")).status == 403
 
 
-@pytest.mark.parametrize(("changes", "status"), [
-    ({"peer": "192.0.2.7"}, 403), ({"peer": ""}, 403), ({"peer": "not an address"}, 403),
-    ({"peer": "::ffff:10.1.2.3"}, 200), ({"x_forwarded_uri": ""}, 400), ({"x_forwarded_method": ""}, 400),
-    ({"x_forwarded_method": "G E T"}, 400), ({"uri": "/read/" + "x" * 9000}, 414), ({"uri": "/read/ 1"}, 400),
-])
+@pytest.mark.parametrize(
+    ("changes", "status"),
+    [
+        ({"peer": "192.0.2.7"}, 403),
+        ({"peer": ""}, 403),
+        ({"peer": "not an address"}, 403),
+        ({"peer": "::ffff:10.1.2.3"}, 200),
+        ({"x_forwarded_uri": ""}, 400),
+        ({"x_forwarded_method": ""}, 400),
+        ({"x_forwarded_method": "G E T"}, 400),
+        ({"uri": "/read/" + "x" * 9000}, 414),
+        ({"uri": "/read/ 1"}, 400),
+    ],
+)
 def test_what_does_not_tell_of_one_request_by_a_trusted_peer_is_turned_away(
     changes: dict[str, str], status: int
 ) -> None:
@@ -96,9 +116,20 @@
 def test_doubled_or_underscored_twins_are_turned_away() -> None:
     for twin in (b"x-forwarded-uri", b"x_forwarded_uri", b"x-forwarded_uri"):
         rig = Asked()
-        rig.tell(ev.Arrived(1, b"GET", b"/auth", [
-            (b"x-forwarded-method", b"GET"), (b"x-forwarded-uri", b"/read/1"), (twin, b"/pay/1"),
-            (b"x-customer", b"free")], "10.0.0.1"))
+        rig.tell(
+            ev.Arrived(
+                1,
+                b"GET",
+                b"/auth",
+                [
+                    (b"x-forwarded-method", b"GET"),
+                    (b"x-forwarded-uri", b"/read/1"),
+                    (twin, b"/pay/1"),
+                    (b"x-customer", b"free"),
+                ],
+                "10.0.0.1",
+            )
+        )
         assert rig.reply(1).status == 400
 
 
@@ -119,20 +150,32 @@
     assert asked(pb.ForwardAuth.ORIGINAL, b"/auth", forwarded) == Unasked(400, "no request told")
 
 
-@given(st.lists(st.tuples(st.sampled_from([b"x-forwarded-uri", b"x_forwarded_uri", b"x-forwarded-method", b"x-a"]),
-                          st.binary(max_size=30)), max_size=5), st.binary(max_size=30), st.text(max_size=20))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from([b"x-forwarded-uri", b"x_forwarded_uri", b"x-forwarded-method", b"x-a"]),
+            st.binary(max_size=30),
+        ),
+        max_size=5,
+    ),
+    st.binary(max_size=30),
+    st.text(max_size=20),
+)
 @hypo(max_examples=300, deadline=None, derandomize=True)
 def test_no_sub_request_brings_it_down(headers: list[tuple[bytes, bytes]], target: bytes, peer: str) -> None:
     found = Answerer(pb.ForwardAuth()).read(b"GET", b"/auth" + target, headers, peer or "127.0.0.1")
     assert isinstance(found, Unasked) or not any(byte <= 0x20 for byte in found.target)
 
 
-@pytest.mark.parametrize(("text", "told"), [
-    (DOOR + "forward_auth { }", "given beside members"),
-    (SAFE + "forward_auth { trusted_peer: '10.0.0.1/8' }", "has host bits set"),
-    (SAFE + "forward_auth { path_prefix: 'x' }", "expected a path"),
-    ("\n".join(LINES) + "forward_auth { }", "SAFE is all that fits"),
-])
+@pytest.mark.parametrize(
+    ("text", "told"),
+    [
+        (DOOR + "forward_auth { }", "given beside members"),
+        (SAFE + "forward_auth { trusted_peer: '10.0.0.1/8' }", "has host bits set"),
+        (SAFE + "forward_auth { path_prefix: 'x' }", "expected a path"),
+        ("\n".join(LINES) + "forward_auth { }", "SAFE is all that fits"),
+    ],
+)
 def test_settings_are_checked(text: str, told: str) -> None:
     with pytest.raises(Faults, match=told):
         parse_door(text, "d")
--- a/tests/test_auth_core.py
+++ b/tests/test_auth_core.py
@@ -40,8 +40,9 @@
         self.did += actions
         return actions
 
-    def ask(self, ticket: int, key: str = "k", left: float = 1000.0, group: str = "g",
-            fail_open: bool = False) -> list[Action]:
+    def ask(
+        self, ticket: int, key: str = "k", left: float = 1000.0, group: str = "g", fail_open: bool = False
+    ) -> list[Action]:
         return self.do(self.core.ask(self.now, ticket, key.encode(), left, group, fail_open, key))
 
     def answer(self, start: Start, answer: Answer = YES) -> list[Action]:
@@ -216,11 +217,20 @@
     assert bench.core.held["queued"] == 3000 and len(steps) < 3 * 9000 and max(steps) <= 1
 
 
-@pytest.mark.parametrize(("value", "ms"), [
-    ("max-age=5", 5000.0), ("private, max-age=5", 0.0), ("no-store", 0.0), ("max-age=5, s-maxage=2", 2000.0),
-    ("s-maxage=2, max-age=5", 2000.0), ("max-age=soon", 0.0), ("max-age=-4", 0.0), ("public", 0.0),
-    ('max-age="7"', 7000.0),
-])
+@pytest.mark.parametrize(
+    ("value", "ms"),
+    [
+        ("max-age=5", 5000.0),
+        ("private, max-age=5", 0.0),
+        ("no-store", 0.0),
+        ("max-age=5, s-maxage=2", 2000.0),
+        ("s-maxage=2, max-age=5", 2000.0),
+        ("max-age=soon", 0.0),
+        ("max-age=-4", 0.0),
+        ("public", 0.0),
+        ('max-age="7"', 7000.0),
+    ],
+)
 def test_cache_control_is_read_as_a_shared_cache_must(value: str, ms: float) -> None:
     assert keep_of([(b"Cache-Control", value.encode())]) == ms
     assert keep_of([]) == 0.0
@@ -239,7 +249,7 @@
         self.held: set[int] = set()
 
     def _look(self) -> None:
-        for action in self.bench.did[self.seen:]:
+        for action in self.bench.did[self.seen :]:
             match action:
                 case Start(check=check, attempt=attempt):
                     assert check not in self.out, "two attempts of one check"
--- a/tests/test_auth_door.py
+++ b/tests/test_auth_door.py
@@ -43,8 +43,15 @@
 
 def test_nothing_goes_to_a_server_without_a_verdict_and_identity_is_the_services() -> None:
     rig = Door()
-    ticket = rig.ask("/safe/1", authorization="Bearer t", cookie="c=1", x_auth_customer="eve", x_role="admin",
-                     x_forwarded_uri="/else", accept="image/*")
+    ticket = rig.ask(
+        "/safe/1",
+        authorization="Bearer t",
+        cookie="c=1",
+        x_auth_customer="eve",
+        x_role="admin",
+        x_forwarded_uri="/else",
+        accept="image/*",
+    )
     assert not rig.of(ev.Open) and not rig.of(ev.Add)
     asked = rig.asked()
     told = dict(asked.headers)
@@ -180,13 +187,16 @@
     assert len(rig.of(ev.Open, ticket)) == 2 and len(rig.of(ev.Ask)) == 1
 
 
-@pytest.mark.parametrize(("text", "told"), [
-    ("route { name: 'x' class: 'read' authenticate: true }", "there is no auth to ask"),
-    ("auth { path: 'x' service { port: 1 } }", "expected a path that begins with"),
-    ("auth { }", "missing: at least one is needed"),
-    ("route { name: 'x' class: 'read' customer_header: 'y' fail_open: true }", "is of use only with authenticate"),
-    ("auth { service { port: 1 } share: 2 }", "expected from 0.01 to 1"),
-])
+@pytest.mark.parametrize(
+    ("text", "told"),
+    [
+        ("route { name: 'x' class: 'read' authenticate: true }", "there is no auth to ask"),
+        ("auth { path: 'x' service { port: 1 } }", "expected a path that begins with"),
+        ("auth { }", "missing: at least one is needed"),
+        ("route { name: 'x' class: 'read' customer_header: 'y' fail_open: true }", "is of use only with authenticate"),
+        ("auth { service { port: 1 } share: 2 }", "expected from 0.01 to 1"),
+    ],
+)
 def test_settings_are_checked(text: str, told: str) -> None:
     with pytest.raises(Faults, match=told):
         parse_door(DOOR + text, "d")
@@ -199,8 +209,10 @@
 async def guarded(service: Script, *servers: Script, more: str = "") -> AsyncIterator[tuple[House, Back]]:
     back = Back(service)
     port = await back.start()
-    text = (f"auth {{ service {{ port: {port} }} attempts: 1 {more} }} default_plan: \"open\" "
-            'route { name: "safe" path_prefix: "/safe/" class: "read" authenticate: true }')
+    text = (
+        f'auth {{ service {{ port: {port} }} attempts: 1 {more} }} default_plan: "open" '
+        'route { name: "safe" path_prefix: "/safe/" class: "read" authenticate: true }'
+    )
     async with house(*servers, text=text) as door:
         yield door, back
     back.stop()
@@ -228,6 +240,7 @@
             status, told, body = await door.ask("/safe/1")
             assert (status, body) == (401, b"who are you?") and "www-authenticate: basic" in told
             assert (await door.ask("/read/1"))[0] == 200  # other routes ask nobody
+
     run(test())
 
 
@@ -247,14 +260,21 @@
                 assert (await door.ask("/safe/1", "authorization: anna\r\n"))[0] == 200
                 assert (await door.ask("/safe/1", "authorization: eve\r\n"))[0] == 403
             assert back.connections >= 3
+
     run(test())
 
 
-@pytest.mark.parametrize("bad", [
-    "HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nhalf", "nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nbad header\r\n\r\n",
-    "HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n\r\n", "",
-    "HTTP/1.1 200 OK\r\ncontent-length: 999999\r\n\r\n" + "x" * 200_000,
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        "HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nhalf",
+        "nonsense\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nbad header\r\n\r\n",
+        "HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n\r\n",
+        "",
+        "HTTP/1.1 200 OK\r\ncontent-length: 999999\r\n\r\n" + "x" * 200_000,
+    ],
+)
 def test_an_answer_that_cannot_be_used_is_a_failure_and_never_a_pass(bad: str) -> None:
     async def broken(peer: Peer) -> None:
         await peer.head()
@@ -264,11 +284,13 @@
         async with guarded(broken, serves) as (door, _):
             status, _, body = await door.ask("/safe/1", "authorization: anna\r\n")
             assert status == 503 and json.loads(body)["reason"] == "check failed"
+
     run(test())
 
 
 def test_a_verdict_that_is_reset_before_its_end_is_none() -> None:
     """It has no length: a reset must not pass for its end."""
+
     async def cuts(peer: Peer) -> None:
         await peer.head()
         await peer.write("HTTP/1.1 200 OK\r\nx-auth-customer: anna\r\n\r\nhalf")
@@ -278,6 +300,7 @@
         async with guarded(cuts, serves) as (door, _):
             status, _, body = await door.ask("/safe/1", "authorization: anna\r\n")
             assert status == 503 and json.loads(body)["reason"] == "check failed"
+
     run(test())
 
 
@@ -293,6 +316,7 @@
     async def test() -> None:
         async with guarded(drips, serves) as (door, _):
             assert (await door.ask("/safe/1", "authorization: a\r\n"))[0] == 200
+
     run(test())
 
 
@@ -307,4 +331,5 @@
             status, _, body = await peer.response()
             assert status == 503 and json.loads(body)["reason"] == "check failed"
             assert door.driver._checks is not None and not door.driver._checks.pool.connections
+
     run(test())
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -33,10 +33,15 @@
     assert not book.apply(b"\xff\x00") and book.apply(entry(Done(("b",)))) and not book.pending
 
 
-ENTRIES = st.lists(st.one_of(
-    st.builds(lambda names: Put(tuple(map(made, names))), st.lists(st.sampled_from("abcdef"), max_size=3)),
-    st.builds(lambda names: Done(tuple(names)), st.lists(st.sampled_from("abcdef"), max_size=3)),
-    st.builds(Begin, st.sampled_from(["d1", "d2"])), st.just(Seal())), max_size=20)
+ENTRIES = st.lists(
+    st.one_of(
+        st.builds(lambda names: Put(tuple(map(made, names))), st.lists(st.sampled_from("abcdef"), max_size=3)),
+        st.builds(lambda names: Done(tuple(names)), st.lists(st.sampled_from("abcdef"), max_size=3)),
+        st.builds(Begin, st.sampled_from(["d1", "d2"])),
+        st.just(Seal()),
+    ),
+    max_size=20,
+)
 
 
 @given(ENTRIES, st.integers(0, 20))
@@ -48,7 +53,11 @@
     for told in entries[cut:]:
         assert filled.apply(entry(told)) == seen.apply(entry(told))
     assert (filled.pending, filled.owner, filled.sealed, filled.done) == (
-        seen.pending, seen.owner, seen.sealed, seen.done)
+        seen.pending,
+        seen.owner,
+        seen.sealed,
+        seen.done,
+    )
 
 
 def test_large_entries_are_split_and_no_snapshot_is_named() -> None:
@@ -72,20 +81,30 @@
 
     async def start(self, *names: str) -> None:
         for name in names:
+
             def owner(group: str, name: str = name) -> str | None:
                 host = self.keepers[name].host(group)
                 return (host.machine.owner or None) if host is not None and isinstance(host.machine, Book) else None
 
             keeper = self.keepers[name] = Keeper(
-                name, self.folder / name, self.folder / f"{name}-witness", self.holding,
-                lambda group: Book() if is_book(group) else Sum(), self.places,
-                lambda event, fields: self.notes.append((event, fields)), QUICK, also=is_book, first=owner)
+                name,
+                self.folder / name,
+                self.folder / f"{name}-witness",
+                self.holding,
+                lambda group: Book() if is_book(group) else Sum(),
+                self.places,
+                lambda event, fields: self.notes.append((event, fields)),
+                QUICK,
+                also=is_book,
+                first=owner,
+            )
             links = self.links[name] = Links("f", name, lambda: KEYS, self.where.get, keeper.word, keeper.nobody)
             host, port = self.where.get(name, ("127.0.0.1", 0))
             self.where[name] = host, await links.start(host, port)
             await keeper.start(links)
-            books = self.books[name] = Books(name, keeper, partial(self.deliver, name),
-                                             lambda event, fields: self.notes.append((event, fields)))
+            books = self.books[name] = Books(
+                name, keeper, partial(self.deliver, name), lambda event, fields: self.notes.append((event, fields))
+            )
             await books.start()
 
     def deliver(self, name: str, told: Try) -> bool:
@@ -112,8 +131,13 @@
     async def whole(self, name: str) -> str:
         """Until a place's book is at three places and led by its owner."""
         books = self.books[name]
-        await self.until(lambda: len(self.at(books.own)) == 3 and name in [one for one in self.keepers if any(
-            host.group == books.own for host, _ in self.books[one].led())])
+        await self.until(
+            lambda: (
+                len(self.at(books.own)) == 3
+                and name
+                in [one for one in self.keepers if any(host.group == books.own for host, _ in self.books[one].led())]
+            )
+        )
         return books.own
 
 
@@ -136,11 +160,13 @@
         assert fleet.books["a"].own != own
         await fleet.whole("a")
         await fleet.stop()
+
     run(test(), LONG_S)
 
 
 def test_a_door_that_was_cut_off_while_it_was_called_lost_finds_its_book_sealed_and_begins_another(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         fleet = BookFleet(tmp_path, "abcd", final_ms=600.0)
         await fleet.start(*"abcd")
@@ -158,6 +184,7 @@
         await fleet.until(lambda: "r1" in fleet.counter)
         await fleet.promised("a", "r2")
         await fleet.stop()
+
     run(test(), LONG_S)
 
 
@@ -172,4 +199,5 @@
         await fleet.until(lambda: "r1" in fleet.counter)
         await fleet.until(lambda: not fleet.state("a", fleet.books["a"].own).pending)
         await fleet.stop()
+
     run(test(), LONG_S)
--- a/tests/test_cap.py
+++ b/tests/test_cap.py
@@ -28,8 +28,10 @@
 
 
 def test_headroom_and_cap_together_are_the_ceiling_and_its_slack() -> None:
-    parts = [Ledger(CAPPED, api.Request("r", "read", "capped", 7, 4000.0, 1.0, 2, 0), replace(DAY, me=me), START, 0.0)
-             for me in (0, 1)]
+    parts = [
+        Ledger(CAPPED, api.Request("r", "read", "capped", 7, 4000.0, 1.0, 2, 0), replace(DAY, me=me), START, 0.0)
+        for me in (0, 1)
+    ]
     heads = [led.head for led in parts if led.head]
     cap = parts[0].cap
     assert cap is not None
--- a/tests/test_ceiling_schedules.py
+++ b/tests/test_ceiling_schedules.py
@@ -17,13 +17,24 @@
 from tests.test_store_ceiling import STEP_MS, Doors, most_beyond
 
 LATE_STEPS = 14  # of 2 ms: nearly the time-out, so that answers come late and not too late
-PLANS = tuple(api.Plan("capped", rate, burst, over_worth=over, over_cost=0.5, ceiling_rate=rate * times,
-                       ceiling_burst=max(burst * more, burst), ceiling_slack=slack)
-              for rate, burst, times, more, slack, over in (
-                  (6.0, 12.0, 1.5, 1.25, 3.0, 0.0),  # of the gallery at which a ceiling broke
-                  (6.0, 12.0, 1.5, 1.25, 3.0, 1.0),  # and one that earns beyond its quota
-                  (20.0, 10.0, 1.2, 1.0, 2.0, 0.0),  # a quota that is nearly its ceiling
-                  (2.0, 30.0, 2.5, 1.6, 4.0, 0.0)))  # long periods
+PLANS = tuple(
+    api.Plan(
+        "capped",
+        rate,
+        burst,
+        over_worth=over,
+        over_cost=0.5,
+        ceiling_rate=rate * times,
+        ceiling_burst=max(burst * more, burst),
+        ceiling_slack=slack,
+    )
+    for rate, burst, times, more, slack, over in (
+        (6.0, 12.0, 1.5, 1.25, 3.0, 0.0),  # of the gallery at which a ceiling broke
+        (6.0, 12.0, 1.5, 1.25, 3.0, 1.0),  # and one that earns beyond its quota
+        (20.0, 10.0, 1.2, 1.0, 2.0, 0.0),  # a quota that is nearly its ceiling
+        (2.0, 30.0, 2.5, 1.6, 4.0, 0.0),
+    )
+)  # long periods
 STATES = ("well", "down", "paused", "late", "lossy", "loading")
 JOLTS = ("none", "emptied", "back", "cut", "restart", "restart all", "evicted", "step", "step back")
 STEPS_MS = (10.0, 900.0, 7000.0, 3_600_000.0)  # of the wall clock that all doors read
@@ -40,9 +51,18 @@
     doors: int  # so many of them get the tries
 
 
-SPELLS = st.lists(st.builds(Spell, st.sampled_from(JOLTS), st.sampled_from(STATES),
-                            st.sampled_from((60.0, 700.0, 2500.0)), st.sampled_from((0.0, 8.0, 60.0, 300.0)),
-                            st.integers(1, 6)), min_size=2, max_size=6)
+SPELLS = st.lists(
+    st.builds(
+        Spell,
+        st.sampled_from(JOLTS),
+        st.sampled_from(STATES),
+        st.sampled_from((60.0, 700.0, 2500.0)),
+        st.sampled_from((0.0, 8.0, 60.0, 300.0)),
+        st.integers(1, 6),
+    ),
+    min_size=2,
+    max_size=6,
+)
 
 
 def played(spells: list[Spell], doors: int, plan: api.Plan, seed: int, scripts: bool = True) -> Doors:
@@ -99,14 +119,19 @@
 
 @given(SPELLS, st.integers(1, 6), st.sampled_from(PLANS), st.integers(0, 1000), st.booleans())
 @hypo(max_examples=30, deadline=None, derandomize=True)
-def test_no_schedule_takes_a_customer_beyond_its_ceiling(spells: list[Spell], doors: int, plan: api.Plan, seed: int,
-                                                         scripts: bool) -> None:
+def test_no_schedule_takes_a_customer_beyond_its_ceiling(
+    spells: list[Spell], doors: int, plan: api.Plan, seed: int, scripts: bool
+) -> None:
     world = played(spells, doors, plan, seed, scripts)
     assert most_beyond(world.sent[0], plan) <= plan.ceiling_slack + 1e-6
 
 
-OPENING = [Spell("none", "well", 700.0, 8.0, 4), Spell("none", "down", 2500.0, 8.0, 4),
-           Spell("none", "down", 2500.0, 8.0, 4), Spell("none", "well", 700.0, 300.0, 1)]
+OPENING = [
+    Spell("none", "well", 700.0, 8.0, 4),
+    Spell("none", "down", 2500.0, 8.0, 4),
+    Spell("none", "down", 2500.0, 8.0, 4),
+    Spell("none", "well", 700.0, 300.0, 1),
+]
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -118,17 +143,23 @@
 
 def test_without_the_cap_the_schedules_find_a_breach(monkeypatch: pytest.MonkeyPatch) -> None:
     """The bound on confirmed sends is what keeps it: without it the same check fails."""
+
     def unbound(self: quota.Ledger, now: float, units: float) -> quota.Meter | None:
         return quota.Meter(1.0, 1.0, now)
+
     emptied = [Spell("none", "well", 700.0, 60.0, 1), *[Spell("emptied", "well", 700.0, 60.0, 1)] * 2]
     assert most_beyond(played(emptied, 4, PLANS[0], 0).sent[0], PLANS[0]) <= PLANS[0].ceiling_slack
     monkeypatch.setattr(quota.Ledger, "book", unbound)
     assert most_beyond(played(emptied, 4, PLANS[0], 0).sent[0], PLANS[0]) > PLANS[0].ceiling_slack
 
 
-STEPPED = [Spell("none", "well", 2500.0, 100.0, 6), Spell("step back", "well", 60.0, 300.0, 6),
-           Spell("restart", "well", 700.0, 300.0, 6), Spell("step", "well", 60.0, 300.0, 6),
-           Spell("restart all", "well", 700.0, 300.0, 6)]
+STEPPED = [
+    Spell("none", "well", 2500.0, 100.0, 6),
+    Spell("step back", "well", 60.0, 300.0, 6),
+    Spell("restart", "well", 700.0, 300.0, 6),
+    Spell("step", "well", 60.0, 300.0, 6),
+    Spell("restart all", "well", 700.0, 300.0, 6),
+]
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -29,13 +29,24 @@
     assert done.exit_code == 0 and f"martenstep {' '.join(path)}" in done.output.split("Example:")[1]
 
 
-@pytest.mark.parametrize("words", [
-    ("nonsense",), ("serve",), ("serve", "/no/such/file"), ("config", "check"), ("day", "run", "x"),
-    ("standin", "redis", "--port", "x"), ("standin", "redis", "--port", "99999"),
-    ("standin", "photo-server", "--config", "{"), ("standin", "photo-server", "--config", '{"cores": "many"}'),
-    ("standin", "clients", "/no/such/file", "--manners", "{}"), ("day", "check", "/no/such/folder"),
-    ("day", "from-tap", "/no/such/file"), ("day", "run", "/no/such/file", "--out", "/tmp/x"),
-])
+@pytest.mark.parametrize(
+    "words",
+    [
+        ("nonsense",),
+        ("serve",),
+        ("serve", "/no/such/file"),
+        ("config", "check"),
+        ("day", "run", "x"),
+        ("standin", "redis", "--port", "x"),
+        ("standin", "redis", "--port", "99999"),
+        ("standin", "photo-server", "--config", "{"),
+        ("standin", "photo-server", "--config", '{"cores": "many"}'),
+        ("standin", "clients", "/no/such/file", "--manners", "{}"),
+        ("day", "check", "/no/such/folder"),
+        ("day", "from-tap", "/no/such/file"),
+        ("day", "run", "/no/such/file", "--out", "/tmp/x"),
+    ],
+)
 def test_bad_usage_is_told_and_exits_with_2(words: tuple[str, ...]) -> None:
     done = call(*words)
     assert done.exit_code == 2 and "Traceback" not in done.output and done.output.strip()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -47,71 +47,182 @@
     return f"{text.count(chr(10), 0, place) + 1}:{place - text.rfind(chr(10), 0, place)}"
 
 
-@pytest.mark.parametrize(("old", "new", "mark", "told"), [
-    ('zone: "a"', "zone: 3", "zone: |3", "zone: expected a string in quotes, got 3"),
-    ("instances: 2", "instances: -2", "instances: |-2",
-     "instances: expected a whole number from 0 to 4294967295, got -2"),
-    ("instances: 2", "instances: two", "instances: |two",
-     "instances: expected a whole number from 0 to 4294967295, got two"),
-    ("instance: 0", "instance: 5", "|instance: 5", "instance: expected below instances of 2, got 5"),
-    ("store {", "stroe {", "|stroe {", "stroe: there is no such field in Door"),
-    ("effect: UNSAFE", "effect: RISKY", "|RISKY",
-     "class[2].effect: expected one of SAFE, KEYED, UNSAFE, got RISKY"),
-    ("rate: 10 burst: 20", "rate: 10", '|plan { name: "plain"',
-     "plan[0].burst: missing, expected above 0 where there is a rate"),
-    ("rate: 10 burst: 20", "rate: nan burst: 20", "|nan", "plan[0].rate: expected a finite number, got nan"),
-    ('class { name: "read" aim_ms: 1000 deadline_ms: 4000 }', 'class { name: "read" aim_ms: 1000 }',
-     '|class { name: "read"', "class[0].deadline_ms: missing, expected above 0"),
-    ('"read" aim_ms: 1000', '"read" aim_ms: 9000', "|aim_ms: 9000",
-     "class[0].aim_ms: expected no more than the deadline of 4000, got 9000"),
-    ("window_ms: 3000", "window_ms: 0", "|window_ms: 0", "class[1].window_ms: expected above 0, got 0"),
-    ("members { port: 1 }", "members { port: 70000 }", "|port: 70000",
-     "members.port: expected a port from 1 to 65535, got 70000"),
-    ("members { port: 1 }", "", '|\nname: "door-0"', "members: missing: a door needs a feed of its servers"),
-    ("timeout_ms: 50", "timeout_ms: 5000", "|timeout_ms: 5000",
-     "store.timeout_ms: expected below the shortest deadline of 4000"),
-    ("store { port: 1 timeout_ms: 50 }", "store { topology: CLUSTER node { port: 2 } port: 1 timeout_ms: 50 }",
-     "|port: 1 timeout_ms", "store.port: given beside topology CLUSTER; nodes are for that"),
-    ("store { port: 1 timeout_ms: 50 }", "store { topology: CLUSTER timeout_ms: 50 }", "|store { topology",
-     "store.node: missing: at least one is needed"),
-    ("store { port: 1 timeout_ms: 50 }", "store { topology: SENTINEL node { port: 2 } timeout_ms: 50 }",
-     "|store { topology", "store.primary_name: missing"),
-    ("store { port: 1 timeout_ms: 50 }", "store { topology: CLUSTER node { port: 2 } database: 3 timeout_ms: 50 }",
-     "|database: 3", "store.database: expected 0: a cluster has no other"),
-    ("store { port: 1 timeout_ms: 50 }", 'store { port: 1 node { port: 2 } timeout_ms: 50 }', "|node { port: 2 }",
-     "store.node[0]: given beside topology ALONE; host and port are for that"),
-    ("store { port: 1 timeout_ms: 50 }", 'store { port: 1 password_file: "none" timeout_ms: 50 }',
-     '|password_file: "none"', "store.password_file: there is no file 'none'"),
-    ("store { port: 1 timeout_ms: 50 }", 'store { port: 1 user: "door" timeout_ms: 50 }', '|user: "door"',
-     "store.user: given without password_file"),
-    ("store { port: 1 timeout_ms: 50 }", 'store { port: 1 gather_ms: 40 timeout_ms: 50 }', "|gather_ms: 40",
-     "store.gather_ms: expected from 0 to 25, got 40"),
-    ("max_attempts: 3", "max_attempts: 3 error_status: 200", "|error_status: 200",
-     "upstream.error_status[0]: expected a status from 400 to 599, got 200"),
-    ('plan { name: "open" }', 'plan { name: "open" } plan { name: "plain" }', '|name: "plain" }',
-     "plan[2].name: 'plain' is taken by the entry at line 10"),
-    ('customer { key: "free" plan: "open" }', 'customer { key: "free" plan: "oepn" }', '|plan: "oepn"',
-     "customer[1].plan: no plan is named 'oepn' (there are: open, plain)"),
-    ('class: "pay"', 'class: "play"', '|class: "play"',
-     "route[2].class: no class is named 'play' (there are: pay, read, write)"),
-    ("units: 2", "units: 9", "|units: 9", "route[2].units: expected no more than max_units of 4, got 9"),
-    ('path_prefix: "/pay/"', 'path_prefix: "pay/"', '|path_prefix: "pay/"',
-     "route[2].path_prefix: expected a path that begins with '/', got 'pay/'"),
-    ('method: "POST"', 'method: "FETCH"', '|method: "FETCH"',
-     "route[1].method[0]: expected one of GET, HEAD, POST, PUT, DELETE, OPTIONS, PATCH, got 'FETCH'"),
-    ("customer_segment: 2", 'customer_segment: 2 customer_header: "x"', '|customer_header: "x" ',
-     "route[1].customer_header: given beside customer_segment; only one of them may be"),
-    ('customer { key: "free" plan: "open" }', 'customer { key: "anna" plan: "open" }', '|key: "anna" plan: "open"',
-     "customer[1].key: 'anna' is taken by the entry at line 12"),
-    ("answer_slack_ms: 8", "answer_slack_ms: 8 cold_from: 2", "|cold_from: 2",
-     "rules.cold_from: expected from 0 to 1, got 2"),
-    ("answer_slack_ms: 8", "warm_within_ms: 8", "|rules {",
-     "rules.fall_window_ms: missing, expected above 0 where servers start cold"),
-    ('name: "door-0"', 'name: "door-0" name: "door-1"', '|name: "door-1"', "name: given twice"),
-    ("rules {", "rules (", "rules |(", "rules: expected ':' or '{', got '('"),
-    ("rules { answer_slack_ms: 8 }", "rules { answer_slack_ms: 8", "answer_slack_ms: 8\n|",
-     "rules: expected a field or '}', got 'the end of the file'"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "mark", "told"),
+    [
+        ('zone: "a"', "zone: 3", "zone: |3", "zone: expected a string in quotes, got 3"),
+        (
+            "instances: 2",
+            "instances: -2",
+            "instances: |-2",
+            "instances: expected a whole number from 0 to 4294967295, got -2",
+        ),
+        (
+            "instances: 2",
+            "instances: two",
+            "instances: |two",
+            "instances: expected a whole number from 0 to 4294967295, got two",
+        ),
+        ("instance: 0", "instance: 5", "|instance: 5", "instance: expected below instances of 2, got 5"),
+        ("store {", "stroe {", "|stroe {", "stroe: there is no such field in Door"),
+        (
+            "effect: UNSAFE",
+            "effect: RISKY",
+            "|RISKY",
+            "class[2].effect: expected one of SAFE, KEYED, UNSAFE, got RISKY",
+        ),
+        (
+            "rate: 10 burst: 20",
+            "rate: 10",
+            '|plan { name: "plain"',
+            "plan[0].burst: missing, expected above 0 where there is a rate",
+        ),
+        ("rate: 10 burst: 20", "rate: nan burst: 20", "|nan", "plan[0].rate: expected a finite number, got nan"),
+        (
+            'class { name: "read" aim_ms: 1000 deadline_ms: 4000 }',
+            'class { name: "read" aim_ms: 1000 }',
+            '|class { name: "read"',
+            "class[0].deadline_ms: missing, expected above 0",
+        ),
+        (
+            '"read" aim_ms: 1000',
+            '"read" aim_ms: 9000',
+            "|aim_ms: 9000",
+            "class[0].aim_ms: expected no more than the deadline of 4000, got 9000",
+        ),
+        ("window_ms: 3000", "window_ms: 0", "|window_ms: 0", "class[1].window_ms: expected above 0, got 0"),
+        (
+            "members { port: 1 }",
+            "members { port: 70000 }",
+            "|port: 70000",
+            "members.port: expected a port from 1 to 65535, got 70000",
+        ),
+        ("members { port: 1 }", "", '|\nname: "door-0"', "members: missing: a door needs a feed of its servers"),
+        (
+            "timeout_ms: 50",
+            "timeout_ms: 5000",
+            "|timeout_ms: 5000",
+            "store.timeout_ms: expected below the shortest deadline of 4000",
+        ),
+        (
+            "store { port: 1 timeout_ms: 50 }",
+            "store { topology: CLUSTER node { port: 2 } port: 1 timeout_ms: 50 }",
+            "|port: 1 timeout_ms",
+            "store.port: given beside topology CLUSTER; nodes are for that",
+        ),
+        (
+            "store { port: 1 timeout_ms: 50 }",
+            "store { topology: CLUSTER timeout_ms: 50 }",
+            "|store { topology",
+            "store.node: missing: at least one is needed",
+        ),
+        (
+            "store { port: 1 timeout_ms: 50 }",
+            "store { topology: SENTINEL node { port: 2 } timeout_ms: 50 }",
+            "|store { topology",
+            "store.primary_name: missing",
+        ),
+        (
+            "store { port: 1 timeout_ms: 50 }",
+            "store { topology: CLUSTER node { port: 2 } database: 3 timeout_ms: 50 }",
+            "|database: 3",
+            "store.database: expected 0: a cluster has no other",
+        ),
+        (
+            "store { port: 1 timeout_ms: 50 }",
+            "store { port: 1 node { port: 2 } timeout_ms: 50 }",
+            "|node { port: 2 }",
+            "store.node[0]: given beside topology ALONE; host and port are for that",
+        ),
+        (
+            "store { port: 1 timeout_ms: 50 }",
+            'store { port: 1 password_file: "none" timeout_ms: 50 }',
+            '|password_file: "none"',
+            "store.password_file: there is no file 'none'",
+        ),
+        (
+            "store { port: 1 timeout_ms: 50 }",
+            'store { port: 1 user: "door" timeout_ms: 50 }',
+            '|user: "door"',
+            "store.user: given without password_file",
+        ),
+        (
+            "store { port: 1 timeout_ms: 50 }",
+            "store { port: 1 gather_ms: 40 timeout_ms: 50 }",
+            "|gather_ms: 40",
+            "store.gather_ms: expected from 0 to 25, got 40",
+        ),
+        (
+            "max_attempts: 3",
+            "max_attempts: 3 error_status: 200",
+            "|error_status: 200",
+            "upstream.error_status[0]: expected a status from 400 to 599, got 200",
+        ),
+        (
+            'plan { name: "open" }',
+            'plan { name: "open" } plan { name: "plain" }',
+            '|name: "plain" }',
+            "plan[2].name: 'plain' is taken by the entry at line 10",
+        ),
+        (
+            'customer { key: "free" plan: "open" }',
+            'customer { key: "free" plan: "oepn" }',
+            '|plan: "oepn"',
+            "customer[1].plan: no plan is named 'oepn' (there are: open, plain)",
+        ),
+        (
+            'class: "pay"',
+            'class: "play"',
+            '|class: "play"',
+            "route[2].class: no class is named 'play' (there are: pay, read, write)",
+        ),
+        ("units: 2", "units: 9", "|units: 9", "route[2].units: expected no more than max_units of 4, got 9"),
+        (
+            'path_prefix: "/pay/"',
+            'path_prefix: "pay/"',
+            '|path_prefix: "pay/"',
+            "route[2].path_prefix: expected a path that begins with '/', got 'pay/'",
+        ),
+        (
+            'method: "POST"',
+            'method: "FETCH"',
+            '|method: "FETCH"',
+            "route[1].method[0]: expected one of GET, HEAD, POST, PUT, DELETE, OPTIONS, PATCH, got 'FETCH'",
+        ),
+        (
+            "customer_segment: 2",
+            'customer_segment: 2 customer_header: "x"',
+            '|customer_header: "x" ',
+            "route[1].customer_header: given beside customer_segment; only one of them may be",
+        ),
+        (
+            'customer { key: "free" plan: "open" }',
+            'customer { key: "anna" plan: "open" }',
+            '|key: "anna" plan: "open"',
+            "customer[1].key: 'anna' is taken by the entry at line 12",
+        ),
+        (
+            "answer_slack_ms: 8",
+            "answer_slack_ms: 8 cold_from: 2",
+            "|cold_from: 2",
+            "rules.cold_from: expected from 0 to 1, got 2",
+        ),
+        (
+            "answer_slack_ms: 8",
+            "warm_within_ms: 8",
+            "|rules {",
+            "rules.fall_window_ms: missing, expected above 0 where servers start cold",
+        ),
+        ('name: "door-0"', 'name: "door-0" name: "door-1"', '|name: "door-1"', "name: given twice"),
+        ("rules {", "rules (", "rules |(", "rules: expected ':' or '{', got '('"),
+        (
+            "rules { answer_slack_ms: 8 }",
+            "rules { answer_slack_ms: 8",
+            "answer_slack_ms: 8\n|",
+            "rules: expected a field or '}', got 'the end of the file'",
+        ),
+    ],
+)
 def test_each_fault_is_told_in_one_line(old: str, new: str, mark: str, told: str) -> None:
     assert DOOR.count(old) == 1
     text = DOOR.replace(old, new)
@@ -119,8 +230,11 @@
 
 
 def test_all_faults_are_told_not_just_the_first() -> None:
-    text = DOOR.replace('zone: "a"', "zone: 1").replace("port: 1 timeout", "prot: 1 timeout").replace(
-        "deadline_ms: 4000 effect: UNSAFE", 'deadline_ms: "long" effect: UNSAFE')
+    text = (
+        DOOR.replace('zone: "a"', "zone: 1")
+        .replace("port: 1 timeout", "prot: 1 timeout")
+        .replace("deadline_ms: 4000 effect: UNSAFE", 'deadline_ms: "long" effect: UNSAFE')
+    )
     assert [line.split(": ")[1] for line in faults(text)] == ["zone", "store.prot", "class[2].deadline_ms"]
     assert len(faults("")) >= 6
 
@@ -148,7 +262,7 @@
     assert door.name == "door-0"
 
 
-@given(st.text(alphabet='ab:{}<>[]"\'\\ \n0159.-#,;_x', max_size=80))
+@given(st.text(alphabet="ab:{}<>[]\"'\\ \n0159.-#,;_x", max_size=80))
 @hypo(max_examples=300, deadline=None, derandomize=True)
 def test_no_text_brings_it_down(text: str) -> None:
     with pytest.raises(Faults) as caught:
--- a/tests/test_config_changes.py
+++ b/tests/test_config_changes.py
@@ -37,10 +37,17 @@
         getattr(message, name).SetInParent()
     else:
         value = getattr(message, name)
-        setattr(message, name, not value if isinstance(value, bool) else
-                value + "x" if isinstance(value, str) else
-                next(n for n in field.enum_type.values_by_number if n != value) if field.enum_type is not None else
-                value + 1)
+        setattr(
+            message,
+            name,
+            not value
+            if isinstance(value, bool)
+            else value + "x"
+            if isinstance(value, str)
+            else next(n for n in field.enum_type.values_by_number if n != value)
+            if field.enum_type is not None
+            else value + 1,
+        )
 
 
 @pytest.mark.parametrize(("path", "field"), fields(), ids=[path for path, _ in fields()])
--- a/tests/test_copies_rig.py
+++ b/tests/test_copies_rig.py
@@ -68,8 +68,11 @@
 
 def whole(leading: dict[str, tuple[str, View]]) -> bool:
     return len(leading) == SLOTS and all(
-        len(group["at"]) == 3 and all(one["counts"] and one["present"] for one in group["at"])
-        and sorted(one["place"] for one in group["at"]) == sorted(group["wanted"]) for _, group in leading.values())
+        len(group["at"]) == 3
+        and all(one["counts"] and one["present"] for one in group["at"])
+        and sorted(one["place"] for one in group["at"]) == sorted(group["wanted"])
+        for _, group in leading.values()
+    )
 
 
 async def _hard_cases(play: Play) -> None:
@@ -81,11 +84,11 @@
     await play.more(200)
     play.step(0, True)  # a machine is lost with its disk, for good: its copies are made elsewhere
     await play.more(200)
-    await play.until(lambda leading: whole(leading) and all(
-        "d000" not in group["wanted"] for _, group in leading.values()))
+    await play.until(
+        lambda leading: whole(leading) and all("d000" not in group["wanted"] for _, group in leading.values())
+    )
     play.step(0, False)  # it comes back as another disk, and is filled
-    await play.until(lambda leading: whole(leading) and any(
-        "d000" in group["wanted"] for _, group in leading.values()))
+    await play.until(lambda leading: whole(leading) and any("d000" in group["wanted"] for _, group in leading.values()))
     play.step(1, True)  # cut off from the others, and reached by who asks
     await play.more(300)
     play.step(1, False)
@@ -102,8 +105,9 @@
     port = rig._places[door].process.ready["admin"]  # type: ignore[union-attr]
     told = await asyncio.to_thread(CliRunner().invoke, cli, ["copies", "show", "--admin", f"127.0.0.1:{port}"])
     assert told.exit_code == 0 and group in told.output, told.output
-    told = await asyncio.to_thread(CliRunner().invoke, cli,
-                                   ["copies", "move", group, "--to", to, "--admin", f"127.0.0.1:{port}"])
+    told = await asyncio.to_thread(
+        CliRunner().invoke, cli, ["copies", "move", group, "--to", to, "--admin", f"127.0.0.1:{port}"]
+    )
     assert told.exit_code == 0, told.output
     await play.until(lambda leading: group in leading and leading[group][0] == to)
     assert await promises.settle(60.0)
@@ -126,4 +130,5 @@
         asker.sent[next(iter(asker.sent))] += 1  # what would be lost is seen
         asker.tries.pop()  # and what would be doubled
         assert len(play.promises.judge(folders)) == 2
+
     asyncio.run(test())
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -50,9 +50,18 @@
     return asked(at, name, epoch, Add(sequence, key, float(kind), 700.0))
 
 
-ENTRIES = st.lists(st.builds(
-    entry, st.integers(0, 8000).map(lambda ms: NOW + ms), st.integers(0, 2), st.integers(1, 3), st.integers(1, 12),
-    st.integers(0, 3), st.integers(0, 9)), max_size=60)
+ENTRIES = st.lists(
+    st.builds(
+        entry,
+        st.integers(0, 8000).map(lambda ms: NOW + ms),
+        st.integers(0, 2),
+        st.integers(1, 3),
+        st.integers(1, 12),
+        st.integers(0, 3),
+        st.integers(0, 9),
+    ),
+    max_size=60,
+)
 
 
 @given(ENTRIES, st.integers(0, 60))
@@ -88,8 +97,16 @@
     assert made.apply(asked(NOW + 10, "a", 1, Add(3, 7, 4.0, 1000.0))) == Total(3, Status.DONE, 4.0)
 
 
-@pytest.mark.parametrize("data", [b"", b"\0" * 17, b"\0" * 30, asked(NOW, "a", 1, Add(1, 7, 1.0, 9.0))[:-3],
-                                  asked(float("nan"), "a", 1, Hello("a", 1))])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"\0" * 17,
+        b"\0" * 30,
+        asked(NOW, "a", 1, Add(1, 7, 1.0, 9.0))[:-3],
+        asked(float("nan"), "a", 1, Hello("a", 1)),
+    ],
+)
 def test_an_entry_that_cannot_be_read_changes_nothing(data: bytes) -> None:
     made = CopiedCounter()
     before = made.snapshot()
@@ -116,8 +133,7 @@
 
     async def run(self, store: Store, keys: Keys = KEYS) -> Host:
         host = await super().run(store, keys)
-        service = self.services[store.id] = CopiedService(
-            lambda group: host, self.address, clock=lambda: NOW / 1000)
+        service = self.services[store.id] = CopiedService(lambda group: host, self.address, clock=lambda: NOW / 1000)
         self.ports[store.id] = await service.start("127.0.0.1", self.ports.get(store.id, 0))
         return host
 
@@ -142,6 +158,7 @@
 
 def test_leaders_killed_under_load_lose_and_double_nothing(tmp_path: Path) -> None:
     """A command in doubt is asked again under its sequence at whoever leads next."""
+
     async def test() -> None:
         group = CountingGroup(tmp_path)
         await group.begin("a", "b", "c")
@@ -149,8 +166,11 @@
 
         async def load() -> None:
             for number in range(1, 121):
-                told = Add(number, 7, 1.0, 3_600_000.0) if number % 2 else Record(
-                    number, NOW, 1.0, False, f"r{number}", "c", "p", "k")
+                told = (
+                    Add(number, 7, 1.0, 3_600_000.0)
+                    if number % 2
+                    else Record(number, NOW, 1.0, False, f"r{number}", "c", "p", "k")
+                )
                 replies.append(await group.command(1, told))
 
         loading = asyncio.create_task(load())
@@ -170,6 +190,7 @@
         assert [reply.total for reply in replies if isinstance(reply, Total)] == [float(n) for n in range(1, 61)]
         assert {reply.status for reply in replies if isinstance(reply, Stored)} <= {Status.DONE, Status.REPEATED}
         await group.stop()
+
     run(test(), LONG_S)
 
 
@@ -189,6 +210,7 @@
         assert told == {call: (Verdict.OK, 2.0 * (call + 1)) for call in range(5)}
         await client.stop()
         await group.stop()
+
     run(test(), LONG_S)
 
 
@@ -216,6 +238,7 @@
         assert sum(use.tries for use in counter.uses().values()) == 150
         await client.stop()
         await group.stop()
+
     run(test(), LONG_S)
 
 
@@ -235,4 +258,5 @@
         assert not client._elsewhere("192.0.2.1:80") and not client._elsewhere("")
         await client.stop()
         await group.stop()
+
     run(test(), LONG_S)
--- a/tests/test_counter_follow.py
+++ b/tests/test_counter_follow.py
@@ -56,11 +56,13 @@
             again.close()
         assert rebuilt(tmp_path / "b", Limits()).total(1) == rebuilt(tmp_path / "a", Limits()).total(1) == 2510.0
         assert verify(tmp_path / "b").segments > 3
+
     run(test())
 
 
 def test_a_segment_that_cannot_be_read_for_once_costs_a_follower_its_connection_alone(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A segment that was compacted away between its listing and its reading hung the follower for good."""
     failed: list[bool] = []
 
@@ -76,6 +78,7 @@
                     failed.append(True)
                     raise FileNotFoundError("gone")
                 return read(*words)
+
             monkeypatch.setattr(service_module, "read_records", once)
             follower = Follower(tmp_path / "b")
             task = asyncio.create_task(follower.run("127.0.0.1", port))
@@ -83,6 +86,7 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
             follower.close()
+
     run(test())
     assert failed
 
@@ -92,10 +96,15 @@
         async with served(tmp_path / "a", "recent_bytes: 100 unsent_bytes: 4096") as (service, port):
             door = await Wire.to(port, fr.Hello("door", 1))
             for first in range(1, 4001, 100):  # more than the sockets hold
-                door.send(*(fr.Record(n, time.time() * 1000, 1.0, False, f"{n:01000}", "ada", "plan", "read")
-                            for n in range(first, first + 100)))
+                door.send(
+                    *(
+                        fr.Record(n, time.time() * 1000, 1.0, False, f"{n:01000}", "ada", "plan", "read")
+                        for n in range(first, first + 100)
+                    )
+                )
                 assert [await door.next() for _ in range(100)] == [
-                    fr.Stored(n, fr.Status.DONE) for n in range(first, first + 100)]
+                    fr.Stored(n, fr.Status.DONE) for n in range(first, first + 100)
+                ]
             slow = await Wire.to(port)
             slow.send(fr.Follow(0, 0, 0))
             await asyncio.sleep(0.3)  # it reads nothing meanwhile: what is sent stands in the sockets
@@ -105,6 +114,7 @@
                 assert isinstance(frame, fr.Entries) and frame.first == held
                 held += len(records_of(frame.data, held))
             assert held > 4000
+
     run(test())
 
 
@@ -113,7 +123,8 @@
     with pytest.raises(Faults) as caught:
         parse_service(text, "c")
     assert [fault.told("c") for fault in caught.value.faults] == [
-        "c:1:11: wait_for_follower: fits only a log that is durable"]
+        "c:1:11: wait_for_follower: fits only a log that is durable"
+    ]
 
 
 def test_a_leader_that_does_not_sync_ships_each_record_once(tmp_path: Path) -> None:
@@ -130,6 +141,7 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
             follower.close()
+
     run(test())
 
 
@@ -148,6 +160,7 @@
                 await asyncio.wait_for(wire.next(), 0.2)  # no follower: no answer
             # The leader's machine is lost here: the copy holds all that was answered.
             assert rebuilt(tmp_path / "b", Limits()).total(1) == 20.0
+
     run(test())
 
 
@@ -164,6 +177,7 @@
             follower.close()
             assert (await adds(wire, 21, 5))[-1] == fr.Total(25, fr.Status.DONE, 25.0)  # answered, and only here
         assert rebuilt(tmp_path / "b", Limits()).total(1) == 20.0  # as stated: 5 acknowledged adds are lost
+
     run(test())
 
 
@@ -200,6 +214,7 @@
             refused = await wire.next()
             assert isinstance(refused, fr.Refused) and "fenced: term 1 has begun elsewhere" in refused.reason
             assert old.keeper.counter.total(1) == 10.0
+
     run(test())
 
 
@@ -218,6 +233,7 @@
             with pytest.raises(RefusedError, match="they have parted"):
                 await longer.run("127.0.0.1", port)
             longer.close()
+
     run(test())
 
 
@@ -227,6 +243,7 @@
         async with served(tmp_path / "a", more) as (service, port):
             await adds(await Wire.to(port, fr.Hello("door", 1)), 1, 50)
             from martenstep.storage.log import segments
+
             [first] = segments(service.keeper.files)
             service.keeper._writer._begin()
             service.keeper.files.remove(first.name)
@@ -234,4 +251,5 @@
             with pytest.raises(RefusedError, match="copy the directory first"):
                 await follower.run("127.0.0.1", port)
             follower.close()
+
     run(test())
--- a/tests/test_counter_log.py
+++ b/tests/test_counter_log.py
@@ -63,7 +63,10 @@
                 keeper.command((door, command.sequence), sessions[door], command)
             for who, reply in keeper.commit():
                 assert not isinstance(reply, Total | Stored) or reply.status in (
-                    Status.DONE, Status.REPEATED, Status.KNOWN), reply
+                    Status.DONE,
+                    Status.REPEATED,
+                    Status.KNOWN,
+                ), reply
                 assert who not in self.answers
                 self.answers[who] = reply
                 del self.waiting[who]
@@ -337,8 +340,10 @@
     assert reply in (Total(3, Status.DONE, 6.0), Total(3, Status.REPEATED, 6.0))
 
 
-@given(st.lists(st.tuples(st.integers(1, 3), st.floats(-5, 5), st.sampled_from((50.0, 1e6))), max_size=40),
-       st.lists(st.floats(0, 200), max_size=40))
+@given(
+    st.lists(st.tuples(st.integers(1, 3), st.floats(-5, 5), st.sampled_from((50.0, 1e6))), max_size=40),
+    st.lists(st.floats(0, 200), max_size=40),
+)
 @hypo(max_examples=80, deadline=None, derandomize=True)
 def test_a_rebuilt_state_is_the_live_one(adds: list[tuple[int, float, float]], pauses: list[float]) -> None:
     files = FaultFiles(3)
--- a/tests/test_counter_processes.py
+++ b/tests/test_counter_processes.py
@@ -18,9 +18,14 @@
 
 
 def door(copies: Copies, told: list[Verdict]) -> CounterClient:
-    return CounterClient(copies.addresses, "door", Journal(copies.folder / "journal", 5000),
-                         lambda call, verdict, total, kept: told.append(verdict), lambda event, fields: None,
-                         timeout_ms=300.0)
+    return CounterClient(
+        copies.addresses,
+        "door",
+        Journal(copies.folder / "journal", 5000),
+        lambda call, verdict, total, kept: told.append(verdict),
+        lambda event, fields: None,
+        timeout_ms=300.0,
+    )
 
 
 def test_killed_and_paused_copies_lose_and_double_nothing(tmp_path: Path) -> None:
@@ -71,6 +76,7 @@
         kept = [copies.on_disk(number) for number in range(3)]
         assert sorted(counter.total(7) == total for counter in kept)[1:] == [True, True]
         assert sorted(sum(use.tries for use in counter.uses().values()) == sent for counter in kept)[1:] == [True, True]
+
     run(test(), LONG_S)
 
 
@@ -113,6 +119,7 @@
             loading.cancel()
             await client.stop()
             await copies.stop()
+
     run(test(), LONG_S)
 
 
@@ -124,12 +131,15 @@
     assert done.exit_code == 1 and "not among those of the settings" in done.output
 
 
-@pytest.mark.parametrize(("change", "fault"), [
-    (("log-0\" }", "log-0\" durable: false }"), "log.durable: copies promise only what is durable"),
-    (("group: \"g\"", ""), "copies.group: missing"),
-    (("  } ", " later: true } "), ": all came later"),
-    (("doors: \"127.0.0.1:", "doors: \"127.0.0.1"), "copies.copy[0].doors: expected HOST:PORT"),
-])
+@pytest.mark.parametrize(
+    ("change", "fault"),
+    [
+        (('log-0" }', 'log-0" durable: false }'), "log.durable: copies promise only what is durable"),
+        (('group: "g"', ""), "copies.group: missing"),
+        (("  } ", " later: true } "), ": all came later"),
+        (('doors: "127.0.0.1:', 'doors: "127.0.0.1'), "copies.copy[0].doors: expected HOST:PORT"),
+    ],
+)
 def test_settings_that_no_group_can_run_on_are_named(tmp_path: Path, change: tuple[str, str], fault: str) -> None:
     copies = Copies(tmp_path)
     file = copies.file(0)
--- a/tests/test_counter_service.py
+++ b/tests/test_counter_service.py
@@ -29,9 +29,14 @@
 from tests.socket_rig import run
 
 EVERY: list[fr.Frame] = [
-    fr.Hello("door-0", 7, 2), fr.Add(1, 2**63 - 1, -2.5, 1e6), fr.Read(3, 9), fr.Welcome(5),
-    fr.Record(4, 1.7e12, 2.0, True, "r-1", "ä", "plan", "c"), fr.Total(1, fr.Status.DONE, 3.5),
-    fr.Stored(2, fr.Status.KNOWN), fr.Refused(fr.Status.FENCED, "over"),
+    fr.Hello("door-0", 7, 2),
+    fr.Add(1, 2**63 - 1, -2.5, 1e6),
+    fr.Read(3, 9),
+    fr.Welcome(5),
+    fr.Record(4, 1.7e12, 2.0, True, "r-1", "ä", "plan", "c"),
+    fr.Total(1, fr.Status.DONE, 3.5),
+    fr.Stored(2, fr.Status.KNOWN),
+    fr.Refused(fr.Status.FENCED, "over"),
 ]
 
 
@@ -48,7 +53,8 @@
 
 def test_an_add_byte_by_byte() -> None:
     assert fr.encode(fr.Add(1, 2, 1.0, 8.0)).hex() == (
-        "00000021" + f"{fr.crc32c(bytes.fromhex(ADD_PAYLOAD)):08x}" + ADD_PAYLOAD)
+        "00000021" + f"{fr.crc32c(bytes.fromhex(ADD_PAYLOAD)):08x}" + ADD_PAYLOAD
+    )
 
 
 ADD_PAYLOAD = "02" + "0000000000000001" + "0000000000000002" + "3ff0000000000000" + "4020000000000000"
@@ -122,6 +128,7 @@
             assert replies[-1] == fr.Total(0, fr.Status.DONE, 143.0)
             assert service.groups < 200  # one sync for many
         assert rebuilt(tmp_path, Limits()).total(3) == 143.0
+
     run(test())
 
 
@@ -138,17 +145,21 @@
 
             assert await asyncio.gather(*(load(wire, n) for n, wire in enumerate(wires))) == [10_000.0] * 4
             assert service.keeper.counter.sizes["names"] == 40_000
+
     run(test())
 
 
-@pytest.mark.parametrize(("sent", "status"), [
-    (fr.encode(fr.Add(1, 1, 1.0, 1.0)), fr.Status.BAD),
-    (fr.encode(fr.Hello("d", 1, version=9)), fr.Status.VERSION),
-    (fr.encode(fr.Hello("d", 1, map_version=4)), fr.Status.MAP),
-    (fr.encode(fr.Hello("old", 3)), fr.Status.FENCED),
-    (b"GET / HTTP/1.1\r\n\r\n", fr.Status.BAD),
-    (fr.encode(fr.Welcome(1)), fr.Status.BAD),
-])
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [
+        (fr.encode(fr.Add(1, 1, 1.0, 1.0)), fr.Status.BAD),
+        (fr.encode(fr.Hello("d", 1, version=9)), fr.Status.VERSION),
+        (fr.encode(fr.Hello("d", 1, map_version=4)), fr.Status.MAP),
+        (fr.encode(fr.Hello("old", 3)), fr.Status.FENCED),
+        (b"GET / HTTP/1.1\r\n\r\n", fr.Status.BAD),
+        (fr.encode(fr.Welcome(1)), fr.Status.BAD),
+    ],
+)
 def test_what_cannot_be_served_is_told_and_closed(tmp_path: Path, sent: bytes, status: fr.Status) -> None:
     async def test() -> None:
         async with served(tmp_path) as (_, port):
@@ -159,6 +170,7 @@
             assert isinstance(refused, fr.Refused) and refused.status is status
             with pytest.raises(EOFError):
                 await wire.next()
+
     run(test())
 
 
@@ -171,6 +183,7 @@
             assert isinstance(refused, fr.Refused) and "half a frame" in refused.reason
             fine.send(fr.Add(1, 1, 1.0, 1e6))
             assert await fine.next() == fr.Total(1, fr.Status.DONE, 1.0)  # idle, but between frames
+
     run(test())
 
 
@@ -188,6 +201,7 @@
             first, total = await again.next(), await again.next()
             assert isinstance(first, fr.Total) and first.status in (fr.Status.REPEATED, fr.Status.TOO_OLD)
             assert isinstance(total, fr.Total) and total.total == service.keeper.counter.door("slow").highest
+
     run(test())
 
 
@@ -212,6 +226,7 @@
         file.write_text('name: "" log { commit_ms: -1 }')
         done = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
         assert done.exit_code == 2 and len(done.output.splitlines()) == 3
+
     run(test())
 
 
@@ -224,8 +239,14 @@
     def __init__(self, port: int, journal: Path, name: str = "door-0", **words: Any) -> None:
         self.answers: dict[int, tuple[Verdict, float]] = {}
         self.notes: list[str] = []
-        self.client = CounterClient([("127.0.0.1", port)], name, Journal(journal, 100_000), self._answer,
-                                    lambda event, fields: self.notes.append(event), **words)
+        self.client = CounterClient(
+            [("127.0.0.1", port)],
+            name,
+            Journal(journal, 100_000),
+            self._answer,
+            lambda event, fields: self.notes.append(event),
+            **words,
+        )
         self.client.start()
         self._call = 0
 
@@ -253,6 +274,7 @@
             assert [desk.answers[call] for call in calls] == [(Verdict.OK, n + 1.0) for n in range(50)]
             await desk.client.stop()
             assert not Journal(tmp_path / "door", 10).tries
+
     run(test())
 
 
@@ -276,6 +298,7 @@
             assert service.keeper.counter.total(5) == 0.0
         [(door, told)] = each_try(tmp_path / "log")
         assert (door, told.request, told.units, told.beyond, told.time_ms) == ("door-0", "r1", 2.0, True, now)
+
     run(test())
 
 
@@ -299,13 +322,17 @@
 
 def test_real_kills_under_load_lose_nothing_and_count_nothing_twice(tmp_path: Path) -> None:
     """The process is killed again and again; each add and each try counts once, and the totals are the doors' own."""
+
     async def test() -> None:
         from martenstep.lab.copies import started
         from martenstep.lab.ports import held_ports
+
         [port] = held_ports(1)
         file = tmp_path / "counter.txtpb"
-        file.write_text(f'name: "c" port: {port} log {{ directory: "{tmp_path / "log"}" commit_ms: 1 '
-                        'segment_bytes: 20000 snapshot_records: 900 }')
+        file.write_text(
+            f'name: "c" port: {port} log {{ directory: "{tmp_path / "log"}" commit_ms: 1 '
+            "segment_bytes: 20000 snapshot_records: 900 }"
+        )
         process, _ = await started(file)
         desks = [Desk(port, tmp_path / f"door-{n}", f"door-{n}", timeout_ms=200.0) for n in range(2)]
         sent: dict[int, float] = {}
@@ -347,6 +374,7 @@
         names = [told.request for _, told in each_try(tmp_path / "log")]
         assert sorted(names) == sorted(requests)
         assert verify(tmp_path / "log").records > 0
+
     run(test())
 
 
@@ -374,7 +402,9 @@
     assert len(call("export", str(tmp_path))[1]) == 3
     code, lines, _ = call("rebuild", str(tmp_path))
     assert code == 0 and [(line["customer"], line["tries"], line["units"], line["beyond"]) for line in lines] == [
-        ("ada", 2, 4.0, 2.0), ("bob", 1, 2.0, 0.0)]
+        ("ada", 2, 4.0, 2.0),
+        ("bob", 1, 2.0, 0.0),
+    ]
     assert call("verify", str(tmp_path))[0] == 0
     [segment] = tmp_path.glob("seg-*")
     data = bytearray(segment.read_bytes())
--- a/tests/test_counter_shards.py
+++ b/tests/test_counter_shards.py
@@ -39,10 +39,19 @@
             answers: dict[int, tuple[Verdict, float]] = {}
 
             def desk(name: str) -> Shards:
-                made = Shards({service: CounterClient(
-                    [("127.0.0.1", port)], name, Journal(tmp_path / name / service, 1000),
-                    lambda call, verdict, total, kept: answers.__setitem__(call, (verdict, total)),
-                    lambda event, fields: None, timeout_ms=5000.0) for service, port in (("a", a), ("b", b))})
+                made = Shards(
+                    {
+                        service: CounterClient(
+                            [("127.0.0.1", port)],
+                            name,
+                            Journal(tmp_path / name / service, 1000),
+                            lambda call, verdict, total, kept: answers.__setitem__(call, (verdict, total)),
+                            lambda event, fields: None,
+                            timeout_ms=5000.0,
+                        )
+                        for service, port in (("a", a), ("b", b))
+                    }
+                )
                 made.start()
                 return made
 
@@ -60,9 +69,12 @@
         tries = [told for service in ("a", "b") for _, told in each_try(tmp_path / service)]
         assert sorted(told.request for told in tries) == sorted(f"r{number}" for number in range(200))
         for number in range(9):
-            held = [any(told.customer == f"customer-{number}" for _, told in each_try(tmp_path / service))
-                    for service in ("a", "b")]
+            held = [
+                any(told.customer == f"customer-{number}" for _, told in each_try(tmp_path / service))
+                for service in ("a", "b")
+            ]
             assert sorted(held) == [False, True]  # one customer, one log
+
     run(test())
 
 
@@ -70,9 +82,14 @@
     async def test() -> None:
         async with served(tmp_path / "log", "map_version: 2") as (service, port):
             notes: list[str] = []
-            client = CounterClient([("127.0.0.1", port)], "door-0", Journal(tmp_path / "door", 10),
-                                   lambda call, verdict, total, kept: None,
-                                   lambda event, fields: notes.append(str(fields)), map_version=1)
+            client = CounterClient(
+                [("127.0.0.1", port)],
+                "door-0",
+                Journal(tmp_path / "door", 10),
+                lambda call, verdict, total, kept: None,
+                lambda event, fields: notes.append(str(fields)),
+                map_version=1,
+            )
             client.start()
             client.add(1, 1, 1.0, 1e9)
             while not notes:
@@ -80,19 +97,24 @@
             assert "MAP: the map has version 2: reload it" in notes[0]
             await client.stop()
             assert service.keeper.counter.total(1) == 0.0
+
     run(test())
 
 
 def test_the_settings_of_several_services_are_checked() -> None:
-    base = DOOR.replace("store { port: 1 timeout_ms: 50 }", "counter { journal: \"/tmp/j\" SERVICES }")
+    base = DOOR.replace("store { port: 1 timeout_ms: 50 }", 'counter { journal: "/tmp/j" SERVICES }')
     good = 'service { name: "a" port: 1 } service { name: "b" port: 2 }'
     assert len(parse_door(base.replace("SERVICES", good), "d").counter.service) == 2
     copies = parse_door(base.replace("SERVICES", 'service { name: "a" copy { port: 1 } copy { port: 2 } }'), "d")
     assert [copy.port for copy in copies.counter.service[0].copy] == [1, 2]
-    for bad, told in ((good.replace('"b"', '"a"'), "is taken by"), (good + " port: 5", "given beside service"),
-                      ('service { name: "a" }', "missing, expected a port"), ("", "missing, expected a port"),
-                      ('service { name: "a" port: 1 copy { port: 2 } }', "given beside copy"),
-                      ('service { name: "a" copy { port: 2 } copy { } }', "missing, expected a port"),
-                      ("port: 1 timeout_ms: 4000", "counter.timeout_ms: expected below the shortest deadline of 4000")):
+    for bad, told in (
+        (good.replace('"b"', '"a"'), "is taken by"),
+        (good + " port: 5", "given beside service"),
+        ('service { name: "a" }', "missing, expected a port"),
+        ("", "missing, expected a port"),
+        ('service { name: "a" port: 1 copy { port: 2 } }', "given beside copy"),
+        ('service { name: "a" copy { port: 2 } copy { } }', "missing, expected a port"),
+        ("port: 1 timeout_ms: 4000", "counter.timeout_ms: expected below the shortest deadline of 4000"),
+    ):
         with pytest.raises(Faults, match=told):
             parse_door(base.replace("SERVICES", bad), "d")
