--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -51,22 +51,35 @@
     assert all(load_day(path).name == path.stem for path in days)
 
 
-@pytest.mark.parametrize(("old", "new", "told"), [
-    ('class: "write"', 'class: "wriet"', "work[1].class: no class is named 'wriet'"),
-    ("doors: 3 servers", "doors: 3000 servers", "fleet.doors: expected from 1 to 2000, got 3000"),
-    ("number: 3", "number: 0", "customers[1].number: expected from 1 to 1e+06, got 0"),
-    ("number: 20 share: 1 doors: 2", "number: 20 share: 1 doors: 9", "customers[0].doors: expected from 1 to 3, got 9"),
-    ("for_ms: 20000", "for_ms: 0", "phase[0].for_ms: expected above 0"),
-    ('only_plan: "studio" hot_share', "hot_share", "phase[2].only_plan: missing"),
-    ("clients {", "event { at_ms: 99000 trouble: STORE_EMPTIED }\nclients {",
-     "event[0].at_ms: expected from 0 to 40000"),
-    ("clients {", "event { at_ms: 9 trouble: DOOR_KILLED target: 7 for_ms: 1 }\nclients {",
-     "event[0].target[0]: expected below 3"),
-    ("clients {", "event { at_ms: 9 trouble: STORE_PAUSED }\nclients {", "event[0].for_ms: missing"),
-    ("clients {", "event { at_ms: 9 }\nclients {", "event[0].trouble: missing"),
-    ("clients {", "event { at_ms: 9 trouble: SERVER_CLASS_FAILS }\nclients {", "event[0].class: missing"),
-    ("clients {", 'clients { abuse_plan: "gold" ', "clients.abuse_plan: no plan is named 'gold'"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "told"),
+    [
+        ('class: "write"', 'class: "wriet"', "work[1].class: no class is named 'wriet'"),
+        ("doors: 3 servers", "doors: 3000 servers", "fleet.doors: expected from 1 to 2000, got 3000"),
+        ("number: 3", "number: 0", "customers[1].number: expected from 1 to 1e+06, got 0"),
+        (
+            "number: 20 share: 1 doors: 2",
+            "number: 20 share: 1 doors: 9",
+            "customers[0].doors: expected from 1 to 3, got 9",
+        ),
+        ("for_ms: 20000", "for_ms: 0", "phase[0].for_ms: expected above 0"),
+        ('only_plan: "studio" hot_share', "hot_share", "phase[2].only_plan: missing"),
+        (
+            "clients {",
+            "event { at_ms: 99000 trouble: STORE_EMPTIED }\nclients {",
+            "event[0].at_ms: expected from 0 to 40000",
+        ),
+        (
+            "clients {",
+            "event { at_ms: 9 trouble: DOOR_KILLED target: 7 for_ms: 1 }\nclients {",
+            "event[0].target[0]: expected below 3",
+        ),
+        ("clients {", "event { at_ms: 9 trouble: STORE_PAUSED }\nclients {", "event[0].for_ms: missing"),
+        ("clients {", "event { at_ms: 9 }\nclients {", "event[0].trouble: missing"),
+        ("clients {", "event { at_ms: 9 trouble: SERVER_CLASS_FAILS }\nclients {", "event[0].class: missing"),
+        ("clients {", 'clients { abuse_plan: "gold" ', "clients.abuse_plan: no plan is named 'gold'"),
+    ],
+)
 def test_what_is_wrong_with_a_day_is_told(old: str, new: str, told: str) -> None:
     with pytest.raises(Faults) as caught:
         parse_day(DAY.replace(old, new, 1), "day")
@@ -79,8 +92,14 @@
             assert (trouble in STEERED) != hasattr(Stage, f"_{name.lower()}"), name
     day = parse_day(DAY, "small")
     day.auth_services.number = 3
-    for trouble, targets in ((pb.DOOR_KILLED, [0, 1]), (pb.SERVER_SLOW, [0, 1]), (pb.ANSWERS_LOST, [0, 1]),
-                             (pb.AUTH_DOWN, [0, 1, 2]), (pb.STORE_DOWN, []), (pb.FEED_DOWN, [])):
+    for trouble, targets in (
+        (pb.DOOR_KILLED, [0, 1]),
+        (pb.SERVER_SLOW, [0, 1]),
+        (pb.ANSWERS_LOST, [0, 1]),
+        (pb.AUTH_DOWN, [0, 1, 2]),
+        (pb.STORE_DOWN, []),
+        (pb.FEED_DOWN, []),
+    ):
         assert targets_of(day, pb.Event(trouble=trouble, count=2)) == targets
     assert targets_of(day, pb.Event(trouble=pb.AUTH_DOWN, target=[2])) == [2]
 
@@ -126,13 +145,39 @@
 # Taps ---------------------------------------------------------------------------------------------------
 
 PARAMS = {
-    "classes": [{"name": "get", "slo_ms": 900.0, "deadline_ms": 3000.0, "idempotency": "idempotent", "worth": 1.0},
-                {"name": "put", "slo_ms": 900.0, "deadline_ms": 3000.0, "idempotency": "deduplicated", "group": "zone",
-                 "window_ms": 2000.0}],
-    "contracts": [{"name": "small", "units_per_s": 1.0, "most_at_once": 4.0, "open": 0, "worth_factor": 1.0,
-                   "over_worth": 0.0, "beyond_costs": 1.0, "hard_rate": 0.0, "cap_depth": 0.0, "tolerance": 0.0}],
-    "rules": {"answer_slack_ms": 8.0, "drain_grace_ms": 900.0, "cold_from": 0.3, "warm_within_ms": 4000.0,
-              "fall_multiple": 3.0, "overload_for_ms": 1000.0},
+    "classes": [
+        {"name": "get", "slo_ms": 900.0, "deadline_ms": 3000.0, "idempotency": "idempotent", "worth": 1.0},
+        {
+            "name": "put",
+            "slo_ms": 900.0,
+            "deadline_ms": 3000.0,
+            "idempotency": "deduplicated",
+            "group": "zone",
+            "window_ms": 2000.0,
+        },
+    ],
+    "contracts": [
+        {
+            "name": "small",
+            "units_per_s": 1.0,
+            "most_at_once": 4.0,
+            "open": 0,
+            "worth_factor": 1.0,
+            "over_worth": 0.0,
+            "beyond_costs": 1.0,
+            "hard_rate": 0.0,
+            "cap_depth": 0.0,
+            "tolerance": 0.0,
+        }
+    ],
+    "rules": {
+        "answer_slack_ms": 8.0,
+        "drain_grace_ms": 900.0,
+        "cold_from": 0.3,
+        "warm_within_ms": 4000.0,
+        "fall_multiple": 3.0,
+        "overload_for_ms": 1000.0,
+    },
     "policy_limits": {"try_limit": 4, "cancelling": True},
     "family_info": {"counter_timeout_ms": 70.0},
 }
@@ -140,17 +185,29 @@
 
 def tap() -> list[str]:
     """Ten seconds by hand: a door dies, a server falls silent and comes back, one drains, the counter stands still."""
-    lines = [">> process 0, 35 bytes", "BATCH t_ms=5000.0",
-             *(f"UP door=door/{n} init_seed=1 params={json.dumps(PARAMS)}" for n in (0, 1)),
-             "TABLE roster_id=0 entries=2", "BACKEND backend=11 zone=z kind=k cohort=0 condition=U",
-             "BACKEND backend=22 zone=z kind=k cohort=0 condition=U",
-             "UPDATE door=door/0 scope=warm_copy index=1 roster_id=0", "YOUR_TURN", "<< process 0, 6 bytes", "READY"]
+    lines = [
+        ">> process 0, 35 bytes",
+        "BATCH t_ms=5000.0",
+        *(f"UP door=door/{n} init_seed=1 params={json.dumps(PARAMS)}" for n in (0, 1)),
+        "TABLE roster_id=0 entries=2",
+        "BACKEND backend=11 zone=z kind=k cohort=0 condition=U",
+        "BACKEND backend=22 zone=z kind=k cohort=0 condition=U",
+        "UPDATE door=door/0 scope=warm_copy index=1 roster_id=0",
+        "YOUR_TURN",
+        "<< process 0, 6 bytes",
+        "READY",
+    ]
     for step in range(100):
         now = 5000.0 + 100 * step
-        lines += [f"BATCH t_ms={now}", f"QUERY door=door/0 rid={step:016x} cls={'put' if step % 4 == 0 else 'get'} "
-                  f"grade_of_service=small caller={step % 7} remaining_ms=900 cost_units=1 spread=2"]
-        lines.append(f"COMPLETED door=door/0 rid={step:016x} hop=0 backend=11 rtt_ms=9 ended=1 "
-                     f"verdict={'TimedOut' if 30 <= step < 50 else 'Ok'}")
+        lines += [
+            f"BATCH t_ms={now}",
+            f"QUERY door=door/0 rid={step:016x} cls={'put' if step % 4 == 0 else 'get'} "
+            f"grade_of_service=small caller={step % 7} remaining_ms=900 cost_units=1 spread=2",
+        ]
+        lines.append(
+            f"COMPLETED door=door/0 rid={step:016x} hop=0 backend=11 rtt_ms=9 ended=1 "
+            f"verdict={'TimedOut' if 30 <= step < 50 else 'Ok'}"
+        )
         lines.append(f"TOTAL door=door/0 cname=9 rtt_ms=1 verdict={'TimedOut' if 60 <= step < 70 else 'Ok'}")
         if step == 20:
             lines.append("DETACH door=door/1")
@@ -158,8 +215,10 @@
             lines.append(f"UP door=door/1 init_seed=2 params={json.dumps(PARAMS)}")
         if step in (55, 75):
             born = "" if step == 55 else " born_ms=12400.0"
-            lines += ["TABLE roster_id=1 entries=1",
-                      f"BACKEND backend=22 zone=z kind=k cohort=0 condition={'L' if step == 55 else 'U'}{born}"]
+            lines += [
+                "TABLE roster_id=1 entries=1",
+                f"BACKEND backend=22 zone=z kind=k cohort=0 condition={'L' if step == 55 else 'U'}{born}",
+            ]
         lines += ["YOUR_TURN", "READY"]
     return lines
 
@@ -174,23 +233,29 @@
     assert day.plan[0].burst == 4.0 and day.upstream.max_attempts == 4 and day.store_timeout_ms == 70.0
     found = {(event.trouble, event.at_ms, event.for_ms, tuple(event.target)) for event in day.event}
     assert found == {
-        (pb.DOOR_KILLED, 2000.0, 2000.0, (1,)), (pb.SERVER_SILENT, 3000.0, 2000.0, (0,)),
-        (pb.SERVER_RESTARTED, 5500.0, 2000.0, (1,)), (pb.STORE_PAUSED, 6000.0, 1000.0, ()),
+        (pb.DOOR_KILLED, 2000.0, 2000.0, (1,)),
+        (pb.SERVER_SILENT, 3000.0, 2000.0, (0,)),
+        (pb.SERVER_RESTARTED, 5500.0, 2000.0, (1,)),
+        (pb.STORE_PAUSED, 6000.0, 1000.0, ()),
     }
 
 
 def written_day(day: pb.Day) -> str:
     from google.protobuf import text_format
+
     return text_format.MessageToString(day)
 
 
-@pytest.mark.parametrize(("lines", "told"), [
-    ([], "not a tap"),
-    (["QUERY door=1"], "line 1: 'QUERY' before the first BATCH"),
-    (["BATCH t_ms=1", "QUERY door=1"], "line 2: no field grade_of_service"),
-    (["BATCH t_ms=soon"], "line 1: could not convert"),
-    (["BATCH nonsense"], "line 1: expected name=value"),
-])
+@pytest.mark.parametrize(
+    ("lines", "told"),
+    [
+        ([], "not a tap"),
+        (["QUERY door=1"], "line 1: 'QUERY' before the first BATCH"),
+        (["BATCH t_ms=1", "QUERY door=1"], "line 2: no field grade_of_service"),
+        (["BATCH t_ms=soon"], "line 1: could not convert"),
+        (["BATCH nonsense"], "line 1: expected name=value"),
+    ],
+)
 def test_what_is_no_tap_is_told_with_its_line(lines: list[str], told: str) -> None:
     with pytest.raises(TapError, match=told):
         day_from(lines, "x", 10.0, 3, 3)
--- a/tests/test_decide_cold.py
+++ b/tests/test_decide_cold.py
@@ -42,10 +42,21 @@
 
     def fresh(self, number: int, seed: int) -> Gateway:
         """A gateway that has just started."""
-        made = Gateway(replace(
-            SETTINGS, me=number, gateways=GATEWAYS, zone=ZONES[number % len(ZONES)], cold_from=self.cold_from,
-            warm_within_ms=WARM_MS, fall_multiple=MULTIPLE, fall_window_ms=WINDOW_MS, has_counter=False,
-            plans=(api.Plan("free"),)), seed * GATEWAYS + number)
+        made = Gateway(
+            replace(
+                SETTINGS,
+                me=number,
+                gateways=GATEWAYS,
+                zone=ZONES[number % len(ZONES)],
+                cold_from=self.cold_from,
+                warm_within_ms=WARM_MS,
+                fall_multiple=MULTIPLE,
+                fall_window_ms=WINDOW_MS,
+                has_counter=False,
+                plans=(api.Plan("free"),),
+            ),
+            seed * GATEWAYS + number,
+        )
         made.handle(self.now, api.Members(api.Scope.WARM_COPY, tuple(self.members.values())))
         return made
 
@@ -86,8 +97,11 @@
 
     def run(self, seed: int) -> None:
         """From the first call until the zone is warm."""
-        marks: list[tuple[float, Any]] = [(LOST_MS, self.lose), (BACK_MS, lambda: self.give_back(seed)),
-                                          (BACK_MS + WARM_MS, None)]
+        marks: list[tuple[float, Any]] = [
+            (LOST_MS, self.lose),
+            (BACK_MS, lambda: self.give_back(seed)),
+            (BACK_MS + WARM_MS, None),
+        ]
         asked = self.rng.expovariate(self.per_ms)
         while True:
             due = min(asked, marks[0][0], self.heap[0][0] if self.heap else math.inf)
@@ -111,12 +125,19 @@
                     self.take(number, made, made.handle(due, event))
 
 
-@pytest.mark.parametrize(("cold_from", "warm_rate", "use", "warms"), [
-    (0.3, 20.0, 0.65, True), (0.16, 20.0, 0.9, True), (0.3, 20.0, 0.65, False), (0.16, 5.0, 0.9, True),
-    (0.16, 2.0, 0.65, False),
-])
-def test_a_zone_that_comes_back_cold_is_not_pushed_over(cold_from: float, warm_rate: float, use: float,
-                                                        warms: bool) -> None:
+@pytest.mark.parametrize(
+    ("cold_from", "warm_rate", "use", "warms"),
+    [
+        (0.3, 20.0, 0.65, True),
+        (0.16, 20.0, 0.9, True),
+        (0.3, 20.0, 0.65, False),
+        (0.16, 5.0, 0.9, True),
+        (0.16, 2.0, 0.65, False),
+    ],
+)
+def test_a_zone_that_comes_back_cold_is_not_pushed_over(
+    cold_from: float, warm_rate: float, use: float, warms: bool
+) -> None:
     """`warms`: its capacity grows with its age, as it must by the end; else it stays where it began until then."""
     seed = 7
     world = World(seed, cold_from, warm_rate, use)
@@ -127,5 +148,5 @@
             age = max(at - WINDOW_MS - BACK_MS, 0.0)
             part = cold_from + (1 - cold_from) * age / WARM_MS if warms else cold_from
             budget = MULTIPLE * part * warm_rate * WINDOW_MS / 1000.0
-            within = sum(at - WINDOW_MS < other for other in sends[:place + 1])
+            within = sum(at - WINDOW_MS < other for other in sends[: place + 1])
             assert within <= budget + 2 * math.sqrt(budget) + 2
--- a/tests/test_decide_pick.py
+++ b/tests/test_decide_pick.py
@@ -94,14 +94,17 @@
                 verdict = rng.choice(VERDICTS) if fails else api.Verdict.OK
                 rtt = rng.expovariate(1 / 30) * (8 if action.server in slow else 1) + rng.choice((0.0, 1.0, 20.0))
                 ended = verdict is api.Verdict.OK
-                heapq.heappush(heap, (now + rtt, order, api.Outcome(action.id, number, action.server, verdict, rtt,
-                                                                    ended)))
+                heapq.heappush(
+                    heap, (now + rtt, order, api.Outcome(action.id, number, action.server, verdict, rtt, ended))
+                )
             elif isinstance(action, api.Wake):
                 heapq.heappush(heap, (max(action.at_ms, now), order, api.Due(action.token)))
             elif isinstance(action, api.Count):
                 verdict = rng.choice((api.Verdict.OK, api.Verdict.OK, api.Verdict.TIMEOUT))
-                heapq.heappush(heap, (now + rng.choice((1, 5, 60)), order, api.Total(action.name, verdict, 3.0,
-                                                                                     action.units)))
+                heapq.heappush(
+                    heap, (now + rng.choice((1, 5, 60)), order, api.Total(action.name, verdict, 3.0, action.units))
+                )
+
     tell(api.Members(api.Scope.FULL, tuple(server(number) for number in range(1, servers + 1))))
     for number in range(250):
         until = now + rng.expovariate(rate)
@@ -114,8 +117,18 @@
             state = rng.choice((api.State.UP, api.State.UP, api.State.DRAINING))
             changed = server(rng.randrange(1, servers + 3), state, rng.choice((0.0, now - rng.random() * 3000)))
             tell(api.Members(api.Scope.CHANGES, (changed,)))
-        tell(api.Request(f"r{number}", rng.choice(("read", "read", "write", "pay")), rng.choice(("open", "plain")),
-                         rng.randrange(20), rng.choice((4000.0, 300.0, 50.0)), rng.choice((1.0, 2.0)), gateways, 0))
+        tell(
+            api.Request(
+                f"r{number}",
+                rng.choice(("read", "read", "write", "pay")),
+                rng.choice(("open", "plain")),
+                rng.randrange(20),
+                rng.choice((4000.0, 300.0, 50.0)),
+                rng.choice((1.0, 2.0)),
+                gateways,
+                0,
+            )
+        )
     assert ours._fleet._rng.getstate() == plain._fleet._rng.getstate()
     return sends
 
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -143,8 +143,12 @@
     """Exponential work: the mean wait of M/M/c is C(c, a) / (c mu - lambda), by Erlang's C formula."""
     sim, streams = Sim(), Streams(3)
     line = Line(sim)
-    server = EmuServer(sim, PhotoConfig(cores=cores, queue=10**6, work={"x": WorkOf(10.0, 10.0)}),
-                       Draws(streams.of("server")), lambda *words, **more: None)
+    server = EmuServer(
+        sim,
+        PhotoConfig(cores=cores, queue=10**6, work={"x": WorkOf(10.0, 10.0)}),
+        Draws(streams.of("server")),
+        lambda *words, **more: None,
+    )
     chance = streams.of("arrivals")
     jobs, at = 60_000, START_MS
     gaps, works = chance.exponential(10.0 / cores / load, jobs), chance.exponential(10.0, jobs)
@@ -153,6 +157,7 @@
         line.begun[number] = sim.now
         server.config.work["x"] = WorkOf(works[number], works[number])
         server.arrive(line, {"rid": number}, "x", "", "")
+
     for number in range(jobs):
         at += gaps[number]
         sim.at(at, arrive, number)
@@ -166,8 +171,13 @@
 
 def test_one_door_admits_what_gcra_admits() -> None:
     """A customer that asks without end gets burst + rate x time, and no more."""
-    day = parse_day(SMALL.replace("doors: 2", "doors: 1").replace("number: 12", "number: 1")
-                    .replace("retries: 1", "retries: 0").replace("leave_share: 0.05", ""), "one.txtpb")
+    day = parse_day(
+        SMALL.replace("doors: 2", "doors: 1")
+        .replace("number: 12", "number: 1")
+        .replace("retries: 1", "retries: 0")
+        .replace("leave_share: 0.05", ""),
+        "one.txtpb",
+    )
     world = World(day)
     traffic = traffic_of(world.play())
     served = sum(bool(tried.visits) for tried in traffic.tries.values())
@@ -178,8 +188,10 @@
 
 
 def test_the_same_day_and_seed_give_the_same_lines() -> None:
-    day = small("event { at_ms: 1000 trouble: DOOR_KILLED for_ms: 500 } "
-                "event { at_ms: 2000 trouble: SERVER_SILENT for_ms: 1000 }")
+    day = small(
+        "event { at_ms: 1000 trouble: DOOR_KILLED for_ms: 500 } "
+        "event { at_ms: 2000 trouble: SERVER_SILENT for_ms: 1000 }"
+    )
     one, two, other = World(day).play(), World(day).play(), World(day, seed=99).play()
     assert one == two and one.clients != other.clients
     first = [line["rid"] for line in one.clients if line["what"] == "try" and line["number"] == 0]
@@ -214,6 +226,7 @@
             lost[0] += 1
             if lost[0] % 5:
                 reply(self, action)
+
         monkeypatch.setattr(EmuDoor, "_reply", forget)
     elif what == "no effect twice":
         came = Connection.came
@@ -221,6 +234,7 @@
         def twice(self: Connection, told: dict[str, Any], cls: str, key: str, customer: str) -> None:
             came(self, told, cls, key, customer)
             self._door._sim.after(5.0, came, self, {**told, "attempt": told["attempt"] + 1}, cls, key, customer)
+
         monkeypatch.setattr(Connection, "came", twice)
     elif what == "drains":
         told = EmuDoor.told
@@ -229,8 +243,13 @@
         monkeypatch.setattr(EmuDoor, "asked", _ungoverned(EmuDoor.asked))
     elif what == "verdicts":
         verdict = EmuDoor._verdict
-        monkeypatch.setattr(EmuDoor, "_verdict", lambda self, action, status, headers, body: verdict(
-            self, action, 200, [(b"x-auth-customer", b"basic-0-0"), (b"x-auth-plan", b"basic")], b""))
+        monkeypatch.setattr(
+            EmuDoor,
+            "_verdict",
+            lambda self, action, status, headers, body: verdict(
+                self, action, 200, [(b"x-auth-customer", b"basic-0-0"), (b"x-auth-plan", b"basic")], b""
+            ),
+        )
     else:
         raise AssertionError(what)
 
@@ -239,11 +258,14 @@
     def other(self: EmuDoor, caller: Any, method: bytes, target: bytes, headers: ev.Headers) -> Any:
         spread = [(name, b"free-%d" % self._tickets if name == b"x-customer" else value) for name, value in headers]
         return asked(self, caller, method, target, spread)
+
     return other
 
 
-CEILING = ('plan { name: "tight" rate: 4 burst: 4 ceiling_rate: 5 ceiling_burst: 6 ceiling_slack: 1 } '
-           'customers { plan: "tight" number: 1 share: 3 doors: 2 }')
+CEILING = (
+    'plan { name: "tight" rate: 4 burst: 4 ceiling_rate: 5 ceiling_burst: 6 ceiling_slack: 1 } '
+    'customers { plan: "tight" number: 1 share: 3 doors: 2 }'
+)
 
 
 @pytest.mark.parametrize("rule", ["answered", "no effect twice", "drains", "ceilings", "verdicts"])
@@ -296,15 +318,20 @@
 
 
 def test_troubles_of_one_door_may_overlap() -> None:
-    day = small("event { at_ms: 1000 for_ms: 2000 trouble: DOOR_KILLED } "
-                "event { at_ms: 1500 for_ms: 500 trouble: DOOR_KILLED } "
-                "event { at_ms: 2500 for_ms: 1000 trouble: DOOR_ROLLED } "
-                "event { at_ms: 3900 for_ms: 300 trouble: DOOR_ROLLED } "
-                "event { at_ms: 3910 for_ms: 700 trouble: DOOR_KILLED }")
+    day = small(
+        "event { at_ms: 1000 for_ms: 2000 trouble: DOOR_KILLED } "
+        "event { at_ms: 1500 for_ms: 500 trouble: DOOR_KILLED } "
+        "event { at_ms: 2500 for_ms: 1000 trouble: DOOR_ROLLED } "
+        "event { at_ms: 3900 for_ms: 300 trouble: DOOR_ROLLED } "
+        "event { at_ms: 3910 for_ms: 700 trouble: DOOR_KILLED }"
+    )
     world = World(day)
     assert judged(day, world.play())["kept"]
-    told = [(line["what"], round(line["t"] - START_MS)) for line in world.traces.events if line["what"] != "trouble"
-            and line.get("door") == 0]
+    told = [
+        (line["what"], round(line["t"] - START_MS))
+        for line in world.traces.events
+        if line["what"] != "trouble" and line.get("door") == 0
+    ]
     assert [what for what, _ in told if what == "door up"] == ["door up", "door up"]
 
 
@@ -317,18 +344,24 @@
 
 def test_what_a_killed_door_had_sent_into_a_cut_reaches_nobody() -> None:
     """A sweep found it: what the kernel held was delivered after the cut, long after the clients' connections broke."""
-    day = small("event { at_ms: 1000 for_ms: 2500 trouble: NET_CUT source: 'door-*' sink: 'server-*' } "
-                "event { at_ms: 1500 for_ms: 500 trouble: DOOR_KILLED count: 2 }")
+    day = small(
+        "event { at_ms: 1000 for_ms: 2500 trouble: NET_CUT source: 'door-*' sink: 'server-*' } "
+        "event { at_ms: 1500 for_ms: 500 trouble: DOOR_KILLED count: 2 }"
+    )
     assert judged(day, World(day).play())["kept"]
 
 
 def test_a_keyed_repeat_that_a_cut_holds_past_its_window_reaches_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     """A sweep found it: servers had forgotten the key by then, and would have run it a second time."""
+
     def day() -> pb.Day:
         keyed = SMALL.replace("effect: UNSAFE", "effect: KEYED window_ms: 250").replace("share: 0.2", "share: 2")
-        cuts = "".join(f"event {{ at_ms: {at} for_ms: 300 trouble: NET_CUT source: 'door-*' sink: 'server-*' }} "
-                       for at in range(600, 4800, 400))
+        cuts = "".join(
+            f"event {{ at_ms: {at} for_ms: 300 trouble: NET_CUT source: 'door-*' sink: 'server-*' }} "
+            for at in range(600, 4800, 400)
+        )
         return parse_day(keyed + cuts + "event { at_ms: 500 trouble: SERVER_RESETS count: 4 share: 0.7 }", "day")
+
     assert judged(day(), World(day()).play())["kept"]
     monkeypatch.setattr(EmuDoor, "_undelivered", lambda self, connection, action: None)
     assert not judged(day(), World(day()).play())["rules"]["no effect twice"]["kept"]
@@ -360,12 +393,17 @@
 def test_other_limiters_do_what_they_say() -> None:
     """One customer through two doors that asks without end: each door's own bucket gives it twice its plan, halves and
     a central one once; a central one without its store lets all pass, or nothing."""
-    one = (SMALL.replace("number: 12", "number: 1").replace("retries: 1", "retries: 0").replace("rate: 40", "rate: 80")
-           .replace("leave_share: 0.05", ""))
+    one = (
+        SMALL.replace("number: 12", "number: 1")
+        .replace("retries: 1", "retries: 0")
+        .replace("rate: 40", "rate: 80")
+        .replace("leave_share: 0.05", "")
+    )
     plan = 8 + 4 * 5
 
     def made(more: str) -> float:
         return sent_units(parse_day(one + more, "one.txtpb"))
+
     assert made("limiter: 'each door'") == pytest.approx(2 * plan, abs=4)
     assert made("limiter: 'split'") == pytest.approx(plan, abs=4)
     assert made("limiter: 'central, closed'") == pytest.approx(plan, abs=2)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -38,18 +38,21 @@
     assert head(long, "x-request-id") == "r" * 200
 
 
-@pytest.mark.parametrize(("path", "customer", "method", "status", "reason"), [
-    ("/nope", "free", "GET", 404, "no route"),
-    ("/write/free/1", "free", "GET", 404, "no route"),  # the method does not fit
-    ("/read/1", "nobody", "GET", 403, "unknown customer"),
-    ("/read/1", "", "GET", 403, "no customer"),
-    ("/read/../pay/1", "free", "GET", 400, "bad target"),
-    ("/read/%2e%2E/pay/1", "free", "GET", 400, "bad target"),
-    ("/read/1%00", "free", "GET", 400, "bad target"),
-    ("example.org:443", "free", "CONNECT", 405, "no tunnels"),
-    ("*", "free", "GET", 400, "bad target"),
-    ("https://photos.example/read/1", "free", "GET", 421, "misdirected"),
-])
+@pytest.mark.parametrize(
+    ("path", "customer", "method", "status", "reason"),
+    [
+        ("/nope", "free", "GET", 404, "no route"),
+        ("/write/free/1", "free", "GET", 404, "no route"),  # the method does not fit
+        ("/read/1", "nobody", "GET", 403, "unknown customer"),
+        ("/read/1", "", "GET", 403, "no customer"),
+        ("/read/../pay/1", "free", "GET", 400, "bad target"),
+        ("/read/%2e%2E/pay/1", "free", "GET", 400, "bad target"),
+        ("/read/1%00", "free", "GET", 400, "bad target"),
+        ("example.org:443", "free", "CONNECT", 405, "no tunnels"),
+        ("*", "free", "GET", 400, "bad target"),
+        ("https://photos.example/read/1", "free", "GET", 421, "misdirected"),
+    ],
+)
 def test_what_cannot_be_routed_is_turned_away_at_once(
     path: str, customer: str, method: str, status: int, reason: str
 ) -> None:
@@ -160,15 +163,18 @@
     assert [open_.attempt for open_ in rig.of(ev.Open, ticket)] == [0, 1]
 
 
-@pytest.mark.parametrize(("path", "how", "written", "attempts"), [
-    ("/pay/1", Ending.NOT_CONNECTED, False, 2),  # nothing was written: even an unsafe one may go again
-    ("/pay/1", Ending.NO_PLACE, False, 2),
-    ("/pay/1", Ending.NOT_WRITTEN, False, 2),
-    ("/pay/1", Ending.CLOSED, True, 1),  # it may have run
-    ("/pay/1", Ending.BAD_ANSWER, True, 1),
-    ("/read/1", Ending.CLOSED, True, 2),
-    ("/read/1", Ending.BAD_ANSWER, True, 2),
-])
+@pytest.mark.parametrize(
+    ("path", "how", "written", "attempts"),
+    [
+        ("/pay/1", Ending.NOT_CONNECTED, False, 2),  # nothing was written: even an unsafe one may go again
+        ("/pay/1", Ending.NO_PLACE, False, 2),
+        ("/pay/1", Ending.NOT_WRITTEN, False, 2),
+        ("/pay/1", Ending.CLOSED, True, 1),  # it may have run
+        ("/pay/1", Ending.BAD_ANSWER, True, 1),
+        ("/read/1", Ending.CLOSED, True, 2),
+        ("/read/1", Ending.BAD_ANSWER, True, 2),
+    ],
+)
 def test_what_an_ending_proves_decides_on_a_further_attempt(
     path: str, how: Ending, written: bool, attempts: int
 ) -> None:
@@ -359,8 +365,7 @@
 
 
 def test_a_try_beyond_the_quota_is_told_as_such() -> None:
-    rig = Rig("plan { name: 'paid' rate: 1 burst: 1 over_worth: 2 over_cost: 1 } "
-              "customer { key: 'eve' plan: 'paid' }")
+    rig = Rig("plan { name: 'paid' rate: 1 burst: 1 over_worth: 2 over_cost: 1 } customer { key: 'eve' plan: 'paid' }")
     rig.engine._records = True
     for _ in range(3):
         rig.ask(customer="eve")
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -31,7 +31,7 @@
 
     def _look(self) -> None:
         """Carry out what the engine did, and check each step of it."""
-        for action in self.rig.did[self.seen:]:
+        for action in self.rig.did[self.seen :]:
             match action:
                 case ev.Open(ticket=ticket, attempt=number):
                     assert ticket not in self.over, "an attempt after the final answer"
@@ -53,8 +53,11 @@
                     self.calls.append(call)
         self.seen = len(self.rig.did)
 
-    @rule(path=st.sampled_from(PATHS), customer=st.sampled_from(("anna", "free")),
-          deadline=st.sampled_from(("50", "400", "4000")))
+    @rule(
+        path=st.sampled_from(PATHS),
+        customer=st.sampled_from(("anna", "free")),
+        deadline=st.sampled_from(("50", "400", "4000")),
+    )
     def arrive(self, path: str, customer: str, deadline: str) -> None:
         self.tickets.append(self.rig.ask(path, customer, "POST", x_deadline_ms=deadline))
         self._look()
@@ -70,8 +73,13 @@
         self._look()
 
     @precondition(lambda self: self.out)
-    @rule(data=st.data(), status=st.sampled_from((200, 404, 500, 503)), refused=st.booleans(),
-          begins=st.booleans(), ends=st.booleans())
+    @rule(
+        data=st.data(),
+        status=st.sampled_from((200, 404, 500, 503)),
+        refused=st.booleans(),
+        begins=st.booleans(),
+        ends=st.booleans(),
+    )
     def answer(self, data: st.DataObject, status: int, refused: bool, begins: bool, ends: bool) -> None:
         ticket = data.draw(st.sampled_from(sorted(self.out)))
         number = self.out[ticket]
@@ -98,8 +106,7 @@
         self._look()
 
     @precondition(lambda self: self.calls)
-    @rule(data=st.data(), verdict=st.sampled_from((Verdict.OK, Verdict.FULL, Verdict.TIMEOUT)),
-          total=st.floats(0, 100))
+    @rule(data=st.data(), verdict=st.sampled_from((Verdict.OK, Verdict.FULL, Verdict.TIMEOUT)), total=st.floats(0, 100))
     def count(self, data: st.DataObject, verdict: Verdict, total: float) -> None:
         call = data.draw(st.sampled_from(self.calls))  # an old one as well: a late or doubled reply
         self.rig.tell(ev.Counted(call, verdict, total))
@@ -110,8 +117,11 @@
         self.rig.pass_time(ms)
         self._look()
 
-    @rule(numbers=st.sets(st.integers(1, 5)), state=st.sampled_from(list(State)),
-          scope=st.sampled_from((Scope.FULL, Scope.CHANGES, Scope.LOST)))
+    @rule(
+        numbers=st.sets(st.integers(1, 5)),
+        state=st.sampled_from(list(State)),
+        scope=st.sampled_from((Scope.FULL, Scope.CHANGES, Scope.LOST)),
+    )
     def list_changes(self, numbers: set[int], state: State, scope: Scope) -> None:
         self.rig.tell(listed(*sorted(numbers), scope=scope, state=state))
         self._look()
@@ -151,7 +161,7 @@
         self.given: set[str] = set()  # credentials with a positive verdict
 
     def _look(self) -> None:
-        for action in self.rig.did[self.seen:]:
+        for action in self.rig.did[self.seen :]:
             match action:
                 case ev.Ask(check=check, attempt=attempt):
                     assert check not in self.checks, "two attempts of one check"
@@ -162,8 +172,11 @@
                     assert self.credential[ticket] in self.given, "sent on without a positive verdict"
         super()._look()
 
-    @rule(path=st.sampled_from(("/safe/1", "/loose/1", "/bill/1")), who=st.sampled_from(("a", "b")),
-          deadline=st.sampled_from(("50", "400", "4000")))
+    @rule(
+        path=st.sampled_from(("/safe/1", "/loose/1", "/bill/1")),
+        who=st.sampled_from(("a", "b")),
+        deadline=st.sampled_from(("50", "400", "4000")),
+    )
     def arrive_guarded(self, path: str, who: str, deadline: str) -> None:
         if path != "/loose/1":
             self.credential[self.rig._ticket + 1] = who
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -50,13 +50,16 @@
             assert plan.baseline in {arm.name for arm in arms_of(plan)}
 
 
-@pytest.mark.parametrize(("old", "new", "told"), [
-    ("repetitions: 2", "repetitions: 0", "repetitions: expected from 1 to 1000, got 0"),
-    ('level { name: "none" }', 'level { name: "a/b" }', "factor[1].level[0].name: may not hold '/'"),
-    ('set: "fleet { doors: 4 }"', 'set: "fleet { dors: 4 }"', "factor[0].level[1].set"),
-    ("rate_times: 2", "rate_times: 0", "rate_times: expected above 0"),
-    ("repetitions: 2", "repetitions: 1000 factor { name: 'x' level { name: '1' } level { name: '2' } }", "at most"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "told"),
+    [
+        ("repetitions: 2", "repetitions: 0", "repetitions: expected from 1 to 1000, got 0"),
+        ('level { name: "none" }', 'level { name: "a/b" }', "factor[1].level[0].name: may not hold '/'"),
+        ('set: "fleet { doors: 4 }"', 'set: "fleet { dors: 4 }"', "factor[0].level[1].set"),
+        ("rate_times: 2", "rate_times: 0", "rate_times: expected above 0"),
+        ("repetitions: 2", "repetitions: 1000 factor { name: 'x' level { name: '1' } level { name: '2' } }", "at most"),
+    ],
+)
 def test_a_plan_with_a_fault_is_told_by_its_field(old: str, new: str, told: str) -> None:
     assert old in PLAN
     with pytest.raises(Faults) as error:
@@ -105,7 +108,11 @@
     assert changed.exit_code == 2 and "another plan or revision" in changed.output
     report = CliRunner().invoke(cli, ["lab", "report", str(folder / "out"), "--out", str(folder / "drawn")])
     assert report.exit_code == 0 and {path.name for path in (folder / "drawn").iterdir()} == {
-        "requests_served.svg", "requests_served.png", "table.md", "report.html"}
+        "requests_served.svg",
+        "requests_served.png",
+        "table.md",
+        "report.html",
+    }
     page = (folder / "drawn" / "report.html").read_text()
     assert "data:image/png;base64," in page and "http" not in page.replace("http://www.w3.org", "")
     words = ["lab", "compare", str(folder / "out"), "--baseline", "2/none", "--metric", "p99_ms"]
@@ -123,8 +130,10 @@
 
 def test_an_interval_holds_the_mean_in_about_95_of_100_cases() -> None:
     rng = np.random.default_rng(1)
-    held = sum(found.low <= 10 <= found.high for found in
-               (interval(rng.normal(10, 3, 30).tolist(), str(number)) for number in range(300)))
+    held = sum(
+        found.low <= 10 <= found.high
+        for found in (interval(rng.normal(10, 3, 30).tolist(), str(number)) for number in range(300))
+    )
     assert 0.89 <= held / 300 <= 0.98
 
 
@@ -160,6 +169,7 @@
             made.visits.append(Visit(rid, 0, 1, "door-0", "", at))
         else:
             made.ends.append({"what": "answer", "t": at, "status": 429, "reason": "quota"})
+
     for number in range(4):
         tried(f"a{number}", 1000.0, True)  # two in the bucket, two beyond
     tried("b", 1500.0, False)  # half a unit is there: no room
@@ -177,11 +187,13 @@
 
     def breaks(day: pb.Day) -> float:
         return float("inf") if len(day.event) > 1 else 0.0
+
     found = search(base, badness, 60, 1)
     assert found.badness >= 1 and found.tried == 60
     small = shrink(found, badness, 400)
     assert small.badness >= 0.9 * found.badness and sum(e.for_ms for e in small.day.event) < sum(
-        e.for_ms for e in found.day.event)
+        e.for_ms for e in found.day.event
+    )
     assert {event.trouble for event in small.day.event} == {pb.STORE_DOWN}
     broken = search(base, breaks, 60, 1)
     assert broken.badness == float("inf") and len(shrink(broken, breaks, 100).day.event) == 2
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -11,12 +11,15 @@
 ONE = Budget(timeouts=1, beats=0, commands=0, crashes=0, cuts=0)
 
 
-@pytest.mark.parametrize(("budget", "states"), [
-    (Budget(timeouts=1, beats=0, commands=1, crashes=0, cuts=0), 500),
-    (Budget(timeouts=2, beats=0, commands=0, crashes=0, cuts=0), 500),
-    (Budget(timeouts=1, beats=0, commands=1, crashes=0, lost=1, cuts=0), 500),
-    (Budget(timeouts=1, beats=0, commands=0, crashes=1, cuts=1), 500),
-])
+@pytest.mark.parametrize(
+    ("budget", "states"),
+    [
+        (Budget(timeouts=1, beats=0, commands=1, crashes=0, cuts=0), 500),
+        (Budget(timeouts=2, beats=0, commands=0, crashes=0, cuts=0), 500),
+        (Budget(timeouts=1, beats=0, commands=1, crashes=0, lost=1, cuts=0), 500),
+        (Budget(timeouts=1, beats=0, commands=0, crashes=1, cuts=1), 500),
+    ],
+)
 def test_a_small_world_is_explored_to_its_end(budget: Budget, states: int) -> None:
     explorer = Explorer(budget)
     assert explorer.run()
@@ -40,13 +43,16 @@
     assert again.key(names) != after.key(names)
 
 
-@pytest.mark.parametrize(("flaw", "budget"), [
-    (VoteNotDurable, Budget(timeouts=2, beats=0, commands=0, crashes=1, cuts=0)),
-    (AckNotDurable, Budget(timeouts=2, beats=0, commands=1, crashes=1, cuts=0)),
-    (AnyLog, Budget(timeouts=2, beats=0, commands=1, crashes=0, cuts=0)),
-    (Cuts, Budget(timeouts=2, beats=1, commands=2, crashes=0, cuts=0)),
-    (NoProof, Budget(timeouts=2, beats=0, commands=1, crashes=0, old=1, cuts=0)),
-])
+@pytest.mark.parametrize(
+    ("flaw", "budget"),
+    [
+        (VoteNotDurable, Budget(timeouts=2, beats=0, commands=0, crashes=1, cuts=0)),
+        (AckNotDurable, Budget(timeouts=2, beats=0, commands=1, crashes=1, cuts=0)),
+        (AnyLog, Budget(timeouts=2, beats=0, commands=1, crashes=0, cuts=0)),
+        (Cuts, Budget(timeouts=2, beats=1, commands=2, crashes=0, cuts=0)),
+        (NoProof, Budget(timeouts=2, beats=0, commands=1, crashes=0, old=1, cuts=0)),
+    ],
+)
 def test_some_order_shows_a_flaw(flaw: type[Copy], budget: Budget) -> None:
     with pytest.raises(BreachError, match=r"(both lead|stands as|without entry|cut off).*, after: 1 hears no leader; "):
         Explorer(budget, make=flaw).run(most=20_000)
--- a/tests/test_explore_orders.py
+++ b/tests/test_explore_orders.py
@@ -21,20 +21,24 @@
         return Answer(False, "", held)
 
 
-@pytest.mark.parametrize("budget", [Budget(laps=1, crashes=0, losses=0, people=0),
-                                    Budget(laps=0, crashes=1, losses=0, people=0, most_out=2)])
+@pytest.mark.parametrize(
+    "budget", [Budget(laps=1, crashes=0, losses=0, people=0), Budget(laps=0, crashes=1, losses=0, people=0, most_out=2)]
+)
 def test_a_small_world_is_explored_to_its_end(budget: Budget) -> None:
     explorer = Explorer(budget)
     assert explorer.run() and explorer.states > 400 and explorer.left > 0
 
 
-@pytest.mark.parametrize(("flaw", "budget"), [
-    (GivenUpAtOnce, Budget(laps=1, crashes=0, losses=0, people=1)),
-    (GivenUpUnseen, Budget(laps=1, crashes=0, losses=0, people=1)),
-    (DoneByAnybody, Budget(laps=1, crashes=0, losses=0, people=1)),
-    (LeaseFromAnswer, Budget(laps=1, crashes=0, losses=0, people=1)),
-    (LeavesUnheard, Budget(laps=1, crashes=0, losses=0, people=0)),
-])
+@pytest.mark.parametrize(
+    ("flaw", "budget"),
+    [
+        (GivenUpAtOnce, Budget(laps=1, crashes=0, losses=0, people=1)),
+        (GivenUpUnseen, Budget(laps=1, crashes=0, losses=0, people=1)),
+        (DoneByAnybody, Budget(laps=1, crashes=0, losses=0, people=1)),
+        (LeaseFromAnswer, Budget(laps=1, crashes=0, losses=0, people=1)),
+        (LeavesUnheard, Budget(laps=1, crashes=0, losses=0, people=0)),
+    ],
+)
 def test_some_order_shows_a_flaw(flaw: Any, budget: Budget) -> None:
     explorer = Explorer(budget, book=flaw) if issubclass(flaw, Book) else Explorer(budget, agent=flaw)
     with pytest.raises(BreachError, match=r"(away|leaves by).*, after: "):
--- a/tests/test_fault_calls.py
+++ b/tests/test_fault_calls.py
@@ -25,8 +25,12 @@
 PAUSE_S = 0.95  # the event loop's own pause is of 1 s
 ANSWERED = {200, 503}  # served, or refused for want of room: ten at once are many for one backend
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EINTR, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
-START_ERRORS = ((Call.SOCKET, errno.ENFILE), (Call.SOCKET, errno.ENOBUFS), (Call.CONNECT, errno.EADDRNOTAVAIL),
-                (Call.CONNECT, errno.ENETUNREACH))
+START_ERRORS = (
+    (Call.SOCKET, errno.ENFILE),
+    (Call.SOCKET, errno.ENOBUFS),
+    (Call.CONNECT, errno.EADDRNOTAVAIL),
+    (Call.CONNECT, errno.ENETUNREACH),
+)
 FAILED_CALLS = 25  # more than are made before the listener is
 FAILED_LEAST = 8  # connections are tried anew by chance
 
@@ -53,6 +57,7 @@
 
 def test_an_accept_that_fails_once_delays_no_request(tmp_path: Path) -> None:
     """The event loop took its listener away for a second."""
+
     async def test() -> None:
         async with failing_door(tmp_path) as (door, control):
             await door.start()
@@ -72,11 +77,13 @@
                     assert await lost.rest() == b""
                 for peer in peers:
                     peer.close()
+
     play(test())
 
 
 def test_accepts_that_fail_while_the_door_ends_lose_nobody_in_its_queue(tmp_path: Path) -> None:
     """The pause ended after the listener was closed, over whoever stood in its queue."""
+
     async def test() -> None:
         async with failing_door(tmp_path) as (door, control):
             await door.start()
@@ -90,11 +97,13 @@
             assert {(await peer.response())[0] for peer in peers} <= ANSWERED
             assert control.hits(Call.ACCEPT) == 1
             assert await door.end() == 0
+
     play(test())
 
 
 def test_a_start_gets_over_calls_that_fail_for_a_moment(tmp_path: Path) -> None:
     """A socket that could not be made ended the start with status 2."""
+
     async def test() -> None:
         for call, error in START_ERRORS:
             async with failing_door(tmp_path) as (door, control):
@@ -104,11 +113,13 @@
                 assert control.hits(call) >= FAILED_LEAST
                 control.clear(call)
                 assert (await door.ask(request(1)))[0] == 200
+
     play(test())
 
 
 def test_a_configuration_that_cannot_be_read_for_a_moment_is_taken_up_later(tmp_path: Path) -> None:
     """The move was lost: the door went on at an address that answers no more."""
+
     async def test() -> None:
         async with failing_door(tmp_path) as (door, _):
             await door.start()
@@ -121,13 +132,17 @@
             aside.write_text(text, encoding="utf-8")
             os.replace(aside, door.path)
             await door.until("configuration taken up")
+
     play(test())
 
 
-@pytest.mark.parametrize("call, error", [
-    (Call.RECV, SHORT_COUNT), (Call.SEND, SHORT_COUNT), (Call.RECV, errno.EINTR), (Call.SEND, errno.EINTR)])
+@pytest.mark.parametrize(
+    "call, error",
+    [(Call.RECV, SHORT_COUNT), (Call.SEND, SHORT_COUNT), (Call.RECV, errno.EINTR), (Call.SEND, errno.EINTR)],
+)
 def test_short_and_interrupted_transfers_change_nothing(tmp_path: Path, call: Call, error: int) -> None:
     """*Held* before."""
+
     async def test() -> None:
         async with failing_door(tmp_path) as (door, control):
             await door.start()
@@ -138,4 +153,5 @@
                 status, _, answer = await door.ask(request(number, "book", method="POST", body=body))
                 assert status == 200 and answer.endswith(body.encode())
             assert control.hits(call) > 5
+
     play(test())
--- a/tests/test_fault_clocks.py
+++ b/tests/test_fault_clocks.py
@@ -52,29 +52,44 @@
 
 def counted(counts: dict[str, int], name: str, delay_s: float = 0.0) -> Script:
     """A backend that counts its requests."""
+
     async def script(peer: Peer) -> None:
         while True:
             await peer.head()
             counts[name] = counts.get(name, 0) + 1
             await asyncio.sleep(delay_s)
             await peer.answer("ok")
+
     return script
 
 
 def cold_settings(warm_within_ms: float) -> dict[str, Any]:
     """Settings under which a backend that has started is cold for so long."""
-    rules = {**SETTINGS["rules"], "cold_from": 0.05, "warm_within_ms": warm_within_ms, "fall_multiple": 1.5,
-             "overload_for_ms": 1000.0, "drain_grace_ms": 1000.0}
+    rules = {
+        **SETTINGS["rules"],
+        "cold_from": 0.05,
+        "warm_within_ms": warm_within_ms,
+        "fall_multiple": 1.5,
+        "overload_for_ms": 1000.0,
+        "drain_grace_ms": 1000.0,
+    }
     return {**SETTINGS, "rules": rules}
 
 
 @contextlib.asynccontextmanager
-async def stepped_door(tmp_path: Path, agent: Agent, counts: dict[str, int], warm_within_ms: float,
-                       delay_s: float = 0.0) -> AsyncIterator[tuple[Process, FaultControl]]:
+async def stepped_door(
+    tmp_path: Path, agent: Agent, counts: dict[str, int], warm_within_ms: float, delay_s: float = 0.0
+) -> AsyncIterator[tuple[Process, FaultControl]]:
     """A door in front of the backends s-0 and s-1, s-0 known from the start."""
     control = FaultControl(tmp_path / "faults")
-    async with doors(tmp_path, 1, agent.script, counted(counts, "warm", delay_s), counted(counts, "cold"),
-                     settings=cold_settings(warm_within_ms)) as [door]:
+    async with doors(
+        tmp_path,
+        1,
+        agent.script,
+        counted(counts, "warm", delay_s),
+        counted(counts, "cold"),
+        settings=cold_settings(warm_within_ms),
+    ) as [door]:
         known = json.loads(door.path.read_text(encoding="utf-8"))["known"]["targets"]
         agent.targets = known[:1]
         door.environment = control.environment
@@ -107,6 +122,7 @@
 @pytest.mark.parametrize("step_s", [0.0, HOUR_S, -HOUR_S, 30.0, -30.0])
 def test_a_backend_that_started_is_cold_whatever_the_wall_clock_did(tmp_path: Path, step_s: float) -> None:
     """A step back of an hour made it look warm from its first moment: 73 calls where 36 are allowed."""
+
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
         async with stepped_door(tmp_path, agent, counts, 60_000.0) as (door, control):
@@ -118,12 +134,14 @@
             before = counts.get("cold", 0)
             await ask_many(door)
             assert counts.get("cold", 0) - before <= COLD_MOST, counts
+
     play(test())
 
 
 @pytest.mark.parametrize("step_s", [0.0, HOUR_S, -HOUR_S])
 def test_a_backend_is_warm_in_time_whatever_the_wall_clock_did(tmp_path: Path, step_s: float) -> None:
     """A step forward of an hour kept it cold for an hour."""
+
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
         async with stepped_door(tmp_path, agent, counts, 300.0, SLOW_S) as (door, control):
@@ -136,11 +154,13 @@
             counts.clear()
             await asyncio.gather(*(ask_many(door, 10) for _ in range(REQUESTS // 10)))
             assert counts.get("cold", 0) >= WARM_LEAST, counts
+
     play(test())
 
 
 def test_a_backend_that_starts_anew_after_a_step_back_is_cold_again(tmp_path: Path) -> None:
     """Its start lies before the one that is known, by the stepped clock."""
+
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
         async with stepped_door(tmp_path, agent, counts, 60_000.0) as (door, control):
@@ -155,12 +175,13 @@
             counts.clear()
             await ask_many(door)
             assert counts.get("cold", 0) <= COLD_MOST, counts
-    play(test())
 
+    play(test())
 
 
 def test_doors_share_a_quota_that_started_before_and_after_a_step(tmp_path: Path) -> None:
     """Each numbered the periods of a quota by the clock that it had found: they met under no name."""
+
     async def test() -> None:
         names: list[bytes] = []
 
@@ -173,8 +194,14 @@
         agent, counter = Agent(), Back(shows_names)
         plans = [{"name": "free", "units_per_s": 0.2, "most_at_once": 4.0, "beyond_costs": 0.5}]
         control = FaultControl(tmp_path / "faults")
-        async with doors(tmp_path, 2, agent.script, serves, settings={**SETTINGS, "contracts": plans},
-                         counter=f"127.0.0.1:{await counter.start()}") as both:
+        async with doors(
+            tmp_path,
+            2,
+            agent.script,
+            serves,
+            settings={**SETTINGS, "contracts": plans},
+            counter=f"127.0.0.1:{await counter.start()}",
+        ) as both:
             agent.targets = json.loads(both[0].path.read_text(encoding="utf-8"))["known"]["targets"]
             for door in both:
                 door.environment = control.environment
@@ -189,6 +216,7 @@
             assert first & second, (first, second)
         counter.stop()
         control.close()
+
     play(test())
 
 
--- a/tests/test_fault_counter.py
+++ b/tests/test_fault_counter.py
@@ -31,9 +31,9 @@
         return self._real() + self.shift_s
 
 
-def test_names_in_use_outlast_a_step_of_the_services_clock(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_names_in_use_outlast_a_step_of_the_services_clock(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Forward by an hour it forgot all names; back by one it forgot none for an hour."""
+
     async def test(step_s: float, folder: Path) -> None:
         clock.shift_s = 0.0
         async with served(folder / "log") as (_, port):
@@ -50,6 +50,7 @@
                 await asyncio.sleep(0.005)
             assert [desk.answers[call][1] for call in (2005, 2006)] == [4.0, 1.0]
             await desk.client.stop()
+
     clock = WallClock(monkeypatch)
     for step_s in (HOUR_S, -HOUR_S):
         run(test(step_s, tmp_path / f"{step_s}"))
@@ -57,6 +58,7 @@
 
 def test_a_try_is_recorded_whatever_the_doors_clock_says(tmp_path: Path) -> None:
     """Its time lay too far from the service's: it was refused, and struck from the journal without a word."""
+
     async def test(step_s: float, folder: Path) -> None:
         async with served(folder / "log") as (service, port):
             desk = Desk(port, folder / "door", timeout_ms=5000.0)
@@ -70,13 +72,14 @@
             assert sum(use.tries for use in uses) == 5
         assert not Journal(folder / "door", 10).tries
         assert sorted(told.request for _, told in each_try(folder / "log")) == [f"r{number}" for number in range(5)]
+
     for step_s in (0.0, 90.0, HOUR_S, -900.0, -HOUR_S):
         run(test(step_s, tmp_path / f"{step_s}"))
 
 
-def test_the_service_acknowledges_again_once_its_disk_works(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_service_acknowledges_again_once_its_disk_works(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """It waited for a person to restart it.  What was acknowledged stays, and nothing counts twice."""
+
     async def test(fault: str, folder: Path) -> None:
         faults = tmp_path / f"faults-{fault}"
         monkeypatch.setenv(FAULTS, str(faults))
@@ -102,5 +105,6 @@
         async with served(folder / "log") as (service, _):
             assert service.keeper.counter.total(5) == 5.0
         assert [told.request for _, told in each_try(folder / "log")] == ["r1"]
+
     for fault in ("full", "sync_fails"):
         run(test(fault, tmp_path / fault))
--- a/tests/test_fault_disks.py
+++ b/tests/test_fault_disks.py
@@ -46,7 +46,8 @@
 
 
 def test_what_is_promised_on_a_disk_that_was_full_is_there_after_a_kill(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The half line of the failed promise took the next one with it."""
     disk, journal = FullDisk(monkeypatch), Journal(tmp_path, 100)
     assert journal.promise(made(1))
@@ -87,7 +88,8 @@
 
 
 def test_an_acknowledgement_that_cannot_be_written_raises_nothing(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It came up in the midst of whoever read the counter's answer; the try is sent once more after a restart."""
     disk, journal = FullDisk(monkeypatch), Journal(tmp_path, 10)
     assert journal.promise(made(1)) and journal.promise(made(2))
--- a/tests/test_fault_pauses.py
+++ b/tests/test_fault_pauses.py
@@ -33,12 +33,14 @@
 
 def shows(seen: list[tuple[float, str]], delay_s: float = 0.0) -> Any:
     """A backend that keeps when each head came."""
+
     async def script(peer: Peer) -> None:
         while True:
             head = await peer.head()
             seen.append((time.monotonic(), head))
             await asyncio.sleep(delay_s)
             await peer.answer("ok")
+
     return script
 
 
@@ -50,6 +52,7 @@
 
 def test_a_request_behind_another_has_the_time_left_that_its_client_has(tmp_path: Path) -> None:
     """Four at once on one connection: the fourth was sent on with all of its time after three others' answers."""
+
     async def test() -> None:
         seen: list[tuple[float, str]] = []
         agent = Agent()
@@ -65,11 +68,13 @@
             assert len(seen) == 4
             for at, head in seen:
                 assert told_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + HELD_UP_S + BUSY_S
+
     play(test())
 
 
 def test_requests_that_came_while_the_door_stood_still_have_less_time_left(tmp_path: Path) -> None:
     """On a connection that it had, and on new ones that stood in its queue."""
+
     async def test() -> None:
         seen: list[tuple[float, str]] = []
         agent = Agent()
@@ -93,18 +98,21 @@
             assert seen
             for at, head in seen:
                 assert told_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + HELD_UP_S + BUSY_S
+
     play(test())
 
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
 def test_a_door_that_stood_still_hears_of_drains_before_it_sends(tmp_path: Path, mode: str) -> None:
     """Discovery had told it while it stood: it sent on by the list of before."""
+
     async def test() -> None:
         seen: list[tuple[float, str]] = []
         agent = Agent()
         rules = {**SETTINGS["rules"], "drain_grace_ms": DRAIN_GRACE_S * 1000}
-        async with doors(tmp_path, 1, agent.script, shows(seen), 
-                         settings={**SETTINGS, "rules": rules, "discovery": mode}) as [door]:
+        async with doors(
+            tmp_path, 1, agent.script, shows(seen), settings={**SETTINGS, "rules": rules, "discovery": mode}
+        ) as [door]:
             agent.targets = listed(door.path)
             await door.start()
             await door.until("ready")
@@ -122,11 +130,13 @@
             for _ in range(2, 6):
                 await standing.response()
             assert seen == []
+
     play(test())
 
 
 def test_a_request_that_becomes_whole_as_the_door_ends_is_not_sent_on(tmp_path: Path) -> None:
     """Its last byte comes after all was answered: it was forwarded, and its connection closed."""
+
     async def test() -> None:
         seen: list[tuple[float, str]] = []
         agent = Agent()
@@ -149,11 +159,13 @@
             await half.rest()
             assert await door.end() == 0
             assert seen == []
+
     play(test())
 
 
 def test_a_connection_after_a_turn_that_emptied_the_queue_has_all_its_time(tmp_path: Path) -> None:
     """The queue counted as not emptied since then, and the request as that old."""
+
     async def test() -> None:
         seen: list[tuple[float, str]] = []
         agent = Agent()
@@ -170,4 +182,5 @@
             assert (await peer.response())[0] == 200 and len(seen) == 1
             for one in crowd:
                 one.close()
+
     play(test())
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -55,8 +55,11 @@
 
 
 def _all_alive(views: dict[str, View]) -> bool:
-    return all(_state(view, name) == "alive" and view["stage"] == "joined" and not view["deaf"]
-               for view in views.values() for name in views)
+    return all(
+        _state(view, name) == "alive" and view["stage"] == "joined" and not view["deaf"]
+        for view in views.values()
+        for name in views
+    )
 
 
 async def _hard_cases(play: Play) -> None:
@@ -64,14 +67,22 @@
     await play.until(_all_alive)
     play.step(0, True)  # cut off both ways
     await play.until(lambda views: all(_state(view, "d003") == "dead" for view in views.values()), "d000 d001 d002")
-    await play.until(lambda views: views["d003"]["deaf"] and all(
-        _state(views["d003"], name) != "dead" for name in ("d000", "d001", "d002")), "d003")
+    await play.until(
+        lambda views: (
+            views["d003"]["deaf"] and all(_state(views["d003"], name) != "dead" for name in ("d000", "d001", "d002"))
+        ),
+        "d003",
+    )
     play.step(0, False)
     await play.until(_all_alive)
     play.step(1, True)  # d002 gets nothing, and is heard
-    await play.until(lambda views: all(
-        any(one["name"] == "d002" and one["deaf"] and one["state"] == "alive" for one in view["members"])
-        for view in views.values()), "d000 d001 d003")
+    await play.until(
+        lambda views: all(
+            any(one["name"] == "d002" and one["deaf"] and one["state"] == "alive" for one in view["members"])
+            for view in views.values()
+        ),
+        "d000 d001 d003",
+    )
     play.step(1, False)
     await play.until(_all_alive)
     first = await play.rig.view("d001")
@@ -104,6 +115,7 @@
             await play.rig.close()
         kinds = {record.kind for record in play.rig.records() if hasattr(record, "kind")}
         assert {"started", "killed", "paused", "resumed", "leaving", "dead", "back", "replaced", "deaf"} <= kinds
+
     asyncio.run(test())
 
 
@@ -118,8 +130,10 @@
 
 
 def test_what_cannot_be_played_between_processes_is_told(tmp_path: Path) -> None:
-    for text, told in (('name: "x" members: 40', "too many processes"),
-                       ('name: "x" trouble { what: LATE who: "d000" ms: 5 }', "emulated only")):
+    for text, told in (
+        ('name: "x" members: 40', "too many processes"),
+        ('name: "x" trouble { what: LATE who: "d000" ms: 5 }', "emulated only"),
+    ):
         with pytest.raises(PlayError, match=told):
             asyncio.run(play_rig(parse_schedule(text, "x"), 1, tmp_path / "out"))
     (tmp_path / "mine").mkdir()
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -19,17 +19,38 @@
 from martenstep.members.gossip.wire import Keys
 
 FOLDER = Path(__file__).resolve().parents[1] / "days" / "fleet"
-QUICK = ("pauses", "half-paused", "pair-one-way", "unheard", "deaf", "zone-one-way", "three-groups", "halves",
-         "flapping-link", "flapping-process", "third-lost", "all-restarted", "seeds-lost", "names", "forged", "disks")
-PAUSE = ('name: "p" members: 6 length_ms: 12000 settle_ms: 8000 '
-         'trouble { what: PAUSE who: "d003" at_ms: 2000 for_ms: 2300 }')
+QUICK = (
+    "pauses",
+    "half-paused",
+    "pair-one-way",
+    "unheard",
+    "deaf",
+    "zone-one-way",
+    "three-groups",
+    "halves",
+    "flapping-link",
+    "flapping-process",
+    "third-lost",
+    "all-restarted",
+    "seeds-lost",
+    "names",
+    "forged",
+    "disks",
+)
+PAUSE = (
+    'name: "p" members: 6 length_ms: 12000 settle_ms: 8000 trouble { what: PAUSE who: "d003" at_ms: 2000 for_ms: 2300 }'
+)
 # Those who suspect d003 stand until long after it has refuted that.
-TURNS = ('name: "t" members: 6 length_ms: 40000 settle_ms: 20000 '
-         'trouble { what: PAUSE who: "d003" at_ms: 2000 for_ms: 2000 } '
-         'trouble { what: PAUSE who: "d000,d001,d002,d004,d005" at_ms: 3500 for_ms: 28000 }')
-SPOILT = ('name: "s" members: 6 length_ms: 12000 settle_ms: 5000 trouble { what: CORRUPT share: 0.5 at_ms: 0 }')
-GONE = ('name: "g" members: 6 length_ms: 110000 settle_ms: 5000 reclaim_ms: 20000 '
-        'trouble { what: KILL who: "d003" at_ms: 2000 }')
+TURNS = (
+    'name: "t" members: 6 length_ms: 40000 settle_ms: 20000 '
+    'trouble { what: PAUSE who: "d003" at_ms: 2000 for_ms: 2000 } '
+    'trouble { what: PAUSE who: "d000,d001,d002,d004,d005" at_ms: 3500 for_ms: 28000 }'
+)
+SPOILT = 'name: "s" members: 6 length_ms: 12000 settle_ms: 5000 trouble { what: CORRUPT share: 0.5 at_ms: 0 }'
+GONE = (
+    'name: "g" members: 6 length_ms: 110000 settle_ms: 5000 reclaim_ms: 20000 '
+    'trouble { what: KILL who: "d003" at_ms: 2000 }'
+)
 
 
 @pytest.mark.parametrize("name", QUICK)
@@ -97,10 +118,16 @@
     return Gossip(settings, me, Open([b"x"]), *rest)
 
 
-@pytest.mark.parametrize(("text", "flaw", "rule"), [
-    (TURNS, TimersTrusted, "alive"), (PAUSE, NotRaised, "alive"), (GONE, NeverReclaimed, "forget"),
-    (PAUSE, NoRefutation, "alive"), (SPOILT, _unsealed, "agree"),
-])
+@pytest.mark.parametrize(
+    ("text", "flaw", "rule"),
+    [
+        (TURNS, TimersTrusted, "alive"),
+        (PAUSE, NotRaised, "alive"),
+        (GONE, NeverReclaimed, "forget"),
+        (PAUSE, NoRefutation, "alive"),
+        (SPOILT, _unsealed, "agree"),
+    ],
+)
 def test_the_judge_catches_a_seeded_flaw(text: str, flaw: Callable[..., Gossip], rule: str) -> None:
     assert _plain(text, Gossip) == []
     assert any(breach.startswith(rule) for breach in _plain(text, flaw))
--- a/tests/test_fleet_wires.py
+++ b/tests/test_fleet_wires.py
@@ -79,6 +79,7 @@
             writer.write(b"to " + await reader.readexactly(4))
             await writer.drain()
             writer.close()
+
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         loop = asyncio.get_running_loop()
@@ -97,4 +98,5 @@
         assert await answer == b"to door"
         for each in (writer, sender, sink, server, relay):
             each.close()
+
     run(test())
--- a/tests/test_gossip_core.py
+++ b/tests/test_gossip_core.py
@@ -345,8 +345,14 @@
     assert net.core(1).counts["dropped_cluster"] == 1
 
 
-facts = st.builds(fact, st.integers(1, 4), era=st.integers(0, 2), identity=st.integers(1, 3),
-                  incarnation=st.integers(0, 3), state=st.sampled_from(State))
+facts = st.builds(
+    fact,
+    st.integers(1, 4),
+    era=st.integers(0, 2),
+    identity=st.integers(1, 3),
+    incarnation=st.integers(0, 3),
+    state=st.sampled_from(State),
+)
 
 
 @given(st.lists(facts, max_size=20), st.randoms())
@@ -358,6 +364,7 @@
             if before is None or each.rank > before.rank:
                 table.put(AT, each)
         return table
+
     mixed = list(told)
     rng.shuffle(mixed)
     one, other = of(told), of(mixed)
@@ -457,11 +464,15 @@
 
     def teardown(self) -> None:
         self.net.run(40_000)
-        assert all(core.table.present == 4 and core.table.digest == self.net.core(1).table.digest
-                   for core in self.net.cores.values())
+        assert all(
+            core.table.present == 4 and core.table.digest == self.net.core(1).table.digest
+            for core in self.net.cores.values()
+        )
 
 
 def test_whatever_the_wire_does_all_agree_in_the_end() -> None:
     from hypothesis import settings
+
     run_state_machine_as_test(
-        Fleet, settings=settings(max_examples=12, stateful_step_count=12, deadline=None, derandomize=True))
+        Fleet, settings=settings(max_examples=12, stateful_step_count=12, deadline=None, derandomize=True)
+    )
--- a/tests/test_hooks_border.py
+++ b/tests/test_hooks_border.py
@@ -43,11 +43,20 @@
         headers([(name, "1")], BOUNDS)
 
 
-@pytest.mark.parametrize(("made", "told"), [
-    ([("x-a", "b\r\nset-cookie: c")], "control sign"), ([("x-a", "b\n")], "control sign"), ([("x-a", " b")], "control"),
-    ([("x a", "b")], "not a header's name"), ([("x-a", "€")], "Latin-1"), ([("x-a", "1"), ("X-A", "2")], "twice"),
-    ([(f"x-{n}", "1") for n in range(17)], "17 headers"), ([("x-a", "b" * 1025)], "too long"), ([("", "b")], "name"),
-])
+@pytest.mark.parametrize(
+    ("made", "told"),
+    [
+        ([("x-a", "b\r\nset-cookie: c")], "control sign"),
+        ([("x-a", "b\n")], "control sign"),
+        ([("x-a", " b")], "control"),
+        ([("x a", "b")], "not a header's name"),
+        ([("x-a", "€")], "Latin-1"),
+        ([("x-a", "1"), ("X-A", "2")], "twice"),
+        ([(f"x-{n}", "1") for n in range(17)], "17 headers"),
+        ([("x-a", "b" * 1025)], "too long"),
+        ([("", "b")], "name"),
+    ],
+)
 def test_headers_that_are_none_are_refused(made: list[tuple[str, str]], told: str) -> None:
     with pytest.raises(BorderError, match=told):
         headers(made, BOUNDS)
@@ -63,11 +72,17 @@
     assert modules <= made.retry_after_ms <= max(3_600_000.0, modules)
 
 
-@pytest.mark.parametrize(("made", "told"), [
-    (("x" * (MOST_BODY + 1), "text/plain", 0.0, []), "at most"), (("x", "text/xml", 0.0, []), "content type"),
-    (("x", "text/plain\r\nx: y", 0.0, []), "content type"), (("\ud800", "text/plain", 0.0, []), "no text"),
-    (("x", "text/plain", float("nan"), []), "retry-after"), (("x", "text/plain", -1.0, []), "retry-after"),
-])
+@pytest.mark.parametrize(
+    ("made", "told"),
+    [
+        (("x" * (MOST_BODY + 1), "text/plain", 0.0, []), "at most"),
+        (("x", "text/xml", 0.0, []), "content type"),
+        (("x", "text/plain\r\nx: y", 0.0, []), "content type"),
+        (("\ud800", "text/plain", 0.0, []), "no text"),
+        (("x", "text/plain", float("nan"), []), "retry-after"),
+        (("x", "text/plain", -1.0, []), "retry-after"),
+    ],
+)
 def test_words_that_may_not_pass(made: tuple[str, str, float, list[tuple[str, str]]], told: str) -> None:
     with pytest.raises(BorderError, match=told):
         words(made, 100.0, BOUNDS)
@@ -82,8 +97,16 @@
     assert placed(("", "", "", 0.0), BEFORE, BOUNDS) == BEFORE
     assert placed(("read", "anna", "studio", 4.0), BEFORE, BOUNDS) == Placed("read", "anna", "studio", 4.0)
     assert placed(("write", "bert", "basic", 1.0), BEFORE, BOUNDS).units == 1.0
-    for made in (("pay", "", "", 0.0), ("", "carl", "", 0.0), ("", "", "gold", 0.0), ("", "", "", 0.5),
-                 ("", "", "", 9.0), ("", "", "", float("nan")), ("", "", "", float("inf")), ("", "", "", -1.0)):
+    for made in (
+        ("pay", "", "", 0.0),
+        ("", "carl", "", 0.0),
+        ("", "", "gold", 0.0),
+        ("", "", "", 0.5),
+        ("", "", "", 9.0),
+        ("", "", "", float("nan")),
+        ("", "", "", float("inf")),
+        ("", "", "", -1.0),
+    ):
         with pytest.raises(BorderError):
             placed(made, BEFORE, BOUNDS)
 
@@ -98,7 +121,12 @@
 
 def test_fields_of_the_log_have_names_of_their_own() -> None:
     assert log_fields([("room", "a\nb")]) == {"hook_room": "a\nb"}
-    for made in ([("Room", "")], [("a", ""), ("a", "")], [("a", "x" * 1025)], [("a.b", "")],
-                 [(f"a{n}", "") for n in range(17)]):
+    for made in (
+        [("Room", "")],
+        [("a", ""), ("a", "")],
+        [("a", "x" * 1025)],
+        [("a.b", "")],
+        [(f"a{n}", "") for n in range(17)],
+    ):
         with pytest.raises(BorderError):
             log_fields(made)
--- a/tests/test_hooks_cli.py
+++ b/tests/test_hooks_cli.py
@@ -11,7 +11,7 @@
 from martenstep.cli.main import cli
 from martenstep.hooks.files import History
 
-GOOD = '''# Words for the studios.
+GOOD = """# Words for the studios.
 fn words(r: Request) -> text {
   match r.language {
     "de" | "at" -> "Zu viel auf einmal",
@@ -26,7 +26,7 @@
 test "german" {
   words(Request { language: "de" }) == "Zu viel auf einmal"
 }
-'''
+"""
 
 
 def call(*words: str) -> tuple[int, str]:
@@ -60,13 +60,18 @@
     assert code == 2 and "a comment inside a block" in output and file.read_text() == inside
 
 
-@pytest.mark.parametrize(("source", "words", "code", "told"), [
-    ("on refusal(r, w) { 3 }", ("check",), 2, "1:20: expected Words, got number"),
-    ('test "t" { 1 == 2 }', ("test",), 1, "test 't': false"), ('test "t" { 1 / 0 == 2 }', ("test",), 1, "number"),
-    ("", ("test",), 1, "0 held"), ("", ("run",), 2, "name one point"),
-    ("on log(r, a) { [][0] }", ("check",), 2, "expected a list"),
-    ("on log(r, a) { [Field { name: text(1 / 0) }] }", ("run",), 1, "divided by nothing"),
-])
+@pytest.mark.parametrize(
+    ("source", "words", "code", "told"),
+    [
+        ("on refusal(r, w) { 3 }", ("check",), 2, "1:20: expected Words, got number"),
+        ('test "t" { 1 == 2 }', ("test",), 1, "test 't': false"),
+        ('test "t" { 1 / 0 == 2 }', ("test",), 1, "number"),
+        ("", ("test",), 1, "0 held"),
+        ("", ("run",), 2, "name one point"),
+        ("on log(r, a) { [][0] }", ("check",), 2, "expected a list"),
+        ("on log(r, a) { [Field { name: text(1 / 0) }] }", ("run",), 1, "divided by nothing"),
+    ],
+)
 def test_what_is_wrong_is_told(source: str, words: tuple[str, ...], code: int, told: str, tmp_path: Path) -> None:
     file = tmp_path / "a.hook"
     file.write_text(source)
@@ -74,12 +79,17 @@
     assert got == code and told in output
 
 
-@pytest.mark.parametrize(("example", "told"), [
-    ("{", "e.json"), ("[]", "expected an object"), ('{"reqest": {}}', "no value 'reqest'"),
-    ('{"request": {"pth": ""}}', "request: no field 'pth'"),
-    ('{"request": {"path": 3}}', "request.path: expected a text"),
-    ('{"request": {"headers": [{"name": 1}]}}', "request.headers[0].name: expected a text"),
-])
+@pytest.mark.parametrize(
+    ("example", "told"),
+    [
+        ("{", "e.json"),
+        ("[]", "expected an object"),
+        ('{"reqest": {}}', "no value 'reqest'"),
+        ('{"request": {"pth": ""}}', "request: no field 'pth'"),
+        ('{"request": {"path": 3}}', "request.path: expected a text"),
+        ('{"request": {"headers": [{"name": 1}]}}', "request.headers[0].name: expected a text"),
+    ],
+)
 def test_an_example_that_is_none_is_told(example: str, told: str, tmp_path: Path) -> None:
     file, given = tmp_path / "a.hook", tmp_path / "e.json"
     file.write_text(GOOD)
@@ -109,13 +119,19 @@
     assert "door-0: hooks withdrawn: version 2, reason it failed" in call("history", history)[1]
 
 
-@pytest.mark.parametrize("words", [
-    ("list", "gone"), ("list", ".", "--key", "xyz"), ("history", "gone"),
-    ("publish", "gone", "there", "--version", "0"),
-    ("publish", "gone", "there", "--version", "1", "--sign", "gone.pem"),
-])
-def test_bad_words_for_releases_are_told_in_a_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                    words: tuple[str, ...]) -> None:
+@pytest.mark.parametrize(
+    "words",
+    [
+        ("list", "gone"),
+        ("list", ".", "--key", "xyz"),
+        ("history", "gone"),
+        ("publish", "gone", "there", "--version", "0"),
+        ("publish", "gone", "there", "--version", "1", "--sign", "gone.pem"),
+    ],
+)
+def test_bad_words_for_releases_are_told_in_a_line(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, words: tuple[str, ...]
+) -> None:
     monkeypatch.chdir(tmp_path)
     status, told = call(*words)
     assert status == 2 and "Error: " in told and "Traceback" not in told
--- a/tests/test_hooks_docs.py
+++ b/tests/test_hooks_docs.py
@@ -16,8 +16,11 @@
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 PAGES = ("hooks-language.md", "hooks-cookbook.md")
-EXAMPLES = [(page, example) for page in PAGES
-            for example in re.findall(r"```hook\n(.*?)```", (DOCS / page).read_text(encoding="utf-8"), re.S)]
+EXAMPLES = [
+    (page, example)
+    for page in PAGES
+    for example in re.findall(r"```hook\n(.*?)```", (DOCS / page).read_text(encoding="utf-8"), re.S)
+]
 
 
 @pytest.mark.parametrize(("page", "source"), EXAMPLES)
@@ -47,4 +50,5 @@
     source = (DOCS.parent / "martenstep/hooks/syntax.py").read_text(encoding="utf-8")
     [told] = re.findall(r"```\n(file .*?)```", text, re.S)
     assert [line.strip() for line in told.strip().splitlines()] == [
-        line.strip() for line in source[source.index("file     ="):source.index("A TEXT holds")].strip().splitlines()]
+        line.strip() for line in source[source.index("file     =") : source.index("A TEXT holds")].strip().splitlines()
+    ]
--- a/tests/test_hooks_fast.py
+++ b/tests/test_hooks_fast.py
@@ -74,8 +74,13 @@
 @hypo(max_examples=1500, deadline=None, derandomize=True)
 def test_any_code_that_the_verifier_lets_pass_ends_in_the_same_way(code: list[tuple[int, int, int]]) -> None:
     """Also code that no compiler makes: loops, dead ends, blocks that are reached only from behind."""
-    program = Program(1, [1.0, "a", True, 3.0], [Function("f", 0, 4, [*code, (int(Op.CONST), 0, 0),
-                                                                     (int(Op.RETURN), 0, 0)])], {}, [("t", 0)])
+    program = Program(
+        1,
+        [1.0, "a", True, 3.0],
+        [Function("f", 0, 4, [*code, (int(Op.CONST), 0, 0), (int(Op.RETURN), 0, 0)])],
+        {},
+        [("t", 0)],
+    )
     try:
         verify(program)
     except CodeError:
@@ -84,10 +89,18 @@
     assert same(one, other), (one, other)
 
 
-@pytest.mark.parametrize("body", [
-    "for x in range(100000), n = 0 { n + 1 }", "for x in range(1000), n = 0 { n + 1 }",
-    'len(for x in range(40), s = "ab" { s + s })', "1 / 0", "1 % 0", "[1][7]", "1e300 * 1e300 + 1",
-])
+@pytest.mark.parametrize(
+    "body",
+    [
+        "for x in range(100000), n = 0 { n + 1 }",
+        "for x in range(1000), n = 0 { n + 1 }",
+        'len(for x in range(40), s = "ab" { s + s })',
+        "1 / 0",
+        "1 % 0",
+        "[1][7]",
+        "1e300 * 1e300 + 1",
+    ],
+)
 def test_what_fails_fails_in_the_same_way(body: str) -> None:
     if "e300" in body:
         body = "for x in range(99), n = 10000000000 { n * n }"
--- a/tests/test_hooks_language.py
+++ b/tests/test_hooks_language.py
@@ -77,9 +77,50 @@
         assert fault.place.line >= 1 and fault.shown(source, "f").startswith("f:")
 
 
-PIECES = st.sampled_from(("fn", "on", "test", "let", "if", "else", "match", "for", "in", "f", "x", "(", ")", "{", "}",
-                          "[", "]", "->", "=", "==", "+", "-", ".", ",", ";", ":", "1", "2s", '"a"', '"${x}"', "_",
-                          "true", "not", "and", "number", "list", "<", ">", "refusal", "Request"))
+PIECES = st.sampled_from(
+    (
+        "fn",
+        "on",
+        "test",
+        "let",
+        "if",
+        "else",
+        "match",
+        "for",
+        "in",
+        "f",
+        "x",
+        "(",
+        ")",
+        "{",
+        "}",
+        "[",
+        "]",
+        "->",
+        "=",
+        "==",
+        "+",
+        "-",
+        ".",
+        ",",
+        ";",
+        ":",
+        "1",
+        "2s",
+        '"a"',
+        '"${x}"',
+        "_",
+        "true",
+        "not",
+        "and",
+        "number",
+        "list",
+        "<",
+        ">",
+        "refusal",
+        "Request",
+    )
+)
 
 
 @given(st.lists(PIECES, max_size=40))
@@ -106,17 +147,23 @@
         try:
             machine.run(number, (3.0, "ab", REQUEST)[: function.params])
         except HookError:
-            assert machine.bytes > -10**9
-
-
-@pytest.mark.parametrize(("body", "kind"), [
-    ("len(for x in range(100000), s = \"a\" { s + s }) > 0", "steps"),
-    ("len(for x in range(1000), s = \"a\" { s + s }) > 0", "bytes"),
-    ("(for x in range(900), a = 0 { for y in range(900), b = a { b + 1 } }) > 0", "steps"),
-    ("len(for x in range(60), s = \"ab\" { replace(s, \"a\", \"aa\" + s) }) > 0", "bytes"),
-    ("1 / 0 > 1", "number"), ("(for x in range(40), a = 10 { a * 100000000000000000000 }) > 1", "number"),
-    ("[1, 2][2] > 0", "index"), ("[1][0 - 1] > 0", "index"), ("len(range(1e9)) > 0", None),
-])
+            assert machine.bytes > -(10**9)
+
+
+@pytest.mark.parametrize(
+    ("body", "kind"),
+    [
+        ('len(for x in range(100000), s = "a" { s + s }) > 0', "steps"),
+        ('len(for x in range(1000), s = "a" { s + s }) > 0', "bytes"),
+        ("(for x in range(900), a = 0 { for y in range(900), b = a { b + 1 } }) > 0", "steps"),
+        ('len(for x in range(60), s = "ab" { replace(s, "a", "aa" + s) }) > 0', "bytes"),
+        ("1 / 0 > 1", "number"),
+        ("(for x in range(40), a = 10 { a * 100000000000000000000 }) > 1", "number"),
+        ("[1, 2][2] > 0", "index"),
+        ("[1][0 - 1] > 0", "index"),
+        ("len(range(1e9)) > 0", None),
+    ],
+)
 def test_what_goes_too_far_is_cut_off(body: str, kind: str | None) -> None:
     source = f'test "t" {{ {body} }}'
     if kind is None:
@@ -145,30 +192,39 @@
     assert Machine(program, counters).run(program.tests[0][1], ()) is False  # it is 2 now
 
 
-@pytest.mark.parametrize(("source", "told"), [
-    ('fn f(a: number) -> text { a }', "1:27: expected text, got number"),
-    ('fn f(a: numbr) -> text { "" }', "1:9: no type is named 'numbr'"),
-    ('fn f(a: number) -> number { f(a) }', "'f' calls itself"),
-    ('fn f() -> number { g() }\nfn g() -> number { f() }', "calls itself"),
-    ('fn f() -> number { 1 + "a" }', "1:22: number + text is nothing"),
-    ('fn f() -> number { b }', "1:20: nothing is named 'b'"),
-    ('fn f(r: Request) -> text { r.custmer }', "Request has no field 'custmer' (there are: accept, class, customer"),
-    ('fn f() -> number { if true { 1 } else { "a" } }', "1:41: expected number as in the first way, got text"),
-    ('fn f() -> number { match 1 { 2 -> 3 } }', "expected '_' as the last arm"),
-    ('on refusal(r) { Words {} }', "refusal is given 2 values (Request, Refusal), named are 1"),
-    ('on refused(r) { Words {} }', "no point is named 'refused' (there are: answer, classify, log, refusal, sending)"),
-    ('on refusal(r, w) { Words { body: 3 } }', "1:34: Words.body: expected text, got number"),
-    ('test "t" { matches("a", "(") }', "1:25: matches: at 1: expected ')'"),
-    ('test "t" { matches("a", text(1)) }', "matches: expected a plain text"),
-    ('test "t" { 1 }', "1:12: expected bool, got number"),
-    ('test "t" { "a }', "1:12: a text that is not closed on its line"),
-    ('test "t" { "${1', "expected '}' that closes the template, got the end of the file"),
-    ("test \"t\" { " + "(" * 60, "nested deeper than 40"),
-    ("test \"t\" { " + "not " * 600 + "true }", "nested deeper than 40"),
-    ("test \"t\" { " + "1 + " * 600 + "1 == 1 }", "more than 40 '+' in a row"),
-    ("# " + "x" * 10_000_000, "expected no more than 65536 bytes"),
-    ("fn f() -> " + "list<" * 600 + "text" + ">" * 600 + " { [] }", "nested deeper than 40"),
-])
+@pytest.mark.parametrize(
+    ("source", "told"),
+    [
+        ("fn f(a: number) -> text { a }", "1:27: expected text, got number"),
+        ('fn f(a: numbr) -> text { "" }', "1:9: no type is named 'numbr'"),
+        ("fn f(a: number) -> number { f(a) }", "'f' calls itself"),
+        ("fn f() -> number { g() }\nfn g() -> number { f() }", "calls itself"),
+        ('fn f() -> number { 1 + "a" }', "1:22: number + text is nothing"),
+        ("fn f() -> number { b }", "1:20: nothing is named 'b'"),
+        (
+            "fn f(r: Request) -> text { r.custmer }",
+            "Request has no field 'custmer' (there are: accept, class, customer",
+        ),
+        ('fn f() -> number { if true { 1 } else { "a" } }', "1:41: expected number as in the first way, got text"),
+        ("fn f() -> number { match 1 { 2 -> 3 } }", "expected '_' as the last arm"),
+        ("on refusal(r) { Words {} }", "refusal is given 2 values (Request, Refusal), named are 1"),
+        (
+            "on refused(r) { Words {} }",
+            "no point is named 'refused' (there are: answer, classify, log, refusal, sending)",
+        ),
+        ("on refusal(r, w) { Words { body: 3 } }", "1:34: Words.body: expected text, got number"),
+        ('test "t" { matches("a", "(") }', "1:25: matches: at 1: expected ')'"),
+        ('test "t" { matches("a", text(1)) }', "matches: expected a plain text"),
+        ('test "t" { 1 }', "1:12: expected bool, got number"),
+        ('test "t" { "a }', "1:12: a text that is not closed on its line"),
+        ('test "t" { "${1', "expected '}' that closes the template, got the end of the file"),
+        ('test "t" { ' + "(" * 60, "nested deeper than 40"),
+        ('test "t" { ' + "not " * 600 + "true }", "nested deeper than 40"),
+        ('test "t" { ' + "1 + " * 600 + "1 == 1 }", "more than 40 '+' in a row"),
+        ("# " + "x" * 10_000_000, "expected no more than 65536 bytes"),
+        ("fn f() -> " + "list<" * 600 + "text" + ">" * 600 + " { [] }", "nested deeper than 40"),
+    ],
+)
 def test_each_fault_is_told_at_its_place(source: str, told: str) -> None:
     with pytest.raises(HookFault) as fault:
         compile_source(source)
--- a/tests/test_hooks_points.py
+++ b/tests/test_hooks_points.py
@@ -13,8 +13,10 @@
 from tests.hook_rig import HookRig, release, words
 
 LOOP = words("text(for x in range(100000), n = 0 { n + 1 })")
-OPEN = ('hooks { class: "read" class: "pay" class: "write" plan: "open" customer: "free" most_units: 4 '
-        'path_prefix: "/inside/" } ')
+OPEN = (
+    'hooks { class: "read" class: "pay" class: "write" plan: "open" customer: "free" most_units: 4 '
+    'path_prefix: "/inside/" } '
+)
 
 
 def refused(rig: HookRig, customer: str = "anna") -> ev.Reply:
@@ -30,9 +32,14 @@
 
 
 def test_a_refusal_is_worded_and_stays_a_refusal() -> None:
-    rig = HookRig(release(3, 'on refusal(r, why) { Words { body: "${r.customer} ${r.language} ${r.accept} '
-                             '${why.status} ${why.reason} ${r.time}", content_type: "text/html", retry_after: 1ms, '
-                             'headers: [Header { name: "X-Help", value: "/help" }] } }'))
+    rig = HookRig(
+        release(
+            3,
+            'on refusal(r, why) { Words { body: "${r.customer} ${r.language} ${r.accept} '
+            '${why.status} ${why.reason} ${r.time}", content_type: "text/html", retry_after: 1ms, '
+            'headers: [Header { name: "X-Help", value: "/help" }] } }',
+        )
+    )
     reply = refused(rig)
     assert reply.status == 429 and reply.body == f"anna de-AT text/html 429 quota {START / 1000:.15g}".encode()
     assert head(reply, "content-type") == "text/html" and head(reply, "x-help") == "/help"
@@ -45,22 +52,33 @@
 
 
 def test_a_later_return_is_a_hooks_to_ask_for_up_to_the_settings_most() -> None:
-    rig = HookRig(release(1, 'on refusal(r, why) { Words { body: "", content_type: "", retry_after: 10m } }'),
-                  text="max_retry_after_ms: 30000")
+    rig = HookRig(
+        release(1, 'on refusal(r, why) { Words { body: "", content_type: "", retry_after: 10m } }'),
+        text="max_retry_after_ms: 30000",
+    )
     reply = refused(rig)
     assert head(reply, "retry-after-ms") == "30000.000" and head(reply, "content-type") == "text/plain"
 
 
-@pytest.mark.parametrize(("source", "kind"), [
-    (LOOP, "steps"),
-    (words('for x in range(40), s = "ab" { s + s }'), "bytes"),
-    (words("text(1 / 0)"), "number"),
-    (words("text([1][5])"), "index"),
-    ('on refusal(r, why) { Words { body: "x", content_type: "text/plain", headers: [Header { name: "x-a", '
-     'value: "1\\nset-cookie: a" }] } }', "border"),
-    ('on refusal(r, why) { Words { body: "x", content_type: "text/plain", headers: [Header { name: "x_customer", '
-     'value: "anna" }] } }', "border"),
-])
+@pytest.mark.parametrize(
+    ("source", "kind"),
+    [
+        (LOOP, "steps"),
+        (words('for x in range(40), s = "ab" { s + s }'), "bytes"),
+        (words("text(1 / 0)"), "number"),
+        (words("text([1][5])"), "index"),
+        (
+            'on refusal(r, why) { Words { body: "x", content_type: "text/plain", headers: [Header { name: "x-a", '
+            'value: "1\\nset-cookie: a" }] } }',
+            "border",
+        ),
+        (
+            'on refusal(r, why) { Words { body: "x", content_type: "text/plain", headers: [Header { name: "x_customer", '
+            'value: "anna" }] } }',
+            "border",
+        ),
+    ],
+)
 def test_a_refusal_hook_that_fails_leaves_the_doors_own_words(source: str, kind: str) -> None:
     rig = HookRig(release(1, source))
     reply = refused(rig)
@@ -96,11 +114,18 @@
     assert (line["class"], line["customer"], line["plan"]) == ("pay", "free", "open")
 
 
-@pytest.mark.parametrize("made", [
-    'class: "read"',  # of a request of "pay": it could be repeated then
-    'class: "write"',
-    'customer: "anna"', 'plan: "plain"', "units: 1", "units: 5", "units: 0 - 1",
-])
+@pytest.mark.parametrize(
+    "made",
+    [
+        'class: "read"',  # of a request of "pay": it could be repeated then
+        'class: "write"',
+        'customer: "anna"',
+        'plan: "plain"',
+        "units: 1",
+        "units: 5",
+        "units: 0 - 1",
+    ],
+)
 def test_classify_loosens_nothing(made: str) -> None:
     rig = HookRig(release(1, f"on classify(r) {{ Class {{ {made} }} }}"), text=OPEN)
     ticket = rig.ask("/pay/1", customer="free")
@@ -111,11 +136,13 @@
 
 
 def test_a_class_with_an_earlier_end_ends_earlier_and_never_later() -> None:
-    text = OPEN + ('class { name: "short" aim_ms: 100 deadline_ms: 500 } '
-                   'class { name: "long" aim_ms: 1 deadline_ms: 9000 }')
+    text = OPEN + (
+        'class { name: "short" aim_ms: 100 deadline_ms: 500 } class { name: "long" aim_ms: 1 deadline_ms: 9000 }'
+    )
     for name, ends in (("short", 500.0), ("long", 4000.0)):
-        rig = HookRig(release(1, f'on classify(r) {{ Class {{ class: "{name}" }} }}'),
-                      text=text + f' hooks {{ class: "{name}" }}')
+        rig = HookRig(
+            release(1, f'on classify(r) {{ Class {{ class: "{name}" }} }}'), text=text + f' hooks {{ class: "{name}" }}'
+        )
         ticket = rig.ask(customer="free")
         assert head(rig.opened(ticket), "x-deadline-ms") == f"{ends:.0f}"
         rig.pass_time(ends)
@@ -123,10 +150,15 @@
 
 
 def test_what_is_sent_is_the_same_at_each_attempt() -> None:
-    rig = HookRig(release(1, 'on sending(r) { Sending { path: "/inside/${count("n")}", headers: '
-                             '[Header { name: "x-studio", value: r.customer }, '
-                             'Header { name: "accept", value: "a/b" }] } }'),
-                  text=OPEN)
+    rig = HookRig(
+        release(
+            1,
+            'on sending(r) { Sending { path: "/inside/${count("n")}", headers: '
+            '[Header { name: "x-studio", value: r.customer }, '
+            'Header { name: "accept", value: "a/b" }] } }',
+        ),
+        text=OPEN,
+    )
     ticket = rig.ask(accept="image/png")
     first = rig.opened(ticket)
     rig.end(ticket, Ending.CLOSED)
@@ -137,8 +169,9 @@
     assert rig.shelf.counts == {"sending good": 1}
 
 
-@pytest.mark.parametrize("path", ["/pay/1", "/nowhere", "/inside/../pay/1", "/inside/%2e%2e/pay", "/in side",
-                                  "inside/1"])
+@pytest.mark.parametrize(
+    "path", ["/pay/1", "/nowhere", "/inside/../pay/1", "/inside/%2e%2e/pay", "/in side", "inside/1"]
+)
 def test_a_path_of_another_class_is_not_sent(path: str) -> None:
     rig = HookRig(release(1, f'on sending(r) {{ Sending {{ path: "{path}" }} }}'), text=OPEN)
     assert rig.opened(rig.ask("/read/7?a=b")).target == b"/read/7?a=b"
@@ -150,8 +183,9 @@
     assert rig.opened(rig.ask("/read/old?a=b")).target == b"/read/new?a=b"
 
 
-@pytest.mark.parametrize("name", ["x-customer", "X-Request-Id", "idempotency-key", "x-attempt", "x_deadline_ms",
-                                  "host"])
+@pytest.mark.parametrize(
+    "name", ["x-customer", "X-Request-Id", "idempotency-key", "x-attempt", "x_deadline_ms", "host"]
+)
 def test_headers_that_say_who_and_how_often_are_no_hooks(name: str) -> None:
     rig = HookRig(release(1, f'on sending(r) {{ Sending {{ headers: [Header {{ name: "{name}", value: "1" }}] }} }}'))
     rig.ask("/write/free/1", method="POST")
@@ -159,9 +193,13 @@
 
 
 def test_answers_get_headers_and_lines_get_fields() -> None:
-    rig = HookRig(release(1, 'on answer(r, a) { [Header { name: "etag", value: header(a.headers, "etag") + "!" }] }',
-                          'on log(r, a) { [Field { name: "studio", '
-                          'value: "${r.customer} ${a.status} ${a.attempts}" }] }'))
+    rig = HookRig(
+        release(
+            1,
+            'on answer(r, a) { [Header { name: "etag", value: header(a.headers, "etag") + "!" }] }',
+            'on log(r, a) { [Field { name: "studio", value: "${r.customer} ${a.status} ${a.attempts}" }] }',
+        )
+    )
     ticket = rig.ask()
     rig.serve(ticket, 201, [(b"etag", b"e")])
     [passed] = rig.of(ev.Pass, ticket)
@@ -171,8 +209,13 @@
 
 
 def test_a_hook_reads_no_credential() -> None:
-    rig = HookRig(release(1, 'on sending(r) { Sending { headers: [Header { name: "x-seen", value: '
-                             'header(r.headers, "cookie") + header(r.headers, "authorization") + "none" }] } }'))
+    rig = HookRig(
+        release(
+            1,
+            'on sending(r) { Sending { headers: [Header { name: "x-seen", value: '
+            'header(r.headers, "cookie") + header(r.headers, "authorization") + "none" }] } }',
+        )
+    )
     assert head(rig.opened(rig.ask(cookie="secret", authorization="secret")), "x-seen") == "none"
 
 
--- a/tests/test_hooks_releases.py
+++ b/tests/test_hooks_releases.py
@@ -35,12 +35,15 @@
 
     def run(self, runner: Runner, time: float = 0.0) -> None:
         """One run of a refusal hook; with a time of 7 the bad one fails."""
-        runner.call(self.now, "refusal", "anna", "studio", lambda: ((*REQUEST[:-1], time), REFUSAL),
-                    lambda made: made, None)
+        runner.call(
+            self.now, "refusal", "anna", "studio", lambda: ((*REQUEST[:-1], time), REFUSAL), lambda made: made, None
+        )
 
 
-@given(st.lists(st.tuples(st.integers(1, 9), st.booleans()), unique_by=lambda one: one[0], max_size=6),
-       st.sets(st.integers(1, 9), max_size=4))
+@given(
+    st.lists(st.tuples(st.integers(1, 9), st.booleans()), unique_by=lambda one: one[0], max_size=6),
+    st.sets(st.integers(1, 9), max_size=4),
+)
 @hypo(max_examples=200, deadline=None, derandomize=True)
 def test_the_newest_whole_one_acts_and_a_newer_trial_beside_it(made: list[tuple[int, bool]], gone: set[int]) -> None:
     whole, trial = choose([release(version, share=1.0 if all_of else 0.5) for version, all_of in made], gone)
@@ -187,22 +190,28 @@
     found, wrong = files.read_directory(hooks, [ours])
     assert [(one.version, one.signer) for one in found] == [(3, ours)]
     assert [text.partition(" (")[0] for text in wrong] == [
-        "1: is not signed", "2: is not signed by a trusted key",
-        "4: words.hook: not the file that the manifest names", "5: is not signed by a trusted key"]
+        "1: is not signed",
+        "2: is not signed by a trusted key",
+        "4: words.hook: not the file that the manifest names",
+        "5: is not signed by a trusted key",
+    ]
     assert {one.version for one in files.read_directory(hooks, [theirs, ours])[0]} == {2, 3}
 
 
-@pytest.mark.parametrize(("old", "new", "told"), [
-    ("version: 1", "version: 0", "version: expected at least 1"),
-    ("share: 1", "share: 0", "share: expected above 0"),
-    ("share: 1", "share: nan", "share: expected a finite"),
-    ('file: "words.hook"', 'file: "../words.hook"', "expected the name of a .hook file"),
-    ('file: "words.hook"', 'file: "gone.hook"', "gone.hook: No such file"),
-    ('point: "refusal"', 'point: "answer"', "holds no hook on answer"),
-    ('point: "refusal"', 'point: "later"', "no point is named 'later'"),
-    ("hook {", 'hook { point: "refusal" file: "a.hook" sha256: "' + "0" * 64 + '" } hook {', "never acts"),
-    ("end: true", "end: false", "half-written"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "told"),
+    [
+        ("version: 1", "version: 0", "version: expected at least 1"),
+        ("share: 1", "share: 0", "share: expected above 0"),
+        ("share: 1", "share: nan", "share: expected a finite"),
+        ('file: "words.hook"', 'file: "../words.hook"', "expected the name of a .hook file"),
+        ('file: "words.hook"', 'file: "gone.hook"', "gone.hook: No such file"),
+        ('point: "refusal"', 'point: "answer"', "holds no hook on answer"),
+        ('point: "refusal"', 'point: "later"', "no point is named 'later'"),
+        ("hook {", 'hook { point: "refusal" file: "a.hook" sha256: "' + "0" * 64 + '" } hook {', "never acts"),
+        ("end: true", "end: false", "half-written"),
+    ],
+)
 def test_a_manifest_with_a_fault_names_it(tmp_path: Path, old: str, new: str, told: str) -> None:
     made = files.publish(source(tmp_path / "drafts", words=GOOD), tmp_path / "hooks", 1)
     text = (made / "manifest.txtpb").read_text()
@@ -216,7 +225,7 @@
     drafts = source(tmp_path / "drafts", words=GOOD)
     files.publish(drafts, tmp_path / "hooks", 1)
     files.publish(drafts, tmp_path / "hooks", 2).rename(tmp_path / "hooks" / "again")
-    text = (tmp_path / "hooks" / "again" / "manifest.txtpb")
+    text = tmp_path / "hooks" / "again" / "manifest.txtpb"
     text.write_text(text.read_text().replace("version: 2", "version: 1"))
     found, [wrong] = files.read_directory(tmp_path / "hooks")
     assert not found and "stands in another folder" in wrong
--- a/tests/test_hooks_runner.py
+++ b/tests/test_hooks_runner.py
@@ -30,8 +30,15 @@
         self.runner = Runner(release, lambda what, fields: self.notes.append(what), **changes)
 
     def refuse(self, given: tuple[Any, ...] = (REQUEST, REFUSAL)) -> border.Words:
-        return self.runner.call(self.now, "refusal", "anna", "studio", lambda: given,
-                                lambda made: border.words(made, 2500.0, border.Bounds()), DEFAULT)
+        return self.runner.call(
+            self.now,
+            "refusal",
+            "anna",
+            "studio",
+            lambda: given,
+            lambda made: border.words(made, 2500.0, border.Bounds()),
+            DEFAULT,
+        )
 
 
 def test_a_good_hook_words_the_refusal_and_no_earlier_return() -> None:
@@ -41,18 +48,25 @@
     assert desk.runner.counts == {"refusal good": 1} and not desk.notes
 
 
-@pytest.mark.parametrize(("body", "kind"), [
-    (LONG, "steps"),
-    ('Words { body: for x in range(40), s = "ab" { s + s }, content_type: "text/plain" }', "bytes"),
-    ('Words { body: text(1 / 0), content_type: "text/plain" }', "number"),
-    ('Words { body: text([1][why.status]), content_type: "text/plain" }', "index"),
-    ('Words { body: "x", content_type: "image/png" }', "border"),
-    ('Words { body: "x", content_type: "text/plain", headers: [Header { name: "x-a", value: "b\\nset-cookie: c" }] }',
-     "border"),
-    ('Words { body: "x", content_type: "text/plain", headers: [Header { name: "Retry-After", value: "0" }] }',
-     "border"),
-    ('Words { body: "x", content_type: "text/plain", retry_after: 1000000h * 1000000 }', "border"),
-])
+@pytest.mark.parametrize(
+    ("body", "kind"),
+    [
+        (LONG, "steps"),
+        ('Words { body: for x in range(40), s = "ab" { s + s }, content_type: "text/plain" }', "bytes"),
+        ('Words { body: text(1 / 0), content_type: "text/plain" }', "number"),
+        ('Words { body: text([1][why.status]), content_type: "text/plain" }', "index"),
+        ('Words { body: "x", content_type: "image/png" }', "border"),
+        (
+            'Words { body: "x", content_type: "text/plain", headers: [Header { name: "x-a", value: "b\\nset-cookie: c" }] }',
+            "border",
+        ),
+        (
+            'Words { body: "x", content_type: "text/plain", headers: [Header { name: "Retry-After", value: "0" }] }',
+            "border",
+        ),
+        ('Words { body: "x", content_type: "text/plain", retry_after: 1000000h * 1000000 }', "border"),
+    ],
+)
 def test_a_hook_that_fails_leaves_the_default(body: str, kind: str) -> None:
     desk = Desk(body)
     assert desk.refuse() == DEFAULT and desk.runner.counts == {f"refusal {kind}": 1}
@@ -65,6 +79,7 @@
     def late() -> Callable[[], bool]:
         looks.append(0)
         return lambda: True
+
     desk = Desk('Words { body: for x in range(1000), s = "" { s }, content_type: "text/plain" }', late=late)
     assert desk.refuse() == DEFAULT and desk.runner.counts == {"refusal late": 1} and looks == [0]
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -52,19 +52,47 @@
         self.clients: list[Line] = []
         self.servers: list[Line] = []
         self.feed: list[Line] = []
-        self.events: list[Line] = [{"t": 0.0, "what": "server", "server": n, "zone": "ab"[n % 2], "cell": n % 2}
-                                   for n in (1, 2, 3, 4)]
-
-    def tried(self, rid: str = "r1.0", at: float = 1000.0, cls: str = "read", customer: str = "basic-0-1",
-              door: int = 0, units: float = 1.0) -> None:
-        self.clients.append({"t": at, "what": "try", "rid": rid, "door": door, "customer": customer, "cls": cls,
-                             "units": units, "deadline_ms": 1000.0})
+        self.events: list[Line] = [
+            {"t": 0.0, "what": "server", "server": n, "zone": "ab"[n % 2], "cell": n % 2} for n in (1, 2, 3, 4)
+        ]
+
+    def tried(
+        self,
+        rid: str = "r1.0",
+        at: float = 1000.0,
+        cls: str = "read",
+        customer: str = "basic-0-1",
+        door: int = 0,
+        units: float = 1.0,
+    ) -> None:
+        self.clients.append(
+            {
+                "t": at,
+                "what": "try",
+                "rid": rid,
+                "door": door,
+                "customer": customer,
+                "cls": cls,
+                "units": units,
+                "deadline_ms": 1000.0,
+            }
+        )
 
     def got(self, at: float, status: int = 200, rid: str = "r1.0", what: str = "answer") -> None:
         self.clients.append({"t": at, "what": what, "rid": rid, "status": status, "reason": "", "advice": 0})
 
-    def visit(self, at: float, end: float | None = None, how: str = "ok", server: int = 1, attempt: int = 0,
-              rid: str = "r1.0", key: str = "", door: int = 0, customer: str = "") -> None:
+    def visit(
+        self,
+        at: float,
+        end: float | None = None,
+        how: str = "ok",
+        server: int = 1,
+        attempt: int = 0,
+        rid: str = "r1.0",
+        key: str = "",
+        door: int = 0,
+        customer: str = "",
+    ) -> None:
         told = {"rid": rid, "attempt": attempt, "server": server, "door": f"door-{door}"}
         self.servers.append({"t": at, "what": "arrive", "cls": "", "key": key, "customer": customer, **told})
         if how != "refused":
@@ -73,10 +101,19 @@
             ended = {"what": "closed"} if how == "closed" else {"what": "end", "how": how}
             self.servers.append({"t": end, **ended, **told})
 
-    def told(self, at: float, server: int, state: str, door: int = 0, started: float = 0.0,
-             scope: str = "changes") -> None:
-        self.feed.append({"t": at, "what": "told", "door": f"door-{door}", "index": 1, "scope": scope,
-                          "servers": [{"id": server, "state": state, "started": started}]})
+    def told(
+        self, at: float, server: int, state: str, door: int = 0, started: float = 0.0, scope: str = "changes"
+    ) -> None:
+        self.feed.append(
+            {
+                "t": at,
+                "what": "told",
+                "door": f"door-{door}",
+                "index": 1,
+                "scope": scope,
+                "servers": [{"id": server, "state": state, "started": started}],
+            }
+        )
 
     def judged(self) -> list[Breach]:
         traffic = gather(self.clients, self.servers, self.feed, self.events)
@@ -179,16 +216,19 @@
     assert story.judged() == []
 
 
-@pytest.mark.parametrize(("cls", "server", "at", "key", "broken"), [
-    ("pay", 3, 1100, "", True),  # unsafe: never
-    ("write", 3, 1100, "k", False),  # same zone, in the window
-    ("write", 2, 1100, "k", True),  # another zone
-    ("write", 3, 1431, "k", True),  # after the window
-    ("write", 3, 1100, "other", True),  # another key
-    ("write", 3, 1100, "", True),  # none
-    ("all", 2, 1100, "k", False),
-    ("read", 2, 1900, "", False),
-])
+@pytest.mark.parametrize(
+    ("cls", "server", "at", "key", "broken"),
+    [
+        ("pay", 3, 1100, "", True),  # unsafe: never
+        ("write", 3, 1100, "k", False),  # same zone, in the window
+        ("write", 2, 1100, "k", True),  # another zone
+        ("write", 3, 1431, "k", True),  # after the window
+        ("write", 3, 1100, "other", True),  # another key
+        ("write", 3, 1100, "", True),  # none
+        ("all", 2, 1100, "k", False),
+        ("read", 2, 1900, "", False),
+    ],
+)
 def test_repeats_follow_class_group_window_and_key(cls: str, server: int, at: float, key: str, broken: bool) -> None:
     story = Story()
     story.tried(cls=cls)
@@ -207,10 +247,17 @@
     assert story.judged() == []
 
 
-@pytest.mark.parametrize(("cls", "status", "broken"), [
-    ("pay", 503, True), ("pay", 429, True), ("pay", 502, False), ("write", 503, True), ("all", 503, False),
-    ("read", 503, False),
-])
+@pytest.mark.parametrize(
+    ("cls", "status", "broken"),
+    [
+        ("pay", 503, True),
+        ("pay", 429, True),
+        ("pay", 502, False),
+        ("write", 503, True),
+        ("all", 503, False),
+        ("read", 503, False),
+    ],
+)
 def test_a_refusal_promises_that_a_repeat_does_no_harm(cls: str, status: int, broken: bool) -> None:
     story = Story()
     story.tried(cls=cls)
@@ -294,6 +341,7 @@
         for on, at in ((True, 1100.0), (False, to)):
             made.events.append({"t": at, "what": "trouble", "name": "NET_CUT", "on": on, "ways": ways, "targets": []})
         return made
+
     assert story().rules() == {DOUBLE}
     assert story(("server-1", "door-0")).rules() == {DOUBLE}  # resets get through
     assert story(("door-0", "server-2")).rules() == {DOUBLE}
@@ -304,6 +352,7 @@
 
 def test_what_a_cut_held_is_not_sent_to_a_draining_server_after_the_notice() -> None:
     """Grace 500 ms, slack 20."""
+
     def story(at: float = 1000, since: float = 1050, to: float = 1900, sink: str = "server-1") -> Story:
         made = Story()
         made.told(1100, 1, "draining")
@@ -311,9 +360,11 @@
         made.visit(1980, 1990, server=1)
         made.got(1995)
         for on, when in ((True, since), (False, to)):
-            made.events.append({"t": when, "what": "trouble", "name": "NET_CUT", "on": on, "targets": [],
-                                "ways": [("door-*", sink)]})
+            made.events.append(
+                {"t": when, "what": "trouble", "name": "NET_CUT", "on": on, "targets": [], "ways": [("door-*", sink)]}
+            )
         return made
+
     assert story().rules() == set()
     assert story(sink="server-2").rules() == {DRAINS}
     assert story(at=1700).rules() == {DRAINS}  # it came to its door after the grace
@@ -340,10 +391,15 @@
     story = sound()  # sent at 1010, its try made at 1000 with 1000 ms to go
     story.servers[0]["customer"] = "basic-0-1"
     traffic = gather(story.clients, story.servers, story.feed, story.events)
-    for verdicts, broken in (([verdict(1005)], False), ([], True), ([verdict(1005, 403)], True),
-                             ([verdict(1040)], True),  # it came too late, by more than the clocks' slack
-                             ([verdict(1005, customer="basic-0-2")], True),
-                             ([verdict(-2000, keep_s=1)], True), ([verdict(-2000, keep_s=3)], False)):
+    for verdicts, broken in (
+        ([verdict(1005)], False),
+        ([], True),
+        ([verdict(1005, 403)], True),
+        ([verdict(1040)], True),  # it came too late, by more than the clocks' slack
+        ([verdict(1005, customer="basic-0-2")], True),
+        ([verdict(-2000, keep_s=1)], True),
+        ([verdict(-2000, keep_s=3)], False),
+    ):
         assert bool(list(checked(traffic, verdicts, 20.0))) is broken, verdicts
     story.servers[0]["customer"] = "basic-0-2"
     [breach] = checked(gather(story.clients, story.servers, story.feed, story.events), [verdict(1005)], 20.0)
@@ -358,8 +414,13 @@
     story = sound()
     story.visit(1100, 1105, attempt=1, server=2)
     (tmp_path / "day.txtpb").write_text(DAY)
-    for name, lines in (("clients", story.clients), ("server-0", story.servers), ("feed", story.feed),
-                        ("events", story.events), ("redis", [])):
+    for name, lines in (
+        ("clients", story.clients),
+        ("server-0", story.servers),
+        ("feed", story.feed),
+        ("events", story.events),
+        ("redis", []),
+    ):
         text = "".join(json.dumps(line) + "\n" for line in lines)
         (tmp_path / f"{name}.jsonl").write_text(text + '{"t": 5, "wh')  # cut off by a kill
     result = report.judge_folder(tmp_path)
@@ -390,10 +451,13 @@
     traffic = gather(story.clients, story.servers, story.feed, story.events)
     once = ("r1.0", "basic-0-1", 1.0)
     assert list(recorded(traffic, [once])) == []
-    for exported, told in (([], "not recorded"), ([once, once], "recorded 2 times"),
-                           ([once, ("r9.0", "basic-0-1", 1.0)], "no client made it"),
-                           ([("r1.0", "basic-0-2", 1.0)], "recorded for basic-0-2"),
-                           ([("r1.0", "basic-0-1", 3.0)], "with 3 units")):
+    for exported, told in (
+        ([], "not recorded"),
+        ([once, once], "recorded 2 times"),
+        ([once, ("r9.0", "basic-0-1", 1.0)], "no client made it"),
+        ([("r1.0", "basic-0-2", 1.0)], "recorded for basic-0-2"),
+        ([("r1.0", "basic-0-1", 3.0)], "with 3 units"),
+    ):
         [breach] = recorded(traffic, exported)
         assert breach.rule == RECORDED and told in breach.text
     story = Story()
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -27,8 +27,14 @@
 class Fleet:
     """Places in one loop, and a membership that always knows."""
 
-    def __init__(self, folder: Path, names: str, founders: str = "abc", groups: tuple[str, ...] = ("g-0", "g-1"),
-                 final_ms: float = 300.0) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        names: str,
+        founders: str = "abc",
+        groups: tuple[str, ...] = ("g-0", "g-1"),
+        final_ms: float = 300.0,
+    ) -> None:
         self.folder, self.names = folder, list(names)
         self.where: dict[str, tuple[str, int]] = {}
         self.keepers: dict[str, Keeper] = {}
@@ -47,8 +53,15 @@
     async def start(self, *names: str) -> None:
         for name in names:
             keeper = self.keepers[name] = Keeper(
-                name, self.folder / name, self.folder / f"{name}-witness", self.holding, lambda group: Sum(),
-                self.places, lambda event, fields: self.notes.append((event, fields)), QUICK)
+                name,
+                self.folder / name,
+                self.folder / f"{name}-witness",
+                self.holding,
+                lambda group: Sum(),
+                self.places,
+                lambda event, fields: self.notes.append((event, fields)),
+                QUICK,
+            )
             links = self.links[name] = Links("f", name, lambda: KEYS, self.where.get, keeper.word, keeper.nobody)
             host, port = self.where.get(name, ("127.0.0.1", 0))
             self.where[name] = host, await links.start(host, port)
@@ -113,18 +126,24 @@
         assert await fleet.add("g-0", 100) == 120
         await fleet.start("b")
         assert any(event == "not a founder" for event, _ in fleet.notes)
-        await fleet.until(lambda: fleet.total("b", "g-0") == 120 and all(
-            fleet.at(group) == ["a", "b", "c"] for group in fleet.holding.groups))
+        await fleet.until(
+            lambda: (
+                fleet.total("b", "g-0") == 120
+                and all(fleet.at(group) == ["a", "b", "c"] for group in fleet.holding.groups)
+            )
+        )
         host = await fleet.leader("g-0")
         assert old not in host.copy.config.everyone and len(host.copy.config.voters) == 3
         await fleet.kill("c")
         assert await fleet.add("g-0") == 121  # the new copy counts
         await fleet.stop()
+
     run(test(), LONG_S)
 
 
 def test_an_old_disk_that_knows_only_lost_copies_still_finds_whom_to_ask(tmp_path: Path) -> None:
     """Those that it has to hear came after its disk was copied."""
+
     async def test() -> None:
         fleet = Fleet(tmp_path, "abc", groups=("g-0",), final_ms=3_600_000.0)
         await fleet.start(*"abc")
@@ -142,11 +161,13 @@
         assert host is not None and not host.copy.proven
         await fleet.until(lambda: host.copy.proven and fleet.total("c", "g-0") == total)
         await fleet.stop()
+
     run(test(), LONG_S)
 
 
 def test_another_place_takes_over_what_is_lost_for_good_and_the_lost_one_is_out_when_it_comes_back(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         fleet = Fleet(tmp_path, "abcd")
         await fleet.start(*"abcd")
@@ -167,6 +188,7 @@
         assert any(event == "copy let go" for event, _ in fleet.notes)
         assert await fleet.add("g-0") == 8
         await fleet.stop()
+
     run(test(), LONG_S)
 
 
@@ -186,6 +208,7 @@
         await fleet.until(lambda: fleet.total("a", "g-0") == 10 and fleet.at("g-0") == ["a", "b", "c"])
         assert list((tmp_path / "a" / "groups").glob("g-0.damaged.*"))
         await fleet.stop()
+
     run(test(), LONG_S)
 
 
@@ -214,6 +237,7 @@
         assert keeper.host("g-0") is None
         await fleet.until(lambda: fleet.total("b", "g-0") == 1 and fleet.at("g-0") == ["a", "b", "c"])
         await fleet.stop()
+
     run(test(), LONG_S)
 
 
@@ -225,12 +249,20 @@
         await fleet.start(*"abcd")
         for group in fleet.holding.groups:
             await fleet.add(group)
-        deaf = Keeper("e", tmp_path / "e", tmp_path / "e-w", fleet.holding, lambda group: Sum(), fleet.places,
-                      lambda event, fields: None)
+        deaf = Keeper(
+            "e",
+            tmp_path / "e",
+            tmp_path / "e-w",
+            fleet.holding,
+            lambda group: Sum(),
+            fleet.places,
+            lambda event, fields: None,
+        )
         fleet.keepers["e"] = deaf  # present, but nobody listens there
         await fleet.kill("a", wipe=True)
         await fleet.until(lambda: all(fleet.at(group) == ["b", "c", "d"] for group in fleet.holding.groups))
         assert all([await fleet.add(group) == 2 for group in fleet.holding.groups])
         del fleet.keepers["e"]
         await fleet.stop()
+
     run(test(), LONG_S)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -11,7 +11,7 @@
 
 from martenstep.config.generate import ROOT
 
-TESTS = '''
+TESTS = """
 import pathlib
 
 def test_red():
@@ -25,7 +25,7 @@
     before = runs.read_text() if runs.exists() else ""
     runs.write_text(before + "x")
     assert before != "x"
-'''
+"""
 
 
 def ran(tmp_path: Path, listed: str, *more: str) -> tuple[int, str]:
@@ -47,15 +47,18 @@
     assert "KNOWN RED tests/test_it.py::test_red: two faults (issue 7)" in out
 
 
-@pytest.mark.parametrize(("listed", "told"), [
-    ("", "assert 1 == 2"),
-    ("tests/test_it.py::test_red | x | 7\ntests/test_it.py::test_green | x | 7\n", "it passed 3 times"),
-    ("tests/test_it.py::test_red | x | 7\ntests/test_it.py::test_gone | x | 7\n", "no test is named"),
-    ("tests/test_it.py::test_red | x | 7\ntests/test_gone.py::test_red | x | 7\n", "no test is named"),
-    ("tests/test_it.py::test_red\n", "line 1: expected"),
-    ("tests/test_it.py::test_red | x | 7\n" * 2, "twice"),
-    ("".join(f"tests/test_it.py::test_{n} | x | 7\n" for n in ("red", "a", "b", "c")), "4 lines, 3 at most"),
-])
+@pytest.mark.parametrize(
+    ("listed", "told"),
+    [
+        ("", "assert 1 == 2"),
+        ("tests/test_it.py::test_red | x | 7\ntests/test_it.py::test_green | x | 7\n", "it passed 3 times"),
+        ("tests/test_it.py::test_red | x | 7\ntests/test_it.py::test_gone | x | 7\n", "no test is named"),
+        ("tests/test_it.py::test_red | x | 7\ntests/test_gone.py::test_red | x | 7\n", "no test is named"),
+        ("tests/test_it.py::test_red\n", "line 1: expected"),
+        ("tests/test_it.py::test_red | x | 7\n" * 2, "twice"),
+        ("".join(f"tests/test_it.py::test_{n} | x | 7\n" for n in ("red", "a", "b", "c")), "4 lines, 3 at most"),
+    ],
+)
 def test_a_list_that_is_not_true_fails_the_run(tmp_path: Path, listed: str, told: str) -> None:
     status, out = ran(tmp_path, listed)
     assert status != 0 and told in out
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -88,7 +88,9 @@
                 listed = follower.take(body)
                 assert listed is not None
                 node._listed(listed)
+
             return take
 
         assert median_cost(LARGE, of_node) <= MAX_RATIO * median_cost(SMALL, of_node)
+
     run(test())
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -78,11 +78,15 @@
     assert result.ms(100) >= result.ms(50) > 0
 
 
-@pytest.mark.parametrize(("answer", "what", "good"), [
-    (b"HTTP/1.1 503 no\r\ncontent-length: 0\r\n\r\n", "503", True),
-    (b"HTTP/1.1 502 no\r\ncontent-length: 0\r\n\r\n", "502", False), (b"", "broken", False),
-    (b"nonsense\r\n\r\n", "broken", False),
-])
+@pytest.mark.parametrize(
+    ("answer", "what", "good"),
+    [
+        (b"HTTP/1.1 503 no\r\ncontent-length: 0\r\n\r\n", "503", True),
+        (b"HTTP/1.1 502 no\r\ncontent-length: 0\r\n\r\n", "502", False),
+        (b"", "broken", False),
+        (b"nonsense\r\n\r\n", "broken", False),
+    ],
+)
 def test_every_end_is_counted_as_what_it_is(answer: bytes, what: str, good: bool) -> None:
     with Back(1, answer).up() as back:
         result = loading.load(loading.Aim("127.0.0.1", back.port), 100.0, 0.2)
@@ -108,20 +112,38 @@
         made = loading.Result(rate, Counter({"200": 1000}))
         made.times.record_value(1000 if rate <= limit else 90_000)
         return made
+
     steps = loading.highest(run, 50.0, 10_000.0, 10.0, 0.001, 30)
     held = max((rate for rate, good, _ in steps if good), default=0.0)
     assert held <= limit and (held >= limit * 0.9 or limit < 50) and len(steps) < 30
-    fails = loading.highest(lambda rate: loading.Result(rate, Counter({"200": 90, "504": 10})), 50.0, 100.0, 1e9,
-                            0.001, 9)
+    fails = loading.highest(
+        lambda rate: loading.Result(rate, Counter({"200": 90, "504": 10})), 50.0, 100.0, 1e9, 0.001, 9
+    )
     assert not any(good for _, good, _ in fails)
 
 
 def test_the_command_tells_a_table_and_refuses_what_it_must(tmp_path: Path) -> None:
     with Back(1, GOOD).up() as back:
-        done = CliRunner().invoke(cli, ["load", str(back.port), "--rate", "50", "--seconds", "0.3", "--processes", "1",
-                                        "--header", "x-a: b"])
-        found = CliRunner().invoke(cli, ["load", str(back.port), "--rate", "40", "--seconds", "0.2", "--processes", "1",
-                                         "--until-p99", "60000", "--most", "80"])
+        done = CliRunner().invoke(
+            cli, ["load", str(back.port), "--rate", "50", "--seconds", "0.3", "--processes", "1", "--header", "x-a: b"]
+        )
+        found = CliRunner().invoke(
+            cli,
+            [
+                "load",
+                str(back.port),
+                "--rate",
+                "40",
+                "--seconds",
+                "0.2",
+                "--processes",
+                "1",
+                "--until-p99",
+                "60000",
+                "--most",
+                "80",
+            ],
+        )
     assert done.exit_code == 0 and "| 50 |" in done.output and "200 " in done.output
     assert found.exit_code == 0 and "highest with p99 below 60000 ms: 80 a second" in found.output
     for words in (["1", "--host", "192.0.2.1"], ["1", "--header", "x"], ["1", "--rate", "-1"], ["0"]):
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -54,12 +54,14 @@
 
 def reader_at(times: list[float]) -> WatchedReader:
     """A reader whose bytes come at these times."""
+
     class Clock:
         looked_ms = 0.0
 
         @property
         def arrived_ms(self) -> float:
             return times.pop(0)
+
     return WatchedReader(Clock())
 
 
@@ -69,6 +71,7 @@
         for data in (b"abcd", b"efgh", b"ijkl"):
             reader.feed_data(data)
         assert [reader.arrival(count) for count in (3, 4, 5, 8, 12)] == [100.0, 100.0, 200.0, 200.0, 300.0]
+
     run(test())
 
 
@@ -79,4 +82,5 @@
             reader.feed_data(b"x")
         assert len(reader._arrivals) <= 2000 * 0.1 / SAME_ARRIVAL_MS + 1
         assert reader.arrival(2000) == pytest.approx(199.9, abs=SAME_ARRIVAL_MS)
+
     run(test())
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -48,8 +48,9 @@
 class Desk:
     """A book, and time."""
 
-    def __init__(self, limits: Limits = WIDE, machines: tuple[Machine, ...] = MACHINES,
-                 groups: tuple[Group, ...] = ()) -> None:
+    def __init__(
+        self, limits: Limits = WIDE, machines: tuple[Machine, ...] = MACHINES, groups: tuple[Group, ...] = ()
+    ) -> None:
         self.book, self.now = Book(), 0.0
         self.tell(SetLimits(limits))
         self.tell(Sight(machines, groups))
@@ -62,8 +63,15 @@
         return self.tell(Ask(f"r{machine}", f"m{machine}", 5000.0, **more))
 
     def see(self, **unhealthy: bool) -> None:
-        self.tell(Sight(tuple(msgspec.structs.replace(one, healthy=unhealthy.get(one.name, True))
-                              for one in self.book.sight.machines), self.book.sight.groups))
+        self.tell(
+            Sight(
+                tuple(
+                    msgspec.structs.replace(one, healthy=unhealthy.get(one.name, True))
+                    for one in self.book.sight.machines
+                ),
+                self.book.sight.groups,
+            )
+        )
 
     def state(self, machine: int) -> State:
         return self.book.requests[f"r{machine}"].state
@@ -113,8 +121,9 @@
     desk.ask(0)
     assert desk.state(0) is State.WAITING and "50% of the capacity may be out, this would be 70%" in desk.why(0)
     assert "alone is" in Desk(Limits(3, 3, 0.35), heavy).ask(0).text
-    desk = Desk(WIDE, groups=(Group("counter-1", ("m0", "m1", "m4")),
-                              Group("counter-2", ("m2", "m5", "m3"), whole=False)))
+    desk = Desk(
+        WIDE, groups=(Group("counter-1", ("m0", "m1", "m4")), Group("counter-2", ("m2", "m5", "m3"), whole=False))
+    )
     desk.ask(0)
     desk.ask(1)
     desk.ask(2)
@@ -252,9 +261,14 @@
     st.builds(Ask, st.sampled_from("abcd"), st.sampled_from(["m0", "m1", "m2"]), st.sampled_from([0.0, 9.0])),
     st.builds(Start, st.sampled_from(["a", "b", "c"]), st.integers(0, 5)),
     st.builds(Done, st.sampled_from(["a", "b", "c"]), st.integers(0, 5), st.booleans()),
-    st.builds(Cancel, st.sampled_from("abc")), st.builds(GiveUp, st.sampled_from("ab")), st.just(Tick()),
-    st.builds(lambda healthy: Sight(tuple(Machine(f"m{number}", "a", healthy=well) for number, well in
-                                          enumerate(healthy))), st.tuples(st.booleans(), st.booleans(), st.booleans())))
+    st.builds(Cancel, st.sampled_from("abc")),
+    st.builds(GiveUp, st.sampled_from("ab")),
+    st.just(Tick()),
+    st.builds(
+        lambda healthy: Sight(tuple(Machine(f"m{number}", "a", healthy=well) for number, well in enumerate(healthy))),
+        st.tuples(st.booleans(), st.booleans(), st.booleans()),
+    ),
+)
 
 
 @given(st.lists(st.tuples(st.floats(0, 1e5), WHATS), max_size=40), st.integers(0, 40))
@@ -347,8 +361,10 @@
         self.out.append(Leave(self.request))
 
 
-@pytest.mark.parametrize("flaw", [TokenNotChecked, TokenAgain, GivenUpAtOnce, BackAtOnce, DoneByAnybody, EndsTwice,
-                                  LeaseFromAnswer, LeavesUnheard])
+@pytest.mark.parametrize(
+    "flaw",
+    [TokenNotChecked, TokenAgain, GivenUpAtOnce, BackAtOnce, DoneByAnybody, EndsTwice, LeaseFromAnswer, LeavesUnheard],
+)
 def test_the_judge_sees_a_flaw(flaw: Any) -> None:
     with pytest.raises(BrokenError):
         for seed in range(60):
--- a/tests/test_maintenance_rig.py
+++ b/tests/test_maintenance_rig.py
@@ -16,8 +16,10 @@
 
 BOUND_S = 150.0
 SLOTS = 2
-TEXT = ('name: "roll" members: 4 zones: 2 seeds: 2 period_ms: 100 suspect_least_ms: 2000 slots: 2 final_ms: 600000 '
-        "maintenance: true")
+TEXT = (
+    'name: "roll" members: 4 zones: 2 seeds: 2 period_ms: 100 suspect_least_ms: 2000 slots: 2 final_ms: 600000 '
+    "maintenance: true"
+)
 
 
 class Roll:
@@ -33,8 +35,9 @@
         """One command, over a door that runs."""
         process = self.rig._places[self.running()[0]].process
         assert process is not None
-        return await asyncio.to_thread(CliRunner().invoke, cli, [
-            "maintenance", *words, "--admin", f"127.0.0.1:{process.ready['admin']}"])
+        return await asyncio.to_thread(
+            CliRunner().invoke, cli, ["maintenance", *words, "--admin", f"127.0.0.1:{process.ready['admin']}"]
+        )
 
     async def book(self) -> dict[str, Any]:
         while True:
@@ -97,4 +100,5 @@
             await roll.rig.close()
         assert promises[0].told > 0
         assert promises[0].judge(roll.rig.copies_folders()) == []
+
     asyncio.run(test())
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -54,8 +54,10 @@
     assert listed and follower.index == 3
 
 
-@pytest.mark.parametrize("body", [b"", b"{}", b"[1]", b'{"index": "x"}',
-                                  answer(1, "other"), answer(1, "full", {**entry(1), "state": "maybe"})])
+@pytest.mark.parametrize(
+    "body",
+    [b"", b"{}", b"[1]", b'{"index": "x"}', answer(1, "other"), answer(1, "full", {**entry(1), "state": "maybe"})],
+)
 def test_what_is_no_list_is_turned_down_and_the_old_one_stays(body: bytes) -> None:
     follower = Follower()
     follower.take(answer(5, "full", entry(1)), 0.0)
@@ -89,8 +91,7 @@
     follower.take(answer(6, "changes", entry(3, "gone"), entry(2, "draining")), 50_000.0)
     fresh = Follower()
     warm = fresh.warm(follower.copy(1_000_000.0), 10_000.0, 1_004_000.0)
-    assert warm.scope is Scope.WARM_COPY and {s.id: s.state for s in warm.servers} == {
-        1: State.UP, 2: State.DRAINING}
+    assert warm.scope is Scope.WARM_COPY and {s.id: s.state for s in warm.servers} == {1: State.UP, 2: State.DRAINING}
     assert warm.servers[0].started_ms == 5_000.0 and fresh.index == 0  # the whole list is asked for
     with pytest.raises(FeedError):
         fresh.warm(b"half a fi", 0.0, 0.0)
@@ -141,6 +142,7 @@
             assert [s.id for s in (await told.until(Scope.CHANGES)).servers] == [2, 3]
             assert len(told.lists) == 3
             assert sorted(e["id"] for e in json.loads((tmp_path / "warm.json").read_bytes())["servers"]) == [1, 2, 3]
+
     run(test())
 
 
@@ -158,6 +160,7 @@
             assert [s.id for s in (await told.until(Scope.CHANGES)).servers] == [9]
             assert told.notes == ["feed lost", "feed back"]
             assert told.feed.backoff.next_ms == AGAIN_LEAST_MS  # the next loss is as short as the first
+
     run(test())
 
 
@@ -169,6 +172,7 @@
             assert len((await told.until(Scope.FULL, 2)).servers) == 1
             server.control("partial", {"share": 0.0})
             assert len((await told.until(Scope.FULL, 3)).servers) == 2
+
     run(test())
 
 
@@ -178,4 +182,5 @@
         async with followed(tmp_path) as (_, told):
             assert told.notes == ["warm copy unusable"] and not told.lists[0].servers
             assert len((await told.until(Scope.FULL)).servers) == 2
+
     run(test())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -50,8 +50,12 @@
 
     async def start(self, name: str, **more: Any) -> Membership:
         seeds = [door.port for door in self.doors.values()][:1]
-        made = Membership(settings(self.folder, name, seeds, **more), name, "a",
-                          lambda event, fields: self.lines.append((event, fields)))
+        made = Membership(
+            settings(self.folder, name, seeds, **more),
+            name,
+            "a",
+            lambda event, fields: self.lines.append((event, fields)),
+        )
         await made.start()
         self.doors[name] = made
         return made
@@ -92,6 +96,7 @@
         mine = next(one for one in first["members"] if one["name"] == "d2")
         assert f"{core.me.identity:016x}" == mine["identity"] and core.me.incarnation > mine["incarnation"]
         await fleet.stop()
+
     run(test())
 
 
@@ -111,6 +116,7 @@
         await fleet.until(lambda: fleet.all_hold(State.ALIVE, "d3"))
         assert again.core is not None and again.core.me.identity != old and again.core.me.era == 1
         await fleet.stop()
+
     run(test())
 
 
@@ -134,6 +140,7 @@
         fleet.doors["d0"].renew()
         assert fleet.lines[-1][0] == "fleet keys not taken up" and "line 1" in fleet.lines[-1][1]["error"]
         await fleet.stop()
+
     run(test())
 
 
@@ -151,6 +158,7 @@
             writer.close()
         assert door.core.counts["dropped_stream_mac"] == 1 and door.core.counts["dropped_stream_length"] == 1
         await fleet.stop()
+
     run(test())
 
 
@@ -176,12 +184,17 @@
         watched = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "watch", "--admin", at, "--times", "1"])
         assert "d0 is gone" in watched.output
         assert b"martenstep_fleet_members_left 1" in admin.answer("/metrics")[2]
-        for path, status in (("/members?after=x", 400), ("/members?wait_ms=1e9", 400), ("/members/no", 404),
-                             ("/members/leave", 405)):
+        for path, status in (
+            ("/members?after=x", 400),
+            ("/members?wait_ms=1e9", 400),
+            ("/members/no", 404),
+            ("/members/leave", 405),
+        ):
             with pytest.raises(ValueError, match=str(status)):
                 await ask(port, path)
         admin.stop()
         await fleet.stop()
+
     run(test())
 
 
@@ -191,10 +204,15 @@
     assert CliRunner().invoke(cli, ["members", "show", "--admin", "x"]).exit_code == 2
 
 
-@pytest.mark.parametrize(("text", "told"), [
-    ("", "expected 1 to 4 keys"), ("zz", "line 1: not hex"), ("ab", "line 1: expected at least 16 bytes"),
-    ("é", "not hex"),
-])
+@pytest.mark.parametrize(
+    ("text", "told"),
+    [
+        ("", "expected 1 to 4 keys"),
+        ("zz", "line 1: not hex"),
+        ("ab", "line 1: expected at least 16 bytes"),
+        ("é", "not hex"),
+    ],
+)
 def test_keys_that_cannot_be_used_are_told_and_never_shown(tmp_path: Path, text: str, told: str) -> None:
     file = tmp_path / "keys"
     file.write_text(text, encoding="utf-8")
@@ -205,7 +223,8 @@
 
 
 def test_an_identity_is_kept_raised_at_each_start_and_never_keeps_a_door_from_starting(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rng = random.Random(1)
     with Disk(tmp_path / "a") as disk:
         first, wrong = identity.take_up(disk, rng)
@@ -228,11 +247,21 @@
 
 def test_faults_of_the_fleets_settings_are_told_by_field() -> None:
     with pytest.raises(Faults) as told:
-        parse_door(DOOR + 'fleet { host: "0.0.0.0" period_ms: 100 ack_ms: 80 suspect_least_ms: 5 seed { } '
-                          'way { to { port: 1 } } }\nworkers { count: 2 }', "d")
+        parse_door(
+            DOOR + 'fleet { host: "0.0.0.0" period_ms: 100 ack_ms: 80 suspect_least_ms: 5 seed { } '
+            "way { to { port: 1 } } }\nworkers { count: 2 }",
+            "d",
+        )
     text = str(told.value)
-    for field in ("fleet.cluster", "fleet.key_file", "fleet.advertise", "fleet.ack_ms", "fleet.suspect_least_ms",
-                  "fleet.seed[0].port", "fleet.way[0].through.port"):
+    for field in (
+        "fleet.cluster",
+        "fleet.key_file",
+        "fleet.advertise",
+        "fleet.ack_ms",
+        "fleet.suspect_least_ms",
+        "fleet.seed[0].port",
+        "fleet.way[0].through.port",
+    ):
         assert field in text, (field, text)
     assert "several workers" in text
     assert json.dumps(text)
--- a/tests/test_node_counter.py
+++ b/tests/test_node_counter.py
@@ -35,10 +35,22 @@
     assert answers == [(1, Verdict.OK, 7.5), (2, Verdict.FULL, 0.0), (3, Verdict.OK, -1.0), (4, Verdict.FULL, 0.0)]
 
 
-@pytest.mark.parametrize("noise", [
-    b"$3\r\nabc\r\n", b"$3\r\nnan\r\n", b"$3\r\ninf\r\n", b":5\r\n", b"+OK\r\n", b"$-1\r\n", b"$x\r\n", b"x" * 600,
-    b"$9999999\r\n", b"$1\r\n5xx", b"\r\n",
-])
+@pytest.mark.parametrize(
+    "noise",
+    [
+        b"$3\r\nabc\r\n",
+        b"$3\r\nnan\r\n",
+        b"$3\r\ninf\r\n",
+        b":5\r\n",
+        b"+OK\r\n",
+        b"$-1\r\n",
+        b"$x\r\n",
+        b"x" * 600,
+        b"$9999999\r\n",
+        b"$1\r\n5xx",
+        b"\r\n",
+    ],
+)
 def test_what_is_no_answer_leaves_all_that_is_out_in_doubt(noise: bytes) -> None:
     made, answers = lane(1, 2, 3)
     made.feed(b"$1\r\n5\r\n")
@@ -80,6 +92,7 @@
         assert sorted(answers) == [(call, Verdict.OK, float(call)) for call in range(1, 9)]
         made.stop()
         back.stop()
+
     run(test())
 
 
@@ -94,6 +107,7 @@
             await asyncio.sleep(0.001)
         assert answers == [(1, Verdict.CONNECT_FAILED, 0.0)] and Verdict.CONNECT_FAILED.never_ran
         made.stop()
+
     run(test())
 
 
@@ -134,4 +148,5 @@
         made.stop()
         before.stop()
         after.stop()
+
     run(test())
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -49,11 +49,13 @@
 
 def holding(gate: asyncio.Event) -> Script:
     """A backend whose answers wait for the gate."""
+
     async def script(peer: Peer) -> None:
         while True:
             await peer.head()
             await gate.wait()
             await peer.answer()
+
     return script
 
 
@@ -80,6 +82,7 @@
 @pytest.mark.parametrize("coding", ["", "connection: close\r\n"])
 def test_a_reset_is_no_end_of_an_answer_without_a_length(tmp_path: Path, coding: str) -> None:
     """Broken on the users' narrow days `split` and `zone`: half an answer was served as a whole one."""
+
     async def cuts(peer: Peer) -> None:
         await peer.head()
         await peer.write(f"HTTP/1.1 200 OK\r\n{coding}\r\nhalf of ")
@@ -90,6 +93,7 @@
             status, _, body = await door.ask(request(1))
             assert status == 503 and b"half" not in body, "safe to repeat: tried again, then refused"
             assert door.node.engine.verdicts == {"reset": 3}
+
     run(test())
 
 
@@ -106,11 +110,13 @@
             assert "transfer-encoding: chunked" in await peer.head()
             assert await peer.read(9 + 3 + 2 + 5) == b"9\r\nall of it\r\n0\r\n\r\n"
             peer.close()
+
     run(test())
 
 
 def test_a_reset_breaks_a_long_answer_without_a_length_at_its_client_too(tmp_path: Path) -> None:
     """More than is held back has been passed on: the client must be able to tell that it is not whole."""
+
     async def cuts(peer: Peer) -> None:
         await peer.head()
         await peer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 600_000)
@@ -122,12 +128,14 @@
             await peer.write(request(1))
             assert not (await peer.rest()).endswith(b"0\r\n\r\n")
             assert door.node.engine.verdicts.get("ok") is None
+
     run(test())
 
 
 @pytest.mark.parametrize("rests", [True, False])
 def test_a_second_answer_that_is_late_is_not_the_next_requests(tmp_path: Path, rests: bool) -> None:
     """It was on its way as the next request was written to the same connection: no poll before the write sees it."""
+
     async def twice(peer: Peer) -> None:
         last = ""
         while True:
@@ -148,6 +156,7 @@
             assert body == (b"%016x" % (2 if rests else 1)), "and without its rest the connection is reused"
             assert door.node.driver.pool.opened == (2 if rests else 1)
             peer.close()
+
     run(test())
 
 
@@ -158,11 +167,13 @@
             for number in range(3 * door.node.config.upstream.all_connections):
                 assert (await door.ask(request(number)))[0] == 200
             assert door.node.driver.pool.connections <= door.node.config.upstream.connections
+
     run(test())
 
 
 def test_a_connection_with_unsent_bytes_is_not_used_again() -> None:
     """The server answered before it had all of the request."""
+
     async def test() -> None:
         async def silent(peer: Peer) -> None:
             await asyncio.Event().wait()
@@ -176,11 +187,13 @@
         pool.put(upstream)
         assert pool.connections == 0 and pool.take(address) is None
         back.stop()
+
     run(test())
 
 
 def test_a_given_up_attempt_has_ended_before_the_next_one_is_written() -> None:
     """The transport closes a turn of the loop later: until then two attempts of one request would be out."""
+
     async def test() -> None:
         ends: list[socket.socket] = []
 
@@ -200,6 +213,7 @@
         pool.drop(upstream)
         assert poll.poll(0), "in the same turn of the loop"
         back.stop()
+
     run(test())
 
 
@@ -214,6 +228,7 @@
             for writer in (client.writer, upstream.writer):
                 assert writer.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             peer.close()
+
     run(test())
 
 
@@ -223,6 +238,7 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_no_attempt_begins_for_a_client_that_went_while_the_loop_was_busy(tmp_path: Path, how: str) -> None:
     """Its end is in the kernel, unread, as an attempt ends and the module wants another."""
+
     async def holds(peer: Peer) -> None:
         await peer.head()
         await asyncio.Event().wait()
@@ -239,11 +255,13 @@
             driver._failed(flight, Ending.CLOSED)
             assert driver.counts["attempts"] == 1 and door.node.engine.answers == {"client left": 1}
             await until(lambda: not driver.flights)
+
     run(test())
 
 
 def test_a_client_that_sent_much_and_went_is_known_to_have_gone(tmp_path: Path) -> None:
     """Reading stood still behind so much that neither its end nor a reset was heard while its request was out."""
+
     async def holds(peer: Peer) -> None:
         await peer.head()
         await asyncio.Event().wait()
@@ -258,6 +276,7 @@
             peer.close()
             await until(lambda: door.node.engine.answers == {"client left": 1})
             await until(lambda: not door.node.driver.clients)
+
     run(test())
 
 
@@ -269,6 +288,7 @@
             for _ in range(100):
                 assert (await peer.response())[0] == 200
             peer.close()
+
     run(test())
 
 
@@ -304,11 +324,13 @@
             await ended.wait()
             await until(lambda: not door.node.driver.flights)
             assert heads == [] and pool.connections == 0
+
     run(test())
 
 
 def test_a_dial_that_crosses_its_clients_end_is_kept_for_another(tmp_path: Path) -> None:
     """The end is in the kernel as the connection comes up."""
+
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             driver = door.node.driver
@@ -324,6 +346,7 @@
             await until(lambda: door.node.engine.answers == {"client left": 1})
             assert door.node.engine.verdicts == {"moot": 1}, "nothing was written, and nothing is held against it"
             assert driver.pool.connections == 1
+
     run(test())
 
 
@@ -336,8 +359,10 @@
         await peer.answer()
 
     async def test() -> None:
-        patient = {**settings(dial_timeout_ms=LONG_MS),
-                   "classes": [{**one, "deadline_ms": LONG_MS} for one in SETTINGS["classes"]]}
+        patient = {
+            **settings(dial_timeout_ms=LONG_MS),
+            "classes": [{**one, "deadline_ms": LONG_MS} for one in SETTINGS["classes"]],
+        }
         async with place(tmp_path, notes, settings=patient) as door:
             driver, real, came = door.node.driver, door.node.driver.pool.dial, list[float]()
 
@@ -351,6 +376,7 @@
             [told] = [line for line in heads[0].splitlines() if line.startswith("x-expires-in-ms: ")]
             assert 0 < int(told.partition(": ")[2]) <= LONG_MS - 300
             assert heads[0].count("x-expires-in-ms") == 1
+
     run(test())
 
 
@@ -364,11 +390,11 @@
             taken.append(f"{name} {(await peer.head()).split()[1]}")
             await peer.answer(name)
             await peer.rest()
+
         return script
 
     async def test() -> None:
-        async with place(tmp_path, backend("s-0"), backend("s-1"),
-                         settings=settings(dial_timeout_ms=LONG_MS)) as door:
+        async with place(tmp_path, backend("s-0"), backend("s-1"), settings=settings(dial_timeout_ms=LONG_MS)) as door:
             node, gate, dialled = door.node, asyncio.Event(), list[tuple[str, int]]()
             real = node.driver.pool.dial
 
@@ -387,8 +413,11 @@
             await peer.write(request(1))
             await until(lambda: dialled)
             ports = [port for _, port in sorted(node.engine.addresses.values())]
-            uids = {at[1]: uid for uid, number in node._follower._numbers.items()
-                    if (at := node._follower.addresses[number])}
+            uids = {
+                at[1]: uid
+                for uid, number in node._follower._numbers.items()
+                if (at := node._follower.addresses[number])
+            }
             left = dialled[0][1]
             [stays] = set(ports) - {left}
             if how == "left out":
@@ -402,6 +431,7 @@
             gate.set()
             assert node.engine.verdicts == {"moot": 1, "ok": 1}, "held against nobody"
             peer.close()
+
     run(test())
 
 
@@ -427,6 +457,7 @@
             await until(lambda: not driver.clients)
             assert client.writer.transport.is_closing()
             peer.close()
+
     run(test())
 
 
@@ -459,6 +490,7 @@
 @pytest.mark.parametrize("way", ["idle", "room", "stop"])
 def test_a_request_that_has_come_as_its_connection_would_be_closed_is_served(tmp_path: Path, way: str) -> None:
     """It is in the kernel, unread: the close would reset the connection."""
+
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             driver = door.node.driver
@@ -478,6 +510,7 @@
                 assert await peer.rest() == b""
                 await stopping
             peer.close()
+
     run(test())
 
 
@@ -492,12 +525,14 @@
             peer = await raw.peer()
             assert (await peer.response())[0] == 200
             peer.close()
+
     run(test())
 
 
 @pytest.mark.parametrize("rest", ["", "the rest of its head\r\n\r\n", "x" * 30_000])
 def test_bytes_that_cross_the_end_of_half_a_request_do_not_eat_its_answer(tmp_path: Path, rest: str) -> None:
     """Its time is over as more of it stands in the kernel: the close was a reset."""
+
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             raw = Raw(door.port, request(1)[:-4])
@@ -512,6 +547,7 @@
             peer.close()
             await until(lambda: not door.node.driver.clients)
             assert not door.node.engine.answers, "nobody has it"
+
     run(test())
 
 
@@ -535,6 +571,7 @@
             assert status == 200 and "connection: close" in head and body.endswith(b"|room 5")
             assert await peer.rest() == b""
             await stopping
+
     run(test())
 
 
@@ -565,11 +602,13 @@
             assert len(heads) == 1 and raw.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
             peer.close()
             await until(lambda: not door.node.driver.clients)
+
     run(test())
 
 
 def test_bytes_that_cross_a_close_do_not_eat_the_answer_before_it(tmp_path: Path) -> None:
     """They reach the kernel between the answer's write and the close."""
+
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             raw = Raw(door.port)
@@ -587,11 +626,13 @@
             assert (await peer.response())[0] == 200
             assert await peer.reader.read() == b"", "an end, and no reset"
             peer.close()
+
     run(test())
 
 
 def test_a_request_to_a_full_house_is_answered_without_a_reset(tmp_path: Path) -> None:
     """It is in the kernel before the connection is accepted; closing over it would take the answer with it."""
+
     async def test() -> None:
         async with place(tmp_path, serves, limits={"sockets": 64}) as door:
             most = door.node.config.listener.max_connections
@@ -604,6 +645,7 @@
             assert await peer.reader.read() == b"", "an end, and no reset"
             for one in [peer, *young]:
                 one.close()
+
     run(test())
 
 
@@ -639,6 +681,7 @@
             assert [(await peer.response())[0] for peer in (safe, keyed, dialled)] == [503, 504, 503]
             await asyncio.sleep(0)
             assert len(heads) == 2 and driver.counts["attempts"] == 3
+
     run(test())
 
 
@@ -664,6 +707,7 @@
             client.since -= LONG_MS
             assert await peer.rest() == b"", "who idles is still found"
             assert [event for event, _ in lines] == ["fault"] and "nobody expected it" in lines[0][1]["error"]
+
     run(test())
 
 
@@ -679,11 +723,13 @@
             pool.dial = fails  # type: ignore[method-assign]
             assert (await door.ask(request(1)))[0] == 503
             assert door.node.engine.verdicts == {"connect failed": 3}
+
     run(test())
 
 
 def test_a_burst_of_connections_leaves_descriptors_for_dials(tmp_path: Path) -> None:
     """All are in the accept queue before the loop turns once: a turn that took them all would take every descriptor."""
+
     async def test() -> None:
         async with place(tmp_path, serves, limits={"sockets": 128}) as door:
             driver, most = door.node.driver, door.node.config.listener.max_connections
@@ -697,6 +743,7 @@
                     await asyncio.sleep(0)
                     peak = max(peak, len(os.listdir("/proc/self/fd")))
                 assert peak - before <= most + TURNED_AWAY + 5 * MAX_ACCEPTS, "and no more of those that are reserved"
+
     run(test())
 
 
@@ -712,12 +759,14 @@
             await until(lambda: len(door.node.engine.addresses) == 1)
             assert list(door.node.engine.addresses) == [2]
             assert (await door.ask(request(1)))[0] == 200
+
     run(test())
 
 
 @pytest.mark.parametrize("change", [{"boot_ms": 5}, {"port": 1}, {"state": "gone"}])
 def test_an_idle_connection_ends_with_the_process_it_was_made_to(tmp_path: Path, change: dict[str, Any]) -> None:
     """The same backend has started anew, is elsewhere, or has gone: nobody says so on the old connection."""
+
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             pool, node = door.node.driver.pool, door.node
@@ -729,11 +778,13 @@
                 assert listed is not None
                 node._listed(listed)
                 assert pool.connections == idle
+
     run(test())
 
 
 def test_a_connection_in_use_as_its_backend_goes_is_not_kept(tmp_path: Path) -> None:
     """Its address may be another's by the time its answer is whole."""
+
     async def test() -> None:
         gate = asyncio.Event()
 
@@ -753,11 +804,13 @@
             await peer.write(request(2))
             assert (await peer.response())[0] == 200 and pool.opened == 2 and pool.connections == 1
             peer.close()
+
     run(test())
 
 
 def test_an_answer_without_an_end_ends_with_its_clients_time(tmp_path: Path) -> None:
     """More than is held back has come: the deadline ran no longer, and the client waited for ever."""
+
     async def endless(peer: Peer) -> None:
         await peer.head()
         await peer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 300_000)
@@ -772,11 +825,13 @@
             await peer.write(request(1, X_Expires_In_Ms="1500"))
             assert not (await peer.rest()).endswith(b"0\r\n\r\n"), "it can tell that this is not whole"
             assert door.node.engine.answers == {"broken answer": 1} and door.node.engine.verdicts == {"timeout": 1}
+
     run(test())
 
 
 def test_who_stands_in_the_queue_as_the_listener_closes_is_answered(tmp_path: Path) -> None:
     """The connections came while the loop was busy until the very end of accepting."""
+
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             door.node.drain_plan = DrainPlan(30.0, LONG_MS, LONG_MS)
@@ -790,11 +845,13 @@
                 peer.close()
             stopping.cancel()
             door.node.driver.stopping = False
+
     run(test())
 
 
 def test_a_door_whose_list_is_in_doubt_refuses_at_once_and_sends_nothing(tmp_path: Path) -> None:
     """An attempt that is out stays so, and what it had learned of its backends is kept."""
+
     async def test() -> None:
         gate = asyncio.Event()
 
@@ -811,11 +868,13 @@
             node._listed(node._follower.whole())
             assert (await door.ask(request(3)))[0] == 200 and node.driver.pool.opened <= 2
             peer.close()
+
     run(test())
 
 
 def test_a_move_before_the_start_makes_one_follower_of_the_new_agent(tmp_path: Path) -> None:
     """A signal that came early is obeyed before the door asks for the first time."""
+
     async def test() -> None:
         asked: list[str] = []
 
@@ -833,6 +892,7 @@
         assert back.connections == 1 and "after=1&" in asked[1]
         made.stop()
         back.stop()
+
     run(test())
 
 
@@ -860,6 +920,7 @@
             status, _, _ = await door.ask(request(1, "book", method="POST", body="x"))
             assert status == 503 and len(heads) == 1 and len(dials) == 2
             assert door.node.engine.verdicts == {"reset": 1, "connect failed": 1}
+
     run(test())
 
 
@@ -888,4 +949,5 @@
             else:
                 await until(lambda: client.writer.transport.get_extra_info("socket").fileno() < 0)
                 raw.socket.close()
+
     run(test())
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -73,10 +73,19 @@
     assert len(follower._numbers) == len(follower.addresses) == 1
 
 
-@pytest.mark.parametrize("body", [
-    b"", b"{", b"[]", b"{}", told(1, False, target("s-a")), told(1, True, {"uid": "s-a"}),
-    told(1, True, target("s-a", state="odd")), told(1, True, target("s-a", endpoint="nowhere")),
-])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"{",
+        b"[]",
+        b"{}",
+        told(1, False, target("s-a")),
+        told(1, True, {"uid": "s-a"}),
+        told(1, True, target("s-a", state="odd")),
+        told(1, True, target("s-a", endpoint="nowhere")),
+    ],
+)
 def test_what_is_no_list_is_told(body: bytes) -> None:
     with pytest.raises(DiscoveryError):
         Follower().take(body)
@@ -111,8 +120,9 @@
         first, second = Back(agent), Back(other)
         lists: list[Listed] = []
         notes: list[str] = []
-        made = Discovery(("127.0.0.1", await first.start()), Follower(), lists.append,
-                         lambda event, fields: notes.append(event))
+        made = Discovery(
+            ("127.0.0.1", await first.start()), Follower(), lists.append, lambda event, fields: notes.append(event)
+        )
         made.start()
         while len(lists) < 2:
             await asyncio.sleep(0.001)
@@ -124,6 +134,7 @@
         made.stop()
         first.stop()
         second.stop()
+
     run(test())
 
 
@@ -154,20 +165,28 @@
         assert asked[2:4] == ["/catalog/members?after=0&wait_ms=0"] * 2, "what changed, at once, on one after the other"
         made.stop()
         back.stop()
+
     run(test())
 
 
-@pytest.mark.parametrize("body", [
-    '{"rev": 1e999, "all": true, "targets": []}', '{"rev": 1, "all": "false", "targets": []}',
-    '{"rev": 1, "all": true, "targets": ["s-a"]}', '{"rev": 1, "all": true, "targets": [["uid"]]}',
-    '{"rev": 1, "all": true, "targets": [null]}', '{"rev": 1, "all": true, "targets": {"uid": 1}}',
-    "[" * 100_000, json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", state=["ready"])]}),
-    json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", boot_ms=float("inf"))]}),
-    json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", capacity_hint=float("nan"))]}),
-    json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", pod_group=1e999)]}),
-    json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", endpoint="host.svc:80")]}),
-    json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), {**target("s-c"), "uid": 7}]}),
-])
+@pytest.mark.parametrize(
+    "body",
+    [
+        '{"rev": 1e999, "all": true, "targets": []}',
+        '{"rev": 1, "all": "false", "targets": []}',
+        '{"rev": 1, "all": true, "targets": ["s-a"]}',
+        '{"rev": 1, "all": true, "targets": [["uid"]]}',
+        '{"rev": 1, "all": true, "targets": [null]}',
+        '{"rev": 1, "all": true, "targets": {"uid": 1}}',
+        "[" * 100_000,
+        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", state=["ready"])]}),
+        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", boot_ms=float("inf"))]}),
+        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", capacity_hint=float("nan"))]}),
+        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", pod_group=1e999)]}),
+        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", endpoint="host.svc:80")]}),
+        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), {**target("s-c"), "uid": 7}]}),
+    ],
+)
 def test_of_what_cannot_be_read_nothing_is_taken_in(body: str) -> None:
     follower = Follower()
     follower.take(told(4, True, target("s-a", 11)))
@@ -205,9 +224,12 @@
     assert listed.addresses == {2: ("127.0.0.1", 12), 3: ("127.0.0.1", 13)}
 
 
-async def _followed(script: Callable[[Peer], Awaitable[None]], wanted: int,
-                    tell: Callable[[Listed], None] | None = None,
-                    timing: Timing = AGENT) -> tuple[list[Listed], list[str]]:
+async def _followed(
+    script: Callable[[Peer], Awaitable[None]],
+    wanted: int,
+    tell: Callable[[Listed], None] | None = None,
+    timing: Timing = AGENT,
+) -> tuple[list[Listed], list[str]]:
     """What is told of an agent until so many lists have come, and what is noted."""
     back = Back(script)
     lists: list[Listed] = []
@@ -218,8 +240,9 @@
         if tell is not None:
             tell(listed)
 
-    made = Discovery(("127.0.0.1", await back.start()), Follower(), take, lambda event, fields: notes.append(event),
-                     timing)
+    made = Discovery(
+        ("127.0.0.1", await back.start()), Follower(), take, lambda event, fields: notes.append(event), timing
+    )
     made.start()
     while len(lists) < wanted:
         await asyncio.sleep(0.001)
@@ -251,6 +274,7 @@
         assert watch >= 2 and set(turns[:watch]) == {"/catalog/members"}, "there was no list yet"
         assert turns[watch + 1] == "/catalog/members?after=1&wait_ms=0", "what changed since the list that there is"
         assert notes.count("discovery lost") == 2
+
     run(test())
 
 
@@ -264,7 +288,7 @@
         body = answer(told(1, True, target("s-a")))
         if len(turns) == 1:
             for place in range(len(body) - 1):
-                await peer.write(body[place:place + 1])
+                await peer.write(body[place : place + 1])
                 await asyncio.sleep(0.005)
             await peer.rest()
         await peer.write(body)
@@ -273,11 +297,13 @@
     async def test() -> None:
         lists, _ = await _followed(agent, 1, timing=Timing(60_000.0, 60_000.0, 60_000.0, 1500.0, 1.0, 1.0))
         assert len(turns) == 2 and len(lists) == 1
+
     run(test())
 
 
 def test_what_nobody_expected_does_not_end_the_watch() -> None:
     """The task ended, and the list stayed as it was for ever."""
+
     async def agent(peer: Peer) -> None:
         await peer.head()
         await peer.write(answer(told(1, True, target("s-a"))))
@@ -294,11 +320,13 @@
         lists, notes = await _followed(agent, 2, fails)
         assert lists[1].scope is Scope.FULL, "the whole list, since the first may not have been taken in"
         assert notes == ["fault", "discovery back"]
+
     run(test())
 
 
 def test_a_move_forgets_what_the_old_agent_was_about_to_tell(monkeypatch: pytest.MonkeyPatch) -> None:
     """The old answer has come and its task is to run in the next turn of the loop."""
+
     async def test() -> None:
         gate = asyncio.Event()
 
@@ -338,6 +366,7 @@
         made.stop()
         first.stop()
         second.stop()
+
     run(test())
 
 
@@ -359,6 +388,7 @@
     async def test() -> None:
         lists, notes = await _followed(late, 1, timing=Timing(0.0, 60_000.0, 10.0, 1500.0, 1.0, 1.0))
         assert len(lists) == 1 and len(asked) == 1 and not notes, "however short the rest of an answer may stand still"
+
     run(test())
 
 
@@ -381,8 +411,9 @@
 
     async def test() -> None:
         back, lists = Back(refuses), list[Listed]()
-        made = Discovery(("127.0.0.1", await back.start()), Follower(), lists.append, lambda event, fields: None,
-                         SERVICE)
+        made = Discovery(
+            ("127.0.0.1", await back.start()), Follower(), lists.append, lambda event, fields: None, SERVICE
+        )
         monkeypatch.setattr(asyncio, "sleep", sleep)
         made.start()
         while all(listed.scope is not Scope.FULL for listed in lists):
@@ -391,8 +422,9 @@
         made.stop()
         back.stop()
         least, most = SERVICE.backoff_ms, SERVICE.backoff_most_ms
-        gaps = [min(least * 2 ** turn, most) for turn in range(7)]
+        gaps = [min(least * 2**turn, most) for turn in range(7)]
         assert all(0.5 * gap <= waited <= 1.5 * gap for gap, waited in zip(gaps, waits, strict=True))
+
     run(test())
 
 
@@ -415,6 +447,7 @@
         assert [listed.scope for listed in lists] == [Scope.FULL, Scope.CHANGES]
         assert asked[0] == "/catalog/members" and all("after=1&" in target for target in asked[1:4])
         assert notes[:2] == ["discovery lost", "discovery back"]
+
     run(test())
 
 
@@ -534,7 +567,8 @@
 
 @pytest.mark.parametrize("ends", ["answered", "held"])
 def test_nobody_is_sent_to_by_a_list_that_discovery_refuses_to_renew(
-        monkeypatch: pytest.MonkeyPatch, ends: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, ends: str
+) -> None:
     """Broken on a site of our own, 47 times: whatever a service that can be reached has counts as told 6 s later."""
     monkeypatch.setattr(discovery, "TOLD_MS", 30.0)
     monkeypatch.setattr(discovery, "QUEUE_MS", 60.0 if ends == "held" else 60_000.0)
@@ -569,5 +603,7 @@
         assert again.scope is Scope.FULL, "all of it, whatever the answer itself tells"
         assert [server.state for server in again.servers] == [State.UP, State.DRAINING] + [State.UP] * (ends != "held")
         assert notes == ["discovery lost", "list in doubt"] + ["discovery back"] * (ends != "held") + [
-            "list no longer in doubt"]
+            "list no longer in doubt"
+        ]
+
     run(test())
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -60,8 +60,17 @@
     targets = [target(f"s-{number}", await back.start()) for number, back in enumerate(backs)]
     told, counter = Back(lambda peer: agent(peer, targets)), Back(counting)
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(raw(listen="127.0.0.1:8081", discovery=f"127.0.0.1:{await told.start()}",
-                                   counter=f"127.0.0.1:{await counter.start()}", **more)), encoding="utf-8")
+    path.write_text(
+        json.dumps(
+            raw(
+                listen="127.0.0.1:8081",
+                discovery=f"127.0.0.1:{await told.start()}",
+                counter=f"127.0.0.1:{await counter.start()}",
+                **more,
+            )
+        ),
+        encoding="utf-8",
+    )
     config = load_config(path)  # a file names its port; a test takes any that is free
     made = Place(Node(replace(config, listener=replace(config.listener, port=0)), path), path)
     made.port = await made.node.start()
@@ -99,11 +108,13 @@
             assert heads[0].startswith("get /read/00000000000000a1 http/1.1\r\n")
             assert "x-trace-id: 0000000000000001\r\n" in heads[0] and "x-expires-in-ms: " in heads[0]
             assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
+
     run(test())
 
 
 def test_a_probe_that_is_answered_well_is_not_told_as_turned_away(tmp_path: Path) -> None:
     """On a quiet day of 45 minutes 98% of a door's lines were such."""
+
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             lines: list[tuple[str, dict[str, Any]]] = []
@@ -111,6 +122,7 @@
             assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
             assert (await door.ask("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 400
             assert [fields["status"] for event, fields in lines if event == "turned away"] == [400]
+
     run(test())
 
 
@@ -119,6 +131,7 @@
         async with place(tmp_path, serves) as door:
             status, _, body = await door.ask(request(1, "book", method="POST", body="room 5"))
             assert (status, body) == (200, b"post /book/00000000000000a1 http/1.1|room 5")
+
     run(test())
 
 
@@ -137,11 +150,13 @@
             peer.close()
             assert (await door.ask(request(2)))[0] == 200
             assert len(reached) == 1 and reached[0].startswith("get ")
+
     run(test())
 
 
 def test_bytes_behind_an_answer_are_nobodys_answer(tmp_path: Path) -> None:
     """A second copy that has come, but that the loop has not read, would be served to the next request."""
+
     async def twice(peer: Peer) -> None:
         for turn in range(5):
             await peer.head()
@@ -154,6 +169,7 @@
             for number in range(4):
                 await peer.write(request(number))
                 assert (await peer.response())[2] == b"answer 0", "each on a connection of its own"
+
     run(test())
 
 
@@ -181,6 +197,7 @@
             assert (await peer.head()).startswith("http/1.1 200")
             assert not (await peer.rest()).endswith(b"0\r\n\r\n"), "its client sees that it is not whole"
             assert door.node.driver.counts["broken"] == 1
+
     run(test())
 
 
@@ -201,6 +218,7 @@
                 status, _, body = await door.ask(request(number))
                 assert status == 200 and body == b"x" * size
             assert door.node.engine.verdicts == {"ok": 2}
+
     run(test())
 
 
@@ -214,6 +232,7 @@
     async def test() -> None:
         async with place(tmp_path, early) as door:
             assert (await door.ask(request(1)))[2] == b"served"
+
     run(test())
 
 
@@ -237,6 +256,7 @@
             assert status == 200 and "connection: close" in head
             assert await standing.rest() == b""
             await leaving
+
     run(test())
 
 
@@ -265,11 +285,13 @@
             assert driver.counts["connections_turned_away"] == 0
             for peer in [*late, usual]:
                 peer.close()
+
     run(test())
 
 
 def test_a_new_connection_is_not_closed_for_another(tmp_path: Path) -> None:
     """Its first request may be on its way: its client would take it for lost."""
+
     async def test() -> None:
         async with place(tmp_path, serves, limits={"sockets": 64}) as door:
             most = door.node.config.listener.max_connections
@@ -283,11 +305,13 @@
             assert (await young[0].response())[0] == 200
             for peer in young:
                 peer.close()
+
     run(test())
 
 
 def test_a_fault_ends_its_connection(tmp_path: Path) -> None:
     """Connections that asked whether the door is ready, and stayed, kept out half of the usual clients."""
+
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             for target, status in (("/_health", 200), ("/", 400)):
@@ -295,6 +319,7 @@
                 await peer.write(f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n")
                 assert (await peer.response())[0] == status
                 assert await peer.rest() == b""
+
     run(test())
 
 
@@ -313,11 +338,11 @@
             door.path.write_text("{", encoding="utf-8")
             door.node.reload()
             assert (await door.ask(request(1)))[0] == 200, "a file that cannot be read changes nothing"
-            door.path.write_text(json.dumps(told | {"discovery": f"127.0.0.1:{await other.start()}"}),
-                                 encoding="utf-8")
+            door.path.write_text(json.dumps(told | {"discovery": f"127.0.0.1:{await other.start()}"}), encoding="utf-8")
             door.node.reload()
             while not asked:
                 await asyncio.sleep(0.001)
             assert asked[0].startswith("get /catalog/members http/1.1")
             other.stop()
+
     run(test())
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -54,8 +54,13 @@
 def test_a_cold_backend_is_not_pushed_over_by_the_sum_of_uneven_and_restarted_doors(tmp_path: Path) -> None:
     """Of its budget in each window no more than two roots, and two, are put down to chance."""
     cold_from, multiple, window_s, rate = 0.3, 2.0, 1.0, 160.0
-    rules = {**SETTINGS["rules"], "cold_from": cold_from, "warm_within_ms": 600_000.0, "fall_multiple": multiple,
-             "overload_for_ms": window_s * 1000}
+    rules = {
+        **SETTINGS["rules"],
+        "cold_from": cold_from,
+        "warm_within_ms": 600_000.0,
+        "fall_multiple": multiple,
+        "overload_for_ms": window_s * 1000,
+    }
     came: list[float] = []
 
     def serves(marks: list[float]) -> Any:
@@ -65,6 +70,7 @@
                 marks.append(time.monotonic())
                 await asyncio.sleep(0.01)
                 await peer.answer()
+
         return script
 
     async def test() -> None:
@@ -85,16 +91,18 @@
             await peer.answer(json.dumps({"rev": 1, "all": True, "targets": targets}))
             await peer.rest()
 
-        async with doors(tmp_path, 3, told, *[serves(warm)] * 3,
-                         settings={**SETTINGS, "rules": rules}) as made:
+        async with doors(tmp_path, 3, told, *[serves(warm)] * 3, settings={**SETTINGS, "rules": rules}) as made:
             targets += json.loads(made[0].path.read_text(encoding="utf-8"))["known"]["targets"]
             for door in made:
                 await door.start()
                 await door.until("ready")
             calls, until = Calls(), time.monotonic() + PLAY_S
             shares = (4, 1, 1)
-            clients = [asyncio.create_task(calls.through(door, 8 / (rate * share / sum(shares)), until, f"{n:016x}"))
-                       for door, share in zip(made, shares, strict=True) for n in range(1, 9)]
+            clients = [
+                asyncio.create_task(calls.through(door, 8 / (rate * share / sum(shares)), until, f"{n:016x}"))
+                for door, share in zip(made, shares, strict=True)
+                for n in range(1, 9)
+            ]
             await asyncio.sleep(PLAY_S / 4)
             targets.append(target("s-cold", port, boot_ms=int(time.time() * 1000)))
             changed.set()
@@ -108,6 +116,7 @@
         budget = multiple * cold_from * rate / 4 * window_s
         most = max(sum(at <= other < at + window_s for other in came) for at in came)
         assert most <= budget + 2 * math.sqrt(budget) + 2
+
     play(test())
 
 
@@ -139,17 +148,28 @@
         shared = Back(counting)
         address = f"127.0.0.1:{await shared.start()}"
         targets: list[dict[str, Any]] = []
-        async with doors(tmp_path, 3, lambda peer: agent(peer, targets), serves, serves, counter=address,
-                         settings={**SETTINGS, "contracts": [plan]}) as made:
+        async with doors(
+            tmp_path,
+            3,
+            lambda peer: agent(peer, targets),
+            serves,
+            serves,
+            counter=address,
+            settings={**SETTINGS, "contracts": [plan]},
+        ) as made:
             targets += json.loads(made[0].path.read_text(encoding="utf-8"))["known"]["targets"]
             for door in made:
                 await door.start()
                 await door.until("ready")
             calls, until = Calls(), time.monotonic() + PLAY_S
             # Three in four ask for half of their rate, the others for twice of it; a third through each door.
-            await asyncio.gather(*(calls.through(door, 3 / (rate * (0.5 if number % 4 else 2.0)), until, customer,
-                                                 X_Plan="small")
-                                   for door in made for number, customer in enumerate(customers)))
+            await asyncio.gather(
+                *(
+                    calls.through(door, 3 / (rate * (0.5 if number % 4 else 2.0)), until, customer, X_Plan="small")
+                    for door in made
+                    for number, customer in enumerate(customers)
+                )
+            )
         with contextlib.suppress(ConnectionError):
             shared.stop()
         store = dict.fromkeys(customers, burst)
@@ -164,4 +184,5 @@
                 beyond += 1
         assert calls.statuses.get(429, 0) > 0, "some ask for more than they have"
         assert len(came) > len(customers) and cost * beyond / calls.number <= 0.1
+
     play(test())
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -48,9 +48,12 @@
     async def start(self) -> None:
         """Start it, by what `run` starts."""
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "martenstep.node", 
+            sys.executable,
+            "-m",
+            "martenstep.node",
             env={**os.environ, "NODE_CONFIG": str(self.path), **self.environment},
-            stdout=asyncio.subprocess.PIPE)
+            stdout=asyncio.subprocess.PIPE,
+        )
         self._reading = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
@@ -115,19 +118,35 @@
 
 
 @contextlib.asynccontextmanager
-async def doors(tmp_path: Path, count: int, told: Script, *scripts: Script,
-                **more: Any) -> AsyncIterator[list[Process]]:
+async def doors(
+    tmp_path: Path, count: int, told: Script, *scripts: Script, **more: Any
+) -> AsyncIterator[list[Process]]:
     """So many doors, not started yet, that follow one agent; `told` is its script, `scripts` the backends'."""
     backs = [Back(script) for script in (told, counting, *scripts)]
     ports = [await back.start() for back in backs]
     made = []
     for number in range(count):
         path, port = tmp_path / f"n{number}.json", held_ports(1)[0]
-        path.write_text(json.dumps(raw(**{
-            "name": f"n{number}", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{ports[0]}",
-            "counter": f"127.0.0.1:{ports[1]}", "settings": settings(),
-            "known": {"rev": 1, "all": True, "targets": [target(f"s-{n}", p) for n, p in enumerate(ports[2:])]},
-            **more})), encoding="utf-8")
+        path.write_text(
+            json.dumps(
+                raw(
+                    **{
+                        "name": f"n{number}",
+                        "listen": f"127.0.0.1:{port}",
+                        "discovery": f"127.0.0.1:{ports[0]}",
+                        "counter": f"127.0.0.1:{ports[1]}",
+                        "settings": settings(),
+                        "known": {
+                            "rev": 1,
+                            "all": True,
+                            "targets": [target(f"s-{n}", p) for n, p in enumerate(ports[2:])],
+                        },
+                        **more,
+                    }
+                )
+            ),
+            encoding="utf-8",
+        )
         made.append(Process(path, port))
     try:
         yield made
@@ -140,8 +159,10 @@
 
 def play(test: Awaitable[None]) -> None:
     """Run one test."""
+
     async def whole() -> None:
         await test
+
     run(whole(), BOUND_S)
 
 
@@ -165,15 +186,18 @@
 
 def lists(targets: list[dict[str, Any]], asked: list[str]) -> Callable[[Peer], Awaitable[None]]:
     """An agent that keeps what it is asked and tells one list."""
+
     async def script(peer: Peer) -> None:
         asked.append(await peer.head())
         await peer.answer(json.dumps({"rev": 1, "all": True, "targets": targets}))
         await peer.rest()
+
     return script
 
 
 def test_a_move_is_kept_that_comes_while_the_configuration_is_read(tmp_path: Path) -> None:
     """The process stands in the midst of reading; the signal was ignored then, and the move lost."""
+
     async def test() -> None:
         asked: list[str] = []
         moved = Back(lists([], asked))
@@ -196,6 +220,7 @@
             door.signal(signal.SIGTERM)
             assert await door.end() == 0
         moved.stop()
+
     play(test())
 
 
@@ -209,6 +234,7 @@
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
 def test_signals_are_kept_before_anything_is_loaded(tmp_path: Path, number: int) -> None:
     """Stopped at the first moment in which it minds them, before its modules are there."""
+
     async def test() -> None:
         async with doors(tmp_path, 1, silent) as [door]:
             await door.start()
@@ -220,6 +246,7 @@
                 door.signal(signal.SIGTERM)
             assert await door.end() == 0
             assert number == signal.SIGHUP or "ready" not in door.events()
+
     play(test())
 
 
@@ -239,12 +266,14 @@
             door.signal(signal.SIGTERM)
             assert await door.end() == 0
             assert not {"ready", "ready without discovery"} & set(door.events()) and door.events()[-1] == "stopped"
+
     play(test())
 
 
 def test_nobody_is_served_by_the_old_list_while_the_agents_answer_is_on_its_way(tmp_path: Path) -> None:
     """What the agent has counts as told from a process's first moment, and clients of the one before it come as soon as
     it listens."""
+
     async def test() -> None:
         asked, gate = asyncio.Event(), asyncio.Event()
         backs: list[str] = []
@@ -261,16 +290,25 @@
                 await peer.head()
                 backs.append(name)
                 await peer.answer(name)
+
             return script
 
         made = [Back(holds), Back(backend("s-0")), Back(backend("s-1"))]
         agent_port, *ports = [await back.start() for back in made]
         [port] = held_ports(1)
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(raw(listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{agent_port}", counter="",
-                                       settings={**settings(), "family_info": {"has_counter": False, "max_units": 3}},
-                                       known={"rev": 1, "all": True, "targets": [target("s-0", ports[0])]})),
-                        encoding="utf-8")
+        path.write_text(
+            json.dumps(
+                raw(
+                    listen=f"127.0.0.1:{port}",
+                    discovery=f"127.0.0.1:{agent_port}",
+                    counter="",
+                    settings={**settings(), "family_info": {"has_counter": False, "max_units": 3}},
+                    known={"rev": 1, "all": True, "targets": [target("s-0", ports[0])]},
+                )
+            ),
+            encoding="utf-8",
+        )
         node = Node(load_config(path), path)
         node._timing = LONG  # of the wait for the agent; the agent itself is not given up either
         node._discovery = Discovery(node.config.discovery, node._follower, node._listed, node._notes.note, LONG)
@@ -291,11 +329,13 @@
         await node.stop()
         for back in made:
             back.stop()
+
     play(test())
 
 
 def test_a_door_whose_discovery_refuses_its_first_list_is_not_ready_by_the_one_before(tmp_path: Path) -> None:
     """Broken on a site of our own: nobody knows how old that is, and what discovery has counts as told."""
+
     async def test() -> None:
         gate, refusals = asyncio.Event(), list[str]()
 
@@ -309,8 +349,7 @@
 
         fresh = Back(serves)
         fresh_port = await fresh.start()
-        async with doors(tmp_path, 1, refuses, serves,
-                         settings={**settings(), "discovery": "subscribe"}) as [door]:
+        async with doors(tmp_path, 1, refuses, serves, settings={**settings(), "discovery": "subscribe"}) as [door]:
             await door.start()
             while len(refusals) < 8:  # longer than a discovery that says nothing would be waited for
                 await asyncio.sleep(0.005)
@@ -320,11 +359,13 @@
             assert "ready without discovery" not in door.events()
             assert (await door.ask(request(1)))[0] == 200 and fresh.connections == 1
         fresh.stop()
+
     play(test())
 
 
 def test_a_door_waits_for_its_address_while_the_one_before_it_ends(tmp_path: Path) -> None:
     """It ended with a traceback."""
+
     async def test() -> None:
         async with doors(tmp_path, 1, silent, serves) as [door]:
             with socket.create_server(("127.0.0.1", door.port)):
@@ -332,12 +373,14 @@
                 await door.until("address in use")
             await door.until("ready")
             assert (await door.ask(request(1)))[0] == 200
+
     play(test())
 
 
 @pytest.mark.parametrize("stops", [True, False])
 def test_a_door_whose_address_stays_in_use_ends_and_names_the_field(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], stops: bool) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], stops: bool
+) -> None:
     """And one that is told to end waits for it no longer."""
     monkeypatch.setattr(daemon, "IN_USE_MS", LONG_MS if stops else 30.0)
 
@@ -347,8 +390,16 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(raw(listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{held_ports(1)[0]}",
-                                       counter=f"127.0.0.1:{held_ports(1)[0]}")), encoding="utf-8")
+        path.write_text(
+            json.dumps(
+                raw(
+                    listen=f"127.0.0.1:{port}",
+                    discovery=f"127.0.0.1:{held_ports(1)[0]}",
+                    counter=f"127.0.0.1:{held_ports(1)[0]}",
+                )
+            ),
+            encoding="utf-8",
+        )
 
         async def test() -> None:
             node = Node(load_config(path), path)
@@ -383,6 +434,7 @@
                 assert (await door.until("ready"))["servers"] == 1
                 assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
                 assert (await door.ask(request(number)))[0] == 200
+
     play(test())
 
 
@@ -414,6 +466,7 @@
 
 def test_doors_that_end_one_after_another_lose_nothing(tmp_path: Path) -> None:
     """Requests are out at a backend as each is told to end; a connection rests, and a move crosses the end."""
+
     async def test() -> None:
         gates: list[asyncio.Event] = []
         ports: list[int] = []
@@ -459,6 +512,7 @@
                 assert await door.end() == 0 and door.lines[-1]["clean"] is clean
         back.stop()
         moved.stop()
+
     play(test())
 
 
@@ -481,11 +535,13 @@
             assert (await door.ask(request(1)))[0] == 200
             door.signal(signal.SIGTERM)
             assert await door.end() == 0
+
     play(test())
 
 
 def test_idle_clients_that_fill_the_descriptors_keep_out_neither_dials_nor_clients(tmp_path: Path) -> None:
     """Discovery is down meanwhile; once it is back its list counts, the counter is asked and new clients are served."""
+
     async def test() -> None:
         [port], sockets = held_ports(1), 128
         heads: list[str] = []
@@ -496,8 +552,9 @@
 
         fresh = Back(notes)
         targets = [target("s-0", 1, state="draining"), target("s-new", await fresh.start())]
-        async with doors(tmp_path, 1, silent, serves, discovery=f"127.0.0.1:{port}",
-                         limits={"sockets": sockets}) as [door]:
+        async with doors(tmp_path, 1, silent, serves, discovery=f"127.0.0.1:{port}", limits={"sockets": sockets}) as [
+            door
+        ]:
             await door.start()
             resource.prlimit(door.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
             await door.until("ready")
@@ -511,8 +568,9 @@
                 back._server = await asyncio.start_server(back._serve, "127.0.0.1", port)
                 await door.until("discovery back")
                 while True:  # who came in the same burst is young, and keeps others out for a while
-                    status, _, body = await door.ask(request(len(heads) + 2, X_Plan="free",
-                                                             X_Trace_Id=os.urandom(8).hex()))
+                    status, _, body = await door.ask(
+                        request(len(heads) + 2, X_Plan="free", X_Trace_Id=os.urandom(8).hex())
+                    )
                     if status == 200 and body == b"new":
                         break
                     assert status == 503
@@ -521,4 +579,5 @@
                 assert "fault" not in door.events()
                 back.stop()
         fresh.stop()
+
     play(test())
--- a/tests/test_node_protocol.py
+++ b/tests/test_node_protocol.py
@@ -41,44 +41,47 @@
     assert isinstance(routed(request(1, "book", method="POST", body="x")), Routed)
 
 
-@pytest.mark.parametrize("text", [
-    request(1, "other"),
-    request(1, X_Qos="book"),
-    request(1, X_Qos=None),
-    request(1, X_Plan="gold"),
-    request(1, X_Plan=None),
-    request(1, customer="a1"),
-    request(1, customer="00000000000000A1"),
-    request(1, customer="00000002000000000"),
-    request(1, customer="0000000200000000"),
-    request(1, customer="%30000000000000a1"),
-    request(1, X_Trace_Id=None),
-    request(1, X_Trace_Id="a b"),
-    request(1, X_Trace_Id="x" * 65),
-    request(1, X_Expires_In_Ms=None),
-    request(1, X_Expires_In_Ms="soon"),
-    request(1, X_Expires_In_Ms="-5"),
-    request(1, X_Expires_In_Ms="1e3"),
-    request(1, X_Expires_In_Ms="99999999999"),
-    request(1, X_Quota=None),
-    request(1, X_Quota="units=0,spread=3,first=0"),
-    request(1, X_Quota="units=-1,spread=3,first=0"),
-    request(1, X_Quota="units=nan,spread=3,first=0"),
-    request(1, X_Quota="units=4,spread=3,first=0"),
-    request(1, X_Quota="units=1,spread=0,first=0"),
-    request(1, X_Quota="units=1,spread=4,first=0"),
-    request(1, X_Quota="units=1,spread=3,first=3"),
-    request(1, X_Quota="units=1,spread=3"),
-    request(1, X_Second_Try="yes"),
-    request(1, method="POST", body="x"),
-    request(1, Content_Length="5"),
-    request(1, Transfer_Encoding="chunked"),
-    request(1, "book"),
-    request(1, "book", method="POST", Idempotency_Key=None),
-    request(1, "book", method="POST", Idempotency_Key=""),
-    request(1).replace("X-Plan: free\r\n", "X-Plan: free\r\nX-Plan: small\r\n"),
-    request(1).replace("X-Trace-Id:", "X-Trace-Id: other\r\nX-Trace-Id:"),
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        request(1, "other"),
+        request(1, X_Qos="book"),
+        request(1, X_Qos=None),
+        request(1, X_Plan="gold"),
+        request(1, X_Plan=None),
+        request(1, customer="a1"),
+        request(1, customer="00000000000000A1"),
+        request(1, customer="00000002000000000"),
+        request(1, customer="0000000200000000"),
+        request(1, customer="%30000000000000a1"),
+        request(1, X_Trace_Id=None),
+        request(1, X_Trace_Id="a b"),
+        request(1, X_Trace_Id="x" * 65),
+        request(1, X_Expires_In_Ms=None),
+        request(1, X_Expires_In_Ms="soon"),
+        request(1, X_Expires_In_Ms="-5"),
+        request(1, X_Expires_In_Ms="1e3"),
+        request(1, X_Expires_In_Ms="99999999999"),
+        request(1, X_Quota=None),
+        request(1, X_Quota="units=0,spread=3,first=0"),
+        request(1, X_Quota="units=-1,spread=3,first=0"),
+        request(1, X_Quota="units=nan,spread=3,first=0"),
+        request(1, X_Quota="units=4,spread=3,first=0"),
+        request(1, X_Quota="units=1,spread=0,first=0"),
+        request(1, X_Quota="units=1,spread=4,first=0"),
+        request(1, X_Quota="units=1,spread=3,first=3"),
+        request(1, X_Quota="units=1,spread=3"),
+        request(1, X_Second_Try="yes"),
+        request(1, method="POST", body="x"),
+        request(1, Content_Length="5"),
+        request(1, Transfer_Encoding="chunked"),
+        request(1, "book"),
+        request(1, "book", method="POST", Idempotency_Key=None),
+        request(1, "book", method="POST", Idempotency_Key=""),
+        request(1).replace("X-Plan: free\r\n", "X-Plan: free\r\nX-Plan: small\r\n"),
+        request(1).replace("X-Trace-Id:", "X-Trace-Id: other\r\nX-Trace-Id:"),
+    ],
+)
 def test_what_is_not_in_form_is_the_clients_fault(text: str) -> None:
     found = routed(text)
     assert isinstance(found, Unroutable) and found.status == 400
@@ -127,19 +130,22 @@
     assert isinstance(requests.take(b"GET", b"http://x/read/1", []), Declined)
 
 
-@pytest.mark.parametrize(("status", "headers", "verdict"), [
-    (200, [(b"content-length", b"12")], Verdict.OK),
-    (200, [], Verdict.OK),
-    (200, [(b"content-length", b"3000000000")], Verdict.ERROR),
-    (500, [], Verdict.ERROR),
-    (500, [(b"x-never-ran", b"1")], Verdict.ERROR),
-    (503, [(b"x-never-ran", b"1")], Verdict.FULL),
-    (504, [(b"x-never-ran", b"1")], Verdict.FULL),
-    (503, [(b"x-never-ran", b"0")], Verdict.ERROR),
-    (503, [], Verdict.ERROR),
-    (204, [], Verdict.ERROR),
-    (400, [], Verdict.ERROR),
-])
+@pytest.mark.parametrize(
+    ("status", "headers", "verdict"),
+    [
+        (200, [(b"content-length", b"12")], Verdict.OK),
+        (200, [], Verdict.OK),
+        (200, [(b"content-length", b"3000000000")], Verdict.ERROR),
+        (500, [], Verdict.ERROR),
+        (500, [(b"x-never-ran", b"1")], Verdict.ERROR),
+        (503, [(b"x-never-ran", b"1")], Verdict.FULL),
+        (504, [(b"x-never-ran", b"1")], Verdict.FULL),
+        (503, [(b"x-never-ran", b"0")], Verdict.ERROR),
+        (503, [], Verdict.ERROR),
+        (204, [], Verdict.ERROR),
+        (400, [], Verdict.ERROR),
+    ],
+)
 def test_has_it_run(status: int, headers: list[tuple[bytes, bytes]], verdict: Verdict) -> None:
     assert Statuses().verdict(status, headers) is verdict
 
@@ -147,8 +153,15 @@
 def test_an_attempt_carries_id_and_key_and_what_is_left() -> None:
     head = request_head(request(7, "book", method="POST", body="abc").partition("\r\n\r\n")[0].encode() + b"\r\n\r\n")
     made = Words().headers(head.headers, [], [], "label", "rid", 0, 812.7, "", b"", True)
-    assert sorted(made) == sorted([(b"host", b"svc"), (b"x-trace-id", b"%016x" % 7), (b"idempotency-key", b"k7"),
-                                   (b"content-length", b"3"), (b"x-expires-in-ms", b"812")])
+    assert sorted(made) == sorted(
+        [
+            (b"host", b"svc"),
+            (b"x-trace-id", b"%016x" % 7),
+            (b"idempotency-key", b"k7"),
+            (b"content-length", b"3"),
+            (b"x-expires-in-ms", b"812"),
+        ]
+    )
 
 
 def test_a_refusal_tells_when_to_come_back() -> None:
--- a/tests/test_node_sites.py
+++ b/tests/test_node_sites.py
@@ -31,8 +31,11 @@
 
 def worded(number: int, cls: dict[str, Any], plan: str, **told: Any) -> str:
     """A request of a class, as its effect has it worded."""
-    headers: dict[str, Any] = {"X_Plan": plan, "X_Expires_In_Ms": str(int(cls["deadline_ms"])),
-                               "X_Quota": "units=1,spread=2,first=0"}
+    headers: dict[str, Any] = {
+        "X_Plan": plan,
+        "X_Expires_In_Ms": str(int(cls["deadline_ms"])),
+        "X_Quota": "units=1,spread=2,first=0",
+    }
     if cls["idempotency"] == "idempotent":
         return request(number, cls["name"], **headers, **told)
     if cls["idempotency"] == "at_most_once":
@@ -93,11 +96,14 @@
             for wrong in ({"X_Qos": "read"}, {"X_Plan": "free"}):
                 text = worded(number + 1, settings["classes"][0], settings["contracts"][0]["name"])
                 name, value = next(iter(wrong.items()))
-                lines = [f"{name.replace('_', '-')}: {value}" if line.startswith(name.replace("_", "-")) else line
-                         for line in text.split("\r\n")]
+                lines = [
+                    f"{name.replace('_', '-')}: {value}" if line.startswith(name.replace("_", "-")) else line
+                    for line in text.split("\r\n")
+                ]
                 assert (await door.ask("\r\n".join(lines)))[0] == 400, "a name of another customer's"
             door.signal(signal.SIGTERM)
             assert await door.end() == 0 and "fault" not in door.events()
+
     play(test())
 
 
@@ -112,12 +118,20 @@
 
     async def test() -> None:
         known: dict[str, Any] = {"rev": 1, "all": True, "targets": []}
-        async with doors(tmp_path, 1, lambda peer: agent(peer, known["targets"]), cuts, cuts, settings=settings,
-                         ) as [door]:
+        async with doors(
+            tmp_path,
+            1,
+            lambda peer: agent(peer, known["targets"]),
+            cuts,
+            cuts,
+            settings=settings,
+        ) as [door]:
             told = json.loads(door.path.read_text(encoding="utf-8"))
             # One server in each of two zones and two cells: a repeat within a group has nowhere else to go.
-            known["targets"] = [{**one, "az": zone, "pod_group": cell} for cell, (zone, one) in enumerate(
-                zip(settings["zones"], told["known"]["targets"], strict=False))]
+            known["targets"] = [
+                {**one, "az": zone, "pod_group": cell}
+                for cell, (zone, one) in enumerate(zip(settings["zones"], told["known"]["targets"], strict=False))
+            ]
             door.path.write_text(json.dumps({**told, "known": known}), encoding="utf-8")
             await door.start()
             await door.until("ready")
@@ -131,4 +145,5 @@
                 assert status == 503 if harmless else status in (502, 504), "a refusal says that a retry does no harm"
             door.signal(signal.SIGTERM)
             assert await door.end() == 0
+
     play(test())
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -10,33 +10,49 @@
 from martenstep.door.permission import AttemptFacts, Denial, may_begin, may_close
 from martenstep.interface import Effect
 
-ALLOWED = AttemptFacts(now=100.0, deadline=200.0, settled=False, ended=False, current=True, server_listed=True,
-                       effect=Effect.SAFE, risk_at=None, window_ms=50.0)
-
-
-@pytest.mark.parametrize(("changed", "denial"), [
-    ({}, None),
-    ({"settled": True}, Denial.ANSWERED),
-    ({"ended": True}, Denial.ENDED),
-    ({"current": False}, Denial.ANOTHER_OUT),
-    ({"now": 200.0}, Denial.NO_TIME),
-    ({"server_listed": False}, Denial.NOT_LISTED),
-    ({"risk_at": 10.0}, None),
-    ({"effect": Effect.UNSAFE}, None),
-    ({"effect": Effect.UNSAFE, "risk_at": 99.0}, Denial.EFFECT),
-    ({"effect": Effect.KEYED, "risk_at": 51.0}, None),
-    ({"effect": Effect.KEYED, "risk_at": 50.0}, Denial.WINDOW_OVER),
-])
+ALLOWED = AttemptFacts(
+    now=100.0,
+    deadline=200.0,
+    settled=False,
+    ended=False,
+    current=True,
+    server_listed=True,
+    effect=Effect.SAFE,
+    risk_at=None,
+    window_ms=50.0,
+)
+
+
+@pytest.mark.parametrize(
+    ("changed", "denial"),
+    [
+        ({}, None),
+        ({"settled": True}, Denial.ANSWERED),
+        ({"ended": True}, Denial.ENDED),
+        ({"current": False}, Denial.ANOTHER_OUT),
+        ({"now": 200.0}, Denial.NO_TIME),
+        ({"server_listed": False}, Denial.NOT_LISTED),
+        ({"risk_at": 10.0}, None),
+        ({"effect": Effect.UNSAFE}, None),
+        ({"effect": Effect.UNSAFE, "risk_at": 99.0}, Denial.EFFECT),
+        ({"effect": Effect.KEYED, "risk_at": 51.0}, None),
+        ({"effect": Effect.KEYED, "risk_at": 50.0}, Denial.WINDOW_OVER),
+    ],
+)
 def test_an_attempt_is_begun_only_where_each_rule_allows_it(changed: dict[str, Any], denial: Denial | None) -> None:
     assert may_begin(replace(ALLOWED, **changed)) is denial
 
 
-@pytest.mark.parametrize(("request_open", "read", "waiting", "denial"), [
-    (False, False, False, None),
-    (True, False, False, Denial.REQUEST_OPEN),
-    (False, True, False, Denial.BYTES_WAITING),
-    (False, False, True, Denial.BYTES_WAITING),
-])
+@pytest.mark.parametrize(
+    ("request_open", "read", "waiting", "denial"),
+    [
+        (False, False, False, None),
+        (True, False, False, Denial.REQUEST_OPEN),
+        (False, True, False, Denial.BYTES_WAITING),
+        (False, False, True, Denial.BYTES_WAITING),
+    ],
+)
 def test_a_connection_is_closed_only_where_nothing_is_owed(
-        request_open: bool, read: bool, waiting: bool, denial: Denial | None) -> None:
+    request_open: bool, read: bool, waiting: bool, denial: Denial | None
+) -> None:
     assert may_close(request_open, read, waiting) is denial
--- a/tests/test_photo.py
+++ b/tests/test_photo.py
@@ -29,6 +29,7 @@
 
         await asyncio.gather(*(work(number) for number in range(7)))
         assert order == ["0", "1", "5 refused", "6 refused", "2", "3", "4"]
+
     run(test())
 
 
@@ -53,6 +54,7 @@
                 tasks[len(tasks) // 2].cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         assert cores._free == 2 and not cores.waiting
+
     run(test())
 
 
@@ -94,4 +96,5 @@
         with contextlib.suppress(ConnectionError):
             peer.close()
         await server.stop()
+
     run(test())
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -26,8 +26,11 @@
     steps: list[object] = field(default_factory=list)
 
     def sound(self, config: Config) -> set[int]:
-        return {copy for copy, place in config.homes if copy in config.voters and place in self.present
-                and copy not in self.gone}
+        return {
+            copy
+            for copy, place in config.homes
+            if copy in config.voters and place in self.present and copy not in self.gone
+        }
 
     def leads(self) -> int | None:
         able = sorted(self.sound(self.config))
@@ -64,7 +67,7 @@
     voters = tuple(range(1, size + 1))
     learners = tuple(range(50, 50 + len(learner)))
     config = Config(voters, learners, tuple(zip((*voters, *learners), (*homes, *learner), strict=True)))
-    twice = {number + 1 for number, place in enumerate(homes) if place in homes[number + 1:]}
+    twice = {number + 1 for number, place in enumerate(homes) if place in homes[number + 1 :]}
     away = set(draw(st.lists(st.sampled_from(PLACES), max_size=2)))
     return World(config, set(PLACES) - away, twice, count)
 
--- a/tests/test_promised.py
+++ b/tests/test_promised.py
@@ -31,14 +31,16 @@
             door.driver.engine._records = True
             peer = await door.client()
             await peer.write(get("/read/7"))
-            await door.until(lambda: bool(book.made) and any(
-                flight.withheld for flight in door.driver.flights.values()))  # the server has answered
+            await door.until(
+                lambda: bool(book.made) and any(flight.withheld for flight in door.driver.flights.values())
+            )  # the server has answered
             answer = asyncio.create_task(peer.response())
             await asyncio.sleep(0.02)
             assert not answer.done()
             book.made[0].set_result(True)
             assert (await answer)[::2] == (200, b"/read/7")
             assert not door.driver.counts["answers_not_waited_for"]
+
     run(test())
 
 
@@ -56,6 +58,7 @@
             door.driver.record, door.driver.record_ms = Promising(), 60_000.0
             door.driver.engine._records = True
             assert (await door.ask())[0] == 503  # the door's own words wait for nothing
+
     run(test())
 
 
@@ -72,6 +75,7 @@
             door.driver.engine._records = True
             status, _, body = await door.ask()
             assert status == 200 and len(body) == 200_000
+
     run(test())
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -39,8 +39,11 @@
 
 
 def sent(copy: Copy, kind: type[Any], to: int | None = None) -> list[Any]:
-    return [action.message for action in copy.out if isinstance(action, Send) and isinstance(action.message, kind)
-            and to in (None, action.to)]
+    return [
+        action.message
+        for action in copy.out
+        if isinstance(action, Send) and isinstance(action.message, kind) and to in (None, action.to)
+    ]
 
 
 def synced(copy: Copy, now: float) -> None:
@@ -233,8 +236,13 @@
     synced(copy, LATER)
     if any(given.granted for given in sent(copy, GiveVote)):
         return False
-    kept = Kept(copy.term, copy.vote, list(copy.log), None, next(
-        action.floor for action in reversed(copy.out) if isinstance(action, Write)))
+    kept = Kept(
+        copy.term,
+        copy.vote,
+        list(copy.log),
+        None,
+        next(action.floor for action in reversed(copy.out) if isinstance(action, Write)),
+    )
     again = made(make, 2, kept)  # its next start knows it as well
     for _ in range(6):
         again.wake(again.next_at)
@@ -350,8 +358,16 @@
 class NoProof(Copy):
     """Flaw: takes every disk for its own as it left it."""
 
-    def __init__(self, me: int, kept: Kept, first: Config, settings: Settings, rng: random.Random, now: float,
-                 proven: bool = True) -> None:
+    def __init__(
+        self,
+        me: int,
+        kept: Kept,
+        first: Config,
+        settings: Settings,
+        rng: random.Random,
+        now: float,
+        proven: bool = True,
+    ) -> None:
         super().__init__(me, kept, first, settings, rng, now, True)
 
 
@@ -373,23 +389,27 @@
         self._floor = (0, 0)
 
 
-@pytest.mark.parametrize(("rule", "flaw"), [
-    (votes_leave_after_they_are_durable, VoteNotDurable),
-    (acknowledgements_leave_after_they_are_durable, AckNotDurable),
-    (who_hears_a_leader_votes_against_nobody, NoSticky),
-    (a_copy_that_just_started_does_not_vote, Forgets),
-    (a_candidate_with_a_short_log_is_not_voted_for, AnyLog),
-    (an_older_message_cuts_nothing_off, Cuts),
-    (an_entry_of_an_older_term_is_not_committed_by_counting, OldTerm),
-    (the_leaders_own_entry_counts_once_durable, OwnNotDurable),
-    (a_lease_runs_from_before_it_was_asked, LeaseFromAnswer),
-    (an_answer_to_an_older_terms_question_renews_no_lease, OldRounds),
-    (a_leader_that_hands_over_has_no_lease_in_this_term_again, HandKeeps),
-    (one_change_of_the_group_at_a_time, AnyChange),
-    (an_unproven_copy_promises_nothing, NoProof),
-    (a_proven_copy_votes_in_no_term_that_was_known, VoteKept),
-    (a_proven_copy_neither_votes_below_what_it_may_have_held_nor_stands, NoFloor),
-], ids=lambda each: each.__name__)
+@pytest.mark.parametrize(
+    ("rule", "flaw"),
+    [
+        (votes_leave_after_they_are_durable, VoteNotDurable),
+        (acknowledgements_leave_after_they_are_durable, AckNotDurable),
+        (who_hears_a_leader_votes_against_nobody, NoSticky),
+        (a_copy_that_just_started_does_not_vote, Forgets),
+        (a_candidate_with_a_short_log_is_not_voted_for, AnyLog),
+        (an_older_message_cuts_nothing_off, Cuts),
+        (an_entry_of_an_older_term_is_not_committed_by_counting, OldTerm),
+        (the_leaders_own_entry_counts_once_durable, OwnNotDurable),
+        (a_lease_runs_from_before_it_was_asked, LeaseFromAnswer),
+        (an_answer_to_an_older_terms_question_renews_no_lease, OldRounds),
+        (a_leader_that_hands_over_has_no_lease_in_this_term_again, HandKeeps),
+        (one_change_of_the_group_at_a_time, AnyChange),
+        (an_unproven_copy_promises_nothing, NoProof),
+        (a_proven_copy_votes_in_no_term_that_was_known, VoteKept),
+        (a_proven_copy_neither_votes_below_what_it_may_have_held_nor_stands, NoFloor),
+    ],
+    ids=lambda each: each.__name__,
+)
 def test_a_rule_is_kept_and_its_flaw_is_caught(rule: Callable[[Make], bool], flaw: Make) -> None:
     assert rule(Copy)
     assert not rule(flaw)
