--- a/tests/test_replication_host.py
+++ b/tests/test_replication_host.py
@@ -75,8 +75,15 @@
         machine = self.machines[store.id] = self.machine()
         links = self.links[store.id] = Links("g", str(store.id), lambda: keys, self.where.get)
         host = self.hosts[store.id] = Host(
-            "g", store, self.first, machine, links, lambda event, fields: self.notes.append((event, fields)), QUICK,
-            place_of=str)
+            "g",
+            store,
+            self.first,
+            machine,
+            links,
+            lambda event, fields: self.notes.append((event, fields)),
+            QUICK,
+            place_of=str,
+        )
         self.where[str(store.id)] = "127.0.0.1", await links.start("127.0.0.1", 0)
         host.start()
         return host
@@ -127,6 +134,7 @@
         assert back.copy.me == lost and back.copy.proven
         await group.until(lambda: group.machines[lost].total == total)
         await group.stop()
+
     run(test(), LONG_S)
 
 
@@ -143,17 +151,22 @@
         fresh = group.store("d")
         await group.run(fresh)
         voters = group.first.voters
-        for config in (Config(voters, (fresh.id,)), Config((*voters, fresh.id)),
-                       Config(tuple(one for one in (*voters, fresh.id) if one != lost))):
+        for config in (
+            Config(voters, (fresh.id,)),
+            Config((*voters, fresh.id)),
+            Config(tuple(one for one in (*voters, fresh.id) if one != lost)),
+        ):
             while not (await group.leader()).change(config):
                 await asyncio.sleep(0.02)
         await group.until(lambda: group.machines[fresh.id].total == total)
         await group.until(lambda: group.hosts[fresh.id].copy.config.voters == config.voters)
-        other = next(number for number in voters if number in group.hosts and group.hosts[number].copy.role
-                     is not Role.LEADER)
+        other = next(
+            number for number in voters if number in group.hosts and group.hosts[number].copy.role is not Role.LEADER
+        )
         await group.kill(other)  # the new one is needed for a majority now
         assert await group.add(1) == total + 1
         await group.stop()
+
     run(test(), LONG_S)
 
 
@@ -172,11 +185,13 @@
         await group.until(lambda: back.copy.proven and store.proven)
         await group.until(lambda: group.machines[follower].total == 7)
         await group.stop()
+
     run(test(), LONG_S)
 
 
 def test_a_copy_that_ends_leaves_no_write_behind_it(tmp_path: Path) -> None:
     """What its thread still wrote would go into folders that the next start holds by then."""
+
     async def test() -> None:
         group = Group(tmp_path)
         await group.begin("a")
@@ -197,11 +212,13 @@
         assert ended.is_set()
         with pytest.raises(InDoubtError):
             await asking
+
     run(test(), LONG_S)
 
 
 def test_a_disk_that_fails_halts_its_copy_and_the_group_goes_on(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     faults = tmp_path / "faults"
     monkeypatch.setenv(FAULTS, str(faults))
 
@@ -220,6 +237,7 @@
         assert await group.add(3) >= 6
         assert any(event == "copy halted" and "No space" in fields["error"] for event, fields in group.notes)
         await group.stop()
+
     run(test(), LONG_S)
 
 
@@ -240,8 +258,11 @@
         strange.send(str(me), Envelope("g", 99, me), body)
         wrong.send(str(me), Envelope("g", 99, me + 1), body)  # another disk at that place
         wrong.send("98", Envelope("g", 99, me), body)  # another place at that address
-        await group.until(lambda: links.counts["dropped_mac"] and links.counts["not_for_this_disk"]
-                          and links.counts["not_for_this_place"])
+        await group.until(
+            lambda: (
+                links.counts["dropped_mac"] and links.counts["not_for_this_disk"] and links.counts["not_for_this_place"]
+            )
+        )
         strange.stop()
         wrong.stop()
         with pytest.raises(ValueError, match="at most"):
@@ -252,11 +273,13 @@
         with pytest.raises(NotLeaderError):
             await follower.read()
         await group.stop()
+
     run(test(), LONG_S)
 
 
 def test_a_copy_that_is_alone_leads_and_reads(tmp_path: Path) -> None:
     """It has nobody whose answers would renew its lease."""
+
     async def test() -> None:
         group = Group(tmp_path)
         await group.begin("a")
@@ -265,6 +288,7 @@
         await (await group.leader()).read()
         assert await group.add(1) == 7
         await group.stop()
+
     run(test(), LONG_S)
 
 
@@ -282,6 +306,7 @@
         assert got == list(range(1, 301))
         await group.until(lambda: all(machine.total == 300 for machine in group.machines.values()))
         await group.stop()
+
     run(test(), LONG_S)
 
 
@@ -313,6 +338,7 @@
         assert back.copy.base >= held
         assert await group.add(1) == total + 1
         await group.stop()
+
     run(test(), LONG_S)
 
 
@@ -332,4 +358,5 @@
         await group.until(lambda: any(event == "no snapshot" for event, _ in group.notes))
         assert (await group.leader()).copy.base == 0
         await group.stop()
+
     run(test(), LONG_S)
--- a/tests/test_replication_store.py
+++ b/tests/test_replication_store.py
@@ -57,11 +57,18 @@
         return Write(ticket, term, kept.vote, kept.floor, cut, (entry(cut, term),))
     if kind == 2 and last > base:
         index = rng.randrange(base + 1, last + 1)
-        return Write(ticket, term, kept.vote, kept.floor,
-                     snapshot=Snapshot(index, term, Config((1, 2, 3)), b"s" * index))
+        return Write(
+            ticket, term, kept.vote, kept.floor, snapshot=Snapshot(index, term, Config((1, 2, 3)), b"s" * index)
+        )
     count = rng.randrange(1, 4)
-    return Write(ticket, term, kept.vote, kept.floor, None,
-                 tuple(entry(last + 1 + n, term, rng.choice((3, 50_000))) for n in range(count)))
+    return Write(
+        ticket,
+        term,
+        kept.vote,
+        kept.floor,
+        None,
+        tuple(entry(last + 1 + n, term, rng.choice((3, 50_000))) for n in range(count)),
+    )
 
 
 def possible(kept: Kept, write: Write) -> list[Kept]:
@@ -112,6 +119,7 @@
 
 def test_a_disk_put_back_or_moved_cannot_prove_itself_and_neither_can_its_next_start() -> None:
     import copy
+
     files, witness = FaultFiles(1), FaultFiles(2)
     store = opened(files, witness)
     store.write([Write(1, 1, 1, entries=(entry(1),))])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -159,8 +159,9 @@
             elif wakes:
                 for action in made.handle(now + 1000, api.Due(wakes[0].token)):
                     assert isinstance(action, api.Cancel)
-                    for more in only(made.handle(now + 1000, outcome(
-                            send, api.Verdict.CANCELLED, rtt=1000.0)), api.Send):
+                    for more in only(
+                        made.handle(now + 1000, outcome(send, api.Verdict.CANCELLED, rtt=1000.0)), api.Send
+                    ):
                         made.handle(now + 1000, outcome(more, api.Verdict.OK, 1, rtt=40.0))
     assert lost[1] <= 12 and lost[2] >= 380
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -145,8 +145,10 @@
 
 def test_a_failing_server_comes_back_before_all_others_have_failed() -> None:
     """L725790: all gateways left the slow half at once, and the sound half jammed in its turn."""
-    seen = [play(one_of_many(seed=n), frozenset({play(one_of_many(seed=n), frozenset(), 1)[0]}), 120, 800.0)
-            for n in range(12)]
+    seen = [
+        play(one_of_many(seed=n), frozenset({play(one_of_many(seed=n), frozenset(), 1)[0]}), 120, 800.0)
+        for n in range(12)
+    ]
     assert any(tries.count(tries[0]) > 1 for tries in seen)
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -35,6 +35,7 @@
             bodies = [(await peer.response())[2] for _ in range(5)]
             assert bodies == [b"/read/%d" % n for n in range(5)]
             assert door.driver.pool.opened == 1  # one connection to the server serves them all
+
     run(test())
 
 
@@ -46,21 +47,25 @@
                 await peer.write(bytes([byte]))
                 await asyncio.sleep(0)
             assert (await peer.response())[0] == 200
+
     run(test())
 
 
-@pytest.mark.parametrize(("sent", "status"), [
-    ("POST /read/1 HTTP/1.1\r\nhost: d\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-    ("GET /read/1 HTTP/1.1\r\nhost: d\r\nx-long: " + "x" * 20_000 + "\r\n\r\n", 431),
-    ("POST /read/1 HTTP/1.1\r\nhost: d\r\nx-customer: free\r\ncontent-length: 99999999\r\n\r\n", 413),
-    ("POST /read/1 HTTP/1.1\r\nhost: d\r\ncontent-length: -3\r\n\r\n", 400),
-    ("POST /read/1 HTTP/1.1\r\nhost: d\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabcd", 400),
-    ("POST /read/1 HTTP/1.1\r\nhost: d\r\ntransfer-encoding: gzip\r\n\r\n", 501),
-    ("GET /read/1 HTTP/1.1\r\n\r\n", 400),  # no host
-    ("nonsense\r\n\r\n", 400),
-    ("GET /read/1 HTTP/1.1\r\nhost: d\r\nbad header\r\n\r\n", 400),
-    ("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400),
-])
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [
+        ("POST /read/1 HTTP/1.1\r\nhost: d\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n", 400),
+        ("GET /read/1 HTTP/1.1\r\nhost: d\r\nx-long: " + "x" * 20_000 + "\r\n\r\n", 431),
+        ("POST /read/1 HTTP/1.1\r\nhost: d\r\nx-customer: free\r\ncontent-length: 99999999\r\n\r\n", 413),
+        ("POST /read/1 HTTP/1.1\r\nhost: d\r\ncontent-length: -3\r\n\r\n", 400),
+        ("POST /read/1 HTTP/1.1\r\nhost: d\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabcd", 400),
+        ("POST /read/1 HTTP/1.1\r\nhost: d\r\ntransfer-encoding: gzip\r\n\r\n", 501),
+        ("GET /read/1 HTTP/1.1\r\n\r\n", 400),  # no host
+        ("nonsense\r\n\r\n", 400),
+        ("GET /read/1 HTTP/1.1\r\nhost: d\r\nbad header\r\n\r\n", 400),
+        ("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400),
+    ],
+)
 def test_bad_requests_get_a_4xx_and_the_connection_ends(sent: str, status: int) -> None:
     async def test() -> None:
         async with house(good) as door:
@@ -70,6 +75,7 @@
             assert int(got.split()[1]) == status, got
             assert got.count(b"HTTP/1.1") == 1
             assert (await door.ask())[0] == 200  # others are served as before
+
     run(test())
 
 
@@ -81,6 +87,7 @@
             await peer.write("7d0\r\n" + "x" * 2000 + "\r\n")
             assert (await peer.rest()).startswith(b"HTTP/1.1 413")
             assert not door.driver.engine.open
+
     run(test())
 
 
@@ -96,8 +103,9 @@
                 await peer.read(2)
             else:
                 body = await peer.read(int(head.split("content-length: ")[1].split()[0]))
-            await peer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n"
-                             % (len(body), body))
+            await peer.write(
+                b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
+            )
 
     async def test() -> None:
         async with house(echo) as door:
@@ -109,6 +117,7 @@
             await peer.write("3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
             assert (await peer.head()).startswith("http/1.1 200")
             assert await peer.read(15) == b"5\r\nabcde\r\n0\r\n\r\n"
+
     run(test())
 
 
@@ -135,6 +144,7 @@
                 await asyncio.sleep(0.001)
             status, _, got = await peer.response()
             assert status == 200 and got == body
+
     run(test())
 
 
@@ -157,6 +167,7 @@
             await peer.write(get(method="POST", more="content-length: 4\r\nexpect: 100-continue\r\n"))
             got = await peer.rest()
             assert got.startswith(b"HTTP/1.1 503") and b"connection: close" in got.lower()
+
     run(test())
 
 
@@ -173,6 +184,7 @@
             status, head, body = await peer.response()
             assert (status, body) == (413, b"too much") and "connection: close" in head
             assert len(door.answers()) == 1 and door.answers()[0]["attempts"] == 1
+
     run(test())
 
 
@@ -189,6 +201,7 @@
             await peer.write(get(method="HEAD") + get())
             assert "content-length: 100" in await peer.head()
             assert (await peer.response())[2] == b"x" * 100
+
     run(test())
 
 
@@ -199,6 +212,7 @@
             await peer.write("GET /read/9 HTTP/1.0\r\nx-customer: free\r\n\r\n")
             got = await peer.rest()
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"/read/9")
+
     run(test())
 
 
@@ -210,6 +224,7 @@
             peer.writer.write_eof()
             got = await peer.rest()
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"/read/5")
+
     run(test())
 
 
@@ -222,6 +237,7 @@
             peer.writer.write_eof()
             await door.until(lambda: door.driver.engine.open == 0)
             assert door.answers()[0]["reason"] == "client left"
+
     run(test())
 
 
@@ -243,6 +259,7 @@
             peer.reset()
             await ended.wait()  # the server sees its connection end
             assert door.answers()[0]["reason"] == "client left" and not door.driver.flights
+
     run(test())
 
 
@@ -259,6 +276,7 @@
                 assert (await door.ask("/pay/1"))[0] == 200  # unsafe: written to a dead connection it would fail
                 await asyncio.sleep(0.02)
             assert len(heads) == 3 and all(line["attempts"] == 1 for line in door.answers())
+
     run(test())
 
 
@@ -278,6 +296,7 @@
             status, _, body = await peer.response()
             assert status == 502 and json.loads(body)["reason"] == "failed"
             assert door.answers()[1]["attempts"] == 1
+
     run(test())
 
 
@@ -296,6 +315,7 @@
         async with house(cuts, cuts) as door:
             status, _, body = await door.ask()
             assert (status, body) == (200, b"whole") and door.answers()[0]["attempts"] == 2
+
     run(test())
 
 
@@ -314,6 +334,7 @@
             assert got.startswith(b"HTTP/1.1 200") and len(got) < 1_000_000
             await door.until(lambda: bool(door.answers()))
             assert door.answers()[0]["reason"] == "broken answer" and door.answers()[0]["attempts"] == 1
+
     run(test())
 
 
@@ -337,6 +358,7 @@
                 await peer.write(get(method="POST", more=f"content-length: {size}\r\n") + "b" * size)
                 assert (await peer.response())[0] == status
                 assert bodies == [b"b" * size] * attempts
+
     run(test())
 
 
@@ -358,6 +380,7 @@
                 assert (await peer.response())[2] == path.encode()
                 await asyncio.sleep(0.02)
             assert all(line["attempts"] == 1 for line in door.answers())
+
     run(test())
 
 
@@ -371,6 +394,7 @@
             for _ in range(12):
                 assert (await door.ask("/pay/1"))[0] == 200  # unsafe: sent again only as nothing was written
             assert max(line["attempts"] for line in door.answers()) > 1  # some met the closed port first
+
     run(test())
 
 
@@ -394,6 +418,7 @@
             statuses = [(await task)[0] for task in asks]
             assert most["most"] <= 4 and statuses.count(200) >= 2 and set(statuses) <= {200, 503}
             assert door.driver.pool.connections <= 4
+
     run(test())
 
 
@@ -406,6 +431,7 @@
     async def test() -> None:
         async with house(babbles) as door:
             assert (await door.ask("/pay/1"))[0] == 502
+
     run(test())
 
 
@@ -421,6 +447,7 @@
             status, head, _ = await door.ask("/pay/1", more="x-deadline-ms: 300\r\n")
             assert status == 504 and "retry-after" not in head
             assert len(got) == 1
+
     run(test())
 
 
@@ -445,6 +472,7 @@
             status, head, body = await busy.response()
             assert (status, body) == (200, b"late but whole") and "connection: close" in head
             assert await stopping is True
+
     run(test())
 
 
@@ -456,6 +484,7 @@
             await door.until(lambda: any(flight.upstream for flight in door.driver.flights.values()))  # it may run
             assert await door.driver.stop(20.0) is False
             assert (await peer.response())[0] == 504
+
     run(test())
 
 
@@ -479,6 +508,7 @@
             for peer in held:
                 assert (await peer.response())[0] == 200
             assert (await door.ask())[0] == 200, "a request is open on none: the longest idle makes room"
+
     run(test())
 
 
@@ -516,6 +546,7 @@
                 for each in waiting:
                     each.close()
             assert (await door.ask())[0] == 200  # accepts again once there is room
+
     run(test())
 
 
@@ -526,11 +557,13 @@
             await slow.write("GET /read/1 HT")
             assert await idle.rest() == b""
             assert (await slow.rest()).startswith(b"HTTP/1.1 408")
+
     run(test())
 
 
 def test_what_is_given_up_is_taken_back_from_the_network_too() -> None:
     """A plain close would go on delivering what the kernel holds, long after the request's end."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.socket() as listener:
@@ -543,15 +576,22 @@
                 await peer.write(get("/read/1", "content-length: 60000\r\n", "POST") + "b" * 60_000)
                 server, _ = await loop.sock_accept(listener)
                 with server:
-                    await door.until(lambda: bool(door.driver.flights) and all(
-                        flight.body is not None and flight.body.complete and flight.body.pos == flight.body.size
-                        for flight in door.driver.flights.values()))
+                    await door.until(
+                        lambda: (
+                            bool(door.driver.flights)
+                            and all(
+                                flight.body is not None and flight.body.complete and flight.body.pos == flight.body.size
+                                for flight in door.driver.flights.values()
+                            )
+                        )
+                    )
                     peer.reset()
                     await door.until(lambda: not door.driver.flights and not door.driver.pool.connections)
                     with pytest.raises(ConnectionResetError):
                         while await loop.sock_recv(server, 65536):
                             pass
                         raise AssertionError("it ended as if all had been meant")
+
     run(test())
 
 
@@ -579,11 +619,13 @@
             if not closed:
                 assert (await peer.response())[0] == 200, "and with an answer, not only an effect"
             assert await peer.rest() == b""
+
     run(test())
 
 
 def test_a_refused_head_request_gets_its_headers_and_no_body() -> None:
     """It had broken the connection: the body that a refusal has was more than the answer to HEAD may hold."""
+
     async def test() -> None:
         async with house(good) as door:
             peer = await door.client()
@@ -592,6 +634,7 @@
             assert head.startswith("http/1.1 404 not found") and "content-length: " in head
             await peer.write(get("/read/1"))  # on the same connection, nothing between
             assert (await peer.response())[0] == 200
+
     run(test())
 
 
@@ -605,6 +648,7 @@
                 assert (status, body) == (200, b"/read/1") and "connection: keep-alive" in headers
             await peer.write("GET /read/1 HTTP/1.0\r\nx-customer: free\r\n\r\n")
             assert b"connection: close" in (await peer.rest())
+
     run(test())
 
 
@@ -622,6 +666,7 @@
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == told
         pool.drop(upstream)
         server.close()
+
     run(test())
 
 
@@ -643,6 +688,7 @@
 
 def test_what_a_killed_door_had_written_is_taken_back_too() -> None:
     """Its client is told by the broken connection that it is over; the kernel would deliver the rest all the same."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.socket() as listener:
@@ -650,8 +696,9 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             listener.setblocking(False)
-            door = await asyncio.create_subprocess_exec(sys.executable, "-c", KILLED, str(listener.getsockname()[1]),
-                                                        stdout=asyncio.subprocess.PIPE)
+            door = await asyncio.create_subprocess_exec(
+                sys.executable, "-c", KILLED, str(listener.getsockname()[1]), stdout=asyncio.subprocess.PIPE
+            )
             assert door.stdout is not None
             server, _ = await loop.sock_accept(listener)
             with server:
@@ -661,4 +708,5 @@
                 with pytest.raises(ConnectionResetError):
                     while await loop.sock_recv(server, 65536):
                         pass
+
     run(test())
--- a/tests/test_standin_redis.py
+++ b/tests/test_standin_redis.py
@@ -63,6 +63,7 @@
                 await client.execute_command("GET")
             assert await client.flushall() is True and await client.dbsize() == 0
             await client.aclose()
+
     run(test())
 
 
@@ -71,8 +72,11 @@
     async def test() -> None:
         fleet = Fleet(Trace(None), SENTINEL)
         await fleet.start()
-        sentinel: Any = Sentinel([("127.0.0.1", port) for port in fleet.ports],  # type: ignore[no-untyped-call]
-                                 sentinel_kwargs={"protocol": protocol}, protocol=protocol)
+        sentinel: Any = Sentinel(
+            [("127.0.0.1", port) for port in fleet.ports],  # type: ignore[no-untyped-call]
+            sentinel_kwargs={"protocol": protocol},
+            protocol=protocol,
+        )
         client: Any = sentinel.master_for("counts")
         assert await client.incrby("a", 2) == 2
         [replica] = await sentinel.discover_slaves("counts")
@@ -95,6 +99,7 @@
             assert await cluster.incrby(f"key-{number}", 1) == number + 1
         await cluster.aclose()
         await fleet.stop()
+
     run(test())
 
 
@@ -122,12 +127,13 @@
 @given(st.lists(st.lists(st.binary(max_size=12), min_size=1, max_size=4), max_size=6), st.data())
 @hypo(max_examples=60, deadline=None, derandomize=True)
 def test_commands_come_out_however_they_are_cut(commands: list[list[bytes]], data: st.DataObject) -> None:
-    sent = b"".join(b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words)
-                    for words in commands)
+    sent = b"".join(
+        b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words) for words in commands
+    )
     reader, got, at = Commands(), [], 0
     while at < len(sent):
         size = data.draw(st.integers(1, 20))
-        got += reader.feed(sent[at:at + size])
+        got += reader.feed(sent[at : at + size])
         at += size
     assert got == commands
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -12,14 +12,17 @@
 HOUR_MS = 3_600_000.0
 
 
-@pytest.mark.parametrize(("age_ms", "unseen_ms", "started"), [
-    (4000.0, math.inf, NOW - 4000.0),  # the first list: nothing else tells
-    (800.0, 1500.0, NOW - 800.0),
-    (HOUR_MS, 1500.0, NOW),  # stepped forward meanwhile: it was not there a moment ago
-    (-HOUR_MS, 1500.0, NOW),  # stepped back
-    (-HOUR_MS, math.inf, NOW),
-    (1500.0 + LISTED_LATE_MS + 1, 1500.0, NOW),
-])
+@pytest.mark.parametrize(
+    ("age_ms", "unseen_ms", "started"),
+    [
+        (4000.0, math.inf, NOW - 4000.0),  # the first list: nothing else tells
+        (800.0, 1500.0, NOW - 800.0),
+        (HOUR_MS, 1500.0, NOW),  # stepped forward meanwhile: it was not there a moment ago
+        (-HOUR_MS, 1500.0, NOW),  # stepped back
+        (-HOUR_MS, math.inf, NOW),
+        (1500.0 + LISTED_LATE_MS + 1, 1500.0, NOW),
+    ],
+)
 def test_an_age_is_believed_as_far_as_it_fits(age_ms: float, unseen_ms: float, started: float) -> None:
     assert StartTimes().local_start("s", REPORTED, age_ms, NOW, unseen_ms) == started
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -60,8 +60,11 @@
 
     def added(self, name: int) -> float:
         """What must be in the store: all that was told as added, and as perhaps added once anything came after."""
-        return sum(units for number, (called, units) in self.calls.items()
-                   if called == name and self.answers[number][0] in (Verdict.OK, Verdict.TIMEOUT))
+        return sum(
+            units
+            for number, (called, units) in self.calls.items()
+            if called == name and self.answers[number][0] in (Verdict.OK, Verdict.TIMEOUT)
+        )
 
     async def all(self) -> None:
         while len(self.answers) < self._number:
@@ -104,6 +107,7 @@
             assert [n for n in made.order if n in numbers] == numbers
             assert all(made.answers[n] == (Verdict.OK, 1.0) for n in others)
             assert redis_.control("state", {})["connections"] == 2
+
     run(test())
 
 
@@ -119,6 +123,7 @@
             tries, total = await made.until_good(2, 0.25)
             assert total <= 0.25 * tries  # of its own name: the late answer would say 11
             assert (await made.until_good(1, 1))[1] == made.added(1) >= 12.0  # the late one once
+
     run(test())
 
 
@@ -132,12 +137,14 @@
             redis_.control("down", {"on": False})
             # What may have been written is a time-out, and counts by now; what was not, never.
             assert (await made.until_good(1, 1))[1] == made.added(1)
+
     run(test())
 
 
 @pytest.mark.parametrize(("scripts", "word"), [(True, b"EVALSHA"), (False, b"HINCRBYFLOAT")])
 def test_a_broken_connection_is_a_second_statement_or_no_second_add(scripts: bool, word: bytes) -> None:
     """What the library would do by itself is off: without scripts an add goes out once, whatever happens."""
+
     async def test() -> None:
         reads = []
 
@@ -160,6 +167,7 @@
         assert sent > 1 if scripts else sent == 1
         await made.store.stop()
         listener.close()
+
     run(test())
 
 
@@ -170,6 +178,7 @@
             bad, good = made.add(5), made.add(6)
             await made.all()
             assert made.answers[bad][0] is Verdict.FULL and made.answers[good] == (Verdict.OK, 1.0)
+
     run(test())
 
 
@@ -180,6 +189,7 @@
             numbers = [made.add(1) for _ in range(6)]
             assert [made.answers[n][0] for n in numbers[3:]] == [Verdict.FULL] * 3
             await made.all()
+
     run(test())
 
 
@@ -199,6 +209,7 @@
             await made.settled()
             assert [total_of(redis_, name) for name in range(50)] == [made.added(name) for name in range(50)]
             assert made.notes == ["store lost contents"]
+
     run(test())
 
 
@@ -210,6 +221,7 @@
             redis_.control("restart", {})
             while total_of(redis_, 7) != 5:
                 await asyncio.sleep(0.005)
+
     run(test())
 
 
@@ -223,6 +235,7 @@
                 await made.all()
             assert [made.answers[n] for n in numbers[::2]] == [(Verdict.OK, float(n)) for n in range(1, 6)]
             assert made.store.core.counts["fault NOSCRIPT"] > 0
+
     run(test())
 
 
@@ -238,6 +251,7 @@
             assert made.answers[number][0] is not Verdict.OK
             redis_.control("error", {"code": ""})
             assert (await made.until_good(1, 1))[1] == made.added(1)
+
     run(test())
 
 
@@ -252,6 +266,7 @@
             assert made.answers[number] == (Verdict.FULL, 0.0)
             redis_.control("memory", {"bytes": 0})
             assert (await made.until_good(1, 1))[1] == made.added(1) < 10
+
     run(test())
 
 
@@ -267,6 +282,7 @@
             assert redis_.keyspace.evicted > 0 and total_of(redis_, 0) == 0
             redis_.control("memory", {"bytes": 0})
             assert (await made.until_good(0, 1))[1] == made.added(0)
+
     run(test())
 
 
@@ -283,6 +299,7 @@
             assert made.answers[at_once][0] is Verdict.CONNECT_FAILED  # nobody waits for it any more
             redis_.control("hang_writes", {"on": False})
             assert (await made.until_good(1, 1))[1] == made.added(1) > 2
+
     run(test())
 
 
@@ -299,6 +316,7 @@
             await made.settled()
             assert total_of(redis_, 5) == made.added(5)
             assert made.store.core.counts["sent again"] > 0
+
     run(test())
 
 
@@ -307,8 +325,9 @@
         file = tmp_path / "password"
         file.write_text("secret\n")
         async with server() as (redis_, port):
-            redis_.keyspace.users["door"] = User("secret", frozenset(
-                {b"AUTH", b"HELLO", b"CLIENT", b"MULTI", b"EXEC", b"HINCRBYFLOAT", b"PEXPIRE"}))
+            redis_.keyspace.users["door"] = User(
+                "secret", frozenset({b"AUTH", b"HELLO", b"CLIENT", b"MULTI", b"EXEC", b"HINCRBYFLOAT", b"PEXPIRE"})
+            )
             made = Desk(port, connections=1, user="door", password_file=str(file))
             made.store.start()
             one, two = made.add(1, 2), made.add(1, 1)
@@ -325,6 +344,7 @@
             await other.store.stop()
             redis_.keyspace.users.clear()
             assert total_of(redis_, 1) == 3.0
+
     run(test())
 
 
@@ -332,14 +352,17 @@
 
 
 @asynccontextmanager
-async def many(kind: str, doors: int = 1, lag_ms: float = 40.0, **changes: Any) -> AsyncIterator[
-        tuple[Fleet, list[Desk]]]:
+async def many(
+    kind: str, doors: int = 1, lag_ms: float = 40.0, **changes: Any
+) -> AsyncIterator[tuple[Fleet, list[Desk]]]:
     fleet = Fleet(Trace(None), kind, lag_ms=lag_ms)
     await fleet.start()
     topology = {ALONE: pb.Store.ALONE, SENTINEL: pb.Store.SENTINEL, CLUSTER: pb.Store.CLUSTER}[kind]
     nodes = [pb.Store.Node(port=port) for port in fleet.ports]
-    desks = [Desk(0, topology=topology, node=nodes, primary_name="counts", connections=2,
-                  **{"timeout_ms": 250.0, **changes}) for _ in range(doors)]
+    desks = [
+        Desk(0, topology=topology, node=nodes, primary_name="counts", connections=2, **{"timeout_ms": 250.0, **changes})
+        for _ in range(doors)
+    ]
     for made in desks:
         made.store.start()
     try:
@@ -368,6 +391,7 @@
             for name in range(30):
                 await held(fleet, name, sum(made.added(name) for made in desks))
             assert all(made.added(29) >= 30 for made in desks)
+
     run(test())
 
 
@@ -389,6 +413,7 @@
             await one.settled()
             await two.settled()
             await held(fleet, 1, one.added(1) + two.added(1))
+
     run(test())
 
 
@@ -408,6 +433,7 @@
                 await held(fleet, name, 2.0)
             counts = made.store.core.counts
             assert counts["asked elsewhere" if for_ms else "fault MOVED"] > 0 and not counts["losses"]
+
     run(test())
 
 
@@ -419,6 +445,7 @@
             await made.until_good(1, 1)
             fleet.failover(0)
             assert (await made.until_good(1, 1))[1] == made.added(1)
+
     run(test())
 
 
@@ -438,6 +465,7 @@
                     await made.until_good(name, 1)
             for name in range(80):
                 await held(fleet, name, sum(made.added(name) for made in desks))
+
     run(test())
 
 
@@ -460,6 +488,7 @@
             assert total_of(redis_, 1) == sum(made.added(1) for made in desks) == 760.0
             assert first == 380 and len(redis_.accepted) - first >= 380
             await asyncio.gather(*(made.store.stop() for made in desks))
+
     run(test())
 
 
@@ -473,6 +502,7 @@
             await made.until_good(1, 1)
             left = redis_.keyspace.run(Session(0), now_ms(), ttl)
             assert isinstance(left, int) and 0 < left <= 60_000
+
     run(test())
 
 
@@ -484,6 +514,7 @@
             redis_.control("skew", {"ms": 1e9})
             for name in range(5):
                 assert (await made.until_good(name, 1))[1] == made.added(name) >= 4
+
     run(test())
 
 
@@ -498,6 +529,7 @@
                 await made.until_good(name, 1)
             assert len(numbers) == 40
             assert [total_of(redis_, name) for name in range(40)] == [made.added(name) for name in range(40)]
+
     run(test())
 
 
@@ -519,4 +551,5 @@
             assert (made.answers[number][0] is Verdict.OK) is good
             await made.store.stop()
         await redis_.stop()
+
     run(test())
--- a/tests/test_store_ceiling.py
+++ b/tests/test_store_ceiling.py
@@ -71,8 +71,12 @@
         """One try at a door."""
         rid = f"r{len(self.asked)}"
         self.asked[rid] = customer
-        self.decided(door, self.gates[door].handle(self.now, api.Request(
-            rid, "read", self.plan.name, customer, 4000.0, 1.0, len(self.cores))))
+        self.decided(
+            door,
+            self.gates[door].handle(
+                self.now, api.Request(rid, "read", self.plan.name, customer, 4000.0, 1.0, len(self.cores))
+            ),
+        )
 
     def decided(self, door: int, actions: list[api.Action]) -> None:
         """Carry out what a gateway decided."""
@@ -84,8 +88,9 @@
                     if action.id not in self.ended:
                         self.ended.add(action.id)
                         self.sent[self.asked[action.id]].append(self.now)
-                    self._at(self.now + 20.0, door,
-                             api.Outcome(action.id, 0, action.server, api.Verdict.OK, 20.0, True))
+                    self._at(
+                        self.now + 20.0, door, api.Outcome(action.id, 0, action.server, api.Verdict.OK, 20.0, True)
+                    )
                 case api.Refuse():
                     self.ended.add(action.id)
                 case api.Wake():
@@ -109,8 +114,12 @@
         super()._do(door, action)
         if isinstance(action, Told):
             _, name, _, at = self.calls[action.call]
-            self.decided(door, self.gates[door].handle(self.now, api.Total(
-                name, action.verdict, self.now - at, action.total, action.kept_ms)))
+            self.decided(
+                door,
+                self.gates[door].handle(
+                    self.now, api.Total(name, action.verdict, self.now - at, action.total, action.kept_ms)
+                ),
+            )
 
 
 @dataclass(frozen=True)
@@ -122,8 +131,13 @@
     calm_ms: float
 
 
-TROUBLES = st.lists(st.builds(Trouble, st.sampled_from(FAULTS), st.sampled_from((40.0, 300.0, 2000.0)),
-                              st.sampled_from((600.0, 1500.0))), min_size=1, max_size=4)
+TROUBLES = st.lists(
+    st.builds(
+        Trouble, st.sampled_from(FAULTS), st.sampled_from((40.0, 300.0, 2000.0)), st.sampled_from((600.0, 1500.0))
+    ),
+    min_size=1,
+    max_size=4,
+)
 
 
 def day(troubles: list[Trouble], seed: int) -> Doors:
@@ -200,6 +214,7 @@
 
         def alone(self: core.Core, now: float, lane: Any, op: core.Op, reply: core.Held) -> None:
             held(self, now, lane, op, core.Held(op.total, reply.found))
+
         patch.setattr(core.Core, "_held", alone)
         world = day([Trouble("none", 2000.0, 600.0)], 1)
     assert max(most_beyond(times) for times in world.sent.values()) > CAPPED.ceiling_slack
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -17,8 +17,14 @@
 from tests.store_world import TIMEOUT_MS, World
 
 DOORS, NAMES = 3, 2
-ERRORS = ("LOADING Redis is loading", "BUSY running a script", "OOM command not allowed", "READONLY replica",
-          "NOREPLICAS Not enough", "TRYAGAIN rehashing")
+ERRORS = (
+    "LOADING Redis is loading",
+    "BUSY running a script",
+    "OOM command not allowed",
+    "READONLY replica",
+    "NOREPLICAS Not enough",
+    "TRYAGAIN rehashing",
+)
 RUNS = hypo(max_examples=100, stateful_step_count=40, deadline=None, derandomize=True)
 SEARCH = hypo(RUNS, max_examples=1000, phases=(Phase.generate,))  # a flaw need not be told in the fewest steps
 
@@ -146,6 +152,7 @@
         if register is not None:
             register.others = register.floor = 0.0
         held(self, now, lane, op, reply)
+
     monkeypatch.setattr(core.Core, "_held", without)
 
 
@@ -157,6 +164,7 @@
         cut(self, now, lane)
         for op in lane.queue:
             op.version = 0
+
     monkeypatch.setattr(core.Core, "_cut", anew)
 
 
@@ -164,10 +172,12 @@
     monkeypatch.setattr(core.Core, "_restate", lambda self, name: None)
 
 
-@pytest.mark.parametrize(("flaw", "kind"), [(_no_proof, Losing), (_no_floor, Losing), (_adds_again, Store),
-                                            (_forgets_uncertain, Store)])
-def test_each_flaw_is_found(flaw: Callable[[pytest.MonkeyPatch], None], kind: type[Store],
-                            monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("flaw", "kind"), [(_no_proof, Losing), (_no_floor, Losing), (_adds_again, Store), (_forgets_uncertain, Store)]
+)
+def test_each_flaw_is_found(
+    flaw: Callable[[pytest.MonkeyPatch], None], kind: type[Store], monkeypatch: pytest.MonkeyPatch
+) -> None:
     flaw(monkeypatch)
     with pytest.raises((AssertionError, ExceptionGroup)):
         run_state_machine_as_test(kind, settings=SEARCH)
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -45,9 +45,11 @@
 
 def run(test: Coroutine[Any, Any, None]) -> None:
     """Run a test's coroutine."""
+
     async def bounded() -> None:
         async with asyncio.timeout(BOUND_S):
             await test
+
     asyncio.run(bounded())
 
 
@@ -85,9 +87,11 @@
 
 
 def test_workers_are_instances_of_their_own() -> None:
-    door = settings('workers { count: 4 } admin { port: 9000 } '
-                    'customer { key: "part" plan: "open" first_door: 1 doors: 1 }'
-                    'hooks { directory: "h" history: "h.jsonl" }')
+    door = settings(
+        "workers { count: 4 } admin { port: 9000 } "
+        'customer { key: "part" plan: "open" first_door: 1 doors: 1 }'
+        'hooks { directory: "h" history: "h.jsonl" }'
+    )
     door.instance = 1
     made = [worker_door(door, number) for number in range(4)]
     assert [one.instance for one in made] == [4, 5, 6, 7] and {one.instances for one in made} == {8}
@@ -105,8 +109,9 @@
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as heard:
         heard.bind(str(tmp_path / "n"))
         heard.settimeout(5)
-        made = Notifier({"NOTIFY_SOCKET": str(tmp_path / "n"), "WATCHDOG_USEC": "4000000",
-                         "WATCHDOG_PID": str(os.getpid())})
+        made = Notifier(
+            {"NOTIFY_SOCKET": str(tmp_path / "n"), "WATCHDOG_USEC": "4000000", "WATCHDOG_PID": str(os.getpid())}
+        )
         assert made.watchdog_s == 2.0 and made.tell(READY=1, STATUS="well\nREADY=0")
         assert heard.recv(1000) == b"READY=1\nSTATUS=well\n"
     assert not made.tell(READY=1)  # nobody listens any more
@@ -170,6 +175,7 @@
             reader.feed_eof()
             with pytest.raises(frames.FrameError):
                 await frames.read(reader)
+
     run(test())
 
 
@@ -186,8 +192,10 @@
         """One sub-request on a connection of its own; gives the status, 0 where the connection broke."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.supervisor.port)
-            writer.write(b"GET /auth HTTP/1.1\r\nhost: d\r\nx-forwarded-method: GET\r\nx-forwarded-uri: /read/1\r\n"
-                         b"connection: close\r\nx-customer: " + customer.encode() + b"\r\n\r\n")
+            writer.write(
+                b"GET /auth HTTP/1.1\r\nhost: d\r\nx-forwarded-method: GET\r\nx-forwarded-uri: /read/1\r\n"
+                b"connection: close\r\nx-customer: " + customer.encode() + b"\r\n\r\n"
+            )
             told = await reader.read()
             writer.close()
         except ConnectionError:
@@ -235,10 +243,15 @@
             os.kill(first[0]["pid"], signal.SIGKILL)
             answers = await asyncio.gather(*asked)
             assert set(answers) <= {0, 200, 429} and 429 in answers
-            await made.until(lambda: made.supervisor.serving == 2
-                             and first[0]["pid"] not in [one["pid"] for one in made.supervisor.workers])
+            await made.until(
+                lambda: (
+                    made.supervisor.serving == 2
+                    and first[0]["pid"] not in [one["pid"] for one in made.supervisor.workers]
+                )
+            )
             assert [await made.ask() for _ in range(20)] == [200] * 20
         assert ("worker died", {"worker": 0, "how": "signal SIGKILL"}) in notes
+
     run(test())
 
 
@@ -247,13 +260,18 @@
 
     async def test() -> None:
         door = parse_door(ASKED + "workers { count: 2 }", "door.txtpb")
-        made = Supervisor(door, lambda event, fields: notes.append(event), rng=random.Random(1),
-                          words=(sys.executable, "-S", "-c", "raise SystemExit(7)"))
+        made = Supervisor(
+            door,
+            lambda event, fields: notes.append(event),
+            rng=random.Random(1),
+            words=(sys.executable, "-S", "-c", "raise SystemExit(7)"),
+        )
         made.bind()
         made.start()
         await made.wait()
         assert "died 3 times without having served, the last one by exit code 7" in made.gave_up
         await made.stop()
+
     run(test())
     assert notes.count("worker died") >= 6 and notes[-1] == "supervisor gives up"
 
@@ -265,9 +283,14 @@
 
     async def test() -> None:
         async with fleet("workers { count: 2 }", notes) as made:
-            reloader = Reloader(lambda: load_door(file), lambda event, fields: notes.append((event, fields)),
-                                Notifier({}), lambda: made.supervisor.door, made.supervisor.take_up,
-                                made.supervisor.renew)
+            reloader = Reloader(
+                lambda: load_door(file),
+                lambda event, fields: notes.append((event, fields)),
+                Notifier({}),
+                lambda: made.supervisor.door,
+                made.supervisor.take_up,
+                made.supervisor.renew,
+            )
             stop = False
 
             async def load() -> set[int]:
@@ -275,9 +298,13 @@
                 while not stop:
                     seen.add(await made.ask())
                 return seen
+
             loads = [asyncio.create_task(load()) for _ in range(4)]
-            for bad in ("nonsense {", base + 'customer { key: "free" plan: "gone" }',
-                        base.replace('zone: "a"', 'zone: "b"') + 'customer { key: "new" plan: "open" }'):
+            for bad in (
+                "nonsense {",
+                base + 'customer { key: "free" plan: "gone" }',
+                base.replace('zone: "a"', 'zone: "b"') + 'customer { key: "new" plan: "open" }',
+            ):
                 file.write_text(bad)
                 await reloader.reload()
                 assert notes[-1][0] == "settings not taken up"
@@ -295,20 +322,28 @@
             assert {await made.ask("new") for _ in range(16)} == {200}  # it came back with what holds now
             stop = True
             assert set().union(*await asyncio.gather(*loads)) <= {200, 0}
+
     run(test())
 
 
 def test_a_worker_leaves_with_its_supervisor() -> None:
     async def test() -> None:
-        process = await asyncio.create_subprocess_exec(sys.executable, "-m", "martenstep", "worker",
-                                                       stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-                                                       stderr=asyncio.subprocess.DEVNULL)
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "martenstep",
+            "worker",
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.DEVNULL,
+        )
         assert process.stdin is not None and process.stdout is not None
         door = worker_door(parse_door(ASKED + "workers { count: 1 }", "door.txtpb"), 0)
         process.stdin.write(frames.encode(frames.Begin(door.SerializeToString())))
         assert b'"ready"' in await process.stdout.readline()
         process.stdin.close()
         assert await process.wait() == 0
+
     run(test())
 
 
@@ -323,24 +358,27 @@
 
 def test_a_reload_asked_for_before_the_service_is_up_is_not_lost(tmp_path: Path) -> None:
     """It would end the process, or pass unheard between the reading of the settings and the handler."""
-    script = ("import os, signal, sys; sys.argv = ['martenstep', 'serve', sys.argv[1]]\n"
-              "from martenstep.supervise import early; early.arm(sys.argv[1:])\n"
-              "from martenstep.cli import main\n"
-              "load = main.load_door\n"
-              "def loaded(path):\n"
-              "    made = load(path)\n"
-              "    main.load_door = load\n"
-              "    path.write_text(path.read_text() + 'default_plan: \"open\"')\n"
-              "    os.kill(os.getpid(), signal.SIGHUP)\n"
-              "    return made\n"
-              "main.load_door = loaded\n"
-              "main.main()\n")
+    script = (
+        "import os, signal, sys; sys.argv = ['martenstep', 'serve', sys.argv[1]]\n"
+        "from martenstep.supervise import early; early.arm(sys.argv[1:])\n"
+        "from martenstep.cli import main\n"
+        "load = main.load_door\n"
+        "def loaded(path):\n"
+        "    made = load(path)\n"
+        "    main.load_door = load\n"
+        "    path.write_text(path.read_text() + 'default_plan: \"open\"')\n"
+        "    os.kill(os.getpid(), signal.SIGHUP)\n"
+        "    return made\n"
+        "main.load_door = loaded\n"
+        "main.main()\n"
+    )
     file = tmp_path / "door.txtpb"
     file.write_text(ASKED)
 
     async def test() -> None:
-        process = await asyncio.create_subprocess_exec(sys.executable, "-c", script, str(file),
-                                                       stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-c", script, str(file), stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
+        )
         assert process.stderr is not None
         seen: list[str] = []
         while "default_plan" not in (seen[-1] if seen else ""):
@@ -350,4 +388,5 @@
         assert "settings taken up" in seen[-1]
         process.terminate()
         assert await process.wait() == 0
+
     run(test())
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -99,12 +99,18 @@
         return "trouble: SERVER_RESTARTED"
     if rule == INVENTED:
         came = Connection.came
-        patch.setattr(Connection, "came", lambda self, told, *more: came(
-            self, {**told, "rid": told["rid"] + "x"}, *more))
+        patch.setattr(
+            Connection, "came", lambda self, told, *more: came(self, {**told, "rid": told["rid"] + "x"}, *more)
+        )
         return "troubles_most: 0"
     verdict = EmuDoor._verdict
-    patch.setattr(EmuDoor, "_verdict", lambda self, action, status, headers, body: verdict(
-        self, action, 200, [(b"x-auth-customer", b"p0-0-0"), (b"x-auth-plan", b"p0")], b""))
+    patch.setattr(
+        EmuDoor,
+        "_verdict",
+        lambda self, action, status, headers, body: verdict(
+            self, action, 200, [(b"x-auth-customer", b"p0-0-0"), (b"x-auth-plan", b"p0")], b""
+        ),
+    )
     return "troubles_most: 0"
 
 
@@ -119,6 +125,7 @@
 def test_a_day_that_brings_the_program_down_is_a_broken_one() -> None:
     def dies(day: pb.Day) -> dict[str, Any]:
         raise ZeroDivisionError("of a door")
+
     broken, told = sweep.broken_in(sweep.drawn(plan(), 0), dies)
     assert broken == [sweep.CRASHED] and "ZeroDivisionError: of a door" in told
 
@@ -128,8 +135,10 @@
     words = ["lab", "sweep", str(tmp_path / "sweep.txtpb"), "--out", str(tmp_path / "out"), "--workers", "2"]
     sweeper = subprocess.Popen([sys.executable, "-m", "martenstep", *words], stdout=subprocess.DEVNULL)
     try:
-        while not (tmp_path / "out" / sweep.JOURNAL).exists() or b"seconds" not in (
-                tmp_path / "out" / sweep.JOURNAL).read_bytes():
+        while (
+            not (tmp_path / "out" / sweep.JOURNAL).exists()
+            or b"seconds" not in (tmp_path / "out" / sweep.JOURNAL).read_bytes()
+        ):
             time.sleep(0.05)
         workers = [int(pid) for pid in Path(f"/proc/{sweeper.pid}/task/{sweeper.pid}/children").read_text().split()]
         assert len(workers) >= 2
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -68,11 +68,22 @@
     assert (b"connection", b"close") in found.headers and dict(found.headers)[b"allow"]
 
 
-@pytest.mark.parametrize(("host", "target", "status"), [
-    (b"photos.example", b"/x", 200), (b"PHOTOS.example:443", b"/x", 200), (b"photos.example:8443", b"/x", 200),
-    (b"b.example:8443", b"/x", 200), (b"b.example", b"/x", 421), (b"[::1]", b"/x", 200), (b"other", b"/x", 421),
-    (b"a b", b"/x", 400), (b"other", b"https://photos.example/x", 200), (b"photos.example", b"https://other/x", 421),
-    (b"photos.example", b"http://photos.example/x", 421)])
+@pytest.mark.parametrize(
+    ("host", "target", "status"),
+    [
+        (b"photos.example", b"/x", 200),
+        (b"PHOTOS.example:443", b"/x", 200),
+        (b"photos.example:8443", b"/x", 200),
+        (b"b.example:8443", b"/x", 200),
+        (b"b.example", b"/x", 421),
+        (b"[::1]", b"/x", 200),
+        (b"other", b"/x", 421),
+        (b"a b", b"/x", 400),
+        (b"other", b"https://photos.example/x", 200),
+        (b"photos.example", b"https://other/x", 421),
+        (b"photos.example", b"http://photos.example/x", 421),
+    ],
+)
 def test_a_door_that_knows_its_names_answers_for_no_others(host: bytes, target: bytes, status: int) -> None:
     names = ["photos.example", "b.example:8443", "[::1]:443"]
     found = Targets(True, names).take(b"GET", target, [(b"host", host)])
@@ -86,17 +97,24 @@
 
 
 NAMES = st.sampled_from([b"accept", b"x-a", b"cookie", b"content-type"])
-VALUES = st.text("abc ;=,/\"", max_size=12).map(lambda text: text.strip().encode())
+VALUES = st.text('abc ;=,/"', max_size=12).map(lambda text: text.strip().encode())
 VISIBLE = "/abc?&=%#:@[]*!$'()+,;._~-"
 
 
-@given(st.sampled_from([b"GET", b"POST", b"OPTIONS", b"DELETE"]),
-       st.one_of(st.text(VISIBLE, min_size=1, max_size=20), st.text(VISIBLE, max_size=20).map("/{}".format),
-                 st.text(VISIBLE, max_size=20).map("http://h.example{}".format)),
-       st.lists(st.tuples(NAMES, VALUES), max_size=4), st.sampled_from([b"h", b"[::1]:8", b"h.example"]))
+@given(
+    st.sampled_from([b"GET", b"POST", b"OPTIONS", b"DELETE"]),
+    st.one_of(
+        st.text(VISIBLE, min_size=1, max_size=20),
+        st.text(VISIBLE, max_size=20).map("/{}".format),
+        st.text(VISIBLE, max_size=20).map("http://h.example{}".format),
+    ),
+    st.lists(st.tuples(NAMES, VALUES), max_size=4),
+    st.sampled_from([b"h", b"[::1]:8", b"h.example"]),
+)
 @hypo(max_examples=400, deadline=None, derandomize=True)
-def test_what_is_taken_is_written_so_that_a_server_reads_the_same(method: bytes, target: str, more: Headers,
-                                                                  host: bytes) -> None:
+def test_what_is_taken_is_written_so_that_a_server_reads_the_same(
+    method: bytes, target: str, more: Headers, host: bytes
+) -> None:
     found = Targets(False, []).take(method, target.encode(), [(b"host", host), *more])
     if isinstance(found, Declined):
         return
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -35,16 +35,26 @@
     def __init__(self, folder: Path, name: str = "ca") -> None:
         self._folder, self._key = folder, ec.generate_private_key(ec.SECP256R1())
         self._name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-        made = self._builder(self._name, self._key, 30).issuer_name(self._name).add_extension(
-            x509.BasicConstraints(True, None), True).sign(self._key, hashes.SHA256())
+        made = (
+            self._builder(self._name, self._key, 30)
+            .issuer_name(self._name)
+            .add_extension(x509.BasicConstraints(True, None), True)
+            .sign(self._key, hashes.SHA256())
+        )
         self.file = str(folder / f"{name}.pem")
         Path(self.file).write_bytes(made.public_bytes(serialization.Encoding.PEM))
 
     @staticmethod
     def _builder(name: x509.Name, key: ec.EllipticCurvePrivateKey, days: float) -> x509.CertificateBuilder:
         begins, ends = NOW - datetime.timedelta(days=60), NOW + datetime.timedelta(days=days)
-        return (x509.CertificateBuilder().subject_name(name).public_key(key.public_key())
-                .serial_number(x509.random_serial_number()).not_valid_before(begins).not_valid_after(ends))
+        return (
+            x509.CertificateBuilder()
+            .subject_name(name)
+            .public_key(key.public_key())
+            .serial_number(x509.random_serial_number())
+            .not_valid_before(begins)
+            .not_valid_after(ends)
+        )
 
     def issue(self, name: str, host: str = "127.0.0.1", days: float = 30) -> tuple[str, str]:
         """A certificate and its key, as files."""
@@ -52,12 +62,19 @@
         alt: x509.GeneralName = x509.DNSName(host)
         with contextlib.suppress(ValueError):
             alt = x509.IPAddress(ipaddress.ip_address(host))
-        made = self._builder(x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)]), key, days).issuer_name(
-            self._name).add_extension(x509.SubjectAlternativeName([alt]), False).sign(self._key, hashes.SHA256())
+        made = (
+            self._builder(x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)]), key, days)
+            .issuer_name(self._name)
+            .add_extension(x509.SubjectAlternativeName([alt]), False)
+            .sign(self._key, hashes.SHA256())
+        )
         files = str(self._folder / f"{name}.pem"), str(self._folder / f"{name}.key")
         Path(files[0]).write_bytes(made.public_bytes(serialization.Encoding.PEM))
-        Path(files[1]).write_bytes(key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8,
-                                                     serialization.NoEncryption()))
+        Path(files[1]).write_bytes(
+            key.private_bytes(
+                serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+            )
+        )
         return files
 
 
@@ -93,6 +110,7 @@
             await door.until(lambda: any(event == "handshake refused" for event, _ in door.notes))
             [told] = [fields for event, fields in door.notes if event == "handshake refused"]
             assert told["peer"] == "127.0.0.1" and "HTTP_REQUEST" in told["reason"].upper()
+
     run(test())
 
 
@@ -110,6 +128,7 @@
                     await refused.write(get())
                     await refused.response()
             await door.until(lambda: sum(event == "handshake refused" for event, _ in door.notes) == 3)
+
     run(test())
 
 
@@ -125,20 +144,30 @@
             assert (await secured(door, trusting(issuer))).writer.get_extra_info("ssl_object").version() == "TLSv1.3"
         settings = pb.ServerTls(certificate=issuer.issue("x")[0], key=str(tmp_path / "x.key"))
         assert ServerContext(settings).context.minimum_version is ssl.TLSVersion.TLSv1_2
+
     run(test())
 
 
-@pytest.mark.parametrize(("kind", "reason"), [
-    ("good", ""), ("wrong name", "IP address mismatch"), ("expired", "certificate has expired"),
-    ("unknown issuer", "unable to get local issuer certificate"),
-])
+@pytest.mark.parametrize(
+    ("kind", "reason"),
+    [
+        ("good", ""),
+        ("wrong name", "IP address mismatch"),
+        ("expired", "certificate has expired"),
+        ("unknown issuer", "unable to get local issuer certificate"),
+    ],
+)
 def test_a_server_whose_certificate_is_not_good_gets_nothing_and_is_told_of(
     tmp_path: Path, kind: str, reason: str
 ) -> None:
     async def test() -> None:
         issuer, other = Issuer(tmp_path), Issuer(tmp_path, "other")
-        files = {"good": issuer.issue("s"), "wrong name": issuer.issue("w", "example.org"),
-                 "expired": issuer.issue("e", days=-1), "unknown issuer": other.issue("u")}[kind]
+        files = {
+            "good": issuer.issue("s"),
+            "wrong name": issuer.issue("w", "example.org"),
+            "expired": issuer.issue("e", days=-1),
+            "unknown issuer": other.issue("u"),
+        }[kind]
         heads: list[str] = []
 
         async def serves(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -161,6 +190,7 @@
                 [told] = [fields for event, fields in door.notes if event == "server refused"]
                 assert reason in told["reason"]
         server.close()
+
     run(test())
 
 
@@ -178,15 +208,18 @@
         context = ServerContext(pb.ServerTls(certificate=files[0], key=files[1])).context
         service = await asyncio.start_server(serves, "127.0.0.1", 0, ssl=context)
         port = service.sockets[0].getsockname()[1]
-        text = (f'auth {{ service {{ port: {port} }} attempts: 1 attempt_ms: 3000 tls {{ ca: "{issuer.file}" }} }} '
-                'default_plan: "open" '
-                'route { name: "safe" path_prefix: "/safe/" class: "read" authenticate: true }')
+        text = (
+            f'auth {{ service {{ port: {port} }} attempts: 1 attempt_ms: 3000 tls {{ ca: "{issuer.file}" }} }} '
+            'default_plan: "open" '
+            'route { name: "safe" path_prefix: "/safe/" class: "read" authenticate: true }'
+        )
         async with house(good, text=text) as door:
             status, _, _ = await door.ask("/safe/1", "authorization: anna\r\n")
             assert status == 503 and not heads
             [told] = [fields for event, fields in door.notes if event == "server refused"]
             assert told["address"] == f"127.0.0.1:{port}" and "IP address mismatch" in told["reason"]
         service.close()
+
     run(test())
 
 
@@ -211,6 +244,7 @@
             again = await secured(door, trusting(issuer))  # the one that was good is still shown
             await again.write(get())
             assert (await again.response())[0] == 200
+
     run(test())
 
 
@@ -242,9 +276,15 @@
         async with served(tmp_path / "log", tls) as (service, port):
             for shown, verdict in ((issuer.issue("door"), Verdict.OK), (None, Verdict.CONNECT_FAILED)):
                 answers: list[Verdict] = []
-                client = CounterClient([("127.0.0.1", port)], "door-0", Journal(tmp_path / f"j{verdict.name}", 10),
-                                       lambda call, got, total, kept: answers.append(got), lambda event, fields: None,  # noqa: B023
-                                       timeout_ms=5000.0 if shown else 300.0, tls=trusting(issuer, shown))
+                client = CounterClient(
+                    [("127.0.0.1", port)],
+                    "door-0",
+                    Journal(tmp_path / f"j{verdict.name}", 10),
+                    lambda call, got, total, kept: answers.append(got),
+                    lambda event, fields: None,  # noqa: B023
+                    timeout_ms=5000.0 if shown else 300.0,
+                    tls=trusting(issuer, shown),
+                )
                 client.start()
                 client.add(1, 7, 1.0, 1e9)
                 async with asyncio.timeout(BOUND_S):
@@ -253,13 +293,16 @@
                 assert answers[0] in ((Verdict.OK,) if shown else (Verdict.CONNECT_FAILED, Verdict.TIMEOUT))
                 await client.stop()
             assert service.keeper.counter.total(7) == 1.0
+
     run(test())
 
 
 def test_settings_of_tls_are_checked(tmp_path: Path) -> None:
-    for text, told in (('listener { tls { } }', "missing"),
-                       ('upstream { tls { certificate: "/no/such" } }', "there is no file '/no/such'"),
-                       (f'upstream {{ tls {{ key: "{__file__}" }} }}', "go together")):
+    for text, told in (
+        ("listener { tls { } }", "missing"),
+        ('upstream { tls { certificate: "/no/such" } }', "there is no file '/no/such'"),
+        (f'upstream {{ tls {{ key: "{__file__}" }} }}', "go together"),
+    ):
         part = text.split(" ")[0]
         lines = [line for line in DOOR.split("\n") if not line.startswith(part)]
         with pytest.raises(Faults, match=told):
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -36,10 +36,23 @@
     rig.serve(ticket)
     [trace] = traces(rig)
     assert [(span.name, span.start - 100_000.0, span.end - 100_000.0) for span in (trace.root, *trace.parts)] == [
-        ("request", 0, 35), ("auth", 0, 7), ("counter", 7, 10), ("attempt", 10, 15), ("attempt", 15, 35)]
-    assert trace.root.attributes == {"request": "r1", "door": "door-0", "method": "GET", "path": "/safe/1",
-                                     "class": "read", "status": 200, "reason": "served", "customer": "anna",
-                                     "plan": "plain"}
+        ("request", 0, 35),
+        ("auth", 0, 7),
+        ("counter", 7, 10),
+        ("attempt", 10, 15),
+        ("attempt", 15, 35),
+    ]
+    assert trace.root.attributes == {
+        "request": "r1",
+        "door": "door-0",
+        "method": "GET",
+        "path": "/safe/1",
+        "class": "read",
+        "status": 200,
+        "reason": "served",
+        "customer": "anna",
+        "plan": "plain",
+    }
     assert [span.attributes["verdict"] for span in trace.parts[2:]] == ["reset", "ok"]
     assert "secret" not in repr(trace)
     for sent, span in zip(rig.of(ev.Open, ticket), trace.parts[2:], strict=True):
@@ -99,7 +112,10 @@
     assert done.exit_code == 0, done.output
     lines = done.output.splitlines()
     assert "ab" * 16 in lines[0] and [line.rsplit("| ", 1)[1].split()[0] for line in lines[1:]] == [
-        "request", "attempt", "attempt"]
+        "request",
+        "attempt",
+        "attempt",
+    ]
     assert lines[1].split()[2] == "10.000" and lines[3].split()[0] == "4.000" and "verdict=ok" in lines[3]
     for words in ((str(file), "nobody"), ("/no/such/file", "r1")):
         missing = CliRunner().invoke(cli, ["trace", "show", *words])
--- a/tests/test_wire_readers.py
+++ b/tests/test_wire_readers.py
@@ -288,31 +288,54 @@
     return made, False, keep
 
 
-@pytest.mark.parametrize(("raw", "method", "wanted"), [
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", b"GET", [(200, b"ab")]),
-    (b"HTTP/1.1 200\r\nContent-Length: 2\r\n\r\nab", b"GET", [(200, b"ab")]),
-    (b"HTTP/1.1 200 \r\nContent-Length: 2\r\n\r\nab", b"GET", [(200, b"ab")]),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", b"GET", [(200, b"ab")]),
-    (b"HTTP/1.1 200 OK\r\n\r\nab", b"GET", [(200, b"ab")]),
-    (b"HTTP/1.0 200 OK\r\n\r\nab", b"GET", [(200, b"ab")]),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", b"HEAD", [(200, b"")]),
-    (b"HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n", b"GET", [(304, b"")]),
-    (b"HTTP/1.1 204 No Content\r\n\r\n", b"GET", [(204, b"")]),
-    (b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b"GET", [(200, b"")]),
-    (b"HTTP/1.1 429 Slow\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b"GET",
-     [(429, b"x"), (200, b"")]),
-])
+@pytest.mark.parametrize(
+    ("raw", "method", "wanted"),
+    [
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", b"GET", [(200, b"ab")]),
+        (b"HTTP/1.1 200\r\nContent-Length: 2\r\n\r\nab", b"GET", [(200, b"ab")]),
+        (b"HTTP/1.1 200 \r\nContent-Length: 2\r\n\r\nab", b"GET", [(200, b"ab")]),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", b"GET", [(200, b"ab")]),
+        (b"HTTP/1.1 200 OK\r\n\r\nab", b"GET", [(200, b"ab")]),
+        (b"HTTP/1.0 200 OK\r\n\r\nab", b"GET", [(200, b"ab")]),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", b"HEAD", [(200, b"")]),
+        (b"HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n", b"GET", [(304, b"")]),
+        (b"HTTP/1.1 204 No Content\r\n\r\n", b"GET", [(204, b"")]),
+        (
+            b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+            b"GET",
+            [(200, b"")],
+        ),
+        (
+            b"HTTP/1.1 429 Slow\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+            b"GET",
+            [(429, b"x"), (200, b"")],
+        ),
+    ],
+)
 def test_answers_are_read_by_their_framing(raw: bytes, method: bytes, wanted: list[tuple[int, bytes]]) -> None:
     assert answers(raw, method)[:2] == (wanted, False)
 
 
-@pytest.mark.parametrize("raw", [
-    b"HTTP/1.1 99 X\r\n\r\n", b"HTTP/1.1 600 X\r\n\r\n", b"HTTP/1.1 20 X\r\n\r\n", b"HTTP/2.0 200 OK\r\n\r\n",
-    b"HTP/1.1 200 OK\r\n\r\n", b"HTTP/1.1  200 OK\r\n\r\n", b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nab",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab", b"HTTP/1.1 200 OK\r\nA b: c\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nX: a\r\n b\r\n\r\n", b"nonsense\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Le"])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"HTTP/1.1 99 X\r\n\r\n",
+        b"HTTP/1.1 600 X\r\n\r\n",
+        b"HTTP/1.1 20 X\r\n\r\n",
+        b"HTTP/2.0 200 OK\r\n\r\n",
+        b"HTP/1.1 200 OK\r\n\r\n",
+        b"HTTP/1.1  200 OK\r\n\r\n",
+        b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab",
+        b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nab",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab",
+        b"HTTP/1.1 200 OK\r\nA b: c\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nX: a\r\n b\r\n\r\n",
+        b"nonsense\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Le",
+    ],
+)
 def test_an_answer_that_is_none_is_refused(raw: bytes) -> None:
     made, refused, _ = answers(raw)
     assert refused and not made
@@ -327,8 +350,13 @@
 # Asking -------------------------------------------------------------------------------------------------
 
 
-@given(st.lists(st.tuples(st.sampled_from([b"x-a", b"x-b"]), st.text("a:\r\n\0 \t", max_size=8).map(str.encode)),
-                max_size=4), st.text("/a \r\n\0", max_size=8).map(str.encode), st.booleans())
+@given(
+    st.lists(
+        st.tuples(st.sampled_from([b"x-a", b"x-b"]), st.text("a:\r\n\0 \t", max_size=8).map(str.encode)), max_size=4
+    ),
+    st.text("/a \r\n\0", max_size=8).map(str.encode),
+    st.booleans(),
+)
 @hypo(max_examples=300, deadline=None, derandomize=True)
 def test_no_header_or_target_opens_a_line_of_its_own(more: Headers, target: bytes, host: bool) -> None:
     headers = [*([(b"host", b"h")] if host else []), *more]
@@ -361,6 +389,7 @@
         while isinstance(asking.next(), AnswerHead | Data):
             pass
         return asking.reusable
+
     good = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
     assert asked(good) and asked(good, chunked=True)
     assert not asked(good, whole=False)  # an early answer
