--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 	$(PY) -m martenstep day run days/first.txtpb --out out/first
 
 lint: setup
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/mypy
 
--- a/tests/test_hooks_points.py
+++ b/tests/test_hooks_points.py
@@ -73,8 +73,8 @@
             "border",
         ),
         (
-            'on refusal(r, why) { Words { body: "x", content_type: "text/plain", headers: [Header { name: "x_customer", '
-            'value: "anna" }] } }',
+            'on refusal(r, why) { Words { body: "x", content_type: "text/plain", headers: [Header { '
+            'name: "x_customer", value: "anna" }] } }',
             "border",
         ),
     ],
--- a/tests/test_hooks_runner.py
+++ b/tests/test_hooks_runner.py
@@ -57,7 +57,8 @@
         ('Words { body: text([1][why.status]), content_type: "text/plain" }', "index"),
         ('Words { body: "x", content_type: "image/png" }', "border"),
         (
-            'Words { body: "x", content_type: "text/plain", headers: [Header { name: "x-a", value: "b\\nset-cookie: c" }] }',
+            'Words { body: "x", content_type: "text/plain", headers: [Header { name: "x-a", '
+            'value: "b\\nset-cookie: c" }] }',
             "border",
         ),
         (
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -280,8 +280,8 @@
                     [("127.0.0.1", port)],
                     "door-0",
                     Journal(tmp_path / f"j{verdict.name}", 10),
-                    lambda call, got, total, kept: answers.append(got),
-                    lambda event, fields: None,  # noqa: B023
+                    lambda call, got, total, kept: answers.append(got),  # noqa: B023
+                    lambda event, fields: None,
                     timeout_ms=5000.0 if shown else 300.0,
                     tls=trusting(issuer, shown),
                 )
