--- /dev/null
+++ b/tests/decision_world.py
@@ -0,0 +1,229 @@
+"""A seeded world around one gateway: endpoints, a counter, clients and a clock, for the trace of its decisions."""
+
+from __future__ import annotations
+
+import hashlib
+import heapq
+import math
+import random
+from dataclasses import dataclass
+
+from martenstep import Gateway
+from martenstep import interface as api
+
+BLOCK = 100  # events per digest
+READ = api.RequestClass("read", 400.0, 2500.0, api.Effect.SAFE)
+WRITE_ZONE = api.RequestClass("write-zone", 600.0, 3000.0, api.Effect.KEYED, api.Group.ZONE, 1500.0)
+WRITE_CELL = api.RequestClass("write-cell", 600.0, 3000.0, api.Effect.KEYED, api.Group.CELL, 1500.0, 2.0)
+WRITE_ALL = api.RequestClass("write-all", 600.0, 3000.0, api.Effect.KEYED, api.Group.ALL, 2500.0)
+PAY = api.RequestClass("pay", 800.0, 4000.0, api.Effect.UNSAFE, late_share=0.3)
+CLASSES = (READ, WRITE_ZONE, WRITE_CELL, WRITE_ALL, PAY)
+
+
+@dataclass(frozen=True)
+class Scenario:
+    """One world: the gateway's settings, what arrives, and how endpoints and the counter behave."""
+
+    name: str
+    seed: int
+    settings: api.Settings
+    plans: tuple[str, ...]
+    endpoints: int
+    requests_per_s: float
+    customers: int
+    latency_ms: float
+    error_share: float  # of attempts that end in another way than well
+    list_every_ms: float
+    counter_ms: float = 3.0
+    counter_fault_share: float = 0.0
+    clock_step_every_ms: float = math.inf
+    events: int = 1500
+    strays: bool = False  # answers come to what was never asked
+
+
+def line(action: api.Action) -> str:
+    """One action in full, its floats to the last digit."""
+    match action:
+        case api.Send():
+            return f"send {action.id} {action.server} {action.timeout_ms!r} {action.beyond}"
+        case api.Refuse():
+            reason = list(api.Reason).index(action.reason)
+            return f"reject {action.id} {action.retry_after_ms!r} {reason}"
+        case api.Fail():
+            return f"fail {action.id}"
+        case api.Count():
+            return f"count {action.name} {action.units!r} {action.expire_ms!r} {action.proof}"
+        case api.Wake():
+            return f"timer {action.at_ms!r} {action.token}"
+        case api.Cancel():
+            return f"cancel {action.id} {action.attempt}"
+        case api.Probe():
+            return f"probe {action.server}"
+        case api.Subscribe():
+            return "subscribe"
+        case api.Log():
+            return f"log {action.text}"
+
+
+class World:
+    """Endpoints, a counter, clients and a clock around one gateway; all chance comes from one seed."""
+
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario = scenario
+        self.rng = random.Random(scenario.seed)
+        self.gateway = Gateway(scenario.settings, scenario.seed * 31)
+        self.now = 10_000.0
+        self.queue: list[tuple[float, int, api.Event]] = []
+        self.sequence = 0
+        self.requests = 0
+        self.attempts: dict[str, int] = {}  # attempts begun, by request
+        self.running: dict[tuple[str, int], tuple[float, int]] = {}  # since when and where
+        self.totals: dict[int, float] = {}
+        self.started = [0.0] * scenario.endpoints
+        self.states = [api.State.UP] * scenario.endpoints
+        self.spread = [self.rng.uniform(0.5, 2.5) for _ in range(scenario.endpoints)]
+        self.lines: list[str] = []
+
+    def later(self, delay_ms: float, event: api.Event) -> None:
+        """Plan an event."""
+        self.sequence += 1
+        heapq.heappush(self.queue, (self.now + delay_ms, self.sequence, event))
+
+    def endpoint(self, number: int) -> api.Server:
+        """An endpoint's entry in a list."""
+        zone, kind = "ab"[number % 2], ("std", "big")[number % 3 == 0]
+        size = 1.0 + number % 3 * 0.5 if self.scenario.settings.sized else 1.0
+        return api.Server(number + 1, zone, kind, number % 4, self.states[number], size, self.started[number])
+
+    def everyone(self) -> tuple[api.Server, ...]:
+        """The whole list, but for what is gone."""
+        entries = [self.endpoint(number) for number in range(self.scenario.endpoints)]
+        return tuple(entry for entry in entries if entry.state is not api.State.GONE)
+
+    def next_list(self) -> api.Members:
+        """Some endpoints leave, drain, come back cold; told as a delta or as a whole list."""
+        changed = [self.rng.randrange(self.scenario.endpoints) for _ in range(self.rng.randrange(1, 4))]
+        for number in changed:
+            old = self.states[number]
+            choices = [api.State.UP, api.State.UP, api.State.DRAINING, api.State.GONE]
+            self.states[number] = self.rng.choice(choices)
+            if old is not api.State.UP and self.states[number] is api.State.UP:
+                self.started[number] = self.now - self.rng.uniform(0.0, 500.0)
+        kind = self.rng.random()
+        if kind < 0.6:
+            return api.Members(api.Scope.CHANGES, tuple(self.endpoint(number) for number in changed))
+        if kind < 0.85:
+            return api.Members(api.Scope.FULL, self.everyone())
+        return api.Members(api.Scope.LOST) if kind < 0.93 else api.Members(api.Scope.WARM_COPY, self.everyone())
+
+    def next_request(self) -> api.Request:
+        """A request of a random customer; a customer has one plan and one class of its own."""
+        self.requests += 1
+        customer = min(int(self.rng.expovariate(4.0 / self.scenario.customers)), self.scenario.customers - 1)
+        plan = self.scenario.plans[customer % len(self.scenario.plans)]
+        cls = CLASSES[self.rng.randrange(len(CLASSES))]
+        remaining = cls.deadline_ms * self.rng.choice((1.0, 1.0, 0.5, 0.05))
+        units = float(self.rng.choice((1, 1, 1, 2, 4)))
+        spread = 1 + customer % self.scenario.settings.gateways
+        first = customer % self.scenario.settings.gateways
+        rid = f"{self.requests:016x}"
+        return api.Request(rid, cls.name, plan, customer, remaining, units, spread, first, self.requests % 5 == 0)
+
+    def attempt(self, send: api.Send) -> None:
+        """Begin an attempt and plan its end."""
+        number = self.attempts[send.id] = self.attempts.get(send.id, -1) + 1
+        self.running[send.id, number] = self.now, send.server
+        rtt = self.scenario.latency_ms * self.spread[send.server - 1] * self.rng.uniform(0.6, 1.8)
+        verdict = api.Verdict.OK
+        if self.rng.random() < self.scenario.error_share:
+            verdict = self.rng.choice([v for v in api.Verdict if v not in (api.Verdict.OK, api.Verdict.CANCELLED)])
+            rtt *= {api.Verdict.TIMEOUT: 8.0, api.Verdict.ERROR: 1.0}.get(verdict, 0.1)
+        if rtt >= send.timeout_ms:
+            verdict, rtt = api.Verdict.TIMEOUT, send.timeout_ms
+        ended = verdict is api.Verdict.OK or rtt >= send.timeout_ms
+        self.later(rtt, api.Outcome(send.id, number, send.server, verdict, rtt, ended, 1.5, (1.0, 2.0)))
+        if self.rng.random() < 0.05:
+            self.later(rtt * 0.5, api.Started(send.id))
+
+    def count(self, call: api.Count) -> None:
+        """Play the counter: it may lose the call, lose the answer, or answer late."""
+        delay = self.scenario.counter_ms * self.rng.uniform(0.5, 2.5)
+        fault = self.rng.random() < self.scenario.counter_fault_share
+        applied = not fault or self.rng.random() < 0.5
+        if applied:
+            elsewhere = self.rng.choice((0.0, 0.0, 1.0, 3.0))
+            self.totals[call.name] = self.totals.get(call.name, 0.0) + call.units + elsewhere
+        if fault:
+            verdict = self.rng.choice((api.Verdict.TIMEOUT, api.Verdict.ERROR, api.Verdict.CONNECT_FAILED))
+            self.later(self.scenario.settings.counter_timeout_ms, api.Total(call.name, verdict, delay))
+            return
+        kept = self.rng.choice((math.inf, math.inf, math.inf, self.rng.uniform(0.0, 8000.0)))
+        self.later(delay, api.Total(call.name, api.Verdict.OK, delay, self.totals[call.name], kept))
+
+    def carry_out(self, action: api.Action) -> None:
+        """Let the world answer one action."""
+        match action:
+            case api.Send():
+                self.attempt(action)
+            case api.Count():
+                self.count(action)
+            case api.Wake():
+                self.later(max(action.at_ms - self.now, 0.0), api.Due(action.token))
+            case api.Cancel():
+                since, server = self.running[action.id, action.attempt]
+                rtt = self.now - since
+                self.later(0.2, api.Outcome(action.id, action.attempt, server, api.Verdict.CANCELLED, rtt + 0.2, False))
+
+    def next_event(self) -> api.Event:
+        """The next event; of a cancelled attempt only the first end counts."""
+        while True:
+            self.now, _, event = heapq.heappop(self.queue)
+            if not isinstance(event, api.Outcome):
+                return event
+            if self.running.pop((event.id, event.attempt), None) is not None:
+                return event
+
+    def renew(self, event: api.Event) -> None:
+        """Plan the next event of a kind that comes again and again."""
+        scenario, rng = self.scenario, self.rng
+        if isinstance(event, api.Request):
+            burst = 0.1 if self.requests % 200 < 60 else 1.0
+            self.later(rng.expovariate(1.0) * 1000.0 / scenario.requests_per_s * burst, self.next_request())
+            if rng.random() < 0.03:
+                self.later(rng.uniform(1.0, 200.0), api.Left(event.id))
+        elif isinstance(event, api.Members):
+            self.later(rng.uniform(0.5, 1.5) * scenario.list_every_ms, self.next_list())
+        elif isinstance(event, api.ClockStepped):
+            step = rng.choice((10.0, 900.0, -7000.0, 3_600_000.0))
+            self.later(scenario.clock_step_every_ms, api.ClockStepped(event.shift_ms + step))
+        elif isinstance(event, api.Probed):
+            self.later(1000.0, api.Probed(1, api.Verdict.OK, 5.0, (1.0,)))
+            if scenario.strays:
+                self.running["nobody", 0] = self.now, 9999
+                self.later(1.0, api.Outcome("nobody", 0, 9999, api.Verdict.ERROR, 5.0, False))
+                self.later(2.0, api.Total(12345, api.Verdict.OK, 5.0, 7.0))
+                self.later(3.0, api.Due(10**9))
+                self.later(4.0, api.Left("nobody"))
+
+    def play(self) -> list[str]:
+        """The whole scenario; gives the lines of each block of events as one digest."""
+        self.later(0.0, api.Members(api.Scope.WARM_COPY, self.everyone()))
+        self.later(1.0, self.next_request())
+        self.later(2.0, api.Probed(1, api.Verdict.OK, 5.0, (1.0,)))
+        if math.isfinite(self.scenario.clock_step_every_ms):
+            self.later(self.scenario.clock_step_every_ms, api.ClockStepped(500.0))
+        digests: list[str] = []
+        for number in range(self.scenario.events):
+            event = self.next_event()
+            actions = self.gateway.handle(self.now, event)
+            self.lines.append(f"{number} {self.now!r}")
+            self.lines.extend(line(action) for action in actions)
+            for action in actions:
+                self.carry_out(action)
+            self.renew(event)
+            if number % 10 == 9:
+                self.lines.append(f"room {self.gateway.room(self.now, number // 10 % self.scenario.customers)!r}")
+            if number % BLOCK == BLOCK - 1:
+                digests.append(hashlib.sha256("\n".join(self.lines).encode()).hexdigest()[:16])
+                self.lines.clear()
+        return digests
--- /dev/null
+++ b/tests/test_formats_decision_trace.py
@@ -0,0 +1,120 @@
+"""A deterministic trace of the decisions: seeded worlds drive a gateway, and every action must stay as it was.
+
+Each action is written as a line with the `repr` of its floats; each hundred events give one digest of these lines,
+compared with `formats/decisions/trace_digests.json`, so that the first hundred that differs is known.  The digests hold
+the order of random draws and of float arithmetic.
+"""
+
+from __future__ import annotations
+
+import json
+from dataclasses import replace
+from pathlib import Path
+
+import pytest
+
+from martenstep import interface as api
+from tests.decision_world import BLOCK, CLASSES, Scenario, World
+
+DIGESTS = Path(__file__).parent / "formats" / "decisions" / "trace_digests.json"
+FREE = api.Plan("free")
+SMALL = api.Plan("small", rate=6.0, burst=12.0, price=1.5)
+FEW = api.Plan("few", rate=20.0, burst=40.0, open_limit=2)
+OPEN = api.Plan("open", rate=20.0, burst=40.0, open_limit=3, price=2.0, over_worth=0.9, over_cost=0.2)
+COSTLY = api.Plan("costly", rate=10.0, burst=20.0, over_worth=0.0, over_cost=1.3)
+CAPPED = api.Plan("capped", 6.0, 12.0, 0, 1.0, 0.0, 0.5, 9.0, 15.0, 3.0)
+CAPPED_OVER = api.Plan("capped-over", 20.0, 10.0, 0, 1.0, 1.0, 0.5, 30.0, 16.0, 2.0)
+SETTINGS = api.Settings(
+    me=1,
+    gateways=3,
+    zone="a",
+    tick_ms=2.0,
+    classes=CLASSES,
+    plans=(FREE, SMALL, FEW, OPEN, COSTLY, CAPPED, CAPPED_OVER),
+    has_counter=True,
+    counter_timeout_ms=50.0,
+    max_units=4.0,
+    max_attempts=3,
+    can_cancel=True,
+    retry_after=True,
+    answer_slack_ms=8.0,
+    cold_from=0.25,
+    warm_within_ms=6000.0,
+    fall_multiple=2.0,
+    fall_window_ms=1000.0,
+)
+
+
+SCENARIOS = (
+    Scenario("quotas", 11, SETTINGS, ("free", "small", "open", "costly"), 14, 120.0, 12, 60.0, 0.08, 700.0),
+    Scenario("cold start", 12, SETTINGS, ("free",), 10, 200.0, 5, 40.0, 0.05, 300.0),
+    Scenario(
+        "ceilings", 13, SETTINGS, ("capped", "capped-over"), 8, 90.0, 5, 50.0, 0.03, 2000.0, 6.0, 0.1, 2500.0, 3000
+    ),
+    Scenario(
+        "crowded counter",
+        14,
+        SETTINGS,
+        ("small", "open", "costly", "capped"),
+        12,
+        250.0,
+        60,
+        50.0,
+        0.02,
+        900.0,
+        35.0,
+        0.3,
+    ),
+    Scenario("counter down", 15, SETTINGS, ("small", "costly", "capped"), 12, 150.0, 30, 50.0, 0.02, 900.0, 3.0, 0.95),
+    Scenario("overload", 16, SETTINGS, ("free", "small", "open"), 6, 400.0, 20, 450.0, 0.3, 1500.0),
+    Scenario(
+        "large fleet",
+        17,
+        replace(SETTINGS, gateways=200, me=77, must_subscribe=True, sized=True),
+        ("free", "small"),
+        140,
+        30.0,
+        200,
+        80.0,
+        0.15,
+        400.0,
+        events=2500,
+    ),
+    Scenario(
+        "no counter",
+        18,
+        replace(SETTINGS, has_counter=False, can_cancel=False, max_attempts=2),
+        ("small", "capped", "open"),
+        5,
+        80.0,
+        9,
+        70.0,
+        0.2,
+        1000.0,
+    ),
+    Scenario(
+        "silence",
+        19,
+        replace(SETTINGS, gateways=2),
+        ("free", "capped-over"),
+        9,
+        60.0,
+        4,
+        30.0,
+        0.5,
+        5000.0,
+        events=2000,
+    ),
+    Scenario("steady", 20, SETTINGS, ("free", "few", "small"), 14, 60.0, 8, 45.0, 0.02, 1e6, events=3500, strays=True),
+)
+
+
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
+def test_every_decision_stays_as_it_was_to_the_last_digit(scenario: Scenario) -> None:
+    expected = json.loads(DIGESTS.read_text())[scenario.name]
+    found = World(scenario).play()
+    assert len(found) == len(expected) == scenario.events // BLOCK
+    differ = [number for number, digests in enumerate(zip(found, expected, strict=True)) if len(set(digests)) > 1]
+    assert not differ, (
+        f"{scenario.name}: the decisions on events {differ[0] * BLOCK} to {differ[0] * BLOCK + 99} differ"
+    )
