--- a/tests/test_formats_decision_trace.py
+++ b/tests/test_formats_decision_trace.py
@@ -105,6 +105,20 @@
         5000.0,
         events=2000,
     ),
+    Scenario(
+        "near overload",
+        21,
+        replace(SETTINGS, gateways=2, has_counter=False),
+        ("small", "open", "costly", "free"),
+        6,
+        40.0,
+        40,
+        150.0,
+        0.05,
+        4000.0,
+        events=3000,
+    ),
+    Scenario("quiet", 22, SETTINGS, ("free", "small"), 5, 0.4, 3, 60.0, 0.1, 1500.0, events=600),
     Scenario("steady", 20, SETTINGS, ("free", "few", "small"), 14, 60.0, 8, 45.0, 0.02, 1e6, events=3500, strays=True),
 )
 
