--- /dev/null
+++ b/tests/test_formats_proxy.py
@@ -0,0 +1,309 @@
+"""What a gateway writes for its operators, clients and authentication services, and the names of its settings.
+
+The expected texts are literals or files under `formats/proxy`: dashboards, scripts and settings files rely on them.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import re
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import pytest
+from google.protobuf.descriptor import Descriptor, EnumDescriptor, FileDescriptor
+
+from martenstep.config import door_pb2 as pb
+from martenstep.door import events as ev
+from martenstep.door.admin import Admin, DoorCollector
+from martenstep.door.daemon import Daemon
+from martenstep.door.http import STATUS, WORDS, own_answer
+from tests.door_rig import Rig, settings
+from tests.hook_rig import HookRig, release
+from tests.socket_rig import Peer, get, house, run
+
+FORMATS = Path(__file__).parent / "formats" / "proxy"
+HEAD_END = b"\r\n\r\n"
+FINAL, REJECTED = "answer", "turned away"  # names of events, which are not held here: only their fields are
+
+
+def stored(name: str) -> str:
+    return (FORMATS / name).read_text(encoding="utf-8")
+
+
+# Admin pages --------------------------------------------------------------------------------------------
+
+
+class View:
+    """What the admin listener asks of the parts behind it."""
+
+    def view(self) -> dict[str, Any]:
+        return {"version": 3, "list": [{"name": "d0", "share": 0.5}], "none": None, "flag": True, "text": "ä"}
+
+    async def newer(self, version: int, wait_s: float) -> None:
+        assert (version, wait_s) == (2, 0.25)
+
+    async def leave(self) -> None: ...
+
+    def move(self, group: str, to: str) -> bool:
+        return (group, to) == ("g", "d1")
+
+    async def tell(self, what: Any) -> Any:
+        return what
+
+    async def look(self) -> Any:
+        return self.view()
+
+
+REQUESTS = """GET /healthz
+GET /readyz
+GET /no
+GET /members
+GET /members?after=2&wait_ms=250
+GET /members?after=x
+GET /members?wait_ms=60001
+GET /members/leave
+POST /members/leave
+GET /members/no
+GET /copies
+GET /copies/no
+GET /copies/move
+POST /copies/move?group=g&to=d1
+POST /copies/move?group=g&to=d2
+GET /maintenance
+GET /maintenance/no
+POST /maintenance?what=no"""
+
+
+def test_the_responses_of_the_admin_listener() -> None:
+    transcript: list[str] = []
+    ready: list[bool] = []
+
+    async def test() -> None:
+        admin, view = Admin(DoorCollector(dict, dict), lambda: bool(ready)), View()
+        port = await admin.start("127.0.0.1", 0)
+
+        async def ask(line: str) -> None:
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(f"{line} HTTP/1.1\r\nhost: a\r\n\r\n".encode())
+            transcript.append(f"{line}\n{(await reader.read()).decode()}\n")
+            writer.close()
+
+        for line in ("GET /readyz", "GET /members", "GET /copies", "GET /maintenance"):
+            await ask(line)
+        ready.append(True)
+        admin.fleet(view)
+        admin.copies(view)
+        admin.orders(view)
+        for line in REQUESTS.splitlines():
+            await ask(line)
+        admin.stop()
+
+    run(test())
+    assert "".join(transcript).replace("\r\n", "\n") == stored("admin_pages.txt")
+
+
+def described(text: str) -> Iterator[str]:
+    """Of each metric its name, labels and type; values and help are left out."""
+    for line in text.splitlines():
+        if line.startswith("# TYPE "):
+            yield line
+        elif not line.startswith("#"):
+            yield line.rpartition(" ")[0]
+
+
+def test_the_metrics_of_a_gateway() -> None:
+    async def test() -> None:
+        text = 'auth { service { port: 1 } } hooks { directory: "none" } forward_auth { } listener { max_open: 10 }'
+        daemon = Daemon(settings(text), 1)
+        admin = Admin(DoorCollector(daemon._counts, daemon._gauges), lambda: True)
+        status, kind, body = admin.answer("/metrics")
+        assert (status, kind) == (200, "text/plain; version=0.0.4")
+        assert "\n".join(described(body.decode())) + "\n" == stored("metrics.txt")
+
+    run(test())
+
+
+# Log ----------------------------------------------------------------------------------------------------
+
+
+def fields_of(rig: Rig, event: str) -> list[list[str]]:
+    return [list(note.fields) for note in rig.of(ev.Note) if note.event == event]
+
+
+def test_the_fields_of_the_line_of_each_response() -> None:
+    rig = Rig()
+    rig.serve(rig.ask())
+    rig.ask(customer="anna")
+    rig.count_all(500.0)
+    fields = ["request", "customer", "plan", "class", "status", "reason", "attempts", "servers", "ms"]
+    assert fields_of(rig, FINAL) == [fields, [*fields, "retry_after_ms"]]
+    assert fields_of(rig, REJECTED) == []
+    rig.ask("/none")
+    assert fields_of(rig, REJECTED) == [["request", "status", "reason"]]
+
+
+def test_the_values_of_the_line_of_a_response() -> None:
+    rig = Rig()
+    request = rig.ask("/pay/1", x_request_id="abc")
+    rig.pass_time(12.3456)
+    rig.serve(request)
+    [line] = [note.fields for note in rig.of(ev.Note) if note.event == FINAL]
+    servers = line.pop("servers")
+    assert len(servers) == 1 and servers[0] in (1, 2, 3, 4)
+    assert line == {
+        "request": "abc",
+        "customer": "free",
+        "plan": "open",
+        "class": "pay",
+        "status": 200,
+        "reason": "served",
+        "attempts": 1,
+        "ms": 12.346,
+    }
+
+
+def test_hooks_add_their_version_and_fields() -> None:
+    rig = HookRig(release(7, 'on log(r, a) { [Field { name: "tier", value: "gold" }] }'))
+    rig.serve(rig.ask())
+    [names] = fields_of(rig, FINAL)
+    assert names[9:] == ["hooks", "hook_tier"]
+
+
+# Responses of its own -----------------------------------------------------------------------------------
+
+
+def test_the_responses_that_a_gateway_words_itself() -> None:
+    lines: list[str] = []
+    for reason in (*WORDS, "another reason"):
+        for wait_ms in (None, 1234.5678):
+            headers, body = own_answer(reason, "id-1", wait_ms)
+            head = "".join(f"{name.decode()}: {value.decode()}\n" for name, value in headers)
+            lines.append(f"{head}\n{body.decode()}\n")
+    assert "".join(lines) == stored("own_responses.txt")
+
+
+def test_the_status_of_each_reason_to_reject() -> None:
+    assert {reason.value: status for reason, status in STATUS.items()} == {
+        "quota": 429,
+        "unheard": 429,
+        "ceiling": 429,
+        "open limit": 429,
+        "overload": 503,
+        "no server": 503,
+        "spent": 503,
+        "late": 503,
+    }
+
+
+def test_the_messages_of_a_gateway_to_backends_and_clients() -> None:
+    sent: list[bytes] = []
+    received: list[bytes] = []
+
+    async def backend(peer: Peer) -> None:
+        while True:
+            head = await peer.reader.readuntil(HEAD_END)
+            match = re.search(rb"content-length: (\d+)", head)
+            sent.append(head + await peer.read(int(match[1]) if match else 0))
+            await peer.answer("served", more="X-Other: 1\r\nConnection: x-gone\r\nX-Gone: 1\r\n")
+
+    async def test() -> None:
+        async with house(backend) as gateway:
+            for text in (
+                get(more="X-Request-Id: r1\r\nConnection: x-hop\r\nX-Hop: 1\r\nAccept: */*\r\n"),
+                get("/write/free/1", "X-Request-Id: r2\r\nContent-Length: 3\r\n", "POST") + "abc",
+                get("/none", "X-Request-Id: r3\r\n"),
+                get("/read/../1", "X-Request-Id: r4\r\n"),
+                "nonsense\r\n\r\n",
+            ):
+                reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
+                writer.write(text.encode())
+                head = await reader.readuntil(HEAD_END)
+                match = re.search(rb"content-length: (\d+)", head)
+                received.append(head + await reader.readexactly(int(match[1]) if match else 0))
+                writer.close()
+
+    run(test())
+    to_backends = re.sub(rb"(?m)^x-deadline-ms: \d+", b"x-deadline-ms: N", b"\n".join(sent))
+    to_backends = re.sub(rb"(?m)^host: 127.0.0.1:\d+", b"host: N", to_backends)
+    assert to_backends == (FORMATS / "to_backends.bin").read_bytes()
+    assert b"\n".join(received) == (FORMATS / "to_clients.bin").read_bytes()
+
+
+def test_the_bytes_of_a_sub_request_for_authentication() -> None:
+    asked: list[bytes] = []
+    sent: list[bytes] = []
+
+    async def service(peer: Peer) -> None:
+        asked.append(await peer.reader.readuntil(HEAD_END))
+        await peer.answer("", more="x-auth-customer: free\r\nx-role: owner\r\nx-other: 1\r\n")
+        await peer.rest()
+
+    async def backend(peer: Peer) -> None:
+        sent.append(await peer.reader.readuntil(HEAD_END))
+        await peer.answer()
+        await peer.rest()
+
+    async def test() -> None:
+        server = await asyncio.start_server(lambda reader, writer: service(Peer(reader, writer)), "127.0.0.1", 0)
+        port = server.sockets[0].getsockname()[1]
+        text = (
+            f'auth {{ service {{ port: {port} }} path: "/check" copy_header: "x-role" }} default_plan: "open" '
+            'route { name: "safe" path_prefix: "/safe/" class: "read" authenticate: true }'
+        )
+        async with house(backend, text=text) as gateway:
+            more = "Authorization: Bearer t\r\nCookie: c=1\r\nX-Role: admin\r\nX-Request-Id: r1\r\nX-Else: 1\r\n"
+            assert (await gateway.ask("/safe/1?q=2", more))[0] == 200
+        server.close()
+        assert asked == [
+            b"GET /check HTTP/1.1\r\n"
+            b"host: 127.0.0.1:%d\r\n"
+            b"authorization: Bearer t\r\n"
+            b"cookie: c=1\r\n"
+            b"x-forwarded-method: GET\r\n"
+            b"x-forwarded-proto: http\r\n"
+            b"x-forwarded-host: door\r\n"
+            b"x-forwarded-uri: /safe/1?q=2\r\n"
+            b"x-forwarded-for: 127.0.0.1\r\n"
+            b"x-request-id: r1\r\n\r\n" % port
+        ]
+
+    run(test())
+    assert sent[0].count(b"x-role: owner\r\n") == 1 and b"admin" not in sent[0] and b"x-other" not in sent[0]
+
+
+# Settings -----------------------------------------------------------------------------------------------
+
+
+def enum_lines(enum: EnumDescriptor) -> Iterator[str]:
+    yield f"enum {enum.full_name}"
+    yield from (f"  {value.name} = {value.number}" for value in enum.values)
+
+
+def message_lines(message: Descriptor) -> Iterator[str]:
+    yield f"message {message.full_name}"
+    for field in message.fields:
+        kind = field.message_type or field.enum_type
+        default = f" default {field.default_value!r}" if field.has_default_value else ""
+        yield (
+            f"  {field.name} = {field.number} type {field.type}{' repeated' if field.is_repeated else ''}"
+            + (f" {kind.full_name}" if kind else "")
+            + default
+        )
+    for enum in message.enum_types:
+        yield from enum_lines(enum)
+    for nested in message.nested_types:
+        yield from message_lines(nested)
+
+
+def file_lines(file: FileDescriptor) -> Iterator[str]:
+    for enum in file.enum_types_by_name.values():
+        yield from enum_lines(enum)
+    for message in file.message_types_by_name.values():
+        yield from message_lines(message)
+
+
+@pytest.mark.filterwarnings("ignore::DeprecationWarning")
+def test_the_messages_of_the_settings() -> None:
+    assert "\n".join(file_lines(pb.DESCRIPTOR)) + "\n" == stored("door_descriptor.txt")
