--- /dev/null
+++ b/tests/test_formats_replica_storage.py
@@ -0,0 +1,253 @@
+"""Files of replicas and logs: stored folders are read, and the same content is written byte by byte alike."""
+
+from __future__ import annotations
+
+import contextlib
+import random
+import shutil
+from pathlib import Path
+
+import msgspec
+import pytest
+from click.testing import CliRunner
+
+from martenstep.cli.main import cli
+from martenstep.replication import keeper
+from martenstep.replication.core import Write
+from martenstep.replication.keeper import DiskIdentity, copy_of, disk_identity
+from martenstep.replication.messages import Config, Entry, Kind, Snapshot, config_of, encode
+from martenstep.replication.store import Mark, Store, mark_of
+from martenstep.storage import log
+from martenstep.storage.files import Disk
+from martenstep.storage.log import Writer, compact, open_log, read_records, records_of, write_snapshot
+
+FORMATS = Path(__file__).parent / "formats" / "replication"
+CONFIG = Config((4503599627370497, 2, 3), (), ((4503599627370497, "d1"), (2, "d2"), (3, "d3")))
+GROWN = Config((4503599627370497, 2, 3), (4,), (*CONFIG.homes, (4, "d4")))
+WRITES = [
+    Write(1, 1, 2),
+    Write(2, 1, 2, entries=(Entry(1, 1, Kind.NOTHING), Entry(2, 1, Kind.COMMAND, b"first"))),
+    Write(3, 1, 2, entries=(Entry(3, 1, Kind.CONFIG, encode(GROWN)),)),
+    Write(4, 2, None, (1, 3)),
+    Write(5, 3, 3, (1, 3), 3, (Entry(3, 3, Kind.NOTHING), Entry(4, 3, Kind.COMMAND, b"in its place"))),
+    Write(6, 3, 3, (1, 3), snapshot=Snapshot(3, 3, GROWN, b"state of three")),
+    Write(7, 3, 3, (1, 3), entries=(Entry(5, 3, Kind.COMMAND, b"\x00\xff" * 4),)),
+    Write(8, 3, 3, (1, 3), None, (Entry(6, 3, Kind.COMMAND, b"a" * 40_000), Entry(7, 3, Kind.COMMAND, b"b" * 60_000))),
+    Write(9, 4, None, (0, 0)),
+]
+LOG_ENTRIES = [[b"one", b"two"], [b"three" * 10], [b"four"], [b"five" * 20, b"six"], [b"seven"]]
+
+
+def files_in(folder: Path) -> dict[str, bytes]:
+    return {
+        str(path.relative_to(folder)): path.read_bytes()
+        for path in sorted(folder.rglob("*"))
+        if path.is_file() and path.name != "lock"
+    }
+
+
+def copied(name: str, to: Path) -> Path:
+    shutil.copytree(FORMATS / name, to)
+    return to
+
+
+def write_replica(folder: Path, witness: Path, seed: int = 20, alone: list[Write] = WRITES) -> None:
+    """What a replica keeps after these writes."""
+    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Disk(witness)) as memory:
+        store = Store(disk, memory, random.Random(seed))
+        for write in alone[:-3]:
+            store.write([write])
+        store.write(alone[-3:])
+        store.close()
+
+
+def write_log(folder: Path) -> None:
+    """Two segments, a snapshot, and a group that was not synced."""
+    with contextlib.closing(Disk(folder)) as disk:
+        writer = Writer(disk, open_log(disk), 200)
+        for number, entries in enumerate(LOG_ENTRIES):
+            writer.write(entries, durable=number != 2)
+            if number == 1:
+                write_snapshot(disk, writer.synced, b"snapshot of three records")
+        writer.close()
+
+
+def test_a_replicas_stored_folder_is_read(tmp_path: Path) -> None:
+    folder, witness = copied("replica", tmp_path / "replica"), copied("witness", tmp_path / "witness")
+    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Disk(witness)) as memory:
+        store = Store(disk, memory, random.Random(1))
+        image = store.image()
+        store.close()
+    assert store.id == IDENTITY and store.proven
+    assert (image.term, image.vote, image.floor) == (4, None, (0, 0))
+    assert image.snapshot is not None
+    assert (image.snapshot.index, image.snapshot.term, image.snapshot.body) == (3, 3, b"state of three")
+    assert image.snapshot.config.voters == (4503599627370497, 2, 3) and image.snapshot.config.learners == (4,)
+    assert image.snapshot.config.homes == ((4503599627370497, "d1"), (2, "d2"), (3, "d3"), (4, "d4"))
+    assert [(one.index, one.term, one.kind, one.data) for one in image.entries] == [
+        (4, 3, Kind.COMMAND, b"in its place"),
+        (5, 3, Kind.COMMAND, b"\x00\xff" * 4),
+        (6, 3, Kind.COMMAND, b"a" * 40_000),
+        (7, 3, Kind.COMMAND, b"b" * 60_000),
+    ]
+
+
+def test_a_replicas_first_log_is_read_up_to_its_cut(tmp_path: Path) -> None:
+    folder = copied("replica-early", tmp_path / "replica")
+    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Store(disk, None, random.Random(1))) as store:
+        image = store.image()
+    assert not store.proven
+    assert (image.term, image.vote, image.floor, image.snapshot) == (3, 3, (1, 3), None)
+    assert [(one.index, one.term, one.kind, one.data) for one in image.entries] == [
+        (1, 1, Kind.NOTHING, b""),
+        (2, 1, Kind.COMMAND, b"first"),
+        (3, 3, Kind.NOTHING, b""),
+        (4, 3, Kind.COMMAND, b"in its place"),
+    ]
+
+
+def test_the_same_writes_make_the_same_folder(tmp_path: Path) -> None:
+    write_replica(tmp_path / "replica", tmp_path / "witness")
+    assert files_in(tmp_path / "replica") == files_in(FORMATS / "replica")
+    assert files_in(tmp_path / "witness") == files_in(FORMATS / "witness")
+    write_replica(tmp_path / "early", tmp_path / "early-witness", alone=WRITES[:5])
+    assert files_in(tmp_path / "early") == files_in(FORMATS / "replica-early")
+
+
+def test_a_replicas_identity_and_witness_have_these_bytes() -> None:
+    assert (FORMATS / "replica" / "copy.json").read_bytes() == b'{"id":6510405511282792}'
+    data = (FORMATS / "witness" / "witness").read_bytes()
+    assert len(data) == 128 and mark_of(data) == Mark(8, 6510405511282792, 15)
+    assert Mark(5, 7, 12).packed().hex() == "00000000000000050000000000000007000000000000000c2b4336f6"
+
+
+def test_a_stored_configuration_entry_is_read(tmp_path: Path) -> None:
+    folder = tmp_path / "replica"
+    write_replica(folder, tmp_path / "witness", alone=WRITES[:3])
+    assert files_in(folder) == files_in(FORMATS / "replica-configured")
+    shutil.rmtree(folder)
+    copied("replica-configured", folder)
+    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Store(disk, None, random.Random(1))) as store:
+        config = config_of(store.image().entries[2].data)
+    assert config.voters == (4503599627370497, 2, 3) and config.learners == (4,)
+    assert dict(config.homes)[4] == "d4"
+
+
+# A node's disk.
+
+
+def test_a_nodes_disk_identity_is_read_and_written_alike(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    stored = (FORMATS / "disk.json").read_bytes()
+    (tmp_path / "old").mkdir()
+    (tmp_path / "old" / "disk.json").write_bytes(stored)
+    with contextlib.closing(Disk(tmp_path / "old")) as disk:
+        identity = disk_identity(disk)
+    assert identity.id == 4503599627370497
+    assert identity.founded == ["counter-0", "counter-1"]
+    assert identity.alone == "book-7"
+    assert identity.over == ["book-5", "book-6"]
+    assert msgspec.json.encode(identity) == stored
+    assert msgspec.json.decode(b'{"id":5}', type=DiskIdentity) == DiskIdentity(5)
+    monkeypatch.setattr("random.SystemRandom", lambda: random.Random(8))
+    with contextlib.closing(Disk(tmp_path / "new")) as disk:
+        assert disk_identity(disk).id == 3336370223932723
+    assert (tmp_path / "new" / "disk.json").read_bytes() == b'{"id":3336370223932723,"founded":[],"alone":"","over":[]}'
+
+
+def test_names_of_folders_and_files() -> None:
+    assert (keeper.DISK, keeper.GROUPS) == ("disk.json", "groups")
+    assert copy_of(4503599627370497, "counter-0") == 813743150357365
+    assert log.segment_name(31) == "seg-000000000000001f.log"
+    assert log.snapshot_name(31) == "snap-000000000000001f.snap"
+
+
+# The log of records.
+
+
+def test_a_stored_log_is_read(tmp_path: Path) -> None:
+    with contextlib.closing(Disk(copied("log", tmp_path / "log"))) as disk:
+        opened = open_log(disk)
+        assert (opened.snapshot, opened.start, opened.count, opened.cut) == (b"snapshot of three records", 4, 6, 0)
+        assert list(opened.entries) == [
+            b"\x04",
+            b"four",
+            b"fivefivefivefivefivefivefivefivefivefivefivefivefivefivefivefivefivefivefivefive",
+            b"six",
+            b"\x04",
+            b"seven",
+        ]
+        assert opened.tail is not None
+        assert (opened.tail[0].name, opened.tail[0].first, opened.tail[1]) == ("seg-000000000000000a.log", 10, 32)
+        assert [(one.name, one.first) for one in log.segments(disk)] == [
+            ("seg-0000000000000000.log", 0),
+            ("seg-0000000000000006.log", 6),
+            ("seg-000000000000000a.log", 10),
+        ]
+        assert log.snapshots(disk) == [("snap-0000000000000004.snap", 4)]
+        data, after = read_records(disk, 1, 3)
+        assert (records_of(data, 1), after) == ([b"two", b"\x04"], 3)
+
+
+def test_the_same_entries_make_the_same_log(tmp_path: Path) -> None:
+    write_log(tmp_path / "log")
+    assert files_in(tmp_path / "log") == files_in(FORMATS / "log")
+
+
+def test_a_stored_log_is_carried_on_with_these_bytes(tmp_path: Path) -> None:
+    with contextlib.closing(Disk(copied("log", tmp_path / "log"))) as disk:
+        writer = Writer(disk, open_log(disk), 200)
+        writer.copy([b"copied", b"\x04"])
+        writer.write([b"more"], durable=True)
+        write_snapshot(disk, writer.synced, b"second snapshot")
+        assert compact(disk, writer.synced) == []
+        writer.write([b"and more"], durable=True)
+        write_snapshot(disk, writer.synced, b"third snapshot")
+        removed = compact(disk, writer.synced)
+        writer.close()
+    assert removed == ["seg-0000000000000000.log", "seg-0000000000000006.log", "snap-0000000000000004.snap"]
+    assert files_in(tmp_path / "log") == files_in(FORMATS / "log-carried-on")
+
+
+def test_parts_of_a_log_have_these_bytes() -> None:
+    assert log.header(31).hex() == "4d535445504c4f4700000001000000000000001f0000000000000000f0bafeb8"
+    assert log.record(7, 2, b"entry").hex() == "00000005995e715b000000000000000700000002656e747279"
+    assert log.SEAL == b"\x04" and log.record(8, 0, log.SEAL).hex() == "000000011bc72ae400000000000000080000000004"
+    assert log.likeness(7, b"entry") == 3646334113
+
+
+# What staff read of a folder.
+
+
+def test_verify_prints_these_lines(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.chdir(tmp_path)
+    for node in ("a", "b"):
+        copied("replica", Path(node) / "groups" / "counter-0")
+        copied("replica-early", Path(node) / "groups" / "counter-1")
+    assert verified() == (0, SOUND)
+    other = [*WRITES[:4], Write(5, 3, 3, (1, 3), 3, (Entry(3, 3, Kind.NOTHING), Entry(4, 3, Kind.COMMAND, b"another")))]
+    shutil.rmtree("b/groups/counter-1")
+    write_replica(Path("b/groups/counter-1"), tmp_path / "w", 21, other)
+    segment = Path("a/groups/counter-0") / sorted(path.name for path in Path("a/groups/counter-0").glob("seg-*"))[-1]
+    segment.write_bytes(segment.read_bytes()[:10] + b"!" + segment.read_bytes()[11:])
+    assert verified() == (1, BROKEN)
+
+
+def verified() -> tuple[int, str]:
+    done = CliRunner().invoke(cli, ["copies", "verify", "a", "b"])
+    return done.exit_code, done.output
+
+
+SOUND = """\
+a/groups/counter-0: copy 6510405511282792, term 4, entries to 7
+a/groups/counter-1: copy 6510405511282792, term 3, entries to 4
+b/groups/counter-0: copy 6510405511282792, term 4, entries to 7
+b/groups/counter-1: copy 6510405511282792, term 3, entries to 4
+"""
+BROKEN = """\
+a/groups/counter-0: seg-0000000000000000.log at byte 0: the header does not fit
+a/groups/counter-1: copy 6510405511282792, term 3, entries to 4
+b/groups/counter-0: copy 6510405511282792, term 4, entries to 7
+b/groups/counter-1: copy 3764951860257031, term 3, entries to 4
+counter-1: entry 4 of term 3 is not the same in a/groups/counter-1 and b/groups/counter-1
+"""
+IDENTITY = 6510405511282792
--- /dev/null
+++ b/tests/test_formats_replica_views.py
@@ -0,0 +1,120 @@
+"""What staff are shown of replicas: the JSON of the admin page, the table of the command, names of metrics."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from martenstep.cli.copies import COLUMNS, table
+from martenstep.members.gossip.wire import Keys
+from martenstep.replication.core import Role, Write
+from martenstep.replication.host import Host
+from martenstep.replication.keeper import Founder, Holding, Keeper, Place, copy_of
+from martenstep.replication.links import Links
+from martenstep.replication.messages import Appended, GiveVote
+from tests.socket_rig import run
+from tests.test_replication_host import Sum
+
+FORMATS = Path(__file__).parent / "formats" / "replication"
+HOLDING = Holding(("g-0", "g-1"), (Founder("a", 1), Founder("b", 2), Founder("c", 3)))
+NODES = [Place("a", "z1", True), Place("b", "z2", True), Place("c", "z3", False)]
+
+
+def synced(host: Host, now: float) -> None:
+    writes = [action for action in host.copy.out if isinstance(action, Write)]
+    host.copy.out.clear()
+    if writes:
+        host.copy.written(now, writes[-1].ticket)
+
+
+def lead(host: Host) -> None:
+    """Let a replica be voted for by that of `b`, which then lags by one entry."""
+    copy, other = host.copy, copy_of(2, host.group)
+    now = copy.next_at
+    copy.vouch(now)
+    while copy.role.value != "trying":
+        now = copy.next_at
+        copy.wake(now)
+    copy.message(now, other, GiveVote(copy.term + 1, True, True))
+    synced(host, now)
+    copy.message(now, other, GiveVote(copy.term, False, True))
+    synced(host, now)
+    copy.message(now, other, Appended(copy.term, True, 1, 1))
+    assert copy.propose(now, b"5") == 2
+    synced(host, now)
+
+
+async def shown(folder: Path) -> tuple[dict[str, Any], dict[str, float], Any]:
+    (folder / "node").mkdir()
+    (folder / "node" / "disk.json").write_bytes(b'{"id":1}')
+    keeper = Keeper(
+        "a",
+        folder / "node",
+        folder / "witness",
+        HOLDING,
+        lambda group: Sum(),
+        lambda: NODES,
+        lambda event, fields: None,
+    )
+    await keeper.start(Links("fleet", "a", lambda: Keys([bytes(32)]), lambda place: None))
+    host = keeper.host("g-0")
+    assert host is not None
+    lead(host)
+    view, gauges = keeper.view(), keeper.gauges()
+    led = json.loads(json.dumps(keeper.led()))
+    await keeper.stop()
+    return view, gauges, led
+
+
+def test_the_page_of_replicas_its_table_and_its_gauges(tmp_path: Path) -> None:
+    async def test() -> None:
+        view, gauges, led = await shown(tmp_path)
+        assert msgspec.json.encode(view) == (FORMATS / "view.json").read_bytes()
+        assert table(view) == (FORMATS / "table.txt").read_text()
+        assert led == [["g-0", ["a", "b", "c"], False]]
+        assert gauges == {
+            "copies_held": 2,
+            "copies_led": 1,
+            "copies_under_strength": 1,
+            "copies_halted": 0,
+            "copies_unproven": 1,
+            "copies_no_leader": 1,
+            "copies_most_behind": 2,
+        }
+
+    run(test())
+
+
+def test_a_page_is_read_key_by_key() -> None:
+    view = json.loads((FORMATS / "view.json").read_bytes())
+    assert list(view) == ["me", "disk", "copies", "groups", "counts"]
+    leading, following = view["groups"]
+    assert list(leading) == ["group", "copy", "role", "term", "commit", "last", "proven", "leader", "at", "wanted"]
+    assert list(leading["at"][0]) == ["copy", "place", "counts", "present", "behind"]
+    assert (leading["role"], leading["leader"], leading["proven"]) == ("leader", "a", True)
+    assert (following["role"], following["leader"], following["proven"]) == ("follower", None, False)
+    assert [role.value for role in Role] == ["follower", "trying", "candidate", "leader"]
+    assert COLUMNS == ("group", "role", "term", "commit", "leader", "copies", "behind", "notes")
+
+
+def test_the_counts_of_a_nodes_replicas_have_these_names(tmp_path: Path) -> None:
+    async def test() -> None:
+        keeper = Keeper(
+            "d", tmp_path / "d", tmp_path / "w", HOLDING, lambda group: Sum(), lambda: NODES, lambda event, fields: None
+        )
+        await keeper.start(Links("fleet", "d", lambda: Keys([bytes(32)]), lambda place: None))
+        assert (await keeper.begin_alone("g-9")) is not None
+        keeper.abandon("g-9")
+        assert dict(keeper.counts) == {"let_go": 1}
+        identity = json.loads((tmp_path / "d" / "disk.json").read_bytes())
+        assert list(identity) == ["id", "founded", "alone", "over"]
+        assert (identity["founded"], identity["alone"], identity["over"]) == ([], "g-9", ["g-9"])
+        while (tmp_path / "d" / "groups" / "g-9").exists():
+            await asyncio.sleep(0.001)
+        await keeper.stop()
+
+    run(test())
