--- a/bench/rolling_upgrade.py
+++ b/bench/rolling_upgrade.py
@@ -21,6 +21,7 @@
 import click
 
 from martenstep.counter.client import CounterClient, Journal
+from martenstep.counter.frames import Frames, Hello, Read, Total, decode, encode
 from martenstep.interface import Verdict
 from martenstep.lab.copies import Copies
 
@@ -33,6 +34,8 @@
 EXIT_S = 15.0  # for a replica that was asked to stop
 FLUSH_MS = 30_000
 POLL_S = 0.02
+READS_AT_ONCE = 500
+READ_BYTES = 1 << 16
 
 
 class UpgradeError(Exception):
@@ -149,12 +152,44 @@
         click.echo(f"replica {number} replaced; {load.acknowledged} adds acknowledged; {leading} leads")
 
 
+async def served_totals(replicas: Replicas, names: range) -> dict[int, float]:
+    """Each name's total as the leader answers it."""
+    leader, _ = await replicas.leader()
+    reader, writer = await asyncio.open_connection("127.0.0.1", replicas.ports[leader])
+    frames, totals = Frames(), dict[int, float]()
+    writer.write(encode(Hello("verifier", 1)))
+    for first in range(names.start, names.stop, READS_AT_ONCE):
+        batch = range(first, min(first + READS_AT_ONCE, names.stop))
+        writer.write(b"".join(encode(Read(name, name)) for name in batch))
+        while len(totals) < batch.stop - names.start:
+            data = await reader.read(READ_BYTES)
+            if not data:
+                raise UpgradeError(f"replica {leader} leads no more while totals are read")
+            replies = [decode(payload) for payload in frames.feed(data)]
+            totals |= {reply.sequence: reply.total for reply in replies if isinstance(reply, Total)}
+    writer.close()
+    return totals
+
+
+def expected_totals(load: Load) -> dict[int, float]:
+    """What each add must have made of its name; raises UpgradeError where one has no result."""
+    if len(load.results) != load.sent:
+        raise UpgradeError(f"{load.sent - len(load.results)} of {load.sent} adds were never answered")
+    return {call: 0.0 if result is Verdict.CONNECT_FAILED else 1.0 for call, result in load.results.items()}
+
+
+async def verify_served(replicas: Replicas, load: Load) -> None:
+    """Hold what the group answers against what the client was told; raises UpgradeError."""
+    expected = expected_totals(load)
+    totals = await served_totals(replicas, range(1, load.sent + 1))
+    wrong = [call for call, total in expected.items() if totals[call] != total]
+    if wrong:
+        raise UpgradeError(f"the leader answers another total for {len(wrong)} adds: {wrong[:10]}")
+
+
 def verify(replicas: Replicas, new: Path, load: Load) -> None:
     """Hold the folders against what the client was told; raises UpgradeError."""
-    expected = {call: 0.0 if result is Verdict.CONNECT_FAILED else 1.0 for call, result in load.results.items()}
-    if len(expected) != load.sent:
-        raise UpgradeError(f"{load.sent - len(expected)} of {load.sent} adds were never answered")
-    complete = 0
+    expected, complete = expected_totals(load), 0
     for number in range(REPLICAS):
         state = replicas.on_disk(number)
         totals = {call: state.total(call) for call in expected}
@@ -191,6 +226,7 @@
         await loading
         if not await client.flush(FLUSH_MS):
             raise UpgradeError(f"{client.unanswered} adds are not acknowledged after {FLUSH_MS} ms")
+        await verify_served(replicas, load)
         for number in list(replicas.running):
             await replicas.terminate(number)
     finally:
