--- /dev/null
+++ b/tests/test_formats_hooks.py
@@ -0,0 +1,105 @@
+"""Releases of hooks and their history on disk, byte by byte, against files that an earlier text wrote."""
+
+from __future__ import annotations
+
+import time
+from pathlib import Path
+
+import pytest
+from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
+
+from martenstep.hooks.files import History, key_of, publish, read_directory, read_release
+from martenstep.hooks.release import Release
+from martenstep.hooks.releases import Shelf, choose
+from martenstep.hooks.runner import Limits
+
+STORED = Path(__file__).parent / "formats" / "hooks"
+PUBLIC_KEY = "8a88e3dd7409f195fd52db2d3cba5d72ca6709bf1d94121bf3748801b40f6f5c"
+
+
+def private_key() -> Ed25519PrivateKey:
+    """The same each time."""
+    return Ed25519PrivateKey.from_private_bytes(bytes([1]) * 32)
+
+
+def folder(path: Path) -> dict[str, bytes]:
+    """All files of a release."""
+    return {file.name: file.read_bytes() for file in sorted(path.iterdir())}
+
+
+def publish_trial(directory: Path) -> Path:
+    """A signed trial of the hooks of the committed drafts."""
+    return publish(
+        STORED / "drafts", directory, 7, share=0.25, about="a triäl", customers=("ada", "bob"), key=private_key()
+    )
+
+
+def test_a_release_is_published_as_committed(tmp_path: Path) -> None:
+    assert folder(publish_trial(tmp_path / "hooks")) == folder(STORED / "releases" / "7")
+    assert sorted(folder(STORED / "releases" / "7")) == ["log.hook", "manifest.sig", "manifest.txtpb", "words.hook"]
+
+
+def test_the_committed_release_is_read() -> None:
+    release = read_release(STORED / "releases" / "7", (PUBLIC_KEY,))
+    assert key_of(PUBLIC_KEY) == private_key().public_key()
+    assert (release.version, release.share, release.about, release.signer) == (7, 0.25, "a triäl", PUBLIC_KEY)
+    assert release.trial_customers == {"ada", "bob"}
+    assert [(hook.point, hook.name) for hook in release.hooks] == [("log", "log.hook"), ("refusal", "words.hook")]
+    assert release.digest == "3335071a3dbf62ac938da3c727dcfe92ceb9ab86d41a02124480e4692a042b11"
+    assert [release.holds(customer) for customer in ("ada", "carl", "dora", "emil", "fritz")] == [
+        True,
+        False,
+        True,
+        True,
+        True,
+    ]
+    found, wrong = read_directory(STORED / "releases", (PUBLIC_KEY,))
+    assert [one.version for one in found] == [7] and not wrong
+    assert choose(found, ()) == (None, found[0])
+
+
+def write_history(path: Path) -> None:
+    """What a shelf tells of releases that come, change and are taken back."""
+    history = History(path, "door-0")
+    shelf = Shelf(Limits(), history.add)
+    empty = {version: Release(version, f"digest {version}", (), share) for version, share in ((1, 1.0), (2, 0.5))}
+    shelf.stock([empty[1]])
+    shelf.stock(list(empty.values()))
+    shelf.stock([empty[1], Release(2, "another", (), 0.5)])
+    history.add("hooks withdrawn", {"version": 2, "reason": "hook words.hook of point refusal failed"})
+    history.add("hooks withdrawn", {"version": 1, "reason": "3 of 4 runs fäiled"})
+
+
+def test_the_history_is_written_as_committed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(time, "gmtime", lambda: time.struct_time((2026, 1, 2, 3, 4, 5, 4, 2, 0)))
+    write_history(tmp_path / "history.jsonl")
+    assert (tmp_path / "history.jsonl").read_bytes() == (STORED / "history.jsonl").read_bytes()
+
+
+def test_the_committed_history_is_read() -> None:
+    history = History(STORED / "history.jsonl", "door-0")
+    assert history.withdrawn() == {1, 2}
+    lines = history.lines()
+    assert [line["event"] for line in lines] == [
+        "hooks",
+        "hooks",
+        "hooks changed under a known version",
+        "hooks withdrawn",
+        "hooks withdrawn",
+    ]
+    assert lines[1] == {
+        "time": "2026-01-02T03:04:05Z",
+        "door": "door-0",
+        "event": "hooks",
+        "why": "loaded",
+        "share": 0.5,
+        "whole": 1,
+        "trial": 2,
+    }
+
+
+def test_what_was_withdrawn_stays_so() -> None:
+    withdrawn = History(STORED / "history.jsonl", "door-0").withdrawn()
+    shelf = Shelf(Limits(), lambda event, fields: None, withdrawn=withdrawn)
+    shelf.stock([Release(version, f"digest {version}", (), 1.0) for version in (1, 2)])
+    assert shelf.acting == {"whole": 0, "trial": 0}
--- /dev/null
+++ b/tests/test_formats_redis.py
@@ -0,0 +1,177 @@
+"""What a gateway sends to Redis, byte by byte: the script, the keys and the arguments."""
+
+from __future__ import annotations
+
+import asyncio
+import hashlib
+import random
+from pathlib import Path
+from types import SimpleNamespace
+
+import pytest
+from google.protobuf import text_format
+
+from martenstep.config import door_pb2 as pb
+from martenstep.interface import Verdict
+from martenstep.store import script
+from martenstep.store.core import Core, Options, Write
+from martenstep.store.redis_store import RedisStore
+from martenstep.store.slots import slot_of
+from tests.socket_rig import run
+
+STORED = Path(__file__).parent / "formats" / "redis"
+WAIT_S = 20.0  # a fault ends a test; no verdict rests on it
+TIME_NS = 1_700_000_000_000_000_000
+
+
+class FixedRandom(random.Random):
+    """In place of the system's randomness."""
+
+    def __init__(self) -> None:
+        super().__init__(7)
+
+
+class Recorder:
+    """Takes all that comes over one connection, and answers as told, one answer for each write that it waits for."""
+
+    def __init__(self, answers: list[tuple[int, bytes]]) -> None:
+        """Each answer goes out once so many bytes came since the last."""
+        self._answers = answers
+        self.came = b""
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """One connection."""
+        for size, answer in self._answers:
+            self.came += await reader.readexactly(size)
+            writer.write(answer)
+        self.came += await reader.read(65536)
+        writer.close()
+
+
+async def sent(
+    monkeypatch: pytest.MonkeyPatch,
+    settings: str,
+    adds: list[tuple[int, float, float]],
+    answers: list[tuple[int, bytes]],
+) -> tuple[bytes, list[tuple[int, Verdict, float]]]:
+    """What a gateway sends for some adds, made one after another, and what it is told."""
+    clock = SimpleNamespace(monotonic=lambda: 1000.0, time_ns=lambda: TIME_NS)
+    monkeypatch.setattr("martenstep.store.redis_store.time", clock)
+    monkeypatch.setattr(random, "SystemRandom", FixedRandom)
+    recorder = Recorder(answers)
+    server = await asyncio.start_server(recorder.serve, "127.0.0.1", 0)
+    told: asyncio.Queue[tuple[int, Verdict, float]] = asyncio.Queue()
+    text = f"port: {server.sockets[0].getsockname()[1]} connections: 1 timeout_ms: 5000 {settings}"
+    store = pb.Store()
+    text_format.Merge(text, store)
+    client = RedisStore(store, lambda call, verdict, total, kept_ms: told.put_nowait((call, verdict, total)), "door-0")
+    client.start()
+    got = []
+    async with asyncio.timeout(WAIT_S):
+        for call, (name, units, expire_ms) in enumerate(adds):
+            client.add(call, name, units, expire_ms)
+            got.append(await told.get())
+        await client.stop()
+        server.close()
+        await server.wait_closed()
+    return recorder.came, got
+
+
+def test_scripts_are_loaded_and_called_as_committed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        first, rest = (STORED / "script-first.bin").read_bytes(), (STORED / "script-second.bin").read_bytes()
+        digest = hashlib.sha1(script.LUA.encode()).hexdigest().encode()
+        came, got = await sent(
+            monkeypatch,
+            "",
+            [(255, 2.5, 60_000.0), (255, 1.0, 60_000.0)],
+            [
+                (len(first), b"$40\r\n" + digest + b"\r\n*2\r\n$3\r\n2.5\r\n$1\r\n0\r\n"),
+                (len(rest), b"*2\r\n$3\r\n9.5\r\n$1\r\n1\r\n"),
+            ],
+        )
+        assert came == first + rest
+        assert got == [(0, Verdict.OK, 2.5), (1, Verdict.OK, 9.5)]
+
+    run(test())
+
+
+def test_plain_adds_are_sent_as_committed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        wanted = (STORED / "plain.bin").read_bytes()
+        queued = b"+QUEUED\r\n"
+        came, got = await sent(
+            monkeypatch,
+            'scripts: false prefix: "other:"',
+            [(2**63, 1 / 3, 60_000.0)],
+            [(len(wanted), b"+OK\r\n" + queued * 2 + b"*2\r\n$3\r\n0.1\r\n:1\r\n")],
+        )
+        assert came == wanted
+        assert got == [(0, Verdict.OK, 0.1)]
+
+    run(test())
+
+
+def test_the_script_is_the_committed_one() -> None:
+    assert script.LUA.encode() == (STORED / "script.lua").read_bytes()
+    assert hashlib.sha1((STORED / "script.lua").read_bytes()).hexdigest() == script.DIGEST
+    assert script.TOTAL == b"t"
+
+
+def test_the_script_in_python_does_the_same_to_the_fields() -> None:
+    fields: dict[bytes, bytes] = {}
+    assert script.state(fields, b"door-0:17", 3, 2.5) == (2.5, 0, True)
+    assert script.state(fields, b"door-1:18", 1, 0.1) == (2.6, 0, True)
+    assert script.state(fields, b"door-0:17", 3, 9.0) == (2.6, 3, False)
+    assert fields == {b"door-0:17": b"3 2.5", b"door-1:18": b"1 0.10000000000000001", b"t": b"2.6000000000000001"}
+
+
+def test_keys_and_slots() -> None:
+    core = Core(Options(), random.Random(1))
+    assert [core.key(name) for name in (0, 255, 2**64 - 1)] == [b"mstep:0", b"mstep:ff", b"mstep:ffffffffffffffff"]
+    assert [slot_of(key) for key in (b"mstep:0", b"mstep:ff", b"a{mstep}b", b"a{}b")] == [10110, 4980, 12175, 13694]
+
+
+def test_the_statements_of_one_write() -> None:
+    """The order of statements, their versions, sums and lives; with a witness first where a proof is asked for."""
+    core = Core(Options(lanes=1, gather_ms=1.0), random.Random(5))
+    core.topology(0.0, ["n:1"])
+    for call, (name, units, proof) in enumerate([(3, 1.0, False), (4, 2.0, True), (3, 0.5, False)]):
+        core.add(0.0, call, name, units, 600.0, proof)
+    [opening] = list(core.take())
+    core.opened(0.5, opening.lane)  # type: ignore[union-attr]
+    core.wake(2.0)
+    [write] = list(core.take())
+    assert isinstance(write, Write) and write.load and not write.plain
+    statements = [(op.name, op.units, op.version, op.total, op.life_ms) for op in write.ops]
+    assert statements == [
+        (1178032213966879813, 0.0, 1, 0.0, 3_600_000),
+        (3, 1.0, 2, 1.0, 598),
+        (4, 2.0, 3, 2.0, 598),
+        (3, 0.5, 4, 1.5, 598),
+    ]
+
+
+@pytest.mark.parametrize("name", ["OK", "FULL", "TIMEOUT", "CONNECT_FAILED"])
+def test_the_counts_have_their_names(name: str) -> None:
+    """Metrics show these names of what became of calls."""
+    core = Core(Options(lanes=1, timeout_ms=10.0, waiting=1), random.Random(5))
+    core.topology(0.0, ["n:1"])
+    core.add(0.0, 1, 3, 1.0, 600.0)
+    core.add(0.0, 2, 3, 1.0, 600.0)  # no place
+    assert core.counts == {"FULL": 1}
+    [opening, *_] = list(core.take())
+    lane = opening.lane  # type: ignore[union-attr]
+    if name == "CONNECT_FAILED":
+        core.refused(1.0, lane, "down")
+    elif name == "TIMEOUT":
+        core.opened(1.0, lane)
+        core.wake(20.0)
+    elif name == "OK":
+        from martenstep.store.core import Held
+
+        core.opened(1.0, lane)
+        core.replied(2.0, lane, Held(1.0, 0))
+    assert core.counts[name] == 1
+    names = {"OK", "FULL", "TIMEOUT", "CONNECT_FAILED", "writes", "statements", "stated again", "witnesses", "losses"}
+    assert set(core.counts) <= names
--- /dev/null
+++ b/tests/test_formats_supervise.py
@@ -0,0 +1,106 @@
+"""What a supervisor, its workers and a process manager say to each other, byte by byte."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+import time
+from pathlib import Path
+
+import msgspec
+import pytest
+from google.protobuf import text_format
+
+from martenstep.config import door_pb2 as pb
+from martenstep.supervise import frames
+from martenstep.supervise.frames import Begin, Commit, Frame, Prepare, Renew, Said
+from martenstep.supervise.notify import Notifier
+from martenstep.supervise.service import Reloader
+from martenstep.supervise.workers import worker_door
+from tests.door_rig import settings
+
+STORED = Path(__file__).parent / "formats" / "supervise"
+
+FRAMES: dict[str, Frame] = {
+    "begin": Begin(b"\x0a\x01d", 7, True, 3),
+    "begin-least": Begin(b"\x0a\x01d"),
+    "prepare": Prepare(2, b"\x0a\x01e"),
+    "commit": Commit(2),
+    "renew": Renew(),
+}
+SAID: dict[str, Said] = {
+    "ready": Said({"listener": 8080, "admin": 9000}),
+    "prepared": Said(prepared=3),
+    "error": Said(prepared=3, error="needs a restart: admin.port"),
+}
+
+
+def test_each_frame_is_written_and_read_as_committed() -> None:
+    lines = dict(line.split() for line in (STORED / "frames.txt").read_text().splitlines())
+    assert lines == {name: frames.encode(frame).hex() for name, frame in FRAMES.items()}
+
+    async def read(data: bytes) -> Frame | None:
+        reader = asyncio.StreamReader()
+        reader.feed_data(data)
+        reader.feed_eof()
+        return await frames.read(reader)
+
+    for name, frame in FRAMES.items():
+        assert asyncio.run(read(bytes.fromhex(lines[name]))) == frame
+
+
+def test_the_names_in_the_frames() -> None:
+    lines = dict(line.split() for line in (STORED / "frames.txt").read_text().splitlines())
+    read = {name: msgspec.msgpack.decode(bytes.fromhex(line)[4:]) for name, line in lines.items()}
+    assert read == {
+        "begin": {"type": "Begin", "door": b"\x0a\x01d", "socket": 7, "reuse_port": True, "seed": 3},
+        "begin-least": {"type": "Begin", "door": b"\x0a\x01d", "socket": -1, "reuse_port": False, "seed": None},
+        "prepare": {"type": "Prepare", "number": 2, "door": b"\x0a\x01e"},
+        "commit": {"type": "Commit", "number": 2},
+        "renew": {"type": "Renew"},
+    }
+
+
+def test_each_line_of_a_worker_is_written_and_read_as_committed() -> None:
+    lines = (STORED / "said.jsonl").read_bytes().splitlines()
+    assert [msgspec.json.encode(said) for said in SAID.values()] == lines
+    assert [msgspec.json.decode(line, type=Said) for line in lines] == list(SAID.values())
+
+
+def test_the_settings_of_the_workers() -> None:
+    door = settings(
+        "workers { count: 3 share: REUSE_PORT } admin { port: 9000 } pid_file: '/run/door.pid' "
+        'customer { key: "part" plan: "open" first_door: 1 doors: 1 }'
+        'hooks { directory: "h" history: "h.jsonl" } counter { journal: "j" } members { warm_copy: "w" } '
+        'tracing { file: "t" }'
+    )
+    made = "".join(f"# {number}\n{text_format.MessageToString(worker_door(door, number))}" for number in range(3))
+    assert made.encode() == (STORED / "workers.txtpb").read_bytes()
+
+
+def test_a_reload_is_told_to_the_process_manager(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(time, "clock_gettime_ns", lambda clock: 123_456_789)
+    with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as heard:
+        heard.bind(str(tmp_path / "n"))
+        heard.settimeout(5)
+        notifier = Notifier({"NOTIFY_SOCKET": str(tmp_path / "n"), "WATCHDOG_USEC": "3000000"})
+        assert notifier.watchdog_s == 1.5
+        lines: list[tuple[str, object]] = []
+        door = pb.Door()
+
+        async def take_up(made: pb.Door) -> str:
+            return ""
+
+        reloader = Reloader(
+            None, lambda event, fields: lines.append((event, fields)), notifier, lambda: door, take_up, lambda: None
+        )
+        asyncio.run(reloader.reload())
+        assert heard.recv(1000) == b"RELOADING=1\nMONOTONIC_USEC=123456\n"
+        assert heard.recv(1000) == b"READY=1\n"
+        assert notifier.tell(READY=1, STATUS="serves at port 8080") and notifier.tell(WATCHDOG=1)
+        assert heard.recv(1000) == b"READY=1\nSTATUS=serves at port 8080\n"
+        assert heard.recv(1000) == b"WATCHDOG=1\n"
+        assert not lines
+    other = {"NOTIFY_SOCKET": str(tmp_path / "n"), "WATCHDOG_USEC": "3000000", "WATCHDOG_PID": str(os.getpid() + 1)}
+    assert Notifier(other).watchdog_s == 0.0
