--- a/bench/copies_rate.py
+++ b/bench/copies_rate.py
@@ -19,7 +19,7 @@
 import click
 import numpy as np
 
-from martenstep.counter.frames import Add, Frames, Hello, Status, Total, decode, encode
+from martenstep.counter.protocol import Add, Frames, Hello, Status, Total, decode, encode
 from martenstep.lab.copies import Copies, started
 from martenstep.lab.ports import held_ports
 
--- a/bench/counter.py
+++ b/bench/counter.py
@@ -18,8 +18,8 @@
 from typing import Any
 
 from bench.throughput import resident_kb, start
-from martenstep.counter import frames as fr
-from martenstep.counter.keeper import Keeper
+from martenstep.counter import protocol as fr
+from martenstep.counter.commit_pipeline import Keeper
 from martenstep.counter.state import _ADD, ENTRY_ADD, Counter, Limits
 from martenstep.storage.files import Disk
 
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -7,7 +7,7 @@
 import sys
 
 from martenstep.config import door_pb2 as pb
-from martenstep.members.gossip.driver import Membership
+from martenstep.membership.transport import Membership
 
 
 async def main(key_file: str, number: int) -> None:
--- a/bench/store_cost.py
+++ b/bench/store_cost.py
@@ -15,10 +15,10 @@
 import redis.asyncio as redis
 
 from martenstep.config import door_pb2 as pb
-from martenstep.interface import Verdict
+from martenstep.policy.messages import CallResult
+from martenstep.redis_counter.redis_store import RedisStore
 from martenstep.standins.base import Trace
 from martenstep.standins.redis.server import RedisServer
-from martenstep.store.redis_store import RedisStore
 
 CALLS, NAMES = 20_000, 500
 
@@ -38,7 +38,7 @@
     """A door's store whose calls can be waited for."""
 
     def __init__(self, port: int, gather_ms: float = 0.0, scripts: bool = True, connections: int = 4) -> None:
-        self._out: dict[int, asyncio.Future[Verdict]] = {}
+        self._out: dict[int, asyncio.Future[CallResult]] = {}
         self._numbers = itertools.count(1)
         self.store = RedisStore(
             pb.Store(
@@ -47,13 +47,13 @@
             self._told,
         )
 
-    def _told(self, call: int, verdict: Verdict, total: float, kept_ms: float) -> None:
+    def _told(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
         self._out.pop(call).set_result(verdict)
 
     async def add(self, name: int) -> None:
         """One call."""
         number = next(self._numbers)
-        made: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
+        made: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
         self._out[number] = made
         self.store.add(number, name, 1.0, 60_000.0)
         await made
--- a/bench/stores.py
+++ b/bench/stores.py
@@ -11,8 +11,8 @@
 
 import lmdb
 
-from martenstep.counter.frames import Add
-from martenstep.counter.keeper import Keeper
+from martenstep.counter.commit_pipeline import Keeper
+from martenstep.counter.protocol import Add
 from martenstep.counter.state import _ADD, ENTRY_ADD, Limits
 from martenstep.storage.files import Disk
 from martenstep.storage.log import Writer, open_log
--- a/martenstep/__init__.py
+++ b/martenstep/__init__.py
@@ -1,5 +1,5 @@
 """martenstep: the decisions of a gateway that keeps each customer of a shared back end to its plan."""
 
-from martenstep.decide import Gateway
+from martenstep.policy.gateway import Gateway
 
 __all__ = ["Gateway"]
--- a/martenstep/cli/copies.py
+++ b/martenstep/cli/copies.py
@@ -76,7 +76,7 @@
     """Tell the number of the copies' disk DIRECTORY, for `founder` in the settings; an empty one gets one."""
     import contextlib
 
-    from martenstep.replication.keeper import KeeperError, disk_identity
+    from martenstep.replication.replica_manager import KeeperError, disk_identity
     from martenstep.storage.files import Disk, LockedError
 
     try:
--- a/martenstep/cli/main.py
+++ b/martenstep/cli/main.py
@@ -267,8 +267,8 @@
 def _log_faults() -> Iterator[None]:
     """What can be wrong with a log, or with what serves it, is told in a line; exit 1."""
     from martenstep.config.tls import TlsError
-    from martenstep.counter.copied_service import CopyError
-    from martenstep.counter.follow import RefusedError
+    from martenstep.counter.follower import RefusedError
+    from martenstep.counter.replicated_service import CopyError
     from martenstep.storage.files import LockedError
     from martenstep.storage.log import LogError
 
@@ -292,7 +292,7 @@
         faults_told(error)
     with _log_faults():
         if settings.HasField("copies"):
-            from martenstep.counter import copied_service
+            from martenstep.counter import replicated_service as copied_service
 
             sys.exit(asyncio.run(copied_service.serve(settings, lambda: load_service(file))))
         sys.exit(asyncio.run(service.serve(settings)))
@@ -311,7 +311,7 @@
 )
 def counter_identity(directory: Path, witness: Path) -> None:
     """Tell which copy's disk DIRECTORY is; an empty one becomes a new copy's."""
-    from martenstep.counter.copied_service import identity_of
+    from martenstep.counter.replicated_service import identity_of
 
     with _log_faults():
         click.echo(identity_of(directory, witness))
@@ -322,7 +322,7 @@
 @click.option("--leader", required=True, help="HOST:PORT of the service.")
 def counter_follow(directory: Path, leader: str) -> None:
     """Keep a copy of a service's log in DIRECTORY until SIGTERM."""
-    from martenstep.counter import follow
+    from martenstep.counter import follower as follow
 
     address = address_of("--leader", leader)
     with _log_faults(), contextlib.suppress(KeyboardInterrupt), contextlib.closing(follow.Follower(directory)) as made:
@@ -334,7 +334,7 @@
 @DIRECTORY
 def counter_promote(directory: Path) -> None:
     """Begin a new term in a follower's log.  Serve it then, and point the doors at it: the old leader is fenced."""
-    from martenstep.counter import follow
+    from martenstep.counter import follower as follow
 
     with _log_faults():
         term = follow.promote(directory)
@@ -345,7 +345,7 @@
 @DIRECTORY
 def counter_verify(directory: Path) -> None:
     """Read all of a log; exit 1 at the first damage, with file and offset."""
-    from martenstep.counter import read
+    from martenstep.counter import log_inspection as read
 
     with _log_faults():
         found = read.verify(directory)
@@ -366,7 +366,7 @@
 @click.option("--upto", type=int, required=True, help="Offset that it is cut at.")
 def counter_repair(directory: Path, name: str, upto: int) -> None:
     """Cut a damaged log.  What is cut may have been acknowledged: only with a backup at hand."""
-    from martenstep.counter import read
+    from martenstep.counter import log_inspection as read
 
     with _log_faults():
         lost = read.repair(directory, name, upto)
@@ -381,7 +381,7 @@
 @PERIOD
 def counter_rebuild(directory: Path, period_ms: float) -> None:
     """Rebuild the state from the log, and print the totals by customer, plan and period as JSON lines."""
-    from martenstep.counter import read
+    from martenstep.counter import log_inspection as read
     from martenstep.counter.state import Limits
 
     with _log_faults():
@@ -403,7 +403,7 @@
 
 
 def _export(directory: Path, customer: str | None, since: float | None, until: float | None) -> None:
-    from martenstep.counter import read
+    from martenstep.counter import log_inspection as read
 
     with _log_faults():
         for door, told in read.each_try(
--- a/martenstep/cli/maintenance.py
+++ b/martenstep/cli/maintenance.py
@@ -14,7 +14,8 @@
 from martenstep.cli.asking import ask as asked
 from martenstep.cli.asking import failed
 from martenstep.cli.words import example
-from martenstep.maintenance.book import (
+from martenstep.maintenance.coordinator import View
+from martenstep.maintenance.queue import (
     Answer,
     Ask,
     Cancel,
@@ -27,7 +28,6 @@
     State,
     What,
 )
-from martenstep.maintenance.orders import View
 
 ADMIN = click.option("--admin", required=True, help="HOST:PORT of any door's admin listener.")
 UNITS = {"s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
--- a/martenstep/config/settings.py
+++ b/martenstep/config/settings.py
@@ -10,12 +10,16 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep import interface as api
 from martenstep.config import door_pb2 as pb
 from martenstep.config.text import Fault, Faults, M, Node, parse
-
-EFFECTS = {pb.SAFE: api.Effect.SAFE, pb.KEYED: api.Effect.KEYED, pb.UNSAFE: api.Effect.UNSAFE}
-GROUPS = {pb.ALL: api.Group.ALL, pb.ZONE: api.Group.ZONE, pb.CELL: api.Group.CELL}
+from martenstep.policy import messages as api
+
+EFFECTS = {pb.SAFE: api.Idempotency.SAFE, pb.KEYED: api.Idempotency.KEYED, pb.UNSAFE: api.Idempotency.UNSAFE}
+GROUPS = {
+    pb.ALL: api.DeduplicationScope.ALL,
+    pb.ZONE: api.DeduplicationScope.ZONE,
+    pb.CELL: api.DeduplicationScope.CELL,
+}
 TICK_MS = 1.0  # a socket's answer takes about this: what is left of a deadline below it is of no use
 ERROR_STATUS = (500, 502, 503, 504)
 MOST_PORT = 65535
--- a/martenstep/counter/client.py
+++ b/martenstep/counter/client.py
@@ -21,7 +21,9 @@
 from dataclasses import replace
 
 from martenstep.backoff import Backoff
-from martenstep.counter.frames import (
+from martenstep.counter.journal import Journal as Journal
+from martenstep.counter.journal import Note
+from martenstep.counter.protocol import (
     Add,
     Command,
     FrameError,
@@ -37,9 +39,7 @@
     decode,
     encode,
 )
-from martenstep.counter.journal import Journal as Journal
-from martenstep.counter.journal import Note
-from martenstep.interface import Verdict
+from martenstep.policy.messages import CallResult
 
 AGAIN_LEAST_MS, AGAIN_MOST_MS = 20.0, 1000.0  # between attempts to connect
 READ_BYTES = 262_144
@@ -48,7 +48,7 @@
 LOST = (Status.TOO_OLD, Status.BAD)  # of those: the try is recorded nowhere
 LATEST_MS = 1e15  # a try's time that every service takes for its own
 Address = tuple[str, int]
-Answer = Callable[[int, Verdict, float, float], None]  # call, verdict, total, ms for which nothing was lost
+Answer = Callable[[int, CallResult, float, float], None]  # call, verdict, total, ms for which nothing was lost
 
 
 class _MovedError(Exception):
@@ -130,7 +130,7 @@
 
         The proof begins with the connection: another one may lead to a service that was promoted, or lost its tail."""
         if len(self._out) >= self._bound:
-            self._answer(call, Verdict.FULL, 0.0, 0.0)
+            self._answer(call, CallResult.FULL, 0.0, 0.0)
             return
         sequence = self._next()
         self._calls[sequence] = call
@@ -142,10 +142,10 @@
         if call is None:
             return
         if sequence in self._written:
-            self._answer(call, Verdict.TIMEOUT, 0.0, 0.0)
+            self._answer(call, CallResult.TIMEOUT, 0.0, 0.0)
         else:
             self._out.pop(sequence, None)
-            self._answer(call, Verdict.CONNECT_FAILED, 0.0, 0.0)
+            self._answer(call, CallResult.CONNECT_FAILED, 0.0, 0.0)
 
     def record(
         self, time_ms: float, units: float, beyond: bool, request: str, customer: str, plan: str, cls: str
@@ -289,5 +289,8 @@
         if isinstance(reply, Total) and call is not None:
             good = reply.status in (Status.DONE, Status.REPEATED)
             self._answer(
-                call, Verdict.OK if good else Verdict.FULL, reply.total, (time.monotonic() - self._welcomed) * 1000
+                call,
+                CallResult.OK if good else CallResult.FULL,
+                reply.total,
+                (time.monotonic() - self._welcomed) * 1000,
             )
--- a/martenstep/counter/keeper.py
+++ b/martenstep/counter/commit_pipeline.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from martenstep.counter.frames import Add, Read, Record, Reply, Status, Stored, Total, without
+from martenstep.counter.protocol import Add, Read, Record, Reply, Status, Stored, Total, without
 from martenstep.counter.state import ENTRY_ADD, Counter, Door, Limits, read_add, term_entry
 from martenstep.storage.files import Files
 from martenstep.storage.log import LogError, Opened, Writer, compact, open_log, write_snapshot
--- a/martenstep/counter/connection.py
+++ b/martenstep/counter/connection.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection
 from typing import cast
 
-from martenstep.counter.frames import Frame, FrameError, Frames, Refused, Status, decode, encode
+from martenstep.counter.protocol import Frame, FrameError, Frames, Refused, Status, decode, encode
 
 SWEEP_S = 1.0  # how often connections that owe a frame and say nothing are looked for
 
--- a/martenstep/counter/follow.py
+++ b/martenstep/counter/follower.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 
 from martenstep.backoff import Backoff
-from martenstep.counter.frames import Ack, Entries, Follow, FrameError, Frames, Refused, Status, decode, encode
-from martenstep.counter.keeper import Keeper, rebuild
+from martenstep.counter.commit_pipeline import Keeper, rebuild
+from martenstep.counter.protocol import Ack, Entries, Follow, FrameError, Frames, Refused, Status, decode, encode
 from martenstep.counter.state import ENTRY_TERM, Limits, term_of
 from martenstep.storage.files import Disk
 from martenstep.storage.log import Writer, likeness, open_log, read_records, records_of
--- a/martenstep/counter/books.py
+++ b/martenstep/counter/increment_ledger.py
@@ -20,9 +20,9 @@
 
 import xxhash
 
-from martenstep.counter.book import Begin, Book, Done, Seal, Try, dones, entry, puts
-from martenstep.replication.host import Host, InDoubtError, NotLeaderError, now_ms
-from martenstep.replication.keeper import Keeper
+from martenstep.counter.pending_increments import Begin, Book, Done, Seal, Try, dones, entry, puts
+from martenstep.replication.replica import Host, InDoubtError, NotLeaderError, now_ms
+from martenstep.replication.replica_manager import Keeper
 from martenstep.tasks import Tasks
 
 PREFIX = "book-"
--- a/martenstep/counter/journal.py
+++ b/martenstep/counter/journal.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from martenstep.counter.frames import Record
+from martenstep.counter.protocol import Record
 
 START_WITHIN_S, START_STEP_S = 8.0, 0.05  # a start waits so long for a disk that is full or fails
 REWRITE_TIMES = 4  # the file is written anew once it has so many times the lines that the bound allows
--- a/martenstep/counter/read.py
+++ b/martenstep/counter/log_inspection.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from martenstep.counter.keeper import rebuild
+from martenstep.counter.commit_pipeline import rebuild
 from martenstep.counter.state import ENTRY_DOOR, ENTRY_TRY, Counter, Limits, TryEntry, read_door, read_try
 from martenstep.storage.files import Disk
 from martenstep.storage.log import HEADER, LogError, open_log, read_snapshot, scan, segments, snapshots
--- a/martenstep/counter/copied.py
+++ b/martenstep/counter/replicated_counter.py
@@ -18,11 +18,11 @@
 
 import msgspec
 
-from martenstep.counter import frames
-from martenstep.counter.frames import Add, FrameError, Hello, Record, Refused, Reply, Status, Welcome
+from martenstep.counter import protocol as frames
+from martenstep.counter.protocol import Add, FrameError, Hello, Record, Refused, Reply, Status, Welcome
 from martenstep.counter.state import Counter, Limits
-from martenstep.replication.core import Kept
 from martenstep.replication.messages import Kind
+from martenstep.replication.raft import Kept
 
 _HEAD = struct.Struct(">dQH")  # time at the leader (Unix ms), epoch, length of the door's name
 
--- a/martenstep/counter/copied_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -26,8 +26,7 @@
 from martenstep.config.text import Faults
 from martenstep.counter import counter_pb2 as pb
 from martenstep.counter.connection import DoorConnection, cut_off_silent
-from martenstep.counter.copied import CopiedCounter, asked
-from martenstep.counter.frames import (
+from martenstep.counter.protocol import (
     VERSION,
     Add,
     Frame,
@@ -43,16 +42,17 @@
     encode,
     without,
 )
+from martenstep.counter.replicated_counter import CopiedCounter, asked
 from martenstep.counter.service import limits_of
 from martenstep.counter.steady_clock import SteadyClock
 from martenstep.lifetime import until_stopped
-from martenstep.members.gossip.keys import KeyFileError, read_keys
-from martenstep.replication.core import Role
-from martenstep.replication.host import Host, InDoubtError, NotLeaderError
-from martenstep.replication.links import Links
+from martenstep.membership.keys import KeyFileError, read_keys
 from martenstep.replication.messages import Config
-from martenstep.replication.placing import Change, HandOver, Invite, learning, next_step
-from martenstep.replication.store import Store, StoreError
+from martenstep.replication.placement import Change, HandOver, Invite, learning, next_step
+from martenstep.replication.raft import Role
+from martenstep.replication.replica import Host, InDoubtError, NotLeaderError
+from martenstep.replication.replica_storage import Store, StoreError
+from martenstep.replication.transport import Links
 from martenstep.storage.files import Disk
 
 TEND_S = 0.25  # between two looks at whether the group is as it is listed
--- a/martenstep/counter/service.py
+++ b/martenstep/counter/service.py
@@ -19,8 +19,9 @@
 
 from martenstep.config.tls import ServerContext, TlsError
 from martenstep.counter import counter_pb2 as pb
+from martenstep.counter.commit_pipeline import Group, Keeper, Session
 from martenstep.counter.connection import DoorConnection, cut_off_silent
-from martenstep.counter.frames import (
+from martenstep.counter.protocol import (
     VERSION,
     Ack,
     Add,
@@ -37,7 +38,6 @@
     encode,
     without,
 )
-from martenstep.counter.keeper import Group, Keeper, Session
 from martenstep.counter.state import Limits
 from martenstep.counter.steady_clock import SteadyClock
 from martenstep.lifetime import until_stopped
--- a/martenstep/counter/held.py
+++ b/martenstep/counter/sharded_counter.py
@@ -13,16 +13,16 @@
 from typing import Any
 
 from martenstep.config import door_pb2 as pb
-from martenstep.counter.book import Book, Try
-from martenstep.counter.books import Books, is_book
-from martenstep.counter.copied import CopiedCounter
-from martenstep.counter.copied_service import Bounds, CopiedService
-from martenstep.maintenance.book import Book as OrderBook
-from martenstep.maintenance.orders import GROUP as ORDERS
-from martenstep.members.gossip.driver import Membership
-from martenstep.replication.host import Host
-from martenstep.replication.keeper import Founder, Holding, Keeper, Place
-from martenstep.replication.links import Links
+from martenstep.counter.increment_ledger import Books, is_book
+from martenstep.counter.pending_increments import Book, Try
+from martenstep.counter.replicated_counter import CopiedCounter
+from martenstep.counter.replicated_service import Bounds, CopiedService
+from martenstep.maintenance.coordinator import GROUP as ORDERS
+from martenstep.maintenance.queue import Book as OrderBook
+from martenstep.membership.transport import Membership
+from martenstep.replication.replica import Host
+from martenstep.replication.replica_manager import Founder, Holding, Keeper, Place
+from martenstep.replication.transport import Links
 
 Address = tuple[str, int]
 
--- a/martenstep/counter/state.py
+++ b/martenstep/counter/state.py
@@ -23,7 +23,7 @@
 import msgspec
 import xxhash
 
-from martenstep.counter.frames import Add, FrameError, Read, Record, Reply, Status, Stored, Total, without
+from martenstep.counter.protocol import Add, FrameError, Read, Record, Reply, Status, Stored, Total, without
 
 ENTRY_ADD, ENTRY_TRY, ENTRY_DOOR, ENTRY_TERM = 1, 2, 3, 5  # 4 is the log's seal, which says nothing
 _ADD = struct.Struct(">BdIQQdd")  # kind, time, door, sequence, name, units, expiry
--- a/martenstep/members/lists.py
+++ b/martenstep/discovery/endpoint_list.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass, field
 
-from martenstep.interface import Scope, Server
+from martenstep.policy.messages import Endpoint, EndpointListScope
 
 
 @dataclass(slots=True)
 class Listed:
     """The feed told of servers; addresses are (host, port) by server id."""
 
-    scope: Scope
-    servers: tuple[Server, ...] = ()
+    scope: EndpointListScope
+    servers: tuple[Endpoint, ...] = ()
     addresses: dict[int, tuple[str, int]] = field(default_factory=dict)
--- a/martenstep/members/feed.py
+++ b/martenstep/discovery/feed.py
@@ -26,9 +26,9 @@
 
 from martenstep.backoff import Backoff
 from martenstep.config import door_pb2 as pb
-from martenstep.interface import Scope, Server, State
-from martenstep.members.lists import Listed
-from martenstep.members.start_times import StartTimes
+from martenstep.discovery.endpoint_list import Listed
+from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
+from martenstep.policy.start_times import StartTimes
 
 AGAIN_LEAST_MS, AGAIN_MOST_MS = 100.0, 2000.0  # between polls that fail
 LATE_MS = 5000.0  # a poll that is not answered so long after its wait has failed
@@ -98,11 +98,16 @@
         else:
             self._entries.update(listed)
         self.index = answer.index
-        scope = Scope.FULL if answer.scope == "full" else Scope.CHANGES
+        scope = EndpointListScope.FULL if answer.scope == "full" else EndpointListScope.CHANGES
         return self._told(scope, listed, answer.now_unix_ms, now, unseen_ms), odd
 
     def _told(
-        self, scope: Scope, listed: dict[int, Entry], now_unix_ms: float, now: float, unseen_ms: float = math.inf
+        self,
+        scope: EndpointListScope,
+        listed: dict[int, Entry],
+        now_unix_ms: float,
+        now: float,
+        unseen_ms: float = math.inf,
     ) -> Listed:
         servers = []
         for entry in listed.values():
@@ -110,7 +115,7 @@
                 entry.id, entry.started_unix_ms, now_unix_ms - entry.started_unix_ms, now, unseen_ms
             )
             servers.append(
-                Server(entry.id, entry.zone, entry.kind, entry.cell, State(entry.state), entry.size, started)
+                Endpoint(entry.id, entry.zone, entry.kind, entry.cell, EndpointState(entry.state), entry.size, started)
             )
         gone = [key for key, entry in self._entries.items() if entry.state == "gone"]
         for key in gone:
@@ -130,7 +135,7 @@
         except msgspec.DecodeError as error:
             raise FeedError(f"warm copy: {error}") from None
         self._entries = {entry.id: entry for entry in answer.servers}
-        listed = self._told(Scope.WARM_COPY, self._entries, now_unix_ms, now)
+        listed = self._told(EndpointListScope.WARM_COPY, self._entries, now_unix_ms, now)
         self._starts = StartTimes()  # its ages rest on two wall clocks; the feed's answer has both times of one
         return listed
 
@@ -155,7 +160,7 @@
 
     def warm(self) -> None:
         """Tell the list as last held; an empty one where there is none."""
-        listed = Listed(Scope.WARM_COPY)
+        listed = Listed(EndpointListScope.WARM_COPY)
         if self._path is not None:
             try:
                 listed = self._follower.warm(self._path.read_bytes(), self._clock(), time.time() * 1000)
@@ -179,7 +184,7 @@
                 if not self._lost:
                     self._lost = True
                     self._note("feed lost", f"{type(error).__name__}: {error}")
-                    self._tell(Listed(Scope.LOST))
+                    self._tell(Listed(EndpointListScope.LOST))
                 await asyncio.sleep(self.backoff.failed() / 1000)
 
     async def _follow(self) -> None:
--- a/martenstep/hooks/border.py
+++ b/martenstep/hooks/border.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from martenstep.interface import Effect, RequestClass
+from martenstep.policy.messages import Idempotency, RequestClass
 
 MOST_BODY = 16_384  # characters of a refusal's body
 MOST_HEADERS = 16
@@ -145,11 +145,11 @@
 
 def may_become(before: RequestClass, after: RequestClass) -> bool:
     """Whether a request of one class may be handled as of another: never one that lets more of it be repeated."""
-    if after.effect is Effect.UNSAFE or after == before:
+    if after.effect is Idempotency.UNSAFE or after == before:
         return True
     if after.effect is not before.effect:
         return False
-    return after.effect is Effect.SAFE or (after.group is before.group and after.window_ms <= before.window_ms)
+    return after.effect is Idempotency.SAFE or (after.group is before.group and after.window_ms <= before.window_ms)
 
 
 def placed(made: Any, before: Placed, bounds: Bounds) -> Placed:
--- a/martenstep/lab/copies.py
+++ b/martenstep/lab/copies.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep.counter.copied import CopiedCounter
-from martenstep.counter.copied_service import identity_of
-from martenstep.counter.frames import Add, Frames, Hello, Read, Total, decode, encode
+from martenstep.counter.protocol import Add, Frames, Hello, Read, Total, decode, encode
+from martenstep.counter.replicated_counter import CopiedCounter
+from martenstep.counter.replicated_service import identity_of
 from martenstep.counter.state import Counter
 from martenstep.lab.ports import held_ports
-from martenstep.replication.store import Store
+from martenstep.replication.replica_storage import Store
 from martenstep.storage.files import Disk
 
 ASK_S = 2.0  # a copy that says nothing for so long is paused or gone
--- a/martenstep/lab/day.py
+++ b/martenstep/lab/day.py
@@ -25,10 +25,10 @@
 from martenstep.hooks.code import compile_source
 from martenstep.hooks.syntax import HookFault
 from martenstep.lab import day_pb2 as pb
+from martenstep.redis_counter.slots import SLOTS
 from martenstep.standins.clients import Planned
 from martenstep.standins.photo import PhotoConfig, WorkOf
 from martenstep.standins.redis.fleet import MASTER
-from martenstep.store.slots import SLOTS
 
 DOOR_TROUBLES = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_LOST, pb.DOOR_CUT_FROM_FEED)
 STORE_TROUBLES = (
--- a/martenstep/lab/emulate/auth.py
+++ b/martenstep/lab/emulate/auth.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from martenstep.door.events import Headers
 from martenstep.lab.emulate.core import Draws, Sim
 from martenstep.lab.emulate.net import Place
+from martenstep.proxy.engine_messages import Headers
 from martenstep.standins.auth import DRIP_MS, GOOD
 
 Reply = Callable[[int, Headers, bytes], None]
--- a/martenstep/lab/emulate/clients.py
+++ b/martenstep/lab/emulate/clients.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Iterator
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.door import events as ev
-from martenstep.door.http import header
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.emulate.core import Draws, Sim, Timer
 from martenstep.lab.emulate.doors import Caller, EmuDoor
 from martenstep.lab.emulate.net import Network, Pipe, Place
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.headers import header
 from martenstep.standins.clients import ABUSE_PAUSE_MS, ABUSE_TRIES, Manners, Planned
 
 LATE_MS = 1000.0  # beyond its patience a client waits no longer, whatever the door does
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -12,19 +12,19 @@
 from typing import Any
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.door import events as ev
-from martenstep.door.events import Ending
-from martenstep.door.fitting import engine_of
-from martenstep.door.http import header
-from martenstep.interface import Scope
+from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.feed import Follower
 from martenstep.lab.emulate.auth import EmuAuth
 from martenstep.lab.emulate.core import Sim, Timer
 from martenstep.lab.emulate.net import Network, Pipe, Place
 from martenstep.lab.emulate.servers import EmuServer, Job
 from martenstep.lab.emulate.store import EmuStore
-from martenstep.members.feed import Follower
-from martenstep.members.lists import Listed
-from martenstep.store import core as store
+from martenstep.policy.messages import EndpointListScope
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.engine_factory import engine_of
+from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.headers import header
+from martenstep.redis_counter import core as store
 
 STORE_NODE = "store"
 ZONE_OF_STORE = "store"
@@ -494,11 +494,13 @@
 
     def warm(self, body: bytes | None) -> None:
         """The list as last held."""
-        self.act(self.follower.warm(body, self._sim.now, self._sim.now) if body else Listed(Scope.WARM_COPY))
+        self.act(
+            self.follower.warm(body, self._sim.now, self._sim.now) if body else Listed(EndpointListScope.WARM_COPY)
+        )
 
     def feed_lost(self) -> None:
         """The feed cannot be reached."""
-        self.act(Listed(Scope.LOST))
+        self.act(Listed(EndpointListScope.LOST))
 
     # Life -----------------------------------------------------------------------------------------------
 
--- a/martenstep/lab/emulate/limited.py
+++ b/martenstep/lab/emulate/limited.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from martenstep.door import events as ev
-from martenstep.door.http import header, own_answer
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import customers_of
 from martenstep.lab.emulate.doors import EmuDoor
 from martenstep.lab.emulate.limiters import Buckets, share
 from martenstep.lab.emulate.net import Pipe
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.headers import header, own_answer
 
 CLOSED_WAIT_MS = 200.0  # retry-after where the store does not answer and nothing passes without it
 
--- a/martenstep/lab/emulate/store.py
+++ b/martenstep/lab/emulate/store.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from martenstep.lab.emulate.core import Draws, Sim
+from martenstep.redis_counter import script
+from martenstep.redis_counter.core import Fault, Held, Op, Write
 from martenstep.standins.redis.keyspace import Keyspace, Session
 from martenstep.standins.resp import ErrorReply
-from martenstep.store import script
-from martenstep.store.core import Fault, Held, Op, Write
 
 
 class EmuStore:
--- a/martenstep/lab/explore.py
+++ b/martenstep/lab/explore.py
@@ -29,9 +29,9 @@
 import msgspec
 import xxhash
 
-from martenstep.replication.core import Became, Committed, Copy, Installed, Kept, Role, Send, Settings, Write
 from martenstep.replication.messages import Appended, AskVote, Config, Entry, GiveVote, Kind, Message
-from martenstep.replication.store import apply
+from martenstep.replication.raft import Became, Committed, Copy, Installed, Kept, Role, Send, Settings, Write
+from martenstep.replication.replica_storage import apply
 
 NOW = 1e9  # on every clock, always
 LONG_AGO = -1e9
--- a/martenstep/lab/explore_orders.py
+++ b/martenstep/lab/explore_orders.py
@@ -22,8 +22,8 @@
 import msgspec
 import xxhash
 
-from martenstep.maintenance.agent import Agent, AskDone, AskStart, Leave, Step, Touchable
-from martenstep.maintenance.book import (
+from martenstep.maintenance.lease_holder import Agent, AskDone, AskStart, Leave, Step, Touchable
+from martenstep.maintenance.queue import (
     Answer,
     Ask,
     Book,
--- a/martenstep/lab/fleet/baseline.py
+++ b/martenstep/lab/fleet/baseline.py
@@ -10,9 +10,7 @@
 from collections import Counter
 from typing import Any
 
-from martenstep.members.gossip.core import Datagram, Event, Settings, Stage
-from martenstep.members.gossip.facts import Fact, State, Table, with_state
-from martenstep.members.gossip.wire import (
+from martenstep.membership.codec import (
     Keys,
     Sender,
     Tell,
@@ -23,6 +21,8 @@
     message_of,
     open_datagram,
 )
+from martenstep.membership.core import Datagram, Event, Settings, Stage
+from martenstep.membership.member_table import Fact, State, Table, with_state
 
 
 class Heartbeats:
--- a/martenstep/lab/fleet/groups.py
+++ b/martenstep/lab/fleet/groups.py
@@ -18,10 +18,10 @@
 from typing import Any
 
 from martenstep.lab.emulate.core import Sim, Timer
-from martenstep.replication.core import Became, Committed, Copy, Installed, Kept, Role, Send, Settings, Write
 from martenstep.replication.messages import Config, Entry, Kind, Message
-from martenstep.replication.placing import Change, HandOver, Invite, learning, next_step
-from martenstep.replication.store import apply
+from martenstep.replication.placement import Change, HandOver, Invite, learning, next_step
+from martenstep.replication.raft import Became, Committed, Copy, Installed, Kept, Role, Send, Settings, Write
+from martenstep.replication.replica_storage import apply
 
 HEAL_MS = 12_000.0  # without faults, for the group to commit again
 PROPOSE_MS = (15.0, 60.0, 250.0)  # between two of the clients' proposals, by the seed: rare ones leave stale leaders be
--- a/martenstep/lab/fleet/orders.py
+++ b/martenstep/lab/fleet/orders.py
@@ -20,8 +20,8 @@
 import msgspec
 
 from martenstep.lab.emulate.core import Sim
-from martenstep.maintenance.agent import Agent, AskDone, AskStart, Leave, Step, Touchable
-from martenstep.maintenance.book import (
+from martenstep.maintenance.lease_holder import Agent, AskDone, AskStart, Leave, Step, Touchable
+from martenstep.maintenance.queue import (
     DRIFT,
     Answer,
     Ask,
--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -20,9 +20,9 @@
 from hdrh.histogram import HdrHistogram
 
 from martenstep.counter.client import Address, CounterClient, Journal
-from martenstep.counter.copied import CopiedCounter
+from martenstep.counter.replicated_counter import CopiedCounter
 from martenstep.counter.shards import Shards, owner
-from martenstep.interface import Verdict
+from martenstep.policy.messages import CallResult
 from martenstep.replication.verify import Found, differences, furthest, read_folder
 
 EXPIRE_MS = 3_600_000.0
@@ -80,13 +80,13 @@
         if self.shards.record(time.time() * 1000, 1.0, False, request, f"c{self._call % 50}", "p", "read"):
             self.tries.add(request)
 
-    def _answered(self, call: int, verdict: Verdict, total: float, kept_ms: float) -> None:
+    def _answered(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
         name, asked = self.calls.pop(call)
         now = time.monotonic()
         self.verdicts[verdict.name] += 1
-        if verdict is Verdict.CONNECT_FAILED or verdict is Verdict.FULL:
+        if verdict is CallResult.CONNECT_FAILED or verdict is CallResult.FULL:
             self.sent[name] -= 1  # it never left
-        if verdict is Verdict.OK:
+        if verdict is CallResult.OK:
             if total <= self.acknowledged[name]:
                 self.breaches.append(
                     f"{self.name} was told {total} of name {name} after {self.acknowledged[name]} of "
--- a/martenstep/lab/fleet/relay.py
+++ b/martenstep/lab/fleet/relay.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 
 from martenstep.lab.fleet.wires import Wires
-from martenstep.members.gossip.core import Address
-from martenstep.members.gossip.driver import Datagrams
+from martenstep.membership.core import Address
+from martenstep.membership.transport import Datagrams
 
 READ_BYTES = 65_536
 LOOK_S = 0.02  # how often a stream that a fault holds up looks whether that is over
--- a/martenstep/lab/fleet/virtual.py
+++ b/martenstep/lab/fleet/virtual.py
@@ -19,9 +19,9 @@
 from martenstep.lab.fleet.relay import Forger
 from martenstep.lab.fleet.schedule import Member, Step, members_of, steps_of
 from martenstep.lab.fleet.wires import Wires
-from martenstep.members.gossip.core import Address, Datagram, Dial, Event, Gossip, Settings, Stage
-from martenstep.members.gossip.facts import Fact, State
-from martenstep.members.gossip.wire import Keys, WireError
+from martenstep.membership.codec import Keys, WireError
+from martenstep.membership.core import Address, Datagram, Dial, Event, Gossip, Settings, Stage
+from martenstep.membership.member_table import Fact, State
 
 Core = Gossip | Heartbeats
 KEY = b"a key for the emulated fleet only"
--- a/martenstep/lab/held.py
+++ b/martenstep/lab/held.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.counter.copied import CopiedCounter, command_of
-from martenstep.counter.frames import FrameError, Record, Status, Stored
+from martenstep.counter.protocol import FrameError, Record, Status, Stored
+from martenstep.counter.replicated_counter import CopiedCounter, command_of
 from martenstep.lab import day_pb2 as pb
-from martenstep.replication.keeper import GROUPS, disk_identity
 from martenstep.replication.messages import Kind
+from martenstep.replication.replica_manager import GROUPS, disk_identity
 from martenstep.replication.verify import Found, furthest, read_folder
 from martenstep.storage.files import Disk
 
--- a/martenstep/lab/report.py
+++ b/martenstep/lab/report.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from martenstep.config.text import Faults
-from martenstep.counter.read import each_try
+from martenstep.counter.log_inspection import each_try
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import load_day
 from martenstep.lab.held import recorded_tries
--- a/martenstep/lab/soak/run.py
+++ b/martenstep/lab/soak/run.py
@@ -21,12 +21,12 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep.door.permission import UNEXPECTED
 from martenstep.lab.ports import held_ports
 from martenstep.lab.soak.clients import WINDOW_S, Clients, Target
 from martenstep.lab.soak.faults import SHORT_COUNT, Call, FaultControl
 from martenstep.lab.soak.oracle import HELD_UP_S, Ceiling, Oracle, Rule, SlowStart
 from martenstep.lab.soak.parties import MODES, Agent, Backend, CounterParty, Membership
+from martenstep.proxy.permission import UNEXPECTED
 
 DRAIN_GRACE_S = 0.7
 DEADLINE_MS = 1500.0
--- a/martenstep/maintenance/rule.py
+++ b/martenstep/maintenance/admission_rules.py
@@ -21,7 +21,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from martenstep.maintenance.book import Book, Request
+    from martenstep.maintenance.queue import Book, Request
 
 BY_GRANT = ("granted", "out", "coming")
 
--- a/martenstep/maintenance/orders.py
+++ b/martenstep/maintenance/coordinator.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from martenstep.maintenance import rule
-from martenstep.maintenance.agent import Agent, AskDone, AskStart, Leave
-from martenstep.maintenance.book import (
+from martenstep.maintenance import admission_rules as rule
+from martenstep.maintenance.lease_holder import Agent, AskDone, AskStart, Leave
+from martenstep.maintenance.queue import (
     Answer,
     Book,
     Clock,
@@ -30,8 +30,8 @@
     What,
     entry,
 )
-from martenstep.replication.host import Host, InDoubtError, NotLeaderError, now_ms
-from martenstep.replication.keeper import Keeper, UnansweredError
+from martenstep.replication.replica import Host, InDoubtError, NotLeaderError, now_ms
+from martenstep.replication.replica_manager import Keeper, UnansweredError
 
 GROUP = "orders"
 TEND_S = 0.5
--- a/martenstep/maintenance/agent.py
+++ b/martenstep/maintenance/lease_holder.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from martenstep.maintenance.book import DRIFT, Answer, Done, Request, Start, State
+from martenstep.maintenance.queue import DRIFT, Answer, Done, Request, Start, State
 
 AGAIN_MS = 1000.0  # between two questions
 
--- a/martenstep/maintenance/book.py
+++ b/martenstep/maintenance/queue.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from martenstep.maintenance import rule
+from martenstep.maintenance import admission_rules as rule
 
 DRIFT = 0.02  # clocks run apart by no more than this part
 MOST_REQUESTS = 5000  # that have not ended: more are refused
--- a/martenstep/members/gossip/wire.py
+++ b/martenstep/membership/codec.py
@@ -19,7 +19,7 @@
 import msgspec
 import xxhash
 
-from martenstep.members.gossip.facts import BUCKETS, Digest, Fact, Name, Port, State
+from martenstep.membership.member_table import BUCKETS, Digest, Fact, Name, Port, State
 
 MAGIC, VERSION = b"MG", 1
 MOST_BYTES = 1200  # of a datagram: passes any path of IPv6's least MTU with room for tunnels
--- a/martenstep/members/gossip/core.py
+++ b/martenstep/membership/core.py
@@ -26,9 +26,7 @@
 
 import msgspec
 
-from martenstep.members.gossip.facts import BUCKETS, Fact, Says, State, Table, bucket_of, with_state
-from martenstep.members.gossip.spreading import Spread, suspicion_ms, worth_telling
-from martenstep.members.gossip.wire import (
+from martenstep.membership.codec import (
     ROOM,
     Ack,
     Challenge,
@@ -54,6 +52,8 @@
     message_of,
     open_datagram,
 )
+from martenstep.membership.dissemination import Spread, suspicion_ms, worth_telling
+from martenstep.membership.member_table import BUCKETS, Fact, Says, State, Table, bucket_of, with_state
 
 Address = tuple[str, int]
 HELPERS = 3  # asked where a direct probe failed: SWIM's k; at 5% loss one probe in 1,600 fails through all of them
--- a/martenstep/members/gossip/spreading.py
+++ b/martenstep/membership/dissemination.py
@@ -4,8 +4,8 @@
 
 import math
 
-from martenstep.members.gossip.facts import Fact, State
-from martenstep.members.gossip.wire import encode
+from martenstep.membership.codec import encode
+from martenstep.membership.member_table import Fact, State
 
 TOLD = 4  # times log10 of the fleet that a saying is sent by each door: SWIM's lambda, as memberlist has it
 
--- a/martenstep/members/gossip/keys.py
+++ b/martenstep/membership/keys.py
@@ -8,7 +8,7 @@
 
 from pathlib import Path
 
-from martenstep.members.gossip.wire import Keys
+from martenstep.membership.codec import Keys
 
 LEAST_BYTES = 16
 MOST_KEYS = 4
--- a/martenstep/members/gossip/driver.py
+++ b/martenstep/membership/transport.py
@@ -20,11 +20,8 @@
 import msgspec
 
 from martenstep.config import door_pb2 as pb
-from martenstep.members.gossip import identity as kept
-from martenstep.members.gossip.core import Datagram, Dial, Event, Gossip, Settings, Stage
-from martenstep.members.gossip.facts import Fact, Says, State
-from martenstep.members.gossip.keys import KeyFileError, read_keys
-from martenstep.members.gossip.wire import (
+from martenstep.membership import identity as kept
+from martenstep.membership.codec import (
     MAGIC,
     MOST_FRAME,
     VERSION,
@@ -35,6 +32,9 @@
     frame,
     open_frame,
 )
+from martenstep.membership.core import Datagram, Dial, Event, Gossip, Settings, Stage
+from martenstep.membership.keys import KeyFileError, read_keys
+from martenstep.membership.member_table import Fact, Says, State
 from martenstep.storage.files import Disk, LockedError
 from martenstep.tasks import Tasks
 
--- a/martenstep/node/config.py
+++ b/martenstep/node/config.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep import interface as api
-from martenstep.wirehost import settings_of
+from martenstep.policy import messages as api
+from martenstep.simulator.host import settings_of
 
 BODY_BYTES = 65_536  # of a request: the protocol allows no more
 ANSWER_BYTES = 8 << 20  # of an answer: backends send some of hundreds of KB, and what says it has GB is spoilt
--- a/martenstep/node/counter.py
+++ b/martenstep/node/counter.py
@@ -12,8 +12,8 @@
 from typing import cast
 
 from martenstep.backoff import Backoff
-from martenstep.door.wires import now_ms
-from martenstep.interface import Verdict
+from martenstep.policy.messages import CallResult
+from martenstep.proxy.transport import now_ms
 from martenstep.tasks import standing
 
 LANES = 4  # connections; the counter takes 32 of a front door
@@ -25,7 +25,7 @@
 AGAIN_LEAST_MS, AGAIN_MOST_MS = 50.0, 1000.0
 LINE_BYTES = 512  # of one answer: a total has few digits
 CRLF = b"\r\n"
-Answered = Callable[[int, Verdict, float], None]  # a call's number, how it ended, the total
+Answered = Callable[[int, CallResult, float], None]  # a call's number, how it ended, the total
 
 
 class UnreadableError(Exception):
@@ -58,7 +58,7 @@
         if self._data:
             raise UnreadableError("an answer that nobody asked for")
 
-    def _one(self) -> tuple[Verdict, float] | None:
+    def _one(self) -> tuple[CallResult, float] | None:
         """The next answer, taken off the front; None where more of it must come."""
         data = self._data
         end = data.find(CRLF)
@@ -69,7 +69,7 @@
         first, line = data[:1], bytes(data[1:end])
         if first == b"-":  # -BUSY and -ERR: nothing was added
             del data[: end + 2]
-            return Verdict.FULL, 0.0
+            return CallResult.FULL, 0.0
         if first != b"$" or not line.isdigit() or int(line) > LINE_BYTES:
             raise UnreadableError("not a total")
         size, start = int(line), end + 2
@@ -85,13 +85,13 @@
         if not -1e15 < total < 1e15:
             raise UnreadableError("not a number that can be")
         del data[: start + size + 2]
-        return Verdict.OK, total
+        return CallResult.OK, total
 
     def lost(self) -> None:
         """The connection is over: what was out on it may have been added."""
         out, self.out = self.out, deque()
         for call in out:
-            self._answered(call, Verdict.TIMEOUT, 0.0)  # the module's word for what may have been added
+            self._answered(call, CallResult.TIMEOUT, 0.0)  # the module's word for what may have been added
 
 
 class _Link(asyncio.Protocol):
@@ -181,7 +181,7 @@
         link = min(links, key=lambda one: len(one.lane.out), default=None)
         if link is None or len(link.lane.out) >= LANE_CALLS:
             # Told after this turn of the loop: the module is in the midst of what made it ask.
-            verdict = Verdict.CONNECT_FAILED if link is None else Verdict.FULL
+            verdict = CallResult.CONNECT_FAILED if link is None else CallResult.FULL
             asyncio.get_running_loop().call_soon(self.tell, call, verdict, 0.0)
             return
         if not link.lane.out:
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -21,13 +21,7 @@
 from pathlib import Path
 from typing import Any, TextIO, TypeVar
 
-from martenstep.door.driver import Driver
-from martenstep.door.engine import Engine
-from martenstep.door.events import Counted
-from martenstep.door.loop_lag import LagSelector
-from martenstep.door.wires import now_ms, polled
-from martenstep.interface import Scope, Verdict
-from martenstep.members.lists import Listed
+from martenstep.discovery.endpoint_list import Listed
 from martenstep.node.config import (
     NOTHING_TAKEN,
     PASSING_ERRORS,
@@ -41,6 +35,12 @@
 from martenstep.node.discovery import AGENT, SERVICE, Discovery, DiscoveryError, Follower
 from martenstep.node.pending_signals import PendingSignals
 from martenstep.node.protocol import Requests, parts_of
+from martenstep.policy.messages import CallResult, EndpointListScope
+from martenstep.proxy.engine import Engine
+from martenstep.proxy.engine_messages import Counted
+from martenstep.proxy.loop_lag import LagSelector
+from martenstep.proxy.server import Driver
+from martenstep.proxy.transport import now_ms, polled
 from martenstep.tasks import standing
 
 FIRST_LIST_MS = 1500.0  # the door is ready without discovery's word after this: it has the list as last known
@@ -147,14 +147,14 @@
         return self._discovery.unread
 
     def _listed(self, listed: Listed) -> None:
-        if listed.scope is Scope.FULL:
+        if listed.scope is EndpointListScope.FULL:
             self._first_list.set()
         starts = {server.id: server.started_ms for server in listed.servers}
-        concerned = starts if listed.scope is Scope.CHANGES else self.engine.addresses
+        concerned = starts if listed.scope is EndpointListScope.CHANGES else self.engine.addresses
         before = {number: self.engine.addresses[number] for number in concerned if number in self.engine.addresses}
         started_before = {number: self._started.get(number, math.inf) for number in before}
         self.driver.act(listed)
-        if listed.scope is not Scope.CHANGES:
+        if listed.scope is not EndpointListScope.CHANGES:
             self._started.clear()
         self._started.update(starts)
         for number in [*before, *starts]:
@@ -165,18 +165,18 @@
             if self.engine.addresses.get(number) != address or restarted:
                 self.driver.pool.forget(address)
 
-    def _counted(self, call: int, verdict: Verdict, total: float) -> None:
+    def _counted(self, call: int, verdict: CallResult, total: float) -> None:
         self.driver.act(Counted(call, verdict, total))
 
     def _known(self) -> None:
         """The list as last had, maybe old.  By the follower that goes on from it: a number that named another server
         once discovery's list comes would have its attempts, its latency and its place in the books."""
         try:
-            known = self._follower.told(self.config.known, Scope.WARM_COPY)
+            known = self._follower.told(self.config.known, EndpointListScope.WARM_COPY)
         except DiscoveryError as error:
             self._notes.note("known list not taken up", {"error": str(error)})
             known = None
-        self.driver.act(known if known is not None else Listed(Scope.WARM_COPY))
+        self.driver.act(known if known is not None else Listed(EndpointListScope.WARM_COPY))
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -19,14 +19,14 @@
 from typing import Any
 
 from martenstep.backoff import Backoff
-from martenstep.door.wire.asking import Asking
-from martenstep.door.wire.heads import AnswerHead, Fault
-from martenstep.door.wire.readers import Data, End
-from martenstep.door.wires import WatchedProtocol, WatchedReader, now_ms, ready_for, wall_clock_ms
-from martenstep.interface import Scope, Server, State
-from martenstep.members.lists import Listed
-from martenstep.members.start_times import StartTimes
+from martenstep.discovery.endpoint_list import Listed
 from martenstep.node.config import ConfigError, address_of
+from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
+from martenstep.policy.start_times import StartTimes
+from martenstep.proxy.http1.client_connection import Asking
+from martenstep.proxy.http1.message_head import AnswerHead, Fault
+from martenstep.proxy.http1.message_reader import Data, End
+from martenstep.proxy.transport import WatchedProtocol, WatchedReader, now_ms, ready_for, wall_clock_ms
 from martenstep.tasks import standing
 
 PATH = "/catalog/members"
@@ -42,7 +42,7 @@
 IPV4 = re.compile(rf"(?:{_OCTET}\.){{3}}{_OCTET}", re.ASCII)  # the usual address, as the library would write it
 ANSWER_BYTES = 4 << 20  # of one answer: thousands of backends
 REFUSED = (429, 503)
-STATES = {"ready": State.UP, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
 
 
 @dataclass(frozen=True, slots=True)
@@ -178,7 +178,7 @@
     zone: str
     kind: str
     cell: int
-    state: State
+    state: EndpointState
     size: float
     started_ms: float
     address: tuple[str, int]
@@ -196,17 +196,17 @@
         self._numbers: dict[str, int] = {}
         self._last = 0
         self.addresses: dict[int, tuple[str, int]] = {}
-        self._servers: dict[int, Server] = {}
+        self._servers: dict[int, Endpoint] = {}
 
     def whole(self) -> Listed:
         """The list as told so far."""
-        return Listed(Scope.FULL, tuple(self._servers.values()), dict(self.addresses))
+        return Listed(EndpointListScope.FULL, tuple(self._servers.values()), dict(self.addresses))
 
     def doubted(self) -> Listed:
         """The same where any of them may be draining: none takes anything new."""
         return Listed(
-            Scope.CHANGES,
-            tuple(replace(server, state=State.DRAINING) for server in self._servers.values()),
+            EndpointListScope.CHANGES,
+            tuple(replace(server, state=EndpointState.DRAINING) for server in self._servers.values()),
             dict(self.addresses),
         )
 
@@ -222,7 +222,7 @@
             raise DiscoveryError(f"not JSON: {error}") from None
         return self.told(told)
 
-    def told(self, told: Any, scope: Scope | None = None) -> Listed | None:
+    def told(self, told: Any, scope: EndpointListScope | None = None) -> Listed | None:
         """Take in a list that is read already; `scope` in place of its own, and then no watch goes on from it.
         Nothing of one that cannot be read to its end is taken in."""
         now = self._clock()
@@ -245,9 +245,11 @@
         servers = self._apply(entries, whole)
         self._starts.trim(self._numbers)
         told_of = {server.id: self.addresses[server.id] for server in servers if server.id in self.addresses}
-        return Listed(scope or (Scope.FULL if whole else Scope.CHANGES), tuple(servers), told_of)
+        return Listed(
+            scope or (EndpointListScope.FULL if whole else EndpointListScope.CHANGES), tuple(servers), told_of
+        )
 
-    def _apply(self, entries: list[_Entry], whole: bool) -> list[Server]:
+    def _apply(self, entries: list[_Entry], whole: bool) -> list[Endpoint]:
         """Take in entries that were all read.  The cost is that of the entries, not that of the fleet."""
         known = self._numbers
         if whole:
@@ -258,9 +260,9 @@
             if number is None:
                 self._last += 1
                 number = self._last
-            server = Server(number, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_ms)
+            server = Endpoint(number, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_ms)
             servers.append(server)
-            if server.state is State.GONE:  # one that comes back, in this answer too, is another
+            if server.state is EndpointState.GONE:  # one that comes back, in this answer too, is another
                 self._numbers.pop(entry.uid, None)
                 self.addresses.pop(number, None)
                 self._servers.pop(number, None)
--- a/martenstep/node/protocol.py
+++ b/martenstep/node/protocol.py
@@ -18,13 +18,13 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from martenstep import interface as api
-from martenstep.door.events import Headers
-from martenstep.door.http import header
-from martenstep.door.parts import Guarded, Parts, Routed, Unroutable
-from martenstep.door.targets import Declined, Taken
-from martenstep.interface import Effect, Verdict
 from martenstep.node.config import ANSWER_BYTES, MARGIN_MS, Config
+from martenstep.policy import messages as api
+from martenstep.policy.messages import CallResult, Idempotency
+from martenstep.proxy.dependencies import Guarded, Parts, Routed, Unroutable
+from martenstep.proxy.engine_messages import Headers
+from martenstep.proxy.headers import header
+from martenstep.proxy.targets import Declined, Taken
 
 ID, CLASS, PLAN, DEADLINE, RETRY, QUOTA, KEY = (
     b"x-trace-id",
@@ -113,8 +113,8 @@
         number = int(customer, 16)
         if number >= MOST_CUSTOMER:
             return Unroutable(400, "bad customer")
-        keyed = cls.effect is Effect.KEYED
-        if cls.effect is Effect.SAFE:
+        keyed = cls.effect is Idempotency.KEYED
+        if cls.effect is Idempotency.SAFE:
             if method != b"GET" or length or coded:
                 return Unroutable(400, "bad method")
         elif method != b"POST" or (keyed and TOKEN.fullmatch(told.get(KEY, b"")) is None):
@@ -151,16 +151,16 @@
 class Statuses:
     """What the status of a backend's answer proves (door.parts.StatusReader)."""
 
-    def verdict(self, status: int, headers: Headers) -> Verdict:
+    def verdict(self, status: int, headers: Headers) -> CallResult:
         """OK, FULL or ERROR, by the table above."""
         if status == 200:
             for name, value in headers:
                 if name == LENGTH and int(value) > ANSWER_BYTES:
-                    return Verdict.ERROR  # it would be read to its end, and is nobody's answer
-            return Verdict.OK
+                    return CallResult.ERROR  # it would be read to its end, and is nobody's answer
+            return CallResult.OK
         if status in (503, 504) and (NEVER_RAN, b"1") in headers:
-            return Verdict.FULL
-        return Verdict.ERROR
+            return CallResult.FULL
+        return CallResult.ERROR
 
 
 class Words:
--- a/martenstep/decide.py
+++ b/martenstep/policy/gateway.py
@@ -1,6 +1,7 @@
-"""Every decision of a gateway.  The types it takes and gives are in martenstep/interface.py.
+"""Every decision of a gateway.  The types it takes and gives are in martenstep/policy/messages.py.
 
-Parts in order: servers (load, health, cold ramp), requests, and the Gateway.  Quotas and ceilings: martenstep/quota.py.
+Parts in order: servers (load, health, cold ramp), requests, and the Gateway.
+Quotas and ceilings: martenstep/policy/quota.py.
 """
 
 from __future__ import annotations
@@ -11,34 +12,34 @@
 from dataclasses import replace
 from typing import Literal
 
-from martenstep.interface import (
+from martenstep.policy.messages import (
     Action,
-    Cancel,
+    AttemptEnded,
+    CallResult,
+    CancelAttempt,
+    ClientDisconnected,
     ClockStepped,
-    Due,
-    Effect,
+    CounterReply,
+    DeduplicationScope,
+    Endpoint,
+    EndpointFilter,
+    EndpointListScope,
+    EndpointListUpdate,
+    EndpointState,
     Event,
     Fail,
-    Group,
-    Left,
-    Members,
-    Outcome,
-    Reason,
-    Refuse,
+    Idempotency,
+    Reject,
+    RejectionReason,
     Request,
     RequestClass,
-    Scope,
-    Send,
-    Server,
+    SetTimer,
     Settings,
-    State,
+    StartAttempt,
     Subscribe,
-    Total,
-    Verdict,
-    Wake,
-    Where,
+    TimerFired,
 )
-from martenstep.quota import FLUSH_SHARE, HOLD_TIMES, Ledger, Quota
+from martenstep.policy.quota import FLUSH_SHARE, HOLD_TIMES, Ledger, Quota
 
 SECOND_MS = 1000.0  # quotas are told per second, the clock runs in milliseconds
 # Servers
@@ -91,7 +92,7 @@
 class Peer:
     """What this gateway knows of one server."""
 
-    def __init__(self, info: Server, rank: float) -> None:
+    def __init__(self, info: Endpoint, rank: float) -> None:
         self.info = info
         self.rank = rank  # place in the order in which servers come into the aperture
         self.out: dict[tuple[str, int], float] = {}  # attempts out, and since when
@@ -136,17 +137,17 @@
         self._warm_at = -math.inf
         self._more = LIMIT_SPARE  # ... how many more than its part this gateway may have
 
-    def members(self, event: Members) -> None:
+    def members(self, event: EndpointListUpdate) -> None:
         """Take in a list: whole ones replace, changes apply to what is held."""
-        if event.scope is Scope.CHANGES:
+        if event.scope is EndpointListScope.CHANGES:
             for server in event.servers:
                 self._change(server)
             return
         listed = {server.id: server for server in event.servers}
-        if event.scope in (Scope.FULL, Scope.WARM_COPY):
+        if event.scope in (EndpointListScope.FULL, EndpointListScope.WARM_COPY):
             for key in self._peers:
                 if key not in listed:
-                    self._peers[key].info = replace(self._peers[key].info, state=State.GONE)
+                    self._peers[key].info = replace(self._peers[key].info, state=EndpointState.GONE)
         for key, server in listed.items():
             peer = self._peers.get(key)
             if peer is None:
@@ -156,12 +157,12 @@
                 fresh = self._peers[key] = Peer(server, peer.rank)
                 fresh.out, fresh.base = peer.out, peer.base
             self._peers[key].info = server
-        self._peers = {k: p for k, p in self._peers.items() if p.info.state is not State.GONE or p.out}
-        self._up = [p for p in self._peers.values() if p.info.state is State.UP]
+        self._peers = {k: p for k, p in self._peers.items() if p.info.state is not EndpointState.GONE or p.out}
+        self._up = [p for p in self._peers.values() if p.info.state is EndpointState.UP]
         self._up.sort(key=lambda p: p.rank)
         self._bounds()
 
-    def _change(self, server: Server) -> None:
+    def _change(self, server: Endpoint) -> None:
         """Take in one entry, at a cost that does not grow with the fleet."""
         peer = self._peers.get(server.id)
         if peer is None:
@@ -173,11 +174,11 @@
                 fresh.out, fresh.base = peer.out, peer.base
                 peer = fresh
             peer.info = server
-        if server.state is State.GONE and not peer.out:
+        if server.state is EndpointState.GONE and not peer.out:
             self._peers.pop(server.id, None)
             return
         self._peers[server.id] = peer
-        if server.state is State.UP:
+        if server.state is EndpointState.UP:
             insort(self._up, peer, key=by_rank)
             # Bounds that are too wide only look at more than is needed; _bounds narrows them again.
             self._low, self._largest = min(self._low, peer.base or math.inf), max(self._largest, server.size)
@@ -206,7 +207,7 @@
         if self._up:
             edge = self._up[min(int(self._width(now)), len(self._up) - 1)].rank
             farthest = self._up[-1].rank + 1 / len(self._up)
-            listed = peer.info.state is State.UP
+            listed = peer.info.state is EndpointState.UP
             self._take_out(peer)
             peer.rank = edge + (farthest - edge) * self._rng.random()
             if listed:
@@ -295,7 +296,7 @@
         """Own sends per millisecond."""
         return self._sent * math.exp(-(now - self._sent_at) / RATE_TAU_MS) / RATE_TAU_MS
 
-    def pick(self, now: float, allowed: Where, tried: list[int]) -> tuple[Server, float] | None:
+    def pick(self, now: float, allowed: EndpointFilter, tried: list[int]) -> tuple[Endpoint, float] | None:
         """The server with the least expected delay, and that delay; None where none may be used."""
         best: tuple[float, Peer] | None = None
         home, draw = self._settings.zone, self._rng.random
@@ -349,18 +350,18 @@
         self._sent_at, self._began = now, min(self._began, now)
         peer.cold_tat = now + self._cold_gap(now, peer)
 
-    def outcome(self, now: float, event: Outcome, aim: float) -> None:
+    def outcome(self, now: float, event: AttemptEnded, aim: float) -> None:
         """Learn from how an attempt ended."""
         peer = self._peers.get(event.server)
         self._out -= 1
         if peer is None:
             return
         since = peer.out.pop((event.id, event.attempt), now)
-        bad = event.verdict not in (Verdict.OK, Verdict.MOOT, Verdict.CANCELLED)
-        self._unmet += POOL_GAIN * ((event.verdict is Verdict.CONNECT_FAILED) - self._unmet)
-        if event.verdict in (Verdict.OK, Verdict.ERROR, Verdict.FULL):
+        bad = event.verdict not in (CallResult.OK, CallResult.MOOT, CallResult.CANCELLED)
+        self._unmet += POOL_GAIN * ((event.verdict is CallResult.CONNECT_FAILED) - self._unmet)
+        if event.verdict in (CallResult.OK, CallResult.ERROR, CallResult.FULL):
             peer.answered = now
-        if event.verdict is Verdict.OK:
+        if event.verdict is CallResult.OK:
             rtt = event.rtt_ms
             if not peer.base:
                 peer.base = peer.latency = self._mean / max(peer.info.size, 0.1)
@@ -382,15 +383,15 @@
             elif self._out + 1 >= limit:  # only a limit that was reached is known to be borne
                 self._more += 1 / max(limit, 1.0)
             self._mean += (BASE_GAIN_DOWN if rtt < self._mean else BASE_GAIN_UP) / 2 * (rtt - self._mean)
-        elif event.verdict is Verdict.FULL:
+        elif event.verdict is CallResult.FULL:
             # Its answer comes at once: without this a full server would look idle and draw all traffic.
             self._jammed(now, peer, self._aim)
-        elif event.verdict is Verdict.TIMEOUT and since >= peer.proven:  # else of its connection only
+        elif event.verdict is CallResult.TIMEOUT and since >= peer.proven:  # else of its connection only
             if not self.calm(now):
                 self._latency += POOL_GAIN * (min(event.rtt_ms / aim, 1.0) - self._latency)
                 self._more = max((self._more - self._part()) / 2, -self._part() / 2)
             self._jammed(now, peer, event.rtt_ms)
-        if event.verdict not in (Verdict.MOOT, Verdict.CANCELLED):
+        if event.verdict not in (CallResult.MOOT, CallResult.CANCELLED):
             peer.judge(now, bad)
             if bad:
                 self._step_back(now, peer)
@@ -422,8 +423,8 @@
         self.request, self.cls, self.ledger = request, cls, ledger
         self.arrived, self.deadline = now, now + request.remaining_ms
         self.attempts: list[int] = []  # the server of each
-        self.server: Server | None = None  # where an attempt is out
-        self.first_risk: tuple[Server, float] | None = None  # first attempt that may have run: where and when
+        self.server: Endpoint | None = None  # where an attempt is out
+        self.first_risk: tuple[Endpoint, float] | None = None  # first attempt that may have run: where and when
         self.beyond = False  # sent on beyond the quota
 
 
@@ -446,19 +447,22 @@
         match event:
             case Request():
                 return self._request(now, event)
-            case Outcome():
+            case AttemptEnded():
                 return self._outcome(now, event)
-            case Total():
+            case CounterReply():
                 return self._total(now, event)
-            case Due():
+            case TimerFired():
                 return self._due(now, event.token)
-            case Left():
+            case ClientDisconnected():
                 self._drop(event.id)
             case ClockStepped():
                 self._quota.clock_stepped(now, event.shift_ms)
-            case Members():
+            case EndpointListUpdate():
                 self._fleet.members(event)
-                if event.scope in (Scope.WARM_COPY, Scope.LOST) and self._settings.must_subscribe:
+                if (
+                    event.scope in (EndpointListScope.WARM_COPY, EndpointListScope.LOST)
+                    and self._settings.must_subscribe
+                ):
                     return [Subscribe()]
         return []
 
@@ -473,7 +477,7 @@
             self._book(job, None)
 
     @staticmethod
-    def _book(job: Job, server: Server | None) -> None:
+    def _book(job: Job, server: Endpoint | None) -> None:
         """Book where an attempt is out, if one is: the one place where the open cap's count moves."""
         job.ledger.open += (server is not None) - (job.server is not None)
         job.server = server
@@ -481,7 +485,7 @@
     def _wake(self, at: float, purpose: Ledger | tuple[str, int, float]) -> Action:
         self._token += 1
         self._wakes[self._token] = purpose
-        return Wake(at, self._token)
+        return SetTimer(at, self._token)
 
     def _request(self, now: float, event: Request) -> list[Action]:
         cls = self._classes.get(event.cls)
@@ -494,9 +498,9 @@
         wait = led.quota.wait(now, event.units) if led.told else 0.0
         if led.plan.open_limit and led.open >= max(led.plan.open_limit * led.part(), 1.0):
             # The others' attempts out are guessed by their part of the units.
-            return self._beyond(now, job, max(wait, OPEN_WAIT_MS), Reason.OPEN_LIMIT)
+            return self._beyond(now, job, max(wait, OPEN_WAIT_MS), RejectionReason.OPEN_LIMIT)
         if wait > 0:
-            return self._beyond(now, job, wait, Reason.QUOTA)
+            return self._beyond(now, job, wait, RejectionReason.QUOTA)
         if self._quota.spare(now, led, event.units):
             return self._unconfirmed(now, job, True)
         patient = event.remaining_ms > HOLD_TIMES * self._settings.counter_timeout_ms
@@ -509,16 +513,16 @@
     def _unconfirmed(self, now: float, job: Job, spare: bool = False) -> list[Action]:
         """Decide without the counter: the own part of the quota, and of the ceiling's headroom."""
         led, units = job.ledger, job.request.units
-        wait, reason = 0.0 if spare else self._quota.unheard_wait(now, led, units), Reason.UNHEARD
+        wait, reason = 0.0 if spare else self._quota.unheard_wait(now, led, units), RejectionReason.UNHEARD
         if not spare and not self._fleet.calm(now) and not self._fleet.idle(now):
             # What the counter has not confirmed goes first when room gets short: one in four lies beyond its
             # quota, and they fill the servers for those inside.  Covers every overload; harms, mildly, where
             # the counter is down and the servers are slow for a reason that fewer sends do not mend.
-            wait, reason = max(wait, led.quota.per_unit), Reason.OVERLOAD if wait <= 0 else reason
+            wait, reason = max(wait, led.quota.per_unit), RejectionReason.OVERLOAD if wait <= 0 else reason
         if wait > 0:
             return self._beyond(now, job, wait, reason)
         if led.head and led.head.room(now) < units:
-            return self._refuse(now, job, led.quota.per_unit, Reason.CEILING)
+            return self._refuse(now, job, led.quota.per_unit, RejectionReason.CEILING)
         actions = self._send(now, job)
         if job.attempts:
             led.own.take(units, now)
@@ -531,7 +535,7 @@
                 actions.append(self._wake(now + FLUSH_SHARE * led.period_ms, led))
         return actions
 
-    def _beyond(self, now: float, job: Job, wait: float, reason: Reason) -> list[Action]:
+    def _beyond(self, now: float, job: Job, wait: float, reason: RejectionReason) -> list[Action]:
         """Refuse with the retry-after, unless the plan earns more beyond the quota than it costs, the servers
         have room to spare and the own part of the headroom holds it: it is in nobody else's books."""
         led, units = job.ledger, job.request.units
@@ -543,7 +547,7 @@
             led.head.take(units, now)
         return actions
 
-    def _total(self, now: float, event: Total) -> list[Action]:
+    def _total(self, now: float, event: CounterReply) -> list[Action]:
         answer = self._quota.total(now, event)
         if answer is None:
             return []
@@ -562,9 +566,9 @@
             self._quota.judged(led, wait <= 0)
             book = led.book(now, units) if wait <= 0 else None
             if wait > 0:
-                actions += self._beyond(now, job, wait, Reason.QUOTA)
+                actions += self._beyond(now, job, wait, RejectionReason.QUOTA)
             elif led.cap and not book:
-                actions += self._refuse(now, job, max(led.cap.wait(now, units), 0.0), Reason.CEILING)
+                actions += self._refuse(now, job, max(led.cap.wait(now, units), 0.0), RejectionReason.CEILING)
             else:
                 actions += self._send(now, job)
             if wait <= 0 and job.attempts:
@@ -577,21 +581,21 @@
             actions += self._quota.ask(now, led)
         return actions
 
-    def _refuse(self, now: float, job: Job, wait: float, reason: Reason) -> list[Action]:
+    def _refuse(self, now: float, job: Job, wait: float, reason: RejectionReason) -> list[Action]:
         self._drop(job.request.id)
-        return [Refuse(job.request.id, max(wait, 1.0), reason)]
+        return [Reject(job.request.id, max(wait, 1.0), reason)]
 
-    def _allowed(self, now: float, job: Job) -> Where | Literal[False]:
+    def _allowed(self, now: float, job: Job) -> EndpointFilter | Literal[False]:
         """Which servers the class's rule on repeats leaves: a test, None for all, False for none."""
         risk = job.first_risk
-        if risk is None or job.cls.effect is Effect.SAFE:
+        if risk is None or job.cls.effect is Idempotency.SAFE:
             return None
-        if job.cls.effect is Effect.UNSAFE or now >= risk[1] + job.cls.window_ms:
+        if job.cls.effect is Idempotency.UNSAFE or now >= risk[1] + job.cls.window_ms:
             return False
         first = risk[0]
-        if job.cls.group is Group.ZONE:
+        if job.cls.group is DeduplicationScope.ZONE:
             return lambda server: server.zone == first.zone
-        if job.cls.group is Group.CELL:
+        if job.cls.group is DeduplicationScope.CELL:
             return lambda server: server.cell == first.cell
         return None
 
@@ -603,12 +607,12 @@
         spent = len(job.attempts) >= self._settings.max_attempts
         if allowed is False or spent or left <= self._settings.tick_ms:
             late = left <= self._settings.tick_ms
-            return self._give_up(now, job, Reason.LATE if late else Reason.SPENT)
+            return self._give_up(now, job, RejectionReason.LATE if late else RejectionReason.SPENT)
         crowded = self._fleet.crowded()
         choice = None if crowded else self._fleet.pick(now, allowed, job.attempts)
         if choice is None or choice[1] > fit * aim_left:
             full = crowded or choice is not None
-            return self._give_up(now, job, Reason.OVERLOAD if full else Reason.NO_SERVER)
+            return self._give_up(now, job, RejectionReason.OVERLOAD if full else RejectionReason.NO_SERVER)
         server, attempt = choice[0].id, len(job.attempts)
         if attempt == 0:
             share = RETRY_CALM if self._fleet.calm(now) else RETRY_SHARE
@@ -617,24 +621,24 @@
         self._book(job, choice[0])
         patience = self._fleet.patience(now, server, job.cls.aim_ms)
         self._fleet.sent(now, server, (job.request.id, attempt))
-        actions: list[Action] = [Send(job.request.id, server, left, job.beyond)]
+        actions: list[Action] = [StartAttempt(job.request.id, server, left, job.beyond)]
         if self._settings.can_cancel and patience < left:
             actions.append(self._wake(now + patience, (job.request.id, attempt, patience)))
         return actions
 
-    def _give_up(self, now: float, job: Job, reason: Reason) -> list[Action]:
+    def _give_up(self, now: float, job: Job, reason: RejectionReason) -> list[Action]:
         """The final answer: a refusal where a client's retry is certain to do no harm, else a failure."""
         harmless = (
             job.first_risk is None
-            or job.cls.effect is Effect.SAFE
-            or (job.cls.effect is Effect.KEYED and job.cls.group is Group.ALL)
+            or job.cls.effect is Idempotency.SAFE
+            or (job.cls.effect is Idempotency.KEYED and job.cls.group is DeduplicationScope.ALL)
         )
         if harmless:
             return self._refuse(now, job, job.cls.aim_ms * 0.1, reason)
         self._drop(job.request.id)
         return [Fail(job.request.id)]
 
-    def _outcome(self, now: float, event: Outcome) -> list[Action]:
+    def _outcome(self, now: float, event: AttemptEnded) -> list[Action]:
         job = self._jobs.get(event.id)
         self._fleet.outcome(now, event, job.cls.aim_ms if job else math.inf)
         if job is None or event.ended:
@@ -644,7 +648,7 @@
             job.first_risk = job.server, now - event.rtt_ms
         self._book(job, None)
         if self._retries < 1:
-            return self._give_up(now, job, Reason.SPENT)
+            return self._give_up(now, job, RejectionReason.SPENT)
         self._retries -= 1
         return self._send(now, job)
 
@@ -660,5 +664,5 @@
         silent = self._fleet.silent(now, job.attempts[-1], (rid, attempt), patience)
         # Only where another attempt can follow: else the work done is wasted for nothing, and an unsafe
         # request, which may have run, fails long before its deadline.
-        more = job.cls.effect is not Effect.UNSAFE and len(job.attempts) < self._settings.max_attempts
-        return [Cancel(rid, attempt)] if silent and self._retries >= 1 and more else []
+        more = job.cls.effect is not Idempotency.UNSAFE and len(job.attempts) < self._settings.max_attempts
+        return [CancelAttempt(rid, attempt)] if silent and self._retries >= 1 and more else []
--- a/martenstep/quota.py
+++ b/martenstep/policy/quota.py
@@ -1,6 +1,7 @@
 """Quotas and ceilings of customers, as one gateway decides: GCRA, the counter's totals, shares between gateways.
 
-No I/O.  The types it takes and gives are in martenstep/interface.py; what drives it is in martenstep/decide.py.
+No I/O.  The types it takes and gives are in martenstep/policy/messages.py;
+what drives it is in martenstep/policy/gateway.py.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 import math
 import random
 
-from martenstep.interface import Action, Count, Plan, Request, Settings, Total, Verdict
+from martenstep.policy.messages import Action, CallResult, CounterReply, IncrementCounter, Plan, Request, Settings
 
 SECOND_MS = 1000.0  # quotas are told per second, the clock runs in milliseconds
 PERIOD_LEAST_MS = 1000.0  # a period shorter than this would be closed more often than used
@@ -371,16 +372,16 @@
         name = name_of(led.customer, period)
         led.asked[name] = units
         self._calls[name] = led
-        return Count(name, units, NAME_LIVES * led.period_ms, led.cap is not None)
+        return IncrementCounter(name, units, NAME_LIVES * led.period_ms, led.cap is not None)
 
-    def total(self, now: float, event: Total) -> tuple[Ledger, bool, list[Action]] | None:
+    def total(self, now: float, event: CounterReply) -> tuple[Ledger, bool, list[Action]] | None:
         """Take in an answer; gives the ledger, whether its requests may count on it, and further calls."""
         led = self._calls.pop(event.name, None)
         if led is None:
             return None
         units, quota = led.asked.pop(event.name), led.quota
         current = event.name == name_of(led.customer, led.period)
-        good = event.verdict is Verdict.OK
+        good = event.verdict is CallResult.OK
         late = 1.0
         if good:
             more = event.rtt_ms - self._near
@@ -394,7 +395,7 @@
         if not good:
             if not current:  # the closing read: what was told of this period stands
                 return led, True, []
-            if event.verdict is Verdict.TIMEOUT:
+            if event.verdict is CallResult.TIMEOUT:
                 led.maybe += units
             else:
                 led.owed += units
--- a/martenstep/door/admin.py
+++ b/martenstep/proxy/admin.py
@@ -147,8 +147,8 @@
         """The order book: `GET /maintenance` tells it, `POST /maintenance?what=JSON` puts something in."""
         if self._orders is None:
             return 404, "text/plain", b"the settings have no maintenance\n"
-        from martenstep.maintenance.book import What
-        from martenstep.replication.keeper import UnansweredError
+        from martenstep.maintenance.queue import What
+        from martenstep.replication.replica_manager import UnansweredError
 
         if path != "/maintenance":
             return 404, "text/plain", b"there is: /maintenance\n"
--- a/martenstep/door/verdicts.py
+++ b/martenstep/proxy/attempt_outcomes.py
@@ -19,27 +19,27 @@
 
 from __future__ import annotations
 
-from martenstep.door.events import Ending, Headers
-from martenstep.interface import Verdict
+from martenstep.policy.messages import CallResult
+from martenstep.proxy.engine_messages import Ending, Headers
 
 ENDINGS = {
-    Ending.NOT_CONNECTED: Verdict.CONNECT_FAILED,
-    Ending.NO_PLACE: Verdict.CONNECT_FAILED,
-    Ending.NOT_WRITTEN: Verdict.CONNECT_FAILED,
-    Ending.CLOSED: Verdict.RESET,
-    Ending.BAD_ANSWER: Verdict.ERROR,
-    Ending.STALLED: Verdict.RESET,
+    Ending.NOT_CONNECTED: CallResult.CONNECT_FAILED,
+    Ending.NO_PLACE: CallResult.CONNECT_FAILED,
+    Ending.NOT_WRITTEN: CallResult.CONNECT_FAILED,
+    Ending.CLOSED: CallResult.RESET,
+    Ending.BAD_ANSWER: CallResult.ERROR,
+    Ending.STALLED: CallResult.RESET,
 }
 
 
-def of_ending(how: Ending) -> Verdict:
+def of_ending(how: Ending) -> CallResult:
     """The verdict on an attempt without a whole answer."""
     return ENDINGS[how]
 
 
-def of_stop(wanted: Verdict, written: bool) -> Verdict:
+def of_stop(wanted: CallResult, written: bool) -> CallResult:
     """The verdict on an attempt that the door itself stopped: time-out, or called off."""
-    return wanted if written else Verdict.CONNECT_FAILED
+    return wanted if written else CallResult.CONNECT_FAILED
 
 
 class StatusTable:
@@ -51,8 +51,8 @@
     def __init__(self, refusal: int, header: str, errors: frozenset[int]) -> None:
         self._refusal, self._header, self._errors = refusal, header.lower().encode(), errors
 
-    def verdict(self, status: int, headers: Headers) -> Verdict:
+    def verdict(self, status: int, headers: Headers) -> CallResult:
         """FULL, ERROR or OK."""
         if status == self._refusal and any(name == self._header for name, _ in headers):
-            return Verdict.FULL
-        return Verdict.ERROR if status in self._errors else Verdict.OK
+            return CallResult.FULL
+        return CallResult.ERROR if status in self._errors else CallResult.OK
--- a/martenstep/door/checks.py
+++ b/martenstep/proxy/auth_requests.py
@@ -7,11 +7,11 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.tls import ClientContext
-from martenstep.door import events as ev
-from martenstep.door.wire.heads import AnswerHead, Fault
-from martenstep.door.wire.readers import Data, End
-from martenstep.door.wire.writing import UnwritableError
-from martenstep.door.wires import Pool, Upstream
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.http1.message_head import AnswerHead, Fault
+from martenstep.proxy.http1.message_reader import Data, End
+from martenstep.proxy.http1.message_writer import UnwritableError
+from martenstep.proxy.transport import Pool, Upstream
 
 IDLE_MS = 15_000.0  # an idle connection to a service is closed
 
--- a/martenstep/door/step_watch.py
+++ b/martenstep/proxy/clock_step_detector.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from martenstep.door.wires import now_ms, wall_clock_ms
+from martenstep.proxy.transport import now_ms, wall_clock_ms
 
 MIN_STEP_MS = 5.0  # less is left to the bound on how far gateways' clocks part (CLOCKS_MS in quota.py)
 MAX_READING_MS = 1.0  # between two looks at the monotonic clock, the wall clock read between them
--- a/martenstep/door/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -17,25 +17,25 @@
 from martenstep.config.tls import WARN_DAYS, ClientContext, ServerContext, TlsError
 from martenstep.counter.client import CounterClient, Journal
 from martenstep.counter.shards import Shards
-from martenstep.door.admin import Admin, DoorCollector
-from martenstep.door.events import Counted, Tried
-from martenstep.door.fitting import driver_of, engine_of, parts_of
-from martenstep.door.log import Notes
-from martenstep.door.traces import Exporter
-from martenstep.door.wires import now_ms
+from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.feed import Feed
 from martenstep.hooks.files import History, read_directory
 from martenstep.hooks.releases import Shelf
 from martenstep.hooks.runner import Limits
-from martenstep.interface import Scope, Verdict
-from martenstep.members.feed import Feed
-from martenstep.members.lists import Listed
-from martenstep.store.redis_store import RedisStore
+from martenstep.policy.messages import CallResult, EndpointListScope
+from martenstep.proxy.admin import Admin, DoorCollector
+from martenstep.proxy.engine_factory import driver_of, engine_of, parts_of
+from martenstep.proxy.engine_messages import Counted, Tried
+from martenstep.proxy.event_logger import Notes
+from martenstep.proxy.traces import Exporter
+from martenstep.proxy.transport import now_ms
+from martenstep.redis_counter.redis_store import RedisStore
 
 if TYPE_CHECKING:
-    from martenstep.counter.book import Try
-    from martenstep.counter.held import HeldByDoors
-    from martenstep.maintenance.orders import Orders
-    from martenstep.members.gossip.driver import Membership
+    from martenstep.counter.pending_increments import Try
+    from martenstep.counter.sharded_counter import HeldByDoors
+    from martenstep.maintenance.coordinator import Orders
+    from martenstep.membership.transport import Membership
 
 WARN_S = 3600.0  # between two looks at the certificate's end
 KEPT_EVENTS = ("hooks", "hooks withdrawn", "hook left alone", "hooks changed under a known version")
@@ -121,8 +121,8 @@
     async def _join_fleet(self) -> None:
         """Find the other doors.  Knowledge, never permission: what is wrong with it keeps nobody from serving."""
         # Imported only where it is asked for: a door without it carries none of it.
-        from martenstep.members.gossip.driver import Membership
-        from martenstep.members.gossip.keys import KeyFileError
+        from martenstep.membership.keys import KeyFileError
+        from martenstep.membership.transport import Membership
 
         try:
             self.fleet = Membership(self.door.fleet, self.door.name, self.door.zone, self.notes.note)
@@ -137,8 +137,8 @@
 
     async def _hold_copies(self, fleet: Membership) -> None:
         """Hold what others rely on.  What is wrong with it keeps nobody from serving: the copies elsewhere go on."""
-        from martenstep.counter.held import HeldByDoors
-        from martenstep.replication.keeper import KeeperError
+        from martenstep.counter.sharded_counter import HeldByDoors
+        from martenstep.replication.replica_manager import KeeperError
         from martenstep.storage.files import LockedError
 
         self.copies = HeldByDoors(self.door, fleet, self.notes.note, self._deliver)
@@ -149,7 +149,7 @@
             await self.copies.stop()
         self._admin.copies(self.copies.keeper)
         if self.door.HasField("maintenance"):
-            from martenstep.maintenance.orders import Orders
+            from martenstep.maintenance.coordinator import Orders
 
             self.orders = Orders(
                 self.door.name,
@@ -265,7 +265,7 @@
         self.notes.note("stopped", {"clean": clean, **self.engine.held})
         return clean
 
-    def _counted(self, call: int, verdict: Verdict, total: float, kept_ms: float) -> None:
+    def _counted(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
         self.driver.act(Counted(call, verdict, total, kept_ms))
 
     def _counter_clients(self) -> dict[str, CounterClient]:
@@ -300,7 +300,7 @@
     def _held_clients(self) -> dict[str, CounterClient]:
         """One client a slot.  A door that knows of no other asks nobody, and decides without: as with a counter that is
         away."""
-        from martenstep.counter.held import slots
+        from martenstep.counter.sharded_counter import slots
 
         told = self.door.counter
 
@@ -338,7 +338,7 @@
         assert self._counter is not None
         promised = None
         if self.copies is not None and self.copies.books is not None:
-            from martenstep.counter.book import Try
+            from martenstep.counter.pending_increments import Try
 
             made = self.copies.books.promise(
                 Try(tried.request, time.time() * 1000, tried.units, tried.beyond, tried.customer, tried.plan, tried.cls)
@@ -360,7 +360,7 @@
         return promised
 
     def _listed(self, listed: Listed) -> None:
-        if listed.scope is not Scope.CHANGES:
+        if listed.scope is not EndpointListScope.CHANGES:
             self.notes.note("members", {"scope": listed.scope.value, "servers": len(listed.servers)})
         self.driver.act(listed)
 
--- a/martenstep/door/parts.py
+++ b/martenstep/proxy/dependencies.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from martenstep import interface as api
-from martenstep.door.events import Headers
-from martenstep.door.targets import Declined, Taken
-from martenstep.interface import Verdict
+from martenstep.policy import messages as api
+from martenstep.policy.messages import CallResult
+from martenstep.proxy.engine_messages import Headers
+from martenstep.proxy.targets import Declined, Taken
 
 if TYPE_CHECKING:
     from martenstep.auth import core as auth
     from martenstep.auth.answerer import Answerer
-    from martenstep.door.points import Points
-    from martenstep.door.traces import Sampler
+    from martenstep.proxy.extension_points import Points
+    from martenstep.proxy.traces import Sampler
 
 
 @dataclass(slots=True)
@@ -80,7 +80,7 @@
 class StatusReader(Protocol):
     """What the status of a server's answer proves."""
 
-    def verdict(self, status: int, headers: Headers) -> Verdict:
+    def verdict(self, status: int, headers: Headers) -> CallResult:
         """How the attempt ended."""
 
 
--- a/martenstep/door/engine.py
+++ b/martenstep/proxy/engine.py
@@ -16,21 +16,21 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
-from martenstep import interface as api
 from martenstep.auth import core as auth
-from martenstep.decide import Gateway
-from martenstep.door import events as ev
-from martenstep.door.http import STATUS, encoded, header, overlaid, rate_limit, reason_header, waits
-from martenstep.door.parts import Guarded, Parts, Routed, Unroutable
-from martenstep.door.permission import AttemptFacts, Denial, may_begin
-from martenstep.door.targets import Declined
-from martenstep.door.verdicts import of_ending, of_stop
-from martenstep.interface import Verdict
+from martenstep.policy import messages as api
+from martenstep.policy.gateway import Gateway
+from martenstep.policy.messages import CallResult
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.attempt_outcomes import of_ending, of_stop
+from martenstep.proxy.dependencies import Guarded, Parts, Routed, Unroutable
+from martenstep.proxy.headers import STATUS, encoded, header, overlaid, rate_limit, reason_header, waits
+from martenstep.proxy.permission import AttemptFacts, Denial, may_begin
+from martenstep.proxy.targets import Declined
 
 if TYPE_CHECKING:  # a door without them does not load them: hooks, traces and sub-requests weigh more than the rest
-    from martenstep.door.traces import Trace
     from martenstep.hooks.releases import Edition, Shelf
     from martenstep.hooks.runner import Runner
+    from martenstep.proxy.traces import Trace
 
 FULL_HOUSE_WAIT_MS = 1000.0  # retry-after where the door holds all it may: about the time a request takes
 COUNT_GRACE_MS = 1.0  # the store answers its time-outs itself; this long after them the engine does
@@ -131,8 +131,8 @@
         # Asked by an edge proxy: what the module sends on goes to the proxy itself, the one server there is.
         self._answerer = parts.answerer
         if self._answerer is not None:
-            edge = api.Server(EDGE, self.settings.zone, "edge", 0, api.State.UP)
-            self._gateway.handle(0.0, api.Members(api.Scope.FULL, (edge,)))
+            edge = api.Endpoint(EDGE, self.settings.zone, "edge", 0, api.EndpointState.UP)
+            self._gateway.handle(0.0, api.EndpointListUpdate(api.EndpointListScope.FULL, (edge,)))
         self._shelf = shelf
         self.reconfigure(parts)
         self._exchanges: dict[int, Exchange] = {}  # by ticket, while anything of them is left
@@ -270,13 +270,15 @@
                 self._deadline(exchange.ticket)
                 continue
             if exchange.told:
-                self._tell(api.Left(exchange.rid))  # else the module would answer its outcome with another attempt
+                self._tell(
+                    api.ClientDisconnected(exchange.rid)
+                )  # else the module would answer its outcome with another attempt
             open_attempt = attempt if attempt and attempt.open else None
             may_have_run = exchange.risk_at is not None or (open_attempt is not None and open_attempt.written)
             exchange.timed_out = True
-            self._give_up(exchange, not may_have_run or exchange.routed.cls.effect is api.Effect.SAFE, "stopping")
+            self._give_up(exchange, not may_have_run or exchange.routed.cls.effect is api.Idempotency.SAFE, "stopping")
             if open_attempt:
-                self._stop(exchange, open_attempt, Verdict.TIMEOUT)
+                self._stop(exchange, open_attempt, CallResult.TIMEOUT)
         out, self._out = self._out, []
         return out
 
@@ -294,32 +296,32 @@
 
     def _carry(self, action: api.Action) -> None:
         match action:
-            case api.Send():
+            case api.StartAttempt():
                 self._send(action)
-            case api.Refuse(id=rid, retry_after_ms=wait, reason=reason):
+            case api.Reject(id=rid, retry_after_ms=wait, reason=reason):
                 self._answer(self._rids[rid], STATUS[reason], reason.value, min(wait, self._max_wait))
             case api.Fail(id=rid):
                 self._fail(self._rids[rid])
-            case api.Count(name=name, units=units, expire_ms=expire_ms, proof=proof):
+            case api.IncrementCounter(name=name, units=units, expire_ms=expire_ms, proof=proof):
                 self._serial += 1
                 self._calls[self._serial] = name, self._now
                 self._timer(
                     self._now + self.settings.counter_timeout_ms + COUNT_GRACE_MS, self._at_uncounted, self._serial
                 )
                 self._out.append(ev.Add(self._serial, name, units, expire_ms, proof))
-            case api.Wake(at_ms=at, token=token):
+            case api.SetTimer(at_ms=at, token=token):
                 self._timer(at, self._due, token)
-            case api.Cancel(id=rid, attempt=number):
+            case api.CancelAttempt(id=rid, attempt=number):
                 exchange = self._rids[rid]
                 attempt = exchange.attempt
                 if attempt and attempt.number == number and attempt.open and not attempt.begun:
-                    self._stop(exchange, attempt, Verdict.CANCELLED)
+                    self._stop(exchange, attempt, CallResult.CANCELLED)
             case api.Subscribe():
                 self._out.append(ev.Listen())
             case api.Log(text=text):
                 self._out.append(ev.Note("module", {"text": text}))
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.StartAttempt) -> None:
         exchange = self._rids[action.id]
         number = len(exchange.servers)
         exchange.servers.append(action.server)
@@ -348,7 +350,7 @@
         attempt = exchange.attempt = Attempt(number, action.server, self._now)
         if exchange.settled or address is None:
             attempt.open = False
-            self._tell(api.Outcome(action.id, number, action.server, Verdict.MOOT, 0.0, exchange.settled))
+            self._tell(api.AttemptEnded(action.id, number, action.server, CallResult.MOOT, 0.0, exchange.settled))
             return
         head = exchange.head
         wording, verdict = self._wording, exchange.verdict
@@ -373,7 +375,7 @@
             left,
             head.peer,
             parent,
-            exchange.routed.cls.effect is api.Effect.KEYED,
+            exchange.routed.cls.effect is api.Idempotency.KEYED,
         )
         self._timer(min(self._now + self._connect_ms, exchange.deadline), self._at_unconnected, exchange.ticket, number)
         self._out.append(
@@ -400,7 +402,7 @@
         """A repeat of a keyed request must come to its server while servers still know its key: what the network holds
         for longer is not to be delivered any more."""
         cls, risk = exchange.routed.cls, exchange.risk_at
-        return risk + cls.window_ms if risk is not None and cls.effect is api.Effect.KEYED else None
+        return risk + cls.window_ms if risk is not None and cls.effect is api.Idempotency.KEYED else None
 
     def _let_pass(self, exchange: Exchange, number: int, server: int) -> None:
         """The edge proxy may forward the request: that is the sub-request's answer, and the outcome that is owed.  How
@@ -417,9 +419,9 @@
         self._settle(exchange, 200, "let pass", None)
         self._out.append(ev.Reply(exchange.ticket, 200, headers, b""))
         self._forget(exchange)
-        self._tell(api.Outcome(exchange.rid, number, server, Verdict.OK, self._now - exchange.arrived, True))
+        self._tell(api.AttemptEnded(exchange.rid, number, server, CallResult.OK, self._now - exchange.arrived, True))
 
-    def _outcome(self, exchange: Exchange, attempt: Attempt, verdict: Verdict, ended: bool) -> None:
+    def _outcome(self, exchange: Exchange, attempt: Attempt, verdict: CallResult, ended: bool) -> None:
         """End an attempt; the one place that does."""
         attempt.open = False
         self.verdicts[verdict.value] = self.verdicts.get(verdict.value, 0) + 1
@@ -428,15 +430,15 @@
         rtt = self._now - attempt.sent_at
         if exchange.risk_at is None and not verdict.never_ran:
             exchange.risk_at = attempt.sent_at
-        self._tell(api.Outcome(exchange.rid, attempt.number, attempt.server, verdict, rtt, ended))
+        self._tell(api.AttemptEnded(exchange.rid, attempt.number, attempt.server, verdict, rtt, ended))
 
-    def _stop(self, exchange: Exchange, attempt: Attempt, wanted: Verdict) -> None:
+    def _stop(self, exchange: Exchange, attempt: Attempt, wanted: CallResult) -> None:
         """The door itself stops an attempt."""
         attempt.open = False  # nothing that still comes from it counts
         self._out.append(ev.Abandon(exchange.ticket, attempt.number))
         self._ended(exchange, attempt, of_stop(wanted, attempt.written))
 
-    def _ended(self, exchange: Exchange, attempt: Attempt, verdict: Verdict) -> None:
+    def _ended(self, exchange: Exchange, attempt: Attempt, verdict: CallResult) -> None:
         """An attempt ended without an answer that can be passed on."""
         if exchange.settled:
             self._outcome(exchange, attempt, verdict, True)
@@ -448,7 +450,7 @@
             self._forget(exchange)
         elif exchange.one_attempt:
             # Its body is partly gone: the module is not asked for a further attempt that cannot be made.
-            harmless = exchange.routed.cls.effect is api.Effect.SAFE or verdict.never_ran
+            harmless = exchange.routed.cls.effect is api.Idempotency.SAFE or verdict.never_ran
             self._give_up(exchange, harmless, "spent")
             self._outcome(exchange, attempt, verdict, True)
             self._forget(exchange)
@@ -719,7 +721,7 @@
     def _denied(self, exchange: Exchange, answer: auth.Answer) -> None:
         """The service's answer is the client's, also where the request waits for the counter by now."""
         if exchange.told:
-            self._tell(api.Left(exchange.rid))
+            self._tell(api.ClientDisconnected(exchange.rid))
         headers = [pair for pair in answer.headers if pair[0] in DENY_HEADERS]
         headers += [
             (b"content-length", str(len(answer.body)).encode()),
@@ -758,19 +760,19 @@
             return
         self._settle(exchange, 0, "client left", None)
         if exchange.told:
-            self._tell(api.Left(exchange.rid))
+            self._tell(api.ClientDisconnected(exchange.rid))
         attempt = exchange.attempt
         if attempt and attempt.open and not attempt.written:
             self._withdraw(exchange, attempt)
         elif attempt and attempt.open and (self._cancel or attempt.begun):
-            self._stop(exchange, attempt, Verdict.CANCELLED)
+            self._stop(exchange, attempt, CallResult.CANCELLED)
         self._forget(exchange)
 
     def _withdraw(self, exchange: Exchange, attempt: Attempt) -> None:
         """Never begin an attempt that is not written: no work of its server's is called off, and no failure of its."""
         attempt.open = False
         self._out.append(ev.Abandon(exchange.ticket, attempt.number))
-        self._outcome(exchange, attempt, Verdict.MOOT, exchange.settled)
+        self._outcome(exchange, attempt, CallResult.MOOT, exchange.settled)
 
     def _body_dropped(self, event: ev.BodyDropped) -> None:
         exchange = self._exchanges.get(event.ticket)
@@ -798,7 +800,7 @@
             return
         exchange, attempt = live
         verdict = self._status.verdict(event.status, event.headers)
-        if verdict is not Verdict.OK:
+        if verdict is not CallResult.OK:
             attempt.open = False
             self._out.append(ev.Abandon(event.ticket, event.attempt))
             self._ended(exchange, attempt, verdict)
@@ -830,7 +832,7 @@
         if live is None or live[1].begun or live[0].settled:
             return
         live[1].begun = True
-        self._tell(api.Started(live[0].rid))
+        self._tell(api.ResponseStarted(live[0].rid))
         self._passed(live[0], live[1], False)
 
     def _answer_whole(self, event: ev.AnswerWhole) -> None:
@@ -842,7 +844,7 @@
             if not attempt.begun:
                 self._passed(exchange, attempt, True)
             self._settle(exchange, attempt.status, "served", None)
-        self._outcome(exchange, attempt, Verdict.OK, True)
+        self._outcome(exchange, attempt, CallResult.OK, True)
         self._forget(exchange)
 
     def _attempt_ended(self, event: ev.AttemptEnded) -> None:
@@ -861,24 +863,24 @@
     def _counted(self, event: ev.Counted) -> None:
         call = self._calls.pop(event.call, None)
         if call is not None:  # else its time-out was told already
-            self._tell(api.Total(call[0], event.verdict, self._now - call[1], event.total, event.kept_ms))
+            self._tell(api.CounterReply(call[0], event.verdict, self._now - call[1], event.total, event.kept_ms))
 
     def _listed(self, event: ev.Listed) -> None:
         self._addresses.update(event.addresses)
-        if event.scope is api.Scope.FULL:
+        if event.scope is api.EndpointListScope.FULL:
             listed = {server.id for server in event.servers}
             self._addresses = {key: at for key, at in self._addresses.items() if key in listed}
-        self._tell(api.Members(event.scope, event.servers))
+        self._tell(api.EndpointListUpdate(event.scope, event.servers))
         for server in event.servers:  # one that is gone comes back under another number, if at all
-            if server.state is api.State.GONE:
+            if server.state is api.EndpointState.GONE:
                 self._addresses.pop(server.id, None)
-        taking = {server.id for server in event.servers if server.state is api.State.UP}
-        if event.scope in (api.Scope.FULL, api.Scope.WARM_COPY):
+        taking = {server.id for server in event.servers if server.state is api.EndpointState.UP}
+        if event.scope in (api.EndpointListScope.FULL, api.EndpointListScope.WARM_COPY):
             self._taking = set(taking)
         else:
             self._taking.difference_update(server.id for server in event.servers)
             self._taking |= taking
-        told = None if event.scope is api.Scope.FULL else {server.id for server in event.servers}
+        told = None if event.scope is api.EndpointListScope.FULL else {server.id for server in event.servers}
         for exchange in list(self._exchanges.values()):
             attempt = exchange.attempt
             if (
@@ -916,15 +918,15 @@
             self._ask_did(self._auth.tick(self._now))
 
     def _due(self, token: int) -> None:
-        self._tell(api.Due(token))
+        self._tell(api.TimerFired(token))
 
     def _uncounted(self, call: int) -> None:
-        self._counted(ev.Counted(call, Verdict.TIMEOUT))
+        self._counted(ev.Counted(call, CallResult.TIMEOUT))
 
     def _unconnected(self, ticket: int, number: int) -> None:
         live = self._live(ticket, number)
         if live and not live[1].written:
-            self._stop(*live, Verdict.CONNECT_FAILED)
+            self._stop(*live, CallResult.CONNECT_FAILED)
 
     def _deadline(self, ticket: int) -> None:
         """The request's time is over: what is out ends, and the answer goes out at once."""
@@ -937,11 +939,11 @@
         exchange.timed_out = True
         if exchange.settled:
             if attempt and attempt.open:  # its client has left, and calling it off is not allowed
-                self._stop(exchange, attempt, Verdict.TIMEOUT)
+                self._stop(exchange, attempt, CallResult.TIMEOUT)
             return
         if attempt and attempt.open:
-            self._stop(exchange, attempt, Verdict.TIMEOUT)
+            self._stop(exchange, attempt, CallResult.TIMEOUT)
         if not exchange.settled:  # nothing was out: the module holds it, and can no longer be waited for
             self._answer(exchange, GATEWAY_TIMEOUT, "timed out", None)
             if exchange.told:
-                self._tell(api.Left(exchange.rid))
+                self._tell(api.ClientDisconnected(exchange.rid))
--- a/martenstep/door/fitting.py
+++ b/martenstep/proxy/engine_factory.py
@@ -11,17 +11,17 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.settings import ERROR_STATUS, module_settings
 from martenstep.config.tls import ClientContext, ServerContext
-from martenstep.door.checks import Checks
-from martenstep.door.driver import Driver
-from martenstep.door.engine import Engine
-from martenstep.door.parts import AuthParts, Parts
-from martenstep.door.points import Points
-from martenstep.door.routes import Routes
-from martenstep.door.stages.outgoing import Outgoing
-from martenstep.door.targets import Targets
-from martenstep.door.traces import Sampler
-from martenstep.door.verdicts import StatusTable
 from martenstep.hooks.releases import Shelf
+from martenstep.proxy.attempt_outcomes import StatusTable
+from martenstep.proxy.auth_requests import Checks
+from martenstep.proxy.dependencies import AuthParts, Parts
+from martenstep.proxy.engine import Engine
+from martenstep.proxy.extension_points import Points
+from martenstep.proxy.route_table import Routes
+from martenstep.proxy.server import Driver
+from martenstep.proxy.stages.upstream_request import Outgoing
+from martenstep.proxy.targets import Targets
+from martenstep.proxy.traces import Sampler
 
 
 def _auth_of(door: pb.Door) -> AuthParts | None:
--- a/martenstep/door/events.py
+++ b/martenstep/proxy/engine_messages.py
@@ -11,11 +11,11 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any
 
-from martenstep.interface import Verdict
-from martenstep.members.lists import Listed as Listed
+from martenstep.discovery.endpoint_list import Listed as Listed
+from martenstep.policy.messages import CallResult
 
 if TYPE_CHECKING:  # a door that traces nothing does not load what traces weigh
-    from martenstep.door.traces import Trace
+    from martenstep.proxy.traces import Trace
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -115,7 +115,7 @@
     """The store's answer to one Add."""
 
     call: int
-    verdict: Verdict
+    verdict: CallResult
     total: float = 0.0
     kept_ms: float = math.inf  # for so long it is known to have lost nothing
 
--- a/martenstep/door/points.py
+++ b/martenstep/proxy/extension_points.py
@@ -8,12 +8,12 @@
 from typing import Any, Protocol
 
 from martenstep.config import door_pb2 as pb
-from martenstep.door.events import Arrived, Headers
-from martenstep.door.http import encoded, path_of
-from martenstep.door.parts import Routed
-from martenstep.door.routes import Routes
 from martenstep.hooks import border
 from martenstep.hooks.runner import Runner
+from martenstep.proxy.dependencies import Routed
+from martenstep.proxy.engine_messages import Arrived, Headers
+from martenstep.proxy.headers import encoded, path_of
+from martenstep.proxy.route_table import Routes
 
 # A hook reads no credential; the settings name more of them.
 SECRET = frozenset((b"authorization", b"cookie", b"proxy-authorization"))
--- a/martenstep/door/http.py
+++ b/martenstep/proxy/headers.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from martenstep.door.events import Headers
-from martenstep.interface import Plan, Reason
+from martenstep.policy.messages import Plan, RejectionReason
+from martenstep.proxy.engine_messages import Headers
 
 HOP_BY_HOP = frozenset(
     (
@@ -29,14 +29,14 @@
 )
 DROPPED = HOP_BY_HOP | {b"expect"}  # the door answers 100-continue itself
 STATUS = {
-    Reason.QUOTA: 429,
-    Reason.UNHEARD: 429,
-    Reason.CEILING: 429,
-    Reason.OPEN_LIMIT: 429,
-    Reason.OVERLOAD: 503,
-    Reason.NO_SERVER: 503,
-    Reason.SPENT: 503,
-    Reason.LATE: 503,
+    RejectionReason.QUOTA: 429,
+    RejectionReason.UNHEARD: 429,
+    RejectionReason.CEILING: 429,
+    RejectionReason.OPEN_LIMIT: 429,
+    RejectionReason.OVERLOAD: 503,
+    RejectionReason.NO_SERVER: 503,
+    RejectionReason.SPENT: 503,
+    RejectionReason.LATE: 503,
 }
 WORDS = {
     "quota": "the plan's quota is used for now",
--- a/martenstep/door/wire/asking.py
+++ b/martenstep/proxy/http1/client_connection.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from martenstep.door.wire.heads import AnswerHead, Headers
-from martenstep.door.wire.readers import AnswerReader, Data, End, Gone
-from martenstep.door.wire.writing import LAST_CHUNK, UnwritableError, chunk, head_of
+from martenstep.proxy.http1.message_head import AnswerHead, Headers
+from martenstep.proxy.http1.message_reader import AnswerReader, Data, End, Gone
+from martenstep.proxy.http1.message_writer import LAST_CHUNK, UnwritableError, chunk, head_of
 
 HEAD_BYTES = 65_536  # of an answer's head: a server's cookies and policies may be long
 
--- a/martenstep/door/wire/bodies.py
+++ b/martenstep/proxy/http1/message_body.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterator
 
-from martenstep.door.wire.heads import END_OF_HEAD, Fault
+from martenstep.proxy.http1.message_head import END_OF_HEAD, Fault
 
 SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
 LINE_BYTES = 1024  # of a chunk's size line: extensions are read past, not kept
--- a/martenstep/door/wire/readers.py
+++ b/martenstep/proxy/http1/message_reader.py
@@ -5,8 +5,8 @@
 
 from dataclasses import dataclass
 
-from martenstep.door.wire.bodies import Body, Chunked, Sized, Unbounded
-from martenstep.door.wire.heads import (
+from martenstep.proxy.http1.message_body import Body, Chunked, Sized, Unbounded
+from martenstep.proxy.http1.message_head import (
     END_OF_HEAD,
     NO_BODY,
     AnswerHead,
--- a/martenstep/door/wire/writing.py
+++ b/martenstep/proxy/http1/message_writer.py
@@ -4,7 +4,7 @@
 
 from http import HTTPStatus
 
-from martenstep.door.wire.heads import Headers
+from martenstep.proxy.http1.message_head import Headers
 
 PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
--- a/martenstep/door/wire/answering.py
+++ b/martenstep/proxy/http1/server_connection.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from martenstep.door.wire.heads import NO_BODY, Headers, RequestHead
-from martenstep.door.wire.readers import Data, End, Gone, RequestReader
-from martenstep.door.wire.writing import LAST_CHUNK, PHRASES, UnwritableError, chunk, head_of
+from martenstep.proxy.http1.message_head import NO_BODY, Headers, RequestHead
+from martenstep.proxy.http1.message_reader import Data, End, Gone, RequestReader
+from martenstep.proxy.http1.message_writer import LAST_CHUNK, PHRASES, UnwritableError, chunk, head_of
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 CLOSE = (b"connection", b"close")
--- a/martenstep/door/listener.py
+++ b/martenstep/proxy/listener.py
@@ -11,8 +11,8 @@
 import socket
 from collections.abc import Callable
 
-from martenstep.door.loop_lag import LoopClock
-from martenstep.door.wires import pending
+from martenstep.proxy.loop_lag import LoopClock
+from martenstep.proxy.transport import pending
 
 BACKLOG = 1024  # connections that wait to be accepted
 MAX_ACCEPTS = 4  # in one turn of the loop: up to five go by before the first is counted, or is closed
--- a/martenstep/door/loop_lag.py
+++ b/martenstep/proxy/loop_lag.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from martenstep.door.wires import EPOCH_MS, now_ms
+from martenstep.proxy.transport import EPOCH_MS, now_ms
 
 AT_ONCE_S = 0.001  # a look that returns within this found what came before it
 OVERSHOOT_S = 0.02  # a wait that ends so late ended while the process did not run
--- a/martenstep/door/permission.py
+++ b/martenstep/proxy/permission.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from martenstep.interface import Effect
+from martenstep.policy.messages import Idempotency
 
 
 class Denial(Enum):
@@ -41,7 +41,7 @@
     ended: bool  # the gateway has answered all that it held
     current: bool  # it is the request's last attempt, and was not given up
     server_listed: bool  # as one that takes requests
-    effect: Effect
+    effect: Idempotency
     risk_at: float | None  # when the first attempt was sent that may have run; none: there is none
     window_ms: float  # of the key
 
@@ -58,9 +58,9 @@
         return Denial.NO_TIME
     if not facts.server_listed:
         return Denial.NOT_LISTED
-    if facts.risk_at is not None and facts.effect is Effect.UNSAFE:
+    if facts.risk_at is not None and facts.effect is Idempotency.UNSAFE:
         return Denial.EFFECT
-    if facts.risk_at is not None and facts.effect is Effect.KEYED and facts.now >= facts.risk_at + facts.window_ms:
+    if facts.risk_at is not None and facts.effect is Idempotency.KEYED and facts.now >= facts.risk_at + facts.window_ms:
         return Denial.WINDOW_OVER
     return None
 
--- a/martenstep/door/routes.py
+++ b/martenstep/proxy/route_table.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 from urllib.parse import unquote
 
-from martenstep import interface as api
 from martenstep.config import door_pb2 as pb
 from martenstep.config.settings import class_of, customer_id, plan_of
-from martenstep.door.events import Headers
-from martenstep.door.http import header, path_of
-from martenstep.door.parts import Guarded, Routed, Unroutable
+from martenstep.policy import messages as api
+from martenstep.proxy.dependencies import Guarded, Routed, Unroutable
+from martenstep.proxy.engine_messages import Headers
+from martenstep.proxy.headers import header, path_of
 
 
 @dataclass(frozen=True, slots=True)
--- a/martenstep/door/driver.py
+++ b/martenstep/proxy/server.py
@@ -21,19 +21,19 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, Any
 
-from martenstep.door import events as ev
-from martenstep.door.engine import Engine
-from martenstep.door.events import Ending
-from martenstep.door.listener import BACKLOG, Listener
-from martenstep.door.loop_lag import ClockNow, LoopClock
-from martenstep.door.parts import ListenerBounds, UpstreamBounds
-from martenstep.door.permission import may_close
-from martenstep.door.step_watch import StepWatch
-from martenstep.door.wire.answering import Answering
-from martenstep.door.wire.heads import AnswerHead, Fault, RequestHead
-from martenstep.door.wire.readers import Data, End
-from martenstep.door.wire.writing import UnwritableError
-from martenstep.door.wires import (
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.clock_step_detector import StepWatch
+from martenstep.proxy.dependencies import ListenerBounds, UpstreamBounds
+from martenstep.proxy.engine import Engine
+from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.http1.message_head import AnswerHead, Fault, RequestHead
+from martenstep.proxy.http1.message_reader import Data, End
+from martenstep.proxy.http1.message_writer import UnwritableError
+from martenstep.proxy.http1.server_connection import Answering
+from martenstep.proxy.listener import BACKLOG, Listener
+from martenstep.proxy.loop_lag import ClockNow, LoopClock
+from martenstep.proxy.permission import may_close
+from martenstep.proxy.transport import (
     BROKEN,
     GONE,
     READ_BYTES,
@@ -50,8 +50,8 @@
 
 if TYPE_CHECKING:  # loaded where the settings name them
     from martenstep.config.tls import ClientContext, ServerContext
-    from martenstep.door.checks import Checks
-    from martenstep.door.traces import Trace
+    from martenstep.proxy.auth_requests import Checks
+    from martenstep.proxy.traces import Trace
 
 YOUNG_MS = 300.0  # a new connection is not closed for room: its first request may be on its way, and would be lost
 SWEEP_MS = 250.0  # how often idle and stalled connections are looked for
--- a/martenstep/door/stages/outgoing.py
+++ b/martenstep/proxy/stages/upstream_request.py
@@ -5,8 +5,8 @@
 from collections.abc import Collection
 
 from martenstep.config import door_pb2 as pb
-from martenstep.door.events import Headers
-from martenstep.door.http import DROPPED, header, only_ours, overlaid, own_answer, without_named
+from martenstep.proxy.engine_messages import Headers
+from martenstep.proxy.headers import DROPPED, header, only_ours, overlaid, own_answer, without_named
 
 
 class Outgoing:
--- a/martenstep/door/targets.py
+++ b/martenstep/proxy/targets.py
@@ -11,7 +11,7 @@
 import re
 from dataclasses import dataclass
 
-from martenstep.door.events import Headers
+from martenstep.proxy.engine_messages import Headers
 
 SCHEMES = {b"http": 80, b"https": 443}
 METHODS = b"GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS"  # that servers may be asked; a route may take fewer
--- a/martenstep/door/traces.py
+++ b/martenstep/proxy/traces.py
@@ -126,7 +126,7 @@
             shutdown_on_exit=False,
         )
         self._provider.add_span_processor(BatchSpanProcessor(_Lines(path)))
-        self._tracer = self._provider.get_tracer("martenstep.door")
+        self._tracer = self._provider.get_tracer("martenstep.proxy")
         self._offset = wall_ms() - clock_ms()
 
     def _ns(self, at: float) -> int:
--- a/martenstep/door/wires.py
+++ b/martenstep/proxy/transport.py
@@ -18,11 +18,11 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, Any, cast
 
-from martenstep.door.wire.asking import Asking
-from martenstep.door.wire.heads import Fault
+from martenstep.proxy.http1.client_connection import Asking
+from martenstep.proxy.http1.message_head import Fault
 
 if TYPE_CHECKING:
-    from martenstep.door.loop_lag import LoopClock
+    from martenstep.proxy.loop_lag import LoopClock
 
 Lost = Callable[[], None]
 Refused = Callable[[str, str], None]  # whose handshake, and why
--- a/martenstep/store/core.py
+++ b/martenstep/redis_counter/core.py
@@ -36,8 +36,8 @@
 from typing import NamedTuple
 
 from martenstep.backoff import Backoff
-from martenstep.interface import Verdict
-from martenstep.store.slots import SLOTS, slot_of
+from martenstep.policy.messages import CallResult
+from martenstep.redis_counter.slots import SLOTS, slot_of
 
 BATCH = 64  # statements in one write at most: more would make the last wait for the first
 RESTORE_BATCH = 32  # of those, statements made anew after a loss: calls keep their place
@@ -110,7 +110,7 @@
     """The answer to a call."""
 
     call: int
-    verdict: Verdict
+    verdict: CallResult
     total: float
     kept_ms: float = 0.0  # for so long the node has lost nothing, as far as is proved
 
@@ -272,7 +272,7 @@
         """One call: told once, within the time-out."""
         if name not in self._registers:
             if len(self._registers) >= MOST_NAMES:
-                self._tell(call, Verdict.FULL)
+                self._tell(call, CallResult.FULL)
                 return
             self._registers[name] = Register(now + expire_ms)
         self._queue(now, Op(name, units, call, now + self._options.timeout_ms, proof=proof))
@@ -298,7 +298,7 @@
             self._failed(now, lane, error)
             waiting, lane.queue = lane.queue, deque()
             for op in waiting:  # none of them has a way out
-                self._drop(op, Verdict.CONNECT_FAILED)
+                self._drop(op, CallResult.CONNECT_FAILED)
             self._turn(now)
 
     def lost(self, now: float, at: Lane, error: str) -> None:
@@ -340,7 +340,7 @@
                         self._witness(now, lane)
                 node.heard = now
         while self._homeless and self._homeless[0].until <= now:
-            self._drop(self._homeless.popleft(), Verdict.CONNECT_FAILED)
+            self._drop(self._homeless.popleft(), CallResult.CONNECT_FAILED)
         if now - self._swept >= SWEEP_MS:
             self._swept = now
             busy = {op.name for lane in self._lanes() for op in (*lane.queue, *lane.out, *lane.again)}
@@ -430,7 +430,7 @@
         node = self._node_of(op.name)
         if node is None:
             if len(self._homeless) >= self._options.waiting:
-                self._drop(op, Verdict.FULL)
+                self._drop(op, CallResult.FULL)
                 return
             self._homeless.append(op)
             self._learn(now)
@@ -438,11 +438,11 @@
         lane = self._lane_of(op.name, node)
         if node.broken and op.call is not None and (node.closed_until > now or node.busy or self._newest(now, lane)):
             # Its one trial is a statement of what it had, where there is any: no request waits for it.
-            self._drop(op, Verdict.CONNECT_FAILED)
+            self._drop(op, CallResult.CONNECT_FAILED)
         elif first:
             self._insert(lane, op)
         elif len(lane.queue) + len(lane.out) >= self._options.waiting:
-            self._drop(op, Verdict.FULL)
+            self._drop(op, CallResult.FULL)
         else:
             if not lane.queue:
                 lane.first = now
@@ -506,7 +506,7 @@
         while lane.queue and len(batch) < BATCH:
             op = lane.queue.popleft()
             if op.until <= now:
-                self._drop(op, Verdict.FULL)
+                self._drop(op, CallResult.FULL)
                 continue
             batch.append(op)
         lane.first = now
@@ -554,7 +554,7 @@
             node.backoff.succeeded()
         register = self._registers.get(op.name)
         if held.found < 0 or register is None:
-            self._tell(op.call, Verdict.OK, held.total)
+            self._tell(op.call, CallResult.OK, held.total)
             return
         if held.found < op.known:
             self._lost_contents(node, op, register.generation == node.generation)
@@ -578,7 +578,7 @@
         if register.version > register.acked and not self._coming(lane, op.name):
             lane.restore[op.name] = None  # a statement of it went missing
         kept = now - node.kept_since if register.proved == node.chain == node.proved else 0.0
-        self._tell(op.call, Verdict.OK, told, max(kept, 0.0))
+        self._tell(op.call, CallResult.OK, told, max(kept, 0.0))
 
     @staticmethod
     def _coming(lane: _Lane, name: int) -> bool:
@@ -633,7 +633,7 @@
         if turn and (op.call is not None or op.version):
             lane.again.append(op)
         elif op.call is not None:
-            self._drop(op, Verdict.FULL)
+            self._drop(op, CallResult.FULL)
         register = self._registers.get(op.name)
         if not turn and register is not None and register.version > register.acked:
             lane.rest_until = max(lane.rest_until, now + REST_MS)
@@ -690,7 +690,7 @@
             if not op.uncertain:
                 self._insert(lane, op)
             elif lane.node.plain or op.until <= now or op.call is None:
-                self._drop(op, Verdict.TIMEOUT)
+                self._drop(op, CallResult.TIMEOUT)
             else:
                 self.counts["sent again"] += 1
                 self._insert(lane, op)
@@ -698,23 +698,23 @@
     def _expire(self, now: float, lane: _Lane) -> None:
         for op in lane.out:
             if op.until <= now and op.call is not None:
-                self._tell(op.call, Verdict.TIMEOUT)
+                self._tell(op.call, CallResult.TIMEOUT)
                 op.call = None
         for op in [op for op in lane.again if op.until <= now]:
             lane.again.remove(op)
-            self._drop(op, Verdict.FULL)
+            self._drop(op, CallResult.FULL)
         lane.first_end = min((op.until for op in (*lane.out, *lane.again) if op.call is not None), default=math.inf)
         while lane.queue and lane.queue[0].until <= now:
             op = lane.queue.popleft()
-            self._drop(op, Verdict.FULL)
+            self._drop(op, CallResult.FULL)
         if lane.out and now - lane.since >= self._options.timeout_ms:
             self._actions.append(Close(lane.lane))
             self._failed(now, lane, "no answer in time")
             self._cut(now, lane)
 
-    def _drop(self, op: Op, verdict: Verdict) -> None:
+    def _drop(self, op: Op, verdict: CallResult) -> None:
         """An operation ends without an answer; one that was written once may have been done, and is stated again."""
-        self._tell(op.call, Verdict.TIMEOUT if op.uncertain else verdict)
+        self._tell(op.call, CallResult.TIMEOUT if op.uncertain else verdict)
         op.call = None
         if op.uncertain:
             self._restate(op.name)
@@ -724,7 +724,7 @@
         if node is not None and name in self._registers and self._registers[name].version:
             self._lane_of(name, node).restore[name] = None
 
-    def _tell(self, call: int | None, verdict: Verdict, total: float = 0.0, kept_ms: float = 0.0) -> None:
+    def _tell(self, call: int | None, verdict: CallResult, total: float = 0.0, kept_ms: float = 0.0) -> None:
         if call is not None:
             self.counts[verdict.name] += 1
             self._actions.append(Told(call, verdict, total, kept_ms))
--- a/martenstep/store/redis_store.py
+++ b/martenstep/redis_counter/redis_store.py
@@ -17,16 +17,16 @@
 from redis.exceptions import ResponseError
 
 from martenstep.config import door_pb2 as pb
-from martenstep.interface import Verdict
-from martenstep.store import script
-from martenstep.store.core import Close, Core, Fault, Held, Lane, Learn, Note, Op, Open, Options, Told, Write
-from martenstep.store.topology import ERRORS, Nodes, TopologyError, close
+from martenstep.policy.messages import CallResult
+from martenstep.redis_counter import script
+from martenstep.redis_counter.core import Close, Core, Fault, Held, Lane, Learn, Note, Op, Open, Options, Told, Write
+from martenstep.redis_counter.topology import ERRORS, Nodes, TopologyError, close
 
 CONNECT_TIMES = 5.0  # a connection may take so many time-outs of a call
 LEARN_AGAIN_MS = 50.0  # after nobody told who the nodes are
 FLUSH_MS = 500.0  # at a stop: what is not settled by then is left
 
-Answer = Callable[[int, Verdict, float, float], None]  # call, verdict, total, ms for which nothing was lost
+Answer = Callable[[int, CallResult, float, float], None]  # call, verdict, total, ms for which nothing was lost
 Tell = Callable[[str, dict[str, object]], None]
 
 
--- a/martenstep/store/topology.py
+++ b/martenstep/redis_counter/topology.py
@@ -15,7 +15,7 @@
 
 from martenstep.backoff import Backoff
 from martenstep.config import door_pb2 as pb
-from martenstep.store.slots import SLOTS
+from martenstep.redis_counter.slots import SLOTS
 
 ASK_MS = 500.0  # a node is asked who the nodes are for so long, then the next
 AGAIN_LEAST_MS, AGAIN_MOST_MS = 50.0, 1000.0  # between attempts to hear of a new primary
--- a/martenstep/replication/placing.py
+++ b/martenstep/replication/placement.py
@@ -15,7 +15,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from martenstep.members.gossip.holders import holders
+from martenstep.membership.ownership import holders
 from martenstep.replication.messages import Config
 
 
--- a/martenstep/replication/host.py
+++ b/martenstep/replication/replica.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from martenstep.replication.aside import Aside
-from martenstep.replication.core import Became, Committed, Copy, Installed, Role, Send, Settings, Write
-from martenstep.replication.links import Links, Port
+from martenstep.replication.background_snapshot import Aside
 from martenstep.replication.messages import Config, Kind, Message
-from martenstep.replication.store import ENTRY_BYTES, Store
+from martenstep.replication.raft import Became, Committed, Copy, Installed, Role, Send, Settings, Write
+from martenstep.replication.replica_storage import ENTRY_BYTES, Store
+from martenstep.replication.transport import Links, Port
 
 COMPACT_ENTRIES = 10_000  # delivered since the last snapshot
 READ_S = 1.0  # a read that finds no lease by then is given up
--- a/martenstep/replication/keeper.py
+++ b/martenstep/replication/replica_manager.py
@@ -28,9 +28,6 @@
 import msgspec
 import xxhash
 
-from martenstep.replication.core import Role, Settings
-from martenstep.replication.host import Host, InDoubtError, Machine, NotLeaderError, now_ms
-from martenstep.replication.links import Links
 from martenstep.replication.messages import (
     AmIIn,
     Config,
@@ -42,9 +39,12 @@
     Word,
     YouAreOut,
 )
-from martenstep.replication.placing import Away, Change, HandOver, learning, next_step, wanted, without
-from martenstep.replication.placing import Invite as InviteStep
-from martenstep.replication.store import Store, StoreError
+from martenstep.replication.placement import Away, Change, HandOver, learning, next_step, wanted, without
+from martenstep.replication.placement import Invite as InviteStep
+from martenstep.replication.raft import Role, Settings
+from martenstep.replication.replica import Host, InDoubtError, Machine, NotLeaderError, now_ms
+from martenstep.replication.replica_storage import Store, StoreError
+from martenstep.replication.transport import Links
 from martenstep.storage.files import Disk, LockedError
 from martenstep.tasks import Tasks
 
--- a/martenstep/replication/store.py
+++ b/martenstep/replication/replica_storage.py
@@ -20,8 +20,8 @@
 import google_crc32c
 import msgspec
 
-from martenstep.replication.core import Kept, Write
 from martenstep.replication.messages import Entry, Snapshot
+from martenstep.replication.raft import Kept, Write
 from martenstep.storage.files import Files
 from martenstep.storage.log import LogError, Writer, compact, open_log, write_snapshot
 
--- a/martenstep/replication/verify.py
+++ b/martenstep/replication/verify.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from martenstep.replication.core import Kept
-from martenstep.replication.keeper import GROUPS
-from martenstep.replication.store import Store, StoreError
+from martenstep.replication.raft import Kept
+from martenstep.replication.replica_manager import GROUPS
+from martenstep.replication.replica_storage import Store, StoreError
 from martenstep.storage.files import Disk
 
 
--- a/martenstep/standins/redis/fleet.py
+++ b/martenstep/standins/redis/fleet.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from martenstep.lifetime import until_stopped
+from martenstep.redis_counter.slots import SLOTS, slot_of
 from martenstep.standins.base import ControlPort, Trace, now_ms
 from martenstep.standins.redis.keyspace import Session, Value, key_of
 from martenstep.standins.redis.server import RedisServer
 from martenstep.standins.resp import ErrorReply, Reply
-from martenstep.store.slots import SLOTS, slot_of
 
 ALONE, SENTINEL, CLUSTER = "alone", "sentinel", "cluster"
 MASTER = b"counts"  # what the sentinels call the primary
--- a/martenstep/standins/redis/keyspace.py
+++ b/martenstep/standins/redis/keyspace.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
+from martenstep.redis_counter import script
 from martenstep.standins.resp import ErrorReply, Reply, Simple
-from martenstep.store import script
 
 OK = Simple("OK")
 NOT_INTEGER = ErrorReply("ERR value is not an integer or out of range")
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -19,8 +19,8 @@
 from martenstep.config.changes import differences
 from martenstep.config.text import Faults
 from martenstep.config.tls import TlsError
-from martenstep.door.daemon import Daemon, loop_fault
-from martenstep.door.log import Notes, configure
+from martenstep.proxy.daemon import Daemon, loop_fault
+from martenstep.proxy.event_logger import Notes, configure
 from martenstep.supervise import early, resources
 from martenstep.supervise.lock import LockedError, PidFile
 from martenstep.supervise.notify import Notifier
--- a/martenstep/supervise/worker.py
+++ b/martenstep/supervise/worker.py
@@ -14,8 +14,8 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.changes import differences
 from martenstep.config.tls import TlsError
-from martenstep.door.daemon import Daemon, loop_fault
-from martenstep.door.log import Notes, configure
+from martenstep.proxy.daemon import Daemon, loop_fault
+from martenstep.proxy.event_logger import Notes, configure
 from martenstep.supervise import frames
 from martenstep.supervise.frames import Begin, Commit, Prepare, Renew, Said
 
--- a/tests/test_auth_answerer.py
+++ b/tests/test_auth_answerer.py
@@ -15,8 +15,8 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.settings import parse_door
 from martenstep.config.text import Faults
-from martenstep.door import events as ev
-from martenstep.door.fitting import engine_of
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.engine_factory import engine_of
 from tests.door_rig import DOOR, QUIET, Rig, head
 
 LINES = [line for line in DOOR.split("\n") if not line.startswith("members")]
--- a/tests/test_auth_door.py
+++ b/tests/test_auth_door.py
@@ -11,8 +11,8 @@
 
 from martenstep.config.settings import parse_door
 from martenstep.config.text import Faults
-from martenstep.door import events as ev
-from martenstep.door.events import Ending
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.engine_messages import Ending
 from tests.door_rig import DOOR, QUIET, Rig, head
 from tests.socket_rig import Back, House, Peer, Script, get, house, run
 
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martenstep.counter.book import Begin, Book, Done, Entry, Put, Seal, Try, dones, entry, puts
-from martenstep.counter.books import Books, is_book
-from martenstep.replication.keeper import Keeper
-from martenstep.replication.links import Links
+from martenstep.counter.increment_ledger import Books, is_book
+from martenstep.counter.pending_increments import Begin, Book, Done, Entry, Put, Seal, Try, dones, entry, puts
+from martenstep.replication.replica_manager import Keeper
+from martenstep.replication.transport import Links
 from tests.socket_rig import LONG_S, run
 from tests.test_keeper import KEYS, QUICK, Fleet
 from tests.test_replication_host import Sum
--- a/tests/test_ceiling_schedules.py
+++ b/tests/test_ceiling_schedules.py
@@ -12,8 +12,8 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep import interface as api
-from martenstep import quota
+from martenstep.policy import messages as api
+from martenstep.policy import quota
 from tests.test_store_ceiling import STEP_MS, Doors, most_beyond
 
 LATE_STEPS = 14  # of 2 ms: nearly the time-out, so that answers come late and not too late
--- a/tests/test_counter_log.py
+++ b/tests/test_counter_log.py
@@ -11,8 +11,8 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.counter.frames import Add, Read, Record, Reply, Status, Stored, Total
-from martenstep.counter.keeper import Keeper, Session, rebuild
+from martenstep.counter.commit_pipeline import Keeper, Session, rebuild
+from martenstep.counter.protocol import Add, Read, Record, Reply, Status, Stored, Total
 from martenstep.counter.state import Counter, Limits
 from martenstep.storage.log import HEADER, LogError, open_log, segments, snapshots
 from tests.counter_rig import Crash, FaultFiles
