--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -11,7 +11,6 @@
 
 from martenstep.cli.main import cli
 from martenstep.config.text import Faults
-from martenstep.door import events as ev
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import load_day, parse_day
 from martenstep.lab.emulate.core import START_MS, Draws, Sim, Streams
@@ -20,6 +19,7 @@
 from martenstep.lab.emulate.net import RESEND_MS, Network, Pipe, Place, Weather
 from martenstep.lab.emulate.servers import EmuServer, Job
 from martenstep.lab.emulate.world import NotEmulatedError, World
+from martenstep.proxy import engine_messages as ev
 from martenstep.standins.photo import PhotoConfig, WorkOf
 
 DAYS = Path(__file__).resolve().parent.parent / "days"
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -5,7 +5,7 @@
 import pytest
 
 from martenstep.lab.explore import BreachError, Budget, Explorer
-from martenstep.replication.core import Copy
+from martenstep.replication.raft import Copy
 from tests.test_replication import AckNotDurable, AnyLog, Cuts, NoProof, VoteNotDurable
 
 ONE = Budget(timeouts=1, beats=0, commands=0, crashes=0, cuts=0)
--- a/tests/test_explore_orders.py
+++ b/tests/test_explore_orders.py
@@ -7,7 +7,7 @@
 import pytest
 
 from martenstep.lab.explore_orders import BreachError, Budget, Explorer
-from martenstep.maintenance.book import Answer, Book, Request, State
+from martenstep.maintenance.queue import Answer, Book, Request, State
 from tests.test_maintenance import DoneByAnybody, GivenUpAtOnce, LeaseFromAnswer, LeavesUnheard
 
 
--- a/tests/test_fault_counter.py
+++ b/tests/test_fault_counter.py
@@ -10,7 +10,7 @@
 import pytest
 
 from martenstep.counter.journal import Journal
-from martenstep.counter.read import each_try
+from martenstep.counter.log_inspection import each_try
 from martenstep.storage.files import FAULTS
 from tests.socket_rig import run
 from tests.test_counter_service import Desk, served
--- a/tests/test_fault_disks.py
+++ b/tests/test_fault_disks.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from martenstep.counter import frames as fr
+from martenstep.counter import protocol as fr
 from martenstep.counter.client import Journal
 
 
--- a/tests/test_fault_pauses.py
+++ b/tests/test_fault_pauses.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from martenstep.door.listener import MAX_ACCEPTS
+from martenstep.proxy.listener import MAX_ACCEPTS
 from tests.node_rig import SETTINGS, request
 from tests.socket_rig import Peer
 from tests.test_fault_clocks import Agent
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -14,9 +14,9 @@
 from martenstep.lab.fleet.records import Belief, Held, Truth, View, read_records, write_records
 from martenstep.lab.fleet.schedule import parse_schedule, steps_of
 from martenstep.lab.fleet.virtual import World
-from martenstep.members.gossip.core import Gossip
-from martenstep.members.gossip.facts import Fact, State, with_state
-from martenstep.members.gossip.wire import Keys
+from martenstep.membership.codec import Keys
+from martenstep.membership.core import Gossip
+from martenstep.membership.member_table import Fact, State, with_state
 
 FOLDER = Path(__file__).resolve().parents[1] / "days" / "fleet"
 QUICK = (
--- a/tests/test_formats_counter.py
+++ b/tests/test_formats_counter.py
@@ -6,10 +6,10 @@
 
 from google.protobuf.descriptor import Descriptor
 
-from martenstep.counter import counter_pb2, frames
-from martenstep.counter.book import Begin, Book, Done, Put, Seal, Try, entry
-from martenstep.counter.copied import CopiedCounter, asked
-from martenstep.counter.frames import (
+from martenstep.counter import counter_pb2
+from martenstep.counter import protocol as frames
+from martenstep.counter.pending_increments import Begin, Book, Done, Put, Seal, Try, entry
+from martenstep.counter.protocol import (
     Ack,
     Add,
     Entries,
@@ -24,6 +24,7 @@
     Total,
     Welcome,
 )
+from martenstep.counter.replicated_counter import CopiedCounter, asked
 from martenstep.counter.state import Counter, Limits
 
 STORED = Path(__file__).parent / "formats" / "counter"
--- a/tests/test_formats_counter_log.py
+++ b/tests/test_formats_counter_log.py
@@ -11,10 +11,10 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.counter.frames import Add, Record, Status, Stored, Total
+from martenstep.counter.commit_pipeline import Keeper
 from martenstep.counter.journal import Journal
-from martenstep.counter.keeper import Keeper
-from martenstep.counter.read import each_try, rebuilt, verify
+from martenstep.counter.log_inspection import each_try, rebuilt, verify
+from martenstep.counter.protocol import Add, Record, Status, Stored, Total
 from martenstep.counter.state import Counter, Limits
 from martenstep.storage.files import Disk
 
--- a/tests/test_formats_decision_trace.py
+++ b/tests/test_formats_decision_trace.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from martenstep import interface as api
+from martenstep.policy import messages as api
 from tests.decision_world import BLOCK, CLASSES, Scenario, World
 
 DIGESTS = Path(__file__).parent / "formats" / "decisions" / "trace_digests.json"
--- a/tests/test_formats_maintenance.py
+++ b/tests/test_formats_maintenance.py
@@ -17,8 +17,8 @@
 
 from martenstep.cli import maintenance as command
 from martenstep.cli.main import cli
-from martenstep.door.admin import Admin, DoorCollector
-from martenstep.maintenance.book import (
+from martenstep.maintenance.coordinator import GROUP, Look, Orders, Question, Report, View, view_of
+from martenstep.maintenance.queue import (
     Answer,
     Ask,
     Book,
@@ -40,7 +40,7 @@
     What,
     entry,
 )
-from martenstep.maintenance.orders import GROUP, Look, Orders, Question, Report, View, view_of
+from martenstep.proxy.admin import Admin, DoorCollector
 
 FORMATS = Path(__file__).parent / "formats" / "membership"
 LIMITS = Limits(3, 2, 0.75, True, False, 1000.0, 2000.0, 3000.0)
--- a/tests/test_formats_membership.py
+++ b/tests/test_formats_membership.py
@@ -19,13 +19,9 @@
 from martenstep.cli import members as command
 from martenstep.cli.main import cli
 from martenstep.config import door_pb2 as pb
-from martenstep.door.admin import Admin, DoorCollector
-from martenstep.members.gossip import identity, wire
-from martenstep.members.gossip.core import Address, Datagram, Dial, Event, Gossip, Settings
-from martenstep.members.gossip.driver import Membership
-from martenstep.members.gossip.facts import BUCKETS, Fact, State
-from martenstep.members.gossip.holders import holders
-from martenstep.members.gossip.wire import (
+from martenstep.membership import codec as wire
+from martenstep.membership import identity
+from martenstep.membership.codec import (
     Ack,
     Challenge,
     Done,
@@ -40,6 +36,11 @@
     Tell,
     Want,
 )
+from martenstep.membership.core import Address, Datagram, Dial, Event, Gossip, Settings
+from martenstep.membership.member_table import BUCKETS, Fact, State
+from martenstep.membership.ownership import holders
+from martenstep.membership.transport import Membership
+from martenstep.proxy.admin import Admin, DoorCollector
 from martenstep.storage.files import Disk
 
 FORMATS = Path(__file__).parent / "formats" / "membership"
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -15,10 +15,10 @@
 from google.protobuf.descriptor import Descriptor, EnumDescriptor, FileDescriptor
 
 from martenstep.config import door_pb2 as pb
-from martenstep.door import events as ev
-from martenstep.door.admin import Admin, DoorCollector
-from martenstep.door.daemon import Daemon
-from martenstep.door.http import STATUS, WORDS, own_answer
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.admin import Admin, DoorCollector
+from martenstep.proxy.daemon import Daemon
+from martenstep.proxy.headers import STATUS, WORDS, own_answer
 from tests.door_rig import Rig, settings
 from tests.hook_rig import HookRig, release
 from tests.socket_rig import Peer, get, house, run
--- a/tests/test_formats_replica_storage.py
+++ b/tests/test_formats_replica_storage.py
@@ -12,11 +12,11 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.replication import keeper
-from martenstep.replication.core import Write
-from martenstep.replication.keeper import DiskIdentity, copy_of, disk_identity
+from martenstep.replication import replica_manager as keeper
 from martenstep.replication.messages import Config, Entry, Kind, Snapshot, config_of, encode
-from martenstep.replication.store import Mark, Store, mark_of
+from martenstep.replication.raft import Write
+from martenstep.replication.replica_manager import DiskIdentity, copy_of, disk_identity
+from martenstep.replication.replica_storage import Mark, Store, mark_of
 from martenstep.storage import log
 from martenstep.storage.files import Disk
 from martenstep.storage.log import Writer, compact, open_log, read_records, records_of, write_snapshot
--- a/tests/test_formats_replica_views.py
+++ b/tests/test_formats_replica_views.py
@@ -10,12 +10,12 @@
 import msgspec
 
 from martenstep.cli.copies import COLUMNS, table
-from martenstep.members.gossip.wire import Keys
-from martenstep.replication.core import Role, Write
-from martenstep.replication.host import Host
-from martenstep.replication.keeper import Founder, Holding, Keeper, Place, copy_of
-from martenstep.replication.links import Links
+from martenstep.membership.codec import Keys
 from martenstep.replication.messages import Appended, GiveVote
+from martenstep.replication.raft import Role, Write
+from martenstep.replication.replica import Host
+from martenstep.replication.replica_manager import Founder, Holding, Keeper, Place, copy_of
+from martenstep.replication.transport import Links
 from tests.socket_rig import run
 from tests.test_replication_host import Sum
 
--- a/tests/test_formats_replication.py
+++ b/tests/test_formats_replication.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
-from martenstep.members.gossip.wire import Keys
-from martenstep.replication import links, messages
-from martenstep.replication.links import Envelope, Hello, Links, Sealed
+from martenstep.membership.codec import Keys
+from martenstep.replication import messages
+from martenstep.replication import transport as links
 from martenstep.replication.messages import (
     AmIIn,
     Append,
@@ -38,6 +38,7 @@
     message_of,
     word_of,
 )
+from martenstep.replication.transport import Envelope, Hello, Links, Sealed
 from tests.socket_rig import run
 
 CONFIG = Config((1, 1 << 52), (3,), ((1, "d1"), (1 << 52, "d2"), (3, "d3")))
--- a/tests/test_gossip_core.py
+++ b/tests/test_gossip_core.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
-from martenstep.members.gossip import wire
-from martenstep.members.gossip.core import Address, Datagram, Dial, Event, Gossip, Settings, Stage
-from martenstep.members.gossip.facts import BUCKETS, Fact, State, Table, with_state
-from martenstep.members.gossip.holders import holders
-from martenstep.members.gossip.spreading import Spread, suspicion_ms
-from martenstep.members.gossip.wire import Keys
+from martenstep.membership import codec as wire
+from martenstep.membership.codec import Keys
+from martenstep.membership.core import Address, Datagram, Dial, Event, Gossip, Settings, Stage
+from martenstep.membership.dissemination import Spread, suspicion_ms
+from martenstep.membership.member_table import BUCKETS, Fact, State, Table, with_state
+from martenstep.membership.ownership import holders
 
 KEY, OTHER = b"k" * 32, b"o" * 32
 AT = 1000.0
--- a/tests/test_hooks_points.py
+++ b/tests/test_hooks_points.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from martenstep.door import events as ev
-from martenstep.door.events import Ending
 from martenstep.hooks.runner import Limits
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.engine_messages import Ending
 from tests.door_rig import QUIET, START, head
 from tests.hook_rig import HookRig, release, words
 
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from martenstep.door.loop_lag import STALL_S, LagSelector
-from martenstep.door.wires import SAME_ARRIVAL_MS, WatchedReader
+from martenstep.proxy.loop_lag import STALL_S, LagSelector
+from martenstep.proxy.transport import SAME_ARRIVAL_MS, WatchedReader
 from tests.socket_rig import run
 
 FOUND: list[tuple[selectors.SelectorKey, int]] = [(selectors.SelectorKey(0, 0, 0, None), 1)]
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from martenstep.lab.fleet.orders import BrokenError, Play
-from martenstep.maintenance import rule
-from martenstep.maintenance.agent import Agent, AskDone, AskStart, Leave, Step, Touchable
-from martenstep.maintenance.book import (
+from martenstep.maintenance import admission_rules as rule
+from martenstep.maintenance.lease_holder import Agent, AskDone, AskStart, Leave, Step, Touchable
+from martenstep.maintenance.queue import (
     Answer,
     Ask,
     Book,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,12 +15,12 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.settings import parse_door
 from martenstep.config.text import Faults
-from martenstep.door.admin import Admin, DoorCollector
 from martenstep.lab.fleet.rig import ask
-from martenstep.members.gossip import identity
-from martenstep.members.gossip.driver import Membership
-from martenstep.members.gossip.facts import State
-from martenstep.members.gossip.keys import KeyFileError, read_keys
+from martenstep.membership import identity
+from martenstep.membership.keys import KeyFileError, read_keys
+from martenstep.membership.member_table import State
+from martenstep.membership.transport import Membership
+from martenstep.proxy.admin import Admin, DoorCollector
 from martenstep.storage.files import FAULTS, Disk
 from tests.door_rig import DOOR
 from tests.socket_rig import run
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -17,13 +17,13 @@
 
 import pytest
 
-from martenstep.door import driver
-from martenstep.door.driver import TURNED_AWAY, YOUNG_MS, Client
-from martenstep.door.events import Ending
-from martenstep.door.listener import MAX_ACCEPTS
-from martenstep.door.wires import GONE, READ_BYTES, Pool, now_ms
 from martenstep.node.config import REST_MS, DrainPlan
 from martenstep.node.discovery import Discovery, Follower
+from martenstep.proxy import server as driver
+from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.listener import MAX_ACCEPTS
+from martenstep.proxy.server import TURNED_AWAY, YOUNG_MS, Client
+from martenstep.proxy.transport import GONE, READ_BYTES, Pool, now_ms
 from tests.node_rig import SETTINGS, request, target
 from tests.socket_rig import Back, Peer, Script, run
 from tests.test_node_door import Place, place, serves
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep.door.driver import YOUNG_MS
 from martenstep.node.config import DrainPlan, load_config
 from martenstep.node.daemon import Node
+from martenstep.proxy.server import YOUNG_MS
 from tests.node_rig import raw, request, target
 from tests.socket_rig import Back, Peer, Script, run
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from martenstep.replication.messages import Config
-from martenstep.replication.placing import Away, Change, HandOver, Invite, learning, next_step, wanted
+from martenstep.replication.placement import Away, Change, HandOver, Invite, learning, next_step, wanted
 
 PLACES = [f"d{number}" for number in range(7)]
 
--- a/tests/test_promised.py
+++ b/tests/test_promised.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from martenstep.door import events as ev
 from martenstep.lab.rules import Traffic, Try, Visit, recorded
+from martenstep.proxy import engine_messages as ev
 from tests.socket_rig import Peer, get, house, run
 from tests.test_sockets import good
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -10,7 +10,6 @@
 import pytest
 
 from martenstep.lab.fleet.groups import BrokenError, Group, Plan
-from martenstep.replication.core import Committed, Copy, Kept, Role, Send, Settings, Write
 from martenstep.replication.messages import (
     Append,
     Appended,
@@ -27,6 +26,7 @@
     encode,
     message_of,
 )
+from martenstep.replication.raft import Committed, Copy, Kept, Role, Send, Settings, Write
 
 GROUP = Config((1, 2, 3))
 NOW = 10_000.0
--- a/tests/test_replication_store.py
+++ b/tests/test_replication_store.py
@@ -8,9 +8,9 @@
 import msgspec
 import pytest
 
-from martenstep.replication.core import Kept, Write
 from martenstep.replication.messages import Config, Entry, Kind, Snapshot
-from martenstep.replication.store import (
+from martenstep.replication.raft import Kept, Write
+from martenstep.replication.replica_storage import (
     IDENTITY,
     SLOT,
     WITNESS,
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from martenstep.door.wires import Pool
+from martenstep.proxy.transport import Pool
 from tests.socket_rig import Peer, get, house, run
 
 
@@ -672,7 +672,7 @@
 
 KILLED = """
 import asyncio, sys
-from martenstep.door.wires import Pool
+from martenstep.proxy.transport import Pool
 
 async def main():
     pool = Pool(1, 1000.0, lambda where, why: None)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martenstep.members.start_times import LISTED_LATE_MS, MAX_FORGOTTEN, StartTimes
+from martenstep.policy.start_times import LISTED_LATE_MS, MAX_FORGOTTEN, StartTimes
 
 NOW, REPORTED = 90_000.0, 1_700_000_000_000.0
 HOUR_MS = 3_600_000.0
--- a/tests/test_step_watch.py
+++ b/tests/test_step_watch.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from martenstep.door.step_watch import MAX_READING_MS, MIN_STEP_MS, READINGS, StepWatch
+from martenstep.proxy.clock_step_detector import MAX_READING_MS, MIN_STEP_MS, READINGS, StepWatch
 
 
 class Clocks:
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -13,7 +13,6 @@
 from click.testing import CliRunner
 from google.protobuf import text_format
 
-from martenstep import decide, quota
 from martenstep.cli.main import cli
 from martenstep.config.text import Faults
 from martenstep.lab import day_pb2 as pb
@@ -22,6 +21,8 @@
 from martenstep.lab.emulate.doors import Connection, EmuDoor
 from martenstep.lab.experiment import sweep
 from martenstep.lab.rules import ANSWERED, CEILINGS, CHECKED, COLD, DOUBLE, DRAINS, INVENTED
+from martenstep.policy import gateway as decide
+from martenstep.policy import quota
 from martenstep.standins.photo import Fall
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -8,9 +8,9 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.door.events import Headers
-from martenstep.door.targets import Declined, Taken, Targets, split_authority
-from martenstep.door.wire.asking import Asking
+from martenstep.proxy.engine_messages import Headers
+from martenstep.proxy.http1.client_connection import Asking
+from martenstep.proxy.targets import Declined, Taken, Targets, split_authority
 
 HOST: Headers = [(b"host", b"a.example"), (b"accept", b"*/*")]
 TABLE: list[tuple[bytes, bytes, int | tuple[bytes, bytes]]] = [
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -9,9 +9,9 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.door import events as ev
-from martenstep.door.events import Ending
-from martenstep.door.traces import Exporter, Sampler, Trace
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.traces import Exporter, Sampler, Trace
 from tests.door_rig import Rig, head
 from tests.test_auth_door import Door
 
--- a/tests/test_wire_readers.py
+++ b/tests/test_wire_readers.py
@@ -11,10 +11,10 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.door.wire.asking import Asking
-from martenstep.door.wire.heads import AnswerHead, Fault, Headers, RequestHead
-from martenstep.door.wire.readers import AnswerReader, Data, End, Gone, RequestReader
-from martenstep.door.wire.writing import UnwritableError
+from martenstep.proxy.http1.client_connection import Asking
+from martenstep.proxy.http1.message_head import AnswerHead, Fault, Headers, RequestHead
+from martenstep.proxy.http1.message_reader import AnswerReader, Data, End, Gone, RequestReader
+from martenstep.proxy.http1.message_writer import UnwritableError
 
 BOUND = 2000
 HOST = b"Host: h\r\n"
