--- a/bench/limiters.py
+++ b/bench/limiters.py
@@ -100,11 +100,11 @@
     def __init__(self, number: int, kind: str, ports: list[int], scripts: bool) -> None:
         super().__init__()
         plan = api.Plan("studio", RATE, BURST, ceiling_rate=CEILING, ceiling_burst=CEILING, ceiling_slack=SLACK)
-        cls = api.RequestClass("read", 1000.0, 4000.0, api.Idempotency.SAFE)
+        cls = api.RequestClass("read", 1000.0, 4000.0, api.Idempotency.IDEMPOTENT)
         self.gateway = Gateway(
             api.Settings(
-                me=number,
-                gateways=DOORS,
+                instance=number,
+                instances=DOORS,
                 zone="a",
                 tick_ms=2.0,
                 classes=(cls,),
@@ -113,11 +113,11 @@
                 counter_timeout_ms=TIMEOUT_MS,
                 max_attempts=3,
                 can_cancel=True,
-                retry_after=True,
-                cold_from=1.0,
-                warm_within_ms=0.0,
-                fall_multiple=1.0,
-                fall_window_ms=0.0,
+                sends_retry_after=True,
+                slow_start_initial_share=1.0,
+                slow_start_window_ms=0.0,
+                overload_multiple=1.0,
+                overload_window_ms=0.0,
                 answer_slack_ms=8.0,
             ),
             number,
@@ -139,7 +139,7 @@
     async def start(self) -> None:
         self.store.start()
         servers = tuple(api.Endpoint(n, "a", "std", 0, api.EndpointState.UP) for n in range(1, 9))
-        self._act(self.gateway.handle(self._now(), api.EndpointListUpdate(api.EndpointListScope.WARM_COPY, servers)))
+        self._act(self.gateway.handle(self._now(), api.EndpointListUpdate(api.EndpointListScope.CACHED, servers)))
 
     async def stop(self) -> None:
         await self.store.stop()
@@ -169,8 +169,8 @@
             match action:
                 case api.IncrementCounter():
                     self.calls += 1
-                    self._names[self.calls] = action.name, self._now()
-                    self.store.add(self.calls, action.name, action.units, action.expire_ms, action.proof)
+                    self._names[self.calls] = action.key, self._now()
+                    self.store.add(self.calls, action.key, action.units, action.expire_ms, action.bounds_ceiling)
                 case api.StartAttempt():
                     if action.id in self._waiting:
                         self._waiting.pop(action.id).set_result(True)
@@ -182,7 +182,7 @@
 
     def _ended(self, send: api.StartAttempt) -> None:
         self._act(
-            self.gateway.handle(self._now(), api.AttemptEnded(send.id, 0, send.server, api.CallResult.OK, 20.0, True))
+            self.gateway.handle(self._now(), api.AttemptEnded(send.id, 0, send.endpoint, api.CallResult.OK, 20.0, True))
         )
 
     def _due(self, token: int) -> None:
--- a/martenstep/config/settings.py
+++ b/martenstep/config/settings.py
@@ -14,7 +14,11 @@
 from martenstep.config.text import Fault, Faults, M, Node, parse
 from martenstep.policy import messages as api
 
-EFFECTS = {pb.SAFE: api.Idempotency.SAFE, pb.KEYED: api.Idempotency.KEYED, pb.UNSAFE: api.Idempotency.UNSAFE}
+EFFECTS = {
+    pb.SAFE: api.Idempotency.IDEMPOTENT,
+    pb.KEYED: api.Idempotency.KEYED,
+    pb.UNSAFE: api.Idempotency.AT_MOST_ONCE,
+}
 GROUPS = {
     pb.ALL: api.DeduplicationScope.ALL,
     pb.ZONE: api.DeduplicationScope.ZONE,
@@ -513,12 +517,12 @@
     """A class in the module's terms."""
     return api.RequestClass(
         name=entry.name,
-        aim_ms=entry.aim_ms,
+        latency_objective_ms=entry.aim_ms,
         deadline_ms=entry.deadline_ms,
-        effect=EFFECTS[entry.effect],
-        group=GROUPS[entry.group],
-        window_ms=entry.window_ms,
-        worth=entry.worth,
+        idempotency=EFFECTS[entry.effect],
+        deduplication_scope=GROUPS[entry.group],
+        deduplication_window_ms=entry.window_ms,
+        priority_weight=entry.worth,
     )
 
 
@@ -528,10 +532,10 @@
         name=entry.name,
         rate=entry.rate,
         burst=entry.burst,
-        open_limit=entry.open_limit,
-        price=entry.price,
-        over_worth=entry.over_worth,
-        over_cost=entry.over_cost,
+        concurrency_limit=entry.open_limit,
+        priority_weight=entry.price,
+        over_quota_value=entry.over_worth,
+        over_quota_cost=entry.over_cost,
         ceiling_rate=entry.ceiling_rate,
         ceiling_burst=entry.ceiling_burst,
         ceiling_slack=entry.ceiling_slack,
@@ -542,8 +546,8 @@
     """What the module is told at its start."""
     rules = door.rules
     return api.Settings(
-        me=door.instance,
-        gateways=door.instances,
+        instance=door.instance,
+        instances=door.instances,
         zone=door.zone,
         tick_ms=TICK_MS,
         classes=tuple(class_of(entry) for entry in getattr(door, "class")),
@@ -553,14 +557,14 @@
         max_units=door.max_units,
         max_attempts=door.upstream.max_attempts,
         can_cancel=door.upstream.cancel,
-        retry_after=True,
+        sends_retry_after=True,
         max_retry_after_ms=door.max_retry_after_ms,
         must_subscribe=True,
-        ask_within_ms=0.0,
+        poll_interval_ms=0.0,
         answer_slack_ms=rules.answer_slack_ms,
-        cold_from=rules.cold_from,
-        warm_within_ms=rules.warm_within_ms,
-        fall_multiple=rules.fall_multiple,
-        fall_window_ms=rules.fall_window_ms,
-        sized=True,
+        slow_start_initial_share=rules.cold_from,
+        slow_start_window_ms=rules.warm_within_ms,
+        overload_multiple=rules.fall_multiple,
+        overload_window_ms=rules.fall_window_ms,
+        has_capacity_weights=True,
     )
--- a/martenstep/counter/client.py
+++ b/martenstep/counter/client.py
@@ -130,7 +130,7 @@
 
         The proof begins with the connection: another one may lead to a service that was promoted, or lost its tail."""
         if len(self._out) >= self._bound:
-            self._answer(call, CallResult.FULL, 0.0, 0.0)
+            self._answer(call, CallResult.OVERLOADED, 0.0, 0.0)
             return
         sequence = self._next()
         self._calls[sequence] = call
@@ -290,7 +290,7 @@
             good = reply.status in (Status.DONE, Status.REPEATED)
             self._answer(
                 call,
-                CallResult.OK if good else CallResult.FULL,
+                CallResult.OK if good else CallResult.OVERLOADED,
                 reply.total,
                 (time.monotonic() - self._welcomed) * 1000,
             )
--- a/martenstep/discovery/feed.py
+++ b/martenstep/discovery/feed.py
@@ -98,7 +98,7 @@
         else:
             self._entries.update(listed)
         self.index = answer.index
-        scope = EndpointListScope.FULL if answer.scope == "full" else EndpointListScope.CHANGES
+        scope = EndpointListScope.FULL if answer.scope == "full" else EndpointListScope.DELTA
         return self._told(scope, listed, answer.now_unix_ms, now, unseen_ms), odd
 
     def _told(
@@ -135,7 +135,7 @@
         except msgspec.DecodeError as error:
             raise FeedError(f"warm copy: {error}") from None
         self._entries = {entry.id: entry for entry in answer.servers}
-        listed = self._told(EndpointListScope.WARM_COPY, self._entries, now_unix_ms, now)
+        listed = self._told(EndpointListScope.CACHED, self._entries, now_unix_ms, now)
         self._starts = StartTimes()  # its ages rest on two wall clocks; the feed's answer has both times of one
         return listed
 
@@ -160,7 +160,7 @@
 
     def warm(self) -> None:
         """Tell the list as last held; an empty one where there is none."""
-        listed = Listed(EndpointListScope.WARM_COPY)
+        listed = Listed(EndpointListScope.CACHED)
         if self._path is not None:
             try:
                 listed = self._follower.warm(self._path.read_bytes(), self._clock(), time.time() * 1000)
--- a/martenstep/hooks/border.py
+++ b/martenstep/hooks/border.py
@@ -145,11 +145,14 @@
 
 def may_become(before: RequestClass, after: RequestClass) -> bool:
     """Whether a request of one class may be handled as of another: never one that lets more of it be repeated."""
-    if after.effect is Idempotency.UNSAFE or after == before:
+    if after.idempotency is Idempotency.AT_MOST_ONCE or after == before:
         return True
-    if after.effect is not before.effect:
+    if after.idempotency is not before.idempotency:
         return False
-    return after.effect is Idempotency.SAFE or (after.group is before.group and after.window_ms <= before.window_ms)
+    return after.idempotency is Idempotency.IDEMPOTENT or (
+        after.deduplication_scope is before.deduplication_scope
+        and after.deduplication_window_ms <= before.deduplication_window_ms
+    )
 
 
 def placed(made: Any, before: Placed, bounds: Bounds) -> Placed:
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -494,9 +494,7 @@
 
     def warm(self, body: bytes | None) -> None:
         """The list as last held."""
-        self.act(
-            self.follower.warm(body, self._sim.now, self._sim.now) if body else Listed(EndpointListScope.WARM_COPY)
-        )
+        self.act(self.follower.warm(body, self._sim.now, self._sim.now) if body else Listed(EndpointListScope.CACHED))
 
     def feed_lost(self) -> None:
         """The feed cannot be reached."""
--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -84,7 +84,7 @@
         name, asked = self.calls.pop(call)
         now = time.monotonic()
         self.verdicts[verdict.name] += 1
-        if verdict is CallResult.CONNECT_FAILED or verdict is CallResult.FULL:
+        if verdict is CallResult.CONNECT_FAILED or verdict is CallResult.OVERLOADED:
             self.sent[name] -= 1  # it never left
         if verdict is CallResult.OK:
             if total <= self.acknowledged[name]:
--- a/martenstep/lab/rules.py
+++ b/martenstep/lab/rules.py
@@ -419,7 +419,7 @@
                         (before.at, after.at, before.end),
                     )
             risky = [visit for visit in visits if visit.how != "refused"]
-            if effect is not Idempotency.SAFE and len(risky) > 1:
+            if effect is not Idempotency.IDEMPOTENT and len(risky) > 1:
                 first = risky[0]
                 for after in risky[1:]:
                     allowed = (
@@ -445,7 +445,7 @@
                             (first.at, after.at),
                         )
             answer = next((end for end in tried.ends if end["what"] == "answer"), None)
-            harmless = effect is Idempotency.SAFE or (
+            harmless = effect is Idempotency.IDEMPOTENT or (
                 effect is Idempotency.KEYED and GROUPS[cls.group] is DeduplicationScope.ALL
             )
             if answer and answer["status"] in REFUSED and risky and not harmless:
--- a/martenstep/node/config.py
+++ b/martenstep/node/config.py
@@ -164,26 +164,29 @@
         if not isinstance(name, str):
             raise ConfigError(f"settings: expected a name of a zone, class or plan, got {name!r}")
     least = [
-        (settings.gateways, "instances", 1.0),
-        (settings.me, "me", 0.0),
+        (settings.instances, "instances", 1.0),
+        (settings.instance, "me", 0.0),
         (settings.max_attempts, "try_limit", 1.0),
         (settings.counter_timeout_ms, "counter_timeout_ms", 0.0),
-        (settings.warm_within_ms, "warm_within_ms", 0.0),
-        (settings.fall_window_ms, "overload_for_ms", 0.0),
-        (settings.cold_from, "cold_from", 0.0),
+        (settings.slow_start_window_ms, "warm_within_ms", 0.0),
+        (settings.overload_window_ms, "overload_for_ms", 0.0),
+        (settings.slow_start_initial_share, "cold_from", 0.0),
         (settings.tick_ms, "tick_ms", 0.0),
     ]
-    above = [(settings.max_units, "max_units"), (settings.fall_multiple, "fall_multiple")]
+    above = [(settings.max_units, "max_units"), (settings.overload_multiple, "fall_multiple")]
     for cls in settings.classes:
-        above += [(cls.aim_ms, f"classes[{cls.name}].slo_ms"), (cls.deadline_ms, f"classes[{cls.name}].deadline_ms")]
-        least += [(cls.window_ms, f"classes[{cls.name}].window_ms", 0.0)]
+        above += [
+            (cls.latency_objective_ms, f"classes[{cls.name}].slo_ms"),
+            (cls.deadline_ms, f"classes[{cls.name}].deadline_ms"),
+        ]
+        least += [(cls.deduplication_window_ms, f"classes[{cls.name}].window_ms", 0.0)]
     for plan in settings.plans:
         least += [
             (value, f"contracts[{plan.name}].{name}", 0.0)
             for value, name in (
                 (plan.rate, "units_per_s"),
                 (plan.burst, "most_at_once"),
-                (plan.open_limit, "open"),
+                (plan.concurrency_limit, "open"),
                 (plan.ceiling_rate, "hard_rate"),
                 (plan.ceiling_burst, "cap_depth"),
                 (plan.ceiling_slack, "tolerance"),
--- a/martenstep/node/counter.py
+++ b/martenstep/node/counter.py
@@ -69,7 +69,7 @@
         first, line = data[:1], bytes(data[1:end])
         if first == b"-":  # -BUSY and -ERR: nothing was added
             del data[: end + 2]
-            return CallResult.FULL, 0.0
+            return CallResult.OVERLOADED, 0.0
         if first != b"$" or not line.isdigit() or int(line) > LINE_BYTES:
             raise UnreadableError("not a total")
         size, start = int(line), end + 2
@@ -181,7 +181,7 @@
         link = min(links, key=lambda one: len(one.lane.out), default=None)
         if link is None or len(link.lane.out) >= LANE_CALLS:
             # Told after this turn of the loop: the module is in the midst of what made it ask.
-            verdict = CallResult.CONNECT_FAILED if link is None else CallResult.FULL
+            verdict = CallResult.CONNECT_FAILED if link is None else CallResult.OVERLOADED
             asyncio.get_running_loop().call_soon(self.tell, call, verdict, 0.0)
             return
         if not link.lane.out:
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -150,11 +150,11 @@
         if listed.scope is EndpointListScope.FULL:
             self._first_list.set()
         starts = {server.id: server.started_ms for server in listed.servers}
-        concerned = starts if listed.scope is EndpointListScope.CHANGES else self.engine.addresses
+        concerned = starts if listed.scope is EndpointListScope.DELTA else self.engine.addresses
         before = {number: self.engine.addresses[number] for number in concerned if number in self.engine.addresses}
         started_before = {number: self._started.get(number, math.inf) for number in before}
         self.driver.act(listed)
-        if listed.scope is not EndpointListScope.CHANGES:
+        if listed.scope is not EndpointListScope.DELTA:
             self._started.clear()
         self._started.update(starts)
         for number in [*before, *starts]:
@@ -172,11 +172,11 @@
         """The list as last had, maybe old.  By the follower that goes on from it: a number that named another server
         once discovery's list comes would have its attempts, its latency and its place in the books."""
         try:
-            known = self._follower.told(self.config.known, EndpointListScope.WARM_COPY)
+            known = self._follower.told(self.config.known, EndpointListScope.CACHED)
         except DiscoveryError as error:
             self._notes.note("known list not taken up", {"error": str(error)})
             known = None
-        self.driver.act(known if known is not None else Listed(EndpointListScope.WARM_COPY))
+        self.driver.act(known if known is not None else Listed(EndpointListScope.CACHED))
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -42,7 +42,7 @@
 IPV4 = re.compile(rf"(?:{_OCTET}\.){{3}}{_OCTET}", re.ASCII)  # the usual address, as the library would write it
 ANSWER_BYTES = 4 << 20  # of one answer: thousands of backends
 REFUSED = (429, 503)
-STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
+STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -205,7 +205,7 @@
     def doubted(self) -> Listed:
         """The same where any of them may be draining: none takes anything new."""
         return Listed(
-            EndpointListScope.CHANGES,
+            EndpointListScope.DELTA,
             tuple(replace(server, state=EndpointState.DRAINING) for server in self._servers.values()),
             dict(self.addresses),
         )
@@ -245,9 +245,7 @@
         servers = self._apply(entries, whole)
         self._starts.trim(self._numbers)
         told_of = {server.id: self.addresses[server.id] for server in servers if server.id in self.addresses}
-        return Listed(
-            scope or (EndpointListScope.FULL if whole else EndpointListScope.CHANGES), tuple(servers), told_of
-        )
+        return Listed(scope or (EndpointListScope.FULL if whole else EndpointListScope.DELTA), tuple(servers), told_of)
 
     def _apply(self, entries: list[_Entry], whole: bool) -> list[Endpoint]:
         """Take in entries that were all read.  The cost is that of the entries, not that of the fleet."""
@@ -262,7 +260,7 @@
                 number = self._last
             server = Endpoint(number, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_ms)
             servers.append(server)
-            if server.state is EndpointState.GONE:  # one that comes back, in this answer too, is another
+            if server.state is EndpointState.REMOVED:  # one that comes back, in this answer too, is another
                 self._numbers.pop(entry.uid, None)
                 self.addresses.pop(number, None)
                 self._servers.pop(number, None)
--- a/martenstep/node/protocol.py
+++ b/martenstep/node/protocol.py
@@ -78,7 +78,7 @@
     def __init__(self, settings: api.Settings, clock: Callable[[], float]) -> None:
         self._classes = {cls.name.encode(): cls for cls in settings.classes}
         self._plans = {plan.name.encode(): plan for plan in settings.plans}
-        self._doors, self._most_units = settings.gateways, settings.max_units
+        self._doors, self._most_units = settings.instances, settings.max_units
         self._ids = Ids(clock, max((cls.deadline_ms for cls in settings.classes), default=0.0) + IDS_SPARE_MS)
         self.ready = False
 
@@ -113,8 +113,8 @@
         number = int(customer, 16)
         if number >= MOST_CUSTOMER:
             return Unroutable(400, "bad customer")
-        keyed = cls.effect is Idempotency.KEYED
-        if cls.effect is Idempotency.SAFE:
+        keyed = cls.idempotency is Idempotency.KEYED
+        if cls.idempotency is Idempotency.IDEMPOTENT:
             if method != b"GET" or length or coded:
                 return Unroutable(400, "bad method")
         elif method != b"POST" or (keyed and TOKEN.fullmatch(told.get(KEY, b"")) is None):
@@ -159,7 +159,7 @@
                     return CallResult.ERROR  # it would be read to its end, and is nobody's answer
             return CallResult.OK
         if status in (503, 504) and (NEVER_RAN, b"1") in headers:
-            return CallResult.FULL
+            return CallResult.OVERLOADED
         return CallResult.ERROR
 
 
--- a/martenstep/policy/gateway.py
+++ b/martenstep/policy/gateway.py
@@ -126,7 +126,7 @@
         self._settings, self._rng = settings, rng
         self._peers: dict[int, Peer] = {}
         self._up: list[Peer] = []
-        self._aim = min((c.aim_ms for c in settings.classes), default=SECOND_MS)
+        self._aim = min((c.latency_objective_ms for c in settings.classes), default=SECOND_MS)
         self._mean = GUESS_OF_AIM * self._aim
         self._sent, self._sent_at = 0.0, 0.0
         self._began = math.inf  # time of the first send
@@ -139,15 +139,15 @@
 
     def members(self, event: EndpointListUpdate) -> None:
         """Take in a list: whole ones replace, changes apply to what is held."""
-        if event.scope is EndpointListScope.CHANGES:
-            for server in event.servers:
+        if event.scope is EndpointListScope.DELTA:
+            for server in event.endpoints:
                 self._change(server)
             return
-        listed = {server.id: server for server in event.servers}
-        if event.scope in (EndpointListScope.FULL, EndpointListScope.WARM_COPY):
+        listed = {server.id: server for server in event.endpoints}
+        if event.scope in (EndpointListScope.FULL, EndpointListScope.CACHED):
             for key in self._peers:
                 if key not in listed:
-                    self._peers[key].info = replace(self._peers[key].info, state=EndpointState.GONE)
+                    self._peers[key].info = replace(self._peers[key].info, state=EndpointState.REMOVED)
         for key, server in listed.items():
             peer = self._peers.get(key)
             if peer is None:
@@ -157,7 +157,7 @@
                 fresh = self._peers[key] = Peer(server, peer.rank)
                 fresh.out, fresh.base = peer.out, peer.base
             self._peers[key].info = server
-        self._peers = {k: p for k, p in self._peers.items() if p.info.state is not EndpointState.GONE or p.out}
+        self._peers = {k: p for k, p in self._peers.items() if p.info.state is not EndpointState.REMOVED or p.out}
         self._up = [p for p in self._peers.values() if p.info.state is EndpointState.UP]
         self._up.sort(key=lambda p: p.rank)
         self._bounds()
@@ -174,16 +174,16 @@
                 fresh.out, fresh.base = peer.out, peer.base
                 peer = fresh
             peer.info = server
-        if server.state is EndpointState.GONE and not peer.out:
+        if server.state is EndpointState.REMOVED and not peer.out:
             self._peers.pop(server.id, None)
             return
         self._peers[server.id] = peer
         if server.state is EndpointState.UP:
             insort(self._up, peer, key=by_rank)
             # Bounds that are too wide only look at more than is needed; _bounds narrows them again.
-            self._low, self._largest = min(self._low, peer.base or math.inf), max(self._largest, server.size)
+            self._low, self._largest = min(self._low, peer.base or math.inf), max(self._largest, server.capacity)
             if server.started_ms > 0:
-                self._warm_at = max(self._warm_at, server.started_ms + self._settings.warm_within_ms)
+                self._warm_at = max(self._warm_at, server.started_ms + self._settings.slow_start_window_ms)
 
     def _take_out(self, peer: Peer) -> None:
         """Take a server out of the order of the aperture, if it is in it."""
@@ -197,9 +197,9 @@
     def _bounds(self) -> None:
         """No server's base is known to be below the one, none is larger, none cold after the third."""
         self._low = min((p.base for p in self._up if p.base), default=math.inf)
-        self._largest, self._heard = max((p.info.size for p in self._up), default=1.0), 0
+        self._largest, self._heard = max((p.info.capacity for p in self._up), default=1.0), 0
         started = max((p.info.started_ms for p in self._up), default=0.0)
-        self._warm_at = started + self._settings.warm_within_ms if started > 0 else -math.inf
+        self._warm_at = started + self._settings.slow_start_window_ms if started > 0 else -math.inf
 
     def _step_back(self, now: float, peer: Peer) -> None:
         """To any place behind the aperture: memory of a bad server by what was tried since, not by time.  Not
@@ -215,7 +215,7 @@
 
     def _part(self) -> float:
         """This gateway's part of what the servers bear of all gateways' attempts."""
-        return LIMIT_START * len(self._up) / self._settings.gateways
+        return LIMIT_START * len(self._up) / self._settings.instances
 
     def _pace(self, now: float) -> float:
         """Own sends per millisecond, without the lag of a fresh start: a restarted gateway of few would else
@@ -253,7 +253,7 @@
         """Latency without a queue, and the queue's delay; news of a queue fades, lest a server be shunned for
         a queue that is long gone."""
         if not peer.base:
-            return self._mean / max(peer.info.size, 0.1), 0.0
+            return self._mean / max(peer.info.capacity, 0.1), 0.0
         queue = max(peer.latency - peer.base, 0.0)
         if queue:
             queue *= math.exp((peer.timed - now) / max(QUEUE_TAU_MS, QUEUE_TIMES * queue))
@@ -277,12 +277,12 @@
         """The least time between sends to a server that is cold; 0 for a warm one."""
         s = self._settings
         age = now - peer.info.started_ms
-        if peer.info.started_ms <= 0 or age >= s.warm_within_ms:
+        if peer.info.started_ms <= 0 or age >= s.slow_start_window_ms:
             return 0.0
-        part = s.cold_from + (1 - s.cold_from) * max(age, 0.0) / s.warm_within_ms
+        part = s.slow_start_initial_share + (1 - s.slow_start_initial_share) * max(age, 0.0) / s.slow_start_window_ms
         usual = self.send_rate(now) / max(1, len(self._up))
-        least = COLD_LEAST / max(s.fall_window_ms, SECOND_MS) / s.gateways
-        return 1 / max(COLD_SAFETY * s.fall_multiple * part * usual, least)
+        least = COLD_LEAST / max(s.overload_window_ms, SECOND_MS) / s.instances
+        return 1 / max(COLD_SAFETY * s.overload_multiple * part * usual, least)
 
     def _may_warm(self, now: float, peer: Peer) -> bool:
         """Whether a cold server's turn has come.  The first turn is spread over the gap by chance: every
@@ -352,19 +352,19 @@
 
     def outcome(self, now: float, event: AttemptEnded, aim: float) -> None:
         """Learn from how an attempt ended."""
-        peer = self._peers.get(event.server)
+        peer = self._peers.get(event.endpoint)
         self._out -= 1
         if peer is None:
             return
         since = peer.out.pop((event.id, event.attempt), now)
-        bad = event.verdict not in (CallResult.OK, CallResult.MOOT, CallResult.CANCELLED)
-        self._unmet += POOL_GAIN * ((event.verdict is CallResult.CONNECT_FAILED) - self._unmet)
-        if event.verdict in (CallResult.OK, CallResult.ERROR, CallResult.FULL):
+        bad = event.result not in (CallResult.OK, CallResult.NOT_SENT, CallResult.CANCELLED)
+        self._unmet += POOL_GAIN * ((event.result is CallResult.CONNECT_FAILED) - self._unmet)
+        if event.result in (CallResult.OK, CallResult.ERROR, CallResult.OVERLOADED):
             peer.answered = now
-        if event.verdict is CallResult.OK:
+        if event.result is CallResult.OK:
             rtt = event.rtt_ms
             if not peer.base:
-                peer.base = peer.latency = self._mean / max(peer.info.size, 0.1)
+                peer.base = peer.latency = self._mean / max(peer.info.capacity, 0.1)
             gain = BASE_GAIN_DOWN if rtt < peer.base else BASE_GAIN_UP
             peer.base += max(gain, 1 / (peer.answers + BASE_PRIOR)) * (rtt - peer.base)
             self._low, self._heard = min(self._low, peer.base), self._heard + 1
@@ -383,15 +383,15 @@
             elif self._out + 1 >= limit:  # only a limit that was reached is known to be borne
                 self._more += 1 / max(limit, 1.0)
             self._mean += (BASE_GAIN_DOWN if rtt < self._mean else BASE_GAIN_UP) / 2 * (rtt - self._mean)
-        elif event.verdict is CallResult.FULL:
+        elif event.result is CallResult.OVERLOADED:
             # Its answer comes at once: without this a full server would look idle and draw all traffic.
             self._jammed(now, peer, self._aim)
-        elif event.verdict is CallResult.TIMEOUT and since >= peer.proven:  # else of its connection only
+        elif event.result is CallResult.TIMEOUT and since >= peer.proven:  # else of its connection only
             if not self.calm(now):
                 self._latency += POOL_GAIN * (min(event.rtt_ms / aim, 1.0) - self._latency)
                 self._more = max((self._more - self._part()) / 2, -self._part() / 2)
             self._jammed(now, peer, event.rtt_ms)
-        if event.verdict not in (CallResult.MOOT, CallResult.CANCELLED):
+        if event.result not in (CallResult.NOT_SENT, CallResult.CANCELLED):
             peer.judge(now, bad)
             if bad:
                 self._step_back(now, peer)
@@ -440,7 +440,7 @@
         self._jobs: dict[str, Job] = {}
         self._wakes: dict[int, Ledger | tuple[str, int, float]] = {}
         self._token = 0
-        self._retries = self._saved = 1 + RETRY_SAVED / settings.gateways
+        self._retries = self._saved = 1 + RETRY_SAVED / settings.instances
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Decide on one event."""
@@ -459,10 +459,7 @@
                 self._quota.clock_stepped(now, event.shift_ms)
             case EndpointListUpdate():
                 self._fleet.members(event)
-                if (
-                    event.scope in (EndpointListScope.WARM_COPY, EndpointListScope.LOST)
-                    and self._settings.must_subscribe
-                ):
+                if event.scope in (EndpointListScope.CACHED, EndpointListScope.LOST) and self._settings.must_subscribe:
                     return [Subscribe()]
         return []
 
@@ -488,19 +485,19 @@
         return SetTimer(at, self._token)
 
     def _request(self, now: float, event: Request) -> list[Action]:
-        cls = self._classes.get(event.cls)
+        cls = self._classes.get(event.request_class)
         if cls is None:
-            raise ValueError(f"class {event.cls!r} is not among the settings")
+            raise ValueError(f"class {event.request_class!r} is not among the settings")
         led = self._quota.ledger(now, event)
         job = self._jobs[event.id] = Job(event, cls, led, now)
         if led.plan.rate <= 0:
             return self._send(now, job)
         wait = led.quota.wait(now, event.units) if led.told else 0.0
-        if led.plan.open_limit and led.open >= max(led.plan.open_limit * led.part(), 1.0):
+        if led.plan.concurrency_limit and led.open >= max(led.plan.concurrency_limit * led.part(), 1.0):
             # The others' attempts out are guessed by their part of the units.
-            return self._beyond(now, job, max(wait, OPEN_WAIT_MS), RejectionReason.OPEN_LIMIT)
+            return self._beyond(now, job, max(wait, OPEN_WAIT_MS), RejectionReason.CONCURRENCY_LIMIT)
         if wait > 0:
-            return self._beyond(now, job, wait, RejectionReason.QUOTA)
+            return self._beyond(now, job, wait, RejectionReason.OVER_QUOTA)
         if self._quota.spare(now, led, event.units):
             return self._unconfirmed(now, job, True)
         patient = event.remaining_ms > HOLD_TIMES * self._settings.counter_timeout_ms
@@ -513,7 +510,7 @@
     def _unconfirmed(self, now: float, job: Job, spare: bool = False) -> list[Action]:
         """Decide without the counter: the own part of the quota, and of the ceiling's headroom."""
         led, units = job.ledger, job.request.units
-        wait, reason = 0.0 if spare else self._quota.unheard_wait(now, led, units), RejectionReason.UNHEARD
+        wait, reason = 0.0 if spare else self._quota.unheard_wait(now, led, units), RejectionReason.UNCONFIRMED
         if not spare and not self._fleet.calm(now) and not self._fleet.idle(now):
             # What the counter has not confirmed goes first when room gets short: one in four lies beyond its
             # quota, and they fill the servers for those inside.  Covers every overload; harms, mildly, where
@@ -539,7 +536,7 @@
         """Refuse with the retry-after, unless the plan earns more beyond the quota than it costs, the servers
         have room to spare and the own part of the headroom holds it: it is in nobody else's books."""
         led, units = job.ledger, job.request.units
-        if led.plan.over_worth <= led.plan.over_cost or (led.head and led.head.room(now) < units):
+        if led.plan.over_quota_value <= led.plan.over_quota_cost or (led.head and led.head.room(now) < units):
             return self._refuse(now, job, wait, reason)
         job.beyond = True
         actions = self._send(now, job, BEYOND_FIT)
@@ -566,7 +563,7 @@
             self._quota.judged(led, wait <= 0)
             book = led.book(now, units) if wait <= 0 else None
             if wait > 0:
-                actions += self._beyond(now, job, wait, RejectionReason.QUOTA)
+                actions += self._beyond(now, job, wait, RejectionReason.OVER_QUOTA)
             elif led.cap and not book:
                 actions += self._refuse(now, job, max(led.cap.wait(now, units), 0.0), RejectionReason.CEILING)
             else:
@@ -588,38 +585,38 @@
     def _allowed(self, now: float, job: Job) -> EndpointFilter | Literal[False]:
         """Which servers the class's rule on repeats leaves: a test, None for all, False for none."""
         risk = job.first_risk
-        if risk is None or job.cls.effect is Idempotency.SAFE:
+        if risk is None or job.cls.idempotency is Idempotency.IDEMPOTENT:
             return None
-        if job.cls.effect is Idempotency.UNSAFE or now >= risk[1] + job.cls.window_ms:
+        if job.cls.idempotency is Idempotency.AT_MOST_ONCE or now >= risk[1] + job.cls.deduplication_window_ms:
             return False
         first = risk[0]
-        if job.cls.group is DeduplicationScope.ZONE:
+        if job.cls.deduplication_scope is DeduplicationScope.ZONE:
             return lambda server: server.zone == first.zone
-        if job.cls.group is DeduplicationScope.CELL:
+        if job.cls.deduplication_scope is DeduplicationScope.CELL:
             return lambda server: server.cell == first.cell
         return None
 
     def _send(self, now: float, job: Job, fit: float = FIT_OF_AIM) -> list[Action]:
         """Start an attempt where it can still be answered in time, else give the final answer."""
         left = job.deadline - now
-        aim_left = min(job.arrived + job.cls.aim_ms, job.deadline) - now
+        aim_left = min(job.arrived + job.cls.latency_objective_ms, job.deadline) - now
         allowed = self._allowed(now, job)
         spent = len(job.attempts) >= self._settings.max_attempts
         if allowed is False or spent or left <= self._settings.tick_ms:
             late = left <= self._settings.tick_ms
-            return self._give_up(now, job, RejectionReason.LATE if late else RejectionReason.SPENT)
+            return self._give_up(now, job, RejectionReason.DEADLINE if late else RejectionReason.RETRIES_EXHAUSTED)
         crowded = self._fleet.crowded()
         choice = None if crowded else self._fleet.pick(now, allowed, job.attempts)
         if choice is None or choice[1] > fit * aim_left:
             full = crowded or choice is not None
-            return self._give_up(now, job, RejectionReason.OVERLOAD if full else RejectionReason.NO_SERVER)
+            return self._give_up(now, job, RejectionReason.OVERLOAD if full else RejectionReason.NO_ENDPOINT)
         server, attempt = choice[0].id, len(job.attempts)
         if attempt == 0:
             share = RETRY_CALM if self._fleet.calm(now) else RETRY_SHARE
             self._retries = min(self._retries + share, self._saved)
         job.attempts.append(server)
         self._book(job, choice[0])
-        patience = self._fleet.patience(now, server, job.cls.aim_ms)
+        patience = self._fleet.patience(now, server, job.cls.latency_objective_ms)
         self._fleet.sent(now, server, (job.request.id, attempt))
         actions: list[Action] = [StartAttempt(job.request.id, server, left, job.beyond)]
         if self._settings.can_cancel and patience < left:
@@ -630,25 +627,25 @@
         """The final answer: a refusal where a client's retry is certain to do no harm, else a failure."""
         harmless = (
             job.first_risk is None
-            or job.cls.effect is Idempotency.SAFE
-            or (job.cls.effect is Idempotency.KEYED and job.cls.group is DeduplicationScope.ALL)
+            or job.cls.idempotency is Idempotency.IDEMPOTENT
+            or (job.cls.idempotency is Idempotency.KEYED and job.cls.deduplication_scope is DeduplicationScope.ALL)
         )
         if harmless:
-            return self._refuse(now, job, job.cls.aim_ms * 0.1, reason)
+            return self._refuse(now, job, job.cls.latency_objective_ms * 0.1, reason)
         self._drop(job.request.id)
         return [Fail(job.request.id)]
 
     def _outcome(self, now: float, event: AttemptEnded) -> list[Action]:
         job = self._jobs.get(event.id)
-        self._fleet.outcome(now, event, job.cls.aim_ms if job else math.inf)
-        if job is None or event.ended:
+        self._fleet.outcome(now, event, job.cls.latency_objective_ms if job else math.inf)
+        if job is None or event.request_complete:
             self._drop(event.id)
             return []
-        if not event.verdict.never_ran and job.first_risk is None and job.server:
+        if not event.result.never_executed and job.first_risk is None and job.server:
             job.first_risk = job.server, now - event.rtt_ms
         self._book(job, None)
         if self._retries < 1:
-            return self._give_up(now, job, RejectionReason.SPENT)
+            return self._give_up(now, job, RejectionReason.RETRIES_EXHAUSTED)
         self._retries -= 1
         return self._send(now, job)
 
@@ -664,5 +661,5 @@
         silent = self._fleet.silent(now, job.attempts[-1], (rid, attempt), patience)
         # Only where another attempt can follow: else the work done is wasted for nothing, and an unsafe
         # request, which may have run, fails long before its deadline.
-        more = job.cls.effect is not Idempotency.UNSAFE and len(job.attempts) < self._settings.max_attempts
+        more = job.cls.idempotency is not Idempotency.AT_MOST_ONCE and len(job.attempts) < self._settings.max_attempts
         return [CancelAttempt(rid, attempt)] if silent and self._retries >= 1 and more else []
--- a/martenstep/policy/messages.py
+++ b/martenstep/policy/messages.py
@@ -15,9 +15,9 @@
 class Idempotency(Enum):
     """What a repeat of a request may do."""
 
-    SAFE = "safe"
+    IDEMPOTENT = "safe"
     KEYED = "keyed"
-    UNSAFE = "unsafe"
+    AT_MOST_ONCE = "unsafe"
 
 
 class DeduplicationScope(Enum):
@@ -33,30 +33,30 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
     @property
-    def never_ran(self) -> bool:
+    def never_executed(self) -> bool:
         """True where the outcome proves that the attempt had no effect."""
-        return self in (CallResult.FULL, CallResult.CONNECT_FAILED, CallResult.MOOT)
+        return self in (CallResult.OVERLOADED, CallResult.CONNECT_FAILED, CallResult.NOT_SENT)
 
 
 class RejectionReason(Enum):
     """Why a request is turned away, for the client and the operators; decides nothing."""
 
-    QUOTA = "quota"  # the customer's use, as far as it is known, leaves no room in its plan
-    UNHEARD = "unheard"  # the counter has not told of the customer and the own part of its quota is used
+    OVER_QUOTA = "quota"  # the customer's use, as far as it is known, leaves no room in its plan
+    UNCONFIRMED = "unheard"  # the counter has not told of the customer and the own part of its quota is used
     CEILING = "ceiling"  # the own part of the ceiling's headroom is used
-    OPEN_LIMIT = "open limit"  # the plan's limit of attempts out is reached
+    CONCURRENCY_LIMIT = "open limit"  # the plan's limit of attempts out is reached
     OVERLOAD = "overload"  # the servers have no room for it in time
-    NO_SERVER = "no server"  # no server is listed that it may go to
-    SPENT = "spent"  # no further attempt is allowed: their number, the retry budget or the class's window
-    LATE = "late"  # too little of the client's deadline is left
+    NO_ENDPOINT = "no server"  # no server is listed that it may go to
+    RETRIES_EXHAUSTED = "spent"  # no further attempt is allowed: their number, the retry budget or the class's window
+    DEADLINE = "late"  # too little of the client's deadline is left
 
 
 class EndpointState(Enum):
@@ -64,15 +64,15 @@
 
     UP = "up"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class EndpointListScope(Enum):
     """What a member list covers."""
 
-    CHANGES = "changes"
+    DELTA = "changes"
     FULL = "full"
-    WARM_COPY = "warm copy"
+    CACHED = "warm copy"
     LOST = "lost"
 
 
@@ -86,16 +86,22 @@
     """A class of requests: when an answer counts, and what a repeat may do."""
 
     name: str
-    aim_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    effect: Idempotency
-    group: DeduplicationScope = DeduplicationScope.ALL
-    window_ms: float = 0.0
-    worth: float = 1.0
-    late_share: float = 0.0
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: float = 0.0
+    priority_weight: float = 1.0
+    late_value_share: float = 0.0
 
     def __post_init__(self) -> None:
-        for key in ("aim_ms", "deadline_ms", "window_ms", "worth", "late_share"):
+        for key in (
+            "latency_objective_ms",
+            "deadline_ms",
+            "deduplication_window_ms",
+            "priority_weight",
+            "late_value_share",
+        ):
             _at_least(f"classes.{self.name}.{key}", getattr(self, key), 0.0)
 
 
@@ -106,10 +112,10 @@
     name: str
     rate: float = 0.0
     burst: float = 0.0
-    open_limit: int = 0
-    price: float = 1.0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
+    concurrency_limit: int = 0
+    priority_weight: float = 1.0
+    over_quota_value: float = 0.0
+    over_quota_cost: float = 0.0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
@@ -118,10 +124,10 @@
         for key in (
             "rate",
             "burst",
-            "open_limit",
-            "price",
-            "over_worth",
-            "over_cost",
+            "concurrency_limit",
+            "priority_weight",
+            "over_quota_value",
+            "over_quota_cost",
             "ceiling_rate",
             "ceiling_burst",
             "ceiling_slack",
@@ -135,47 +141,47 @@
 class Settings:
     """What a gateway is told at its start; see the protocol page for the meaning of each figure."""
 
-    me: int
-    gateways: int
+    instance: int
+    instances: int
     zone: str
     tick_ms: float
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    kinds: tuple[str, ...] = ()
+    endpoint_kinds: tuple[str, ...] = ()
     has_counter: bool = False
     counter_timeout_ms: float = 0.0
     max_units: float = 1.0
-    settles: bool = False
+    settles_actual_units: bool = False
     max_attempts: int = 1
     can_cancel: bool = False
-    can_probe: bool = False
-    retry_after: bool = False
+    can_health_check: bool = False
+    sends_retry_after: bool = False
     max_retry_after_ms: float = 0.0
     must_subscribe: bool = False
-    ask_within_ms: float = 0.0
-    report_fields: tuple[str, ...] = ()
+    poll_interval_ms: float = 0.0
+    load_report_fields: tuple[str, ...] = ()
     answer_slack_ms: float = 0.0
-    cold_from: float = 1.0
-    warm_within_ms: float = 0.0
-    fall_multiple: float = 1.0
-    fall_window_ms: float = 0.0
-    sized: bool = False
+    slow_start_initial_share: float = 1.0
+    slow_start_window_ms: float = 0.0
+    overload_multiple: float = 1.0
+    overload_window_ms: float = 0.0
+    has_capacity_weights: bool = False
 
     def __post_init__(self) -> None:
-        _at_least("gateways", self.gateways, 1)
-        _at_least("me", self.me, 0)
+        _at_least("instances", self.instances, 1)
+        _at_least("instance", self.instance, 0)
         _at_least("max_attempts", self.max_attempts, 1)
         for key in (
             "tick_ms",
             "counter_timeout_ms",
             "max_units",
             "max_retry_after_ms",
-            "ask_within_ms",
+            "poll_interval_ms",
             "answer_slack_ms",
-            "cold_from",
-            "warm_within_ms",
-            "fall_multiple",
-            "fall_window_ms",
+            "slow_start_initial_share",
+            "slow_start_window_ms",
+            "overload_multiple",
+            "overload_window_ms",
         ):
             _at_least(key, getattr(self, key), 0.0)
 
@@ -189,7 +195,7 @@
     kind: str
     cell: int
     state: EndpointState
-    size: float = 1.0
+    capacity: float = 1.0
     started_ms: float = 0.0
 
 
@@ -201,7 +207,7 @@
     """A member list, whole or as changes to the last one."""
 
     scope: EndpointListScope
-    servers: tuple[Endpoint, ...] = ()
+    endpoints: tuple[Endpoint, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -209,14 +215,14 @@
     """A client's try has arrived; it is owed exactly one final answer."""
 
     id: str
-    cls: str
+    request_class: str
     plan: str
     customer: int
     remaining_ms: float
     units: float
-    spread: int
-    first: int = 0
-    retry: bool = False
+    instances: int
+    first_instance: int = 0
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -232,12 +238,12 @@
 
     id: str
     attempt: int
-    server: int
-    verdict: CallResult
+    endpoint: int
+    result: CallResult
     rtt_ms: float
-    ended: bool
-    true_units: float = 0.0
-    report: tuple[float, ...] = ()
+    request_complete: bool
+    actual_units: float = 0.0
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -251,21 +257,21 @@
 class CounterReply:
     """The counter's answer to one Count."""
 
-    name: int
-    verdict: CallResult
+    key: int
+    result: CallResult
     rtt_ms: float
     total: float = 0.0
-    kept_ms: float = math.inf  # for so long the counter has lost nothing, as far as the host can prove
+    retained_ms: float = math.inf  # for so long the counter has lost nothing, as far as the host can prove
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
     """The answer to one Probe."""
 
-    server: int
-    verdict: CallResult
+    endpoint: int
+    result: CallResult
     rtt_ms: float
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -305,9 +311,9 @@
     """Start an attempt of a request at a server; attempts are numbered 0, 1, 2 ... as sent."""
 
     id: str
-    server: int
+    endpoint: int
     timeout_ms: float
-    beyond: bool = False  # the request is sent on beyond its quota, as far as this gateway knows
+    over_quota: bool = False  # the request is sent on beyond its quota, as far as this gateway knows
 
 
 @dataclass(frozen=True, slots=True)
@@ -338,17 +344,17 @@
 class IncrementCounter:
     """Add units to a named number of the counter service and learn the total."""
 
-    name: int
+    key: int
     units: float
     expire_ms: float
-    proof: bool = False  # its total bounds a ceiling: the host is to prove how long nothing was lost
+    bounds_ceiling: bool = False  # its total bounds a ceiling: the host is to prove how long nothing was lost
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
     """Look at a server."""
 
-    server: int
+    endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/martenstep/policy/quota.py
+++ b/martenstep/policy/quota.py
@@ -130,7 +130,7 @@
         cap_empty_at: float = -math.inf,
     ) -> None:
         self.plan, self.customer = plan, request.customer
-        self.spread = spread = max(1, min(request.spread, settings.gateways))
+        self.spread = spread = max(1, min(request.instances, settings.instances))
         self.quota = Meter(plan.rate, plan.burst, now)
         self.quota.tat = now + self.quota.tolerance * (1 - 1 / spread)
         self.own = Meter(plan.rate, plan.burst, now)  # its rate is set to the own part before each use
@@ -147,7 +147,7 @@
         if plan.ceiling_rate > 0:
             depth = HEAD_PART * max(plan.ceiling_burst + plan.ceiling_slack - plan.burst, 0.0)
             holders = min(spread, int(depth / max(settings.max_units, 1.0)))
-            place = (settings.me - request.first) % settings.gateways
+            place = (settings.instance - request.first_instance) % settings.instances
             part = (place < holders) / max(holders, 1)
             rate = HEAD_PART * max(plan.ceiling_rate - plan.rate, 0.0)
             self.head = Meter(rate * part, depth * part, started)
@@ -298,7 +298,7 @@
     @staticmethod
     def _pays(led: Ledger) -> bool:
         """Whether a send without the counter's word earns about what it costs, as such tries go."""
-        return led.conform + (1 - led.conform) * (led.plan.over_worth - led.plan.over_cost) > PAYS_LEAST
+        return led.conform + (1 - led.conform) * (led.plan.over_quota_value - led.plan.over_quota_cost) > PAYS_LEAST
 
     def unheard_wait(self, now: float, led: Ledger, units: float) -> float:
         """The wait without the counter's word.  While it answers, a part of 1/sqrt of the set holds by chance
@@ -317,7 +317,11 @@
         Covers a counter that is crowded, slow or down; harms where calls are slow for another reason."""
         blind = self._pays(led) and (led.head is None or led.head.room(now) >= units)
         good = min(max(led.conform, 1 - SURE), SURE)
-        worth = units * led.plan.price * ((1 - good) * max(led.plan.over_cost, COST_LEAST) if blind else good)
+        worth = (
+            units
+            * led.plan.priority_weight
+            * ((1 - good) * max(led.plan.over_quota_cost, COST_LEAST) if blind else good)
+        )
         self._worth += PRIOR_GAIN * (worth - self._worth)
         odds = max(self._chance * worth / self._worth, CALL_LEAST) if self._worth else self._chance
         if not self._settings.has_counter or self._rng.random() >= odds:
@@ -376,12 +380,12 @@
 
     def total(self, now: float, event: CounterReply) -> tuple[Ledger, bool, list[Action]] | None:
         """Take in an answer; gives the ledger, whether its requests may count on it, and further calls."""
-        led = self._calls.pop(event.name, None)
+        led = self._calls.pop(event.key, None)
         if led is None:
             return None
-        units, quota = led.asked.pop(event.name), led.quota
-        current = event.name == name_of(led.customer, led.period)
-        good = event.verdict is CallResult.OK
+        units, quota = led.asked.pop(event.key), led.quota
+        current = event.key == name_of(led.customer, led.period)
+        good = event.result is CallResult.OK
         late = 1.0
         if good:
             more = event.rtt_ms - self._near
@@ -389,13 +393,13 @@
             late = max(more, 0.0) / max(self._settings.counter_timeout_ms, 1.0)
         step = CALL_GAIN * (1 - late / CALL_BUSY)
         self._chance = min(max(self._chance * math.exp(step), CALL_LEAST), CALL_MOST)
-        if event.name in led.abandoned:
-            del led.abandoned[event.name]
+        if event.key in led.abandoned:
+            del led.abandoned[event.key]
             return led, False, []
         if not good:
             if not current:  # the closing read: what was told of this period stands
                 return led, True, []
-            if event.verdict is CallResult.TIMEOUT:
+            if event.result is CallResult.TIMEOUT:
                 led.maybe += units
             else:
                 led.owed += units
@@ -403,7 +407,7 @@
         if not current:
             led.unclosed = False
             if led.cap:
-                led.close(led.cap, event.total, now - event.kept_ms)
+                led.close(led.cap, event.total, now - event.retained_ms)
             rest = max(event.total - led.last_base, 0.0)
             if led.stranger:
                 rest = max(rest - led.plan.burst / 2, 0.0)
@@ -411,7 +415,7 @@
             return led, True, []
         others = max(event.total - led.base - units - led.maybe, 0.0) + led.guessed
         if led.cap:
-            led.read(now, led.cap, event.total, units, now - event.kept_ms)
+            led.read(now, led.cap, event.total, units, now - event.retained_ms)
         led.maybe = 0.0
         led.stranger = not led.told
         if led.told:
--- a/martenstep/proxy/attempt_outcomes.py
+++ b/martenstep/proxy/attempt_outcomes.py
@@ -54,5 +54,5 @@
     def verdict(self, status: int, headers: Headers) -> CallResult:
         """FULL, ERROR or OK."""
         if status == self._refusal and any(name == self._header for name, _ in headers):
-            return CallResult.FULL
+            return CallResult.OVERLOADED
         return CallResult.ERROR if status in self._errors else CallResult.OK
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -360,7 +360,7 @@
         return promised
 
     def _listed(self, listed: Listed) -> None:
-        if listed.scope is not EndpointListScope.CHANGES:
+        if listed.scope is not EndpointListScope.DELTA:
             self.notes.note("members", {"scope": listed.scope.value, "servers": len(listed.servers)})
         self.driver.act(listed)
 
--- a/martenstep/proxy/engine.py
+++ b/martenstep/proxy/engine.py
@@ -242,9 +242,9 @@
                     self._stopped,
                     attempt.number == action.attempt and attempt.open,
                     self._answerer is not None or action.server in self._taking,
-                    cls.effect,
+                    cls.idempotency,
                     exchange.risk_at,
-                    cls.window_ms,
+                    cls.deduplication_window_ms,
                 )
             ),
         )
@@ -276,7 +276,9 @@
             open_attempt = attempt if attempt and attempt.open else None
             may_have_run = exchange.risk_at is not None or (open_attempt is not None and open_attempt.written)
             exchange.timed_out = True
-            self._give_up(exchange, not may_have_run or exchange.routed.cls.effect is api.Idempotency.SAFE, "stopping")
+            self._give_up(
+                exchange, not may_have_run or exchange.routed.cls.idempotency is api.Idempotency.IDEMPOTENT, "stopping"
+            )
             if open_attempt:
                 self._stop(exchange, open_attempt, CallResult.TIMEOUT)
         out, self._out = self._out, []
@@ -302,7 +304,7 @@
                 self._answer(self._rids[rid], STATUS[reason], reason.value, min(wait, self._max_wait))
             case api.Fail(id=rid):
                 self._fail(self._rids[rid])
-            case api.IncrementCounter(name=name, units=units, expire_ms=expire_ms, proof=proof):
+            case api.IncrementCounter(key=name, units=units, expire_ms=expire_ms, bounds_ceiling=proof):
                 self._serial += 1
                 self._calls[self._serial] = name, self._now
                 self._timer(
@@ -324,7 +326,7 @@
     def _send(self, action: api.StartAttempt) -> None:
         exchange = self._rids[action.id]
         number = len(exchange.servers)
-        exchange.servers.append(action.server)
+        exchange.servers.append(action.endpoint)
         trace = exchange.trace
         if trace is not None:
             trace.end("counter", self._now)
@@ -337,20 +339,20 @@
                     routed.plan.name,
                     routed.cls.name,
                     routed.units,
-                    action.beyond,
+                    action.over_quota,
                     exchange.ticket,
                 )
             )
         if self._answerer is not None:
-            self._let_pass(exchange, number, action.server)
+            self._let_pass(exchange, number, action.endpoint)
             return
         if number == 0 and self._auth is not None:
             self._auth.sent(exchange.ticket)
-        address = self._addresses.get(action.server)
-        attempt = exchange.attempt = Attempt(number, action.server, self._now)
+        address = self._addresses.get(action.endpoint)
+        attempt = exchange.attempt = Attempt(number, action.endpoint, self._now)
         if exchange.settled or address is None:
             attempt.open = False
-            self._tell(api.AttemptEnded(action.id, number, action.server, CallResult.MOOT, 0.0, exchange.settled))
+            self._tell(api.AttemptEnded(action.id, number, action.endpoint, CallResult.NOT_SENT, 0.0, exchange.settled))
             return
         head = exchange.head
         wording, verdict = self._wording, exchange.verdict
@@ -364,7 +366,7 @@
             target, given = exchange.sending
         parent = b""
         if trace is not None:
-            parent = trace.outgoing(trace.begin("attempt", self._now, attempt=number, server=action.server))
+            parent = trace.outgoing(trace.begin("attempt", self._now, attempt=number, server=action.endpoint))
         headers = wording.headers(
             head.headers,
             copied,
@@ -375,14 +377,14 @@
             left,
             head.peer,
             parent,
-            exchange.routed.cls.effect is api.Idempotency.KEYED,
+            exchange.routed.cls.idempotency is api.Idempotency.KEYED,
         )
         self._timer(min(self._now + self._connect_ms, exchange.deadline), self._at_unconnected, exchange.ticket, number)
         self._out.append(
             ev.Open(
                 exchange.ticket,
                 number,
-                action.server,
+                action.endpoint,
                 address,
                 head.method,
                 target,
@@ -402,7 +404,11 @@
         """A repeat of a keyed request must come to its server while servers still know its key: what the network holds
         for longer is not to be delivered any more."""
         cls, risk = exchange.routed.cls, exchange.risk_at
-        return risk + cls.window_ms if risk is not None and cls.effect is api.Idempotency.KEYED else None
+        return (
+            risk + cls.deduplication_window_ms
+            if risk is not None and cls.idempotency is api.Idempotency.KEYED
+            else None
+        )
 
     def _let_pass(self, exchange: Exchange, number: int, server: int) -> None:
         """The edge proxy may forward the request: that is the sub-request's answer, and the outcome that is owed.  How
@@ -428,7 +434,7 @@
         if exchange.trace is not None:
             exchange.trace.end("attempt", self._now, verdict=verdict.value, written=attempt.written)
         rtt = self._now - attempt.sent_at
-        if exchange.risk_at is None and not verdict.never_ran:
+        if exchange.risk_at is None and not verdict.never_executed:
             exchange.risk_at = attempt.sent_at
         self._tell(api.AttemptEnded(exchange.rid, attempt.number, attempt.server, verdict, rtt, ended))
 
@@ -450,7 +456,7 @@
             self._forget(exchange)
         elif exchange.one_attempt:
             # Its body is partly gone: the module is not asked for a further attempt that cannot be made.
-            harmless = exchange.routed.cls.effect is api.Idempotency.SAFE or verdict.never_ran
+            harmless = exchange.routed.cls.idempotency is api.Idempotency.IDEMPOTENT or verdict.never_executed
             self._give_up(exchange, harmless, "spent")
             self._outcome(exchange, attempt, verdict, True)
             self._forget(exchange)
@@ -476,7 +482,7 @@
         """The final answer where the module is not asked for a further attempt: a refusal for `reason` if a retry
         does no harm."""
         if harmless:
-            self._answer(exchange, UNAVAILABLE, reason, exchange.routed.cls.aim_ms * 0.1)
+            self._answer(exchange, UNAVAILABLE, reason, exchange.routed.cls.latency_objective_ms * 0.1)
         else:
             self._fail(exchange)
 
@@ -772,7 +778,7 @@
         """Never begin an attempt that is not written: no work of its server's is called off, and no failure of its."""
         attempt.open = False
         self._out.append(ev.Abandon(exchange.ticket, attempt.number))
-        self._outcome(exchange, attempt, CallResult.MOOT, exchange.settled)
+        self._outcome(exchange, attempt, CallResult.NOT_SENT, exchange.settled)
 
     def _body_dropped(self, event: ev.BodyDropped) -> None:
         exchange = self._exchanges.get(event.ticket)
@@ -872,10 +878,10 @@
             self._addresses = {key: at for key, at in self._addresses.items() if key in listed}
         self._tell(api.EndpointListUpdate(event.scope, event.servers))
         for server in event.servers:  # one that is gone comes back under another number, if at all
-            if server.state is api.EndpointState.GONE:
+            if server.state is api.EndpointState.REMOVED:
                 self._addresses.pop(server.id, None)
         taking = {server.id for server in event.servers if server.state is api.EndpointState.UP}
-        if event.scope in (api.EndpointListScope.FULL, api.EndpointListScope.WARM_COPY):
+        if event.scope in (api.EndpointListScope.FULL, api.EndpointListScope.CACHED):
             self._taking = set(taking)
         else:
             self._taking.difference_update(server.id for server in event.servers)
--- a/martenstep/proxy/headers.py
+++ b/martenstep/proxy/headers.py
@@ -29,14 +29,14 @@
 )
 DROPPED = HOP_BY_HOP | {b"expect"}  # the door answers 100-continue itself
 STATUS = {
-    RejectionReason.QUOTA: 429,
-    RejectionReason.UNHEARD: 429,
+    RejectionReason.OVER_QUOTA: 429,
+    RejectionReason.UNCONFIRMED: 429,
     RejectionReason.CEILING: 429,
-    RejectionReason.OPEN_LIMIT: 429,
+    RejectionReason.CONCURRENCY_LIMIT: 429,
     RejectionReason.OVERLOAD: 503,
-    RejectionReason.NO_SERVER: 503,
-    RejectionReason.SPENT: 503,
-    RejectionReason.LATE: 503,
+    RejectionReason.NO_ENDPOINT: 503,
+    RejectionReason.RETRIES_EXHAUSTED: 503,
+    RejectionReason.DEADLINE: 503,
 }
 WORDS = {
     "quota": "the plan's quota is used for now",
--- a/martenstep/proxy/permission.py
+++ b/martenstep/proxy/permission.py
@@ -58,7 +58,7 @@
         return Denial.NO_TIME
     if not facts.server_listed:
         return Denial.NOT_LISTED
-    if facts.risk_at is not None and facts.effect is Idempotency.UNSAFE:
+    if facts.risk_at is not None and facts.effect is Idempotency.AT_MOST_ONCE:
         return Denial.EFFECT
     if facts.risk_at is not None and facts.effect is Idempotency.KEYED and facts.now >= facts.risk_at + facts.window_ms:
         return Denial.WINDOW_OVER
--- a/martenstep/redis_counter/core.py
+++ b/martenstep/redis_counter/core.py
@@ -63,6 +63,12 @@
     number: int
 
 
+METRIC_NAMES = {result: result.name for result in CallResult} | {  # names that operators' dashboards know
+    CallResult.OVERLOADED: "FULL",
+    CallResult.NOT_SENT: "MOOT",
+}
+
+
 @dataclass(slots=True, eq=False)
 class Op:
     """One statement, or one plain add, on its way."""
@@ -272,7 +278,7 @@
         """One call: told once, within the time-out."""
         if name not in self._registers:
             if len(self._registers) >= MOST_NAMES:
-                self._tell(call, CallResult.FULL)
+                self._tell(call, CallResult.OVERLOADED)
                 return
             self._registers[name] = Register(now + expire_ms)
         self._queue(now, Op(name, units, call, now + self._options.timeout_ms, proof=proof))
@@ -430,7 +436,7 @@
         node = self._node_of(op.name)
         if node is None:
             if len(self._homeless) >= self._options.waiting:
-                self._drop(op, CallResult.FULL)
+                self._drop(op, CallResult.OVERLOADED)
                 return
             self._homeless.append(op)
             self._learn(now)
@@ -442,7 +448,7 @@
         elif first:
             self._insert(lane, op)
         elif len(lane.queue) + len(lane.out) >= self._options.waiting:
-            self._drop(op, CallResult.FULL)
+            self._drop(op, CallResult.OVERLOADED)
         else:
             if not lane.queue:
                 lane.first = now
@@ -506,7 +512,7 @@
         while lane.queue and len(batch) < BATCH:
             op = lane.queue.popleft()
             if op.until <= now:
-                self._drop(op, CallResult.FULL)
+                self._drop(op, CallResult.OVERLOADED)
                 continue
             batch.append(op)
         lane.first = now
@@ -633,7 +639,7 @@
         if turn and (op.call is not None or op.version):
             lane.again.append(op)
         elif op.call is not None:
-            self._drop(op, CallResult.FULL)
+            self._drop(op, CallResult.OVERLOADED)
         register = self._registers.get(op.name)
         if not turn and register is not None and register.version > register.acked:
             lane.rest_until = max(lane.rest_until, now + REST_MS)
@@ -702,11 +708,11 @@
                 op.call = None
         for op in [op for op in lane.again if op.until <= now]:
             lane.again.remove(op)
-            self._drop(op, CallResult.FULL)
+            self._drop(op, CallResult.OVERLOADED)
         lane.first_end = min((op.until for op in (*lane.out, *lane.again) if op.call is not None), default=math.inf)
         while lane.queue and lane.queue[0].until <= now:
             op = lane.queue.popleft()
-            self._drop(op, CallResult.FULL)
+            self._drop(op, CallResult.OVERLOADED)
         if lane.out and now - lane.since >= self._options.timeout_ms:
             self._actions.append(Close(lane.lane))
             self._failed(now, lane, "no answer in time")
@@ -726,7 +732,7 @@
 
     def _tell(self, call: int | None, verdict: CallResult, total: float = 0.0, kept_ms: float = 0.0) -> None:
         if call is not None:
-            self.counts[verdict.name] += 1
+            self.counts[METRIC_NAMES[verdict]] += 1
             self._actions.append(Told(call, verdict, total, kept_ms))
 
     def _learn(self, now: float) -> None:
--- a/martenstep/simulator/host.py
+++ b/martenstep/simulator/host.py
@@ -15,25 +15,25 @@
 from martenstep.policy.gateway import Gateway
 
 EFFECTS = {
-    "idempotent": api.Idempotency.SAFE,
+    "idempotent": api.Idempotency.IDEMPOTENT,
     "deduplicated": api.Idempotency.KEYED,
-    "at_most_once": api.Idempotency.UNSAFE,
+    "at_most_once": api.Idempotency.AT_MOST_ONCE,
 }
 VERDICTS = {
     "Ok": api.CallResult.OK,
     "Failed": api.CallResult.ERROR,
-    "QueueFull": api.CallResult.FULL,
+    "QueueFull": api.CallResult.OVERLOADED,
     "TimedOut": api.CallResult.TIMEOUT,
     "ConnectError": api.CallResult.CONNECT_FAILED,
     "ResetByPeer": api.CallResult.RESET,
     "Canceled": api.CallResult.CANCELLED,
-    "Ignored": api.CallResult.MOOT,
+    "Ignored": api.CallResult.NOT_SENT,
 }
-STATES = {"U": api.EndpointState.UP, "L": api.EndpointState.DRAINING, "D": api.EndpointState.GONE}
+STATES = {"U": api.EndpointState.UP, "L": api.EndpointState.DRAINING, "D": api.EndpointState.REMOVED}
 SCOPES = {
-    "incr": api.EndpointListScope.CHANGES,
+    "incr": api.EndpointListScope.DELTA,
     "total": api.EndpointListScope.FULL,
-    "warm_copy": api.EndpointListScope.WARM_COPY,
+    "warm_copy": api.EndpointListScope.CACHED,
     "lost": api.EndpointListScope.LOST,
 }
 REPORT_FIELDS = {
@@ -155,20 +155,20 @@
     feedback = raw.get("feedback", {})
     try:
         return api.Settings(
-            me=int(_need(raw, "me")),
-            gateways=int(_need(raw, "instances")),
+            instance=int(_need(raw, "me")),
+            instances=int(_need(raw, "instances")),
             zone=raw.get("zone", ""),
             tick_ms=float(_need(raw, "tick_ms")),
             classes=tuple(
                 api.RequestClass(
                     name=_need(entry, "name"),
-                    aim_ms=float(_need(entry, "slo_ms")),
+                    latency_objective_ms=float(_need(entry, "slo_ms")),
                     deadline_ms=float(_need(entry, "deadline_ms")),
-                    effect=_effect(entry),
-                    group=api.DeduplicationScope(entry.get("group", "all")),
-                    window_ms=float(entry.get("window_ms", 0.0)),
-                    worth=float(entry.get("worth", 1.0)),
-                    late_share=float(entry.get("late_share", 0.0)),
+                    idempotency=_effect(entry),
+                    deduplication_scope=api.DeduplicationScope(entry.get("group", "all")),
+                    deduplication_window_ms=float(entry.get("window_ms", 0.0)),
+                    priority_weight=float(entry.get("worth", 1.0)),
+                    late_value_share=float(entry.get("late_share", 0.0)),
                 )
                 for entry in _need(raw, "classes")
             ),
@@ -177,35 +177,35 @@
                     name=_need(entry, "name"),
                     rate=float(entry.get("units_per_s", 0.0)),
                     burst=float(entry.get("most_at_once", 0.0)),
-                    open_limit=int(entry.get("open", 0)),
-                    price=float(entry.get("worth_factor", 1.0)),
-                    over_worth=float(entry.get("over_worth", 0.0)),
-                    over_cost=float(entry.get("beyond_costs", 0.0)),
+                    concurrency_limit=int(entry.get("open", 0)),
+                    priority_weight=float(entry.get("worth_factor", 1.0)),
+                    over_quota_value=float(entry.get("over_worth", 0.0)),
+                    over_quota_cost=float(entry.get("beyond_costs", 0.0)),
                     ceiling_rate=float(entry.get("hard_rate", 0.0)),
                     ceiling_burst=float(entry.get("cap_depth", 0.0)),
                     ceiling_slack=float(entry.get("tolerance", 0.0)),
                 )
                 for entry in raw.get("contracts", [])
             ),
-            kinds=tuple(raw.get("kinds", ())),
+            endpoint_kinds=tuple(raw.get("kinds", ())),
             has_counter=bool(family.get("has_counter", False)),
             counter_timeout_ms=float(family.get("counter_timeout_ms", 0.0)),
             max_units=float(family.get("max_units", 1.0)),
-            settles=bool(family.get("trued_up", False)),
+            settles_actual_units=bool(family.get("trued_up", False)),
             max_attempts=int(limits.get("try_limit", 1)),
             can_cancel=bool(limits.get("cancelling", False)),
-            can_probe=bool(limits.get("probes", False)),
-            retry_after=bool(limits.get("retry_after", False)),
+            can_health_check=bool(limits.get("probes", False)),
+            sends_retry_after=bool(limits.get("retry_after", False)),
             max_retry_after_ms=float(limits.get("max_retry_after_ms", 0.0)),
             must_subscribe=raw.get("discovery", "automatic") == "subscribe",
-            ask_within_ms=float(rules.get("ask_every_ms", 0.0)),
-            report_fields=tuple(REPORT_FIELDS.get(name, name) for name in feedback.get("fields", ())),
+            poll_interval_ms=float(rules.get("ask_every_ms", 0.0)),
+            load_report_fields=tuple(REPORT_FIELDS.get(name, name) for name in feedback.get("fields", ())),
             answer_slack_ms=float(rules.get("answer_slack_ms", 0.0)),
-            cold_from=float(rules.get("cold_from", 1.0)),
-            warm_within_ms=float(rules.get("warm_within_ms", 0.0)),
-            fall_multiple=float(rules.get("fall_multiple", 1.0)),
-            fall_window_ms=float(rules.get("overload_for_ms", 0.0)),
-            sized=raw.get("weight_kind", "none") != "none",
+            slow_start_initial_share=float(rules.get("cold_from", 1.0)),
+            slow_start_window_ms=float(rules.get("warm_within_ms", 0.0)),
+            overload_multiple=float(rules.get("fall_multiple", 1.0)),
+            overload_window_ms=float(rules.get("overload_for_ms", 0.0)),
+            has_capacity_weights=raw.get("weight_kind", "none") != "none",
         )
     except TypeError as error:
         raise ValueError(f"settings: a value has the wrong form ({error})") from None
@@ -219,7 +219,7 @@
         kind=fields.text("kind", ""),
         cell=fields.integer("cohort", "0"),
         state=fields.choice("condition", STATES),
-        size=fields.number("size", "1"),
+        capacity=fields.number("size", "1"),
         started_ms=fields.number("born_ms", "0"),
     )
 
@@ -230,30 +230,30 @@
         case "QUERY":
             return api.Request(
                 id=fields.text("rid"),
-                cls=fields.text("cls"),
+                request_class=fields.text("cls"),
                 plan=fields.text("grade_of_service"),
                 customer=fields.integer("caller"),
                 remaining_ms=fields.number("remaining_ms"),
                 units=fields.number("cost_units"),
-                spread=fields.integer("spread"),
-                first=fields.integer("from_no", "0"),
-                retry=fields.flag("retry"),
+                instances=fields.integer("spread"),
+                first_instance=fields.integer("from_no", "0"),
+                is_retry=fields.flag("retry"),
             )
         case "COMPLETED":
             return api.AttemptEnded(
                 id=fields.text("rid"),
                 attempt=fields.integer("hop"),
-                server=fields.integer("backend"),
-                verdict=fields.choice("verdict", VERDICTS),
+                endpoint=fields.integer("backend"),
+                result=fields.choice("verdict", VERDICTS),
                 rtt_ms=fields.number("rtt_ms", "0"),
-                ended=fields.flag("ended"),
-                true_units=fields.number("final_units", "0"),
-                report=fields.row("server_stats"),
+                request_complete=fields.flag("ended"),
+                actual_units=fields.number("final_units", "0"),
+                load_report=fields.row("server_stats"),
             )
         case "TOTAL":
             return api.CounterReply(
-                name=fields.integer("cname"),
-                verdict=fields.choice("verdict", VERDICTS),
+                key=fields.integer("cname"),
+                result=fields.choice("verdict", VERDICTS),
                 rtt_ms=fields.number("rtt_ms", "0"),
                 total=fields.number("result_value", "0"),
             )
@@ -265,10 +265,10 @@
             return api.ResponseStarted(fields.text("rid"))
         case "PONG":
             return api.HealthCheckResult(
-                server=fields.integer("backend"),
-                verdict=fields.choice("verdict", VERDICTS),
+                endpoint=fields.integer("backend"),
+                result=fields.choice("verdict", VERDICTS),
                 rtt_ms=fields.number("rtt_ms", "0"),
-                report=fields.row("server_stats"),
+                load_report=fields.row("server_stats"),
             )
         case "PEER_DATA":
             return None
@@ -278,20 +278,20 @@
 def write_action(door: str, action: api.Action) -> str:
     """One action as a line of the wire."""
     match action:
-        case api.StartAttempt(id=rid, server=server, timeout_ms=timeout_ms):
+        case api.StartAttempt(id=rid, endpoint=server, timeout_ms=timeout_ms):
             return f"HAND_OFF door={door} rid={rid} timeout_ms={timeout_ms:.3f} backend={server}"
         case api.Reject(id=rid, retry_after_ms=wait_ms):
             hold = f" hold_off_ms={wait_ms:.3f}" if wait_ms > 0 else ""
             return f"BOUNCE door={door} rid={rid}{hold}"
         case api.Fail(id=rid):
             return f"ABORT door={door} rid={rid}"
-        case api.IncrementCounter(name=name, units=units, expire_ms=expire_ms):
+        case api.IncrementCounter(key=name, units=units, expire_ms=expire_ms):
             return f"POST_AMOUNT door={door} qty={units:.7g} cname={name} expire_in_ms={expire_ms:.3f}"
         case api.SetTimer(at_ms=at_ms, token=token):
             return f"SET_ALARM door={door} when_ms={at_ms:.3f} name={token}"
         case api.CancelAttempt(id=rid, attempt=attempt):
             return f"UNDO_SEND door={door} rid={rid} hop={attempt}"
-        case api.HealthCheck(server=server):
+        case api.HealthCheck(endpoint=server):
             return f"SAMPLE door={door} backend={server}"
         case api.Subscribe():
             return f"LISTEN door={door} active=1"
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -12,13 +12,13 @@
 from martenstep.policy import messages as api
 
 BLOCK = 100  # events per digest
-READ = api.RequestClass("read", 400.0, 2500.0, api.Idempotency.SAFE)
+READ = api.RequestClass("read", 400.0, 2500.0, api.Idempotency.IDEMPOTENT)
 WRITE_ZONE = api.RequestClass("write-zone", 600.0, 3000.0, api.Idempotency.KEYED, api.DeduplicationScope.ZONE, 1500.0)
 WRITE_CELL = api.RequestClass(
     "write-cell", 600.0, 3000.0, api.Idempotency.KEYED, api.DeduplicationScope.CELL, 1500.0, 2.0
 )
 WRITE_ALL = api.RequestClass("write-all", 600.0, 3000.0, api.Idempotency.KEYED, api.DeduplicationScope.ALL, 2500.0)
-PAY = api.RequestClass("pay", 800.0, 4000.0, api.Idempotency.UNSAFE, late_share=0.3)
+PAY = api.RequestClass("pay", 800.0, 4000.0, api.Idempotency.AT_MOST_ONCE, late_value_share=0.3)
 CLASSES = (READ, WRITE_ZONE, WRITE_CELL, WRITE_ALL, PAY)
 
 
@@ -47,20 +47,20 @@
     """One action in full, its floats to the last digit."""
     match action:
         case api.StartAttempt():
-            return f"send {action.id} {action.server} {action.timeout_ms!r} {action.beyond}"
+            return f"send {action.id} {action.endpoint} {action.timeout_ms!r} {action.over_quota}"
         case api.Reject():
             reason = list(api.RejectionReason).index(action.reason)
             return f"reject {action.id} {action.retry_after_ms!r} {reason}"
         case api.Fail():
             return f"fail {action.id}"
         case api.IncrementCounter():
-            return f"count {action.name} {action.units!r} {action.expire_ms!r} {action.proof}"
+            return f"count {action.key} {action.units!r} {action.expire_ms!r} {action.bounds_ceiling}"
         case api.SetTimer():
             return f"timer {action.at_ms!r} {action.token}"
         case api.CancelAttempt():
             return f"cancel {action.id} {action.attempt}"
         case api.HealthCheck():
-            return f"probe {action.server}"
+            return f"probe {action.endpoint}"
         case api.Subscribe():
             return "subscribe"
         case api.Log():
@@ -94,34 +94,39 @@
     def endpoint(self, number: int) -> api.Endpoint:
         """An endpoint's entry in a list."""
         zone, kind = "ab"[number % 2], ("std", "big")[number % 3 == 0]
-        size = 1.0 + number % 3 * 0.5 if self.scenario.settings.sized else 1.0
+        size = 1.0 + number % 3 * 0.5 if self.scenario.settings.has_capacity_weights else 1.0
         return api.Endpoint(number + 1, zone, kind, number % 4, self.states[number], size, self.started[number])
 
     def everyone(self) -> tuple[api.Endpoint, ...]:
         """The whole list, but for what is gone."""
         entries = [self.endpoint(number) for number in range(self.scenario.endpoints)]
-        return tuple(entry for entry in entries if entry.state is not api.EndpointState.GONE)
+        return tuple(entry for entry in entries if entry.state is not api.EndpointState.REMOVED)
 
     def next_list(self) -> api.EndpointListUpdate:
         """Some endpoints leave, drain, come back cold; told as a delta or as a whole list."""
         changed = [self.rng.randrange(self.scenario.endpoints) for _ in range(self.rng.randrange(1, 4))]
         for number in changed:
             old = self.states[number]
-            choices = [api.EndpointState.UP, api.EndpointState.UP, api.EndpointState.DRAINING, api.EndpointState.GONE]
+            choices = [
+                api.EndpointState.UP,
+                api.EndpointState.UP,
+                api.EndpointState.DRAINING,
+                api.EndpointState.REMOVED,
+            ]
             self.states[number] = self.rng.choice(choices)
             if old is not api.EndpointState.UP and self.states[number] is api.EndpointState.UP:
                 self.started[number] = self.now - self.rng.uniform(0.0, 500.0)
         kind = self.rng.random()
         if kind < 0.6:
             return api.EndpointListUpdate(
-                api.EndpointListScope.CHANGES, tuple(self.endpoint(number) for number in changed)
+                api.EndpointListScope.DELTA, tuple(self.endpoint(number) for number in changed)
             )
         if kind < 0.85:
             return api.EndpointListUpdate(api.EndpointListScope.FULL, self.everyone())
         return (
             api.EndpointListUpdate(api.EndpointListScope.LOST)
             if kind < 0.93
-            else api.EndpointListUpdate(api.EndpointListScope.WARM_COPY, self.everyone())
+            else api.EndpointListUpdate(api.EndpointListScope.CACHED, self.everyone())
         )
 
     def next_request(self) -> api.Request:
@@ -132,16 +137,16 @@
         cls = CLASSES[self.rng.randrange(len(CLASSES))]
         remaining = cls.deadline_ms * self.rng.choice((1.0, 1.0, 0.5, 0.05))
         units = float(self.rng.choice((1, 1, 1, 2, 4)))
-        spread = 1 + customer % self.scenario.settings.gateways
-        first = customer % self.scenario.settings.gateways
+        spread = 1 + customer % self.scenario.settings.instances
+        first = customer % self.scenario.settings.instances
         rid = f"{self.requests:016x}"
         return api.Request(rid, cls.name, plan, customer, remaining, units, spread, first, self.requests % 5 == 0)
 
     def attempt(self, send: api.StartAttempt) -> None:
         """Begin an attempt and plan its end."""
         number = self.attempts[send.id] = self.attempts.get(send.id, -1) + 1
-        self.running[send.id, number] = self.now, send.server
-        rtt = self.scenario.latency_ms * self.spread[send.server - 1] * self.rng.uniform(0.6, 1.8)
+        self.running[send.id, number] = self.now, send.endpoint
+        rtt = self.scenario.latency_ms * self.spread[send.endpoint - 1] * self.rng.uniform(0.6, 1.8)
         verdict = api.CallResult.OK
         if self.rng.random() < self.scenario.error_share:
             verdict = self.rng.choice(
@@ -151,7 +156,7 @@
         if rtt >= send.timeout_ms:
             verdict, rtt = api.CallResult.TIMEOUT, send.timeout_ms
         ended = verdict is api.CallResult.OK or rtt >= send.timeout_ms
-        self.later(rtt, api.AttemptEnded(send.id, number, send.server, verdict, rtt, ended, 1.5, (1.0, 2.0)))
+        self.later(rtt, api.AttemptEnded(send.id, number, send.endpoint, verdict, rtt, ended, 1.5, (1.0, 2.0)))
         if self.rng.random() < 0.05:
             self.later(rtt * 0.5, api.ResponseStarted(send.id))
 
@@ -162,13 +167,13 @@
         applied = not fault or self.rng.random() < 0.5
         if applied:
             elsewhere = self.rng.choice((0.0, 0.0, 1.0, 3.0))
-            self.totals[call.name] = self.totals.get(call.name, 0.0) + call.units + elsewhere
+            self.totals[call.key] = self.totals.get(call.key, 0.0) + call.units + elsewhere
         if fault:
             verdict = self.rng.choice((api.CallResult.TIMEOUT, api.CallResult.ERROR, api.CallResult.CONNECT_FAILED))
-            self.later(self.scenario.settings.counter_timeout_ms, api.CounterReply(call.name, verdict, delay))
+            self.later(self.scenario.settings.counter_timeout_ms, api.CounterReply(call.key, verdict, delay))
             return
         kept = self.rng.choice((math.inf, math.inf, math.inf, self.rng.uniform(0.0, 8000.0)))
-        self.later(delay, api.CounterReply(call.name, api.CallResult.OK, delay, self.totals[call.name], kept))
+        self.later(delay, api.CounterReply(call.key, api.CallResult.OK, delay, self.totals[call.key], kept))
 
     def carry_out(self, action: api.Action) -> None:
         """Let the world answer one action."""
@@ -219,7 +224,7 @@
 
     def play(self) -> list[str]:
         """The whole scenario; gives the lines of each block of events as one digest."""
-        self.later(0.0, api.EndpointListUpdate(api.EndpointListScope.WARM_COPY, self.everyone()))
+        self.later(0.0, api.EndpointListUpdate(api.EndpointListScope.CACHED, self.everyone()))
         self.later(1.0, self.next_request())
         self.later(2.0, api.HealthCheckResult(1, api.CallResult.OK, 5.0, (1.0,)))
         if math.isfinite(self.scenario.clock_step_every_ms):
--- a/tests/door_rig.py
+++ b/tests/door_rig.py
@@ -62,7 +62,7 @@
         self.now = START
         self.did: list[ev.Action] = []
         self._ticket = 0
-        self.tell(listed(*servers, scope=EndpointListScope.WARM_COPY))
+        self.tell(listed(*servers, scope=EndpointListScope.CACHED))
 
     def tell(self, event: ev.Event) -> list[ev.Action]:
         """One event at the present time."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,14 +9,14 @@
 from martenstep.policy import messages as api
 from martenstep.policy.gateway import Gateway
 
-SAFE = api.RequestClass("read", 1000.0, 4000.0, api.Idempotency.SAFE)
+SAFE = api.RequestClass("read", 1000.0, 4000.0, api.Idempotency.IDEMPOTENT)
 KEYED = api.RequestClass("write", 1000.0, 4000.0, api.Idempotency.KEYED, api.DeduplicationScope.ZONE, 3000.0)
-UNSAFE = api.RequestClass("pay", 1000.0, 4000.0, api.Idempotency.UNSAFE)
+UNSAFE = api.RequestClass("pay", 1000.0, 4000.0, api.Idempotency.AT_MOST_ONCE)
 PLAIN = api.Plan("plain", rate=1.0, burst=4.0)
 CAPPED = api.Plan("capped", rate=5.0, burst=5.0, ceiling_rate=11.0, ceiling_burst=11.0, ceiling_slack=2.0)
 SETTINGS = api.Settings(
-    me=0,
-    gateways=2,
+    instance=0,
+    instances=2,
     zone="a",
     tick_ms=2.0,
     classes=(SAFE, KEYED, UNSAFE),
@@ -25,11 +25,11 @@
     counter_timeout_ms=50.0,
     max_attempts=3,
     can_cancel=True,
-    retry_after=True,
-    cold_from=0.25,
-    warm_within_ms=10_000.0,
-    fall_multiple=2.0,
-    fall_window_ms=1000.0,
+    sends_retry_after=True,
+    slow_start_initial_share=0.25,
+    slow_start_window_ms=10_000.0,
+    overload_multiple=2.0,
+    overload_window_ms=1000.0,
     answer_slack_ms=8.0,
 )
 START = 50_000.0
@@ -48,7 +48,7 @@
     made = Gateway(replace(SETTINGS, **changes), seed)
     if servers is None:
         servers = [server(1), server(2), server(3, "b"), server(4, "b")]
-    made.handle(START, api.EndpointListUpdate(api.EndpointListScope.WARM_COPY, tuple(servers)))
+    made.handle(START, api.EndpointListUpdate(api.EndpointListScope.CACHED, tuple(servers)))
     return made
 
 
@@ -70,7 +70,7 @@
 ) -> api.AttemptEnded:
     """The end of an attempt; a good one ends the request."""
     done = verdict is api.CallResult.OK if ended is None else ended
-    return api.AttemptEnded(send.id, attempt, send.server, verdict, rtt, done)
+    return api.AttemptEnded(send.id, attempt, send.endpoint, verdict, rtt, done)
 
 
 def only(actions: Iterable[api.Action], kind: type[A]) -> list[A]:
@@ -86,8 +86,8 @@
     todo = list(counts)
     while todo:
         count = todo.pop(0)
-        totals[count.name] = totals.get(count.name, 0.0) + count.units
-        actions = made.handle(now, api.CounterReply(count.name, api.CallResult.OK, 2.0, totals[count.name]))
+        totals[count.key] = totals.get(count.key, 0.0) + count.units
+        actions = made.handle(now, api.CounterReply(count.key, api.CallResult.OK, 2.0, totals[count.key]))
         out += [action for action in actions if not isinstance(action, api.IncrementCounter)]
         todo += only(actions, api.IncrementCounter)
     return out
--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -158,7 +158,7 @@
     numbers = [await back.start() for back in backs] + list(ports)
     servers = tuple(Endpoint(n, "a", "std", 0, EndpointState.UP) for n in range(1, len(numbers) + 1))
     driver.act(
-        Listed(EndpointListScope.WARM_COPY, servers, {n + 1: ("127.0.0.1", port) for n, port in enumerate(numbers)})
+        Listed(EndpointListScope.CACHED, servers, {n + 1: ("127.0.0.1", port) for n, port in enumerate(numbers)})
     )
     port = await driver.start()
     try:
--- a/tests/test_cap.py
+++ b/tests/test_cap.py
@@ -29,7 +29,7 @@
 
 def test_headroom_and_cap_together_are_the_ceiling_and_its_slack() -> None:
     parts = [
-        Ledger(CAPPED, api.Request("r", "read", "capped", 7, 4000.0, 1.0, 2, 0), replace(DAY, me=me), START, 0.0)
+        Ledger(CAPPED, api.Request("r", "read", "capped", 7, 4000.0, 1.0, 2, 0), replace(DAY, instance=me), START, 0.0)
         for me in (0, 1)
     ]
     heads = [led.head for led in parts if led.head]
@@ -117,13 +117,13 @@
     for number in range(40):  # 4 s of a store that is away
         now = START + 100.0 * (number + 1)
         for count in only(made.handle(now, request(f"b{number}", plan="capped")), api.IncrementCounter):
-            made.handle(now, api.CounterReply(count.name, api.CallResult.CONNECT_FAILED, 0.0))
+            made.handle(now, api.CounterReply(count.key, api.CallResult.CONNECT_FAILED, 0.0))
     now = START + 4200.0
     counts: list[api.IncrementCounter] = []
     for number in range(200):
         counts = only(made.handle(now + number, request(f"c{number}", plan="capped")), api.IncrementCounter)
         if counts:
             break
-    assert counts and counts[0].proof
-    totals[counts[0].name] = 30.0  # of others, a moment ago
+    assert counts and counts[0].bounds_ceiling
+    totals[counts[0].key] = 30.0  # of others, a moment ago
     assert not only(answer(made, now + 200.0, counts, totals), api.StartAttempt)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -33,9 +33,13 @@
 
 def test_settings_become_the_modules() -> None:
     told = module_settings(parse_door(DOOR, "d"))
-    assert (told.me, told.gateways, told.max_attempts, told.has_counter) == (0, 2, 3, True)
+    assert (told.instance, told.instances, told.max_attempts, told.has_counter) == (0, 2, 3, True)
     write = told.classes[1]
-    assert (write.effect, write.group, write.window_ms) == (Idempotency.KEYED, DeduplicationScope.ZONE, 3000.0)
+    assert (write.idempotency, write.deduplication_scope, write.deduplication_window_ms) == (
+        Idempotency.KEYED,
+        DeduplicationScope.ZONE,
+        3000.0,
+    )
     assert told.plans[0].burst == 20.0 and told.counter_timeout_ms == 50.0
 
 
--- a/tests/test_decide_brake.py
+++ b/tests/test_decide_brake.py
@@ -22,13 +22,15 @@
 def served(seed: int, slow_ms: float, usual_ms: float, tries_a_s: float = 20.0) -> float:
     """The share of the tries that go out in the last 10 s, where servers are slow at first and as usual from SLOW_S on;
     each answer's time is drawn, and no request is confirmed by the counter."""
-    cls = api.RequestClass("read", aim_ms=AIM_MS, deadline_ms=3000.0, effect=api.Idempotency.SAFE)
+    cls = api.RequestClass(
+        "read", latency_objective_ms=AIM_MS, deadline_ms=3000.0, idempotency=api.Idempotency.IDEMPOTENT
+    )
     made = gateway(
         [server(n) for n in range(1, 13)],
         seed=seed,
         classes=(cls,),
         plans=(PLAN,),
-        gateways=6,
+        instances=6,
         counter_timeout_ms=1000.0,
         can_cancel=False,
     )
--- a/tests/test_decide_cold.py
+++ b/tests/test_decide_cold.py
@@ -47,19 +47,19 @@
         made = Gateway(
             replace(
                 SETTINGS,
-                me=number,
-                gateways=GATEWAYS,
+                instance=number,
+                instances=GATEWAYS,
                 zone=ZONES[number % len(ZONES)],
-                cold_from=self.cold_from,
-                warm_within_ms=WARM_MS,
-                fall_multiple=MULTIPLE,
-                fall_window_ms=WINDOW_MS,
+                slow_start_initial_share=self.cold_from,
+                slow_start_window_ms=WARM_MS,
+                overload_multiple=MULTIPLE,
+                overload_window_ms=WINDOW_MS,
                 has_counter=False,
                 plans=(api.Plan("free"),),
             ),
             seed * GATEWAYS + number,
         )
-        made.handle(self.now, api.EndpointListUpdate(api.EndpointListScope.WARM_COPY, tuple(self.members.values())))
+        made.handle(self.now, api.EndpointListUpdate(api.EndpointListScope.CACHED, tuple(self.members.values())))
         return made
 
     def take(self, number: int, made: Gateway, actions: Iterable[api.Action]) -> None:
@@ -67,21 +67,21 @@
         for action in actions:
             self.serial += 1
             if isinstance(action, api.StartAttempt):
-                if action.server in self.cold:
-                    self.cold[action.server].append(self.now)
+                if action.endpoint in self.cold:
+                    self.cold[action.endpoint].append(self.now)
                 rtt = self.rng.uniform(20.0, 120.0)
-                done = api.AttemptEnded(action.id, 0, action.server, api.CallResult.OK, rtt, True)
+                done = api.AttemptEnded(action.id, 0, action.endpoint, api.CallResult.OK, rtt, True)
                 heapq.heappush(self.heap, (self.now + rtt, self.serial, number, made, done))
             elif isinstance(action, api.SetTimer):
                 heapq.heappush(self.heap, (action.at_ms, self.serial, number, made, api.TimerFired(action.token)))
 
     def lose(self) -> None:
         """A zone goes, and gateways with it."""
-        gone = [replace(one, state=api.EndpointState.GONE) for one in self.members.values() if one.zone == ZONES[0]]
+        gone = [replace(one, state=api.EndpointState.REMOVED) for one in self.members.values() if one.zone == ZONES[0]]
         self.members = {n: one for n, one in self.members.items() if one.zone != ZONES[0]}
         for number, made in enumerate(self.gateways):
             if made is not None:
-                made.handle(self.now, api.EndpointListUpdate(api.EndpointListScope.CHANGES, tuple(gone)))
+                made.handle(self.now, api.EndpointListUpdate(api.EndpointListScope.DELTA, tuple(gone)))
             if self.rng.random() < RESTARTED:
                 self.gateways[number] = None
 
--- a/tests/test_decide_pick.py
+++ b/tests/test_decide_pick.py
@@ -18,7 +18,7 @@
 
 VERDICTS = (
     api.CallResult.ERROR,
-    api.CallResult.FULL,
+    api.CallResult.OVERLOADED,
     api.CallResult.CONNECT_FAILED,
     api.CallResult.RESET,
     api.CallResult.TIMEOUT,
@@ -90,12 +90,12 @@
             if isinstance(action, api.StartAttempt):
                 sends += 1
                 number = attempts[action.id] = attempts.get(action.id, -1) + 1
-                fails = action.server in bad and rng.random() < 0.6
+                fails = action.endpoint in bad and rng.random() < 0.6
                 verdict = rng.choice(VERDICTS) if fails else api.CallResult.OK
-                rtt = rng.expovariate(1 / 30) * (8 if action.server in slow else 1) + rng.choice((0.0, 1.0, 20.0))
+                rtt = rng.expovariate(1 / 30) * (8 if action.endpoint in slow else 1) + rng.choice((0.0, 1.0, 20.0))
                 ended = verdict is api.CallResult.OK
                 heapq.heappush(
-                    heap, (now + rtt, order, api.AttemptEnded(action.id, number, action.server, verdict, rtt, ended))
+                    heap, (now + rtt, order, api.AttemptEnded(action.id, number, action.endpoint, verdict, rtt, ended))
                 )
             elif isinstance(action, api.SetTimer):
                 heapq.heappush(heap, (max(action.at_ms, now), order, api.TimerFired(action.token)))
@@ -103,7 +103,7 @@
                 verdict = rng.choice((api.CallResult.OK, api.CallResult.OK, api.CallResult.TIMEOUT))
                 heapq.heappush(
                     heap,
-                    (now + rng.choice((1, 5, 60)), order, api.CounterReply(action.name, verdict, 3.0, action.units)),
+                    (now + rng.choice((1, 5, 60)), order, api.CounterReply(action.key, verdict, 3.0, action.units)),
                 )
 
     tell(api.EndpointListUpdate(api.EndpointListScope.FULL, tuple(server(number) for number in range(1, servers + 1))))
@@ -117,7 +117,7 @@
         if rng.random() < 0.02:
             state = rng.choice((api.EndpointState.UP, api.EndpointState.UP, api.EndpointState.DRAINING))
             changed = server(rng.randrange(1, servers + 3), state, rng.choice((0.0, now - rng.random() * 3000)))
-            tell(api.EndpointListUpdate(api.EndpointListScope.CHANGES, (changed,)))
+            tell(api.EndpointListUpdate(api.EndpointListScope.DELTA, (changed,)))
         tell(
             api.Request(
                 f"r{number}",
--- a/tests/test_decide_silence.py
+++ b/tests/test_decide_silence.py
@@ -15,7 +15,7 @@
 
 def one() -> Gateway:
     """A gateway with one server, and a plan without a quota."""
-    made = gateway([server(1)], plans=(FREE,), gateways=1)
+    made = gateway([server(1)], plans=(FREE,), instances=1)
     for number in range(40):  # it knows its server, and has sent enough to trust what it knows
         at = START + number * 20.0
         [send] = only(made.handle(at, request(f"w{number}", plan="free")), api.StartAttempt)
@@ -76,6 +76,6 @@
     """A full server still answers what stands in its queue."""
     made = one()
     earlier, refused = sent(made, BEGIN, "earlier"), sent(made, BEGIN + 1.0, "refused")
-    made.handle(BEGIN + 2.0, outcome(refused, api.CallResult.FULL, rtt=1.0))
+    made.handle(BEGIN + 2.0, outcome(refused, api.CallResult.OVERLOADED, rtt=1.0))
     made.handle(BEGIN + 10.0, outcome(earlier, api.CallResult.OK, rtt=10.0))
     assert made._fleet._peers[1].latency > 500.0
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -321,7 +321,7 @@
     for _ in range(20):
         rig.serve(rig.ask())
     assert {open_.server for open_ in rig.of(ev.Open)} == {1, 2}
-    rig.tell(listed(1, scope=EndpointListScope.CHANGES, state=EndpointState.DRAINING))
+    rig.tell(listed(1, scope=EndpointListScope.DELTA, state=EndpointState.DRAINING))
     before = len(rig.of(ev.Open))
     for _ in range(20):
         rig.serve(rig.ask())
@@ -377,8 +377,8 @@
     """Servers replaced one by one under new numbers left theirs for good: 106 of 116 after four minutes."""
     rig = Rig(servers=(1, 2))
     for number in range(3, 200):
-        rig.tell(listed(number, scope=EndpointListScope.CHANGES))
-        rig.tell(listed(number - 2, scope=EndpointListScope.CHANGES, state=EndpointState.GONE))
+        rig.tell(listed(number, scope=EndpointListScope.DELTA))
+        rig.tell(listed(number - 2, scope=EndpointListScope.DELTA, state=EndpointState.REMOVED))
     assert rig.engine.held["servers"] == 2
 
 
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -108,7 +108,7 @@
     @precondition(lambda self: self.calls)
     @rule(
         data=st.data(),
-        verdict=st.sampled_from((CallResult.OK, CallResult.FULL, CallResult.TIMEOUT)),
+        verdict=st.sampled_from((CallResult.OK, CallResult.OVERLOADED, CallResult.TIMEOUT)),
         total=st.floats(0, 100),
     )
     def count(self, data: st.DataObject, verdict: CallResult, total: float) -> None:
@@ -124,7 +124,7 @@
     @rule(
         numbers=st.sets(st.integers(1, 5)),
         state=st.sampled_from(list(EndpointState)),
-        scope=st.sampled_from((EndpointListScope.FULL, EndpointListScope.CHANGES, EndpointListScope.LOST)),
+        scope=st.sampled_from((EndpointListScope.FULL, EndpointListScope.DELTA, EndpointListScope.LOST)),
     )
     def list_changes(self, numbers: set[int], state: EndpointState, scope: EndpointListScope) -> None:
         self.rig.tell(listed(*sorted(numbers), scope=scope, state=state))
--- a/tests/test_formats_decision_trace.py
+++ b/tests/test_formats_decision_trace.py
@@ -18,15 +18,17 @@
 
 DIGESTS = Path(__file__).parent / "formats" / "decisions" / "trace_digests.json"
 FREE = api.Plan("free")
-SMALL = api.Plan("small", rate=6.0, burst=12.0, price=1.5)
-FEW = api.Plan("few", rate=20.0, burst=40.0, open_limit=2)
-OPEN = api.Plan("open", rate=20.0, burst=40.0, open_limit=3, price=2.0, over_worth=0.9, over_cost=0.2)
-COSTLY = api.Plan("costly", rate=10.0, burst=20.0, over_worth=0.0, over_cost=1.3)
+SMALL = api.Plan("small", rate=6.0, burst=12.0, priority_weight=1.5)
+FEW = api.Plan("few", rate=20.0, burst=40.0, concurrency_limit=2)
+OPEN = api.Plan(
+    "open", rate=20.0, burst=40.0, concurrency_limit=3, priority_weight=2.0, over_quota_value=0.9, over_quota_cost=0.2
+)
+COSTLY = api.Plan("costly", rate=10.0, burst=20.0, over_quota_value=0.0, over_quota_cost=1.3)
 CAPPED = api.Plan("capped", 6.0, 12.0, 0, 1.0, 0.0, 0.5, 9.0, 15.0, 3.0)
 CAPPED_OVER = api.Plan("capped-over", 20.0, 10.0, 0, 1.0, 1.0, 0.5, 30.0, 16.0, 2.0)
 SETTINGS = api.Settings(
-    me=1,
-    gateways=3,
+    instance=1,
+    instances=3,
     zone="a",
     tick_ms=2.0,
     classes=CLASSES,
@@ -36,12 +38,12 @@
     max_units=4.0,
     max_attempts=3,
     can_cancel=True,
-    retry_after=True,
+    sends_retry_after=True,
     answer_slack_ms=8.0,
-    cold_from=0.25,
-    warm_within_ms=6000.0,
-    fall_multiple=2.0,
-    fall_window_ms=1000.0,
+    slow_start_initial_share=0.25,
+    slow_start_window_ms=6000.0,
+    overload_multiple=2.0,
+    overload_window_ms=1000.0,
 )
 
 
@@ -70,7 +72,7 @@
     Scenario(
         "large fleet",
         17,
-        replace(SETTINGS, gateways=200, me=77, must_subscribe=True, sized=True),
+        replace(SETTINGS, instances=200, instance=77, must_subscribe=True, has_capacity_weights=True),
         ("free", "small"),
         140,
         30.0,
@@ -95,7 +97,7 @@
     Scenario(
         "silence",
         19,
-        replace(SETTINGS, gateways=2),
+        replace(SETTINGS, instances=2),
         ("free", "capped-over"),
         9,
         60.0,
@@ -108,7 +110,7 @@
     Scenario(
         "near overload",
         21,
-        replace(SETTINGS, gateways=2, has_counter=False),
+        replace(SETTINGS, instances=2, has_counter=False),
         ("small", "open", "costly", "free"),
         6,
         40.0,
--- a/tests/test_formats_decisions.py
+++ b/tests/test_formats_decisions.py
@@ -90,52 +90,52 @@
 def test_every_settings_key_is_read() -> None:
     write = api.RequestClass(
         name="write",
-        aim_ms=300.5,
+        latency_objective_ms=300.5,
         deadline_ms=4000.0,
-        effect=api.Idempotency.KEYED,
-        group=api.DeduplicationScope.CELL,
-        window_ms=1500.0,
-        worth=2.5,
-        late_share=0.25,
+        idempotency=api.Idempotency.KEYED,
+        deduplication_scope=api.DeduplicationScope.CELL,
+        deduplication_window_ms=1500.0,
+        priority_weight=2.5,
+        late_value_share=0.25,
     )
     capped = api.Plan(
         name="capped",
         rate=5.0,
         burst=6.0,
-        open_limit=4,
-        price=1.5,
-        over_worth=0.75,
-        over_cost=0.5,
+        concurrency_limit=4,
+        priority_weight=1.5,
+        over_quota_value=0.75,
+        over_quota_cost=0.5,
         ceiling_rate=11.0,
         ceiling_burst=12.0,
         ceiling_slack=2.0,
     )
     assert read_settings(json.dumps(EVERY_KEY)) == api.Settings(
-        me=3,
-        gateways=7,
+        instance=3,
+        instances=7,
         zone="b",
         tick_ms=2.5,
         classes=(write,),
         plans=(capped,),
-        kinds=("std", "big"),
+        endpoint_kinds=("std", "big"),
         has_counter=True,
         counter_timeout_ms=50.0,
         max_units=8.0,
-        settles=True,
+        settles_actual_units=True,
         max_attempts=3,
         can_cancel=True,
-        can_probe=True,
-        retry_after=True,
+        can_health_check=True,
+        sends_retry_after=True,
         max_retry_after_ms=9000.0,
         must_subscribe=True,
-        ask_within_ms=250.0,
-        report_fields=("in_flight", "queue", "busy", "latency_ms", "rate", "error_rate", "other"),
+        poll_interval_ms=250.0,
+        load_report_fields=("in_flight", "queue", "busy", "latency_ms", "rate", "error_rate", "other"),
         answer_slack_ms=8.0,
-        cold_from=0.25,
-        warm_within_ms=6000.0,
-        fall_multiple=2.0,
-        fall_window_ms=1000.0,
-        sized=True,
+        slow_start_initial_share=0.25,
+        slow_start_window_ms=6000.0,
+        overload_multiple=2.0,
+        overload_window_ms=1000.0,
+        has_capacity_weights=True,
     )
 
 
@@ -149,7 +149,7 @@
         "policy_limits": {},
         "rules": {},
     }
-    read = api.RequestClass("r", 1.0, 2.0, api.Idempotency.SAFE, api.DeduplicationScope.ALL, 0.0, 1.0, 0.0)
+    read = api.RequestClass("r", 1.0, 2.0, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0, 1.0, 0.0)
     free = api.Plan("free", 0.0, 0.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0)
     assert read_settings(json.dumps(least)) == api.Settings(0, 1, "", 2.0, (read,), (free,))
 
@@ -163,14 +163,14 @@
 @pytest.mark.parametrize(
     ("word", "meaning"),
     [
-        ("idempotent", api.Idempotency.SAFE),
+        ("idempotent", api.Idempotency.IDEMPOTENT),
         ("deduplicated", api.Idempotency.KEYED),
-        ("at_most_once", api.Idempotency.UNSAFE),
+        ("at_most_once", api.Idempotency.AT_MOST_ONCE),
     ],
 )
 def test_words_of_idempotency(word: str, meaning: api.Idempotency) -> None:
     raw = {**EVERY_KEY, "classes": [{**EVERY_KEY["classes"][0], "idempotency": word}]}
-    assert read_settings(json.dumps(raw)).classes[0].effect is meaning
+    assert read_settings(json.dumps(raw)).classes[0].idempotency is meaning
 
 
 @pytest.mark.parametrize(
@@ -179,7 +179,7 @@
 )
 def test_words_of_deduplication(word: str, meaning: api.DeduplicationScope) -> None:
     raw = {**EVERY_KEY, "classes": [{**EVERY_KEY["classes"][0], "group": word}]}
-    assert read_settings(json.dumps(raw)).classes[0].group is meaning
+    assert read_settings(json.dumps(raw)).classes[0].deduplication_scope is meaning
 
 
 @pytest.mark.parametrize(
@@ -187,12 +187,12 @@
     [
         ("Ok", api.CallResult.OK),
         ("Failed", api.CallResult.ERROR),
-        ("QueueFull", api.CallResult.FULL),
+        ("QueueFull", api.CallResult.OVERLOADED),
         ("TimedOut", api.CallResult.TIMEOUT),
         ("ConnectError", api.CallResult.CONNECT_FAILED),
         ("ResetByPeer", api.CallResult.RESET),
         ("Canceled", api.CallResult.CANCELLED),
-        ("Ignored", api.CallResult.MOOT),
+        ("Ignored", api.CallResult.NOT_SENT),
     ],
 )
 def test_words_of_results(word: str, meaning: api.CallResult) -> None:
@@ -205,7 +205,8 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "meaning"), [("U", api.EndpointState.UP), ("L", api.EndpointState.DRAINING), ("D", api.EndpointState.GONE)]
+    ("word", "meaning"),
+    [("U", api.EndpointState.UP), ("L", api.EndpointState.DRAINING), ("D", api.EndpointState.REMOVED)],
 )
 def test_an_endpoint_is_read(word: str, meaning: api.EndpointState) -> None:
     _, fields = split_line(f"BACKEND backend=7 zone=b kind=big cohort=3 condition={word} size=1.5 born_ms=20")
--- a/tests/test_formats_discovery.py
+++ b/tests/test_formats_discovery.py
@@ -28,11 +28,11 @@
     follower.take(LIST, 10_000.0)
     assert follower.copy(1_700_000_009_000.0) == old
     warm = Follower().warm(old, 10_000.0, 1_700_000_009_000.0)
-    assert warm.scope is EndpointListScope.WARM_COPY and warm.addresses == {7: ("10.0.0.7", 8080), 8: ("::1", 1)}
+    assert warm.scope is EndpointListScope.CACHED and warm.addresses == {7: ("10.0.0.7", 8080), 8: ("::1", 1)}
     first, second = warm.servers
     assert (first.id, first.zone, first.kind, first.cell, first.state.value) == (7, "a", "std", 3, "up")
     assert (first.started_ms, second.started_ms, second.state.value) == (1000.0, 0.0, "draining")
-    assert (first.size, second.size) == (2.5, 1.0)
+    assert (first.capacity, second.capacity) == (2.5, 1.0)
 
 
 def test_the_feed_is_asked_as_before(tmp_path: Path) -> None:
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -57,7 +57,7 @@
 
 def assert_taken(listed: Listed | None) -> None:
     """A change was told."""
-    assert listed is not None and listed.scope is EndpointListScope.CHANGES and len(listed.servers) == 1
+    assert listed is not None and listed.scope is EndpointListScope.DELTA and len(listed.servers) == 1
 
 
 def of_module(whole: bytes) -> Callable[[bytes], None]:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -34,7 +34,7 @@
     assert listed and listed.scope is EndpointListScope.FULL and [s.id for s in listed.servers] == [1, 2]
     assert listed.addresses[1] == ("127.0.0.1", 80)
     listed, _ = follower.take(answer(6, "changes", entry(2, "draining")), 200.0)
-    assert listed and listed.scope is EndpointListScope.CHANGES and listed.servers[0].state is EndpointState.DRAINING
+    assert listed and listed.scope is EndpointListScope.DELTA and listed.servers[0].state is EndpointState.DRAINING
     assert follower.take(answer(6, "changes"), 300.0) == (None, [])  # the wait was over
     assert follower.index == 6
 
@@ -91,7 +91,7 @@
     follower.take(answer(6, "changes", entry(3, "gone"), entry(2, "draining")), 50_000.0)
     fresh = Follower()
     warm = fresh.warm(follower.copy(1_000_000.0), 10_000.0, 1_004_000.0)
-    assert warm.scope is EndpointListScope.WARM_COPY and {s.id: s.state for s in warm.servers} == {
+    assert warm.scope is EndpointListScope.CACHED and {s.id: s.state for s in warm.servers} == {
         1: EndpointState.UP,
         2: EndpointState.DRAINING,
     }
@@ -138,11 +138,11 @@
 def test_the_feed_is_followed_over_changes_and_empty_waits(tmp_path: Path) -> None:
     async def test() -> None:
         async with followed(tmp_path, wait_ms=20.0) as (server, told):
-            assert told.lists[0].scope is EndpointListScope.WARM_COPY and not told.lists[0].servers
+            assert told.lists[0].scope is EndpointListScope.CACHED and not told.lists[0].servers
             assert len((await told.until(EndpointListScope.FULL)).servers) == 2
             await asyncio.sleep(0.1)  # some waits pass with nothing to tell
             server.control("update", {"now": True, "servers": [entry(2, "draining"), entry(3)]})
-            assert [s.id for s in (await told.until(EndpointListScope.CHANGES)).servers] == [2, 3]
+            assert [s.id for s in (await told.until(EndpointListScope.DELTA)).servers] == [2, 3]
             assert len(told.lists) == 3
             assert sorted(e["id"] for e in json.loads((tmp_path / "warm.json").read_bytes())["servers"]) == [1, 2, 3]
 
@@ -160,7 +160,7 @@
             assert sum(listed.scope is EndpointListScope.LOST for listed in told.lists) == 1
             assert told.feed is not None and told.feed.backoff.next_ms > AGAIN_LEAST_MS
             server.control("down", {"on": False})
-            assert [s.id for s in (await told.until(EndpointListScope.CHANGES)).servers] == [9]
+            assert [s.id for s in (await told.until(EndpointListScope.DELTA)).servers] == [9]
             assert told.notes == ["feed lost", "feed back"]
             assert told.feed.backoff.next_ms == AGAIN_LEAST_MS  # the next loss is as short as the first
 
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -32,7 +32,7 @@
         ("127.0.0.1", 6400),
     )
     assert (made.listener.host, made.listener.port) == ("127.0.0.1", 8081)
-    assert made.settings.gateways == 3 and made.settings.max_units == 3
+    assert made.settings.instances == 3 and made.settings.max_units == 3
     assert made.upstream.connect_ms == 200.0 and made.max_open == 500
     assert made.upstream.idle_ms < 20_000.0, "a backend closes what idles so long"
 
@@ -153,9 +153,7 @@
         engine = Engine(parts_of(made, requests), made.seed)
         engine.handle(
             0.0,
-            Listed(
-                EndpointListScope.WARM_COPY, (Endpoint(1, "north", "m", 0, EndpointState.UP),), {1: ("127.0.0.1", 1)}
-            ),
+            Listed(EndpointListScope.CACHED, (Endpoint(1, "north", "m", 0, EndpointState.UP),), {1: ("127.0.0.1", 1)}),
         )
         for number, plan in enumerate(made.settings.plans):
             head = request(number, X_Plan=plan.name).split("\r\n")[1:-2]
--- a/tests/test_node_counter.py
+++ b/tests/test_node_counter.py
@@ -34,9 +34,9 @@
         made.feed(bytes([byte]))
     assert answers == [
         (1, CallResult.OK, 7.5),
-        (2, CallResult.FULL, 0.0),
+        (2, CallResult.OVERLOADED, 0.0),
         (3, CallResult.OK, -1.0),
-        (4, CallResult.FULL, 0.0),
+        (4, CallResult.OVERLOADED, 0.0),
     ]
 
 
@@ -63,7 +63,7 @@
         made.feed(noise)
     made.lost()
     assert answers == [(1, CallResult.OK, 5.0), (2, CallResult.TIMEOUT, 0.0), (3, CallResult.TIMEOUT, 0.0)]
-    assert not CallResult.TIMEOUT.never_ran
+    assert not CallResult.TIMEOUT.never_executed
 
 
 def test_an_answer_that_nobody_asked_for_ends_the_connection() -> None:
@@ -110,7 +110,7 @@
         assert answers == [], "told in the midst of the call, the module would be asked anew while it decides"
         while not answers:
             await asyncio.sleep(0.001)
-        assert answers == [(1, CallResult.CONNECT_FAILED, 0.0)] and CallResult.CONNECT_FAILED.never_ran
+        assert answers == [(1, CallResult.CONNECT_FAILED, 0.0)] and CallResult.CONNECT_FAILED.never_executed
         made.stop()
 
     run(test())
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -50,7 +50,7 @@
     assert (first.started_ms, second.started_ms) == (0.0, NOW_MS - 7000)
     assert "after=4&" in follower.target()
     listed = follower.take(told(5, False, target("s-a", 12, state="draining")))
-    assert listed is not None and listed.scope is EndpointListScope.CHANGES
+    assert listed is not None and listed.scope is EndpointListScope.DELTA
     assert [(server.id, server.state) for server in listed.servers] == [(second.id, EndpointState.DRAINING)]
     assert follower.take(told(5, False)) is None, "the wait was over"
 
@@ -62,7 +62,7 @@
     old = listed.servers[0].id
     listed = follower.take(told(2, False, target("s-a", 11, state="gone"), target("s-n", 11)))
     assert listed is not None
-    assert [server.state for server in listed.servers] == [EndpointState.GONE, EndpointState.UP]
+    assert [server.state for server in listed.servers] == [EndpointState.REMOVED, EndpointState.UP]
     assert listed.servers[1].id != old and follower.addresses == {listed.servers[1].id: ("127.0.0.1", 11)}
 
 
@@ -93,10 +93,8 @@
 
 def test_the_known_list_does_not_begin_a_watch() -> None:
     follower = Follower()
-    listed = follower.told(json.loads(told(9, True, target("s-a"))), EndpointListScope.WARM_COPY)
-    assert (
-        listed is not None and listed.scope is EndpointListScope.WARM_COPY and follower.target() == "/catalog/members"
-    )
+    listed = follower.told(json.loads(told(9, True, target("s-a"))), EndpointListScope.CACHED)
+    assert listed is not None and listed.scope is EndpointListScope.CACHED and follower.target() == "/catalog/members"
 
 
 def answer(body: bytes) -> bytes:
@@ -213,14 +211,17 @@
     follower.take(told(1, True, target("s-a", 11)))
     listed = follower.take(told(2, False, target("s-a", 11, state="gone"), target("s-a", 12, boot_ms=5)))
     assert listed is not None
-    assert [(server.id, server.state) for server in listed.servers] == [(1, EndpointState.GONE), (2, EndpointState.UP)]
+    assert [(server.id, server.state) for server in listed.servers] == [
+        (1, EndpointState.REMOVED),
+        (2, EndpointState.UP),
+    ]
     assert listed.addresses == follower.addresses == {2: ("127.0.0.1", 12)}
 
 
 def test_the_known_list_and_discoverys_name_a_backend_alike() -> None:
     """By two followers number 1 was one backend at first, and another once discovery's list came."""
     follower = Follower()
-    follower.told(json.loads(told(9, True, target("s-a", 11), target("s-b", 12))), EndpointListScope.WARM_COPY)
+    follower.told(json.loads(told(9, True, target("s-a", 11), target("s-b", 12))), EndpointListScope.CACHED)
     listed = follower.take(told(10, True, target("s-b", 12), target("s-c", 13)))
     assert listed is not None and listed.scope is EndpointListScope.FULL
     assert listed.addresses == {2: ("127.0.0.1", 12), 3: ("127.0.0.1", 13)}
@@ -446,7 +447,7 @@
 
     async def test() -> None:
         lists, notes = await _followed(refuses, 2, timing=Timing(250.0, 250.0, 250.0, 1500.0, 1.0, 1.0))
-        assert [listed.scope for listed in lists] == [EndpointListScope.FULL, EndpointListScope.CHANGES]
+        assert [listed.scope for listed in lists] == [EndpointListScope.FULL, EndpointListScope.DELTA]
         assert asked[0] == "/catalog/members" and all("after=1&" in target for target in asked[1:4])
         assert notes[:2] == ["discovery lost", "discovery back"]
 
@@ -602,7 +603,7 @@
         first, doubted, again = lists
         assert [server.state for server in first.servers] == [EndpointState.UP, EndpointState.DRAINING]
         assert (doubted.scope, [server.state for server in doubted.servers]) == (
-            EndpointListScope.CHANGES,
+            EndpointListScope.DELTA,
             [EndpointState.DRAINING] * 2,
         )
         assert again.scope is EndpointListScope.FULL, "all of it, whatever the answer itself tells"
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -73,16 +73,16 @@
     """Two calls for each rare request are more than the counter takes from hundreds of gateways."""
     made = gateway()
     [count] = only(made.handle(START, request("r0")), api.IncrementCounter)
-    assert (count.name, count.units) == (names(7)[0], 1.0) and 0 <= count.name < 2**63
-    actions = made.handle(START + 2, api.CounterReply(count.name, api.CallResult.OK, 2.0, 1.0))
+    assert (count.key, count.units) == (names(7)[0], 1.0) and 0 <= count.key < 2**63
+    actions = made.handle(START + 2, api.CounterReply(count.key, api.CallResult.OK, 2.0, 1.0))
     assert only(actions, api.StartAttempt) and not only(actions, api.IncrementCounter)
 
 
 def test_the_old_period_is_read_where_the_customer_uses_much() -> None:
     made = gateway()
     [count] = only(made.handle(START, request("r0")), api.IncrementCounter)
-    [old] = made.handle(START + 2, api.CounterReply(count.name, api.CallResult.OK, 2.0, 9.0))
-    assert isinstance(old, api.IncrementCounter) and (old.name, old.units) == (names(7)[1], 0.0)
+    [old] = made.handle(START + 2, api.CounterReply(count.key, api.CallResult.OK, 2.0, 9.0))
+    assert isinstance(old, api.IncrementCounter) and (old.key, old.units) == (names(7)[1], 0.0)
 
 
 def test_a_new_period_reads_the_old_name_once_more() -> None:
@@ -104,7 +104,7 @@
     assert only(made.handle(START, request("r2")), api.IncrementCounter) == []
     totals: dict[int, float] = {}
     for count in counts:
-        follow = made.handle(START + 2, api.CounterReply(count.name, api.CallResult.OK, 2.0, 1.0))
+        follow = made.handle(START + 2, api.CounterReply(count.key, api.CallResult.OK, 2.0, 1.0))
     assert [c.units for c in only(follow, api.IncrementCounter)] == [2.0]
     assert only(answer(made, START + 4, only(follow, api.IncrementCounter), totals), api.StartAttempt)
 
@@ -117,7 +117,7 @@
         now = START + step * 50.0
         actions = made.handle(now, request(f"r{step}", units=1.0))
         for count in only(actions, api.IncrementCounter):
-            actions = actions + made.handle(now + 50.0, api.CounterReply(count.name, api.CallResult.TIMEOUT, 50.0))
+            actions = actions + made.handle(now + 50.0, api.CounterReply(count.key, api.CallResult.TIMEOUT, 50.0))
         for send in only(actions, api.StartAttempt):
             sent += 1
             made.handle(now + 50.0, outcome(send, api.CallResult.OK))
@@ -136,34 +136,34 @@
 
 def test_a_crowded_counter_is_called_less() -> None:
     """All gateways together must stay below what the counter takes; none may stay away for good."""
-    made = gateway(gateways=300)
+    made = gateway(instances=300)
     calls = []
     for number in range(2000):
         now = START + number * 500.0
         for count in only(made.handle(now, request(f"r{number}", customer=number, spread=100)), api.IncrementCounter):
             calls.append(number)
-            made.handle(now + 50, api.CounterReply(count.name, api.CallResult.TIMEOUT, 50.0))
+            made.handle(now + 50, api.CounterReply(count.key, api.CallResult.TIMEOUT, 50.0))
     assert 20 < len(calls) < 300 and calls[-1] > 1800
 
 
 def test_an_asked_try_stands_for_the_unheard_ones() -> None:
     """With only a part of the tries counted every customer looked far below its quota, and 94% conformed."""
-    made = gateway(gateways=300)
+    made = gateway(instances=300)
     units = []
     for number in range(400):
         now = START + number * 500.0
         for count in only(made.handle(now, request(f"r{number}", customer=number, spread=100)), api.IncrementCounter):
             units.append(count.units)
             verdict = api.CallResult.TIMEOUT if number % 3 else api.CallResult.OK
-            told = api.CounterReply(count.name, verdict, 9.0, count.units)
+            told = api.CounterReply(count.key, verdict, 9.0, count.units)
             for more in only(made.handle(now + 9, told), api.IncrementCounter):
-                made.handle(now + 9, api.CounterReply(more.name, api.CallResult.OK, 9.0, 0.0))
+                made.handle(now + 9, api.CounterReply(more.key, api.CallResult.OK, 9.0, 0.0))
     assert units[0] == 1.0 and max(units) > 2.0
 
 
 def test_a_refused_try_is_taken_off_the_counter() -> None:
     """A gateway that will not meet the customer again must not leave units there that nobody sent."""
-    made = gateway(gateways=300)
+    made = gateway(instances=300)
     totals = {names(7)[0]: 20.0}
     for number in range(40):  # answers without a line: the counter has room
         admit(made, START, request(f"q{number}", customer=100 + number), totals)
@@ -175,18 +175,18 @@
     """On a day of 100 gateways beside a full counter a fifth of all calls only took units back."""
     tried = alone = 0
     for seed in range(100):
-        made = gateway(gateways=300, seed=seed)
+        made = gateway(instances=300, seed=seed)
         for number in range(20):
             late = 0.5 * SETTINGS.counter_timeout_ms if number else 2.0
             for count in only(made.handle(START, request(f"q{number}", customer=100 + number)), api.IncrementCounter):
-                made.handle(START, api.CounterReply(count.name, api.CallResult.OK, late, 1.0))
+                made.handle(START, api.CounterReply(count.key, api.CallResult.OK, late, 1.0))
         calls = only(made.handle(START, request("r0", spread=100)), api.IncrementCounter)
         tried += bool(calls)
         while calls:
             count = calls.pop()
             alone += count.units < 0
             calls += only(
-                made.handle(START + 2, api.CounterReply(count.name, api.CallResult.OK, 25.0, 21.0)),
+                made.handle(START + 2, api.CounterReply(count.key, api.CallResult.OK, 25.0, 21.0)),
                 api.IncrementCounter,
             )
     assert tried >= 20 and alone <= tried / 3
@@ -194,7 +194,7 @@
 
 def test_an_unheard_customer_gets_its_first_call() -> None:
     """With a part of 1/g of the burst, under one request, nobody would pass anywhere."""
-    made = gateway(gateways=300)
+    made = gateway(instances=300)
     totals: dict[int, float] = {}
     assert only(admit(made, START, request("r0", spread=200), totals), api.StartAttempt)
 
@@ -203,7 +203,7 @@
     """Together the gateways of a set stay under the ceiling with no word from the counter."""
     sent = 0
     for me in range(20):
-        made = gateway(gateways=20, has_counter=False, me=me)
+        made = gateway(instances=20, has_counter=False, instance=me)
         for number in range(30):
             now, rid = START + number * 200.0, f"r{number}"
             actions = made.handle(now, request(rid, plan="capped", customer=9, spread=20))
@@ -214,7 +214,7 @@
 
 def test_after_any_ending_the_books_are_as_before() -> None:
     """The place under the open cap is given back exactly once, however a request ends."""
-    plan = api.Plan("plain", rate=100.0, burst=100.0, open_limit=2)
+    plan = api.Plan("plain", rate=100.0, burst=100.0, concurrency_limit=2)
     for ending in ("ok", "left", "fail", "held"):
         made = gateway(plans=(plan,), max_attempts=1)
         totals: dict[int, float] = {}
@@ -257,7 +257,7 @@
     made = gateway()
     wakes: list[api.SetTimer] = []
     for count in only(made.handle(START, request("r0")), api.IncrementCounter):
-        for action in made.handle(START + 1, api.CounterReply(count.name, api.CallResult.FULL, 1.0)):
+        for action in made.handle(START + 1, api.CounterReply(count.key, api.CallResult.OVERLOADED, 1.0)):
             if isinstance(action, api.StartAttempt):
                 made.handle(START + 50, outcome(action, api.CallResult.OK))
             elif isinstance(action, api.SetTimer):
@@ -268,7 +268,7 @@
         actions = actions + made.handle(now, api.TimerFired(wake.token))
     done: list[str] = []
     for count in only(actions, api.IncrementCounter):
-        answers = made.handle(now + 2, api.CounterReply(count.name, api.CallResult.OK, 2.0, count.units))
+        answers = made.handle(now + 2, api.CounterReply(count.key, api.CallResult.OK, 2.0, count.units))
         done += [a.id for a in answers if isinstance(a, api.StartAttempt | api.Reject)]
     assert done == ["late"]
 
@@ -286,7 +286,7 @@
         at = START + number * 10.0
         for count in only(made.handle(at, request(f"t{number}", customer=1000 + number)), api.IncrementCounter):
             asked += 1
-            made.handle(at + rtt, api.CounterReply(count.name, api.CallResult.OK, rtt, count.units))
+            made.handle(at + rtt, api.CounterReply(count.key, api.CallResult.OK, rtt, count.units))
     return asked
 
 
@@ -306,5 +306,5 @@
         at = START + 5000.0 + number * 10.0
         for count in only(made.handle(at, request(f"c{number}", customer=5000 + number)), api.IncrementCounter):
             crowded += 1
-            made.handle(at + 40.0, api.CounterReply(count.name, api.CallResult.OK, timeout * 0.8, count.units))
+            made.handle(at + 40.0, api.CounterReply(count.key, api.CallResult.OK, timeout * 0.8, count.units))
     assert crowded < 200
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -48,7 +48,7 @@
     made.handle(START + 1, api.ClientDisconnected("r0"))
     for count in counts:
         assert (
-            only(made.handle(START + 2, api.CounterReply(count.name, api.CallResult.OK, 2.0, 1.0)), api.StartAttempt)
+            only(made.handle(START + 2, api.CounterReply(count.key, api.CallResult.OK, 2.0, 1.0)), api.StartAttempt)
             == []
         )
 
@@ -56,8 +56,8 @@
 def test_unsafe_goes_again_only_when_it_never_ran() -> None:
     made = free()
     [send] = sends(made, START, request("r0", cls="pay"))
-    [again] = sends(made, START + 5, outcome(send, api.CallResult.FULL))
-    assert again.server != send.server
+    [again] = sends(made, START + 5, outcome(send, api.CallResult.OVERLOADED))
+    assert again.endpoint != send.endpoint
     assert made.handle(START + 9, outcome(again, api.CallResult.RESET, 1)) == [api.Fail("r0")]
 
 
@@ -66,50 +66,52 @@
     zone = {1: "a", 2: "a", 3: "b", 4: "b"}
     [send] = sends(made, START, request("r0", cls="write"))
     [again] = sends(made, START + 5, outcome(send, api.CallResult.ERROR, rtt=5.0))
-    assert zone[again.server] == zone[send.server]
+    assert zone[again.endpoint] == zone[send.endpoint]
     [third] = sends(made, START + 10, outcome(again, api.CallResult.CONNECT_FAILED, 1, rtt=5.0))
-    assert zone[third.server] == zone[send.server]
+    assert zone[third.endpoint] == zone[send.endpoint]
     assert made.handle(START + 15, outcome(third, api.CallResult.ERROR, 2, rtt=5.0)) == [api.Fail("r0")]
 
 
 def test_keyed_is_not_sent_again_after_its_window() -> None:
-    made = free(classes=(replace(SETTINGS.classes[1], aim_ms=9000.0, deadline_ms=9000.0),))
+    made = free(classes=(replace(SETTINGS.classes[1], latency_objective_ms=9000.0, deadline_ms=9000.0),))
     [send] = sends(made, START, request("r0", cls="write", remaining=9000.0))
     late = made.handle(START + 3001, outcome(send, api.CallResult.RESET, rtt=3001.0))
     assert late == [api.Fail("r0")]
 
 
-@pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.GONE])
+@pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
 def test_no_send_after_word_of_a_drain(state: api.EndpointState) -> None:
     made = free(servers=[server(1), server(2)])
-    made.handle(START, api.EndpointListUpdate(api.EndpointListScope.CHANGES, (server(1, state=state),)))
+    made.handle(START, api.EndpointListUpdate(api.EndpointListScope.DELTA, (server(1, state=state),)))
     for number in range(20):
-        assert all(s.server == 2 for s in sends(made, START + 1, request(f"r{number}")))
+        assert all(s.endpoint == 2 for s in sends(made, START + 1, request(f"r{number}")))
 
 
 def test_a_server_missing_from_a_full_list_has_gone() -> None:
     made = free(servers=[server(1), server(2)])
     made.handle(START, api.EndpointListUpdate(api.EndpointListScope.FULL, (server(2),)))
-    assert [s.server for s in sends(made, START, request("r0"))] == [2]
+    assert [s.endpoint for s in sends(made, START, request("r0"))] == [2]
 
 
 @pytest.mark.parametrize("gateways", [2, 60])
 def test_a_cold_server_gets_its_part_of_the_budget_only(gateways: int) -> None:
     """Many gateways hear of a new server at one moment: all their first sends must not come at once."""
     servers = [server(n) for n in range(1, 5)]
-    fleet = [free(servers=servers, gateways=gateways, seed=n) for n in range(gateways)]
+    fleet = [free(servers=servers, instances=gateways, seed=n) for n in range(gateways)]
     got: list[float] = []
     born = START + 5000.0
     for number in range(1500):
         now = START + number * 10.0
         if now == born:
             for made in fleet:
-                made.handle(now, api.EndpointListUpdate(api.EndpointListScope.CHANGES, (server(4, started=now),)))
+                made.handle(now, api.EndpointListUpdate(api.EndpointListScope.DELTA, (server(4, started=now),)))
         made = fleet[number % gateways]
         for send in sends(made, now, request(f"r{number}")):
-            got += [now] if send.server == 4 and now >= born else []
+            got += [now] if send.endpoint == 4 and now >= born else []
             made.handle(now, outcome(send, api.CallResult.OK, rtt=40.0))
-    budget = SETTINGS.cold_from * SETTINGS.fall_multiple * 100 / 4  # at what a warm server gets in a second
+    budget = (
+        SETTINGS.slow_start_initial_share * SETTINGS.overload_multiple * 100 / 4
+    )  # at what a warm server gets in a second
     early = [at for at in got if at < born + 3000]
     assert got and all(sum(at <= other < at + 1000 for other in early) <= budget for at in early)
 
@@ -117,7 +119,7 @@
 def test_cold_servers_get_no_burst_at_the_gateways_own_start() -> None:
     got = 0
     for seed in range(200):
-        made = free(servers=[server(1, started=START - 100)], gateways=200, seed=seed)
+        made = free(servers=[server(1, started=START - 100)], instances=200, seed=seed)
         got += len(sends(made, START + 1, request("r0")))
     assert got <= 2
 
@@ -126,18 +128,18 @@
     """Hundreds of gateways that each know a little must not all choose the server that looks best."""
     counts = {number: 0 for number in range(1, 5)}
     for seed in range(400):
-        made = free(gateways=300, seed=seed)
+        made = free(instances=300, seed=seed)
         for number in range(2):
             now = START + number * 900.0
             for send in sends(made, now, request(f"r{number}")):
-                counts[send.server] += number
-                made.handle(now, outcome(send, api.CallResult.OK, rtt=30.0 if send.server == 1 else 60.0))
+                counts[send.endpoint] += number
+                made.handle(now, outcome(send, api.CallResult.OK, rtt=30.0 if send.endpoint == 1 else 60.0))
     assert max(counts.values()) <= 2 * 400 / 4
 
 
 def test_the_brake_holds_over_all_servers() -> None:
     """A limit for each server comes to hundreds over all gateways: slow answers close the gateway's own."""
-    made = free(servers=[server(n) for n in range(1, 41)], gateways=300)
+    made = free(servers=[server(n) for n in range(1, 41)], instances=300)
     now, got = START, 0
     for number in range(200):
         now += 100.0
@@ -156,8 +158,8 @@
         actions = made.handle(now, request(f"r{number}"))
         wakes = only(actions, api.SetTimer)
         for send in only(actions, api.StartAttempt):
-            lost[send.server] += 1
-            if send.server == 2:
+            lost[send.endpoint] += 1
+            if send.endpoint == 2:
                 made.handle(now, outcome(send, api.CallResult.OK, rtt=40.0))
             elif wakes:
                 for action in made.handle(now + 1000, api.TimerFired(wakes[0].token)):
@@ -185,9 +187,9 @@
     for number in range(200):
         now += 10.0
         for send in sends(made, now, request(f"r{number}")):
-            if send.server == 1:
+            if send.endpoint == 1:
                 tried += 1
-                for more in sends(made, now, outcome(send, api.CallResult.FULL, rtt=1.0)):
+                for more in sends(made, now, outcome(send, api.CallResult.OVERLOADED, rtt=1.0)):
                     made.handle(now, outcome(more, api.CallResult.OK, 1, rtt=100.0))
             else:
                 made.handle(now, outcome(send, api.CallResult.OK, rtt=100.0))
@@ -245,7 +247,7 @@
         free().handle(START, request("r0", cls="video"))
 
 
-@pytest.mark.parametrize(("key", "value"), [("gateways", 0), ("max_attempts", 0), ("cold_from", -1.0)])
+@pytest.mark.parametrize(("key", "value"), [("instances", 0), ("max_attempts", 0), ("slow_start_initial_share", -1.0)])
 def test_impossible_settings_are_named(key: str, value: float) -> None:
     with pytest.raises(ValueError, match=key):
         replace(SETTINGS, **{key: value})  # type: ignore[arg-type]
@@ -288,7 +290,7 @@
 
 def test_sends_beyond_the_quota_only_where_they_pay() -> None:
     def sent(over_worth: float, over_cost: float) -> int:
-        plan = api.Plan("plain", rate=1.0, burst=2.0, over_worth=over_worth, over_cost=over_cost)
+        plan = api.Plan("plain", rate=1.0, burst=2.0, over_quota_value=over_worth, over_quota_cost=over_cost)
         made = gateway(plans=(plan,), has_counter=False)
         count = 0
         for number in range(50):
@@ -304,12 +306,12 @@
 
 def test_full_connection_tables_keep_gateways_to_their_servers() -> None:
     """With hundreds of gateways every server's table fills: going round all servers gets no connection."""
-    made = free(servers=[server(n) for n in range(1, 101)], gateways=600, max_attempts=1)
+    made = free(servers=[server(n) for n in range(1, 101)], instances=600, max_attempts=1)
     good, now = 0, START
     for number in range(300):
         now += 200.0
         for send in sends(made, now, request(f"r{number}")):
-            if send.server <= 5:
+            if send.endpoint <= 5:
                 good += number >= 200
                 made.handle(now + 60, outcome(send, api.CallResult.OK))
             else:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -17,7 +17,7 @@
 
 def one_of_many(**changes: Any) -> Gateway:
     """One of 200 gateways before forty servers, on a plan without quotas."""
-    settings: dict[str, Any] = {"plans": (FREE,), "gateways": 200, "has_counter": False, **changes}
+    settings: dict[str, Any] = {"plans": (FREE,), "instances": 200, "has_counter": False, **changes}
     return gateway([server(n) for n in range(FLEET)], **settings)
 
 
@@ -30,8 +30,8 @@
         hop = 0
         while todo:
             send = todo.pop()
-            seen.append(send.server)
-            verdict = api.CallResult.FULL if send.server in bad else api.CallResult.OK
+            seen.append(send.endpoint)
+            verdict = api.CallResult.OVERLOADED if send.endpoint in bad else api.CallResult.OK
             todo = only(made.handle(now + 50, outcome(send, verdict, hop)), api.StartAttempt)
             hop += 1
     return seen
@@ -58,7 +58,7 @@
 
 
 def test_a_gateway_that_sends_much_meets_all_servers() -> None:
-    assert len(set(play(one_of_many(gateways=3), frozenset(), 400, 10.0))) == FLEET
+    assert len(set(play(one_of_many(instances=3), frozenset(), 400, 10.0))) == FLEET
 
 
 @pytest.mark.parametrize("verdict", [v for v in api.CallResult if v is not api.CallResult.OK])
@@ -80,7 +80,7 @@
     by_quota = gateway(has_counter=False)
     kinds = [type(by_quota.handle(START, request(f"q{n}"))[0]) for n in range(9)]
     assert api.Reject in kinds and len(kinds) == 9
-    open_cap = gateway(plans=(api.Plan("plain", rate=50.0, burst=50.0, open_limit=1),), has_counter=False)
+    open_cap = gateway(plans=(api.Plan("plain", rate=50.0, burst=50.0, concurrency_limit=1),), has_counter=False)
     assert only(open_cap.handle(START, request("o0")), api.StartAttempt)
     assert only(open_cap.handle(START, request("o1")), api.Reject)
     braked = one_of_many()
@@ -90,12 +90,12 @@
     assert only(gateway([], plans=(FREE,)).handle(START, request("n0")), api.Reject)
     asked = gateway()
     [count] = only(asked.handle(START, request("c0")), api.IncrementCounter)
-    assert only(answer(asked, START + 3, [count], {count.name: 99.0}), api.Reject)
+    assert only(answer(asked, START + 3, [count], {count.key: 99.0}), api.Reject)
 
 
 def test_a_refusal_says_when_to_come_back() -> None:
     for plans in ((FREE,), (api.Plan("plain", rate=1.0, burst=1.0),)):
-        made = gateway([server(1)], plans=plans, has_counter=False, gateways=200)
+        made = gateway([server(1)], plans=plans, has_counter=False, instances=200)
         answers = [a for n in range(30) for a in made.handle(START, request(f"r{n}"))]
         refused = only(answers, api.Reject)
         assert refused and all(r.retry_after_ms > 0 for r in refused)
@@ -111,7 +111,7 @@
 
 def test_what_nobody_confirmed_gives_way_first_when_room_gets_short() -> None:
     """L725790: a quarter of what was sent unheard lay beyond quotas, and filled the slower half."""
-    plans = (api.Plan("plain", rate=5.0, burst=20.0, over_cost=0.5),)
+    plans = (api.Plan("plain", rate=5.0, burst=20.0, over_quota_cost=0.5),)
     later, tries = START + 20 * 400, 12
     for rtt, least, most in ((100.0, tries, tries), (500.0, 1, 3)):  # of 12 that may be out a quarter
         for seed in range(8):
@@ -126,7 +126,7 @@
     """L725790: a mean latency that a fleet with known queues bears hides jammed ones where none is known."""
     refused = {}
     for gateways in (3, 200):
-        made = slowed(one_of_many(gateways=gateways), 350.0, 60 if gateways == 200 else 20)
+        made = slowed(one_of_many(instances=gateways), 350.0, 60 if gateways == 200 else 20)
         burst = [made.handle(START + 60 * 400, request(f"b{n}")) for n in range(6)]
         refused[gateways] = sum(1 for actions in burst if only(actions, api.Reject))
     assert refused[200] >= 5 and refused[3] == 0
@@ -134,7 +134,7 @@
 
 def test_a_gateway_shut_by_slow_answers_tries_again() -> None:
     """ied37d6: nothing confirmed, so nothing sent, so nothing learnt: 91% refused before idle servers."""
-    plans = (api.Plan("plain", rate=5.0, burst=20.0, over_cost=0.5),)
+    plans = (api.Plan("plain", rate=5.0, burst=20.0, over_quota_cost=0.5),)
     made = slowed(gateway(plans=plans, has_counter=False), 500.0)
     last = START + 20 * 400
     for n in range(6):  # what it may have out of them
@@ -154,12 +154,12 @@
 
 def test_a_restarted_gateway_of_few_meets_all_its_servers_at_once() -> None:
     """Its rate of sends was read too low for seconds, and it acted as one of hundreds."""
-    seen = play(one_of_many(gateways=3), frozenset(), 40, 10.0)
+    seen = play(one_of_many(instances=3), frozenset(), 40, 10.0)
     assert len(set(seen)) > FLEET / 2
 
 
 def test_a_share_read_from_few_shuts_nobody_out_that_loses_little() -> None:
     for cost, sent in ((1.2, True), (1.6, False)):
-        plans = (api.Plan("plain", rate=5.0, burst=20.0, over_cost=cost),)
+        plans = (api.Plan("plain", rate=5.0, burst=20.0, over_quota_cost=cost),)
         made = gateway(plans=plans, has_counter=False)
         assert bool(only(made.handle(START, request("r0")), api.StartAttempt)) is sent
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -177,7 +177,7 @@
             redis_.keyspace.run(Session(0), 0, [b"SET", b"mstep:5", b"word"])
             bad, good = made.add(5), made.add(6)
             await made.all()
-            assert made.answers[bad][0] is CallResult.FULL and made.answers[good] == (CallResult.OK, 1.0)
+            assert made.answers[bad][0] is CallResult.OVERLOADED and made.answers[good] == (CallResult.OK, 1.0)
 
     run(test())
 
@@ -187,7 +187,7 @@
         async with desk(connections=1, waiting=3, timeout_ms=300.0) as (made, redis_):
             redis_.control("pause", {"ms": 100})
             numbers = [made.add(1) for _ in range(6)]
-            assert [made.answers[n][0] for n in numbers[3:]] == [CallResult.FULL] * 3
+            assert [made.answers[n][0] for n in numbers[3:]] == [CallResult.OVERLOADED] * 3
             await made.all()
 
     run(test())
@@ -263,7 +263,7 @@
             redis_.control("memory", {"bytes": 1})
             number = made.add(1, 10)
             await made.all()
-            assert made.answers[number] == (CallResult.FULL, 0.0)
+            assert made.answers[number] == (CallResult.OVERLOADED, 0.0)
             redis_.control("memory", {"bytes": 0})
             assert (await made.until_good(1, 1))[1] == made.added(1) < 10
 
--- a/tests/test_store_ceiling.py
+++ b/tests/test_store_ceiling.py
@@ -48,9 +48,11 @@
 
     def _gate(self, number: int, seed: int) -> Gateway:
         """A gateway that knows its servers, and asks for nothing yet."""
-        made = Gateway(replace(SETTINGS, me=number, gateways=len(self.cores), max_units=1.0, plans=(self.plan,)), seed)
+        made = Gateway(
+            replace(SETTINGS, instance=number, instances=len(self.cores), max_units=1.0, plans=(self.plan,)), seed
+        )
         made.handle(
-            self.now, api.EndpointListUpdate(api.EndpointListScope.WARM_COPY, tuple(server(n) for n in range(1, 13)))
+            self.now, api.EndpointListUpdate(api.EndpointListScope.CACHED, tuple(server(n) for n in range(1, 13)))
         )
         made.handle(self.now, api.ClockStepped(self.shift_ms))
         return made
@@ -85,7 +87,7 @@
         for action in actions:
             match action:
                 case api.IncrementCounter():
-                    self.add(door, action.name, action.units, action.expire_ms, action.proof)
+                    self.add(door, action.key, action.units, action.expire_ms, action.bounds_ceiling)
                 case api.StartAttempt():
                     if action.id not in self.ended:
                         self.ended.add(action.id)
@@ -93,7 +95,7 @@
                     self._at(
                         self.now + 20.0,
                         door,
-                        api.AttemptEnded(action.id, 0, action.server, api.CallResult.OK, 20.0, True),
+                        api.AttemptEnded(action.id, 0, action.endpoint, api.CallResult.OK, 20.0, True),
                     )
                 case api.Reject():
                     self.ended.add(action.id)
