--- a/martenstep/counter/client.py
+++ b/martenstep/counter/client.py
@@ -22,7 +22,6 @@
 
 from martenstep.backoff import Backoff
 from martenstep.counter.journal import Journal as Journal
-from martenstep.counter.journal import Note
 from martenstep.counter.protocol import (
     Add,
     Command,
@@ -39,6 +38,7 @@
     decode,
     encode,
 )
+from martenstep.event_log import EventLog
 from martenstep.policy.messages import CallResult
 
 AGAIN_LEAST_MS, AGAIN_MOST_MS = 20.0, 1000.0  # between attempts to connect
@@ -64,7 +64,7 @@
         door: str,
         journal: Journal,
         answer: Answer,
-        note: Note,
+        log_event: EventLog,
         *,
         timeout_ms: float = 50.0,
         waiting: int = 10_000,
@@ -85,7 +85,7 @@
         self._to: Address | None = None  # who is asked, once somebody was
         self._door = door
         self._silent_s = SILENT_S if callable(addresses) or len(addresses) > 1 else None
-        self._journal, self._answer, self._note = journal, answer, note
+        self._journal, self._answer, self._log_event = journal, answer, log_event
         self._timeout, self._bound, self._map_version = timeout_ms / 1000, waiting, map_version
         self.backoff = Backoff(AGAIN_LEAST_MS, AGAIN_MOST_MS)
         self._sequence = 0
@@ -166,7 +166,7 @@
             self._queue_record(replace(command, time_ms=LATEST_MS))
             return
         if status in LOST:
-            self._note(
+            self._log_event(
                 "try refused by the counter",
                 {
                     "request": command.request,
@@ -204,7 +204,7 @@
             except _MovedError as error:
                 leader = str(error)
             except (OSError, FrameError, asyncio.IncompleteReadError) as error:
-                self._note("counter lost", {"error": f"{type(error).__name__}: {error}"})
+                self._log_event("counter lost", {"error": f"{type(error).__name__}: {error}"})
             finally:
                 self._ready = False
                 if self._writer is not None:
--- a/martenstep/counter/increment_ledger.py
+++ b/martenstep/counter/increment_ledger.py
@@ -16,11 +16,11 @@
 import secrets
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
 
 import xxhash
 
 from martenstep.counter.pending_increments import Begin, Book, Done, Seal, Try, dones, entry, puts
+from martenstep.event_log import EventLog
 from martenstep.replication.replica import Host, InDoubtError, NotLeaderError, now_ms
 from martenstep.replication.replica_manager import Keeper
 from martenstep.tasks import Tasks
@@ -44,18 +44,16 @@
 class Books:
     """One door's part in them."""
 
-    def __init__(
-        self, me: str, keeper: Keeper, deliver: Callable[[Try], bool], note: Callable[[str, dict[str, Any]], None]
-    ) -> None:
+    def __init__(self, me: str, keeper: Keeper, deliver: Callable[[Try], bool], log_event: EventLog) -> None:
         """`deliver` hands a try to the counter's client, False where that has no room; `recorded` is to be told when
         the counter has it."""
-        self.me, self._keeper, self._deliver, self._note = me, keeper, deliver, note
+        self.me, self._keeper, self._deliver, self._log_event = me, keeper, deliver, log_event
         self.own = ""
         self._queue: list[tuple[Try, asyncio.Future[bool]]] = []
         self._delivering: set[str] = set()
         self._recorded: list[str] = []
         self._tending: asyncio.Task[None] | None = None
-        self._tasks = Tasks("books", note)
+        self._tasks = Tasks("books", log_event)
         self._led_at = now_ms()
         self.counts: Counter[str] = Counter()
 
@@ -77,7 +75,7 @@
     async def _another(self) -> None:
         self.own = drawn_name(self.me)
         if await self._keeper.begin_alone(self.own) is None:
-            self._note("no book", {"group": self.own})
+            self._log_event("no book", {"group": self.own})
 
     # Promising.
 
@@ -142,7 +140,7 @@
             try:
                 await self._look()
             except Exception as error:  # one book's trouble must not end the care for all others
-                self._note("fault", {"where": "books", "error": repr(error)})
+                self._log_event("fault", {"where": "books", "error": repr(error)})
 
     async def _look(self) -> None:
         recorded, self._recorded = self._recorded, []
@@ -166,7 +164,7 @@
             or now_ms() - self._led_at > LEADERLESS_MS
             or (isinstance(own.machine, Book) and own.machine.sealed)
         ):
-            self._note("book ends", {"group": self.own})
+            self._log_event("book ends", {"group": self.own})
             self._led_at = now_ms()
             if own is not None and len(own.copy.config.voters) < self._keeper.holding.count:
                 # It never was whole, so it promised nothing beyond this door's own journal; of two copies one was lost.
@@ -189,7 +187,7 @@
         """Of a book whose owner is lost for good."""
         if book.owner and book.owner != self.me and book.owner in self._keeper.lost_places():
             if not book.sealed:
-                self._note("book sealed", {"group": host.group, "owner": book.owner, "pending": len(book.pending)})
+                self._log_event("book sealed", {"group": host.group, "owner": book.owner, "pending": len(book.pending)})
                 self._tasks.spawn(self._entered(host, Seal()))
             elif not book.pending:
                 self._keeper.dissolve(host.group)
--- a/martenstep/counter/journal.py
+++ b/martenstep/counter/journal.py
@@ -17,11 +17,11 @@
 import msgspec
 
 from martenstep.counter.protocol import Record
+from martenstep.event_log import EventLog
 
 START_WITHIN_S, START_STEP_S = 8.0, 0.05  # a start waits so long for a disk that is full or fails
 REWRITE_TIMES = 4  # the file is written anew once it has so many times the lines that the bound allows
 NEW = ".new"
-Note = Callable[[str, dict[str, object]], None]
 
 
 def write_whole(number: int, data: bytes) -> None:
@@ -51,9 +51,9 @@
 class Journal:
     """The journal in one directory; raises OSError only where it cannot be opened."""
 
-    def __init__(self, directory: Path, bound: int, note: Note = lambda event, fields: None) -> None:
-        """`bound` tries are held at most; `note` hears when the disk fails, and when it works again."""
-        self._directory, self._bound, self._note = directory, bound, note
+    def __init__(self, directory: Path, bound: int, log_event: EventLog = lambda event, fields: None) -> None:
+        """`bound` tries are held at most; `log_event` hears when the disk fails, and when it works again."""
+        self._directory, self._bound, self._log_event = directory, bound, log_event
         self._failing = False
         directory.mkdir(parents=True, exist_ok=True)
         self.epoch = self._raise_epoch()
@@ -132,12 +132,12 @@
 
     def _failed(self, error: OSError) -> None:
         if not self._failing:
-            self._note("journal cannot be written", {"error": str(error)})
+            self._log_event("journal cannot be written", {"error": str(error)})
         self._failing = True
 
     def _worked(self) -> None:
         if self._failing:
-            self._note("journal written again", {"tries": len(self.tries)})
+            self._log_event("journal written again", {"tries": len(self.tries)})
         self._failing = False
 
     def saw_term(self, term: int) -> None:
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -45,6 +45,7 @@
 from martenstep.counter.replicated_counter import CopiedCounter, asked
 from martenstep.counter.service import limits_of
 from martenstep.counter.steady_clock import SteadyClock
+from martenstep.event_log import EventLog
 from martenstep.lifetime import until_stopped
 from martenstep.membership.keys import KeyFileError, read_keys
 from martenstep.replication.messages import Config
@@ -228,9 +229,9 @@
     try:
         listed.take(load().copies)
     except (Faults, OSError) as error:
-        _note("copies not taken up", {"error": str(error)})
+        _log_event("copies not taken up", {"error": str(error)})
     else:
-        _note("copies taken up", {"copies": list(listed.copies)})
+        _log_event("copies taken up", {"copies": list(listed.copies)})
 
 
 class CopyError(Exception):
@@ -251,7 +252,7 @@
         raise CopyError(str(error)) from None
 
 
-def _note(event: str, fields: dict[str, Any]) -> None:
+def _log_event(event: str, fields: dict[str, Any]) -> None:
     sys.stderr.write(json.dumps({"event": event, **fields}) + "\n")
 
 
@@ -286,7 +287,7 @@
         return told.config if isinstance(told, Change) else told
 
 
-async def _lead_to(listed: Listed, host: Host, note: Callable[[str, dict[str, Any]], None]) -> None:
+async def _lead_to(listed: Listed, host: Host, log_event: EventLog) -> None:
     """Lead the group to what is listed, one change after another, wherever this copy leads."""
     while True:
         await asyncio.sleep(TEND_S)
@@ -295,7 +296,7 @@
         if isinstance(step, HandOver):
             host.hand_over(step.to)
         elif step is not None and host.change(step):
-            note("copies change", {"voters": step.voters, "learners": step.learners})
+            log_event("copies change", {"voters": step.voters, "learners": step.learners})
 
 
 async def serve(settings: pb.Service, load: Callable[[], pb.Service] | None = None) -> int:
@@ -318,7 +319,7 @@
             )
         machine = CopiedCounter(limits_of(settings))
         links = Links(told.group, str(store.id), lambda: keys, listed.address)
-        host = Host(told.group, store, listed.first, machine, links, _note, place_of=str)
+        host = Host(told.group, store, listed.first, machine, links, _log_event, place_of=str)
         service = CopiedService(
             lambda group: host,
             lambda group, copy: listed.doors(copy),
@@ -327,7 +328,7 @@
         mine = listed.copies[store.id]
         await links.start(mine.host, mine.port)
         host.start()
-        tending = asyncio.get_running_loop().create_task(_lead_to(listed, host, _note))
+        tending = asyncio.get_running_loop().create_task(_lead_to(listed, host, _log_event))
         port = await service.start(settings.host, settings.port)
         if load is not None:
             asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, _renew, listed, load)
--- a/martenstep/counter/service.py
+++ b/martenstep/counter/service.py
@@ -48,7 +48,7 @@
 PART_BYTES = 60_000  # of records in one frame: below the bound of a frame
 
 
-def _note(event: str, fields: dict[str, Any]) -> None:
+def _log_event(event: str, fields: dict[str, Any]) -> None:
     sys.stderr.write(json.dumps({"event": event, **fields}) + "\n")
 
 
@@ -363,7 +363,7 @@
     async def _recover(self) -> None:
         """Read the log anew until it can be written again.  Its doors say hello anew: what was not acknowledged may be
         gone, also that they did."""
-        _note("log cannot be written", {"error": self.keeper.failed})
+        _log_event("log cannot be written", {"error": self.keeper.failed})
         loop = asyncio.get_running_loop()
         while self.keeper.failed and not self.keeper.fenced:
             await asyncio.sleep(RECOVER_S)
@@ -373,7 +373,7 @@
             except (OSError, LogError) as error:
                 last, self._recovery_error = self._recovery_error, str(error)
                 if last != self._recovery_error:
-                    _note("log not recovered", {"error": self._recovery_error})
+                    _log_event("log not recovered", {"error": self._recovery_error})
                 continue
             self._answer(self.keeper.written(self.keeper.take(), self.keeper.failed))
             if self.keeper.fenced:
@@ -384,7 +384,7 @@
             for connection in list(self.connections):
                 if connection.transport is not None:
                     connection.transport.close()
-            _note("log written again", {"records": self.keeper.records})
+            _log_event("log written again", {"records": self.keeper.records})
 
     @staticmethod
     def _answer(replies: list[tuple[Any, Reply]]) -> None:
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -10,13 +10,13 @@
 
 from collections.abc import Callable, Iterable
 from pathlib import Path
-from typing import Any
 
 from martenstep.config import door_pb2 as pb
 from martenstep.counter.increment_ledger import Books, is_book
 from martenstep.counter.pending_increments import Book, Try
 from martenstep.counter.replicated_counter import CopiedCounter
 from martenstep.counter.replicated_service import Bounds, CopiedService
+from martenstep.event_log import EventLog
 from martenstep.maintenance.coordinator import GROUP as ORDERS
 from martenstep.maintenance.queue import Book as OrderBook
 from martenstep.membership.transport import Membership
@@ -51,7 +51,7 @@
         self,
         door: pb.Door,
         membership: Membership,
-        note: Callable[[str, dict[str, Any]], None],
+        log_event: EventLog,
         deliver: Callable[[Try], bool],
     ) -> None:
         """`deliver` hands a try of somebody's book to this door's clients of the counter."""
@@ -64,11 +64,11 @@
             holding(door),
             self._machine,
             self._places,
-            note,
+            log_event,
             also=is_book,
             first=self._owner,
         )
-        self.books = Books(door.name, self.keeper, deliver, note) if door.copies.HasField("book") else None
+        self.books = Books(door.name, self.keeper, deliver, log_event) if door.copies.HasField("book") else None
         self.links = Links(
             door.fleet.cluster,
             door.name,
--- a/martenstep/discovery/feed.py
+++ b/martenstep/discovery/feed.py
@@ -148,10 +148,10 @@
         members: pb.MembersFeed,
         door: str,
         tell: Callable[[Listed], None],
-        note: Callable[[str, str], None],
+        log_event: Callable[[str, str], None],
         clock: Callable[[], float],
     ) -> None:
-        self._members, self._door, self._tell, self._note, self._clock = members, door, tell, note, clock
+        self._members, self._door, self._tell, self._log_event, self._clock = members, door, tell, log_event, clock
         self._follower = Follower()
         self._path = Path(members.warm_copy) if members.warm_copy else None
         self.backoff = Backoff(AGAIN_LEAST_MS, AGAIN_MOST_MS)
@@ -167,7 +167,7 @@
             except FileNotFoundError:
                 pass
             except (OSError, FeedError) as error:
-                self._note("warm copy unusable", str(error))
+                self._log_event("warm copy unusable", str(error))
         self._tell(listed)
 
     def listen(self) -> None:
@@ -183,7 +183,7 @@
             except (OSError, TimeoutError, FeedError, h11.ProtocolError, asyncio.IncompleteReadError) as error:
                 if not self._lost:
                     self._lost = True
-                    self._note("feed lost", f"{type(error).__name__}: {error}")
+                    self._log_event("feed lost", f"{type(error).__name__}: {error}")
                     self._tell(Listed(EndpointListScope.LOST))
                 await asyncio.sleep(self.backoff.failed() / 1000)
 
@@ -213,10 +213,10 @@
                 listed, odd = self._follower.take(body, self._clock())
                 self.backoff.succeeded()
                 for text in odd:
-                    self._note("feed", text)
+                    self._log_event("feed", text)
                 if self._lost:
                     self._lost = False
-                    self._note("feed back", f"index {self._follower.index}")
+                    self._log_event("feed back", f"index {self._follower.index}")
                 if listed is not None:
                     self._keep()
                     self._tell(listed)
@@ -252,6 +252,6 @@
             aside.write_bytes(self._follower.copy(time.time() * 1000))
             os.replace(aside, self._path)
         except OSError as error:
-            self._note("warm copy not kept", str(error))
+            self._log_event("warm copy not kept", str(error))
             with contextlib.suppress(OSError):
                 aside.unlink(missing_ok=True)
--- a/martenstep/hooks/releases.py
+++ b/martenstep/hooks/releases.py
@@ -14,14 +14,12 @@
 from collections import Counter
 from collections.abc import Callable, Collection, Iterable, Sequence
 from dataclasses import dataclass
-from typing import Any
 
+from martenstep.event_log import EventLog
 from martenstep.hooks.release import Release
 from martenstep.hooks.runner import Limits, Runner
 from martenstep.hooks.vm import NEVER
 
-Note = Callable[[str, dict[str, Any]], None]
-
 
 def choose(releases: Iterable[Release], withdrawn: Collection[int]) -> tuple[Release | None, Release | None]:
     """The whole release that acts, and the trial beside it."""
@@ -53,13 +51,13 @@
     def __init__(
         self,
         limits: Limits,
-        note: Note,
+        log_event: EventLog,
         *,
         withdrawn: Iterable[int] = (),
         late: Callable[[], Callable[[], bool]] = lambda: NEVER,
     ) -> None:
-        """`note` is told of each change, `late` asked for a backstop at the begin of each run."""
-        self._limits, self._note, self._late = limits, note, late
+        """`log_event` is told of each change, `late` asked for a backstop at the begin of each run."""
+        self._limits, self._log_event, self._late = limits, log_event, late
         self._known: dict[int, Release] = {}
         self._runners: dict[int, Runner] = {}
         self.withdrawn = set(withdrawn)
@@ -87,7 +85,7 @@
         for release in releases:
             known = self._known.get(release.version)
             if known is not None and known.digest != release.digest:
-                self._note("hooks changed under a known version", {"version": release.version})
+                self._log_event("hooks changed under a known version", {"version": release.version})
                 release = known
             found[release.version] = release
         self._known = found
@@ -101,10 +99,10 @@
         made = Edition(self._runners[whole.version] if whole else None, self._runners[trial.version] if trial else None)
         if made != before:
             self.edition = made
-            self._note("hooks", {"why": why, "share": trial.share if trial else 0.0, **self.acting})
+            self._log_event("hooks", {"why": why, "share": trial.share if trial else 0.0, **self.acting})
 
     def _runner(self, release: Release) -> Runner:
-        return Runner(release, self._note, self._limits, counts=self.counts, late=self._late, bad=self._bad)
+        return Runner(release, self._log_event, self._limits, counts=self.counts, late=self._late, bad=self._bad)
 
     def _bad(self, release: Release, reason: str) -> None:
         """A release has passed a bound: it goes, and what was before it acts again."""
@@ -112,5 +110,5 @@
             return
         self.withdrawn.add(release.version)
         self.counts["withdrawn"] += 1
-        self._note("hooks withdrawn", {"version": release.version, "reason": reason})
+        self._log_event("hooks withdrawn", {"version": release.version, "reason": reason})
         self._choose("withdrawn")
--- a/martenstep/hooks/runner.py
+++ b/martenstep/hooks/runner.py
@@ -14,6 +14,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
+from martenstep.event_log import EventLog
 from martenstep.hooks.border import BorderError
 from martenstep.hooks.release import Hook, Release
 from martenstep.hooks.vm import BYTES, NEVER, STEPS, Counters, HookError, Machine
@@ -25,7 +26,6 @@
 BREAKS = 3  # in a row, with no good run between: a whole release is bad.  A trial is at the first
 
 T = TypeVar("T")
-Note = Callable[[str, dict[str, Any]], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     def __init__(
         self,
         release: Release,
-        note: Note,
+        log_event: EventLog,
         limits: Limits | None = None,
         *,
         steps: int = STEPS,
@@ -83,7 +83,7 @@
                 )
             )
         self.limits = limits or Limits()
-        self._note, self._steps, self._bytes = note, steps, bytes_
+        self._log_event, self._steps, self._bytes = log_event, steps, bytes_
         self._late, self._told_bad = late, bad
         self.counts: Counter[str] = Counter() if counts is None else counts
         self.steps_used = 0
@@ -145,12 +145,12 @@
         standing.failures += 1
         told = {"version": self.release.version, "point": point, "hook": standing.hook.name}
         if standing.failures <= NOTES:
-            self._note("hook failed", {**told, "error": str(error)[:300]})
+            self._log_event("hook failed", {**told, "error": str(error)[:300]})
         if standing.trial or standing.failures >= FAILURES:
             standing.alone_until, standing.trial, standing.failures = now + ALONE_MS, True, 0
             standing.breaks += 1
             self.counts[f"{point} breaks"] += 1
-            self._note("hook left alone", {**told, "for_ms": ALONE_MS})
+            self._log_event("hook left alone", {**told, "for_ms": ALONE_MS})
             if not self.release.whole or standing.breaks >= BREAKS:
                 self._now_bad(f"{standing.hook.name}: {error}"[:300])
 
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -156,7 +156,7 @@
             ev.Break: self._break,
             ev.Add: self._add,
             ev.Listen: self._listen,
-            ev.Note: self._note,
+            ev.LogEvent: self._log_event,
             ev.Ask: self._ask_service,
             ev.StopAsking: self._stop_asking,
         }
@@ -195,7 +195,7 @@
         self._busy_until = max(self._sim.now, self._busy_until) + cost
         self._sim.at(self._busy_until, call, *args)
 
-    def _note(self, action: ev.Note) -> None:
+    def _log_event(self, action: ev.LogEvent) -> None:
         if action.event in ("answer", "turned away"):
             reason = action.fields["reason"]
             self.answers[reason] = self.answers.get(reason, 0) + 1
--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -55,7 +55,7 @@
                     name,
                     Journal(folder / f"counter-{slot}", 1_000_000),
                     self._answered,
-                    self._note,
+                    self._log_event,
                     timeout_ms=TIMEOUT_MS,
                     waiting=100_000,
                     map_version=slots,
@@ -66,7 +66,7 @@
         )
 
     @staticmethod
-    def _note(event: str, fields: dict[str, object]) -> None:
+    def _log_event(event: str, fields: dict[str, object]) -> None:
         """What a client says of its connection is not judged."""
 
     def ask(self, names: int) -> None:
--- a/martenstep/maintenance/coordinator.py
+++ b/martenstep/maintenance/coordinator.py
@@ -10,10 +10,10 @@
 
 import asyncio
 from collections.abc import Callable, Iterable
-from typing import Any
 
 import msgspec
 
+from martenstep.event_log import EventLog
 from martenstep.maintenance import admission_rules as rule
 from martenstep.maintenance.lease_holder import Agent, AskDone, AskStart, Leave
 from martenstep.maintenance.queue import (
@@ -103,12 +103,12 @@
         ready: Callable[[], bool],
         known: Callable[[], Iterable[tuple[str, str]]],
         leave: Callable[[str], None],
-        note: Callable[[str, dict[str, Any]], None],
+        log_event: EventLog,
     ) -> None:
         """`known` are all machines that the membership has heard of, with their zones; `leave` begins to stop this
         door, given the request."""
         self.me, self._zone, self._capacity, self._keeper = me, zone, capacity, keeper
-        self._ready, self._known, self._leave, self._note = ready, known, leave, note
+        self._ready, self._known, self._leave, self._log_event = ready, known, leave, log_event
         self.agent: Agent | None = None
         self._clock: tuple[int, Clock] | None = None  # of the term in which this door leads
         self._reports: dict[str, tuple[float, Report]] = {}
@@ -199,7 +199,7 @@
             except (NotLeaderError, InDoubtError, UnansweredError):
                 pass  # nobody leads just now
             except Exception as error:  # a door goes on serving whatever is wrong with its orders
-                self._note("fault", {"where": "orders", "error": repr(error)})
+                self._log_event("fault", {"where": "orders", "error": repr(error)})
 
     async def _turn(self) -> None:
         await self._keeper.ask(GROUP, _encode(self._report()), WITHIN_S)
@@ -239,7 +239,7 @@
         asked = now_ms()
         answer = await self.tell(start)
         agent.started(now_ms(), start, asked, answer)
-        self._note(
+        self._log_event(
             "maintenance start", {"request": start.id, "token": start.token, "ok": answer.ok, "why": answer.text}
         )
         for action in agent.out:
--- a/martenstep/membership/transport.py
+++ b/martenstep/membership/transport.py
@@ -20,6 +20,7 @@
 import msgspec
 
 from martenstep.config import door_pb2 as pb
+from martenstep.event_log import EventLog
 from martenstep.membership import identity as kept
 from martenstep.membership.codec import (
     MAGIC,
@@ -72,11 +73,11 @@
         fleet: pb.Fleet,
         name: str,
         zone: str,
-        note: Callable[[str, dict[str, Any]], None],
+        log_event: EventLog,
         changed: Callable[[Event], None] | None = None,
     ) -> None:
         """Raises KeyFileError where the keys cannot be read."""
-        self._fleet, self._name, self._zone, self._note = fleet, name, zone, note
+        self._fleet, self._name, self._zone, self._log_event = fleet, name, zone, log_event
         self._changed = changed
         self._rng = random.SystemRandom()
         self._keys = read_keys(Path(fleet.key_file))
@@ -88,7 +89,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._tasks = Tasks("fleet", note)
+        self._tasks = Tasks("fleet", log_event)
         self._streams = 0
         self._record: BinaryIO | None = None
         self._moved = asyncio.Event()  # set and replaced with each change of the view
@@ -136,7 +137,7 @@
             self._record = await asyncio.to_thread(Path(fleet.record).open, "ab", 0)
         self.core = Gossip(settings, me, self._keys, random.Random(self._rng.getrandbits(62)), now_ms())
         self._write("life", self._name, {"life": life, "host": host, "port": port})
-        self._note(
+        self._log_event(
             "fleet",
             {
                 "cluster": fleet.cluster,
@@ -158,7 +159,7 @@
         except (OSError, LockedError) as error:
             wrong = str(error)
         if wrong:
-            self._note("fleet identity", {"wrong": wrong})
+            self._log_event("fleet identity", {"wrong": wrong})
 
     async def leave(self) -> None:
         """Tell the others that this door goes, and wait until that is spread or its time is over."""
@@ -202,11 +203,11 @@
         try:
             self._keys = read_keys(Path(self._fleet.key_file))
         except KeyFileError as error:
-            self._note("fleet keys not taken up", {"error": str(error)})
+            self._log_event("fleet keys not taken up", {"error": str(error)})
             return
         if self.core is not None:
             self.core.keys = self._keys
-        self._note("fleet keys taken up", {})
+        self._log_event("fleet keys taken up", {})
 
     async def _keep_addresses(self) -> None:
         while True:
@@ -221,7 +222,7 @@
         ][: kept.MOST_ADDRESSES]
         wrong = kept.keep(self._disk, self._identity)
         if wrong:
-            self._note("fleet identity", {"wrong": wrong})
+            self._log_event("fleet identity", {"wrong": wrong})
 
     # The core's actions.
 
@@ -255,7 +256,7 @@
     def _told(self, event: Event) -> None:
         self._write(event.kind, event.name, event.fields)
         if event.kind not in QUIET:
-            self._note(
+            self._log_event(
                 "fleet member" if event.name != self._name else "fleet self",
                 {"what": event.kind, "member": event.name, **event.fields},
             )
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -66,14 +66,14 @@
     return False
 
 
-class Notes:
+class EventLogger:
     """Lines for the operators on standard output, bounded: a log is not worth a request."""
 
     def __init__(self, most_a_second: int = 20) -> None:
         self._most, self._second, self._count = most_a_second, 0, 0
         self._piped = _piped(sys.stdout)
 
-    def note(self, event: str, fields: dict[str, Any]) -> None:
+    def log(self, event: str, fields: dict[str, Any]) -> None:
         """One line."""
         now = time.time()
         if int(now) != self._second:
@@ -101,15 +101,17 @@
         self._path, self._pending = path, pending
         self.config = config
         self._ended = False
-        self._notes = Notes()
+        self._event_logger = EventLogger()
         self.drain_plan = drain_plan_of(config.settings)
         self._requests = Requests(config.settings, now_ms)
         self.engine = Engine(parts_of(config, self._requests), config.seed)
-        self.driver = Driver(config.listener, config.upstream, self.engine, self._notes.note, clock=selector)
+        self.driver = Driver(config.listener, config.upstream, self.engine, self._event_logger.log, clock=selector)
         self.driver.pool.rest_ms = REST_MS
         self._follower = Follower()
         self._timing = SERVICE if config.settings.must_subscribe else AGENT
-        self._discovery = Discovery(config.discovery, self._follower, self._listed, self._notes.note, self._timing)
+        self._discovery = Discovery(
+            config.discovery, self._follower, self._listed, self._event_logger.log, self._timing
+        )
         self._counter = (
             Counter(config.counter, self._counted, self.driver.failed) if config.counter is not None else None
         )
@@ -133,7 +135,7 @@
             self._asked_anew_at, now = self._selector.stalled_at, now_ms()
             self._behind_until = now + AGENT.hold_ms
             self._stalled_at = now
-            self._notes.note("stood still", {"ms": round(self._selector.stalled_ms, 1)})
+            self._event_logger.log("stood still", {"ms": round(self._selector.stalled_ms, 1)})
             if self._timing is AGENT:
                 self._discovery.ask_anew()
         if self._behind_until == -math.inf:
@@ -174,7 +176,7 @@
         try:
             known = self._follower.told(self.config.known, EndpointListScope.CACHED)
         except DiscoveryError as error:
-            self._notes.note("known list not taken up", {"error": str(error)})
+            self._event_logger.log("known list not taken up", {"error": str(error)})
             known = None
         self.driver.act(known if known is not None else Listed(EndpointListScope.CACHED))
 
@@ -214,10 +216,10 @@
             pass  # the list as last had may be older than what counts as told
         port = await self._listen()
         if not await self._first_list_within(max(FIRST_LIST_MS - self._timing.hold_ms, 0.0)):
-            self._notes.note("ready without discovery", {})
+            self._event_logger.log("ready without discovery", {})
         if not self._stop.is_set():
             self._requests.ready = True
-            self._notes.note("ready", {"servers": len(self._follower.addresses)})
+            self._event_logger.log("ready", {"servers": len(self._follower.addresses)})
         self._telling = standing(self._tell, self.driver.failed)
         return port
 
@@ -238,7 +240,7 @@
                     raise ConfigError(f"listen: {error}") from None
                 if not told:
                     in_use = error.errno == errno.EADDRINUSE
-                    self._notes.note("address in use" if in_use else "cannot listen yet", {"error": str(error)})
+                    self._event_logger.log("address in use" if in_use else "cannot listen yet", {"error": str(error)})
                 told = True
             await asyncio.sleep(IN_USE_STEP_MS / 1000)
         return 0
@@ -247,7 +249,7 @@
         """What the operators see of a door at work: totals since its start."""
         while True:
             await asyncio.sleep(TELL_S)
-            self._notes.note(
+            self._event_logger.log(
                 "totals",
                 {
                     "answers": self.engine.answers,
@@ -262,7 +264,7 @@
 
     async def stop(self) -> None:
         """Serve on for a while, answer what is held, end."""
-        self._notes.note("stopping", {"open": self.engine.open})
+        self._event_logger.log("stopping", {"open": self.engine.open})
         if self._telling is not None:
             self._telling.cancel()
         plan = self.drain_plan if self.driver.listening else NOTHING_TAKEN
@@ -271,7 +273,7 @@
         self._discovery.stop()
         if self._counter is not None:
             self._counter.stop()
-        self._notes.note(
+        self._event_logger.log(
             "stopped",
             {
                 "clean": clean,
@@ -283,7 +285,9 @@
         )
 
     def _fault(self, context: dict[str, Any]) -> None:
-        self._notes.note("fault", {"where": str(context.get("message", "")), "error": repr(context.get("exception"))})
+        self._event_logger.log(
+            "fault", {"where": str(context.get("message", "")), "error": repr(context.get("exception"))}
+        )
 
     def reload(self) -> None:
         """SIGHUP: discovery and the counter may be elsewhere.  A file that cannot be read leaves all as it is, and is
@@ -301,7 +305,7 @@
             config = load_config(self._path)
         except ConfigError as error:
             if len(again_after_s) == len(REREAD_AFTER_S):
-                self._notes.note("configuration not taken up", {"error": str(error)})
+                self._event_logger.log("configuration not taken up", {"error": str(error)})
             if again_after_s:
                 loop = asyncio.get_running_loop()
                 self._rereading = loop.call_later(again_after_s[0], self._reload, again_after_s[1:])
@@ -316,7 +320,7 @@
         ]
         if (self._counter is None) != (config.counter is None):
             waits.append("counter")
-        self._notes.note("configuration taken up", {"after_a_restart": waits} if waits else {})
+        self._event_logger.log("configuration taken up", {"after_a_restart": waits} if waits else {})
 
 
 def _first_config(path: Path) -> Config:
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -20,6 +20,7 @@
 
 from martenstep.backoff import Backoff
 from martenstep.discovery.endpoint_list import Listed
+from martenstep.event_log import EventLog
 from martenstep.node.config import ConfigError, address_of
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.policy.start_times import StartTimes
@@ -300,11 +301,11 @@
         address: tuple[str, int],
         follower: Follower,
         tell: Callable[[Listed], None],
-        note: Callable[[str, dict[str, Any]], None],
+        log_event: EventLog,
         timing: Timing = AGENT,
     ) -> None:
         self._timing, self._pace = timing, Pace(timing)
-        self._address, self._follower, self._tell, self._note = address, follower, tell, note
+        self._address, self._follower, self._tell, self._log_event = address, follower, tell, log_event
         self._task: asyncio.Task[None] | None = None
         self._lost = False
         self._connection: tuple[WatchedReader, asyncio.StreamWriter] | None = None
@@ -381,11 +382,11 @@
             await asyncio.sleep(gap_ms / 1000)
 
     def _failed(self, where: str, error: BaseException) -> None:
-        self._note("fault", {"where": where, "error": repr(error)})
+        self._log_event("fault", {"where": where, "error": repr(error)})
 
     def _gone(self, error: Exception, refused: bool = False) -> None:
         if not self._lost:
-            self._note("discovery lost", {"error": repr(error)})
+            self._log_event("discovery lost", {"error": repr(error)})
         self._lost = True
         self._freshness.ended(refused)
         self._mind()
@@ -395,7 +396,7 @@
         now = now_ms()
         doubted = self._freshness.doubtful(now)
         if doubted is not self._doubted:
-            self._note("list in doubt" if doubted else "list no longer in doubt", {})
+            self._log_event("list in doubt" if doubted else "list no longer in doubt", {})
             self._tell(self._follower.doubted() if doubted else self._follower.whole())
             self._doubted = doubted
         if self._minding is not None:
@@ -430,7 +431,7 @@
                 pace.answered(late_ms if late_ms >= 0 else None)
                 if self._lost:
                     self._lost = False
-                    self._note("discovery back", {"rev": self._follower.rev})
+                    self._log_event("discovery back", {"rev": self._follower.rev})
                 if listed is not None and not self._doubted:
                     self._tell(listed)
                 self._mind()  # which tells all of it, if it was in doubt
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -26,7 +26,7 @@
 from martenstep.proxy.admin import Admin, DoorCollector
 from martenstep.proxy.engine_factory import driver_of, engine_of, parts_of
 from martenstep.proxy.engine_messages import Counted, Tried
-from martenstep.proxy.event_logger import Notes
+from martenstep.proxy.event_logger import EventLogger
 from martenstep.proxy.traces import Exporter
 from martenstep.proxy.transport import now_ms
 from martenstep.redis_counter.redis_store import RedisStore
@@ -59,7 +59,7 @@
 
     def __init__(self, door: pb.Door, seed: int | None = None) -> None:
         self.door = door
-        self.notes = Notes(door.log, door.name)
+        self.event_logger = EventLogger(door.log, door.name)
         self.shelf: Shelf | None = None
         self._history: History | None = None
         self._backstop = Backstop(door.hooks.backstop_ms)
@@ -74,11 +74,11 @@
             )
         self._seed = random.SystemRandom().getrandbits(63) if seed is None else seed
         self.engine = engine_of(door, self._seed, self.shelf, time.time() * 1000 - now_ms())
-        self.driver = driver_of(door, self.engine, self.notes.note)
+        self.driver = driver_of(door, self.engine, self.event_logger.log)
         self.ready = False
         self._store: RedisStore | None = None
         if door.HasField("store"):
-            self._store = RedisStore(door.store, self._counted, door.name, self.notes.note)
+            self._store = RedisStore(door.store, self._counted, door.name, self.event_logger.log)
         self._counter: Shards | None = None
         self._exporter: Exporter | None = None
         self._feed = Feed(door.members, door.name, self._listed, self._odd, now_ms)
@@ -116,7 +116,7 @@
         self.ports["listener"] = await self.driver.start(sock, reuse_port)
         self.ready = True
         self._warn()
-        self.notes.note("ready", dict(self.ports))
+        self.event_logger.log("ready", dict(self.ports))
 
     async def _join_fleet(self) -> None:
         """Find the other doors.  Knowledge, never permission: what is wrong with it keeps nobody from serving."""
@@ -125,10 +125,10 @@
         from martenstep.membership.transport import Membership
 
         try:
-            self.fleet = Membership(self.door.fleet, self.door.name, self.door.zone, self.notes.note)
+            self.fleet = Membership(self.door.fleet, self.door.name, self.door.zone, self.event_logger.log)
             self.ports["fleet"] = await self.fleet.start()
         except (KeyFileError, OSError) as error:
-            self.notes.note("fleet not joined", {"error": str(error)})
+            self.event_logger.log("fleet not joined", {"error": str(error)})
             self.fleet = None
             return
         self._admin.fleet(self.fleet)
@@ -141,11 +141,11 @@
         from martenstep.replication.replica_manager import KeeperError
         from martenstep.storage.files import LockedError
 
-        self.copies = HeldByDoors(self.door, fleet, self.notes.note, self._deliver)
+        self.copies = HeldByDoors(self.door, fleet, self.event_logger.log, self._deliver)
         try:
             self.ports.update(await self.copies.start())
         except (KeeperError, LockedError, OSError) as error:
-            self.notes.note("copies not held", {"error": str(error)})
+            self.event_logger.log("copies not held", {"error": str(error)})
             await self.copies.stop()
         self._admin.copies(self.copies.keeper)
         if self.door.HasField("maintenance"):
@@ -159,7 +159,7 @@
                 lambda: self.ready,
                 self._known_doors,
                 self._leave_for_work,
-                self.notes.note,
+                self.event_logger.log,
             )
             self.orders.start()
             self._admin.orders(self.orders)
@@ -170,7 +170,7 @@
 
     def _leave_for_work(self, request: str) -> None:
         """This machine's turn: it stops as on SIGTERM, answers what is held, hands over, and ends."""
-        self.notes.note("maintenance leaves", {"request": request})
+        self.event_logger.log("maintenance leaves", {"request": request})
         os.kill(os.getpid(), signal.SIGTERM)
 
     async def load_hooks(self) -> None:
@@ -182,31 +182,31 @@
         try:
             releases, wrong = await asyncio.to_thread(read_directory, Path(told.directory), told.trusted_key)
         except OSError as error:
-            self.notes.note("hooks not taken up", {"error": f"{told.directory}: {error.strerror}"})
+            self.event_logger.log("hooks not taken up", {"error": f"{told.directory}: {error.strerror}"})
             return
         for text in wrong:
-            self.notes.note("hooks not taken up", {"error": text})
+            self.event_logger.log("hooks not taken up", {"error": text})
         self.shelf.stock(releases)
 
     def _withdrawn(self) -> set[int]:
         try:
             return self._history.withdrawn() if self._history is not None else set()
         except OSError as error:
-            self.notes.note("hooks history not read", {"error": error.strerror or str(error)})
+            self.event_logger.log("hooks history not read", {"error": error.strerror or str(error)})
             return set()
 
     def _hooks_told(self, event: str, fields: dict[str, Any]) -> None:
-        self.notes.note(event, fields)
+        self.event_logger.log(event, fields)
         if self._history is not None and event in KEPT_EVENTS:
             try:
                 self._history.add(event, fields)
             except OSError as error:
-                self.notes.note("hooks history not written", {"error": error.strerror or str(error)})
+                self.event_logger.log("hooks history not written", {"error": error.strerror or str(error)})
 
     def reconfigure(self, door: pb.Door) -> None:
         """Take up settings that differ only in what can change in service (config.changes)."""
         self.door = door
-        self.notes.bound(door.log)
+        self.event_logger.bound(door.log)
         if self.shelf is not None:
             told = door.hooks
             self.shelf.limit(Limits(told.failure_share, told.mean_steps, told.least_runs))
@@ -226,23 +226,23 @@
             try:
                 tls.reload()
             except TlsError as error:
-                self.notes.note("certificate not taken up", {"error": str(error)})
+                self.event_logger.log("certificate not taken up", {"error": str(error)})
             else:
                 left = {"days_left": round(tls.days_left(), 1)} if isinstance(tls, ServerContext) else {}
-                self.notes.note("certificate taken up", left)
+                self.event_logger.log("certificate taken up", left)
 
     def _warn(self) -> None:
         """Warn of a certificate that ends soon, now and each hour."""
         if self.driver.tls is not None:
             left = self.driver.tls.days_left()
             if left < WARN_DAYS:
-                self.notes.note("certificate ends soon", {"days_left": round(left, 1)})
+                self.event_logger.log("certificate ends soon", {"days_left": round(left, 1)})
             self.driver.loop.call_later(WARN_S, self._warn)
 
     async def stop(self) -> bool:
         """Leave in a bounded time; True where all that was held was answered by itself."""
         self.ready = False
-        self.notes.note("stopping", {"open": self.engine.open})
+        self.event_logger.log("stopping", {"open": self.engine.open})
         leaving = asyncio.create_task(self.fleet.leave()) if self.fleet is not None else None
         clean = await self.driver.stop(self.door.stop_ms)
         if self._feeding is not None:
@@ -262,7 +262,7 @@
             await leaving
             await self.fleet.stop()
         self._admin.stop()
-        self.notes.note("stopped", {"clean": clean, **self.engine.held})
+        self.event_logger.log("stopped", {"clean": clean, **self.engine.held})
         return clean
 
     def _counted(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
@@ -285,9 +285,9 @@
             name: CounterClient(
                 addresses,
                 self.door.name,
-                Journal(Path(told.journal) / name, told.journal_tries, self.notes.note),
+                Journal(Path(told.journal) / name, told.journal_tries, self.event_logger.log),
                 self._counted,
-                self.notes.note,
+                self.event_logger.log,
                 timeout_ms=told.timeout_ms,
                 waiting=told.waiting,
                 map_version=told.map_version,
@@ -311,9 +311,9 @@
             slot: CounterClient(
                 partial(addresses, slot),
                 self.door.name,
-                Journal(Path(told.journal) / slot, told.journal_tries, self.notes.note),
+                Journal(Path(told.journal) / slot, told.journal_tries, self.event_logger.log),
                 self._counted,
-                self.notes.note,
+                self.event_logger.log,
                 timeout_ms=told.timeout_ms,
                 waiting=told.waiting,
                 map_version=self.door.copies.slots,
@@ -347,7 +347,7 @@
         if not self._counter.record(
             time.time() * 1000, tried.units, tried.beyond, tried.request, tried.customer, tried.plan, tried.cls
         ):
-            self.notes.note(
+            self.event_logger.log(
                 "try not recorded",
                 {
                     "request": tried.request,
@@ -361,15 +361,15 @@
 
     def _listed(self, listed: Listed) -> None:
         if listed.scope is not EndpointListScope.DELTA:
-            self.notes.note("members", {"scope": listed.scope.value, "servers": len(listed.servers)})
+            self.event_logger.log("members", {"scope": listed.scope.value, "servers": len(listed.servers)})
         self.driver.act(listed)
 
     def _odd(self, what: str, text: str) -> None:
-        self.notes.note(what, {"text": text})
+        self.event_logger.log(what, {"text": text})
 
     def _feed_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
-            self.notes.note("fault", {"where": "feed", "error": repr(task.exception())})
+            self.event_logger.log("fault", {"where": "feed", "error": repr(task.exception())})
 
     def _counts(self) -> dict[str, float]:
         made: dict[str, float] = {**self.driver.counts, "upstream_connections_opened": self.driver.pool.opened}
@@ -410,4 +410,4 @@
 def loop_fault(daemon: Daemon, context: dict[str, Any]) -> None:
     """What the event loop cannot hand to anybody; running out of file descriptors on accept is the usual one."""
     error = context.get("exception")
-    daemon.notes.note("fault", {"where": str(context.get("message", "")), "error": repr(error) if error else ""})
+    daemon.event_logger.log("fault", {"where": str(context.get("message", "")), "error": repr(error) if error else ""})
--- a/martenstep/proxy/engine.py
+++ b/martenstep/proxy/engine.py
@@ -253,7 +253,9 @@
         if denial is not None:
             self.denials[denial.name] = self.denials.get(denial.name, 0) + 1
             self._out.append(
-                ev.Note("attempt denied", {"request": exchange.label, "why": denial.value, "servers": exchange.servers})
+                ev.LogEvent(
+                    "attempt denied", {"request": exchange.label, "why": denial.value, "servers": exchange.servers}
+                )
             )
         return denial
 
@@ -321,7 +323,7 @@
             case api.Subscribe():
                 self._out.append(ev.Listen())
             case api.Log(text=text):
-                self._out.append(ev.Note("module", {"text": text}))
+                self._out.append(ev.LogEvent("module", {"text": text}))
 
     def _send(self, action: api.StartAttempt) -> None:
         exchange = self._rids[action.id]
@@ -551,7 +553,7 @@
                         self._now, runner, exchange, status, len(exchange.servers), self._now - exchange.arrived
                     )
                 )
-        self._out.append(ev.Note("answer", fields))
+        self._out.append(ev.LogEvent("answer", fields))
 
     def _forget(self, exchange: Exchange) -> None:
         """Let go of a request that is settled and has nothing out."""
@@ -757,7 +759,7 @@
         headers, body = self._wording.own(reason, label, wait) if status != NO_CONTENT else ([], b"")
         headers += [*more, *self._wording.signed(label)]
         if status >= 400:  # a probe that is answered well is not turned away: on a quiet door it would be most lines
-            self._out.append(ev.Note("turned away", {"request": label, "status": status, "reason": reason}))
+            self._out.append(ev.LogEvent("turned away", {"request": label, "status": status, "reason": reason}))
         self._out.append(ev.Reply(event.ticket, status, headers, body))
 
     def _client_left(self, event: ev.ClientLeft) -> None:
@@ -863,7 +865,7 @@
 
     def _clock_stepped(self, event: ev.ClockStepped) -> None:
         if event.shift_ms:
-            self._out.append(ev.Note("clock stepped", {"shift_ms": round(event.shift_ms, 3)}))
+            self._out.append(ev.LogEvent("clock stepped", {"shift_ms": round(event.shift_ms, 3)}))
         self._tell(api.ClockStepped(event.shift_ms))
 
     def _counted(self, event: ev.Counted) -> None:
--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
 
 from martenstep.auth import core as auth
 from martenstep.auth.answerer import Answerer
 from martenstep.config import door_pb2 as pb
 from martenstep.config.settings import ERROR_STATUS, module_settings
 from martenstep.config.tls import ClientContext, ServerContext
+from martenstep.event_log import EventLog
 from martenstep.hooks.releases import Shelf
 from martenstep.proxy.attempt_outcomes import StatusTable
 from martenstep.proxy.auth_requests import Checks
@@ -96,14 +95,14 @@
     return Engine(parts_of(door, seed, shelf, epoch_ms), seed, shelf)
 
 
-def driver_of(door: pb.Door, engine: Engine, note: Callable[[str, dict[str, Any]], None]) -> Driver:
+def driver_of(door: pb.Door, engine: Engine, log_event: EventLog) -> Driver:
     """A driver by a door's settings; raises TlsError."""
     listener, upstream = door.listener, door.upstream
     driver = Driver(
         listener,
         upstream,
         engine,
-        note,
+        log_event,
         ServerContext(listener.tls) if listener.HasField("tls") else None,
         ClientContext(upstream.tls) if upstream.HasField("tls") else None,
         upstream.tls.server_name,
--- a/martenstep/proxy/engine_messages.py
+++ b/martenstep/proxy/engine_messages.py
@@ -271,11 +271,11 @@
 
 
 @dataclass(slots=True)
-class Note:
+class LogEvent:
     """One line for the operators."""
 
     event: str
     fields: dict[str, Any]
 
 
-Action = Traced | Ask | StopAsking | Open | Abandon | Pass | Reply | Break | Add | Tried | Listen | Note
+Action = Traced | Ask | StopAsking | Open | Abandon | Pass | Reply | Break | Add | Tried | Listen | LogEvent
--- a/martenstep/proxy/event_logger.py
+++ b/martenstep/proxy/event_logger.py
@@ -36,7 +36,7 @@
     )
 
 
-class Notes:
+class EventLogger:
     """Where the door's notes go."""
 
     def __init__(self, log: pb.Log, door: str, clock: Callable[[], float] = time.monotonic, logger: Any = None) -> None:
@@ -48,7 +48,7 @@
         """Another bound of lines a second."""
         self._bound = log.lines_per_s
 
-    def note(self, event: str, fields: dict[str, Any]) -> None:
+    def log(self, event: str, fields: dict[str, Any]) -> None:
         """One line, or none past the bound."""
         if event in BOUNDED:
             second = int(self._clock())
--- a/martenstep/proxy/server.py
+++ b/martenstep/proxy/server.py
@@ -21,6 +21,7 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, Any
 
+from martenstep.event_log import EventLog
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.clock_step_detector import StepWatch
 from martenstep.proxy.dependencies import ListenerBounds, UpstreamBounds
@@ -447,7 +448,7 @@
         listener: ListenerBounds,
         upstream: UpstreamBounds,
         engine: Engine,
-        note: Callable[[str, dict[str, Any]], None],
+        log_event: EventLog,
         tls: ServerContext | None = None,
         upstream_tls: ClientContext | None = None,
         server_name: str = "",
@@ -456,7 +457,7 @@
         """`clock` tells when what the loop finds ready came at the earliest."""
         self._clock = clock or ClockNow()
         self.listener, self.upstream = listener, upstream
-        self.engine, self._note = engine, note
+        self.engine, self._log_event = engine, log_event
         self.loop = asyncio.get_running_loop()
         self.tls = tls
         self.client_tls = [upstream_tls] if upstream_tls is not None else []
@@ -518,7 +519,7 @@
             ev.Add: self._add,
             ev.Tried: self._tried,
             ev.Listen: self._listen,
-            ev.Note: self._told,
+            ev.LogEvent: self._told,
             ev.Traced: self._traced,
         }
 
@@ -561,15 +562,15 @@
 
     def failed(self, where: str, error: BaseException) -> None:
         """A standing task ended by what nobody expected, and is begun anew."""
-        self._note("fault", {"where": where, "error": repr(error)})
+        self._log_event("fault", {"where": where, "error": repr(error)})
 
     def _not_accepted(self, error: OSError) -> None:
         self.counts["accepts_failed"] += 1
-        self._note("accept failed", {"error": str(error)})
+        self._log_event("accept failed", {"error": str(error)})
 
     def _insecure(self, peer: str, reason: str) -> None:
         self.counts["handshakes_refused"] += 1
-        self._note("handshake refused", {"peer": peer, "reason": reason})
+        self._log_event("handshake refused", {"peer": peer, "reason": reason})
 
     async def stop(self, within_ms: float, leave_ms: float = 0.0, stay_ms: float = 0.0) -> bool:
         """Accept no more, answer what is held, leave in a bounded time; True where all was answered by itself.
@@ -669,7 +670,7 @@
     def _disconnected(self, client: Client, task: asyncio.Task[None]) -> None:
         self._forget(client)
         if not task.cancelled() and task.exception() is not None:
-            self._note("fault", {"where": "client", "error": repr(task.exception())})
+            self._log_event("fault", {"where": "client", "error": repr(task.exception())})
             client.abort()
 
     async def _sweep(self) -> None:
@@ -723,8 +724,8 @@
         self._due = None
         self.act(ev.Tick())
 
-    def _told(self, action: ev.Note) -> None:
-        self._note(action.event, action.fields)
+    def _told(self, action: ev.LogEvent) -> None:
+        self._log_event(action.event, action.fields)
 
     def _add(self, action: ev.Add) -> None:
         assert self.add is not None, "the module counts only where the settings name a store"
@@ -768,7 +769,7 @@
 
     def refused(self, address: str, reason: str) -> None:
         """A server or an authentication service is not the one that TLS must show."""
-        self._note("server refused", {"address": address, "reason": reason})
+        self._log_event("server refused", {"address": address, "reason": reason})
 
     def _reply(self, action: ev.Reply) -> None:
         flight = self.flights.get(action.ticket)
--- a/martenstep/redis_counter/core.py
+++ b/martenstep/redis_counter/core.py
@@ -127,14 +127,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogEvent:
     """A line for the log."""
 
     what: str
     fields: dict[str, object]
 
 
-Action = Open | Close | Write | Told | Learn | Note
+Action = Open | Close | Write | Told | Learn | LogEvent
 
 
 @dataclass(frozen=True, slots=True)
@@ -602,7 +602,7 @@
             node.noted = node.generation
             self.counts["losses"] += 1
             names = sum(len(lane.restore) for lane in node.lanes) + 1
-            self._actions.append(Note("store lost contents", {"node": node.name, "names": names}))
+            self._actions.append(LogEvent("store lost contents", {"node": node.name, "names": names}))
 
     def _fault(self, now: float, lane: _Lane, op: Op, fault: Fault) -> None:
         """The store did not do it; whether it may have done so before is known from `uncertain`."""
@@ -621,7 +621,7 @@
         elif self._options.scripts and any(word in fault.text for word in NO_SCRIPTS):
             if not node.plain:
                 node.plain = True
-                self._actions.append(Note("store without scripts", {"node": node.name, "error": fault.text}))
+                self._actions.append(LogEvent("store without scripts", {"node": node.name, "error": fault.text}))
         elif code == "ASK" and turn and self._slot_told(fault) is not None:
             self._elsewhere(now, op, fault)
             return
@@ -677,7 +677,7 @@
             node.closed_until = now + node.backoff.failed()
             if not was:
                 self.counts["breaks"] += 1
-                self._actions.append(Note("store node left alone", {"node": node.name, "error": error}))
+                self._actions.append(LogEvent("store node left alone", {"node": node.name, "error": error}))
         else:
             node.closed_until = now + AGAIN_LEAST_MS * self._rng.uniform(0.0, 1.0)
         if self._options.topology:
--- a/martenstep/redis_counter/redis_store.py
+++ b/martenstep/redis_counter/redis_store.py
@@ -17,9 +17,23 @@
 from redis.exceptions import ResponseError
 
 from martenstep.config import door_pb2 as pb
+from martenstep.event_log import EventLog
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter import script
-from martenstep.redis_counter.core import Close, Core, Fault, Held, Lane, Learn, Note, Op, Open, Options, Told, Write
+from martenstep.redis_counter.core import (
+    Close,
+    Core,
+    Fault,
+    Held,
+    Lane,
+    Learn,
+    LogEvent,
+    Op,
+    Open,
+    Options,
+    Told,
+    Write,
+)
 from martenstep.redis_counter.topology import ERRORS, Nodes, TopologyError, close
 
 CONNECT_TIMES = 5.0  # a connection may take so many time-outs of a call
@@ -53,9 +67,9 @@
 class RedisStore:
     """The calls of one door to its shared store."""
 
-    def __init__(self, store: pb.Store, answer: Answer, door: str = "door", note: Tell | None = None) -> None:
+    def __init__(self, store: pb.Store, answer: Answer, door: str = "door", log_event: Tell | None = None) -> None:
         self._store, self._answer = store, answer
-        self._note: Tell = note or (lambda what, fields: None)
+        self._log_event: EventLog = log_event or (lambda what, fields: None)
         self._nodes = Nodes(store)
         # Another life's register is never gone on with: its sums are not known any more.
         self._door = f"{door}:{time.time_ns():x}{random.SystemRandom().getrandbits(16):04x}"
@@ -130,8 +144,8 @@
                         gone.task.cancel()
                 case Learn():
                     self._learn()
-                case Note():
-                    self._note(action.what, action.fields)
+                case LogEvent():
+                    self._log_event(action.what, action.fields)
         self._set_timer()
 
     def _set_timer(self) -> None:
@@ -160,7 +174,7 @@
             try:
                 slots = await self._nodes.ask(self._known)
             except TopologyError as error:
-                self._note("store nodes unknown", {"error": str(error)})
+                self._log_event("store nodes unknown", {"error": str(error)})
                 await asyncio.sleep(LEARN_AGAIN_MS / 1000)
                 continue
             break
--- a/martenstep/replication/replica.py
+++ b/martenstep/replication/replica.py
@@ -13,6 +13,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from martenstep.event_log import EventLog
 from martenstep.replication.background_snapshot import Aside
 from martenstep.replication.messages import Config, Kind, Message
 from martenstep.replication.raft import Became, Committed, Copy, Installed, Role, Send, Settings, Write
@@ -63,12 +64,12 @@
         first: Config,
         machine: Machine,
         links: Links,
-        note: Callable[[str, dict[str, Any]], None],
+        log_event: EventLog,
         settings: Settings | None = None,
         place_of: Callable[[int], str | None] | None = None,
     ) -> None:
         """`links` are the machine's; `place_of` tells where a copy is, without it the group's own homes do."""
-        self.group, self.store, self.machine, self._note = group, store, machine, note
+        self.group, self.store, self.machine, self._log_event = group, store, machine, log_event
         self._links, self._place_of = links, place_of or self.home
         kept = store.image()
         if kept.snapshot is not None:
@@ -210,7 +211,7 @@
         try:
             aside = self._aside = Aside(self.machine.snapshot)
         except OSError as error:
-            self._note("no snapshot", {"group": self.group, "error": str(error)})
+            self._log_event("no snapshot", {"group": self.group, "error": str(error)})
             return
         self._folding = asyncio.get_running_loop().create_task(self._folded(index, aside))
 
@@ -218,7 +219,7 @@
         body = await aside.body()
         self._folding = self._aside = None
         if body is None:
-            self._note("no snapshot", {"group": self.group, "error": "its process failed"})
+            self._log_event("no snapshot", {"group": self.group, "error": "its process failed"})
         elif not self._ending and not self.copy.halted:
             self.copy.compact(index, body)  # where another snapshot was installed meanwhile, that one stays
             self._after()
@@ -249,7 +250,7 @@
                 future.set_exception(InDoubtError("another entry stands in its place: it does not"))
 
     def _became(self, became: Became) -> None:
-        self._note(
+        self._log_event(
             "copy", {"group": self.group, "role": became.role.value, "term": became.term, "leader": became.leader}
         )
         if became.role is not Role.LEADER:
@@ -269,7 +270,7 @@
             try:
                 await asyncio.to_thread(self.store.write, batch)
             except OSError as error:
-                self._note("copy halted", {"group": self.group, "error": str(error)})
+                self._log_event("copy halted", {"group": self.group, "error": str(error)})
                 self.copy.failed()
                 self._became(Became(Role.FOLLOWER, self.copy.term, None))
                 return
--- a/martenstep/replication/replica_manager.py
+++ b/martenstep/replication/replica_manager.py
@@ -28,6 +28,7 @@
 import msgspec
 import xxhash
 
+from martenstep.event_log import EventLog
 from martenstep.replication.messages import (
     AmIIn,
     Config,
@@ -152,7 +153,7 @@
         holding: Holding,
         machine: Callable[[str], Machine],
         places: Callable[[], Iterable[Place]],
-        note: Callable[[str, dict[str, Any]], None],
+        log_event: EventLog,
         settings: Settings | None = None,
         also: Callable[[str], bool] = lambda group: False,
         first: Callable[[str], str | None] = lambda group: None,
@@ -163,7 +164,7 @@
         self.me, self.holding = me, holding
         self._also, self._prefers = also, first
         self._folder, self._witness = folder, witness
-        self._machine, self._places, self._note = machine, places, note
+        self._machine, self._places, self._log_event = machine, places, log_event
         self._settings = settings or Settings()
         self.links: Links | None = None
         self._disk: Disk | None = None
@@ -179,7 +180,7 @@
         self._unwilling: dict[str, float] = {}  # places that hold no copies: until when they are not asked
         self._told: dict[tuple[str, int], float] = {}
         self._beginning: set[str] = set()
-        self._tasks = Tasks("copies", note)
+        self._tasks = Tasks("copies", log_event)
         self.answers: dict[str, Callable[[Host, bytes], Awaitable[bytes]]] = {}  # who answers questions, by group
         self._questions: dict[int, asyncio.Future[Reply]] = {}
         self.counts: Counter[str] = Counter()
@@ -207,7 +208,7 @@
         if mine is None:
             return
         if mine.disk != identity.id:
-            self._note("not a founder", {"disk": identity.id, "settings": mine.disk})
+            self._log_event("not a founder", {"disk": identity.id, "settings": mine.disk})
             return
         missing = [group for group in self.holding.groups if group not in identity.founded]
         for group in missing:
@@ -248,20 +249,20 @@
                 first if store.id in first.voters else Config((0,)),
                 machine,
                 self._links(),
-                self._note,
+                self._log_event,
                 self._settings,
             )
         except (StoreError, LockedError, OSError, ValueError) as error:
             for disk in disks:
                 disk.close()
-            self._note("copy not opened", {"group": group, "error": str(error)})
+            self._log_event("copy not opened", {"group": group, "error": str(error)})
             if isinstance(error, StoreError):
                 # What is damaged is kept for staff; another copy is begun here, and filled by the others.
                 folder.rename(folder.with_name(f"{group}.damaged.{time.time_ns()}"))
             return None
         self._held[group] = _Held(host, (disks[0], disks[1]), folder)
         host.start()
-        self._note(
+        self._log_event(
             "copy begins", {"group": group, "copy": store.id, "proven": store.proven, "entries": host.copy.last_index}
         )
         return host
@@ -357,7 +358,7 @@
             try:
                 self.tend(now_ms())
             except Exception as error:  # one group's trouble must not end the care for all others
-                self._note("fault", {"where": "copies", "error": repr(error)})
+                self._log_event("fault", {"where": "copies", "error": repr(error)})
 
     def tend(self, now: float) -> None:
         """Look at each group once."""
@@ -396,7 +397,7 @@
                 host.hand_over(step.to)
             elif isinstance(step, Change) and host.change(step.config):
                 self.counts["changes"] += 1
-                self._note(
+                self._log_event(
                     "copies change",
                     {
                         "group": host.group,
@@ -422,7 +423,7 @@
         elif now - since > ANSWER_MS:
             self._unwilling[place] = now + AGAIN_MS
             del self._asked[group]
-            self._note("place holds no copies", {"group": group, "place": place})
+            self._log_event("place holds no copies", {"group": group, "place": place})
             return
         self._links().say(place, group, Invite(copy.config_index, copy.config.everyone))
 
@@ -582,7 +583,7 @@
     def _let_go(self, group: str, why: str) -> None:
         held = self._held.pop(group)
         self.counts["let_go"] += 1
-        self._note("copy let go", {"group": group, "copy": held.host.copy.me, "why": why})
+        self._log_event("copy let go", {"group": group, "copy": held.host.copy.me, "why": why})
         self._beginning.add(group)
         self._tasks.spawn(self._removed(group, held))
 
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -19,25 +19,25 @@
 from martenstep.config.changes import differences
 from martenstep.config.text import Faults
 from martenstep.config.tls import TlsError
+from martenstep.event_log import EventLog
 from martenstep.proxy.daemon import Daemon, loop_fault
-from martenstep.proxy.event_logger import Notes, configure
+from martenstep.proxy.event_logger import EventLogger, configure
 from martenstep.supervise import early, resources
 from martenstep.supervise.lock import LockedError, PidFile
 from martenstep.supervise.notify import Notifier
 from martenstep.supervise.supervisor import GAVE_UP, Supervisor
 
 MOST_LISTED = 50  # changes in one line
-Note = Callable[[str, dict[str, Any]], None]
 
 
-def fit(door: pb.Door, note: Note) -> None:
+def fit(door: pb.Door, log_event: EventLog) -> None:
     """Hold the settings against the machine's bounds, before anything is opened; raises ResourceError."""
     need = resources.need_of(door)
     workers = max(door.workers.count, 1)
     files = resources.raise_files(-(-need.files // workers) + resources.OWN_FILES) * workers
     left = resources.fit_connections(need, door.listener.max_connections, files)
     if left < door.listener.max_connections:
-        note(
+        log_event(
             "fewer connections",
             {
                 "max_connections": left,
@@ -49,7 +49,7 @@
         door.listener.max_connections = left
     has = resources.memory()
     if has is not None and need.bytes > has:
-        note(
+        log_event(
             "memory may not suffice",
             {
                 "held_at_most_mb": need.bytes >> 20,
@@ -70,7 +70,7 @@
     def __init__(
         self,
         load: Callable[[], pb.Door] | None,
-        note: Note,
+        log_event: EventLog,
         notifier: Notifier,
         present: Callable[[], pb.Door],
         take_up: Callable[[pb.Door], Coroutine[Any, Any, str]],
@@ -78,7 +78,7 @@
     ) -> None:
         """`load` reads the settings and raises Faults; `renew` reads hooks and certificates anew, which stand in files
         of their own."""
-        self._load, self._note, self._notifier = load, note, notifier
+        self._load, self._log_event, self._notifier = load, log_event, notifier
         self._present, self._take_up, self._renew = present, take_up, renew
         self._lock = asyncio.Lock()
         self._task: asyncio.Task[None] | None = None
@@ -116,7 +116,7 @@
         if wrong:
             self._refused({"errors": [wrong]})
         else:
-            self._note("settings taken up", {"changes": [change.told() for change in changes][:MOST_LISTED]})
+            self._log_event("settings taken up", {"changes": [change.told() for change in changes][:MOST_LISTED]})
 
     def _most(self, door: pb.Door) -> int:
         """Connections that the open files leave room for, as at the start."""
@@ -129,7 +129,7 @@
         return held.listener.max_connections
 
     def _refused(self, fields: dict[str, Any]) -> None:
-        self._note("settings not taken up", fields)
+        self._log_event("settings not taken up", fields)
 
 
 def _monotonic_us() -> int:
@@ -151,7 +151,9 @@
             notifier.tell(WATCHDOG=1)
 
 
-async def serve_one(door: pb.Door, load: Callable[[], pb.Door] | None, seed: int | None, notes: Notes) -> int:
+async def serve_one(
+    door: pb.Door, load: Callable[[], pb.Door] | None, seed: int | None, event_logger: EventLogger
+) -> int:
     """One process."""
     notifier, stop = Notifier(), asyncio.Event()
     daemon = Daemon(door, seed)
@@ -161,7 +163,7 @@
         daemon.reconfigure(made)
         return ""
 
-    reloader = Reloader(load, daemon.notes.note, notifier, lambda: daemon.door, take_up, daemon.renew)
+    reloader = Reloader(load, daemon.event_logger.log, notifier, lambda: daemon.door, take_up, daemon.renew)
     await daemon.start()
     _ready(daemon.ports)
     notifier.tell(READY=1, STATUS=f"serves at port {daemon.ports['listener']}")
@@ -171,12 +173,14 @@
     return 0
 
 
-async def serve_many(door: pb.Door, load: Callable[[], pb.Door] | None, seed: int | None, notes: Notes) -> int:
+async def serve_many(
+    door: pb.Door, load: Callable[[], pb.Door] | None, seed: int | None, event_logger: EventLogger
+) -> int:
     """A supervisor and its workers."""
     notifier, stop = Notifier(), asyncio.Event()
-    supervisor = Supervisor(door, notes.note, seed)
+    supervisor = Supervisor(door, event_logger.log, seed)
     supervisor.bind()
-    reloader = Reloader(load, notes.note, notifier, lambda: supervisor.door, supervisor.take_up, supervisor.renew)
+    reloader = Reloader(load, event_logger.log, notifier, lambda: supervisor.door, supervisor.take_up, supervisor.renew)
     told = False
 
     def changed() -> None:
@@ -210,19 +214,19 @@
 def run(door: pb.Door, load: Callable[[], pb.Door] | None = None, seed: int | None = None) -> int:
     """Run a door in this process, or in workers of it; `load` reads its settings again.  Gives the exit code."""
     configure(door.log.form)
-    notes = Notes(door.log, door.name)
+    event_logger = EventLogger(door.log, door.name)
     lock = PidFile(Path(door.pid_file)) if door.pid_file else None
     try:
         if lock is not None:
             lock.take()
-        fit(door, notes.note)
+        fit(door, event_logger.log)
         serve = serve_many if door.workers.count > 1 else serve_one
-        return asyncio.run(serve(door, load, seed, notes))
+        return asyncio.run(serve(door, load, seed, event_logger))
     except (TlsError, LockedError, resources.ResourceError) as error:
-        notes.note("cannot start", {"error": str(error)})
+        event_logger.log("cannot start", {"error": str(error)})
         return 1
     except OSError as error:
-        notes.note("cannot start", {"error": f"{error.filename or ''} {error.strerror or error}".strip()})
+        event_logger.log("cannot start", {"error": f"{error.filename or ''} {error.strerror or error}".strip()})
         return 1
     finally:
         if lock is not None:
--- a/martenstep/supervise/supervisor.py
+++ b/martenstep/supervise/supervisor.py
@@ -14,11 +14,11 @@
 import sys
 import time
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
 from martenstep.config import door_pb2 as pb
+from martenstep.event_log import EventLog
 from martenstep.supervise import frames
 from martenstep.supervise.frames import Begin, Commit, Frame, Prepare, Renew, Said
 from martenstep.supervise.respawn import Again, GiveUp, Respawn
@@ -29,7 +29,6 @@
 BACKLOG = 1024
 GAVE_UP = 4  # exit code
 WORDS = (sys.executable, "-m", "martenstep", "worker")
-Note = Callable[[str, dict[str, Any]], None]
 
 
 class _Slot:
@@ -49,12 +48,12 @@
     def __init__(
         self,
         door: pb.Door,
-        note: Note,
+        log_event: EventLog,
         seed: int | None = None,
         words: tuple[str, ...] = WORDS,
         rng: random.Random | None = None,
     ) -> None:
-        self.door, self._note, self._seed, self._words = door, note, seed, words
+        self.door, self._log_event, self._seed, self._words = door, log_event, seed, words
         count = door.workers.count
         self._slots = [_Slot(number) for number in range(count)]
         self._respawn = Respawn(count, rng or random.SystemRandom())
@@ -124,7 +123,7 @@
             await asyncio.wait(self._tasks, timeout=self.door.stop_ms / 1000 + KILL_S)
         for slot in self._slots:
             if slot.process is not None and slot.process.returncode is None:
-                self._note("worker killed", {"worker": slot.number})
+                self._log_event("worker killed", {"worker": slot.number})
                 self._signal(slot, signal.SIGKILL)
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=KILL_S)
@@ -151,16 +150,16 @@
                 return
             now = time.monotonic() * 1000
             decided = self._respawn.died(now, slot.number, how)
-            self._note("worker died", {"worker": slot.number, "how": how})
+            self._log_event("worker died", {"worker": slot.number, "how": how})
             match decided:
                 case GiveUp(reason=reason):
                     self._gave_up = reason
-                    self._note("supervisor gives up", {"reason": reason})
+                    self._log_event("supervisor gives up", {"reason": reason})
                     self._stopping.set()
                     return
                 case Again(at=at, flaps=flaps):
                     if flaps:
-                        self._note("worker keeps dying", {"worker": slot.number, "again_in_ms": round(at - now)})
+                        self._log_event("worker keeps dying", {"worker": slot.number, "again_in_ms": round(at - now)})
                     with contextlib.suppress(TimeoutError):
                         await asyncio.wait_for(self._stopping.wait(), (at - now) / 1000)
 
@@ -195,7 +194,7 @@
             try:
                 self._heard(slot, msgspec.json.decode(line, type=Said))
             except msgspec.DecodeError:
-                self._note(
+                self._log_event(
                     "worker said nothing that is known",
                     {"worker": slot.number, "line": line[:200].decode("utf-8", "replace")},
                 )
@@ -211,7 +210,7 @@
             slot.ports = said.ready
             self._respawn.ready(time.monotonic() * 1000, slot.number)
             assert slot.process is not None
-            self._note("worker serves", {"worker": slot.number, "pid": slot.process.pid, **said.ready})
+            self._log_event("worker serves", {"worker": slot.number, "pid": slot.process.pid, **said.ready})
             if slot.generation != self._generation:  # it was started with what held before
                 self._send(slot, Prepare(self._generation, self._settings(slot).SerializeToString()))
                 self._send(slot, Commit(self._generation))
--- a/martenstep/supervise/worker.py
+++ b/martenstep/supervise/worker.py
@@ -15,7 +15,7 @@
 from martenstep.config.changes import differences
 from martenstep.config.tls import TlsError
 from martenstep.proxy.daemon import Daemon, loop_fault
-from martenstep.proxy.event_logger import Notes, configure
+from martenstep.proxy.event_logger import EventLogger, configure
 from martenstep.supervise import frames
 from martenstep.supervise.frames import Begin, Commit, Prepare, Renew, Said
 
@@ -81,7 +81,7 @@
         sock = socket.socket(fileno=begin.socket) if begin.socket >= 0 else None
         await daemon.start(sock, begin.reuse_port)
     except (TlsError, OSError) as error:
-        Notes(door.log, door.name).note("cannot start", {"error": getattr(error, "strerror", None) or str(error)})
+        EventLogger(door.log, door.name).log("cannot start", {"error": getattr(error, "strerror", None) or str(error)})
         return 1
     _say(Said(ready=daemon.ports))
     steering = asyncio.create_task(_steered(reader, Worker(daemon), stop))
--- a/martenstep/tasks.py
+++ b/martenstep/tasks.py
@@ -6,6 +6,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from martenstep.event_log import EventLog
+
 AGAIN_S = 0.05  # before a standing task that failed is begun anew: one that fails at once must not take all the time
 
 
@@ -29,9 +31,9 @@
 class Tasks:
     """Those of one owner."""
 
-    def __init__(self, where: str, note: Callable[[str, dict[str, Any]], None]) -> None:
+    def __init__(self, where: str, log_event: EventLog) -> None:
         """`where` names the owner in what is told of a fault."""
-        self._where, self._note = where, note
+        self._where, self._log_event = where, log_event
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -43,7 +45,7 @@
     def _ended(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._note("fault", {"where": self._where, "error": repr(task.exception())})
+            self._log_event("fault", {"where": self._where, "error": repr(task.exception())})
 
     async def finish(self, within_s: float) -> None:
         """Let all come to their end; who has not by then is cancelled."""
--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -16,7 +16,7 @@
     Held,
     Lane,
     Learn,
-    Note,
+    LogEvent,
     Op,
     Open,
     Options,
@@ -259,7 +259,7 @@
                         wire.open = False
                 if (door, action.lane) in self.opening:
                     self.opening.remove((door, action.lane))
-            case Note():
+            case LogEvent():
                 self.notes.append(action.what)
             case Learn():
                 pass
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -129,7 +129,7 @@
 
 
 def fields_of(rig: Rig, event: str) -> list[list[str]]:
-    return [list(note.fields) for note in rig.of(ev.Note) if note.event == event]
+    return [list(note.fields) for note in rig.of(ev.LogEvent) if note.event == event]
 
 
 def test_the_fields_of_the_line_of_each_response() -> None:
@@ -149,7 +149,7 @@
     request = rig.ask("/pay/1", x_request_id="abc")
     rig.pass_time(12.3456)
     rig.serve(request)
-    [line] = [note.fields for note in rig.of(ev.Note) if note.event == FINAL]
+    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == FINAL]
     servers = line.pop("servers")
     assert len(servers) == 1 and servers[0] in (1, 2, 3, 4)
     assert line == {
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -692,7 +692,7 @@
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             driver, lines = door.node.driver, list[tuple[str, dict[str, Any]]]()
-            driver._note = lambda event, fields: lines.append((event, fields))
+            driver._log_event = lambda event, fields: lines.append((event, fields))
             real, swept = driver.pool.sweep, list[int]()
 
             def fails() -> None:
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -118,7 +118,7 @@
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             lines: list[tuple[str, dict[str, Any]]] = []
-            door.node.driver._note = lambda event, fields: lines.append((event, fields))
+            door.node.driver._log_event = lambda event, fields: lines.append((event, fields))
             assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
             assert (await door.ask("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 400
             assert [fields["status"] for event, fields in lines if event == "turned away"] == [400]
--- a/tests/test_node_imports.py
+++ b/tests/test_node_imports.py
@@ -17,6 +17,7 @@
     "martenstep.policy.gateway",
     "martenstep.policy.messages",
     "martenstep.discovery",
+    "martenstep.event_log",
     "martenstep.policy",
     "martenstep.discovery.endpoint_list",
     "martenstep.policy.start_times",
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -311,7 +311,7 @@
         )
         node = Node(load_config(path), path)
         node._timing = LONG  # of the wait for the agent; the agent itself is not given up either
-        node._discovery = Discovery(node.config.discovery, node._follower, node._listed, node._notes.note, LONG)
+        node._discovery = Discovery(node.config.discovery, node._follower, node._listed, node._event_logger.log, LONG)
         starting = asyncio.create_task(node.start())
         await asked.wait()
         for _ in range(20):  # turns of the loop in which a listener would come up
@@ -403,14 +403,14 @@
 
         async def test() -> None:
             node = Node(load_config(path), path)
-            real = node._notes.note
+            real = node._event_logger.log
 
             def note(event: str, fields: dict[str, Any]) -> None:
                 real(event, fields)
                 if stops and event == "address in use":
                     told(node)
 
-            node._notes.note = note  # type: ignore[method-assign]
+            node._event_logger.log = note  # type: ignore[method-assign]
             await node.run()
 
         if stops:
@@ -444,14 +444,14 @@
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
     with os.fdopen(writing, "w") as pipe, os.fdopen(reading, "rb") as log:  # a write that waits ends with the reader
         monkeypatch.setattr(sys, "stdout", pipe)
-        notes = daemon.Notes(most_a_second=1000)
-        notes.note("read", {"long": "x" * 10_000})
+        event_logger = daemon.EventLogger(most_a_second=1000)
+        event_logger.log("read", {"long": "x" * 10_000})
         line = json.loads(log.readline())
         assert line["event"] == "read" and len(line["cut"]) < daemon.LINE_BYTES
 
         def fill() -> None:
             for number in range(100):
-                notes.note("unread", {"number": number, "more": "x" * 100})
+                event_logger.log("unread", {"number": number, "more": "x" * 100})
 
         filling = threading.Thread(target=fill, daemon=True)
         filling.start()
@@ -460,7 +460,7 @@
         os.set_blocking(reading, False)
         got = [json.loads(text) for text in log.read().splitlines()]
         assert 0 < len(got) < 100 and [one["number"] for one in got] == list(range(len(got)))
-        notes.note("read again", {})
+        event_logger.log("read again", {})
         assert json.loads(log.readline())["event"] == "read again"
 
 
