--- a/martenstep/members/feed.py
+++ b/martenstep/discovery/feed.py
@@ -26,9 +26,9 @@
 
 from martenstep.backoff import Backoff
 from martenstep.config import door_pb2 as pb
-from martenstep.interface import Scope, Server, State
-from martenstep.members.lists import Listed
-from martenstep.members.start_times import StartTimes
+from martenstep.discovery.endpoint_list import Listed
+from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
+from martenstep.policy.start_times import StartTimes
 
 AGAIN_LEAST_MS, AGAIN_MOST_MS = 100.0, 2000.0  # between polls that fail
 LATE_MS = 5000.0  # a poll that is not answered so long after its wait has failed
@@ -98,11 +98,16 @@
         else:
             self._entries.update(listed)
         self.index = answer.index
-        scope = Scope.FULL if answer.scope == "full" else Scope.CHANGES
+        scope = EndpointListScope.FULL if answer.scope == "full" else EndpointListScope.DELTA
         return self._told(scope, listed, answer.now_unix_ms, now, unseen_ms), odd
 
     def _told(
-        self, scope: Scope, listed: dict[int, Entry], now_unix_ms: float, now: float, unseen_ms: float = math.inf
+        self,
+        scope: EndpointListScope,
+        listed: dict[int, Entry],
+        now_unix_ms: float,
+        now: float,
+        unseen_ms: float = math.inf,
     ) -> Listed:
         servers = []
         for entry in listed.values():
@@ -110,7 +115,7 @@
                 entry.id, entry.started_unix_ms, now_unix_ms - entry.started_unix_ms, now, unseen_ms
             )
             servers.append(
-                Server(entry.id, entry.zone, entry.kind, entry.cell, State(entry.state), entry.size, started)
+                Endpoint(entry.id, entry.zone, entry.kind, entry.cell, EndpointState(entry.state), entry.size, started)
             )
         gone = [key for key, entry in self._entries.items() if entry.state == "gone"]
         for key in gone:
@@ -130,7 +135,7 @@
         except msgspec.DecodeError as error:
             raise FeedError(f"warm copy: {error}") from None
         self._entries = {entry.id: entry for entry in answer.servers}
-        listed = self._told(Scope.WARM_COPY, self._entries, now_unix_ms, now)
+        listed = self._told(EndpointListScope.CACHED, self._entries, now_unix_ms, now)
         self._starts = StartTimes()  # its ages rest on two wall clocks; the feed's answer has both times of one
         return listed
 
@@ -143,10 +148,10 @@
         members: pb.MembersFeed,
         door: str,
         tell: Callable[[Listed], None],
-        note: Callable[[str, str], None],
+        log_event: Callable[[str, str], None],
         clock: Callable[[], float],
     ) -> None:
-        self._members, self._door, self._tell, self._note, self._clock = members, door, tell, note, clock
+        self._members, self._door, self._tell, self._log_event, self._clock = members, door, tell, log_event, clock
         self._follower = Follower()
         self._path = Path(members.warm_copy) if members.warm_copy else None
         self.backoff = Backoff(AGAIN_LEAST_MS, AGAIN_MOST_MS)
@@ -155,14 +160,14 @@
 
     def warm(self) -> None:
         """Tell the list as last held; an empty one where there is none."""
-        listed = Listed(Scope.WARM_COPY)
+        listed = Listed(EndpointListScope.CACHED)
         if self._path is not None:
             try:
                 listed = self._follower.warm(self._path.read_bytes(), self._clock(), time.time() * 1000)
             except FileNotFoundError:
                 pass
             except (OSError, FeedError) as error:
-                self._note("warm copy unusable", str(error))
+                self._log_event("warm copy unusable", str(error))
         self._tell(listed)
 
     def listen(self) -> None:
@@ -178,8 +183,8 @@
             except (OSError, TimeoutError, FeedError, h11.ProtocolError, asyncio.IncompleteReadError) as error:
                 if not self._lost:
                     self._lost = True
-                    self._note("feed lost", f"{type(error).__name__}: {error}")
-                    self._tell(Listed(Scope.LOST))
+                    self._log_event("feed lost", f"{type(error).__name__}: {error}")
+                    self._tell(Listed(EndpointListScope.LOST))
                 await asyncio.sleep(self.backoff.failed() / 1000)
 
     async def _follow(self) -> None:
@@ -208,10 +213,10 @@
                 listed, odd = self._follower.take(body, self._clock())
                 self.backoff.succeeded()
                 for text in odd:
-                    self._note("feed", text)
+                    self._log_event("feed", text)
                 if self._lost:
                     self._lost = False
-                    self._note("feed back", f"index {self._follower.index}")
+                    self._log_event("feed back", f"index {self._follower.index}")
                 if listed is not None:
                     self._keep()
                     self._tell(listed)
@@ -247,6 +252,6 @@
             aside.write_bytes(self._follower.copy(time.time() * 1000))
             os.replace(aside, self._path)
         except OSError as error:
-            self._note("warm copy not kept", str(error))
+            self._log_event("warm copy not kept", str(error))
             with contextlib.suppress(OSError):
                 aside.unlink(missing_ok=True)
--- a/martenstep/hooks/border.py
+++ b/martenstep/hooks/border.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from martenstep.interface import Effect, RequestClass
+from martenstep.policy.messages import Idempotency, RequestClass
 
 MOST_BODY = 16_384  # characters of a refusal's body
 MOST_HEADERS = 16
@@ -145,11 +145,14 @@
 
 def may_become(before: RequestClass, after: RequestClass) -> bool:
     """Whether a request of one class may be handled as of another: never one that lets more of it be repeated."""
-    if after.effect is Effect.UNSAFE or after == before:
+    if after.idempotency is Idempotency.AT_MOST_ONCE or after == before:
         return True
-    if after.effect is not before.effect:
+    if after.idempotency is not before.idempotency:
         return False
-    return after.effect is Effect.SAFE or (after.group is before.group and after.window_ms <= before.window_ms)
+    return after.idempotency is Idempotency.IDEMPOTENT or (
+        after.deduplication_scope is before.deduplication_scope
+        and after.deduplication_window_ms <= before.deduplication_window_ms
+    )
 
 
 def placed(made: Any, before: Placed, bounds: Bounds) -> Placed:
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -12,19 +12,19 @@
 from typing import Any
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.door import events as ev
-from martenstep.door.events import Ending
-from martenstep.door.fitting import engine_of
-from martenstep.door.http import header
-from martenstep.interface import Scope
+from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.feed import Follower
 from martenstep.lab.emulate.auth import EmuAuth
 from martenstep.lab.emulate.core import Sim, Timer
 from martenstep.lab.emulate.net import Network, Pipe, Place
 from martenstep.lab.emulate.servers import EmuServer, Job
 from martenstep.lab.emulate.store import EmuStore
-from martenstep.members.feed import Follower
-from martenstep.members.lists import Listed
-from martenstep.store import core as store
+from martenstep.policy.messages import EndpointListScope
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.engine_factory import engine_of
+from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.headers import header
+from martenstep.redis_counter import core as store
 
 STORE_NODE = "store"
 ZONE_OF_STORE = "store"
@@ -156,7 +156,7 @@
             ev.Break: self._break,
             ev.Add: self._add,
             ev.Listen: self._listen,
-            ev.Note: self._note,
+            ev.LogEvent: self._log_event,
             ev.Ask: self._ask_service,
             ev.StopAsking: self._stop_asking,
         }
@@ -195,7 +195,7 @@
         self._busy_until = max(self._sim.now, self._busy_until) + cost
         self._sim.at(self._busy_until, call, *args)
 
-    def _note(self, action: ev.Note) -> None:
+    def _log_event(self, action: ev.LogEvent) -> None:
         if action.event in ("answer", "turned away"):
             reason = action.fields["reason"]
             self.answers[reason] = self.answers.get(reason, 0) + 1
@@ -494,11 +494,11 @@
 
     def warm(self, body: bytes | None) -> None:
         """The list as last held."""
-        self.act(self.follower.warm(body, self._sim.now, self._sim.now) if body else Listed(Scope.WARM_COPY))
+        self.act(self.follower.warm(body, self._sim.now, self._sim.now) if body else Listed(EndpointListScope.CACHED))
 
     def feed_lost(self) -> None:
         """The feed cannot be reached."""
-        self.act(Listed(Scope.LOST))
+        self.act(Listed(EndpointListScope.LOST))
 
     # Life -----------------------------------------------------------------------------------------------
 
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -19,14 +19,15 @@
 from typing import Any
 
 from martenstep.backoff import Backoff
-from martenstep.door.wire.asking import Asking
-from martenstep.door.wire.heads import AnswerHead, Fault
-from martenstep.door.wire.readers import Data, End
-from martenstep.door.wires import WatchedProtocol, WatchedReader, now_ms, ready_for, wall_clock_ms
-from martenstep.interface import Scope, Server, State
-from martenstep.members.lists import Listed
-from martenstep.members.start_times import StartTimes
+from martenstep.discovery.endpoint_list import Listed
+from martenstep.event_log import EventLog
 from martenstep.node.config import ConfigError, address_of
+from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
+from martenstep.policy.start_times import StartTimes
+from martenstep.proxy.http1.client_connection import Asking
+from martenstep.proxy.http1.message_head import AnswerHead, Fault
+from martenstep.proxy.http1.message_reader import Data, End
+from martenstep.proxy.transport import WatchedProtocol, WatchedReader, now_ms, ready_for, wall_clock_ms
 from martenstep.tasks import standing
 
 PATH = "/catalog/members"
@@ -42,7 +43,7 @@
 IPV4 = re.compile(rf"(?:{_OCTET}\.){{3}}{_OCTET}", re.ASCII)  # the usual address, as the library would write it
 ANSWER_BYTES = 4 << 20  # of one answer: thousands of backends
 REFUSED = (429, 503)
-STATES = {"ready": State.UP, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -178,7 +179,7 @@
     zone: str
     kind: str
     cell: int
-    state: State
+    state: EndpointState
     size: float
     started_ms: float
     address: tuple[str, int]
@@ -196,17 +197,17 @@
         self._numbers: dict[str, int] = {}
         self._last = 0
         self.addresses: dict[int, tuple[str, int]] = {}
-        self._servers: dict[int, Server] = {}
+        self._servers: dict[int, Endpoint] = {}
 
     def whole(self) -> Listed:
         """The list as told so far."""
-        return Listed(Scope.FULL, tuple(self._servers.values()), dict(self.addresses))
+        return Listed(EndpointListScope.FULL, tuple(self._servers.values()), dict(self.addresses))
 
     def doubted(self) -> Listed:
         """The same where any of them may be draining: none takes anything new."""
         return Listed(
-            Scope.CHANGES,
-            tuple(replace(server, state=State.DRAINING) for server in self._servers.values()),
+            EndpointListScope.DELTA,
+            tuple(replace(server, state=EndpointState.DRAINING) for server in self._servers.values()),
             dict(self.addresses),
         )
 
@@ -222,7 +223,7 @@
             raise DiscoveryError(f"not JSON: {error}") from None
         return self.told(told)
 
-    def told(self, told: Any, scope: Scope | None = None) -> Listed | None:
+    def told(self, told: Any, scope: EndpointListScope | None = None) -> Listed | None:
         """Take in a list that is read already; `scope` in place of its own, and then no watch goes on from it.
         Nothing of one that cannot be read to its end is taken in."""
         now = self._clock()
@@ -245,9 +246,9 @@
         servers = self._apply(entries, whole)
         self._starts.trim(self._numbers)
         told_of = {server.id: self.addresses[server.id] for server in servers if server.id in self.addresses}
-        return Listed(scope or (Scope.FULL if whole else Scope.CHANGES), tuple(servers), told_of)
+        return Listed(scope or (EndpointListScope.FULL if whole else EndpointListScope.DELTA), tuple(servers), told_of)
 
-    def _apply(self, entries: list[_Entry], whole: bool) -> list[Server]:
+    def _apply(self, entries: list[_Entry], whole: bool) -> list[Endpoint]:
         """Take in entries that were all read.  The cost is that of the entries, not that of the fleet."""
         known = self._numbers
         if whole:
@@ -258,9 +259,9 @@
             if number is None:
                 self._last += 1
                 number = self._last
-            server = Server(number, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_ms)
+            server = Endpoint(number, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_ms)
             servers.append(server)
-            if server.state is State.GONE:  # one that comes back, in this answer too, is another
+            if server.state is EndpointState.REMOVED:  # one that comes back, in this answer too, is another
                 self._numbers.pop(entry.uid, None)
                 self.addresses.pop(number, None)
                 self._servers.pop(number, None)
@@ -300,11 +301,11 @@
         address: tuple[str, int],
         follower: Follower,
         tell: Callable[[Listed], None],
-        note: Callable[[str, dict[str, Any]], None],
+        log_event: EventLog,
         timing: Timing = AGENT,
     ) -> None:
         self._timing, self._pace = timing, Pace(timing)
-        self._address, self._follower, self._tell, self._note = address, follower, tell, note
+        self._address, self._follower, self._tell, self._log_event = address, follower, tell, log_event
         self._task: asyncio.Task[None] | None = None
         self._lost = False
         self._connection: tuple[WatchedReader, asyncio.StreamWriter] | None = None
@@ -381,11 +382,11 @@
             await asyncio.sleep(gap_ms / 1000)
 
     def _failed(self, where: str, error: BaseException) -> None:
-        self._note("fault", {"where": where, "error": repr(error)})
+        self._log_event("fault", {"where": where, "error": repr(error)})
 
     def _gone(self, error: Exception, refused: bool = False) -> None:
         if not self._lost:
-            self._note("discovery lost", {"error": repr(error)})
+            self._log_event("discovery lost", {"error": repr(error)})
         self._lost = True
         self._freshness.ended(refused)
         self._mind()
@@ -395,7 +396,7 @@
         now = now_ms()
         doubted = self._freshness.doubtful(now)
         if doubted is not self._doubted:
-            self._note("list in doubt" if doubted else "list no longer in doubt", {})
+            self._log_event("list in doubt" if doubted else "list no longer in doubt", {})
             self._tell(self._follower.doubted() if doubted else self._follower.whole())
             self._doubted = doubted
         if self._minding is not None:
@@ -430,7 +431,7 @@
                 pace.answered(late_ms if late_ms >= 0 else None)
                 if self._lost:
                     self._lost = False
-                    self._note("discovery back", {"rev": self._follower.rev})
+                    self._log_event("discovery back", {"rev": self._follower.rev})
                 if listed is not None and not self._doubted:
                     self._tell(listed)
                 self._mind()  # which tells all of it, if it was in doubt
--- a/martenstep/door/fitting.py
+++ b/martenstep/proxy/engine_factory.py
@@ -3,25 +3,24 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
 
 from martenstep.auth import core as auth
 from martenstep.auth.answerer import Answerer
 from martenstep.config import door_pb2 as pb
 from martenstep.config.settings import ERROR_STATUS, module_settings
 from martenstep.config.tls import ClientContext, ServerContext
-from martenstep.door.checks import Checks
-from martenstep.door.driver import Driver
-from martenstep.door.engine import Engine
-from martenstep.door.parts import AuthParts, Parts
-from martenstep.door.points import Points
-from martenstep.door.routes import Routes
-from martenstep.door.stages.outgoing import Outgoing
-from martenstep.door.targets import Targets
-from martenstep.door.traces import Sampler
-from martenstep.door.verdicts import StatusTable
+from martenstep.event_log import EventLog
 from martenstep.hooks.releases import Shelf
+from martenstep.proxy.attempt_outcomes import StatusTable
+from martenstep.proxy.auth_requests import Checks
+from martenstep.proxy.dependencies import AuthParts, Parts
+from martenstep.proxy.engine import Engine
+from martenstep.proxy.extension_points import Points
+from martenstep.proxy.route_table import Routes
+from martenstep.proxy.server import Driver
+from martenstep.proxy.stages.upstream_request import Outgoing
+from martenstep.proxy.targets import Targets
+from martenstep.proxy.traces import Sampler
 
 
 def _auth_of(door: pb.Door) -> AuthParts | None:
@@ -96,14 +95,14 @@
     return Engine(parts_of(door, seed, shelf, epoch_ms), seed, shelf)
 
 
-def driver_of(door: pb.Door, engine: Engine, note: Callable[[str, dict[str, Any]], None]) -> Driver:
+def driver_of(door: pb.Door, engine: Engine, log_event: EventLog) -> Driver:
     """A driver by a door's settings; raises TlsError."""
     listener, upstream = door.listener, door.upstream
     driver = Driver(
         listener,
         upstream,
         engine,
-        note,
+        log_event,
         ServerContext(listener.tls) if listener.HasField("tls") else None,
         ClientContext(upstream.tls) if upstream.HasField("tls") else None,
         upstream.tls.server_name,
--- a/martenstep/wirehost.py
+++ b/martenstep/simulator/host.py
@@ -11,26 +11,30 @@
 from collections.abc import Callable, Iterator
 from typing import Any, NoReturn, TextIO
 
-from martenstep import interface as api
-from martenstep.decide import Gateway
+from martenstep.policy import messages as api
+from martenstep.policy.gateway import Gateway
 
-EFFECTS = {"idempotent": api.Effect.SAFE, "deduplicated": api.Effect.KEYED, "at_most_once": api.Effect.UNSAFE}
+EFFECTS = {
+    "idempotent": api.Idempotency.IDEMPOTENT,
+    "deduplicated": api.Idempotency.KEYED,
+    "at_most_once": api.Idempotency.AT_MOST_ONCE,
+}
 VERDICTS = {
-    "Ok": api.Verdict.OK,
-    "Failed": api.Verdict.ERROR,
-    "QueueFull": api.Verdict.FULL,
-    "TimedOut": api.Verdict.TIMEOUT,
-    "ConnectError": api.Verdict.CONNECT_FAILED,
-    "ResetByPeer": api.Verdict.RESET,
-    "Canceled": api.Verdict.CANCELLED,
-    "Ignored": api.Verdict.MOOT,
+    "Ok": api.CallResult.OK,
+    "Failed": api.CallResult.ERROR,
+    "QueueFull": api.CallResult.OVERLOADED,
+    "TimedOut": api.CallResult.TIMEOUT,
+    "ConnectError": api.CallResult.CONNECT_FAILED,
+    "ResetByPeer": api.CallResult.RESET,
+    "Canceled": api.CallResult.CANCELLED,
+    "Ignored": api.CallResult.NOT_SENT,
 }
-STATES = {"U": api.State.UP, "L": api.State.DRAINING, "D": api.State.GONE}
+STATES = {"U": api.EndpointState.UP, "L": api.EndpointState.DRAINING, "D": api.EndpointState.REMOVED}
 SCOPES = {
-    "incr": api.Scope.CHANGES,
-    "total": api.Scope.FULL,
-    "warm_copy": api.Scope.WARM_COPY,
-    "lost": api.Scope.LOST,
+    "incr": api.EndpointListScope.DELTA,
+    "total": api.EndpointListScope.FULL,
+    "warm_copy": api.EndpointListScope.CACHED,
+    "lost": api.EndpointListScope.LOST,
 }
 REPORT_FIELDS = {
     "rif": "in_flight",
@@ -127,7 +131,7 @@
     return value
 
 
-def _effect(entry: dict[str, Any]) -> api.Effect:
+def _effect(entry: dict[str, Any]) -> api.Idempotency:
     word = _need(entry, "idempotency")
     if word not in EFFECTS:
         raise ValueError(f"setting classes[].idempotency: expected one of {', '.join(EFFECTS)}, got {word!r}")
@@ -151,20 +155,20 @@
     feedback = raw.get("feedback", {})
     try:
         return api.Settings(
-            me=int(_need(raw, "me")),
-            gateways=int(_need(raw, "instances")),
+            instance=int(_need(raw, "me")),
+            instances=int(_need(raw, "instances")),
             zone=raw.get("zone", ""),
             tick_ms=float(_need(raw, "tick_ms")),
             classes=tuple(
                 api.RequestClass(
                     name=_need(entry, "name"),
-                    aim_ms=float(_need(entry, "slo_ms")),
+                    latency_objective_ms=float(_need(entry, "slo_ms")),
                     deadline_ms=float(_need(entry, "deadline_ms")),
-                    effect=_effect(entry),
-                    group=api.Group(entry.get("group", "all")),
-                    window_ms=float(entry.get("window_ms", 0.0)),
-                    worth=float(entry.get("worth", 1.0)),
-                    late_share=float(entry.get("late_share", 0.0)),
+                    idempotency=_effect(entry),
+                    deduplication_scope=api.DeduplicationScope(entry.get("group", "all")),
+                    deduplication_window_ms=float(entry.get("window_ms", 0.0)),
+                    priority_weight=float(entry.get("worth", 1.0)),
+                    late_value_share=float(entry.get("late_share", 0.0)),
                 )
                 for entry in _need(raw, "classes")
             ),
@@ -173,49 +177,49 @@
                     name=_need(entry, "name"),
                     rate=float(entry.get("units_per_s", 0.0)),
                     burst=float(entry.get("most_at_once", 0.0)),
-                    open_limit=int(entry.get("open", 0)),
-                    price=float(entry.get("worth_factor", 1.0)),
-                    over_worth=float(entry.get("over_worth", 0.0)),
-                    over_cost=float(entry.get("beyond_costs", 0.0)),
+                    concurrency_limit=int(entry.get("open", 0)),
+                    priority_weight=float(entry.get("worth_factor", 1.0)),
+                    over_quota_value=float(entry.get("over_worth", 0.0)),
+                    over_quota_cost=float(entry.get("beyond_costs", 0.0)),
                     ceiling_rate=float(entry.get("hard_rate", 0.0)),
                     ceiling_burst=float(entry.get("cap_depth", 0.0)),
                     ceiling_slack=float(entry.get("tolerance", 0.0)),
                 )
                 for entry in raw.get("contracts", [])
             ),
-            kinds=tuple(raw.get("kinds", ())),
+            endpoint_kinds=tuple(raw.get("kinds", ())),
             has_counter=bool(family.get("has_counter", False)),
             counter_timeout_ms=float(family.get("counter_timeout_ms", 0.0)),
             max_units=float(family.get("max_units", 1.0)),
-            settles=bool(family.get("trued_up", False)),
+            settles_actual_units=bool(family.get("trued_up", False)),
             max_attempts=int(limits.get("try_limit", 1)),
             can_cancel=bool(limits.get("cancelling", False)),
-            can_probe=bool(limits.get("probes", False)),
-            retry_after=bool(limits.get("retry_after", False)),
+            can_health_check=bool(limits.get("probes", False)),
+            sends_retry_after=bool(limits.get("retry_after", False)),
             max_retry_after_ms=float(limits.get("max_retry_after_ms", 0.0)),
             must_subscribe=raw.get("discovery", "automatic") == "subscribe",
-            ask_within_ms=float(rules.get("ask_every_ms", 0.0)),
-            report_fields=tuple(REPORT_FIELDS.get(name, name) for name in feedback.get("fields", ())),
+            poll_interval_ms=float(rules.get("ask_every_ms", 0.0)),
+            load_report_fields=tuple(REPORT_FIELDS.get(name, name) for name in feedback.get("fields", ())),
             answer_slack_ms=float(rules.get("answer_slack_ms", 0.0)),
-            cold_from=float(rules.get("cold_from", 1.0)),
-            warm_within_ms=float(rules.get("warm_within_ms", 0.0)),
-            fall_multiple=float(rules.get("fall_multiple", 1.0)),
-            fall_window_ms=float(rules.get("overload_for_ms", 0.0)),
-            sized=raw.get("weight_kind", "none") != "none",
+            slow_start_initial_share=float(rules.get("cold_from", 1.0)),
+            slow_start_window_ms=float(rules.get("warm_within_ms", 0.0)),
+            overload_multiple=float(rules.get("fall_multiple", 1.0)),
+            overload_window_ms=float(rules.get("overload_for_ms", 0.0)),
+            has_capacity_weights=raw.get("weight_kind", "none") != "none",
         )
     except TypeError as error:
         raise ValueError(f"settings: a value has the wrong form ({error})") from None
 
 
-def read_server(fields: Fields) -> api.Server:
+def read_server(fields: Fields) -> api.Endpoint:
     """One BACKEND line."""
-    return api.Server(
+    return api.Endpoint(
         id=fields.integer("backend"),
         zone=fields.text("zone", ""),
         kind=fields.text("kind", ""),
         cell=fields.integer("cohort", "0"),
         state=fields.choice("condition", STATES),
-        size=fields.number("size", "1"),
+        capacity=fields.number("size", "1"),
         started_ms=fields.number("born_ms", "0"),
     )
 
@@ -226,45 +230,45 @@
         case "QUERY":
             return api.Request(
                 id=fields.text("rid"),
-                cls=fields.text("cls"),
+                request_class=fields.text("cls"),
                 plan=fields.text("grade_of_service"),
                 customer=fields.integer("caller"),
                 remaining_ms=fields.number("remaining_ms"),
                 units=fields.number("cost_units"),
-                spread=fields.integer("spread"),
-                first=fields.integer("from_no", "0"),
-                retry=fields.flag("retry"),
+                instances=fields.integer("spread"),
+                first_instance=fields.integer("from_no", "0"),
+                is_retry=fields.flag("retry"),
             )
         case "COMPLETED":
-            return api.Outcome(
+            return api.AttemptEnded(
                 id=fields.text("rid"),
                 attempt=fields.integer("hop"),
-                server=fields.integer("backend"),
-                verdict=fields.choice("verdict", VERDICTS),
+                endpoint=fields.integer("backend"),
+                result=fields.choice("verdict", VERDICTS),
                 rtt_ms=fields.number("rtt_ms", "0"),
-                ended=fields.flag("ended"),
-                true_units=fields.number("final_units", "0"),
-                report=fields.row("server_stats"),
+                request_complete=fields.flag("ended"),
+                actual_units=fields.number("final_units", "0"),
+                load_report=fields.row("server_stats"),
             )
         case "TOTAL":
-            return api.Total(
-                name=fields.integer("cname"),
-                verdict=fields.choice("verdict", VERDICTS),
+            return api.CounterReply(
+                key=fields.integer("cname"),
+                result=fields.choice("verdict", VERDICTS),
                 rtt_ms=fields.number("rtt_ms", "0"),
                 total=fields.number("result_value", "0"),
             )
         case "TICK_DUE":
-            return api.Due(fields.integer("name"))
+            return api.TimerFired(fields.integer("name"))
         case "LAPSED":
-            return api.Left(fields.text("rid"))
+            return api.ClientDisconnected(fields.text("rid"))
         case "STARTED":
-            return api.Started(fields.text("rid"))
+            return api.ResponseStarted(fields.text("rid"))
         case "PONG":
-            return api.Probed(
-                server=fields.integer("backend"),
-                verdict=fields.choice("verdict", VERDICTS),
+            return api.HealthCheckResult(
+                endpoint=fields.integer("backend"),
+                result=fields.choice("verdict", VERDICTS),
                 rtt_ms=fields.number("rtt_ms", "0"),
-                report=fields.row("server_stats"),
+                load_report=fields.row("server_stats"),
             )
         case "PEER_DATA":
             return None
@@ -274,20 +278,20 @@
 def write_action(door: str, action: api.Action) -> str:
     """One action as a line of the wire."""
     match action:
-        case api.Send(id=rid, server=server, timeout_ms=timeout_ms):
+        case api.StartAttempt(id=rid, endpoint=server, timeout_ms=timeout_ms):
             return f"HAND_OFF door={door} rid={rid} timeout_ms={timeout_ms:.3f} backend={server}"
-        case api.Refuse(id=rid, retry_after_ms=wait_ms):
+        case api.Reject(id=rid, retry_after_ms=wait_ms):
             hold = f" hold_off_ms={wait_ms:.3f}" if wait_ms > 0 else ""
             return f"BOUNCE door={door} rid={rid}{hold}"
         case api.Fail(id=rid):
             return f"ABORT door={door} rid={rid}"
-        case api.Count(name=name, units=units, expire_ms=expire_ms):
+        case api.IncrementCounter(key=name, units=units, expire_ms=expire_ms):
             return f"POST_AMOUNT door={door} qty={units:.7g} cname={name} expire_in_ms={expire_ms:.3f}"
-        case api.Wake(at_ms=at_ms, token=token):
+        case api.SetTimer(at_ms=at_ms, token=token):
             return f"SET_ALARM door={door} when_ms={at_ms:.3f} name={token}"
-        case api.Cancel(id=rid, attempt=attempt):
+        case api.CancelAttempt(id=rid, attempt=attempt):
             return f"UNDO_SEND door={door} rid={rid} hop={attempt}"
-        case api.Probe(server=server):
+        case api.HealthCheck(endpoint=server):
             return f"SAMPLE door={door} backend={server}"
         case api.Subscribe():
             return f"LISTEN door={door} active=1"
@@ -300,9 +304,9 @@
 
     def __init__(self) -> None:
         self._doors: dict[str, Gateway] = {}
-        self._rosters: dict[int, tuple[api.Server, ...]] = {}
+        self._rosters: dict[int, tuple[api.Endpoint, ...]] = {}
 
-    def roster(self, number: int, servers: tuple[api.Server, ...]) -> None:
+    def roster(self, number: int, servers: tuple[api.Endpoint, ...]) -> None:
         """Keep a numbered list until the number is used again."""
         self._rosters[number] = servers
 
@@ -319,7 +323,9 @@
             event: api.Event | None
             if name == "UPDATE":
                 scope = fields.choice("scope", SCOPES)
-                event = api.Members(scope, () if scope is api.Scope.LOST else self._listed(fields))
+                event = api.EndpointListUpdate(
+                    scope, () if scope is api.EndpointListScope.LOST else self._listed(fields)
+                )
             else:
                 event = read_event(name, fields)
             gateway = self._doors.get(door)
@@ -334,7 +340,7 @@
         for action in actions:
             yield write_action(door, action)
 
-    def _listed(self, fields: Fields) -> tuple[api.Server, ...]:
+    def _listed(self, fields: Fields) -> tuple[api.Endpoint, ...]:
         number = fields.integer("roster_id")
         if number not in self._rosters:
             raise WireError(f"field roster_id: expected the number of a TABLE sent before, got {number}")
--- a/tests/test_ceiling_schedules.py
+++ b/tests/test_ceiling_schedules.py
@@ -12,8 +12,8 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep import interface as api
-from martenstep import quota
+from martenstep.policy import messages as api
+from martenstep.policy import quota
 from tests.test_store_ceiling import STEP_MS, Doors, most_beyond
 
 LATE_STEPS = 14  # of 2 ms: nearly the time-out, so that answers come late and not too late
@@ -22,8 +22,8 @@
         "capped",
         rate,
         burst,
-        over_worth=over,
-        over_cost=0.5,
+        over_quota_value=over,
+        over_quota_cost=0.5,
         ceiling_rate=rate * times,
         ceiling_burst=max(burst * more, burst),
         ceiling_slack=slack,
