--- a/bench/peers.py
+++ b/bench/peers.py
@@ -7,7 +7,7 @@
 import sys
 
 from martenstep.config import door_pb2 as pb
-from martenstep.membership.transport import Membership
+from martenstep.membership.transport import MembershipService
 
 
 async def main(key_file: str, number: int) -> None:
@@ -17,7 +17,7 @@
         fleet = pb.Fleet(cluster="bench", key_file=key_file)
         if first:
             fleet.seed.add(port=first)
-        one = Membership(fleet, f"peer-{index}", f"zone-{index % 3}", lambda event, fields: None)
+        one = MembershipService(fleet, f"peer-{index}", f"zone-{index % 3}", lambda event, fields: None)
         port = await one.start()
         first = first or port
     sys.stdout.write(json.dumps({"ready": {"port": first}}) + "\n")
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -47,7 +47,7 @@
 from martenstep.counter.steady_clock import SteadyClock
 from martenstep.event_log import EventLog
 from martenstep.lifetime import until_stopped
-from martenstep.membership.keys import KeyFileError, read_keys
+from martenstep.membership.keys import KeyFileError, read_keyring
 from martenstep.replication.messages import Config
 from martenstep.replication.placement import Change, HandOver, Invite, learning, next_step
 from martenstep.replication.raft import Role
@@ -305,7 +305,7 @@
     `load` reads the settings anew, on SIGHUP: the list of copies is taken up from them."""
     told = settings.copies
     try:
-        keys = read_keys(Path(told.key_file))
+        keys = read_keyring(Path(told.key_file))
     except KeyFileError as error:
         raise CopyError(str(error)) from None
     disk, witness = Disk(Path(settings.log.directory)), Disk(Path(told.witness))
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -19,7 +19,7 @@
 from martenstep.event_log import EventLog
 from martenstep.maintenance.coordinator import GROUP as ORDERS
 from martenstep.maintenance.queue import Book as OrderBook
-from martenstep.membership.transport import Membership
+from martenstep.membership.transport import MembershipService
 from martenstep.replication.replica import Host
 from martenstep.replication.replica_manager import Founder, Holding, Keeper, Place
 from martenstep.replication.transport import Links
@@ -50,7 +50,7 @@
     def __init__(
         self,
         door: pb.Door,
-        membership: Membership,
+        membership: MembershipService,
         log_event: EventLog,
         deliver: Callable[[Try], bool],
     ) -> None:
@@ -72,7 +72,7 @@
         self.links = Links(
             door.fleet.cluster,
             door.name,
-            lambda: membership.keys,
+            lambda: membership.keyring,
             self._link_address,
             self.keeper.word,
             self.keeper.nobody,
@@ -123,7 +123,7 @@
 
     def _link_address(self, place: str) -> Address | None:
         address = self._address(place, self._copies.port)
-        return self._membership.way(address) if address is not None else None
+        return self._membership.route(address) if address is not None else None
 
     def _where(self, group: str, copy: int | None) -> str | None:
         if copy is None:
--- a/martenstep/lab/fleet/baseline.py
+++ b/martenstep/lab/fleet/baseline.py
@@ -11,90 +11,94 @@
 from typing import Any
 
 from martenstep.membership.codec import (
-    Keys,
+    Gossip,
+    Keyring,
+    ProtocolError,
+    ReplayWindow,
     Sender,
-    Tell,
-    Window,
-    WireError,
-    cluster_number,
-    datagram,
-    message_of,
+    cluster_hash,
+    decode_message,
     open_datagram,
+    seal_datagram,
 )
-from martenstep.membership.core import Datagram, Event, Settings, Stage
-from martenstep.membership.member_table import Fact, State, Table, with_state
+from martenstep.membership.core import MemberEvent, MembershipSettings, SendDatagram, Stage
+from martenstep.membership.member_table import MemberRecord, MemberState, MemberTable, with_state
 
 
 class Heartbeats:
     """One door that tells all that it is there."""
 
-    def __init__(self, settings: Settings, me: Fact, keys: Keys, rng: random.Random, now: float) -> None:
+    def __init__(
+        self, settings: MembershipSettings, me: MemberRecord, keys: Keyring, rng: random.Random, now: float
+    ) -> None:
         """The seeds are all doors."""
-        self.settings, self.keys, self.me, self._rng = settings, keys, me, rng
+        self.settings, self.keys, self.record, self._rng = settings, keys, me, rng
         self.stage = Stage.JOINED
-        self.table, self.counts, self.out = Table(), Counter[str](), list[Any]()
-        self.next_at = now + rng.uniform(0, settings.period_ms)
+        self.table, self.counters, self.out = MemberTable(), Counter[str](), list[Any]()
+        self.next_due_ms = now + rng.uniform(0, settings.probe_interval_ms)
         self._heard: dict[str, float] = {}
-        self._windows: dict[int, Window] = {}
+        self._windows: dict[int, ReplayWindow] = {}
         self._number = 0
-        self._cluster = cluster_number(settings.cluster)
+        self._cluster = cluster_hash(settings.cluster)
         self.table.put(now, me)
 
     def wake(self, now: float) -> None:
         """One period: tell all, and count who was not heard as dead."""
-        while self.next_at <= now:
-            self.next_at += self.settings.period_ms
-        message = Tell(Sender(self.me.name, self.me.host, self.me.port), None, 0, [self.me])
+        while self.next_due_ms <= now:
+            self.next_due_ms += self.settings.probe_interval_ms
+        message = Gossip(Sender(self.record.name, self.record.host, self.record.port), None, 0, [self.record])
         self._number += 1
         for to in self.settings.seeds:
-            if to != self.me.address:
-                data = datagram(self.keys, self._cluster, self.me.life, 0, self._number, message)
-                self.counts["sent"] += 1
-                self.counts["sent_bytes"] += len(data)
-                self.out.append(Datagram(to, data))
+            if to != self.record.address:
+                data = seal_datagram(self.keys, self._cluster, self.record.boot_id, 0, self._number, message)
+                self.counters["sent"] += 1
+                self.counters["sent_bytes"] += len(data)
+                self.out.append(SendDatagram(to, data))
         for fact in list(self.table):
             if (
                 fact.present
-                and fact.name != self.me.name
-                and now - self._heard.get(fact.name, now) > self.settings.suspect_least_ms
+                and fact.name != self.record.name
+                and now - self._heard.get(fact.name, now) > self.settings.min_suspicion_ms
             ):
-                self._put(now, with_state(fact, State.DEAD, self.me.name), "dead")
+                self._put(now, with_state(fact, MemberState.DEAD, self.record.name), "dead")
 
-    def _put(self, now: float, fact: Fact, kind: str) -> None:
+    def _put(self, now: float, fact: MemberRecord, kind: str) -> None:
         self.table.put(now, fact)
-        self.out.append(Event(kind, fact.name, {"by": fact.by, "incarnation": fact.incarnation}))
+        self.out.append(MemberEvent(kind, fact.name, {"by": fact.reported_by, "incarnation": fact.incarnation}))
 
-    def datagram(self, now: float, data: bytes) -> None:
+    def receive(self, now: float, data: bytes) -> None:
         """Hear one."""
         try:
             opened = open_datagram(self.keys, self._cluster, data)
-            message = message_of(opened.body)
-        except WireError as error:
-            self.counts[f"dropped_{error.reason}"] += 1
+            message = decode_message(opened.body)
+        except ProtocolError as error:
+            self.counters[f"dropped_{error.reason}"] += 1
             return
-        if not self._windows.setdefault(opened.source, Window()).new(opened.number) or not isinstance(message, Tell):
+        if not self._windows.setdefault(opened.source_boot_id, ReplayWindow()).accept(opened.number) or not isinstance(
+            message, Gossip
+        ):
             return
-        for fact in message.facts:
-            if fact.name == self.me.name:
+        for fact in message.records:
+            if fact.name == self.record.name:
                 continue
             self._heard[fact.name] = now
             before = self.table.get(fact.name)
-            if before is None or not before.present or before.life != fact.life:
+            if before is None or not before.present or before.boot_id != fact.boot_id:
                 self._put(now, fact, "joined" if before is None else "back")
 
     def leave(self, now: float) -> None:
         """It has no way to say so."""
-        self.stage = Stage.GONE
-        self.out.append(Event("gone", self.me.name, {}))
+        self.stage = Stage.LEFT
+        self.out.append(MemberEvent("gone", self.record.name, {}))
 
-    def exchange_opens(self, token: int) -> bytes:
+    def open_exchange(self, token: int) -> bytes:
         """It opens none."""
         raise NotImplementedError
 
-    def exchange_serves(self, now: float, body: bytes) -> bytes:
+    def serve_exchange(self, now: float, body: bytes) -> bytes:
         """It serves none."""
-        raise WireError("frame")
+        raise ProtocolError("frame")
 
-    def exchange_answered(self, now: float, token: int, body: bytes | None) -> bytes | None:
+    def continue_exchange(self, now: float, token: int, body: bytes | None) -> bytes | None:
         """It opens none."""
         return None
--- a/martenstep/lab/fleet/relay.py
+++ b/martenstep/lab/fleet/relay.py
@@ -13,7 +13,7 @@
 
 from martenstep.lab.fleet.wires import Wires
 from martenstep.membership.core import Address
-from martenstep.membership.transport import Datagrams
+from martenstep.membership.transport import DatagramReceiver
 
 READ_BYTES = 65_536
 LOOK_S = 0.02  # how often a stream that a fault holds up looks whether that is over
@@ -41,7 +41,7 @@
                 return "127.0.0.1", port
             try:
                 self._transport, _ = await loop.create_datagram_endpoint(
-                    lambda: Datagrams(self._arrived), local_addr=("127.0.0.1", port)
+                    lambda: DatagramReceiver(self._arrived), local_addr=("127.0.0.1", port)
                 )
             except OSError:
                 server.close()
--- a/martenstep/lab/fleet/virtual.py
+++ b/martenstep/lab/fleet/virtual.py
@@ -19,11 +19,19 @@
 from martenstep.lab.fleet.relay import Forger
 from martenstep.lab.fleet.schedule import Member, Step, members_of, steps_of
 from martenstep.lab.fleet.wires import Wires
-from martenstep.membership.codec import Keys, WireError
-from martenstep.membership.core import Address, Datagram, Dial, Event, Gossip, Settings, Stage
-from martenstep.membership.member_table import Fact, State
-
-Core = Gossip | Heartbeats
+from martenstep.membership.codec import Keyring, ProtocolError
+from martenstep.membership.core import (
+    Address,
+    MemberEvent,
+    MembershipCore,
+    MembershipSettings,
+    OpenExchange,
+    SendDatagram,
+    Stage,
+)
+from martenstep.membership.member_table import MemberRecord, MemberState
+
+Core = MembershipCore | Heartbeats
 KEY = b"a key for the emulated fleet only"
 PORT = 7946
 LATENCY_MS, JITTER_MS = 0.3, 0.3  # one way, within a room or between rooms
@@ -68,14 +76,14 @@
 
     def __init__(self, schedule: pb.Schedule, seed: int, make: Callable[..., Core] | None = None) -> None:
         self.schedule, self.seed = schedule, seed
-        self._make: Callable[..., Core] = make or (Heartbeats if schedule.heartbeats else Gossip)
+        self._make: Callable[..., Core] = make or (Heartbeats if schedule.heartbeats else MembershipCore)
         self.sim = Sim()
         self.rng = random.Random(f"{schedule.name} {seed}")
         self.members = members_of(schedule)
         self.wires = Wires(self.members, random.Random(f"wires {seed}"))
         self.records: list[Record] = []
         self.started_ms = 0.0
-        self._keys = Keys([KEY])
+        self._keys = Keyring([KEY])
         self.places: dict[str, Place] = {}
         self._at: dict[Address, Place] = {}
         self._old: list[bytes] = []
@@ -92,17 +100,17 @@
 
     # Processes.
 
-    def settings(self) -> Settings:
+    def settings(self) -> MembershipSettings:
         """Of every member."""
         schedule = self.schedule
         number = schedule.members if schedule.heartbeats else schedule.seeds
         seeds = tuple(self.places[member.name].address for member in self.members[:number])
-        return Settings(
+        return MembershipSettings(
             "emulated",
             seeds,
-            period_ms=schedule.period_ms,
-            reclaim_ms=schedule.reclaim_ms,
-            suspect_least_ms=schedule.suspect_least_ms,
+            probe_interval_ms=schedule.period_ms,
+            forget_after_ms=schedule.reclaim_ms,
+            min_suspicion_ms=schedule.suspect_least_ms,
         )
 
     def start(self, place: Place) -> None:
@@ -111,12 +119,12 @@
         starts = place.disk.starts + 1
         if not place.disk_broken:  # else this start is not kept, and the next begins as low
             place.disk.starts = starts
-        me = Fact(
+        me = MemberRecord(
             place.member.name,
             0,
             place.disk.identity,
             starts,
-            State.ALIVE,
+            MemberState.ALIVE,
             self.rng.getrandbits(62),
             *place.address,
             place.member.zone,
@@ -127,7 +135,7 @@
         place.paused = False
         place.inbox.clear()
         self._at[place.address] = place
-        self._truth("started", place, life=me.life)
+        self._truth("started", place, life=me.boot_id)
         self._after(place)
 
     def end(self, place: Place, kind: str = "killed") -> None:
@@ -153,12 +161,12 @@
             return
         actions, core.out = core.out, []
         for action in actions:
-            if isinstance(action, Datagram):
+            if isinstance(action, SendDatagram):
                 self._send(place, action.to, action.data)
-            elif isinstance(action, Dial):
+            elif isinstance(action, OpenExchange):
                 self._dial(place, core, action)
-            elif isinstance(action, Event):
-                self.records.append(Belief(self.sim.now, place.name, action.kind, action.name, action.fields))
+            elif isinstance(action, MemberEvent):
+                self.records.append(Belief(self.sim.now, place.name, action.kind, action.member, action.fields))
                 if action.kind == "gone":
                     self.end(place, "left")
                     return
@@ -166,7 +174,7 @@
             place.timer.cancel()
         late = self.rng.uniform(0, place.late_ms) if place.late_ms else 0.0
         # A millionth of a millisecond late: sums with an offset are not exact, and too early would wake for ever.
-        place.timer = self.sim.at(core.next_at - place.offset + late + 1e-6, self._wake, place, core)
+        place.timer = self.sim.at(core.next_due_ms - place.offset + late + 1e-6, self._wake, place, core)
 
     def _wake(self, place: Place, core: Core) -> None:
         if place.core is core and not place.paused:
@@ -205,16 +213,16 @@
         if place.paused:
             place.inbox.append(data)
             return
-        core.datagram(self.sim.now + place.offset, data)
+        core.receive(self.sim.now + place.offset, data)
         self._after(place)
 
-    def _dial(self, place: Place, core: Core, dial: Dial) -> None:
+    def _dial(self, place: Place, core: Core, dial: OpenExchange) -> None:
         """An exchange over a stream."""
         give_up = self.sim.after(STREAM_MS, self._answered, place, core, dial, None, None)
-        body = core.exchange_opens(dial.token)
+        body = core.open_exchange(dial.token)
         self._carry(place, core, dial, body, give_up)
 
-    def _carry(self, place: Place, core: Core, dial: Dial, body: bytes, give_up: Timer) -> None:
+    def _carry(self, place: Place, core: Core, dial: OpenExchange, body: bytes, give_up: Timer) -> None:
         target = self._at.get(dial.to)
         if target is None:
             self.sim.after(LATENCY_MS * 2, self._answered, place, core, dial, None, give_up)  # refused
@@ -225,12 +233,12 @@
         way = LATENCY_MS * 3 + self.wires.stream_ms(source, sink, len(body))
         self.sim.after(way, self._serve, place, core, dial, target, body, give_up)
 
-    def _serve(self, place: Place, core: Core, dial: Dial, target: Place, body: bytes, give_up: Timer) -> None:
+    def _serve(self, place: Place, core: Core, dial: OpenExchange, target: Place, body: bytes, give_up: Timer) -> None:
         if target.core is None or target.paused:
             return  # the kernel takes the connection, and nobody answers
         try:
-            answer: bytes | None = target.core.exchange_serves(self.sim.now + target.offset, body)
-        except WireError:
+            answer: bytes | None = target.core.serve_exchange(self.sim.now + target.offset, body)
+        except ProtocolError:
             answer = None
         self._after(target)
         source, sink = target.member.name, place.member.name
@@ -239,7 +247,9 @@
         way = LATENCY_MS + (self.wires.stream_ms(source, sink, len(answer)) if answer is not None else 0.0)
         self.sim.after(way, self._answered, place, core, dial, answer, give_up)
 
-    def _answered(self, place: Place, core: Core, dial: Dial, body: bytes | None, give_up: Timer | None) -> None:
+    def _answered(
+        self, place: Place, core: Core, dial: OpenExchange, body: bytes | None, give_up: Timer | None
+    ) -> None:
         if place.core is not core:
             return
         if place.paused:
@@ -247,7 +257,7 @@
                 give_up.cancel()
             self.sim.after(50.0, self._answered, place, core, dial, body, None)
             return
-        further = core.exchange_answered(self.sim.now + place.offset, dial.token, body)
+        further = core.continue_exchange(self.sim.now + place.offset, dial.token, body)
         self._after(place)
         if give_up is not None:
             give_up.cancel()
@@ -269,7 +279,7 @@
         if self.rng.random() < 0.5:
             core.wake(now)
         for data in waiting:
-            core.datagram(now, data)
+            core.receive(now, data)
         self._after(place)
 
     def _step(self, step: Step) -> None:
@@ -371,7 +381,7 @@
     def _all_in(self) -> bool:
         number = len(self.members)
         return all(
-            place.core is not None and place.core.stage is Stage.JOINED and place.core.table.present == number
+            place.core is not None and place.core.stage is Stage.JOINED and place.core.table.present_count == number
             for place in self.places.values()
         )
 
@@ -389,12 +399,12 @@
         members = [
             place.core for place in self.places.values() if place.core is not None and place.core.stage is Stage.JOINED
         ]
-        running = frozenset((core.me.name, core.me.life) for core in members)
+        running = frozenset((core.record.name, core.record.boot_id) for core in members)
         for core in members:
-            version, present = self._present.get(core.me.life, (-1, frozenset()))
+            version, present = self._present.get(core.record.boot_id, (-1, frozenset()))
             if version != core.table.version:
-                present = frozenset((fact.name, fact.life) for fact in core.table if fact.present)
-                self._present[core.me.life] = core.table.version, present
+                present = frozenset((fact.name, fact.boot_id) for fact in core.table if fact.present)
+                self._present[core.record.boot_id] = core.table.version, present
             if hash(present) != hash(running):  # of a frozen set it is reckoned once
                 return False
         return True
@@ -403,13 +413,13 @@
         for place in self.places.values():
             core = place.core
             if core is not None:
-                held = [Held(fact.name, fact.state.name.lower(), fact.life, fact.says) for fact in core.table]
+                held = [Held(fact.name, fact.state.name.lower(), fact.boot_id, fact.self_report) for fact in core.table]
                 self.records.append(
                     View(
                         self.sim.now,
                         place.name,
                         core.stage.value,
                         sorted(held, key=lambda one: one.name),
-                        dict(core.counts),
+                        dict(core.counters),
                     )
                 )
--- a/martenstep/membership/codec.py
+++ b/martenstep/membership/codec.py
@@ -19,36 +19,36 @@
 import msgspec
 import xxhash
 
-from martenstep.membership.member_table import BUCKETS, Digest, Fact, Name, Port, State
+from martenstep.membership.member_table import BUCKET_COUNT, Digest, MemberName, MemberRecord, MemberState, Port
 
 MAGIC, VERSION = b"MG", 1
-MOST_BYTES = 1200  # of a datagram: passes any path of IPv6's least MTU with room for tunnels
+MAX_DATAGRAM_BYTES = 1200  # of a datagram: passes any path of IPv6's least MTU with room for tunnels
 MAC_BYTES = 16
-MOST_FRAME = 4 << 20  # of an exchange: some ten thousands of members
-MOST_FACTS = 20_000
-HEAD = struct.Struct(">2sBBQQQQ")
-ROOM = MOST_BYTES - HEAD.size - MAC_BYTES  # for a body
+MAX_FRAME_BYTES = 4 << 20  # of an exchange: some ten thousands of members
+MAX_RECORDS = 20_000
+HEADER = struct.Struct(">2sBBQQQQ")
+MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - MAC_BYTES  # for a body
 _U64 = Annotated[int, msgspec.Meta(ge=0)]  # MessagePack has none above 64 bits
 _U32 = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 Host = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-Facts = Annotated[list[Fact], msgspec.Meta(max_length=MOST_FACTS)]
+Records = Annotated[list[MemberRecord], msgspec.Meta(max_length=MAX_RECORDS)]
 
 
 class Sender(msgspec.Struct, array_like=True, frozen=True):
     """Who sends, and where it is reached: the source address may be a relay's."""
 
-    name: Name
+    name: MemberName
     host: Host
     port: Port
 
 
-class Seen(msgspec.Struct, array_like=True, frozen=True):
+class ReceiverView(msgspec.Struct, array_like=True, frozen=True):
     """How the sender sees the receiver: who is suspected hears so from whoever speaks to it (Lifeguard's buddy)."""
 
-    era: _U32
-    identity: _U64
+    epoch: _U32
+    node_id: _U64
     incarnation: _U32
-    state: State
+    state: MemberState
 
 
 class Ping(msgspec.Struct, array_like=True, tag=1):
@@ -56,10 +56,10 @@
 
     sender: Sender
     nonce: _U64
-    to: Name
-    seen: Seen | None
+    target: MemberName
+    receiver_view: ReceiverView | None
     digest: Digest
-    facts: Facts = []
+    records: Records = []
 
 
 class Ack(msgspec.Struct, array_like=True, tag=2):
@@ -67,83 +67,83 @@
 
     sender: Sender
     nonce: _U64
-    seen: Seen | None
+    receiver_view: ReceiverView | None
     digest: Digest
-    facts: Facts = []
+    records: Records = []
 
 
-class Relay(msgspec.Struct, array_like=True, tag=3):
+class IndirectPing(msgspec.Struct, array_like=True, tag=3):
     """Ask that member for me."""
 
     sender: Sender
     nonce: _U64
-    to: Name
+    target: MemberName
     host: Host
     port: Port
-    life: _U64
+    boot_id: _U64
 
 
-class Relayed(msgspec.Struct, array_like=True, tag=4):
+class IndirectPingResponse(msgspec.Struct, array_like=True, tag=4):
     """It answered, or did not in my time."""
 
     sender: Sender
     nonce: _U64
-    answered: bool
+    acknowledged: bool
 
 
-class Tell(msgspec.Struct, array_like=True, tag=5):
+class Gossip(msgspec.Struct, array_like=True, tag=5):
     """Sayings, without a question."""
 
     sender: Sender
-    seen: Seen | None
+    receiver_view: ReceiverView | None
     digest: Digest
-    facts: Facts = []
+    records: Records = []
 
 
-class Challenge(msgspec.Struct, array_like=True, tag=6):
+class WrongBootId(msgspec.Struct, array_like=True, tag=6):
     """What came was not for this life: here is mine."""
 
     sender: Sender
-    life: _U64
-    identity: _U64
+    boot_id: _U64
+    node_id: _U64
 
 
-class Want(msgspec.Struct, array_like=True, tag=10):
+class PullRequest(msgspec.Struct, array_like=True, tag=10):
     """Opens an exchange: digests of the parts of the table, and the asker's own saying."""
 
     sender: Sender
-    digests: Annotated[list[Digest], msgspec.Meta(min_length=BUCKETS, max_length=BUCKETS)]
-    own: Fact
+    digests: Annotated[list[Digest], msgspec.Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
+    own_record: MemberRecord
 
 
-class Have(msgspec.Struct, array_like=True, tag=11):
+class PullResponse(msgspec.Struct, array_like=True, tag=11):
     """The sayings of those parts that differ."""
 
     sender: Sender
-    own: Fact
-    parts: list[int]
-    facts: Facts = []
+    own_record: MemberRecord
+    buckets: list[int]
+    records: Records = []
 
 
-class Push(msgspec.Struct, array_like=True, tag=12):
+class PushState(msgspec.Struct, array_like=True, tag=12):
     """What the asker holds of those parts and the other does not."""
 
     sender: Sender
-    facts: Facts = []
+    records: Records = []
 
 
-class Done(msgspec.Struct, array_like=True, tag=13):
+class ExchangeDone(msgspec.Struct, array_like=True, tag=13):
     """The exchange is over."""
 
 
-Message = Ping | Ack | Relay | Relayed | Tell | Challenge
-Frame = Want | Have | Push | Done
+Message = Ping | Ack | IndirectPing | IndirectPingResponse | Gossip | WrongBootId
+Frame = PullRequest | PullResponse | PushState | ExchangeDone
 _encoder = msgspec.msgpack.Encoder()
 _messages = msgspec.msgpack.Decoder(Message)
 _frames = msgspec.msgpack.Decoder(Frame)
 
 
-class WireError(Exception):
+class ProtocolError(Exception):
     """Bytes that are dropped; `reason` is counted."""
 
     def __init__(self, reason: str) -> None:
@@ -151,12 +151,12 @@
         super().__init__(reason)
 
 
-def cluster_number(name: str) -> int:
+def cluster_hash(name: str) -> int:
     """What stands for a cluster's name in each datagram."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
-class Keys:
+class Keyring:
     """The keys in force: the first seals, all open, so that a change of key passes through the fleet door by door."""
 
     def __init__(self, keys: list[bytes]) -> None:
@@ -164,11 +164,11 @@
             raise ValueError("no key")
         self._keys = keys
 
-    def seal(self, data: bytes) -> bytes:
+    def sign(self, data: bytes) -> bytes:
         """The MAC of some bytes."""
         return hmac.digest(self._keys[0], data, "sha256")[:MAC_BYTES]
 
-    def opens(self, data: bytes | memoryview, mac: bytes) -> bool:
+    def verify(self, data: bytes | memoryview, mac: bytes) -> bool:
         """Whether one of the keys made this MAC."""
         return any(hmac.compare_digest(hmac.digest(key, data, "sha256")[:MAC_BYTES], mac) for key in self._keys)
 
@@ -178,74 +178,74 @@
     return _encoder.encode(value)
 
 
-def datagram(keys: Keys, cluster: int, source: int, target: int, number: int, message: Message) -> bytes:
+def seal_datagram(keys: Keyring, cluster: int, source: int, target: int, number: int, message: Message) -> bytes:
     """A message as it is sent."""
-    data = HEAD.pack(MAGIC, VERSION, 0, cluster, source, target, number) + _encoder.encode(message)
-    return data + keys.seal(data)
+    data = HEADER.pack(MAGIC, VERSION, 0, cluster, source, target, number) + _encoder.encode(message)
+    return data + keys.sign(data)
 
 
-class Opened(msgspec.Struct):
+class OpenedDatagram(msgspec.Struct):
     """A datagram whose seal holds."""
 
-    source: int
-    target: int
+    source_boot_id: int
+    target_boot_id: int
     number: int
     body: bytes
 
 
-def open_datagram(keys: Keys, cluster: int, data: bytes) -> Opened:
+def open_datagram(keys: Keyring, cluster: int, data: bytes) -> OpenedDatagram:
     """Check all but the body; raises WireError."""
-    if not HEAD.size + MAC_BYTES < len(data) <= MOST_BYTES:
-        raise WireError("length")
-    magic, version, _, of, source, target, number = HEAD.unpack_from(data)
+    if not HEADER.size + MAC_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
+        raise ProtocolError("length")
+    magic, version, _, of, source, target, number = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise WireError("magic")
+        raise ProtocolError("magic")
     if version != VERSION:
-        raise WireError("version")
+        raise ProtocolError("version")
     if of != cluster:
-        raise WireError("cluster")
-    if not keys.opens(data[:-MAC_BYTES], data[-MAC_BYTES:]):
-        raise WireError("mac")
-    return Opened(source, target, number, data[HEAD.size : -MAC_BYTES])
+        raise ProtocolError("cluster")
+    if not keys.verify(data[:-MAC_BYTES], data[-MAC_BYTES:]):
+        raise ProtocolError("mac")
+    return OpenedDatagram(source, target, number, data[HEADER.size : -MAC_BYTES])
 
 
-def message_of(body: bytes) -> Message:
+def decode_message(body: bytes) -> Message:
     """Read a body; raises WireError."""
     try:
         return _messages.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise WireError("body") from None
+        raise ProtocolError("body") from None
 
 
-def frame_of(body: bytes) -> Frame:
+def decode_frame(body: bytes) -> Frame:
     """Read a frame of an exchange; raises WireError."""
     try:
         return _frames.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise WireError("body") from None
+        raise ProtocolError("body") from None
 
 
-def context_of(cluster: int, server: bytes, client: bytes, place: int) -> bytes:
+def frame_context(cluster: int, server: bytes, client: bytes, place: int) -> bytes:
     """What the MAC of a frame is bound to: both draws, and its place (even ones are the client's)."""
     return hashlib.sha256(struct.pack(">2sBBQ", MAGIC, VERSION, place, cluster) + server + client).digest()
 
 
-def frame(keys: Keys, context: bytes, body: bytes) -> bytes:
+def seal_frame(keys: Keyring, context: bytes, body: bytes) -> bytes:
     """A frame as it is sent."""
-    return struct.pack(">I", len(body) + MAC_BYTES) + body + keys.seal(context + body)
+    return struct.pack(">I", len(body) + MAC_BYTES) + body + keys.sign(context + body)
 
 
-def open_frame(keys: Keys, context: bytes, data: bytes) -> bytes:
+def open_frame(keys: Keyring, context: bytes, data: bytes) -> bytes:
     """The body of a frame without its length; raises WireError."""
     if len(data) <= MAC_BYTES:
-        raise WireError("length")
+        raise ProtocolError("length")
     body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-    if not keys.opens(context + body, mac):
-        raise WireError("mac")
+    if not keys.verify(context + body, mac):
+        raise ProtocolError("mac")
     return body
 
 
-class Window:
+class ReplayWindow:
     """Which numbers of one sender's life have come: each counts once, and what is too old to tell counts as come."""
 
     SIZE = 1024  # a sender writes some tens of datagrams a second to all: half a minute of reordering
@@ -255,7 +255,7 @@
     def __init__(self) -> None:
         self._highest, self._bits = -1, 0
 
-    def new(self, number: int) -> bool:
+    def accept(self, number: int) -> bool:
         """Note a number; False where it came before, or may have."""
         ahead = number - self._highest
         if ahead > 0:
--- a/martenstep/membership/dissemination.py
+++ b/martenstep/membership/dissemination.py
@@ -5,12 +5,14 @@
 import math
 
 from martenstep.membership.codec import encode
-from martenstep.membership.member_table import Fact, State
+from martenstep.membership.member_table import MemberRecord, MemberState
 
-TOLD = 4  # times log10 of the fleet that a saying is sent by each door: SWIM's lambda, as memberlist has it
+RETRANSMIT_MULTIPLIER = (
+    4  # times log10 of the fleet that a saying is sent by each door: SWIM's lambda, as memberlist has it
+)
 
 
-class Spread:
+class GossipQueue:
     """Sayings under way, one a name: a newer one replaces an older one."""
 
     def __init__(self) -> None:
@@ -23,9 +25,9 @@
     def __contains__(self, name: str) -> bool:
         return name in self._line_of
 
-    def put(self, fact: Fact) -> None:
+    def enqueue(self, fact: MemberRecord) -> None:
         """Tell this from now on."""
-        self.drop(fact.name)
+        self.discard(fact.name)
         self._place(fact.name, 0, encode(fact))
 
     def _place(self, name: str, line: int, data: bytes) -> None:
@@ -34,7 +36,7 @@
         self._lines[line][name] = data
         self._line_of[name] = line
 
-    def drop(self, name: str) -> None:
+    def discard(self, name: str) -> None:
         """Tell it no more."""
         line = self._line_of.pop(name, None)
         if line is not None:
@@ -44,7 +46,7 @@
         """Sayings for one datagram, at most so many bytes; each counts as told once more."""
         if not self._line_of:
             return []
-        most = TOLD * math.ceil(math.log10(fleet + 1))
+        most = RETRANSMIT_MULTIPLIER * math.ceil(math.log10(fleet + 1))
         taken: list[tuple[str, int, bytes]] = []
         for line, waiting in enumerate(self._lines):
             for name, data in waiting.items():
@@ -56,13 +58,13 @@
                 continue
             break
         for name, line, data in taken:
-            self.drop(name)
+            self.discard(name)
             if line + 1 < most:
                 self._place(name, line + 1, data)
         return [data for _, _, data in taken]
 
 
-def suspicion_ms(fleet: int, others: int, period_ms: float, least_ms: float) -> float:
+def suspicion_timeout_ms(fleet: int, others: int, period_ms: float, least_ms: float) -> float:
     """How long a suspicion stands before it is a death, after so many further accusers (Lifeguard, section IV.B).
 
     The least is SWIM's alpha * log10(n) periods with alpha 4, never below what the settings say; without any other
@@ -76,7 +78,7 @@
     return max(least, most - (most - least) * math.log(others + 1) / math.log(needed + 1))
 
 
-def worth_telling(before: Fact | None, fact: Fact) -> bool:
+def is_news(before: MemberRecord | None, fact: MemberRecord) -> bool:
     """Whether a saying that has just been taken in is news to others.  Of the dead that nobody knew it is not: they
     would be told of for ever by doors that forget at different times."""
-    return before is not None or fact.state is not State.DEAD
+    return before is not None or fact.state is not MemberState.DEAD
--- a/martenstep/membership/identity.py
+++ b/martenstep/membership/identity.py
@@ -13,11 +13,11 @@
 
 from martenstep.storage.files import Files
 
-FILE = "identity.json"
-MOST_ADDRESSES = 64
+IDENTITY_FILE = "identity.json"
+MAX_ADDRESSES = 64
 
 
-class Identity(msgspec.Struct):
+class NodeIdentity(msgspec.Struct):
     """What is kept."""
 
     identity: int
@@ -25,7 +25,7 @@
     addresses: list[tuple[str, int]] = []  # of others as last known: further seeds
 
 
-def take_up(files: Files, rng: random.Random) -> tuple[Identity, str]:
+def load_identity(files: Files, rng: random.Random) -> tuple[NodeIdentity, str]:
     """The identity for this start, kept before it is used; and what was wrong, empty where nothing was.
 
     Nothing on the disk keeps a door from starting: where the file cannot be read it is another identity, and where it
@@ -33,22 +33,22 @@
     """
     wrong, kept = "", None
     try:
-        kept = msgspec.json.decode(files.read(FILE), type=Identity)
+        kept = msgspec.json.decode(files.read(IDENTITY_FILE), type=NodeIdentity)
     except FileNotFoundError:
         pass
     except (OSError, msgspec.DecodeError) as error:
-        wrong = f"{FILE} is not read: {error}"
+        wrong = f"{IDENTITY_FILE} is not read: {error}"
     if kept is None or not 0 <= kept.identity < 1 << 64 or not 0 <= kept.starts < 1 << 31:
-        kept = Identity(rng.getrandbits(62), 0)
+        kept = NodeIdentity(rng.getrandbits(62), 0)
     kept.starts += 1
-    unwritten = keep(files, kept)
+    unwritten = store_identity(files, kept)
     return kept, wrong or unwritten
 
 
-def keep(files: Files, identity: Identity) -> str:
+def store_identity(files: Files, identity: NodeIdentity) -> str:
     """Write it; gives what was wrong."""
     try:
-        files.write_aside(FILE, msgspec.json.encode(identity))
+        files.write_aside(IDENTITY_FILE, msgspec.json.encode(identity))
     except OSError as error:
-        return f"{FILE} is not written: {error}"
+        return f"{IDENTITY_FILE} is not written: {error}"
     return ""
--- a/martenstep/membership/keys.py
+++ b/martenstep/membership/keys.py
@@ -8,17 +8,17 @@
 
 from pathlib import Path
 
-from martenstep.membership.codec import Keys
+from martenstep.membership.codec import Keyring
 
-LEAST_BYTES = 16
-MOST_KEYS = 4
+MIN_KEY_BYTES = 16
+MAX_KEYS = 4
 
 
 class KeyFileError(Exception):
     """A file of keys that cannot be used: names the file and the line, never the key."""
 
 
-def read_keys(path: Path) -> Keys:
+def read_keyring(path: Path) -> Keyring:
     """The keys in a file; raises KeyFileError."""
     try:
         lines = path.read_text(encoding="ascii").splitlines()
@@ -35,9 +35,9 @@
             key = bytes.fromhex(text)
         except ValueError:
             raise KeyFileError(f"{path}, line {number}: not hex") from None
-        if len(key) < LEAST_BYTES:
-            raise KeyFileError(f"{path}, line {number}: expected at least {LEAST_BYTES} bytes, got {len(key)}")
+        if len(key) < MIN_KEY_BYTES:
+            raise KeyFileError(f"{path}, line {number}: expected at least {MIN_KEY_BYTES} bytes, got {len(key)}")
         keys.append(key)
-    if not 1 <= len(keys) <= MOST_KEYS:
-        raise KeyFileError(f"{path}: expected 1 to {MOST_KEYS} keys, got {len(keys)}")
-    return Keys(keys)
+    if not 1 <= len(keys) <= MAX_KEYS:
+        raise KeyFileError(f"{path}: expected 1 to {MAX_KEYS} keys, got {len(keys)}")
+    return Keyring(keys)
--- a/martenstep/membership/member_table.py
+++ b/martenstep/membership/member_table.py
@@ -20,15 +20,15 @@
 import msgspec
 import xxhash
 
-BUCKETS = 16  # parts of the table that are compared each for itself: a change costs a sixteenth of the table
-_U64 = Annotated[int, msgspec.Meta(ge=0)]  # MessagePack has none above 64 bits
-_U32 = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
+BUCKET_COUNT = 16  # parts of the table that are compared each for itself: a change costs a sixteenth of the table
+U64 = Annotated[int, msgspec.Meta(ge=0)]  # MessagePack has none above 64 bits
+U32 = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
+MemberName = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
-Digest = _U64
+Digest = U64
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """What the fleet holds of a member."""
 
     ALIVE = 0
@@ -37,38 +37,38 @@
     LEFT = 3  # it said so itself
 
 
-class Says(IntFlag):
+class SelfReport(IntFlag):
     """What a member says of itself beside being alive."""
 
-    NOTHING = 0
-    DEAF = 1  # it gets nothing from others, and judges nobody
-    UNHEARD = 2  # others do not get what it sends, as far as it can tell
+    NONE = 0
+    RECEIVE_PARTITIONED = 1  # it gets nothing from others, and judges nobody
+    SEND_PARTITIONED = 2  # others do not get what it sends, as far as it can tell
 
 
-class Fact(msgspec.Struct, array_like=True, frozen=True):
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
     """One saying about one member."""
 
-    name: Name
-    era: _U32
-    identity: _U64  # of the disk that the name is on; drawn when it was first used
-    incarnation: _U32
-    state: State
-    life: _U64  # of the process; drawn at its start
+    name: MemberName
+    epoch: U32
+    node_id: U64  # of the disk that the name is on; drawn when it was first used
+    incarnation: U32
+    state: MemberState
+    boot_id: U64  # of the process; drawn at its start
     host: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
     port: Port
     zone: Annotated[str, msgspec.Meta(max_length=64)] = ""
-    says: Annotated[int, msgspec.Meta(ge=0, le=3)] = 0
-    by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # who says so, where that is not the member itself
+    self_report: Annotated[int, msgspec.Meta(ge=0, le=3)] = 0
+    reported_by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # who says so, where that is not the member itself
 
     @property
-    def rank(self) -> tuple[int, int, int, int]:
+    def precedence(self) -> tuple[int, int, int, int]:
         """Greater holds."""
-        return self.era, self.identity, self.incarnation, self.state
+        return self.epoch, self.node_id, self.incarnation, self.state
 
     @property
-    def holder(self) -> tuple[int, int]:
+    def owner(self) -> tuple[int, int]:
         """Who the name belongs to."""
-        return self.era, self.identity
+        return self.epoch, self.node_id
 
     @property
     def address(self) -> tuple[str, int]:
@@ -78,44 +78,44 @@
     @property
     def present(self) -> bool:
         """Alive, or only suspected."""
-        return self.state <= State.SUSPECT
+        return self.state <= MemberState.SUSPECT
 
 
-def with_state(fact: Fact, state: State, by: str) -> Fact:
+def with_state(fact: MemberRecord, state: MemberState, by: str) -> MemberRecord:
     """The same member in another state, as somebody says."""
-    return msgspec.structs.replace(fact, state=state, by=by)
+    return msgspec.structs.replace(fact, state=state, reported_by=by)
 
 
-def _print_of(fact: Fact) -> int:
+def _record_hash(fact: MemberRecord) -> int:
     # A suspicion is settled within seconds and is not worth an exchange: it counts as alive.
-    state = State.ALIVE if fact.state is State.SUSPECT else fact.state
-    text = f"{fact.name}\0{fact.era}\0{fact.identity}\0{fact.incarnation}\0{int(state)}"
+    state = MemberState.ALIVE if fact.state is MemberState.SUSPECT else fact.state
+    text = f"{fact.name}\0{fact.epoch}\0{fact.node_id}\0{fact.incarnation}\0{int(state)}"
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-def bucket_of(name: str) -> int:
+def bucket_index(name: str) -> int:
     """Which part of the table a name belongs to."""
-    return xxhash.xxh3_64_intdigest(name.encode()) % BUCKETS
+    return xxhash.xxh3_64_intdigest(name.encode()) % BUCKET_COUNT
 
 
-class Table:
+class MemberTable:
     """The sayings that hold, one a name, with digests that change with them."""
 
     def __init__(self) -> None:
-        self._facts: dict[str, Fact] = {}
+        self._facts: dict[str, MemberRecord] = {}
         self._prints: dict[str, int] = {}
-        self.digests = [0] * BUCKETS
-        self.since: dict[str, float] = {}  # when the present state of a name was taken in
+        self.bucket_digests = [0] * BUCKET_COUNT
+        self.state_since_ms: dict[str, float] = {}  # when the present state of a name was taken in
         self.version = 0
-        self.present = 0  # members alive or suspect
+        self.present_count = 0  # members alive or suspect
 
     def __len__(self) -> int:
         return len(self._facts)
 
-    def __iter__(self) -> Iterator[Fact]:
+    def __iter__(self) -> Iterator[MemberRecord]:
         return iter(self._facts.values())
 
-    def get(self, name: str) -> Fact | None:
+    def get(self, name: str) -> MemberRecord | None:
         """What holds of a name."""
         return self._facts.get(name)
 
@@ -123,31 +123,31 @@
     def digest(self) -> int:
         """Of the whole table."""
         made = 0
-        for part in self.digests:
+        for part in self.bucket_digests:
             made ^= part
         return made
 
-    def put(self, now: float, fact: Fact) -> Fact | None:
+    def put(self, now: float, fact: MemberRecord) -> MemberRecord | None:
         """Let a saying hold; gives the one before it.  The caller has compared the ranks."""
         before = self._facts.get(fact.name)
-        if before is None or before.state is not fact.state or before.holder != fact.holder:
-            self.since[fact.name] = now
+        if before is None or before.state is not fact.state or before.owner != fact.owner:
+            self.state_since_ms[fact.name] = now
         self._facts[fact.name] = fact
-        told = _print_of(fact)
-        self.digests[bucket_of(fact.name)] ^= self._prints.get(fact.name, 0) ^ told
+        told = _record_hash(fact)
+        self.bucket_digests[bucket_index(fact.name)] ^= self._prints.get(fact.name, 0) ^ told
         self._prints[fact.name] = told
-        self.present += int(fact.present) - int(before is not None and before.present)
+        self.present_count += int(fact.present) - int(before is not None and before.present)
         self.version += 1
         return before
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Forget a name."""
         before = self._facts.pop(name)
-        self.digests[bucket_of(name)] ^= self._prints.pop(name)
-        self.since.pop(name, None)
-        self.present -= int(before.present)
+        self.bucket_digests[bucket_index(name)] ^= self._prints.pop(name)
+        self.state_since_ms.pop(name, None)
+        self.present_count -= int(before.present)
         self.version += 1
 
-    def of_buckets(self, wanted: set[int]) -> list[Fact]:
+    def in_buckets(self, wanted: set[int]) -> list[MemberRecord]:
         """The sayings in some parts."""
-        return [fact for fact in self._facts.values() if bucket_of(fact.name) in wanted]
+        return [fact for fact in self._facts.values() if bucket_index(fact.name) in wanted]
--- a/martenstep/membership/ownership.py
+++ b/martenstep/membership/ownership.py
@@ -14,7 +14,7 @@
 import xxhash
 
 
-def holders(key: str, members: Iterable[tuple[str, str]], count: int) -> list[str]:
+def owners(key: str, members: Iterable[tuple[str, str]], count: int) -> list[str]:
     """The names of the `count` members (name, zone) that hold a key, the first one first; fewer where there are fewer.
 
     Names must differ.  The order in which members are given does not matter.
--- a/martenstep/membership/transport.py
+++ b/martenstep/membership/transport.py
@@ -24,18 +24,25 @@
 from martenstep.membership import identity as kept
 from martenstep.membership.codec import (
     MAGIC,
-    MOST_FRAME,
+    MAX_FRAME_BYTES,
     VERSION,
-    Keys,
-    WireError,
-    cluster_number,
-    context_of,
-    frame,
+    Keyring,
+    ProtocolError,
+    cluster_hash,
+    frame_context,
     open_frame,
+    seal_frame,
 )
-from martenstep.membership.core import Datagram, Dial, Event, Gossip, Settings, Stage
-from martenstep.membership.keys import KeyFileError, read_keys
-from martenstep.membership.member_table import Fact, Says, State
+from martenstep.membership.core import (
+    MemberEvent,
+    MembershipCore,
+    MembershipSettings,
+    OpenExchange,
+    SendDatagram,
+    Stage,
+)
+from martenstep.membership.keys import KeyFileError, read_keyring
+from martenstep.membership.member_table import MemberRecord, MemberState, SelfReport
 from martenstep.storage.files import Disk, LockedError
 from martenstep.tasks import Tasks
 
@@ -52,7 +59,7 @@
     return time.monotonic() * 1000
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramReceiver(asyncio.DatagramProtocol):
     """Hands on what comes."""
 
     def __init__(self, take: Callable[[bytes], None]) -> None:
@@ -65,7 +72,7 @@
         """A port that nobody holds answers so: nothing follows from it here, a core finds out by its probe."""
 
 
-class Membership:
+class MembershipService:
     """One door's part in the fleet, on sockets."""
 
     def __init__(
@@ -74,18 +81,18 @@
         name: str,
         zone: str,
         log_event: EventLog,
-        changed: Callable[[Event], None] | None = None,
+        changed: Callable[[MemberEvent], None] | None = None,
     ) -> None:
         """Raises KeyFileError where the keys cannot be read."""
         self._fleet, self._name, self._zone, self._log_event = fleet, name, zone, log_event
         self._changed = changed
         self._rng = random.SystemRandom()
-        self._keys = read_keys(Path(fleet.key_file))
-        self._cluster = cluster_number(fleet.cluster)
+        self._keys = read_keyring(Path(fleet.key_file))
+        self._cluster = cluster_hash(fleet.cluster)
         self._ways = {(way.to.host, way.to.port): (way.through.host, way.through.port) for way in fleet.way}
         self._disk: Disk | None = None
-        self._identity = kept.Identity(self._rng.getrandbits(62), 1)
-        self.core: Gossip | None = None
+        self._identity = kept.NodeIdentity(self._rng.getrandbits(62), 1)
+        self.core: MembershipCore | None = None
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -109,7 +116,7 @@
         family = self._server.sockets[0].family
         try:
             self._transport, _ = await loop.create_datagram_endpoint(
-                lambda: Datagrams(self._arrived), local_addr=(fleet.host, self.port), family=family
+                lambda: DatagramReceiver(self._arrived), local_addr=(fleet.host, self.port), family=family
             )
         except OSError:
             self._server.close()
@@ -119,12 +126,20 @@
         told = fleet.advertise
         host, port = (told.host, told.port) if fleet.HasField("advertise") else (fleet.host, self.port)
         life = self._rng.getrandbits(62)
-        me = Fact(
-            self._name, 0, self._identity.identity, self._identity.starts, State.ALIVE, life, host, port, self._zone
+        me = MemberRecord(
+            self._name,
+            0,
+            self._identity.identity,
+            self._identity.starts,
+            MemberState.ALIVE,
+            life,
+            host,
+            port,
+            self._zone,
         )
         seeds = [(seed.host, seed.port) for seed in fleet.seed]
         seeds += [address for address in self._identity.addresses if address not in seeds]
-        settings = Settings(
+        settings = MembershipSettings(
             fleet.cluster,
             tuple(seeds),
             fleet.period_ms,
@@ -135,7 +150,7 @@
         )
         if fleet.record:
             self._record = await asyncio.to_thread(Path(fleet.record).open, "ab", 0)
-        self.core = Gossip(settings, me, self._keys, random.Random(self._rng.getrandbits(62)), now_ms())
+        self.core = MembershipCore(settings, me, self._keys, random.Random(self._rng.getrandbits(62)), now_ms())
         self._write("life", self._name, {"life": life, "host": host, "port": port})
         self._log_event(
             "fleet",
@@ -143,7 +158,7 @@
                 "cluster": fleet.cluster,
                 "host": host,
                 "port": port,
-                "identity": f"{me.identity:016x}",
+                "identity": f"{me.node_id:016x}",
                 "incarnation": me.incarnation,
             },
         )
@@ -155,7 +170,7 @@
     def _take_up(self) -> None:
         try:
             self._disk = Disk(Path(self._fleet.directory))
-            self._identity, wrong = kept.take_up(self._disk, self._rng)
+            self._identity, wrong = kept.load_identity(self._disk, self._rng)
         except (OSError, LockedError) as error:
             wrong = str(error)
         if wrong:
@@ -164,7 +179,7 @@
     async def leave(self) -> None:
         """Tell the others that this door goes, and wait until that is spread or its time is over."""
         core = self.core
-        if core is None or core.stage is Stage.GONE:
+        if core is None or core.stage is Stage.LEFT:
             return
         core.leave(now_ms())
         self._after()
@@ -190,18 +205,18 @@
             self._record = None
 
     @property
-    def keys(self) -> Keys:
+    def keyring(self) -> Keyring:
         """Those in force."""
         return self._keys
 
-    def way(self, address: tuple[str, int]) -> tuple[str, int]:
+    def route(self, address: tuple[str, int]) -> tuple[str, int]:
         """Where what is for an address goes to."""
         return self._ways.get(address, address)
 
-    def renew(self) -> None:
+    def reload_keys(self) -> None:
         """Read the keys anew; what cannot be read leaves those in force."""
         try:
-            self._keys = read_keys(Path(self._fleet.key_file))
+            self._keys = read_keyring(Path(self._fleet.key_file))
         except KeyFileError as error:
             self._log_event("fleet keys not taken up", {"error": str(error)})
             return
@@ -219,8 +234,8 @@
             return
         self._identity.addresses = [
             fact.address for fact in self.core.table if fact.present and fact.name != self._name
-        ][: kept.MOST_ADDRESSES]
-        wrong = kept.keep(self._disk, self._identity)
+        ][: kept.MAX_ADDRESSES]
+        wrong = kept.store_identity(self._disk, self._identity)
         if wrong:
             self._log_event("fleet identity", {"wrong": wrong})
 
@@ -231,17 +246,17 @@
         assert core is not None
         actions, core.out = core.out, []
         for action in actions:
-            if isinstance(action, Datagram):
+            if isinstance(action, SendDatagram):
                 if self._transport is not None and not self._transport.is_closing():
                     self._transport.sendto(action.data, self._ways.get(action.to, action.to))
-            elif isinstance(action, Dial):
+            elif isinstance(action, OpenExchange):
                 self._tasks.spawn(self._dial(action))
             else:
                 self._told(action)
         if self._timer is not None:
             self._timer.cancel()
-        if core.stage is not Stage.GONE:
-            self._timer = asyncio.get_running_loop().call_at(core.next_at / 1000, self._wake)
+        if core.stage is not Stage.LEFT:
+            self._timer = asyncio.get_running_loop().call_at(core.next_due_ms / 1000, self._wake)
 
     def _wake(self) -> None:
         assert self.core is not None
@@ -250,15 +265,15 @@
 
     def _arrived(self, data: bytes) -> None:
         if self.core is not None:
-            self.core.datagram(now_ms(), data)
+            self.core.receive(now_ms(), data)
             self._after()
 
-    def _told(self, event: Event) -> None:
-        self._write(event.kind, event.name, event.fields)
+    def _told(self, event: MemberEvent) -> None:
+        self._write(event.kind, event.member, event.fields)
         if event.kind not in QUIET:
             self._log_event(
-                "fleet member" if event.name != self._name else "fleet self",
-                {"what": event.kind, "member": event.name, **event.fields},
+                "fleet member" if event.member != self._name else "fleet self",
+                {"what": event.kind, "member": event.member, **event.fields},
             )
         if event.kind == "gone":
             self._gone.set()
@@ -282,39 +297,39 @@
 
     # Streams.
 
-    async def _dial(self, dial: Dial) -> None:
+    async def _dial(self, dial: OpenExchange) -> None:
         core = self.core
         assert core is not None
-        body: bytes | None = core.exchange_opens(dial.token)
+        body: bytes | None = core.open_exchange(dial.token)
         try:
             async with asyncio.timeout(STREAM_S):
                 reader, writer = await asyncio.open_connection(*self._ways.get(dial.to, dial.to))
                 try:
                     greeting = await reader.readexactly(len(MAGIC) + 1 + DRAW_BYTES)
                     if greeting[: len(MAGIC) + 1] != MAGIC + bytes([VERSION]):
-                        raise WireError("version")
+                        raise ProtocolError("version")
                     theirs, mine = greeting[len(MAGIC) + 1 :], secrets.token_bytes(DRAW_BYTES)
                     writer.write(mine)
                     place = 0
                     while body is not None:
-                        writer.write(frame(self._keys, self._context(theirs, mine, place), body))
+                        writer.write(seal_frame(self._keys, self._context(theirs, mine, place), body))
                         answer = await self._frame(reader, self._context(theirs, mine, place + 1))
-                        body = core.exchange_answered(now_ms(), dial.token, answer)
+                        body = core.continue_exchange(now_ms(), dial.token, answer)
                         self._after()
                         place += 2
                 finally:
                     writer.close()
-        except (OSError, TimeoutError, asyncio.IncompleteReadError, WireError):
-            core.exchange_answered(now_ms(), dial.token, None)
+        except (OSError, TimeoutError, asyncio.IncompleteReadError, ProtocolError):
+            core.continue_exchange(now_ms(), dial.token, None)
             self._after()
 
     def _context(self, server: bytes, client: bytes, place: int) -> bytes:
-        return context_of(self._cluster, server, client, place)
+        return frame_context(self._cluster, server, client, place)
 
     async def _frame(self, reader: asyncio.StreamReader, context: bytes) -> bytes:
         length = int.from_bytes(await reader.readexactly(4), "big")
-        if length > MOST_FRAME:
-            raise WireError("length")
+        if length > MAX_FRAME_BYTES:
+            raise ProtocolError("length")
         return open_frame(self._keys, context, await reader.readexactly(length))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -330,12 +345,12 @@
                 theirs = await reader.readexactly(DRAW_BYTES)
                 for place in (0, 2):
                     body = await self._frame(reader, self._context(mine, theirs, place))
-                    answer = core.exchange_serves(now_ms(), body)
+                    answer = core.serve_exchange(now_ms(), body)
                     self._after()
-                    writer.write(frame(self._keys, self._context(mine, theirs, place + 1), answer))
+                    writer.write(seal_frame(self._keys, self._context(mine, theirs, place + 1), answer))
                     await writer.drain()
-        except WireError as error:
-            core.counts[f"dropped_stream_{error.reason.replace(' ', '_')}"] += 1
+        except ProtocolError as error:
+            core.counters[f"dropped_stream_{error.reason.replace(' ', '_')}"] += 1
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
         finally:
@@ -349,7 +364,7 @@
         """Of the view; it rises with each change."""
         return self.core.table.version if self.core is not None else 0
 
-    async def newer(self, version: int, wait_s: float) -> None:
+    async def wait_newer(self, version: int, wait_s: float) -> None:
         """Wait until the view is newer, or the time is over."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
@@ -364,13 +379,13 @@
         now = now_ms()
         return {
             "cluster": self._fleet.cluster,
-            "me": core.me.name,
+            "me": core.record.name,
             "stage": core.stage.value,
             "version": self.version,
-            "deaf": core.deaf,
-            "unheard": core.unheard,
-            "health": core.health,
-            "life": core.me.life,
+            "deaf": core.receive_partitioned,
+            "unheard": core.send_partitioned,
+            "health": core.health_score,
+            "life": core.record.boot_id,
             "members": [
                 {
                     "name": fact.name,
@@ -378,40 +393,40 @@
                     "zone": fact.zone,
                     "host": fact.host,
                     "port": fact.port,
-                    "era": fact.era,
+                    "era": fact.epoch,
                     "incarnation": fact.incarnation,
-                    "life": fact.life,
-                    "identity": f"{fact.identity:016x}",
-                    "deaf": bool(fact.says & Says.DEAF),
-                    "unheard": bool(fact.says & Says.UNHEARD),
-                    "by": fact.by,
-                    "says": fact.says,
-                    "since_ms": round(now - core.table.since.get(fact.name, now)),
+                    "life": fact.boot_id,
+                    "identity": f"{fact.node_id:016x}",
+                    "deaf": bool(fact.self_report & SelfReport.RECEIVE_PARTITIONED),
+                    "unheard": bool(fact.self_report & SelfReport.SEND_PARTITIONED),
+                    "by": fact.reported_by,
+                    "says": fact.self_report,
+                    "since_ms": round(now - core.table.state_since_ms.get(fact.name, now)),
                 }
                 for fact in sorted(core.table, key=lambda fact: fact.name)
             ],
-            "counts": dict(core.counts),
+            "counts": dict(core.counters),
         }
 
-    def counts(self) -> dict[str, float]:
+    def counters(self) -> dict[str, float]:
         """For metrics."""
         if self.core is None:
             return {}
-        return {f"fleet_{name}": count for name, count in self.core.counts.items()}
+        return {f"fleet_{name}": count for name, count in self.core.counters.items()}
 
     def gauges(self) -> dict[str, float]:
         """For metrics."""
         core = self.core
         if core is None:
             return {}
-        made: dict[str, float] = {f"fleet_members_{state.name.lower()}": 0 for state in State}
+        made: dict[str, float] = {f"fleet_members_{state.name.lower()}": 0 for state in MemberState}
         for fact in core.table:
             made[f"fleet_members_{fact.state.name.lower()}"] += 1
         return {
             **made,
             "fleet_joined": core.joined,
-            "fleet_deaf": core.deaf,
-            "fleet_unheard": core.unheard,
-            "fleet_health": core.health,
+            "fleet_deaf": core.receive_partitioned,
+            "fleet_unheard": core.send_partitioned,
+            "fleet_health": core.health_score,
             "fleet_version": self.version,
         }
--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -25,7 +25,7 @@
     def view(self) -> dict[str, Any]:
         """What this door holds of the others."""
 
-    async def newer(self, version: int, wait_s: float) -> None:
+    async def wait_newer(self, version: int, wait_s: float) -> None:
         """Wait until the view is newer."""
 
     async def leave(self) -> None:
@@ -124,7 +124,7 @@
                 return 400, "text/plain", b"after and wait_ms are numbers\n"
             if not 0 <= wait_ms <= MOST_WAIT_MS:
                 return 400, "text/plain", f"wait_ms: expected 0 to {MOST_WAIT_MS:.0f}\n".encode()
-            await self._fleet.newer(after, wait_ms / 1000)
+            await self._fleet.wait_newer(after, wait_ms / 1000)
         return 200, "application/json", msgspec.json.encode(self._fleet.view())
 
     def held(self, method: str, path: str, query: str) -> Answer:
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -35,7 +35,7 @@
     from martenstep.counter.pending_increments import Try
     from martenstep.counter.sharded_counter import HeldByDoors
     from martenstep.maintenance.coordinator import Orders
-    from martenstep.membership.transport import Membership
+    from martenstep.membership.transport import MembershipService
 
 WARN_S = 3600.0  # between two looks at the certificate's end
 KEPT_EVENTS = ("hooks", "hooks withdrawn", "hook left alone", "hooks changed under a known version")
@@ -83,7 +83,7 @@
         self._exporter: Exporter | None = None
         self._feed = Feed(door.members, door.name, self._listed, self._odd, now_ms)
         self._feeding: asyncio.Task[None] | None = None
-        self.fleet: Membership | None = None
+        self.fleet: MembershipService | None = None
         self.copies: HeldByDoors | None = None
         self.orders: Orders | None = None
         self._admin = Admin(DoorCollector(self._counts, self._gauges), lambda: self.ready)
@@ -122,10 +122,10 @@
         """Find the other doors.  Knowledge, never permission: what is wrong with it keeps nobody from serving."""
         # Imported only where it is asked for: a door without it carries none of it.
         from martenstep.membership.keys import KeyFileError
-        from martenstep.membership.transport import Membership
+        from martenstep.membership.transport import MembershipService
 
         try:
-            self.fleet = Membership(self.door.fleet, self.door.name, self.door.zone, self.event_logger.log)
+            self.fleet = MembershipService(self.door.fleet, self.door.name, self.door.zone, self.event_logger.log)
             self.ports["fleet"] = await self.fleet.start()
         except (KeyFileError, OSError) as error:
             self.event_logger.log("fleet not joined", {"error": str(error)})
@@ -135,7 +135,7 @@
         if self.door.HasField("copies"):
             await self._hold_copies(self.fleet)
 
-    async def _hold_copies(self, fleet: Membership) -> None:
+    async def _hold_copies(self, fleet: MembershipService) -> None:
         """Hold what others rely on.  What is wrong with it keeps nobody from serving: the copies elsewhere go on."""
         from martenstep.counter.sharded_counter import HeldByDoors
         from martenstep.replication.replica_manager import KeeperError
@@ -218,7 +218,7 @@
         """Take up new hooks and certificates; requests and connections that stand keep theirs."""
         self._loading = asyncio.create_task(self.load_hooks())
         if self.fleet is not None:
-            self.fleet.renew()
+            self.fleet.reload_keys()
         every: list[ServerContext | ClientContext] = [*self.driver.client_tls]
         if self.driver.tls is not None:
             every.append(self.driver.tls)
@@ -318,7 +318,7 @@
                 waiting=told.waiting,
                 map_version=self.door.copies.slots,
                 group=slot,
-                way=self.fleet.way if self.fleet is not None else lambda address: address,
+                way=self.fleet.route if self.fleet is not None else lambda address: address,
                 recorded=self._recorded,
             )
             for slot in slots(self.door.copies)
@@ -380,7 +380,7 @@
             for what, count in self.shelf.counts.items():
                 made[f"hooks_{what.replace(' ', '_').replace('-', '_')}"] = count
         if self.fleet is not None:
-            made.update(self.fleet.counts())
+            made.update(self.fleet.counters())
         if self.copies is not None:
             made.update({f"copies_{name}": count for name, count in self.copies.keeper.counts.items()})
             if self.copies.books is not None:
--- a/martenstep/replication/placement.py
+++ b/martenstep/replication/placement.py
@@ -15,7 +15,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from martenstep.membership.ownership import holders
+from martenstep.membership.ownership import owners
 from martenstep.replication.messages import Config
 
 
@@ -79,9 +79,9 @@
     held = {place for copy, place in config.homes if copy in config.voters}
     able = {place: zones.get(place, f"?{place}") for place in (set(present) | held) - set(lost)}
     if first is None or first not in able:
-        return holders(group, able.items(), count)
+        return owners(group, able.items(), count)
     zone = able.pop(first)
-    line = holders(group, able.items(), len(able))
+    line = owners(group, able.items(), len(able))
     line.sort(key=lambda place: able[place] == zone)  # stable: the order among the others stays
     return [first, *line[: count - 1]]
 
--- a/martenstep/replication/transport.py
+++ b/martenstep/replication/transport.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from martenstep.backoff import Backoff
-from martenstep.membership.codec import MAC_BYTES, Keys
+from martenstep.membership.codec import MAC_BYTES, Keyring
 from martenstep.replication.messages import Message, Word, encode, message_of, word_of
 
 MOST_FRAME = 8 << 20
@@ -59,7 +59,7 @@
 class Sealed:
     """Frames of one direction of a connection."""
 
-    def __init__(self, keys: Keys, server: bytes, client: bytes) -> None:
+    def __init__(self, keys: Keyring, server: bytes, client: bytes) -> None:
         self._keys = keys
         self._context = hashlib.sha256(b"martenstep copies 2" + server + client).digest()
         self._number = 0
@@ -71,7 +71,7 @@
 
     def frame(self, body: bytes) -> bytes:
         """The next frame."""
-        return struct.pack(">I", len(body) + MAC_BYTES) + body + self._keys.seal(self._sealed(body))
+        return struct.pack(">I", len(body) + MAC_BYTES) + body + self._keys.sign(self._sealed(body))
 
     async def read(self, reader: asyncio.StreamReader) -> bytes:
         """The next frame's body; raises LinkError."""
@@ -80,7 +80,7 @@
             raise LinkError("length")
         data = await reader.readexactly(length)
         body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-        if not self._keys.opens(self._sealed(body), mac):
+        if not self._keys.verify(self._sealed(body), mac):
             raise LinkError("mac")
         return body
 
@@ -151,7 +151,7 @@
         self,
         cluster: str,
         me: str,
-        keys: Callable[[], Keys],
+        keys: Callable[[], Keyring],
         address_of: Callable[[str], Address | None],
         words: Callable[[str, str, int, Word], None] = lambda place, group, copy, word: None,
         nobody: Callable[[str, str, int, int], None] = lambda place, group, source, target: None,
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -29,7 +29,7 @@
 from martenstep.counter.replicated_counter import CopiedCounter, asked
 from martenstep.counter.replicated_service import CopiedService
 from martenstep.counter.state import Limits
-from martenstep.membership.codec import Keys
+from martenstep.membership.codec import Keyring
 from martenstep.policy.messages import CallResult
 from martenstep.replication.replica import Host, InDoubtError, NotLeaderError
 from martenstep.replication.replica_storage import Store
@@ -131,7 +131,7 @@
     def address(self, group: str, copy: int | None) -> str | None:
         return f"127.0.0.1:{self.ports[copy]}" if copy in self.ports else None
 
-    async def run(self, store: Store, keys: Keys = KEYS) -> Host:
+    async def run(self, store: Store, keys: Keyring = KEYS) -> Host:
         host = await super().run(store, keys)
         service = self.services[store.id] = CopiedService(lambda group: host, self.address, clock=lambda: NOW / 1000)
         self.ports[store.id] = await service.start("127.0.0.1", self.ports.get(store.id, 0))
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -14,9 +14,9 @@
 from martenstep.lab.fleet.records import Belief, Held, Truth, View, read_records, write_records
 from martenstep.lab.fleet.schedule import parse_schedule, steps_of
 from martenstep.lab.fleet.virtual import World
-from martenstep.membership.codec import Keys
-from martenstep.membership.core import Gossip
-from martenstep.membership.member_table import Fact, State, with_state
+from martenstep.membership.codec import Keyring
+from martenstep.membership.core import MembershipCore
+from martenstep.membership.member_table import MemberRecord, MemberState, with_state
 
 FOLDER = Path(__file__).resolve().parents[1] / "days" / "fleet"
 QUICK = (
@@ -67,12 +67,12 @@
         assert parse_schedule(file.read_text(), str(file)).name == file.stem
 
 
-def _plain(text: str, make: Callable[..., Gossip], seeds: range = range(3)) -> list[str]:
+def _plain(text: str, make: Callable[..., MembershipCore], seeds: range = range(3)) -> list[str]:
     schedule = parse_schedule(text, "x")
     return [breach for seed in seeds for breach in judge(schedule, World(schedule, seed, make).play()).breaches]
 
 
-class TimersTrusted(Gossip):
+class TimersTrusted(MembershipCore):
     """Flaw: what ran out while the process stood is believed."""
 
     def _enter(self, now: float) -> None:
@@ -81,18 +81,18 @@
     def _ran_out(self, now: float, name: str) -> None:
         fact = self.table.get(name)
         if name in self._suspicions and now >= self._suspicions[name].until and fact is not None:
-            self._take(now, with_state(fact, State.DEAD, self.me.name))
+            self._take(now, with_state(fact, MemberState.DEAD, self.record.name))
 
 
-class NotRaised(Gossip):
+class NotRaised(MembershipCore):
     """Flaw: refutes under the same incarnation."""
 
-    def _take_of_me(self, now: float, fact: Fact) -> None:
-        if fact.holder == self.me.holder and fact.state is not State.ALIVE:
-            self._spread.put(self.me)
+    def _take_of_me(self, now: float, fact: MemberRecord) -> None:
+        if fact.owner == self.record.owner and fact.state is not MemberState.ALIVE:
+            self._spread.enqueue(self.record)
 
 
-class NeverReclaimed(Gossip):
+class NeverReclaimed(MembershipCore):
     """Flaw: the dead are held for ever."""
 
     def _housekeeping(self, now: float) -> None:
@@ -100,22 +100,22 @@
         super()._housekeeping(now)
 
 
-class NoRefutation(Gossip):
+class NoRefutation(MembershipCore):
     """Flaw: who hears that it is suspected says nothing."""
 
-    def _take_of_me(self, now: float, fact: Fact) -> None:
+    def _take_of_me(self, now: float, fact: MemberRecord) -> None:
         return
 
 
-class Open(Keys):
+class Open(Keyring):
     """Flaw: every seal is believed."""
 
-    def opens(self, data: bytes | memoryview, mac: bytes) -> bool:
+    def verify(self, data: bytes | memoryview, mac: bytes) -> bool:
         return True
 
 
-def _unsealed(settings: Any, me: Any, keys: Any, *rest: Any) -> Gossip:
-    return Gossip(settings, me, Open([b"x"]), *rest)
+def _unsealed(settings: Any, me: Any, keys: Any, *rest: Any) -> MembershipCore:
+    return MembershipCore(settings, me, Open([b"x"]), *rest)
 
 
 @pytest.mark.parametrize(
@@ -128,8 +128,8 @@
         (SPOILT, _unsealed, "agree"),
     ],
 )
-def test_the_judge_catches_a_seeded_flaw(text: str, flaw: Callable[..., Gossip], rule: str) -> None:
-    assert _plain(text, Gossip) == []
+def test_the_judge_catches_a_seeded_flaw(text: str, flaw: Callable[..., MembershipCore], rule: str) -> None:
+    assert _plain(text, MembershipCore) == []
     assert any(breach.startswith(rule) for breach in _plain(text, flaw))
 
 
--- a/tests/test_formats_membership.py
+++ b/tests/test_formats_membership.py
@@ -23,23 +23,30 @@
 from martenstep.membership import identity
 from martenstep.membership.codec import (
     Ack,
-    Challenge,
-    Done,
-    Have,
-    Keys,
+    ExchangeDone,
+    Gossip,
+    IndirectPing,
+    IndirectPingResponse,
+    Keyring,
     Ping,
-    Push,
-    Relay,
-    Relayed,
-    Seen,
+    PullRequest,
+    PullResponse,
+    PushState,
+    ReceiverView,
     Sender,
-    Tell,
-    Want,
+    WrongBootId,
 )
-from martenstep.membership.core import Address, Datagram, Dial, Event, Gossip, Settings
-from martenstep.membership.member_table import BUCKETS, Fact, State
-from martenstep.membership.ownership import holders
-from martenstep.membership.transport import Membership
+from martenstep.membership.core import (
+    Address,
+    MemberEvent,
+    MembershipCore,
+    MembershipSettings,
+    OpenExchange,
+    SendDatagram,
+)
+from martenstep.membership.member_table import BUCKET_COUNT, MemberRecord, MemberState
+from martenstep.membership.ownership import owners
+from martenstep.membership.transport import MembershipService
 from martenstep.proxy.admin import Admin, DoorCollector
 from martenstep.storage.files import Disk
 
@@ -49,27 +56,27 @@
 SOURCE, TARGET, NUMBER = 0x1122334455667788, 0x99AABBCCDDEEFF00, 77
 SERVER_DRAW, CLIENT_DRAW = bytes(range(16)), bytes(range(100, 116))
 
-ME = Fact("d001", 2, 1001, 7, State.ALIVE, 2001, "10.0.0.1", 7946, "a", 3)
-OTHER = Fact("d002", 0, 1002, 1, State.SUSPECT, 2002, "::1", 65535, "", 0, "d001")
-LEFT = Fact("d003", 1, (1 << 62) - 1, (1 << 32) - 1, State.LEFT, 0, "host.example", 1, "zone-b", 1, "")
-DEAD = Fact("d004", 0, 5, 0, State.DEAD, 9, "10.0.0.4", 80, "c", 2, "d002")
+ME = MemberRecord("d001", 2, 1001, 7, MemberState.ALIVE, 2001, "10.0.0.1", 7946, "a", 3)
+OTHER = MemberRecord("d002", 0, 1002, 1, MemberState.SUSPECT, 2002, "::1", 65535, "", 0, "d001")
+LEFT = MemberRecord("d003", 1, (1 << 62) - 1, (1 << 32) - 1, MemberState.LEFT, 0, "host.example", 1, "zone-b", 1, "")
+DEAD = MemberRecord("d004", 0, 5, 0, MemberState.DEAD, 9, "10.0.0.4", 80, "c", 2, "d002")
 SENDER = Sender("d001", "10.0.0.1", 7946)
-SEEN = Seen(2, 1002, 9, State.SUSPECT)
+SEEN = ReceiverView(2, 1002, 9, MemberState.SUSPECT)
 DATAGRAMS: dict[str, wire.Message] = {
     "ping": Ping(SENDER, 123456789, "d002", SEEN, 0xFEDCBA9876543210, [OTHER, DEAD]),
     "ping bare": Ping(SENDER, 1, "d002", None, 0),
     "ack": Ack(SENDER, 123456789, SEEN, 0xFEDCBA9876543210, [ME]),
-    "relay": Relay(SENDER, 55, "d002", "::1", 65535, 2002),
-    "relayed": Relayed(SENDER, 55, True),
-    "relayed not": Relayed(SENDER, 55, False),
-    "tell": Tell(SENDER, Seen(0, 1, 2, State.DEAD), 3, [ME, OTHER, LEFT, DEAD]),
-    "challenge": Challenge(SENDER, 2001, 1001),
+    "relay": IndirectPing(SENDER, 55, "d002", "::1", 65535, 2002),
+    "relayed": IndirectPingResponse(SENDER, 55, True),
+    "relayed not": IndirectPingResponse(SENDER, 55, False),
+    "tell": Gossip(SENDER, ReceiverView(0, 1, 2, MemberState.DEAD), 3, [ME, OTHER, LEFT, DEAD]),
+    "challenge": WrongBootId(SENDER, 2001, 1001),
 }
 FRAMES: dict[str, wire.Frame] = {
-    "want": Want(SENDER, list(range(BUCKETS)), ME),
-    "have": Have(SENDER, ME, [0, 3, 15], [ME, OTHER, LEFT, DEAD]),
-    "push": Push(SENDER, [LEFT]),
-    "done": Done(),
+    "want": PullRequest(SENDER, list(range(BUCKET_COUNT)), ME),
+    "have": PullResponse(SENDER, ME, [0, 3, 15], [ME, OTHER, LEFT, DEAD]),
+    "push": PushState(SENDER, [LEFT]),
+    "done": ExchangeDone(),
 }
 
 
@@ -80,32 +87,35 @@
 @pytest.mark.parametrize("kind", DATAGRAMS)
 def test_each_datagram_keeps_its_bytes(kind: str) -> None:
     expected = {word: bytes.fromhex(text) for word, text in stored("datagrams.json")[kind].items()}
-    cluster = wire.cluster_number(CLUSTER)
+    cluster = wire.cluster_hash(CLUSTER)
     assert wire.encode(DATAGRAMS[kind]) == expected["body"]
     for place, key in enumerate(KEYS):
-        sealed = wire.datagram(Keys([key]), cluster, SOURCE, TARGET, NUMBER, DATAGRAMS[kind])
+        sealed = wire.seal_datagram(Keyring([key]), cluster, SOURCE, TARGET, NUMBER, DATAGRAMS[kind])
         assert sealed == expected[f"sealed by key {place}"]
-        opened = wire.open_datagram(Keys(KEYS), cluster, sealed)
-        assert (opened.source, opened.target, opened.number) == (SOURCE, TARGET, NUMBER)
-        assert wire.message_of(opened.body) == DATAGRAMS[kind]
-    assert wire.datagram(Keys(KEYS), cluster, SOURCE, TARGET, NUMBER, DATAGRAMS[kind]) == expected["sealed by key 0"]
+        opened = wire.open_datagram(Keyring(KEYS), cluster, sealed)
+        assert (opened.source_boot_id, opened.target_boot_id, opened.number) == (SOURCE, TARGET, NUMBER)
+        assert wire.decode_message(opened.body) == DATAGRAMS[kind]
+    assert (
+        wire.seal_datagram(Keyring(KEYS), cluster, SOURCE, TARGET, NUMBER, DATAGRAMS[kind])
+        == expected["sealed by key 0"]
+    )
 
 
 @pytest.mark.parametrize("kind", FRAMES)
 def test_each_frame_of_an_exchange_keeps_its_bytes(kind: str) -> None:
     expected = {word: bytes.fromhex(text) for word, text in stored("frames.json")[kind].items()}
     body = wire.encode(FRAMES[kind])
-    assert body == expected["body"] and wire.frame_of(body) == FRAMES[kind]
+    assert body == expected["body"] and wire.decode_frame(body) == FRAMES[kind]
     for place in range(4):
-        context = wire.context_of(wire.cluster_number(CLUSTER), SERVER_DRAW, CLIENT_DRAW, place)
+        context = wire.frame_context(wire.cluster_hash(CLUSTER), SERVER_DRAW, CLIENT_DRAW, place)
         for number, key in enumerate(KEYS):
-            sealed = wire.frame(Keys([key]), context, body)
+            sealed = wire.seal_frame(Keyring([key]), context, body)
             assert sealed == expected[f"place {place} by key {number}"]
-            assert wire.open_frame(Keys(KEYS), context, sealed[4:]) == body
+            assert wire.open_frame(Keyring(KEYS), context, sealed[4:]) == body
 
 
 def test_a_saying_keeps_its_bytes_and_what_stands_for_it() -> None:
-    assert wire.cluster_number(CLUSTER) == 10237396799762836215
+    assert wire.cluster_hash(CLUSTER) == 10237396799762836215
     assert wire.encode(LEFT).hex() == stored("datagrams.json")["saying"]["body"]
     assert msgspec.msgpack.decode(wire.encode(LEFT)) == [
         "d003",
@@ -133,28 +143,30 @@
     old = (FORMATS / "identity.json").read_bytes()
     with_addresses = (FORMATS / "identity-kept.json").read_bytes()
     disk = Disk(tmp_path)
-    fresh, wrong = identity.take_up(disk, Draws())
+    fresh, wrong = identity.load_identity(disk, Draws())
     assert wrong == "" and (tmp_path / "identity.json").read_bytes() == old
     assert (fresh.identity, fresh.starts, fresh.addresses) == (4242, 1, [])
     (tmp_path / "identity.json").write_bytes(with_addresses)
-    kept, wrong = identity.take_up(disk, Draws())
+    kept, wrong = identity.load_identity(disk, Draws())
     assert wrong == "" and kept.identity == 77 and kept.starts == 10
     assert kept.addresses == [("10.0.0.2", 7946), ("::1", 1)]
     kept.starts = 9
-    assert identity.keep(disk, kept) == "" and (tmp_path / "identity.json").read_bytes() == with_addresses
+    assert identity.store_identity(disk, kept) == "" and (tmp_path / "identity.json").read_bytes() == with_addresses
     disk.close()
 
 
-def membership(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Membership:
+def membership(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> MembershipService:
     """One that is held in the hand, at a time that stands."""
     monkeypatch.setattr(time, "monotonic", lambda: 50.0)
     (tmp_path / "key").write_text("ab" * 32)
     fleet = pb.Fleet(cluster=CLUSTER, key_file=str(tmp_path / "key"))
-    return Membership(fleet, "d001", "a", lambda event, fields: None)
+    return MembershipService(fleet, "d001", "a", lambda event, fields: None)
 
 
-def core_of(me: Fact, seeds: tuple[Address, ...] = (), now: float = 40_000.0) -> Gossip:
-    return Gossip(Settings(CLUSTER, seeds=seeds), me, Keys([KEYS[0]]), random.Random(me.life), now)
+def core_of(me: MemberRecord, seeds: tuple[Address, ...] = (), now: float = 40_000.0) -> MembershipCore:
+    return MembershipCore(
+        MembershipSettings(CLUSTER, seeds=seeds), me, Keyring([KEYS[0]]), random.Random(me.boot_id), now
+    )
 
 
 def test_the_admin_page_of_the_members_and_its_metrics_keep_their_names(
@@ -162,12 +174,12 @@
 ) -> None:
     made = membership(tmp_path, monkeypatch)
     assert msgspec.json.encode(made.view()) == b'{"stage":"off","members":[]}'
-    assert made.counts() == {} and made.gauges() == {}
+    assert made.counters() == {} and made.gauges() == {}
     made.core = core_of(ME)
     for number, fact in enumerate((OTHER, LEFT, DEAD)):
         made.core.table.put(45_000.0 + number * 1000.0, fact)
-    made.core.counts["sent"] = 5
-    admin = Admin(DoorCollector(made.counts, made.gauges), lambda: True)
+    made.core.counters["sent"] = 5
+    admin = Admin(DoorCollector(made.counters, made.gauges), lambda: True)
     admin.fleet(made)
     status, kind, body = asyncio.run(admin.members("GET", "/members", ""))
     assert (status, kind) == (200, "application/json") and body == (FORMATS / "members-page.json").read_bytes()
@@ -191,19 +203,19 @@
 
     def __init__(self) -> None:
         self.now = 1000.0
-        self.cores: dict[Address, Gossip] = {}
+        self.cores: dict[Address, MembershipCore] = {}
         self.events: list[tuple[str, str, str, dict[str, Any]]] = []
         self.asleep: set[str] = set()
         self.waiting: dict[Address, list[bytes]] = {}
         self.counts: dict[str, dict[str, int]] = {}
 
-    def start(self, number: int, life: int) -> Gossip:
-        me = Fact(
+    def start(self, number: int, life: int) -> MembershipCore:
+        me = MemberRecord(
             f"d{number}",
             0,
             100 + number,
             life,
-            State.ALIVE,
+            MemberState.ALIVE,
             1000 * life + number,
             f"10.0.0.{number}",
             1,
@@ -219,32 +231,32 @@
             actions, core.out = core.out, []
             for action in actions:
                 some = True
-                if isinstance(action, Datagram):
+                if isinstance(action, SendDatagram):
                     self.waiting.setdefault(action.to, []).append(action.data)
-                elif isinstance(action, Dial):
+                elif isinstance(action, OpenExchange):
                     self.exchange(core, action)
-                elif isinstance(action, Event):
-                    self.events.append((core.me.name, action.kind, action.name, action.fields))
+                elif isinstance(action, MemberEvent):
+                    self.events.append((core.record.name, action.kind, action.member, action.fields))
         return some
 
-    def exchange(self, core: Gossip, dial: Dial) -> None:
-        body: bytes | None = core.exchange_opens(dial.token)
+    def exchange(self, core: MembershipCore, dial: OpenExchange) -> None:
+        body: bytes | None = core.open_exchange(dial.token)
         while body is not None:
             target = self.cores.get(dial.to)
-            answer = target.exchange_serves(self.now, body) if target and target.me.name not in self.asleep else None
-            body = core.exchange_answered(self.now, dial.token, answer)
+            answer = target.serve_exchange(self.now, body) if target and target.record.name not in self.asleep else None
+            body = core.continue_exchange(self.now, dial.token, answer)
 
     def run(self, until: float) -> None:
         while self.now < until:
             self.now += 10.0
             for core in list(self.cores.values()):
-                if core.me.name not in self.asleep and core.next_at <= self.now:
+                if core.record.name not in self.asleep and core.next_due_ms <= self.now:
                     core.wake(self.now)
             while self.take():
                 for address, core in list(self.cores.items()):
-                    if core.me.name not in self.asleep:
+                    if core.record.name not in self.asleep:
                         for data in self.waiting.pop(address, []):
-                            core.datagram(self.now, data)
+                            core.receive(self.now, data)
 
 
 def test_a_run_of_the_cores_gives_the_same_events_and_counts() -> None:
@@ -261,22 +273,22 @@
     net.run(32_000.0)
     net.start(3, 2)
     for data in (b"", b"x" * 60, b"MG\x02" + b"x" * 60, b"MG\x01" + b"x" * 60):
-        net.cores["10.0.0.1", 1].datagram(net.now, data)
-    net.cores["10.0.0.5", 1].datagram(
-        net.now, wire.datagram(Keys([KEYS[0]]), wire.cluster_number(CLUSTER), 1, 2, 3, DATAGRAMS["ping"])
+        net.cores["10.0.0.1", 1].receive(net.now, data)
+    net.cores["10.0.0.5", 1].receive(
+        net.now, wire.seal_datagram(Keyring([KEYS[0]]), wire.cluster_hash(CLUSTER), 1, 2, 3, DATAGRAMS["ping"])
     )
     net.run(40_000.0)
     expected = stored("run.json")
     assert [list(event) for event in net.events] == expected["events"]
-    assert {core.me.name: dict(core.counts) for core in net.cores.values()} == expected["counts"]
-    assert {core.me.name: core.stage.value for core in net.cores.values()} == expected["stages"]
+    assert {core.record.name: dict(core.counters) for core in net.cores.values()} == expected["counts"]
+    assert {core.record.name: core.stage.value for core in net.cores.values()} == expected["stages"]
 
 
 def test_the_lines_of_the_record_keep_their_form(tmp_path: Path) -> None:
     async def test() -> list[dict[str, Any]]:
         (tmp_path / "key").write_text("ab" * 32)
         fleet = pb.Fleet(cluster=CLUSTER, key_file=str(tmp_path / "key"), record=str(tmp_path / "record"))
-        made = Membership(fleet, "d001", "a", lambda event, fields: None)
+        made = MembershipService(fleet, "d001", "a", lambda event, fields: None)
         port = await made.start()
         await made.leave()
         await made.stop()
@@ -294,4 +306,4 @@
 
 def test_who_holds_what_is_the_same() -> None:
     members = [(f"d{number:03}", "abc"[number % 3]) for number in range(12)]
-    assert {key: holders(key, members, 4) for key in ("orders", "counter-0", "")} == stored("holders.json")
+    assert {key: owners(key, members, 4) for key in ("orders", "counter-0", "")} == stored("holders.json")
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -41,7 +41,7 @@
     def view(self) -> dict[str, Any]:
         return {"version": 3, "list": [{"name": "d0", "share": 0.5}], "none": None, "flag": True, "text": "ä"}
 
-    async def newer(self, version: int, wait_s: float) -> None:
+    async def wait_newer(self, version: int, wait_s: float) -> None:
         assert (version, wait_s) == (2, 0.25)
 
     async def leave(self) -> None: ...
--- a/tests/test_formats_replica_views.py
+++ b/tests/test_formats_replica_views.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from martenstep.cli.copies import COLUMNS, table
-from martenstep.membership.codec import Keys
+from martenstep.membership.codec import Keyring
 from martenstep.replication.messages import Appended, GiveVote
 from martenstep.replication.raft import Role, Write
 from martenstep.replication.replica import Host
@@ -60,7 +60,7 @@
         lambda: NODES,
         lambda event, fields: None,
     )
-    await keeper.start(Links("fleet", "a", lambda: Keys([bytes(32)]), lambda place: None))
+    await keeper.start(Links("fleet", "a", lambda: Keyring([bytes(32)]), lambda place: None))
     host = keeper.host("g-0")
     assert host is not None
     lead(host)
@@ -106,7 +106,7 @@
         keeper = Keeper(
             "d", tmp_path / "d", tmp_path / "w", HOLDING, lambda group: Sum(), lambda: NODES, lambda event, fields: None
         )
-        await keeper.start(Links("fleet", "d", lambda: Keys([bytes(32)]), lambda place: None))
+        await keeper.start(Links("fleet", "d", lambda: Keyring([bytes(32)]), lambda place: None))
         assert (await keeper.begin_alone("g-9")) is not None
         keeper.abandon("g-9")
         assert dict(keeper.counts) == {"let_go": 1}
--- a/tests/test_formats_replication.py
+++ b/tests/test_formats_replication.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from martenstep.membership.codec import Keys
+from martenstep.membership.codec import Keyring
 from martenstep.replication import messages
 from martenstep.replication import transport as links
 from martenstep.replication.messages import (
@@ -153,7 +153,7 @@
 
 
 def test_frames_are_sealed_in_order_with_these_bytes() -> None:
-    sealed = Sealed(Keys([KEY]), SERVER, CLIENT)
+    sealed = Sealed(Keyring([KEY]), SERVER, CLIENT)
     assert sealed.frame(msgspec.msgpack.encode(Hello("fleet", "a", "b"))).hex() == HELLO
     assert sealed.frame(body()).hex() == FIRST
     assert sealed.frame(word_body()).hex() == SECOND
@@ -173,7 +173,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        sender = Links("fleet", "a", lambda: Keys([KEY]), lambda place: ("127.0.0.1", port))
+        sender = Links("fleet", "a", lambda: Keyring([KEY]), lambda place: ("127.0.0.1", port))
         sender.send("b", Envelope("counter-0", 11, 12), encode(TakeOver(7)))
         sender.say("b", "counter-0", NotHere(5))
         assert await got == golden
@@ -191,7 +191,7 @@
         receiver = Links(
             "fleet",
             "b",
-            lambda: Keys([KEY]),
+            lambda: Keyring([KEY]),
             lambda place: None,
             lambda *word: taken.append(word),
             lambda *nobody: taken.append(nobody),
@@ -216,8 +216,8 @@
     hello, first = bytes.fromhex(HELLO), bytes.fromhex(FIRST)
 
     async def test() -> None:
-        receiver = Links("fleet", "b", lambda: Keys([KEY]), lambda place: None)
-        other = Links("fleet", "c", lambda: Keys([KEY]), lambda place: None)
+        receiver = Links("fleet", "b", lambda: Keyring([KEY]), lambda place: None)
+        other = Links("fleet", "c", lambda: Keyring([KEY]), lambda place: None)
         ports = await receiver.start("127.0.0.1", 0), await other.start("127.0.0.1", 0)
 
         async def send(data: bytes, port: int = ports[0]) -> None:
@@ -230,7 +230,7 @@
         await send(wrong)
         await send(b"\xff" * 4)
         await send(hello, ports[1])
-        bad = Sealed(Keys([KEY]), SERVER, CLIENT)
+        bad = Sealed(Keyring([KEY]), SERVER, CLIENT)
         await send(bad.frame(b"\xc1"))
         stream = asyncio.create_task(send(hello + first))
         while not receiver.counts["not_for_this_disk"]:
--- a/tests/test_gossip_core.py
+++ b/tests/test_gossip_core.py
@@ -12,65 +12,76 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
 from martenstep.membership import codec as wire
-from martenstep.membership.codec import Keys
-from martenstep.membership.core import Address, Datagram, Dial, Event, Gossip, Settings, Stage
-from martenstep.membership.dissemination import Spread, suspicion_ms
-from martenstep.membership.member_table import BUCKETS, Fact, State, Table, with_state
-from martenstep.membership.ownership import holders
+from martenstep.membership.codec import Keyring
+from martenstep.membership.core import (
+    Address,
+    MemberEvent,
+    MembershipCore,
+    MembershipSettings,
+    OpenExchange,
+    SendDatagram,
+    Stage,
+)
+from martenstep.membership.dissemination import GossipQueue, suspicion_timeout_ms
+from martenstep.membership.member_table import BUCKET_COUNT, MemberRecord, MemberState, MemberTable, with_state
+from martenstep.membership.ownership import owners
 
 KEY, OTHER = b"k" * 32, b"o" * 32
 AT = 1000.0
-SETTINGS = Settings("c", seeds=(("10.0.0.1", 1),))
+SETTINGS = MembershipSettings("c", seeds=(("10.0.0.1", 1),))
 
 
-def fact(number: int, **changes: object) -> Fact:
-    made = Fact(f"d{number}", 0, 100 + number, 1, State.ALIVE, 1000 + number, f"10.0.0.{number}", 1, "z")
+def fact(number: int, **changes: object) -> MemberRecord:
+    made = MemberRecord(f"d{number}", 0, 100 + number, 1, MemberState.ALIVE, 1000 + number, f"10.0.0.{number}", 1, "z")
     return msgspec.structs.replace(made, **changes)
 
 
 class Net:
     """A few cores whose datagrams and exchanges are carried by hand."""
 
-    def __init__(self, number: int, settings: Settings = SETTINGS) -> None:
+    def __init__(self, number: int, settings: MembershipSettings = SETTINGS) -> None:
         self.now = AT
         self.settings = settings
-        self.cores: dict[Address, Gossip] = {}
-        self.events: list[tuple[str, Event]] = []
+        self.cores: dict[Address, MembershipCore] = {}
+        self.events: list[tuple[str, MemberEvent]] = []
         self.cut: set[tuple[str, str]] = set()
-        self.wire: list[tuple[str, Datagram]] = []
+        self.wire: list[tuple[str, SendDatagram]] = []
         for each in range(1, number + 1):
             self.start(fact(each))
 
-    def start(self, me: Fact, keys: Keys | None = None) -> Gossip:
-        core = Gossip(self.settings, me, keys or Keys([KEY]), random.Random(me.life), self.now)
+    def start(self, me: MemberRecord, keys: Keyring | None = None) -> MembershipCore:
+        core = MembershipCore(self.settings, me, keys or Keyring([KEY]), random.Random(me.boot_id), self.now)
         self.cores[me.address] = core
         return core
 
-    def core(self, number: int) -> Gossip:
+    def core(self, number: int) -> MembershipCore:
         return self.cores[f"10.0.0.{number}", 1]
 
     def collect(self) -> None:
         for core in list(self.cores.values()):
             actions, core.out = core.out, []
             for action in actions:
-                if isinstance(action, Datagram):
-                    self.wire.append((core.me.name, action))
-                elif isinstance(action, Dial):
+                if isinstance(action, SendDatagram):
+                    self.wire.append((core.record.name, action))
+                elif isinstance(action, OpenExchange):
                     self._exchange(core, action)
                 else:
-                    self.events.append((core.me.name, action))
+                    self.events.append((core.record.name, action))
 
-    def _exchange(self, core: Gossip, dial: Dial) -> None:
-        body: bytes | None = core.exchange_opens(dial.token)
+    def _exchange(self, core: MembershipCore, dial: OpenExchange) -> None:
+        body: bytes | None = core.open_exchange(dial.token)
         while body is not None:
             target = self.cores.get(dial.to)
             answer = None
-            if target is not None and not {(core.me.name, target.me.name), (target.me.name, core.me.name)} & self.cut:
+            if (
+                target is not None
+                and not {(core.record.name, target.record.name), (target.record.name, core.record.name)} & self.cut
+            ):
                 try:
-                    answer = target.exchange_serves(self.now, body)
-                except wire.WireError:
+                    answer = target.serve_exchange(self.now, body)
+                except wire.ProtocolError:
                     answer = None
-            body = core.exchange_answered(self.now, dial.token, answer)
+            body = core.continue_exchange(self.now, dial.token, answer)
 
     def deliver(self) -> None:
         """All that is on its way."""
@@ -81,8 +92,8 @@
             sent, self.wire = self.wire, []
             for source, each in sent:
                 target = self.cores.get(each.to)
-                if target is not None and (source, target.me.name) not in self.cut:
-                    target.datagram(self.now, each.data)
+                if target is not None and (source, target.record.name) not in self.cut:
+                    target.receive(self.now, each.data)
 
     def run(self, ms: float, asleep: frozenset[str] = frozenset()) -> None:
         """Let time pass in steps of 10 ms."""
@@ -90,12 +101,12 @@
         while self.now < until:
             self.now += 10.0
             for core in list(self.cores.values()):
-                if core.me.name not in asleep and core.next_at <= self.now:
+                if core.record.name not in asleep and core.next_due_ms <= self.now:
                     core.wake(self.now)
             self.deliver()
 
     def kinds(self, kind: str) -> list[tuple[str, str]]:
-        return [(who, event.name) for who, event in self.events if event.kind == kind]
+        return [(who, event.member) for who, event in self.events if event.kind == kind]
 
 
 def test_doors_find_each_other_and_agree() -> None:
@@ -103,7 +114,7 @@
     net.run(4000)
     assert {core.stage for core in net.cores.values()} == {Stage.JOINED}
     assert {core.table.digest for core in net.cores.values()} == {net.core(1).table.digest}
-    assert all(core.table.present == 5 for core in net.cores.values())
+    assert all(core.table.present_count == 5 for core in net.cores.values())
 
 
 def test_a_member_that_is_gone_is_told_dead_to_all_and_one_that_leaves_as_left() -> None:
@@ -114,7 +125,7 @@
     net.run(9000)
     for number in (1, 2, 3):
         states = {each.name: each.state for each in net.core(number).table}
-        assert states["d4"] is State.DEAD and states["d5"] is State.LEFT
+        assert states["d4"] is MemberState.DEAD and states["d5"] is MemberState.LEFT
     assert ("d5", "d5") in net.kinds("gone")
 
 
@@ -129,8 +140,8 @@
     net.events.clear()
     net.run(5000)
     assert not net.kinds("suspect") and not net.kinds("dead")
-    assert asleep.counts["stood"] == 1 and asleep.me.incarnation > 1
-    assert all(each.state is State.ALIVE for core in net.cores.values() for each in core.table)
+    assert asleep.counters["stood"] == 1 and asleep.record.incarnation > 1
+    assert all(each.state is MemberState.ALIVE for core in net.cores.values() for each in core.table)
 
 
 def test_a_suspicion_that_ran_out_while_a_door_stood_kills_nobody() -> None:
@@ -139,7 +150,7 @@
     watcher = net.core(1)
     accused = watcher.table.get("d3")
     assert accused is not None
-    watcher._take(net.now, with_state(accused, State.SUSPECT, "d2"))
+    watcher._take(net.now, with_state(accused, MemberState.SUSPECT, "d2"))
     net.run(10)
     held = net.cores.pop(("10.0.0.1", 1))
     net.run(10)
@@ -157,12 +168,12 @@
     net.run(4000)
     net.cut = {(f"d{number}", "d3") for number in (1, 2, 4, 5)}
     net.run(20_000)
-    assert net.core(3).deaf
+    assert net.core(3).receive_partitioned
     assert ("d1", "d3") not in net.kinds("dead")
     assert all(about == "d3" for _, about in net.kinds("suspect"))
     net.cut.clear()
     net.run(5000)
-    assert not net.core(3).deaf and all(core.table.present == 5 for core in net.cores.values())
+    assert not net.core(3).receive_partitioned and all(core.table.present_count == 5 for core in net.cores.values())
 
 
 def test_a_door_that_nobody_hears_says_so_and_accuses_nobody() -> None:
@@ -170,13 +181,13 @@
     net.run(4000)
     net.cut = {("d3", f"d{number}") for number in (1, 2, 4, 5)}
     net.run(25_000)
-    assert net.core(3).unheard and not net.core(3).deaf
-    assert all(each.state is State.ALIVE for each in net.core(3).table)
+    assert net.core(3).send_partitioned and not net.core(3).receive_partitioned
+    assert all(each.state is MemberState.ALIVE for each in net.core(3).table)
     dead = net.core(1).table.get("d3")
-    assert dead is not None and dead.state is State.DEAD
+    assert dead is not None and dead.state is MemberState.DEAD
     net.cut.clear()
     net.run(6000)
-    assert not net.core(3).unheard and net.core(1).table.present == 5
+    assert not net.core(3).send_partitioned and net.core(1).table.present_count == 5
 
 
 def test_a_name_that_runs_elsewhere_is_refused_and_its_holder_stays() -> None:
@@ -186,12 +197,12 @@
     net.run(6000)
     assert twin.stage.value == "refused" and ("d3", "d3") in net.kinds("refused")
     held = net.core(1).table.get("d3")
-    assert held is not None and held.identity == 103
+    assert held is not None and held.node_id == 103
     del net.cores["10.0.0.3", 1]
     net.run(25_000)  # the holder is dead: now the name is free
     held = net.core(1).table.get("d3")
     assert twin.joined
-    assert held is not None and (held.identity, held.era) == (109, 1)
+    assert held is not None and (held.node_id, held.epoch) == (109, 1)
 
 
 def test_one_that_came_just_now_is_asked_in_the_round_under_way() -> None:
@@ -202,18 +213,18 @@
         core._round = ["d1", "d2"] * 50
     net.start(fact(6))
     net.run(1500)
-    others = [core for core in net.cores.values() if core.me.name != "d6"]
-    assert all(core.table.present == 6 and "d6" in core._round for core in others)
+    others = [core for core in net.cores.values() if core.record.name != "d6"]
+    assert all(core.table.present_count == 6 and "d6" in core._round for core in others)
 
 
 def test_a_lost_disk_under_an_old_name_at_the_old_address_takes_it_over_at_once() -> None:
     net = Net(4)
     net.run(4000)
     del net.cores["10.0.0.3", 1]
-    net.start(fact(3, identity=555, life=777))
+    net.start(fact(3, node_id=555, boot_id=777))
     net.run(1500)
     held = net.core(1).table.get("d3")
-    assert held is not None and (held.identity, held.life, held.era) == (555, 777, 1)
+    assert held is not None and (held.node_id, held.boot_id, held.epoch) == (555, 777, 1)
     assert ("d1", "d3") in net.kinds("replaced")
 
 
@@ -223,13 +234,13 @@
     net.run(4000)
     del net.cores["10.0.0.2", 1]
     net.run(30_000)
-    assert net.core(1).table.get("d2").state is State.DEAD  # type: ignore[union-attr]
+    assert net.core(1).table.get("d2").state is MemberState.DEAD  # type: ignore[union-attr]
     for life, starts in ((91, 1), (92, 2), (93, 3)):
-        net.start(fact(2, identity=999, life=life, incarnation=starts))
+        net.start(fact(2, node_id=999, boot_id=life, incarnation=starts))
         net.run(3000)
-        held = [core.table.get("d2") for core in net.cores.values() if core.me.name != "d2"]
-        assert all(one is not None and one.present and (one.life, one.era) == (life, 1) for one in held), held
-        assert net.core(2).stage is Stage.JOINED and net.core(2).me.era == 1
+        held = [core.table.get("d2") for core in net.cores.values() if core.record.name != "d2"]
+        assert all(one is not None and one.present and (one.boot_id, one.epoch) == (life, 1) for one in held), held
+        assert net.core(2).stage is Stage.JOINED and net.core(2).record.epoch == 1
 
 
 def test_one_that_is_met_before_it_asked_still_stands_above_what_is_said_of_its_name() -> None:
@@ -238,14 +249,14 @@
     net.run(4000)
     del net.cores["10.0.0.2", 1]
     net.run(30_000)
-    newcomer = net.start(fact(2, identity=5, life=91))  # below the one that was there, in the same era
-    net.core(3)._dial(net.now, newcomer.me.address, "reach")
+    newcomer = net.start(fact(2, node_id=5, boot_id=91))  # below the one that was there, in the same era
+    net.core(3)._dial(net.now, newcomer.record.address, "reach")
     net.collect()
     assert newcomer.stage is Stage.JOINED
     net.run(20_000)
     for number in (1, 3):
         held = net.core(number).table.get("d2")
-        assert held is not None and held.present and held.life == 91, held
+        assert held is not None and held.present and held.boot_id == 91, held
 
 
 def test_an_old_disk_comes_back_above_what_is_known_of_it() -> None:
@@ -254,31 +265,33 @@
     net.core(3)._say(net.now, incarnation=9)
     net.run(2000)
     del net.cores["10.0.0.3", 1]
-    net.start(fact(3, incarnation=2, life=888))
+    net.start(fact(3, incarnation=2, boot_id=888))
     net.run(2000)
     held = net.core(1).table.get("d3")
-    assert held is not None and held.life == 888 and held.incarnation == 10
+    assert held is not None and held.boot_id == 888 and held.incarnation == 10
 
 
 def test_a_restarted_receiver_is_reached_though_its_life_is_not_known() -> None:
     net = Net(3)
     net.run(4000)
     core = net.core(2)
-    again = Gossip(SETTINGS, msgspec.structs.replace(core.me, life=4242), Keys([KEY]), random.Random(1), net.now)
+    again = MembershipCore(
+        SETTINGS, msgspec.structs.replace(core.record, boot_id=4242), Keyring([KEY]), random.Random(1), net.now
+    )
     again.stage = Stage.JOINED
     for each in core.table:
         if each.name != "d2":
             again.table.put(net.now, each)
     net.cores["10.0.0.2", 1] = again
     net.run(3000)
-    assert again.counts["dropped_life"] and not net.kinds("dead")
-    assert again.counts["received"]
+    assert again.counters["dropped_life"] and not net.kinds("dead")
+    assert again.counters["received"]
 
 
 def test_views_that_differ_in_silence_are_made_the_same_by_an_exchange() -> None:
     net = Net(4)
     net.run(4000)
-    net.core(1).table.put(net.now, fact(8, state=State.LEFT))  # without a word to others
+    net.core(1).table.put(net.now, fact(8, state=MemberState.LEFT))  # without a word to others
     net.run(20_000)
     assert all(core.table.get("d8") is not None for core in net.cores.values())
 
@@ -288,29 +301,29 @@
     net.run(4000)
     core = net.core(1)
     net.collect()
-    kept: list[Datagram] = []
+    kept: list[SendDatagram] = []
     for _ in range(300):
         net.now += 10
         for each in net.cores.values():
-            if each.next_at <= net.now:
+            if each.next_due_ms <= net.now:
                 each.wake(net.now)
         net.collect()
-        kept += [each for _, each in net.wire if each.to == core.me.address]
+        kept += [each for _, each in net.wire if each.to == core.record.address]
         net.deliver()
     assert kept
     before = core.table.digest, core.table.version, len(core._windows)
     for old in kept:
-        core.datagram(net.now, old.data)
-    assert core.counts["dropped_replay"] == len(kept)
+        core.receive(net.now, old.data)
+    assert core.counters["dropped_replay"] == len(kept)
     spoilt = bytearray(kept[0].data)
     spoilt[40] ^= 1
-    core.datagram(net.now, bytes(spoilt))
-    assert core.counts["dropped_mac"] == 1
-    restarted = Gossip(SETTINGS, fact(1, life=31337), Keys([KEY]), random.Random(2), net.now)
+    core.receive(net.now, bytes(spoilt))
+    assert core.counters["dropped_mac"] == 1
+    restarted = MembershipCore(SETTINGS, fact(1, boot_id=31337), Keyring([KEY]), random.Random(2), net.now)
     restarted.stage = Stage.JOINED
     for old in kept:
-        restarted.datagram(net.now, old.data)
-    assert len(restarted.table) == 1 and restarted.counts["dropped_life"] == len(kept)
+        restarted.receive(net.now, old.data)
+    assert len(restarted.table) == 1 and restarted.counters["dropped_life"] == len(kept)
     assert before == (core.table.digest, core.table.version, len(core._windows))
 
 
@@ -318,61 +331,61 @@
 def test_no_bytes_crash_a_core_or_change_its_view(data: bytes) -> None:
     net = Net(2)
     core = net.core(1)
-    core.datagram(AT, data)
-    assert len(core.table) == 1 and not core.counts["received"]
-    with pytest.raises(wire.WireError):
-        core.exchange_serves(AT, b"\xc1" + data)
+    core.receive(AT, data)
+    assert len(core.table) == 1 and not core.counters["received"]
+    with pytest.raises(wire.ProtocolError):
+        core.serve_exchange(AT, b"\xc1" + data)
 
 
 @given(st.binary(max_size=600))
 def test_no_sealed_body_crashes_a_core(body: bytes) -> None:
     core = Net(2).core(1)
-    keys = Keys([KEY])
-    head = wire.HEAD.pack(b"MG", 1, 0, wire.cluster_number("c"), 7, core.me.life, 1) + body
-    core.datagram(AT, head + keys.seal(head))
-    assert sum(core.counts[f"dropped_{why}"] for why in ("body", "length")) == 1 or core.counts["received"]
+    keys = Keyring([KEY])
+    head = wire.HEADER.pack(b"MG", 1, 0, wire.cluster_hash("c"), 7, core.record.boot_id, 1) + body
+    core.receive(AT, head + keys.sign(head))
+    assert sum(core.counters[f"dropped_{why}"] for why in ("body", "length")) == 1 or core.counters["received"]
 
 
 def test_keys_change_door_by_door_and_other_clusters_are_not_heard() -> None:
-    both, new = Keys([OTHER, KEY]), Keys([OTHER])
-    assert new.opens(b"x", both.seal(b"x")) and both.opens(b"x", Keys([KEY]).seal(b"x"))
-    assert not new.opens(b"x", Keys([KEY]).seal(b"x"))
+    both, new = Keyring([OTHER, KEY]), Keyring([OTHER])
+    assert new.verify(b"x", both.sign(b"x")) and both.verify(b"x", Keyring([KEY]).sign(b"x"))
+    assert not new.verify(b"x", Keyring([KEY]).sign(b"x"))
     net = Net(1)
-    foreign = Gossip(replace(SETTINGS, cluster="other"), fact(2), Keys([KEY]), random.Random(1), AT)
-    foreign._send(("10.0.0.1", 1), 1001, wire.Relayed(wire.Sender("d2", "10.0.0.2", 1), 1, True))
-    (sent,) = [each for each in foreign.out if isinstance(each, Datagram)]
-    net.core(1).datagram(AT, sent.data)
-    assert net.core(1).counts["dropped_cluster"] == 1
+    foreign = MembershipCore(replace(SETTINGS, cluster="other"), fact(2), Keyring([KEY]), random.Random(1), AT)
+    foreign._send(("10.0.0.1", 1), 1001, wire.IndirectPingResponse(wire.Sender("d2", "10.0.0.2", 1), 1, True))
+    (sent,) = [each for each in foreign.out if isinstance(each, SendDatagram)]
+    net.core(1).receive(AT, sent.data)
+    assert net.core(1).counters["dropped_cluster"] == 1
 
 
 facts = st.builds(
     fact,
     st.integers(1, 4),
-    era=st.integers(0, 2),
-    identity=st.integers(1, 3),
+    epoch=st.integers(0, 2),
+    node_id=st.integers(1, 3),
     incarnation=st.integers(0, 3),
-    state=st.sampled_from(State),
+    state=st.sampled_from(MemberState),
 )
 
 
 @given(st.lists(facts, max_size=20), st.randoms())
-def test_the_table_is_the_same_whatever_the_order(told: list[Fact], rng: random.Random) -> None:
-    def of(order: list[Fact]) -> Table:
-        table = Table()
+def test_the_table_is_the_same_whatever_the_order(told: list[MemberRecord], rng: random.Random) -> None:
+    def of(order: list[MemberRecord]) -> MemberTable:
+        table = MemberTable()
         for each in order:
             before = table.get(each.name)
-            if before is None or each.rank > before.rank:
+            if before is None or each.precedence > before.precedence:
                 table.put(AT, each)
         return table
 
     mixed = list(told)
     rng.shuffle(mixed)
     one, other = of(told), of(mixed)
-    assert {each.name: each.rank for each in one} == {each.name: each.rank for each in other}
-    assert one.digests == other.digests and one.present == sum(each.present for each in one)
+    assert {each.name: each.precedence for each in one} == {each.name: each.precedence for each in other}
+    assert one.bucket_digests == other.bucket_digests and one.present_count == sum(each.present for each in one)
     for each in list(one):
-        one.drop(each.name)
-    assert one.digests == [0] * BUCKETS and one.present == 0
+        one.remove(each.name)
+    assert one.bucket_digests == [0] * BUCKET_COUNT and one.present_count == 0
 
 
 members = st.dictionaries(st.text("abcdef", min_size=1, max_size=4), st.sampled_from("xyz"), min_size=1, max_size=12)
@@ -382,8 +395,8 @@
 def test_a_member_lost_moves_only_its_own_share(zones: dict[str, str], count: int, data: st.DataObject) -> None:
     lost = data.draw(st.sampled_from(sorted(zones)))
     for key in map(str, range(20)):
-        before = holders(key, zones.items(), count)
-        after = holders(key, [item for item in zones.items() if item[0] != lost], count)
+        before = owners(key, zones.items(), count)
+        after = owners(key, [item for item in zones.items() if item[0] != lost], count)
         assert len(set(before)) == min(count, len(zones))
         if lost not in before:
             assert after == before
@@ -394,15 +407,15 @@
 
 def test_holders_are_spread_evenly() -> None:
     names = [(f"d{number}", f"z{number % 3}") for number in range(9)]
-    held = [holders(str(key), names, 3)[0] for key in range(3000)]
+    held = [owners(str(key), names, 3)[0] for key in range(3000)]
     assert all(200 < held.count(name) < 470 for name, _ in names)
 
 
 def test_each_saying_is_told_a_bounded_number_of_times_the_newest_first() -> None:
-    spread = Spread()
-    spread.put(fact(1))
+    spread = GossipQueue()
+    spread.enqueue(fact(1))
     first = spread.take(1000, 99)
-    spread.put(fact(2))
+    spread.enqueue(fact(2))
     assert spread.take(len(first[0]), 99) == [wire.encode(fact(2))]
     times = 2
     while spread.take(1000, 99):
@@ -411,9 +424,12 @@
 
 
 def test_a_single_accuser_kills_slowly() -> None:
-    alone, more = suspicion_ms(24, 0, 500, 4000), [suspicion_ms(24, others, 500, 4000) for others in (1, 2, 3, 9)]
+    alone, more = (
+        suspicion_timeout_ms(24, 0, 500, 4000),
+        [suspicion_timeout_ms(24, others, 500, 4000) for others in (1, 2, 3, 9)],
+    )
     assert alone == 24_000 and more == sorted(more, reverse=True) and more[-1] == 4000
-    assert suspicion_ms(3, 0, 500, 4000) == 4000
+    assert suspicion_timeout_ms(3, 0, 500, 4000) == 4000
 
 
 class Fleet(RuleBasedStateMachine):
@@ -446,7 +462,7 @@
     def mixed(self, data: st.DataObject, ms: int) -> None:
         self.net.now += ms
         for core in self.net.cores.values():
-            if core.next_at <= self.net.now:
+            if core.next_due_ms <= self.net.now:
                 core.wake(self.net.now)
         self.net.collect()
         sent = self.net.wire
@@ -457,15 +473,15 @@
     def sayings_never_go_back(self) -> None:
         for core in self.net.cores.values():
             for each in core.table:
-                rank = each.era, each.identity, each.incarnation
-                key = core.me.name, each.name
+                rank = each.epoch, each.node_id, each.incarnation
+                key = core.record.name, each.name
                 assert rank >= self.rank.get(key, rank)
                 self.rank[key] = rank
 
     def teardown(self) -> None:
         self.net.run(40_000)
         assert all(
-            core.table.present == 4 and core.table.digest == self.net.core(1).table.digest
+            core.table.present_count == 4 and core.table.digest == self.net.core(1).table.digest
             for core in self.net.cores.values()
         )
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from martenstep.membership.codec import Keys
+from martenstep.membership.codec import Keyring
 from martenstep.replication.messages import Invite, NotHere, YouAreOut
 from martenstep.replication.raft import Role, Settings
 from martenstep.replication.replica import Host, InDoubtError, NotLeaderError, now_ms
@@ -20,7 +20,7 @@
 from tests.socket_rig import LONG_S, run
 from tests.test_replication_host import Sum
 
-KEYS = Keys([b"k" * 32])
+KEYS = Keyring([b"k" * 32])
 QUICK = Settings(election_ms=400.0, beat_ms=60.0, ask_ms=50.0)  # a loaded machine bears it
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -17,9 +17,9 @@
 from martenstep.config.text import Faults
 from martenstep.lab.fleet.rig import ask
 from martenstep.membership import identity
-from martenstep.membership.keys import KeyFileError, read_keys
-from martenstep.membership.member_table import State
-from martenstep.membership.transport import Membership
+from martenstep.membership.keys import KeyFileError, read_keyring
+from martenstep.membership.member_table import MemberState
+from martenstep.membership.transport import MembershipService
 from martenstep.proxy.admin import Admin, DoorCollector
 from martenstep.storage.files import FAULTS, Disk
 from tests.door_rig import DOOR
@@ -45,12 +45,12 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.doors: dict[str, Membership] = {}
+        self.doors: dict[str, MembershipService] = {}
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
-    async def start(self, name: str, **more: Any) -> Membership:
+    async def start(self, name: str, **more: Any) -> MembershipService:
         seeds = [door.port for door in self.doors.values()][:1]
-        made = Membership(
+        made = MembershipService(
             settings(self.folder, name, seeds, **more),
             name,
             "a",
@@ -65,13 +65,13 @@
         while not holds():
             await asyncio.sleep(0.02)
 
-    def state(self, of: str, name: str) -> State | None:
+    def state(self, of: str, name: str) -> MemberState | None:
         core = self.doors[of].core
         assert core is not None
         fact = core.table.get(name)
         return None if fact is None else fact.state
 
-    def all_hold(self, state: State | None, name: str) -> bool:
+    def all_hold(self, state: MemberState | None, name: str) -> bool:
         return all(self.state(of, name) is state for of in self.doors if of != name)
 
     async def stop(self) -> None:
@@ -84,17 +84,17 @@
         fleet = Doors(tmp_path)
         for name in ("d0", "d1", "d2"):
             await fleet.start(name)
-        await fleet.until(lambda: all(fleet.all_hold(State.ALIVE, name) for name in fleet.doors))
+        await fleet.until(lambda: all(fleet.all_hold(MemberState.ALIVE, name) for name in fleet.doors))
         first = fleet.doors["d2"].view()
         await fleet.doors["d2"].leave()
-        await fleet.until(lambda: fleet.all_hold(State.LEFT, "d2"))
+        await fleet.until(lambda: fleet.all_hold(MemberState.LEFT, "d2"))
         await fleet.doors.pop("d2").stop()
         again = await fleet.start("d2")
-        await fleet.until(lambda: fleet.all_hold(State.ALIVE, "d2"))
+        await fleet.until(lambda: fleet.all_hold(MemberState.ALIVE, "d2"))
         core = again.core
         assert core is not None
         mine = next(one for one in first["members"] if one["name"] == "d2")
-        assert f"{core.me.identity:016x}" == mine["identity"] and core.me.incarnation > mine["incarnation"]
+        assert f"{core.record.node_id:016x}" == mine["identity"] and core.record.incarnation > mine["incarnation"]
         await fleet.stop()
 
     run(test())
@@ -105,16 +105,16 @@
         fleet = Doors(tmp_path)
         for name in ("d0", "d1", "d2", "d3"):
             await fleet.start(name)
-        await fleet.until(lambda: all(fleet.all_hold(State.ALIVE, name) for name in fleet.doors))
+        await fleet.until(lambda: all(fleet.all_hold(MemberState.ALIVE, name) for name in fleet.doors))
         gone = fleet.doors.pop("d3")
         assert gone.core is not None
-        old = gone.core.me.identity
+        old = gone.core.record.node_id
         await gone.stop()
-        await fleet.until(lambda: fleet.all_hold(State.DEAD, "d3"))
-        (tmp_path / "d3" / identity.FILE).unlink()
+        await fleet.until(lambda: fleet.all_hold(MemberState.DEAD, "d3"))
+        (tmp_path / "d3" / identity.IDENTITY_FILE).unlink()
         again = await fleet.start("d3")
-        await fleet.until(lambda: fleet.all_hold(State.ALIVE, "d3"))
-        assert again.core is not None and again.core.me.identity != old and again.core.me.era == 1
+        await fleet.until(lambda: fleet.all_hold(MemberState.ALIVE, "d3"))
+        assert again.core is not None and again.core.record.node_id != old and again.core.record.epoch == 1
         await fleet.stop()
 
     run(test())
@@ -129,15 +129,15 @@
         stranger = await fleet.start("x")
         core = fleet.doors["d0"].core
         assert core is not None
-        await fleet.until(lambda: core.counts["dropped_stream_mac"])
+        await fleet.until(lambda: core.counters["dropped_stream_mac"])
         assert stranger.core is not None and not stranger.core.joined
         for keys in (f"{OLD}\n{NEW}", f"{NEW}\n{OLD}", NEW):
             for name in ("d0", "d1"):
                 (tmp_path / "keys" / name).write_text(keys, encoding="ascii")
-                fleet.doors[name].renew()
-        await fleet.until(lambda: fleet.all_hold(State.ALIVE, "x") and stranger.core.joined)
+                fleet.doors[name].reload_keys()
+        await fleet.until(lambda: fleet.all_hold(MemberState.ALIVE, "x") and stranger.core.joined)
         (tmp_path / "keys" / "d0").write_text("nothing", encoding="ascii")
-        fleet.doors["d0"].renew()
+        fleet.doors["d0"].reload_keys()
         assert fleet.lines[-1][0] == "fleet keys not taken up" and "line 1" in fleet.lines[-1][1]["error"]
         await fleet.stop()
 
@@ -156,7 +156,7 @@
             writer.write_eof()
             assert await reader.read() == b""
             writer.close()
-        assert door.core.counts["dropped_stream_mac"] == 1 and door.core.counts["dropped_stream_length"] == 1
+        assert door.core.counters["dropped_stream_mac"] == 1 and door.core.counters["dropped_stream_length"] == 1
         await fleet.stop()
 
     run(test())
@@ -167,7 +167,7 @@
         fleet = Doors(tmp_path)
         for name in ("d0", "d1"):
             await fleet.start(name)
-        await fleet.until(lambda: all(fleet.all_hold(State.ALIVE, name) for name in fleet.doors))
+        await fleet.until(lambda: all(fleet.all_hold(MemberState.ALIVE, name) for name in fleet.doors))
         admin = Admin(DoorCollector(dict, fleet.doors["d0"].gauges), lambda: True)
         port = await admin.start("127.0.0.1", 0)
         at = f"127.0.0.1:{port}"
@@ -217,9 +217,9 @@
     file = tmp_path / "keys"
     file.write_text(text, encoding="utf-8")
     with pytest.raises(KeyFileError, match=told):
-        read_keys(file)
+        read_keyring(file)
     with pytest.raises(KeyFileError, match="No such file"):
-        read_keys(tmp_path / "none")
+        read_keyring(tmp_path / "none")
 
 
 def test_an_identity_is_kept_raised_at_each_start_and_never_keeps_a_door_from_starting(
@@ -227,22 +227,22 @@
 ) -> None:
     rng = random.Random(1)
     with Disk(tmp_path / "a") as disk:
-        first, wrong = identity.take_up(disk, rng)
-        second, _ = identity.take_up(disk, rng)
+        first, wrong = identity.load_identity(disk, rng)
+        second, _ = identity.load_identity(disk, rng)
         assert not wrong and (first.identity, first.starts, second.starts) == (second.identity, 1, 2)
-        disk.write_aside(identity.FILE, b"{")
-        third, wrong = identity.take_up(disk, rng)
+        disk.write_aside(identity.IDENTITY_FILE, b"{")
+        third, wrong = identity.load_identity(disk, rng)
         assert third.identity != first.identity and third.starts == 1 and "is not read" in wrong
     faults = tmp_path / "faults"
     monkeypatch.setenv(FAULTS, str(faults))
     for number, (fault, told) in enumerate((('{"full": 1}', "No space left"), ('{"sync_fails": 1}', "Input/output"))):
         faults.write_text(fault)
         with Disk(tmp_path / "a") as broken:
-            again, wrong = identity.take_up(broken, rng)
+            again, wrong = identity.load_identity(broken, rng)
             assert again.starts == 2 and told in wrong, number
     faults.write_text("{}")
     with Disk(tmp_path / "a") as mended:
-        assert identity.take_up(mended, rng)[0].starts == 2
+        assert identity.load_identity(mended, rng)[0].starts == 2
 
 
 def test_faults_of_the_fleets_settings_are_told_by_field() -> None:
--- a/tests/test_replication_host.py
+++ b/tests/test_replication_host.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from martenstep.membership.codec import Keys
+from martenstep.membership.codec import Keyring
 from martenstep.replication.messages import Config, TakeOver, encode
 from martenstep.replication.raft import Role, Settings
 from martenstep.replication.replica import Host, InDoubtError, NotLeaderError
@@ -21,7 +21,7 @@
 from martenstep.storage.files import FAULTS, Disk
 from tests.socket_rig import LONG_S, run
 
-KEYS = Keys([b"k" * 32])
+KEYS = Keyring([b"k" * 32])
 QUICK = Settings(election_ms=150.0, beat_ms=30.0, ask_ms=50.0)
 
 
@@ -71,7 +71,7 @@
         for store in stores:
             await self.run(store)
 
-    async def run(self, store: Store, keys: Keys = KEYS) -> Host:
+    async def run(self, store: Store, keys: Keyring = KEYS) -> Host:
         machine = self.machines[store.id] = self.machine()
         links = self.links[store.id] = Links("g", str(store.id), lambda: keys, self.where.get)
         host = self.hosts[store.id] = Host(
@@ -252,7 +252,7 @@
         def there(place: str) -> tuple[str, int]:
             return group.where[str(me)]
 
-        strange = Links("g", "99", lambda: Keys([b"x" * 32]), there)
+        strange = Links("g", "99", lambda: Keyring([b"x" * 32]), there)
         wrong = Links("g", "99", lambda: KEYS, there)
         body = encode(TakeOver(9))
         strange.send(str(me), Envelope("g", 99, me), body)
