--- a/martenstep/cli/fleet.py
+++ b/martenstep/cli/fleet.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from martenstep.cli.words import BROKEN, USAGE, example, faults_told
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 
 FILE = click.Path(path_type=Path)
 TOLD_BREACHES = 10  # of one play
@@ -56,7 +56,7 @@
 
     try:
         schedule = load_schedule(file)
-    except Faults as error:
+    except SettingsError as error:
         faults_told(error)
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, signal.default_int_handler)
@@ -83,7 +83,7 @@
     try:
         schedule = load_schedule(folder / "schedule.txtpb")
         verdict = judge(schedule, list(read_records(folder / "records.jsonl")))
-    except Faults as error:
+    except SettingsError as error:
         faults_told(error)
     except RecordError as error:
         click.echo(str(error), err=True)
@@ -111,7 +111,7 @@
     for file in files:
         try:
             schedule = load_schedule(file)
-        except Faults as error:
+        except SettingsError as error:
             faults_told(error)
         if members is not None:
             schedule.members = members
@@ -139,6 +139,6 @@
                         f"{played.name} ({played.members} doors, seed {played.seed})", played.breaches, played.figures
                     )
                 )
-    except Faults as error:
+    except SettingsError as error:
         faults_told(error)
     sys.exit(0 if kept else BROKEN)
--- a/martenstep/cli/lab.py
+++ b/martenstep/cli/lab.py
@@ -13,7 +13,7 @@
 
 from martenstep.cli.fleet import fleet
 from martenstep.cli.words import BROKEN, USAGE, example, faults_told
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 
 FILE = click.Path(path_type=Path)
 
@@ -39,7 +39,7 @@
         begin = time.perf_counter()
         try:
             result = judged.emulate(load_day(file), seed)
-        except Faults as error:
+        except SettingsError as error:
             faults_told(error)
         except NotEmulatedError as error:
             click.echo(f"{file}: {error}", err=True)
@@ -71,7 +71,7 @@
 @click.option("--sockets", is_flag=True, help="Play the days on loopback sockets, one at a time.")
 def run(plan: Path, out: Path, workers: int | None, sockets: bool) -> None:
     """Run the experiment of PLAN; exit 3 where a run broke a rule."""
-    from martenstep.config.settings import read_text
+    from martenstep.config.loading import read_text
     from martenstep.lab.experiment.plan import load_plan
     from martenstep.lab.experiment.run import RunError, load_result, run_plan
     from martenstep.lab.play import PlayError
@@ -82,7 +82,7 @@
             made, read_text(plan), plan.parent, out, workers or max((os.cpu_count() or 2) - 1, 1), _Progress(), sockets
         )
         rows, _ = load_result(file)
-    except Faults as error:
+    except SettingsError as error:
         faults_told(error)
     except (RunError, PlayError, OSError) as error:
         raise click.UsageError(str(error)) from None
@@ -168,7 +168,7 @@
 
     try:
         base = load_day(day)
-    except Faults as error:
+    except SettingsError as error:
         faults_told(error)
 
     def badness(made: day_pb2.Day) -> float:
@@ -205,7 +205,7 @@
         made = sweeping.load_sweep(plan)
         made.days = days or made.days
         rows = sweeping.run_sweep(made, out, workers or max((os.cpu_count() or 2) - 1, 1), _Progress())
-    except Faults as error:
+    except SettingsError as error:
         faults_told(error)
     except (RunError, OSError) as error:
         raise click.UsageError(str(error)) from None
@@ -227,7 +227,7 @@
     for folder in folders:
         try:
             pairs = matched(folder)
-        except Faults as error:
+        except SettingsError as error:
             faults_told(error)
         except (TraceError, NotEmulatedError) as error:
             raise click.UsageError(str(error)) from None
--- a/martenstep/cli/main.py
+++ b/martenstep/cli/main.py
@@ -25,8 +25,8 @@
 from martenstep.cli.words import BROKEN, USAGE, address_of, faults_told
 from martenstep.cli.words import example as _example
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import load_door
-from martenstep.config.text import Faults
+from martenstep.config.loading import load_door
+from martenstep.config.text_format import SettingsError
 
 FILE = click.Path(path_type=Path)
 
@@ -53,7 +53,7 @@
 
     try:
         door = load()
-    except Faults as error:
+    except SettingsError as error:
         faults_told(error)
     from martenstep.supervise.service import run
 
@@ -87,10 +87,10 @@
     for file in files:
         try:
             load_door(file)
-        except Faults as error:
+        except SettingsError as error:
             wrong = True
-            for fault in error.faults:
-                click.echo(fault.told(error.file), err=True)
+            for fault in error.problems:
+                click.echo(fault.describe(error.file), err=True)
         else:
             click.echo(f"{file}: well")
     sys.exit(USAGE if wrong else 0)
@@ -209,7 +209,7 @@
 
     try:
         loaded = load_day(file)
-    except Faults as error:
+    except SettingsError as error:
         faults_told(error)
     bar = _Bar(loaded.name)
     # Told to end, it tears all down as when interrupted; SIGINT is ignored where a shell starts it in the background.
@@ -288,7 +288,7 @@
 
     try:
         settings = load_service(file)
-    except Faults as error:
+    except SettingsError as error:
         faults_told(error)
     with _log_faults():
         if settings.HasField("copies"):
--- a/martenstep/config/__init__.py
+++ b/martenstep/config/__init__.py
@@ -1,5 +1,5 @@
 """Settings as protobuf text format: the schema, loading, and checks that name file, line, column and field.
 
-May live here: schemas and their generated code, the reader that keeps places, checks, and the translation into
-the module's settings.  May not: sockets, clocks, decisions.
+`text_format` parses and keeps positions, `checker` and `checks` say what is wrong, `loading` puts them together,
+`policy_settings` translates to the decisions' settings, `changes` compares two versions, `tls` builds TLS contexts.
 """
--- a/martenstep/config/address.py
+++ b/martenstep/config/address.py
@@ -1,13 +1,13 @@
-"""Addresses as people write them."""
+"""Parses addresses in the form that people write."""
 
 from __future__ import annotations
 
-from martenstep.config.settings import MOST_PORT
+from martenstep.config.checker import MAX_PORT
 
 
-def host_port(text: str) -> tuple[str, int] | None:
-    """HOST:PORT, an IPv6 host in brackets or not; None where it is none."""
+def parse_host_port(text: str) -> tuple[str, int] | None:
+    """Parse HOST:PORT, an IPv6 host with or without brackets; None where the text is no address."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MOST_PORT:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         return None
     return host.strip("[]"), int(port)
--- a/martenstep/config/changes.py
+++ b/martenstep/config/changes.py
@@ -1,20 +1,21 @@
-"""What differs between two settings of one door, and what of it can be taken up in service.
+"""Differences between two settings of one gateway, and which of them can be applied without a restart.
 
-No I/O.  The rest rests on what was built from it at the start: sockets, clients of other systems, the module's classes
-and plans, whose books could not be carried over.
+No I/O.  The other settings are used once at the start: for sockets, clients of other systems, and the decisions'
+request classes and plans, whose state could not be carried over.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, cast
 
+from google.protobuf.descriptor import FieldDescriptor
 from google.protobuf.message import Message
 
 from martenstep.config import door_pb2 as pb
 
-# Read at each use, or built anew at one stroke.
+# Read at each use, or rebuilt at once.
 LIVE = frozenset(
     {
         "customer",
@@ -50,7 +51,7 @@
         "hooks.backstop_ms",
     }
 )
-# Built or taken down with their coming and going, even where all their fields are the usual ones.
+# Messages whose mere presence builds a part of the gateway, even with defaults in all fields.
 PARTS = frozenset(
     {
         "admin",
@@ -70,35 +71,36 @@
     }
 )
 HIDDEN = frozenset({"forward_auth.secret"})  # never in a log
-THERE = {True: "there", False: "not there"}
-MOST_TOLD = 200  # characters of a value
-MOST_NAMES = 5  # of a list's entries
+PRESENCE = {True: "there", False: "not there"}
+MAX_VALUE_CHARACTERS = 200  # of a value in a log line
+MAX_LISTED_ENTRIES = 5  # of a list in a log line
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One field: its path, as it was and as it would be."""
+    """One field that differs: its path, its values, and whether it can be applied live."""
 
     path: str
     before: str
     after: str
     live: bool
 
-    def told(self) -> str:
-        """A line for the operators."""
+    def describe(self) -> str:
+        """Return the line that the log shows."""
         return f"{self.path}: {self.before} -> {self.after}"
 
 
-def _value(field: Any, value: Any, path: str) -> str:
+def _describe_value(field: FieldDescriptor, value: bool | int | float | str | bytes, path: str) -> str:
+    """Describe a scalar; an enum by its name, a secret not at all."""
     if path in HIDDEN:
         return "(hidden)"
     if field.enum_type is not None:
-        return str(field.enum_type.values_by_number[value].name)
-    return repr(value)[:MOST_TOLD]
+        return str(field.enum_type.values_by_number[int(value)].name)
+    return repr(value)[:MAX_VALUE_CHARACTERS]
 
 
-def _names(values: list[Any]) -> dict[str, Any]:
-    """Entries of a list by what tells them apart."""
+def _entries_by_key(values: list[Any]) -> dict[str, Any]:
+    """Return the entries of a list by key or name, else by their number."""
     made: dict[str, Any] = {}
     for number, value in enumerate(values):
         if isinstance(value, Message):
@@ -110,40 +112,47 @@
     return made
 
 
-def _listed(before: list[Any], after: list[Any]) -> tuple[str, str]:
-    """What was taken from a list and what came to it; the order of entries decides as well, for routes."""
-    old, new = _names(before), _names(after)
-    gone = [key for key in old if key not in new]
-    came = [key for key in new if key not in old]
-    changed = [key for key in new if key in old and old[key] != new[key]]
+def _describe_entries(keys: list[str], count: int) -> str:
+    """Say how many entries a list has, and name the first of those that differ."""
+    names = ", ".join(repr(key) for key in keys[:MAX_LISTED_ENTRIES])
+    if len(keys) > MAX_LISTED_ENTRIES:
+        names += ", ..."
+    return f"{count} entries ({names})" if keys else f"{count} entries"
 
-    def told(keys: list[str], all_of: list[Any]) -> str:
-        shown = ", ".join(repr(key) for key in keys[:MOST_NAMES]) + (", ..." if len(keys) > MOST_NAMES else "")
-        return f"{len(all_of)} entries" + (f" ({shown})" if keys else "")
 
-    if not gone and not came and not changed:
-        return told([], before), told([], after) + " in another order"
-    return told(gone + changed, before), told(came + changed, after)
+def _describe_list_change(before: list[Any], after: list[Any]) -> tuple[str, str]:
+    """Describe two versions of a list by the entries that differ; their order counts too, as it does for routes."""
+    old = _entries_by_key(before)
+    new = _entries_by_key(after)
+    removed = [key for key in old if key not in new]
+    added = [key for key in new if key not in old]
+    changed = [key for key in new if key in old and old[key] != new[key]]
+    if not removed and not added and not changed:
+        return _describe_entries([], len(before)), _describe_entries([], len(after)) + " in another order"
+    return _describe_entries(removed + changed, len(before)), _describe_entries(added + changed, len(after))
 
 
 def _walk(before: Message, after: Message, prefix: str) -> Iterator[Change]:
-    for field in before.DESCRIPTOR.fields:
+    for field in cast(Sequence[FieldDescriptor], before.DESCRIPTOR.fields):
         path = f"{prefix}{field.name}"
-        one, other = getattr(before, field.name), getattr(after, field.name)
+        old, new = getattr(before, field.name), getattr(after, field.name)
         if field.is_repeated:
-            if list(one) != list(other):
-                was, now = _listed(list(one), list(other))
+            if list(old) != list(new):
+                was, now = _describe_list_change(list(old), list(new))
                 yield Change(path, was, now, path in LIVE)
         elif field.message_type is not None:
-            there = before.HasField(field.name), after.HasField(field.name)
-            if there[0] != there[1] and field.name in PARTS:
-                yield Change(path, THERE[there[0]], THERE[there[1]], False)
-            elif one != other:
-                yield from _walk(one, other, path + ".")
-        elif one != other or before.HasField(field.name) != after.HasField(field.name):
-            yield Change(path, _value(field, one, path), _value(field, other, path), path in LIVE or one == other)
+            was_present = before.HasField(field.name)
+            is_present = after.HasField(field.name)
+            if was_present != is_present and field.name in PARTS:
+                yield Change(path, PRESENCE[was_present], PRESENCE[is_present], False)
+            elif old != new:
+                yield from _walk(old, new, path + ".")
+        elif old != new or before.HasField(field.name) != after.HasField(field.name):
+            yield Change(
+                path, _describe_value(field, old, path), _describe_value(field, new, path), path in LIVE or old == new
+            )
 
 
 def differences(before: pb.Door, after: pb.Door) -> list[Change]:
-    """All that differs, in the order of the schema."""
+    """Return all differences, in the order of the schema."""
     return [change for change in _walk(before, after, "") if change.before != change.after or not change.live]
--- /dev/null
+++ b/martenstep/config/checks/replication.py
@@ -0,0 +1,45 @@
+"""Checks of the replicas that gateways hold for each other."""
+
+from __future__ import annotations
+
+from martenstep.config import door_pb2 as pb
+from martenstep.config.checker import REPLICA_COUNTS, SettingsChecker
+from martenstep.config.text_format import FieldPosition
+
+MAX_SLOTS = 256
+
+
+def check_replication(checker: SettingsChecker, settings: pb.Door, position: FieldPosition) -> None:
+    """Check the replicas that gateways hold for each other."""
+    copies = settings.copies
+    if not settings.HasField("fleet"):
+        checker.report(position, "needs fleet: copies are at doors that know each other")
+    checker.require_present(copies, position, "directory", "witness")
+    for name in ("port", "counter_port"):
+        checker.require_range(copies, position, name, 1, 65535)
+    if copies.port == copies.counter_port:
+        checker.report(position.at("counter_port"), "the same as port")
+    checker.require_range(copies, position, "slots", 1, MAX_SLOTS)
+    if copies.count not in REPLICA_COUNTS:
+        checker.report(position.at("count"), f"expected {', '.join(map(str, REPLICA_COUNTS))}, got {copies.count}")
+    checker.require_range(copies, position, "final_ms", 1000)
+    if copies.HasField("book"):
+        checker.require_range(copies.book, position.at("book"), "wait_ms", 1, 10_000)
+        if not settings.counter.held_by_doors:
+            checker.report(position.at("book"), "needs counter with held_by_doors")
+    founders = position.all("founder")
+    if not 1 <= len(copies.founder) <= copies.count:
+        checker.report(position.at("founder"), f"expected 1 to {copies.count}, got {len(copies.founder)}")
+    for founder, at in zip(copies.founder, founders, strict=True):
+        checker.require_present(founder, at, "door", "disk")
+    checker.require_unique(founders, copies.founder, "door")
+    checker.require_unique(founders, copies.founder, "disk")
+
+
+def check_maintenance(checker: SettingsChecker, settings: pb.Door, root: FieldPosition) -> None:
+    """Check the maintenance queue, which replicas hold."""
+    if not settings.HasField("maintenance"):
+        return
+    checker.require_positive(settings.maintenance, root.at("maintenance"), "capacity")
+    if not settings.HasField("copies"):
+        checker.report(root.at("maintenance"), "needs copies: they hold the order book")
--- /dev/null
+++ b/martenstep/config/loading.py
@@ -0,0 +1,45 @@
+"""Loads settings from protobuf text format, with all that is wrong with a file told at once."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+
+from martenstep.config import door_pb2 as pb
+from martenstep.config.checker import SettingsChecker
+from martenstep.config.checks.gateway import check_gateway
+from martenstep.config.text_format import FieldPosition, MessageT, SettingsError, SettingsProblem, parse
+
+
+def read_text(path: Path) -> str:
+    """Return a file's text; raises SettingsError where it cannot be read."""
+    try:
+        return path.read_text(encoding="utf-8")
+    except OSError as error:
+        raise SettingsError(str(path), [SettingsProblem(1, 1, "", error.strerror or "cannot be read")]) from None
+    except UnicodeDecodeError as error:
+        raise SettingsError(str(path), [SettingsProblem(1, 1, "", f"not UTF-8 at byte {error.start}")]) from None
+
+
+def parse_checked(
+    text: str, message: MessageT, file: str, check: Callable[[SettingsChecker, MessageT, FieldPosition], None]
+) -> MessageT:
+    """Parse a message, check its form and then its sense; raises SettingsError with all that is wrong."""
+    parsed, root, problems = parse(text, message, file)
+    if not problems:
+        checker = SettingsChecker()
+        check(checker, parsed, root)
+        problems = checker.problems
+    if problems:
+        raise SettingsError(file, problems)
+    return parsed
+
+
+def parse_door(text: str, file: str) -> pb.Door:
+    """Parse a gateway's settings from text; raises SettingsError with all that is wrong."""
+    return parse_checked(text, pb.Door(), file, check_gateway)
+
+
+def load_door(path: Path) -> pb.Door:
+    """Load a gateway's settings from a file; raises SettingsError with all that is wrong."""
+    return parse_door(read_text(path), str(path))
--- a/martenstep/config/text.py
+++ b/martenstep/config/text_format.py
@@ -1,7 +1,7 @@
-"""Reads protobuf text format and keeps where each field stands, so that a check can name line and column.
+"""Reads protobuf text format and keeps the position of each field, so that a check can name line and column.
 
-The library's own parser stops at the first fault and keeps no places in Python.  This reader goes on after a
-fault in a field, so that all of a file's faults are told; a file without any is read by the library.
+The library's own parser stops at the first problem and keeps no positions in Python.  This reader goes on after a
+problem in a field, so that all problems of a file are reported at once; a file without any is parsed by the library.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 import re
 from collections.abc import Iterator
 from dataclasses import dataclass, field
-from typing import Any, TypeVar
+from typing import TypeVar, cast
 
 from google.protobuf import text_format
-from google.protobuf.descriptor import FieldDescriptor
+from google.protobuf.descriptor import Descriptor, FieldDescriptor
 from google.protobuf.message import Message
 
 TOKEN = re.compile(
@@ -33,51 +33,53 @@
 }
 FLOATS = (FieldDescriptor.CPPTYPE_DOUBLE, FieldDescriptor.CPPTYPE_FLOAT)
 CLOSING = {"{": "}", "<": ">", "[": "]"}
-M = TypeVar("M", bound=Message)
+MessageT = TypeVar("MessageT", bound=Message)
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Fault:
-    """One thing wrong with a file: where, in which field, and what was expected."""
+class SettingsProblem:
+    """One problem of a settings file: where, in which field, and what was expected."""
 
     line: int
     column: int
     field: str
     text: str
 
-    def told(self, file: str) -> str:
-        """The one line that an operator reads."""
+    def describe(self, file: str) -> str:
+        """Return the line that an operator reads."""
         name = f"{self.field}: " if self.field else ""
         return f"{file}:{self.line}:{self.column}: {name}{self.text}"
 
 
-class Faults(Exception):
-    """All that is wrong with a file."""
+class SettingsError(Exception):
+    """A settings file that cannot be used, with all its problems in the order of the file."""
 
-    def __init__(self, file: str, faults: list[Fault]) -> None:
-        self.file, self.faults = file, sorted(faults)
-        super().__init__("\n".join(fault.told(file) for fault in self.faults))
+    def __init__(self, file: str, problems: list[SettingsProblem]) -> None:
+        """Keep the file's name and its problems."""
+        self.file = file
+        self.problems = sorted(problems)
+        super().__init__("\n".join(problem.describe(file) for problem in self.problems))
 
 
 @dataclass(slots=True)
-class Node:
-    """One field as it stands in a file, or the file itself."""
+class FieldPosition:
+    """The position of a field in a file, or of the file itself."""
 
     name: str
     path: str
     line: int
     column: int
-    children: list[Node] = field(default_factory=list)
+    children: list[FieldPosition] = field(default_factory=list)
 
-    def all(self, name: str) -> list[Node]:
-        """The places of a repeated field, in the order of the file."""
+    def all(self, name: str) -> list[FieldPosition]:
+        """Return the positions of a repeated field, in the order of the file."""
         return [child for child in self.children if child.name == name]
 
-    def at(self, name: str) -> Node:
-        """The place of a field, or of the message where the field is absent."""
+    def at(self, name: str) -> FieldPosition:
+        """Return the position of a field, or that of the message where the field is absent."""
         found = self.all(name)
         path = f"{self.path}.{name}" if self.path else name
-        return found[-1] if found else Node(name, path, self.line, self.column)
+        return found[-1] if found else FieldPosition(name, path, self.line, self.column)
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +90,7 @@
     column: int
 
 
-class _Broken(Exception):
+class _UnreadableError(Exception):
     """The text is no longer text format: nothing after this can be read."""
 
 
@@ -109,10 +111,12 @@
 
 
 class _Reader:
+    """Reads one file, its tokens in order."""
+
     def __init__(self, text: str) -> None:
         self._tokens = list(_tokens(text))
         self._at = 0
-        self.faults: list[Fault] = []
+        self.problems: list[SettingsProblem] = []
 
     def _peek(self) -> _Token:
         return self._tokens[min(self._at, len(self._tokens) - 1)]
@@ -122,21 +126,22 @@
         self._at += 1
         return token
 
-    def _fault(self, token: _Token | Node, path: str, text: str) -> None:
-        self.faults.append(Fault(token.line, token.column, path, text))
+    def _report(self, token: _Token | FieldPosition, path: str, text: str) -> None:
+        self.problems.append(SettingsProblem(token.line, token.column, path, text))
 
-    def _stop(self, token: _Token, path: str, expected: str) -> _Broken:
-        self._fault(token, path, f"expected {expected}, got {token.text!r}")
-        return _Broken()
+    def _unreadable(self, token: _Token, path: str, expected: str) -> _UnreadableError:
+        self._report(token, path, f"expected {expected}, got {token.text!r}")
+        return _UnreadableError()
 
-    def read(self, kind: Any) -> Node:
-        root = Node("", "", 1, 1)
-        with contextlib.suppress(_Broken):
-            self._body(root, kind, "end")
+    def read(self, descriptor: Descriptor) -> FieldPosition:
+        """Read the fields of the whole file."""
+        root = FieldPosition("", "", 1, 1)
+        with contextlib.suppress(_UnreadableError):
+            self._body(root, descriptor, "end")
         return root
 
-    def _body(self, node: Node, kind: Any, close: str) -> None:
-        """The fields of a message; kind is None inside a field that is not known."""
+    def _body(self, node: FieldPosition, descriptor: Descriptor | None, close: str) -> None:
+        """Read the fields of a message; `descriptor` is None inside a field that is not known."""
         counts: dict[str, int] = {}
         chosen: dict[str, str] = {}
         while True:
@@ -144,28 +149,36 @@
             if token.text == close or (token.kind == "end" and close == "end"):
                 return
             if token.kind != "word" or token.text.startswith("-"):
-                raise self._stop(token, node.path, "a field's name" if close == "end" else f"a field or {close!r}")
-            known = kind.fields_by_name.get(token.text) if kind else None
-            repeated = known is not None and known.is_repeated
+                expected = "a field's name" if close == "end" else f"a field or {close!r}"
+                raise self._unreadable(token, node.path, expected)
+            known = descriptor.fields_by_name.get(token.text) if descriptor else None
             number = counts.get(token.text, 0)
             counts[token.text] = number + 1
             path = f"{node.path}.{token.text}" if node.path else token.text
-            path += f"[{number}]" if repeated else ""
-            child = Node(token.text, path, token.line, token.column)
-            if kind and known is None:
-                self._fault(token, path, f"there is no such field in {kind.name}")
-            elif known is not None and not repeated and number:
-                self._fault(token, path, "given twice")
-            elif known is not None and known.containing_oneof is not None:
-                other = chosen.setdefault(known.containing_oneof.name, token.text)
-                if other != token.text:
-                    self._fault(token, path, f"given beside {other}; only one of them may be")
+            if known is not None and known.is_repeated:
+                path += f"[{number}]"
+            child = FieldPosition(token.text, path, token.line, token.column)
+            if descriptor and known is None:
+                self._report(token, path, f"there is no such field in {descriptor.name}")
+            elif known is not None:
+                self._check_single(token, known, path, number, chosen)
             node.children.append(child)
             self._value(child, known)
             if self._peek().text in (",", ";"):
                 self._take()
 
-    def _value(self, node: Node, known: FieldDescriptor | None) -> None:
+    def _check_single(
+        self, token: _Token, known: FieldDescriptor, path: str, number: int, chosen: dict[str, str]
+    ) -> None:
+        """Report a field that is given twice, or beside another of its oneof."""
+        if not known.is_repeated and number:
+            self._report(token, path, "given twice")
+        elif known.containing_oneof is not None:
+            other = chosen.setdefault(known.containing_oneof.name, token.text)
+            if other != token.text:
+                self._report(token, path, f"given beside {other}; only one of them may be")
+
+    def _value(self, node: FieldPosition, known: FieldDescriptor | None) -> None:
         token = self._take()
         colon = token.text == ":"
         if colon:
@@ -173,16 +186,16 @@
         nested = known is not None and known.message_type is not None
         if token.text in ("{", "<"):
             if known is not None and not nested:
-                self._fault(token, node.path, f"expected {_expected(known)}, got a message")
+                self._report(token, node.path, f"expected {_expected(known)}, got a message")
             self._body(node, known.message_type if known and nested else None, CLOSING[token.text])
         elif token.text == "[":
             self._list(node, known)
         elif not colon:
-            raise self._stop(token, node.path, "':' or '{'")
+            raise self._unreadable(token, node.path, "':' or '{'")
         else:
             self._scalar(token, node, known)
 
-    def _list(self, node: Node, known: FieldDescriptor | None) -> None:
+    def _list(self, node: FieldPosition, known: FieldDescriptor | None) -> None:
         while self._peek().text != "]":
             token = self._take()
             if token.text in ("{", "<"):
@@ -193,13 +206,13 @@
                 self._take()
         self._take()
 
-    def _scalar(self, token: _Token, node: Node, known: FieldDescriptor | None) -> None:
+    def _scalar(self, token: _Token, node: FieldPosition, known: FieldDescriptor | None) -> None:
         if token.kind not in ("string", "number", "word"):
-            raise self._stop(token, node.path, "a value")
+            raise self._unreadable(token, node.path, "a value")
         while token.kind == "string" and self._peek().kind == "string":
             self._take()
         if known is not None and not _fits(token, known):
-            self._fault(token, node.path, f"expected {_expected(known)}, got {token.text}")
+            self._report(token, node.path, f"expected {_expected(known)}, got {token.text}")
 
 
 def _fits(token: _Token, known: FieldDescriptor) -> bool:
@@ -233,20 +246,19 @@
     return words.get(kind, "a finite number")
 
 
-def parse(text: str, message: M, file: str) -> tuple[M, Node, list[Fault]]:
-    """Read a file into a message; gives it, the places of its fields, and what is wrong with its form.
+def parse(text: str, message: MessageT, file: str) -> tuple[MessageT, FieldPosition, list[SettingsProblem]]:
+    """Read a file into a message; return it, the positions of its fields, and what is wrong with its form.
 
-    Where the form is wrong the message holds what could be read without the faulty part, so that further checks
-    can still speak of the rest.
+    Where the form is wrong the message is returned as it came.
     """
     reader = _Reader(text)
-    root = reader.read(message.DESCRIPTOR)
-    if reader.faults:
-        return message, root, reader.faults
+    root = reader.read(cast(Descriptor, message.DESCRIPTOR))
+    if reader.problems:
+        return message, root, reader.problems
     try:
         text_format.Parse(text, message)
     except text_format.ParseError as error:
         line, column = error.GetLine() or 1, error.GetColumn() or 1
         reason = re.sub(r"^\d+:\d+\s*:\s*", "", str(error))
-        return message, root, [Fault(line, column, "", reason)]
+        return message, root, [SettingsProblem(line, column, "", reason)]
     return message, root, []
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 from martenstep.counter import counter_pb2 as pb
 from martenstep.counter.connection import DoorConnection, cut_off_silent
 from martenstep.counter.protocol import (
@@ -228,7 +228,7 @@
     """Take up a new list of copies; what is wrong with it changes nothing."""
     try:
         listed.take(load().copies)
-    except (Faults, OSError) as error:
+    except (SettingsError, OSError) as error:
         _log_event("copies not taken up", {"error": str(error)})
     else:
         _log_event("copies taken up", {"copies": list(listed.copies)})
--- a/martenstep/hooks/files.py
+++ b/martenstep/hooks/files.py
@@ -30,8 +30,9 @@
 )
 from google.protobuf import text_format
 
-from martenstep.config.settings import Checker, parse_checked
-from martenstep.config.text import Faults, Node
+from martenstep.config.checker import SettingsChecker
+from martenstep.config.loading import parse_checked
+from martenstep.config.text_format import FieldPosition, SettingsError
 from martenstep.hooks import manifest_pb2 as pb
 from martenstep.hooks.code import compile_source
 from martenstep.hooks.release import Hook, Release
@@ -81,24 +82,24 @@
         raise ReleaseError(f"{name}: not UTF-8 at byte {error.start}") from None
 
 
-def check_manifest(check: Checker, made: pb.Manifest, root: Node) -> None:
+def check_manifest(check: SettingsChecker, made: pb.Manifest, root: FieldPosition) -> None:
     """What a manifest must say."""
     if not made.end:
-        check.fault(root.at("end"), "missing as the last line: the manifest may be half-written")
-    check.number(made, root, "version", 1)
+        check.report(root.at("end"), "missing as the last line: the manifest may be half-written")
+    check.require_range(made, root, "version", 1)
     if not 0 < made.share <= 1:
-        check.fault(root.at("share"), f"expected above 0, to 1, got {made.share:g}")
+        check.report(root.at("share"), f"expected above 0, to 1, got {made.share:g}")
     if made.trial_customer and made.share >= 1:
-        check.fault(root.at("trial_customer"), "is of use only with a share below 1")
+        check.report(root.at("trial_customer"), "is of use only with a share below 1")
     for_all: dict[str, int] = {}
     for hook, node in zip(made.hook, root.all("hook"), strict=True):
-        check.known(hook, node, "point", set(POINTS), "point")
+        check.require_reference(hook, node, "point", set(POINTS), "point")
         if not NAME.fullmatch(hook.file):
-            check.fault(node.at("file"), f"expected the name of a .hook file beside the manifest, got {hook.file!r}")
+            check.report(node.at("file"), f"expected the name of a .hook file beside the manifest, got {hook.file!r}")
         if not SHA256.fullmatch(hook.sha256):
-            check.fault(node.at("sha256"), "expected 64 hex digits")
+            check.report(node.at("sha256"), "expected 64 hex digits")
         if hook.point in for_all:
-            check.fault(node, f"never acts: the one at line {for_all[hook.point]} takes all at this point")
+            check.report(node, f"never acts: the one at line {for_all[hook.point]} takes all at this point")
         elif not hook.customer and not hook.plan:
             for_all[hook.point] = node.line
 
@@ -128,7 +129,7 @@
     signer = _signer(folder, raw, trusted)
     try:
         made = parse_checked(_text(raw, MANIFEST), pb.Manifest(), MANIFEST, check_manifest)
-    except Faults as faults:
+    except SettingsError as faults:
         raise ReleaseError(str(faults).replace("\n", "; ")[:1000]) from None
     hooks = []
     for hook in made.hook:
@@ -222,7 +223,7 @@
         text = _text(_bounded(source / MANIFEST, MOST_MANIFEST), MANIFEST)
         try:
             made = parse_checked(text, made, MANIFEST, lambda check, message, root: None)
-        except Faults as faults:
+        except SettingsError as faults:
             raise ReleaseError(str(faults)) from None
     else:
         for file in sorted(source.glob("*.hook")):
--- a/martenstep/lab/day.py
+++ b/martenstep/lab/day.py
@@ -12,16 +12,10 @@
 from google.protobuf import text_format
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.config.settings import (
-    COPIES,
-    Checker,
-    check_class,
-    check_plan,
-    check_rules,
-    parse_checked,
-    read_text,
-)
-from martenstep.config.text import Node
+from martenstep.config.checker import REPLICA_COUNTS, SettingsChecker
+from martenstep.config.checks.request_classes import check_class, check_plan, check_rules
+from martenstep.config.loading import parse_checked, read_text
+from martenstep.config.text_format import FieldPosition
 from martenstep.hooks.code import compile_source
 from martenstep.hooks.syntax import HookFault
 from martenstep.lab import day_pb2 as pb
@@ -67,138 +61,140 @@
     return f"zone-{chr(ord('a') + number % 26)}"
 
 
-def _check_event(check: Checker, event: pb.Event, node: Node, day: pb.Day) -> None:
+def _check_event(check: SettingsChecker, event: pb.Event, node: FieldPosition, day: pb.Day) -> None:
     length = sum(phase.for_ms for phase in day.phase)
     if event.trouble == pb.NONE:
-        check.fault(node.at("trouble"), "missing")
-    check.number(event, node, "at_ms", 0, length)
-    check.number(event, node, "for_ms", 0, LONGEST_MS)
-    check.number(event, node, "share", 0, 1)
-    check.number(event, node, "factor", 0, 1e6)
+        check.report(node.at("trouble"), "missing")
+    check.require_range(event, node, "at_ms", 0, length)
+    check.require_range(event, node, "for_ms", 0, LONGEST_MS)
+    check.require_range(event, node, "share", 0, 1)
+    check.require_range(event, node, "factor", 0, 1e6)
     number = day.fleet.doors if event.trouble in DOOR_TROUBLES else day.fleet.servers
     if event.trouble in AUTH_TROUBLES:
         number = day.auth_services.number if day.HasField("auth_services") else 0
         if not number:
-            check.fault(node.at("trouble"), "fits only a day with auth_services")
+            check.report(node.at("trouble"), "fits only a day with auth_services")
             return
     if event.trouble in STORE_TROUBLES + FEED_TROUBLES + (pb.NET_CUT,):
         if event.trouble in (pb.COUNTER_KILLED, pb.STORE_SLOTS_MOVE):
-            check.number(event, node, "count", 1, 10_000)
+            check.require_range(event, node, "count", 1, 10_000)
         if event.target:
-            check.fault(node.at("target"), "is of use only for doors and servers")
+            check.report(node.at("target"), "is of use only for doors and servers")
     elif any(target >= number for target in event.target):
-        check.fault(node.at("target"), f"expected below {number}")
+        check.report(node.at("target"), f"expected below {number}")
     elif event.count > number:
-        check.fault(node.at("count"), f"expected no more than {number}")
+        check.report(node.at("count"), f"expected no more than {number}")
     if event.trouble in STORE_TROUBLES and (event.trouble == pb.COUNTER_KILLED) != day.own_counter:
-        check.fault(
+        check.report(
             node.at("trouble"),
             "fits only a day with own_counter" if not day.own_counter else "fits only a day without own_counter",
         )
     if (event.trouble == pb.COUNTER_KILLED and day.HasField("held_by_doors")) or (
         event.trouble == pb.DOOR_LOST and not day.HasField("held_by_doors")
     ):
-        check.fault(
+        check.report(
             node.at("trouble"),
             "fits only a day with held_by_doors"
             if event.trouble == pb.DOOR_LOST
             else "there is no counter process on a day with held_by_doors",
         )
     if event.trouble == pb.STORE_FAILOVER and day.store_topology == cfg.Store.ALONE:
-        check.fault(node.at("trouble"), "fits only a store with replicas: set store_topology")
+        check.report(node.at("trouble"), "fits only a store with replicas: set store_topology")
     if event.trouble == pb.STORE_SLOTS_MOVE:
         if day.store_topology != cfg.Store.CLUSTER:
-            check.fault(node.at("trouble"), "fits only a cluster: set store_topology")
-        check.number(event, node, "count", 1, SLOTS)
+            check.report(node.at("trouble"), "fits only a cluster: set store_topology")
+        check.require_range(event, node, "count", 1, SLOTS)
     if event.trouble == pb.NET_CUT:
-        check.needed(event, node, "source", "sink")
+        check.require_present(event, node, "source", "sink")
     if event.trouble == pb.SERVER_CLASS_FAILS and not getattr(event, "class"):
-        check.fault(node.at("class"), "missing")
+        check.report(node.at("class"), "missing")
     if event.trouble in (pb.STORE_PAUSED, pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.COUNTER_KILLED) and not event.for_ms:
-        check.fault(node.at("for_ms"), "missing, expected above 0")
+        check.report(node.at("for_ms"), "missing, expected above 0")
 
 
-def check_day(check: Checker, day: pb.Day, root: Node) -> None:
+def check_day(check: SettingsChecker, day: pb.Day, root: FieldPosition) -> None:
     """All of a day."""
-    check.needed(day, root, "name")
+    check.require_present(day, root, "name")
     node = root.at("fleet")
     for name, most in (("doors", 2000), ("servers", 5000), ("zones", 26), ("cells", 200), ("cores", 64)):
-        check.number(day.fleet, node, name, 1, most)
-    check.number(day.fleet, node, "slow_share", 0, 1)
-    check.number(day.fleet, node, "feed_lag_ms", 0, 60_000)
+        check.require_range(day.fleet, node, name, 1, most)
+    check.require_range(day.fleet, node, "slow_share", 0, 1)
+    check.require_range(day.fleet, node, "feed_lag_ms", 0, 60_000)
     classes = list(getattr(day, "class"))
     for entry, at in zip(classes, root.all("class"), strict=True):
         check_class(check, entry, at)
-    check.unique(root.all("class"), classes, "name")
+    check.require_unique(root.all("class"), classes, "name")
     for plan, at in zip(day.plan, root.all("plan"), strict=True):
         check_plan(check, plan, at)
-    check.unique(root.all("plan"), day.plan, "name")
+    check.require_unique(root.all("plan"), day.plan, "name")
     for name in ("class", "plan", "work", "customers", "phase"):
         if not root.all(name):
-            check.fault(root.at(name), "missing: at least one is needed")
+            check.report(root.at(name), "missing: at least one is needed")
     class_names, plan_names = {entry.name for entry in classes}, {plan.name for plan in day.plan}
     for work, at in zip(day.work, root.all("work"), strict=True):
-        check.known(work, at, "class", class_names, "class")
-        check.above_zero(work, at, "share", "least_ms", "units")
-        check.number(work, at, "most_ms", work.least_ms, 60_000)
+        check.require_reference(work, at, "class", class_names, "class")
+        check.require_positive(work, at, "share", "least_ms", "units")
+        check.require_range(work, at, "most_ms", work.least_ms, 60_000)
     for group, at in zip(day.customers, root.all("customers"), strict=True):
-        check.known(group, at, "plan", plan_names, "plan")
-        check.number(group, at, "number", 1, 1_000_000)
-        check.above_zero(group, at, "share")
-        check.number(group, at, "doors", 1, max(day.fleet.doors, 1))
-        check.number(group, at, "once_share", 0, 1)
-        check.number(group, at, "skew", 0, 10)
+        check.require_reference(group, at, "plan", plan_names, "plan")
+        check.require_range(group, at, "number", 1, 1_000_000)
+        check.require_positive(group, at, "share")
+        check.require_range(group, at, "doors", 1, max(day.fleet.doors, 1))
+        check.require_range(group, at, "once_share", 0, 1)
+        check.require_range(group, at, "skew", 0, 10)
     for phase, at in zip(day.phase, root.all("phase"), strict=True):
-        check.above_zero(phase, at, "for_ms")
-        check.number(phase, at, "rate", 0, 100_000)
-        check.number(phase, at, "burst_times", 1, 1000)
-        check.above_zero(phase, at, "burst_ms", "calm_ms", "swing_ms")
+        check.require_positive(phase, at, "for_ms")
+        check.require_range(phase, at, "rate", 0, 100_000)
+        check.require_range(phase, at, "burst_times", 1, 1000)
+        check.require_positive(phase, at, "burst_ms", "calm_ms", "swing_ms")
         for name in ("hot_share", "shift_share", "first_door_share", "swing"):
-            check.number(phase, at, name, 0, 1)
+            check.require_range(phase, at, name, 0, 1)
         if phase.only_plan:
-            check.known(phase, at, "only_plan", plan_names, "plan")
+            check.require_reference(phase, at, "only_plan", plan_names, "plan")
         if phase.hot_share and not phase.only_plan:
-            check.fault(at.at("only_plan"), "missing: of which plan is the one hot customer?")
+            check.report(at.at("only_plan"), "missing: of which plan is the one hot customer?")
     if sum(phase.for_ms for phase in day.phase) > LONGEST_MS:
-        check.fault(root.at("phase"), f"expected no more than {LONGEST_MS:g} ms in all")
+        check.report(root.at("phase"), f"expected no more than {LONGEST_MS:g} ms in all")
     node = root.at("clients")
-    check.number(day.clients, node, "retries", 0, 20)
-    check.number(day.clients, node, "leave_share", 0, 1)
-    check.number(day.clients, node, "least_patience", 0.01, 1)
-    check.number(day.clients, node, "most_patience", day.clients.least_patience, 1)
+    check.require_range(day.clients, node, "retries", 0, 20)
+    check.require_range(day.clients, node, "leave_share", 0, 1)
+    check.require_range(day.clients, node, "least_patience", 0.01, 1)
+    check.require_range(day.clients, node, "most_patience", day.clients.least_patience, 1)
     if day.clients.abuse_plan:
-        check.known(day.clients, node, "abuse_plan", plan_names, "plan")
+        check.require_reference(day.clients, node, "abuse_plan", plan_names, "plan")
     for event, at in zip(day.event, root.all("event"), strict=True):
         _check_event(check, event, at, day)
     for release, at in zip(day.hooks, root.all("hooks"), strict=True):
-        check.number(release, at, "at_ms", 0, LONGEST_MS)
+        check.require_range(release, at, "at_ms", 0, LONGEST_MS)
         if not 0 < release.share <= 1:
-            check.fault(at.at("share"), f"expected above 0, to 1, got {release.share:g}")
+            check.report(at.at("share"), f"expected above 0, to 1, got {release.share:g}")
         try:
             compile_source(release.source)
         except HookFault as fault:
-            check.fault(at.at("source"), str(fault))
+            check.report(at.at("source"), str(fault))
     if day.HasField("held_by_doors"):
         node = root.at("held_by_doors")
         if not day.own_counter:
-            check.fault(node, "needs own_counter")
-        check.number(day.held_by_doors, node, "slots", 1, 64)
-        check.number(day.held_by_doors, node, "final_ms", 1000)
-        if day.held_by_doors.copies not in COPIES:
-            check.fault(node.at("copies"), f"expected {', '.join(map(str, COPIES))}, got {day.held_by_doors.copies}")
+            check.report(node, "needs own_counter")
+        check.require_range(day.held_by_doors, node, "slots", 1, 64)
+        check.require_range(day.held_by_doors, node, "final_ms", 1000)
+        if day.held_by_doors.copies not in REPLICA_COUNTS:
+            check.report(
+                node.at("copies"), f"expected {', '.join(map(str, REPLICA_COUNTS))}, got {day.held_by_doors.copies}"
+            )
     if day.limiter not in LIMITERS:
-        check.fault(root.at("limiter"), f"expected one of {', '.join(LIMITERS[1:])}")
+        check.report(root.at("limiter"), f"expected one of {', '.join(LIMITERS[1:])}")
     check_rules(check, day.rules, root.at("rules"))
-    check.above_zero(day, root, "store_timeout_ms", "judge_slack_ms", "store_call_ms")
+    check.require_positive(day, root, "store_timeout_ms", "judge_slack_ms", "store_call_ms")
 
 
 def parse_day(text: str, file: str) -> pb.Day:
-    """A day from text; raises Faults with all that is wrong."""
+    """A day from text; raises SettingsError with all that is wrong."""
     return parse_checked(text, pb.Day(), file, check_day)
 
 
 def load_day(path: Path) -> pb.Day:
-    """A day from a file; raises Faults with all that is wrong."""
+    """A day from a file; raises SettingsError with all that is wrong."""
     return parse_day(read_text(path), str(path))
 
 
--- a/martenstep/lab/emulate/match.py
+++ b/martenstep/lab/emulate/match.py
@@ -49,7 +49,7 @@
 
 
 def match(folder: Path) -> list[Pair]:
-    """A played day's figures beside those of its emulation; raises Faults, TraceError, NotEmulatedError."""
+    """A played day's figures beside those of its emulation; raises SettingsError, TraceError, NotEmulatedError."""
     day = load_day(folder / "day.txtpb")
     traffic, _ = judged_traffic(folder, day)
     played = summary(day, traffic, figures(day, traffic))
--- a/martenstep/lab/experiment/plan.py
+++ b/martenstep/lab/experiment/plan.py
@@ -8,8 +8,9 @@
 
 from google.protobuf import text_format
 
-from martenstep.config.settings import Checker, parse_checked, read_text
-from martenstep.config.text import Faults, Node
+from martenstep.config.checker import SettingsChecker
+from martenstep.config.loading import parse_checked, read_text
+from martenstep.config.text_format import FieldPosition, SettingsError
 from martenstep.lab import day_pb2, plan_pb2
 from martenstep.lab.day import check_day, load_day
 
@@ -35,37 +36,37 @@
     day: bytes  # serialized
 
 
-def _check(check: Checker, plan: plan_pb2.Plan, root: Node) -> None:
-    check.needed(plan, root, "name", "day")
-    check.number(plan, root, "repetitions", 1, 1000)
-    check.unique(root.all("factor"), plan.factor, "name")
+def _check(check: SettingsChecker, plan: plan_pb2.Plan, root: FieldPosition) -> None:
+    check.require_present(plan, root, "name", "day")
+    check.require_range(plan, root, "repetitions", 1, 1000)
+    check.require_unique(root.all("factor"), plan.factor, "name")
     arms = 1
     for factor, node in zip(plan.factor, root.all("factor"), strict=True):
-        check.needed(factor, node, "name")
+        check.require_present(factor, node, "name")
         if not factor.level:
-            check.fault(node.at("level"), "missing: at least one is needed")
-        check.unique(node.all("level"), factor.level, "name")
+            check.report(node.at("level"), "missing: at least one is needed")
+        check.require_unique(node.all("level"), factor.level, "name")
         for level, at in zip(factor.level, node.all("level"), strict=True):
-            check.needed(level, at, "name")
+            check.require_present(level, at, "name")
             if "/" in level.name:
-                check.fault(at.at("name"), "may not hold '/'")
-            check.above_zero(level, at, "rate_times", "customers_times")
+                check.report(at.at("name"), "may not hold '/'")
+            check.require_positive(level, at, "rate_times", "customers_times")
             try:
                 text_format.Parse(level.set, day_pb2.Day())
             except text_format.ParseError as error:
-                check.fault(at.at("set"), str(error))
+                check.report(at.at("set"), str(error))
         arms *= max(len(factor.level), 1)
     if arms > MOST_ARMS or arms * plan.repetitions > MOST_RUNS:
-        check.fault(root, f"{arms} arms of {plan.repetitions} runs: at most {MOST_ARMS} arms and {MOST_RUNS} runs")
+        check.report(root, f"{arms} arms of {plan.repetitions} runs: at most {MOST_ARMS} arms and {MOST_RUNS} runs")
 
 
 def parse_plan(text: str, file: str) -> plan_pb2.Plan:
-    """A plan from text; raises Faults."""
+    """A plan from text; raises SettingsError."""
     return parse_checked(text, plan_pb2.Plan(), file, _check)
 
 
 def load_plan(path: Path) -> plan_pb2.Plan:
-    """A plan from a file; raises Faults."""
+    """A plan from a file; raises SettingsError."""
     return parse_plan(read_text(path), str(path))
 
 
@@ -80,7 +81,7 @@
 
 
 def day_of(plan: plan_pb2.Plan, base: day_pb2.Day, arm: Arm) -> day_pb2.Day:
-    """The day of an arm; raises Faults where its levels make one that cannot be."""
+    """The day of an arm; raises SettingsError where its levels make one that cannot be."""
     day = day_pb2.Day()
     day.CopyFrom(base)
     for factor, (_, chosen) in zip(plan.factor, arm.levels, strict=True):
@@ -92,26 +93,26 @@
             group.number = max(round(group.number * level.customers_times), 1)
             if level.customer_doors:
                 group.doors = min(level.customer_doors, day.fleet.doors)
-    checked, root = Checker(), Node("", "", 1, 1)
+    checked, root = SettingsChecker(), FieldPosition("", "", 1, 1)
     # The merged day stands in no file: faults are told by their fields.
     nodes = _nodes(day, root)
     check_day(checked, day, nodes)
-    if checked.faults:
-        raise Faults(f"arm {arm.name}", checked.faults)
+    if checked.problems:
+        raise SettingsError(f"arm {arm.name}", checked.problems)
     return day
 
 
-def _nodes(day: day_pb2.Day, root: Node) -> Node:
+def _nodes(day: day_pb2.Day, root: FieldPosition) -> FieldPosition:
     """Places for a message without a text: one for each entry of its lists."""
     for field in day.DESCRIPTOR.fields:
         if field.is_repeated and field.message_type is not None:
             for number in range(len(getattr(day, field.name))):
-                root.children.append(Node(field.name, f"{field.name}[{number}]", 1, 1))
+                root.children.append(FieldPosition(field.name, f"{field.name}[{number}]", 1, 1))
     return root
 
 
 def runs_of(plan: plan_pb2.Plan, folder: Path) -> list[Run]:
-    """All runs, repetition by repetition, so that what is there early tells of all arms; raises Faults."""
+    """All runs, repetition by repetition, so that what is there early tells of all arms; raises SettingsError."""
     base = load_day(folder / plan.day)
     days = [(arm, day_of(plan, base, arm)) for arm in arms_of(plan)]
     made = []
--- a/martenstep/lab/experiment/run.py
+++ b/martenstep/lab/experiment/run.py
@@ -140,7 +140,7 @@
 ) -> Path:
     """Run what is not there yet, in virtual time or on loopback sockets (one at a time, since the machine is part of
     what is measured there); gives the result's file.  `progress` is told of runs done, of all, and of the seconds
-    left about.  Raises RunError, Faults, OSError."""
+    left about.  Raises RunError, SettingsError, OSError."""
     runs = runs_of(plan, folder)
     out.mkdir(parents=True, exist_ok=True)
     days = hashlib.sha256(b"".join(run.day for run in runs)).hexdigest()[:16]
--- a/martenstep/lab/experiment/sweep.py
+++ b/martenstep/lab/experiment/sweep.py
@@ -21,8 +21,9 @@
 from google.protobuf import text_format
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.config.settings import Checker, parse_checked, read_text
-from martenstep.config.text import Node
+from martenstep.config.checker import SettingsChecker
+from martenstep.config.loading import parse_checked, read_text
+from martenstep.config.text_format import FieldPosition
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab import plan_pb2
 from martenstep.lab.day import AUTH_TROUBLES, length_ms
@@ -56,27 +57,27 @@
 Emulates = Callable[[pb.Day], dict[str, Any]]
 
 
-def _check(check: Checker, plan: plan_pb2.Sweep, root: Node) -> None:
-    check.needed(plan, root, "name")
+def _check(check: SettingsChecker, plan: plan_pb2.Sweep, root: FieldPosition) -> None:
+    check.require_present(plan, root, "name")
     for name, least, most in (
         ("days", 1, 1_000_000),
         ("doors_most", 1, 512),
         ("tries_most", 10, 100_000),
         ("troubles_most", 0, 50),
     ):
-        check.number(plan, root, name, least, most)
+        check.require_range(plan, root, name, least, most)
     for kind in plan.trouble:
         if kind not in KINDS:
-            check.fault(root.at("trouble"), f"{pb.Trouble.Name(kind)} is not drawn in a sweep")
+            check.report(root.at("trouble"), f"{pb.Trouble.Name(kind)} is not drawn in a sweep")
 
 
 def parse_sweep(text: str, file: str) -> plan_pb2.Sweep:
-    """A sweep's plan from text; raises Faults."""
+    """A sweep's plan from text; raises SettingsError."""
     return parse_checked(text, plan_pb2.Sweep(), file, _check)
 
 
 def load_sweep(path: Path) -> plan_pb2.Sweep:
-    """A sweep's plan from a file; raises Faults."""
+    """A sweep's plan from a file; raises SettingsError."""
     return parse_sweep(read_text(path), str(path))
 
 
--- a/martenstep/lab/fleet/groups.py
+++ b/martenstep/lab/fleet/groups.py
@@ -308,7 +308,7 @@
                 copy.hand_over(node.clock(self.sim.now), step.to)
             self._after(node)
 
-    # Faults.
+    # SettingsError.
 
     def _fault(self) -> None:
         rng = self.rng
--- a/martenstep/lab/fleet/rig.py
+++ b/martenstep/lab/fleet/rig.py
@@ -302,7 +302,7 @@
             )
         )
 
-    # Faults.
+    # SettingsError.
 
     async def play(self) -> None:
         """The time line, then the time to settle, then what each door holds."""
@@ -442,7 +442,7 @@
         for place in self._places.values():
             if place.paused:
                 self._pause(place, False)
-        # Faults are over and the verdict is taken: nobody needs to leave in good order.
+        # SettingsError are over and the verdict is taken: nobody needs to leave in good order.
         await asyncio.gather(*(place.process.kill() for place in self._places.values() if place.process is not None))
         if self._feed is not None:
             await self._feed.stop()
--- a/martenstep/lab/fleet/schedule.py
+++ b/martenstep/lab/fleet/schedule.py
@@ -8,8 +8,9 @@
 from fnmatch import fnmatchcase
 from pathlib import Path
 
-from martenstep.config.settings import Checker, parse_checked, read_text
-from martenstep.config.text import Node
+from martenstep.config.checker import SettingsChecker
+from martenstep.config.loading import parse_checked, read_text
+from martenstep.config.text_format import FieldPosition
 from martenstep.lab.fleet import fleet_pb2 as pb
 
 MOST_MEMBERS = 400
@@ -54,63 +55,63 @@
     ]
 
 
-def _check_break(check: Checker, entry: pb.Break, node: Node, schedule: pb.Schedule) -> None:
+def _check_break(check: SettingsChecker, entry: pb.Break, node: FieldPosition, schedule: pb.Schedule) -> None:
     what, members = entry.what, members_of(schedule)
     if what == pb.NONE:
-        check.fault(node.at("what"), "missing")
+        check.report(node.at("what"), "missing")
         return
-    check.number(entry, node, "at_ms", 0, schedule.length_ms)
-    check.number(entry, node, "for_ms", 0, LONGEST_MS)
-    check.number(entry, node, "share", 0, 1)
-    check.number(entry, node, "ms", 0, LONGEST_MS)
-    check.number(entry, node, "jitter_ms", 0, 60_000)
-    check.number(entry, node, "every_ms", 0, LONGEST_MS)
-    check.number(entry, node, "within_ms", 0, LONGEST_MS)
-    check.number(entry, node, "per_s", 0, 10_000)
+    check.require_range(entry, node, "at_ms", 0, schedule.length_ms)
+    check.require_range(entry, node, "for_ms", 0, LONGEST_MS)
+    check.require_range(entry, node, "share", 0, 1)
+    check.require_range(entry, node, "ms", 0, LONGEST_MS)
+    check.require_range(entry, node, "jitter_ms", 0, 60_000)
+    check.require_range(entry, node, "every_ms", 0, LONGEST_MS)
+    check.require_range(entry, node, "within_ms", 0, LONGEST_MS)
+    check.require_range(entry, node, "per_s", 0, 10_000)
     if not 0 < entry.part <= 1:
-        check.fault(node.at("part"), f"expected above 0 and at most 1, got {entry.part:g}")
+        check.report(node.at("part"), f"expected above 0 and at most 1, got {entry.part:g}")
     if what in WIRE:
         for name in ("source", "sink"):
             if not fitting(getattr(entry, name), members):
-                check.fault(node.at(name), "fits no member and no zone")
+                check.report(node.at(name), "fits no member and no zone")
         if entry.who:
-            check.fault(node.at("who"), "is of use only for what happens to members: see source and sink")
+            check.report(node.at("who"), "is of use only for what happens to members: see source and sink")
     elif what != pb.FORGE and not fitting(entry.who, members):
-        check.fault(node.at("who"), "fits no member and no zone")
+        check.report(node.at("who"), "fits no member and no zone")
     if what in SHARES and not entry.share:
-        check.fault(node.at("share"), "missing, expected above 0")
+        check.report(node.at("share"), "missing, expected above 0")
     if what in WITH_MS and not entry.ms:
-        check.fault(node.at("ms"), "missing")
+        check.report(node.at("ms"), "missing")
     if what in WITH_END and not entry.for_ms:
-        check.fault(node.at("for_ms"), "missing, expected above 0")
+        check.report(node.at("for_ms"), "missing, expected above 0")
     if what == pb.BANDWIDTH:
-        check.above_zero(entry, node, "bytes_per_s")
+        check.require_positive(entry, node, "bytes_per_s")
     if what == pb.FORGE:
-        check.above_zero(entry, node, "per_s")
+        check.require_positive(entry, node, "per_s")
 
 
-def check_schedule(check: Checker, schedule: pb.Schedule, root: Node) -> None:
+def check_schedule(check: SettingsChecker, schedule: pb.Schedule, root: FieldPosition) -> None:
     """Tell all that is wrong."""
-    check.needed(schedule, root, "name")
-    check.number(schedule, root, "members", 2, MOST_MEMBERS)
-    check.number(schedule, root, "zones", 1, 26)
-    check.number(schedule, root, "seeds", 1, max(schedule.members, 1))
-    check.number(schedule, root, "length_ms", 1, LONGEST_MS)
-    check.number(schedule, root, "settle_ms", 0, LONGEST_MS)
-    check.number(schedule, root, "period_ms", 20, 60_000)
-    check.number(schedule, root, "suspect_least_ms", 100, 600_000)
-    check.number(schedule, root, "reclaim_ms", 1000, LONGEST_MS)
+    check.require_present(schedule, root, "name")
+    check.require_range(schedule, root, "members", 2, MOST_MEMBERS)
+    check.require_range(schedule, root, "zones", 1, 26)
+    check.require_range(schedule, root, "seeds", 1, max(schedule.members, 1))
+    check.require_range(schedule, root, "length_ms", 1, LONGEST_MS)
+    check.require_range(schedule, root, "settle_ms", 0, LONGEST_MS)
+    check.require_range(schedule, root, "period_ms", 20, 60_000)
+    check.require_range(schedule, root, "suspect_least_ms", 100, 600_000)
+    check.require_range(schedule, root, "reclaim_ms", 1000, LONGEST_MS)
     for entry, node in zip(schedule.trouble, root.all("trouble"), strict=True):
         _check_break(check, entry, node, schedule)
 
 
 def parse_schedule(text: str, file: str) -> pb.Schedule:
-    """A schedule from its text; raises Faults."""
+    """A schedule from its text; raises SettingsError."""
     return parse_checked(text, pb.Schedule(), file, check_schedule)
 
 
 def load_schedule(path: Path) -> pb.Schedule:
-    """A schedule from its file; raises Faults."""
+    """A schedule from its file; raises SettingsError."""
     return parse_schedule(read_text(path), str(path))
 
 
--- a/martenstep/lab/fleet/virtual.py
+++ b/martenstep/lab/fleet/virtual.py
@@ -255,7 +255,7 @@
             again = self.sim.after(STREAM_MS, self._answered, place, core, dial, None, None)
             self._carry(place, core, dial, further, again)
 
-    # Faults.
+    # SettingsError.
 
     def _pause(self, place: Place, on: bool) -> None:
         if place.core is None or place.paused == on:
--- a/martenstep/lab/report.py
+++ b/martenstep/lab/report.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 from martenstep.counter.log_inspection import each_try
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import load_day
@@ -144,7 +144,7 @@
     """Judge a folder's traces; raises TraceError where it holds no day."""
     try:
         day = load_day(folder / "day.txtpb")
-    except Faults as error:
+    except SettingsError as error:
         raise TraceError(str(error)) from None
     traffic, breaches = judged_traffic(folder, day)
     guarded = [CHECKED] if day.HasField("auth_services") else []
--- a/martenstep/lab/rules.py
+++ b/martenstep/lab/rules.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.config.settings import EFFECTS, GROUPS
+from martenstep.config.policy_settings import DEDUPLICATION_SCOPE_BY_GROUP, IDEMPOTENCY_BY_EFFECT
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import zone_name
 from martenstep.policy.messages import DeduplicationScope, Idempotency
@@ -358,7 +358,7 @@
                     )
 
     def _same_group(self, cls: cfg.RequestClass, one: int, other: int) -> bool:
-        group = GROUPS[cls.group]
+        group = DEDUPLICATION_SCOPE_BY_GROUP[cls.group]
         if group is DeduplicationScope.ALL or one == other:
             return True
         table: dict[int, Any] = self._traffic.zones if group is DeduplicationScope.ZONE else self._traffic.cells
@@ -400,7 +400,7 @@
         for tried in self._traffic.tries.values():
             visits = sorted(tried.visits, key=lambda visit: visit.attempt)
             cls = self._classes[tried.cls]
-            effect = EFFECTS[cls.effect]
+            effect = IDEMPOTENCY_BY_EFFECT[cls.effect]
             for before, after in pairwise(visits):
                 if before.attempt == after.attempt:
                     yield Breach(
@@ -446,7 +446,7 @@
                         )
             answer = next((end for end in tried.ends if end["what"] == "answer"), None)
             harmless = effect is Idempotency.IDEMPOTENT or (
-                effect is Idempotency.KEYED and GROUPS[cls.group] is DeduplicationScope.ALL
+                effect is Idempotency.KEYED and DEDUPLICATION_SCOPE_BY_GROUP[cls.group] is DeduplicationScope.ALL
             )
             if answer and answer["status"] in REFUSED and risky and not harmless:
                 yield Breach(
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from martenstep.config import door_pb2 as pb
-from martenstep.config.tls import WARN_DAYS, ClientContext, ServerContext, TlsError
+from martenstep.config.tls import EXPIRY_WARNING_DAYS, ClientContext, ServerContext, TlsError
 from martenstep.counter.client import CounterClient, Journal
 from martenstep.counter.shards import Shards
 from martenstep.discovery.endpoint_list import Listed
@@ -235,7 +235,7 @@
         """Warn of a certificate that ends soon, now and each hour."""
         if self.driver.tls is not None:
             left = self.driver.tls.days_left()
-            if left < WARN_DAYS:
+            if left < EXPIRY_WARNING_DAYS:
                 self.event_logger.log("certificate ends soon", {"days_left": round(left, 1)})
             self.driver.loop.call_later(WARN_S, self._warn)
 
--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -7,7 +7,7 @@
 from martenstep.auth import core as auth
 from martenstep.auth.answerer import Answerer
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import ERROR_STATUS, module_settings
+from martenstep.config.policy_settings import DEFAULT_ERROR_STATUSES, build_policy_settings
 from martenstep.config.tls import ClientContext, ServerContext
 from martenstep.event_log import EventLog
 from martenstep.hooks.releases import Shelf
@@ -69,11 +69,11 @@
         points = Points(door, routes, secret - {b""}, {*wording.own_names, *named, *only}, epoch_ms)
     return Parts(
         name=door.name,
-        settings=module_settings(door),
+        settings=build_policy_settings(door),
         routes=routes,
         targets=Targets(listener.HasField("tls"), list(listener.host_name)),
         status=StatusTable(
-            upstream.refusal_status, upstream.refusal_header, frozenset(upstream.error_status or ERROR_STATUS)
+            upstream.refusal_status, upstream.refusal_header, frozenset(upstream.error_status or DEFAULT_ERROR_STATUSES)
         ),
         wording=wording,
         id_header=listener.request_id_header.lower().encode(),
--- a/martenstep/proxy/route_table.py
+++ b/martenstep/proxy/route_table.py
@@ -8,7 +8,7 @@
 from urllib.parse import unquote
 
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import class_of, customer_id, plan_of
+from martenstep.config.policy_settings import build_plan, build_request_class, customer_id
 from martenstep.policy import messages as api
 from martenstep.proxy.dependencies import Guarded, Routed, Unroutable
 from martenstep.proxy.engine_messages import Headers
@@ -31,8 +31,8 @@
     """The route table and the customers, as the settings give them."""
 
     def __init__(self, door: pb.Door) -> None:
-        self._classes = {entry.name: class_of(entry) for entry in getattr(door, "class")}
-        self._plans = {entry.name: plan_of(entry) for entry in door.plan}
+        self._classes = {entry.name: build_request_class(entry) for entry in getattr(door, "class")}
+        self._plans = {entry.name: build_plan(entry) for entry in door.plan}
         self._doors = door.instances
         self._default = self._plans.get(door.default_plan)
         self._customers: dict[str, tuple[int, api.Plan, int, int]] = {
--- a/martenstep/storage/files.py
+++ b/martenstep/storage/files.py
@@ -57,7 +57,7 @@
 FAULTS = "MARTENSTEP_DISK_FAULTS"  # the lab's: a file that tells what is wrong with the disk, read at each operation
 
 
-class Faults:
+class SettingsError:
     """What the lab has the disk do: `full`, `sync_fails`, or `sync_ms` more for each sync."""
 
     def __init__(self, file: Path) -> None:
@@ -84,7 +84,7 @@
 
 
 class _DiskAppender:
-    def __init__(self, number: int, faults: Faults | None = None) -> None:
+    def __init__(self, number: int, faults: SettingsError | None = None) -> None:
         self._number, self._faults = number, faults
 
     def write(self, data: bytes) -> None:
@@ -112,7 +112,7 @@
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._faults = Faults(Path(os.environ[FAULTS])) if os.environ.get(FAULTS) else None
+        self._faults = SettingsError(Path(os.environ[FAULTS])) if os.environ.get(FAULTS) else None
         path.mkdir(parents=True, exist_ok=True)
         self._patched: dict[str, int] = {}  # open files
         self._lock = os.open(path / "lock", os.O_RDWR | os.O_CREAT, 0o644)
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -17,7 +17,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.changes import differences
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 from martenstep.config.tls import TlsError
 from martenstep.event_log import EventLog
 from martenstep.proxy.daemon import Daemon, loop_fault
@@ -76,7 +76,7 @@
         take_up: Callable[[pb.Door], Coroutine[Any, Any, str]],
         renew: Callable[[], None],
     ) -> None:
-        """`load` reads the settings and raises Faults; `renew` reads hooks and certificates anew, which stand in files
+        """`load` reads the settings and raises SettingsError; `renew` reads hooks and certificates anew, which stand in files
         of their own."""
         self._load, self._log_event, self._notifier = load, log_event, notifier
         self._present, self._take_up, self._renew = present, take_up, renew
@@ -101,12 +101,12 @@
             return
         try:
             door = await asyncio.to_thread(self._load)
-        except Faults as error:
-            self._refused({"errors": [fault.told(error.file) for fault in error.faults][:MOST_LISTED]})
+        except SettingsError as error:
+            self._refused({"errors": [fault.describe(error.file) for fault in error.problems][:MOST_LISTED]})
             return
         door.listener.max_connections = min(door.listener.max_connections, self._most(door))
         changes = differences(self._present(), door)
-        stuck = [change.told() for change in changes if not change.live]
+        stuck = [change.describe() for change in changes if not change.live]
         if stuck:
             self._refused({"need_a_restart": stuck[:MOST_LISTED]})
             return
@@ -116,7 +116,7 @@
         if wrong:
             self._refused({"errors": [wrong]})
         else:
-            self._log_event("settings taken up", {"changes": [change.told() for change in changes][:MOST_LISTED]})
+            self._log_event("settings taken up", {"changes": [change.describe() for change in changes][:MOST_LISTED]})
 
     def _most(self, door: pb.Door) -> int:
         """Connections that the open files leave room for, as at the start."""
--- a/tests/door_rig.py
+++ b/tests/door_rig.py
@@ -5,7 +5,7 @@
 from typing import TypeVar
 
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import parse_door
+from martenstep.config.loading import parse_door
 from martenstep.discovery.endpoint_list import Listed
 from martenstep.hooks.releases import Shelf
 from martenstep.policy.messages import CallResult, Endpoint, EndpointListScope, EndpointState
--- a/tests/test_auth_answerer.py
+++ b/tests/test_auth_answerer.py
@@ -13,8 +13,8 @@
 from martenstep.auth.answerer import About, Answerer
 from martenstep.auth.core import Unasked
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import parse_door
-from martenstep.config.text import Faults
+from martenstep.config.loading import parse_door
+from martenstep.config.text_format import SettingsError
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_factory import engine_of
 from tests.door_rig import DOOR, QUIET, Rig, head
@@ -177,5 +177,5 @@
     ],
 )
 def test_settings_are_checked(text: str, told: str) -> None:
-    with pytest.raises(Faults, match=told):
+    with pytest.raises(SettingsError, match=told):
         parse_door(text, "d")
--- a/tests/test_auth_door.py
+++ b/tests/test_auth_door.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from martenstep.config.settings import parse_door
-from martenstep.config.text import Faults
+from martenstep.config.loading import parse_door
+from martenstep.config.text_format import SettingsError
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import Ending
 from tests.door_rig import DOOR, QUIET, Rig, head
@@ -198,7 +198,7 @@
     ],
 )
 def test_settings_are_checked(text: str, told: str) -> None:
-    with pytest.raises(Faults, match=told):
+    with pytest.raises(SettingsError, match=told):
         parse_door(DOOR + text, "d")
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,14 +13,15 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.generate import ROOT, generate
-from martenstep.config.settings import customer_id, load_door, module_settings, parse_door
-from martenstep.config.text import Faults
+from martenstep.config.loading import load_door, parse_door
+from martenstep.config.policy_settings import build_policy_settings, customer_id
+from martenstep.config.text_format import SettingsError
 from martenstep.policy.messages import DeduplicationScope, Idempotency
 from tests.door_rig import DOOR
 
 
 def faults(text: str) -> list[str]:
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse_door(text, "d")
     return str(caught.value).split("\n")
 
@@ -32,7 +33,7 @@
 
 
 def test_settings_become_the_modules() -> None:
-    told = module_settings(parse_door(DOOR, "d"))
+    told = build_policy_settings(parse_door(DOOR, "d"))
     assert (told.instance, told.instances, told.max_attempts, told.has_counter) == (0, 2, 3, True)
     write = told.classes[1]
     assert (write.idempotency, write.deduplication_scope, write.deduplication_window_ms) == (
@@ -244,12 +245,12 @@
 
 
 def test_a_file_that_cannot_be_read_is_told(tmp_path: Path) -> None:
-    with pytest.raises(Faults, match="No such file"):
+    with pytest.raises(SettingsError, match="No such file"):
         load_door(tmp_path / "none.txtpb")
     (tmp_path / "latin.txtpb").write_bytes(b'name: "\xff"')
-    with pytest.raises(Faults, match="not UTF-8 at byte 7"):
+    with pytest.raises(SettingsError, match="not UTF-8 at byte 7"):
         load_door(tmp_path / "latin.txtpb")
-    with pytest.raises(Faults, match="directory"):
+    with pytest.raises(SettingsError, match="directory"):
         load_door(tmp_path)
 
 
@@ -269,7 +270,7 @@
 @given(st.text(alphabet="ab:{}<>[]\"'\\ \n0159.-#,;_x", max_size=80))
 @hypo(max_examples=300, deadline=None, derandomize=True)
 def test_no_text_brings_it_down(text: str) -> None:
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse_door(text, "d")
     assert all(line.startswith("d:") for line in str(caught.value).split("\n"))
 
@@ -279,10 +280,10 @@
 def test_no_damage_to_a_good_file_brings_it_down(word: str, other: str) -> None:
     try:
         door = parse_door(DOOR.replace(word, other), "d")
-    except Faults as error:
-        assert error.faults
+    except SettingsError as error:
+        assert error.problems
     else:
-        module_settings(door)  # what passes the checks can be used
+        build_policy_settings(door)  # what passes the checks can be used
 
 
 def test_customers_have_the_same_number_everywhere() -> None:
--- a/tests/test_config_changes.py
+++ b/tests/test_config_changes.py
@@ -72,7 +72,7 @@
     before = settings("forward_auth { secret: 'one' }")
     after = settings("forward_auth { secret: 'two' } customer { key: 'new' plan: 'open' }")
     after.customer[0].plan = "open"
-    told = {one.path: one.told() for one in differences(before, after)}
+    told = {one.path: one.describe() for one in differences(before, after)}
     assert told["customer"] == "customer: 2 entries ('anna') -> 3 entries ('new', 'anna')"
     assert "two" not in told["forward_auth.secret"] and "one" not in told["forward_auth.secret"]
 
@@ -83,4 +83,4 @@
     first.CopyFrom(after.route[0])
     del after.route[0]
     after.route.append(first)
-    assert [one.told() for one in differences(before, after)] == ["route: 3 entries -> 3 entries in another order"]
+    assert [one.describe() for one in differences(before, after)] == ["route: 3 entries -> 3 entries in another order"]
--- a/tests/test_counter_follow.py
+++ b/tests/test_counter_follow.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 from martenstep.counter import protocol as fr
 from martenstep.counter import service as service_module
 from martenstep.counter.follower import Follower, RefusedError, promote
@@ -120,9 +120,9 @@
 
 def test_a_follower_is_not_waited_for_by_a_log_that_is_not_durable(tmp_path: Path) -> None:
     text = f'name: "c" wait_for_follower: true log {{ directory: "{tmp_path}" durable: false }}'
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse_service(text, "c")
-    assert [fault.told("c") for fault in caught.value.faults] == [
+    assert [fault.describe("c") for fault in caught.value.problems] == [
         "c:1:11: wait_for_follower: fits only a log that is durable"
     ]
 
--- a/tests/test_counter_shards.py
+++ b/tests/test_counter_shards.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from martenstep.config.settings import parse_door
-from martenstep.config.text import Faults
+from martenstep.config.loading import parse_door
+from martenstep.config.text_format import SettingsError
 from martenstep.counter.client import CounterClient, Journal
 from martenstep.counter.log_inspection import each_try, rebuilt
 from martenstep.counter.shards import Shards, owner
@@ -116,5 +116,5 @@
         ('service { name: "a" copy { port: 2 } copy { } }', "missing, expected a port"),
         ("port: 1 timeout_ms: 4000", "counter.timeout_ms: expected below the shortest deadline of 4000"),
     ):
-        with pytest.raises(Faults, match=told):
+        with pytest.raises(SettingsError, match=told):
             parse_door(base.replace("SERVICES", bad), "d")
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -10,8 +10,8 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.config.settings import parse_door
-from martenstep.config.text import Faults
+from martenstep.config.loading import parse_door
+from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import (
     customers_of,
@@ -81,7 +81,7 @@
     ],
 )
 def test_what_is_wrong_with_a_day_is_told(old: str, new: str, told: str) -> None:
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse_day(DAY.replace(old, new, 1), "day")
     assert told in str(caught.value)
 
--- a/tests/test_decide_pick.py
+++ b/tests/test_decide_pick.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from martenstep.config.settings import module_settings
+from martenstep.config.policy_settings import build_policy_settings
 from martenstep.policy import messages as api
 from martenstep.policy.gateway import CONNECTED_MS, FAIL_COST, OTHER_ZONE, TURN_CHANCE, Fleet, Gateway, Peer
 from tests.door_rig import settings
@@ -68,7 +68,7 @@
     door.instances = gateways
     rules = door.rules
     rules.warm_within_ms, rules.cold_from, rules.fall_multiple, rules.fall_window_ms = warm_ms, 0.25, 4, 1000
-    told = module_settings(door)
+    told = build_policy_settings(door)
     ours, plain = Gateway(told, seed), Gateway(told, seed)
     plain._fleet.__class__ = PlainFleet
     now, order, sends = 1e5, 0, 0
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import load_day, parse_day
 from martenstep.lab.emulate.core import START_MS, Draws, Sim, Streams
@@ -378,9 +378,9 @@
 
 
 def test_a_cut_is_refused_on_sockets_and_where_it_names_nobody() -> None:
-    with pytest.raises(Faults, match="source: missing"):
+    with pytest.raises(SettingsError, match="source: missing"):
         small("event { at_ms: 1000 for_ms: 1500 trouble: NET_CUT sink: 'a' }")
-    with pytest.raises(Faults, match="limiter: expected one of"):
+    with pytest.raises(SettingsError, match="limiter: expected one of"):
         small("limiter: 'best'")
 
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import load_day, parse_day, schedule
 from martenstep.lab.experiment import run as running
@@ -62,14 +62,14 @@
 )
 def test_a_plan_with_a_fault_is_told_by_its_field(old: str, new: str, told: str) -> None:
     assert old in PLAN
-    with pytest.raises(Faults) as error:
+    with pytest.raises(SettingsError) as error:
         parse_plan(PLAN.replace(old, new), "plan.txtpb")
     assert told in str(error.value)
 
 
 def test_levels_that_make_a_day_that_cannot_be_are_told(folder: Path) -> None:
     plan = parse_plan(PLAN.replace("doors: 4", "doors: 0"), "plan.txtpb")
-    with pytest.raises(Faults, match=r"arm 4/none.*fleet\.doors"):
+    with pytest.raises(SettingsError, match=r"arm 4/none.*fleet\.doors"):
         runs_of(plan, folder)
 
 
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 from martenstep.lab.fleet.judge import Verdict, judge
 from martenstep.lab.fleet.plays import play
 from martenstep.lab.fleet.records import Belief, Held, Truth, View, read_records, write_records
@@ -164,9 +164,9 @@
 
 
 def test_faults_of_a_schedule_are_told_with_their_place() -> None:
-    with pytest.raises(Faults) as told:
+    with pytest.raises(SettingsError) as told:
         parse_schedule('name: "x"\ntrouble { what: LOSS at_ms: -1 }\ntrouble { what: PAUSE who: "nobody" }', "f")
-    text = "\n".join(fault.told("f") for fault in told.value.faults)
+    text = "\n".join(fault.describe("f") for fault in told.value.problems)
     assert "f:2" in text and "share" in text and "at_ms" in text and "who" in text and "for_ms" in text
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,8 +13,8 @@
 
 from martenstep.cli.main import cli
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import parse_door
-from martenstep.config.text import Faults
+from martenstep.config.loading import parse_door
+from martenstep.config.text_format import SettingsError
 from martenstep.lab.fleet.rig import ask
 from martenstep.membership import identity
 from martenstep.membership.keys import KeyFileError, read_keys
@@ -246,7 +246,7 @@
 
 
 def test_faults_of_the_fleets_settings_are_told_by_field() -> None:
-    with pytest.raises(Faults) as told:
+    with pytest.raises(SettingsError) as told:
         parse_door(
             DOOR + 'fleet { host: "0.0.0.0" period_ms: 100 ack_ms: 80 suspect_least_ms: 5 seed { } '
             "way { to { port: 1 } } }\nworkers { count: 2 }",
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -16,8 +16,8 @@
 import pytest
 
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import load_door, parse_door
-from martenstep.config.text import Faults
+from martenstep.config.loading import load_door, parse_door
+from martenstep.config.text_format import SettingsError
 from martenstep.hooks import files
 from martenstep.supervise import frames, resources
 from martenstep.supervise.lock import LockedError, PidFile
@@ -348,7 +348,7 @@
 
 
 def test_a_bad_share_of_ports_is_told() -> None:
-    with pytest.raises(Faults, match="past the last one"):
+    with pytest.raises(SettingsError, match="past the last one"):
         parse_door(ASKED.replace("admin {}", "admin { port: 65535 }") + "workers { count: 2 }", "door.txtpb")
 
 
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -14,7 +14,7 @@
 from google.protobuf import text_format
 
 from martenstep.cli.main import cli
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab import plan_pb2
 from martenstep.lab.day import parse_day
@@ -44,9 +44,9 @@
 
 
 def test_the_plan_is_checked() -> None:
-    with pytest.raises(Faults, match="doors_most: expected from 1 to 512"):
+    with pytest.raises(SettingsError, match="doors_most: expected from 1 to 512"):
         plan('name: "a" doors_most: 0')
-    with pytest.raises(Faults, match="COUNTER_KILLED is not drawn"):
+    with pytest.raises(SettingsError, match="COUNTER_KILLED is not drawn"):
         plan('name: "a" trouble: COUNTER_KILLED')
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -17,8 +17,8 @@
 from cryptography.x509.oid import NameOID
 
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import parse_door
-from martenstep.config.text import Faults
+from martenstep.config.loading import parse_door
+from martenstep.config.text_format import SettingsError
 from martenstep.config.tls import ClientContext, ServerContext, TlsError, client_context
 from martenstep.counter.client import CounterClient, Journal
 from martenstep.policy.messages import CallResult
@@ -305,7 +305,7 @@
     ):
         part = text.split(" ")[0]
         lines = [line for line in DOOR.split("\n") if not line.startswith(part)]
-        with pytest.raises(Faults, match=told):
+        with pytest.raises(SettingsError, match=told):
             parse_door("\n".join([*lines, text]), "d")
     with pytest.raises(TlsError, match="door_pb2"):
         client_context(pb.ClientTls(ca=str(Path(pb.__file__))))
