--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -76,8 +76,8 @@
         take_up: Callable[[pb.Door], Coroutine[Any, Any, str]],
         renew: Callable[[], None],
     ) -> None:
-        """`load` reads the settings and raises SettingsError; `renew` reads hooks and certificates anew, which stand in files
-        of their own."""
+        """`load` reads the settings and raises SettingsError; `renew` reads hooks and certificates anew,
+        which stand in files of their own."""
         self._load, self._log_event, self._notifier = load, log_event, notifier
         self._present, self._take_up, self._renew = present, take_up, renew
         self._lock = asyncio.Lock()
