--- a/martenstep/lab/emulate/clients.py
+++ b/martenstep/lab/emulate/clients.py
@@ -10,7 +10,7 @@
 from martenstep.lab.emulate.doors import Caller, EmuDoor
 from martenstep.lab.emulate.net import Network, Pipe, Place
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.headers import header
+from martenstep.proxy.headers import get_header
 from martenstep.standins.clients import ABUSE_PAUSE_MS, ABUSE_TRIES, Manners, Planned
 
 LATE_MS = 1000.0  # beyond its patience a client waits no longer, whatever the door does
@@ -172,8 +172,8 @@
             self._crowd._write("broken", rid=self.rid, how="reset", status=status)
             self._crowd.again(self, self._safe, 0.0)
             return
-        advice = float(header(headers, b"retry-after-ms") or 0)
-        reason = (header(headers, b"x-reason") or b"").decode()
+        advice = float(get_header(headers, b"retry-after-ms") or 0)
+        reason = (get_header(headers, b"x-reason") or b"").decode()
         self._crowd._write("answer", rid=self.rid, status=status, whole=True, advice=advice, reason=reason)
         if status in (429, 503):
             self._crowd.again(self, True, advice)
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -21,9 +21,9 @@
 from martenstep.lab.emulate.store import EmuStore
 from martenstep.policy.messages import EndpointListScope
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.engine_factory import engine_of
-from martenstep.proxy.engine_messages import Ending
-from martenstep.proxy.headers import header
+from martenstep.proxy.engine_factory import make_engine
+from martenstep.proxy.engine_messages import AttemptFailure
+from martenstep.proxy.headers import get_header
 from martenstep.redis_counter import core as store
 
 STORE_NODE = "store"
@@ -118,7 +118,7 @@
         self._sim, self._net, self.settings, self.number = sim, net, settings, number
         self.name, self._servers, self._redis, self._costs = settings.name, servers, redis, costs
         self.place = Place(settings.name, settings.zone)
-        self.engine = engine_of(settings, seed)
+        self.engine = make_engine(settings, seed)
         self._zones, self._subscribe = zones, subscribe
         self.alive, self.stopping = True, False
         self.follower = Follower()
@@ -149,16 +149,16 @@
             self._core.topology(sim.now, [STORE_NODE])
             self._store_act()
         self._does: dict[type, Callable[[Any], None]] = {
-            ev.Open: self._open,
-            ev.Abandon: self._abandon,
-            ev.Pass: self._pass,
-            ev.Reply: self._reply,
-            ev.Break: self._break,
-            ev.Add: self._add,
-            ev.Listen: self._listen,
+            ev.OpenAttempt: self._open,
+            ev.AbortAttempt: self._abandon,
+            ev.RelayResponse: self._pass,
+            ev.SendLocalReply: self._reply,
+            ev.ResetClientConnection: self._break,
+            ev.AddToCounter: self._add,
+            ev.SubscribeEndpoints: self._listen,
             ev.LogEvent: self._log_event,
-            ev.Ask: self._ask_service,
-            ev.StopAsking: self._stop_asking,
+            ev.StartAuthCheck: self._ask_service,
+            ev.StopAuthCheck: self._stop_asking,
         }
 
     # Engine ---------------------------------------------------------------------------------------------
@@ -216,54 +216,54 @@
 
     def _arrived(self, ticket: int, method: bytes, target: bytes, headers: ev.Headers) -> None:
         if ticket in self._callers:
-            self.act(ev.Arrived(ticket, method, target, headers, "127.0.0.1"))
+            self.act(ev.RequestReceived(ticket, method, target, headers, "127.0.0.1"))
 
     def client_left(self, ticket: int) -> None:
         """The client is gone."""
         if self._callers.pop(ticket, None) is not None:
-            self.act(ev.ClientLeft(ticket))
+            self.act(ev.ClientDisconnected(ticket))
 
-    def _reply(self, action: ev.Reply) -> None:
-        caller = self._callers.pop(action.ticket, None)
+    def _reply(self, action: ev.SendLocalReply) -> None:
+        caller = self._callers.pop(action.request_id, None)
         if caller is not None:
             caller.pipe.send(caller.reply, action.status, action.headers, True, size=len(action.body) + 300)
 
-    def _pass(self, action: ev.Pass) -> None:
-        caller = self._callers.get(action.ticket)
-        if caller is not None and action.whole:
-            del self._callers[action.ticket]
+    def _pass(self, action: ev.RelayResponse) -> None:
+        caller = self._callers.get(action.request_id)
+        if caller is not None and action.complete:
+            del self._callers[action.request_id]
             caller.pipe.send(caller.reply, action.status, action.headers, True, size=2000)
 
-    def _break(self, action: ev.Break) -> None:
-        caller = self._callers.pop(action.ticket, None)
+    def _break(self, action: ev.ResetClientConnection) -> None:
+        caller = self._callers.pop(action.request_id, None)
         if caller is not None:
             caller.pipe.send(caller.reply, 0, [], False)
 
     # Servers --------------------------------------------------------------------------------------------
 
-    def _open(self, action: ev.Open) -> None:
-        server = self._servers[action.server]
-        idle = self._idle.get(action.server)
+    def _open(self, action: ev.OpenAttempt) -> None:
+        server = self._servers[action.endpoint]
+        idle = self._idle.get(action.endpoint)
         while idle:
             connection = idle.pop()
             if connection.up:
                 self._begin(connection, action)
                 return
-        held = self._number.get(action.server, 0)
+        held = self._number.get(action.endpoint, 0)
         if held >= self.settings.upstream.connections:
-            self.act(ev.AttemptEnded(action.ticket, action.attempt, Ending.NO_PLACE))
+            self.act(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.CONNECTION_LIMIT))
             return
-        self._number[action.server] = held + 1
-        there = Place(f"server-{action.server}", self._zone_of(action.server))
+        self._number[action.endpoint] = held + 1
+        there = Place(f"server-{action.endpoint}", self._zone_of(action.endpoint))
         connection = Connection(self, server, Pipe(self._net, self.place, there), Pipe(self._net, there, self.place))
-        connection.ticket, connection.attempt = action.ticket, action.attempt
-        self._out[action.ticket] = connection
+        connection.ticket, connection.attempt = action.request_id, action.attempt
+        self._out[action.request_id] = connection
         connection.forth.send(self._knock, connection, action, size=60)
 
     def _zone_of(self, server: int) -> str:
         return self._zones.get(server, "")
 
-    def _knock(self, connection: Connection, action: ev.Open) -> None:
+    def _knock(self, connection: Connection, action: ev.OpenAttempt) -> None:
         """At the server: the connection is taken or not."""
         if connection.server.takes:
             connection.server.callers[connection] = None
@@ -272,50 +272,50 @@
             connection.ended = True
             connection.back.send(self._refused, connection, action, size=60)
 
-    def _stands(self, connection: Connection, action: ev.Open) -> None:
-        if self._out.get(action.ticket) is connection and not connection.up and self.alive:
+    def _stands(self, connection: Connection, action: ev.OpenAttempt) -> None:
+        if self._out.get(action.request_id) is connection and not connection.up and self.alive:
             connection.up = True
             self._begin(connection, action)
         else:  # given up meanwhile
             self._drop(connection)
 
-    def _refused(self, connection: Connection, action: ev.Open) -> None:
-        if self._out.get(action.ticket) is connection:
-            del self._out[action.ticket]
+    def _refused(self, connection: Connection, action: ev.OpenAttempt) -> None:
+        if self._out.get(action.request_id) is connection:
+            del self._out[action.request_id]
             self._uncount(connection)
-            self.act(ev.AttemptEnded(action.ticket, action.attempt, Ending.NOT_CONNECTED))
+            self.act(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.NOT_CONNECTED))
 
-    def _begin(self, connection: Connection, action: ev.Open) -> None:
-        connection.ticket, connection.attempt = action.ticket, action.attempt
-        self._out[action.ticket] = connection
-        self.act(ev.Written(action.ticket, action.attempt))
-        if self._out.get(action.ticket) is not connection:
+    def _begin(self, connection: Connection, action: ev.OpenAttempt) -> None:
+        connection.ticket, connection.attempt = action.request_id, action.attempt
+        self._out[action.request_id] = connection
+        self.act(ev.AttemptWritten(action.request_id, action.attempt))
+        if self._out.get(action.request_id) is not connection:
             return
         headers = action.headers
         told = {
-            "rid": (header(headers, b"x-request-id") or b"").decode(),
+            "rid": (get_header(headers, b"x-request-id") or b"").decode(),
             "attempt": action.attempt,
             "door": self.name,
-            "server": action.server,
+            "server": action.endpoint,
         }
         cls = action.target.decode("latin-1").split("/")[1]
-        key = (header(headers, b"idempotency-key") or b"").decode()
-        customer = (header(headers, b"x-auth-customer") or header(headers, b"x-customer") or b"").decode()
+        key = (get_header(headers, b"idempotency-key") or b"").decode()
+        customer = (get_header(headers, b"x-auth-customer") or get_header(headers, b"x-customer") or b"").decode()
         connection.reached = False
         connection.forth.send(connection.came, told, cls, key, customer)
-        if action.by is not None:
-            self._sim.at(action.by, self._undelivered, connection, action)
+        if action.deliver_by is not None:
+            self._sim.at(action.deliver_by, self._undelivered, connection, action)
 
-    def _undelivered(self, connection: Connection, action: ev.Open) -> None:
+    def _undelivered(self, connection: Connection, action: ev.OpenAttempt) -> None:
         """The kernel breaks a connection whose bytes were not acknowledged in their time."""
-        same = self._out.get(action.ticket) is connection and connection.attempt == action.attempt
+        same = self._out.get(action.request_id) is connection and connection.attempt == action.attempt
         if same and not connection.reached and self.alive:
-            del self._out[action.ticket]
+            del self._out[action.request_id]
             self._drop(connection)
-            self.act(ev.AttemptEnded(action.ticket, action.attempt, Ending.CLOSED))
+            self.act(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.CLOSED))
 
-    def _abandon(self, action: ev.Abandon) -> None:
-        connection = self._out.pop(action.ticket, None)
+    def _abandon(self, action: ev.AbortAttempt) -> None:
+        connection = self._out.pop(action.request_id, None)
         if connection is not None:
             self._drop(connection)
 
@@ -339,7 +339,7 @@
         self._uncount(connection)
         if self._out.get(connection.ticket) is connection:
             del self._out[connection.ticket]
-            self.act(ev.AttemptEnded(connection.ticket, connection.attempt, Ending.CLOSED))
+            self.act(ev.AttemptFailed(connection.ticket, connection.attempt, AttemptFailure.CLOSED))
         else:
             idle = self._idle.get(connection.server.config.id, [])
             if connection in idle:
@@ -358,22 +358,22 @@
             connection.up = False
             self._uncount(connection)
             del self._out[ticket]
-            self.act(ev.AttemptEnded(ticket, attempt, Ending.CLOSED))
+            self.act(ev.AttemptFailed(ticket, attempt, AttemptFailure.CLOSED))
             return
         upstream = self.settings.upstream
         status = {"error": 500, "refused": upstream.refusal_status}.get(how, 200)
         headers: ev.Headers = [(upstream.refusal_header.encode(), b"1")] if how == "refused" else []
-        self.act(ev.AnswerHead(ticket, attempt, status, headers))
+        self.act(ev.ResponseHeadReceived(ticket, attempt, status, headers))
         if self._out.get(ticket) is connection:  # else the engine has given the attempt up
             del self._out[ticket]
             self._idle.setdefault(connection.server.config.id, []).append(connection)
-            self.act(ev.AnswerWhole(ticket, attempt))
+            self.act(ev.ResponseCompleted(ticket, attempt))
 
     # Store ----------------------------------------------------------------------------------------------
 
-    def _add(self, action: ev.Add) -> None:
+    def _add(self, action: ev.AddToCounter) -> None:
         assert self._core is not None
-        self._core.add(self._sim.now, action.call, action.name, action.units, action.expire_ms, action.proof)
+        self._core.add(self._sim.now, action.call_id, action.key, action.units, action.expire_ms, action.bounds_ceiling)
         self._store_act()
 
     def _store_act(self) -> None:
@@ -382,7 +382,7 @@
         for action in core.take():
             match action:
                 case store.Told(call=call, verdict=verdict, total=total, kept_ms=kept):
-                    self.act(ev.Counted(call, verdict, total, kept))
+                    self.act(ev.CounterReplied(call, verdict, total, kept))
                 case store.Write(lane=lane):
                     self._lanes[lane][0].send(self._at_store, action, size=120 * len(action.ops))
                 case store.Open(lane=lane):
@@ -454,34 +454,34 @@
 
     # Authentication -------------------------------------------------------------------------------------
 
-    def _ask_service(self, action: ev.Ask) -> None:
-        self._checks[action.check] = action.attempt
+    def _ask_service(self, action: ev.StartAuthCheck) -> None:
+        self._checks[action.check_id] = action.attempt
         service = self._services[action.address[1]]
         forth, back = Pipe(self._net, self.place, service.place), Pipe(self._net, service.place, self.place)
-        credential = (header(action.headers, b"authorization") or b"").decode("latin-1")
-        rid = (header(action.headers, b"x-request-id") or b"").decode("latin-1")
+        credential = (get_header(action.headers, b"authorization") or b"").decode("latin-1")
+        rid = (get_header(action.headers, b"x-request-id") or b"").decode("latin-1")
 
         def reply(status: int, headers: ev.Headers, body: bytes) -> None:
             back.send(self._verdict, action, status, headers, body)
 
         forth.send(service.ask, credential, rid, reply, lambda: back.send(self._check_failed, action))
 
-    def _verdict(self, action: ev.Ask, status: int, headers: ev.Headers, body: bytes) -> None:
-        if self._checks.get(action.check) == action.attempt:
-            del self._checks[action.check]
-            self.act(ev.Checked(action.check, action.attempt, status, list(headers), body))
+    def _verdict(self, action: ev.StartAuthCheck, status: int, headers: ev.Headers, body: bytes) -> None:
+        if self._checks.get(action.check_id) == action.attempt:
+            del self._checks[action.check_id]
+            self.act(ev.AuthCheckReplied(action.check_id, action.attempt, status, list(headers), body))
 
-    def _check_failed(self, action: ev.Ask) -> None:
-        if self._checks.get(action.check) == action.attempt:
-            del self._checks[action.check]
-            self.act(ev.CheckFailed(action.check, action.attempt))
+    def _check_failed(self, action: ev.StartAuthCheck) -> None:
+        if self._checks.get(action.check_id) == action.attempt:
+            del self._checks[action.check_id]
+            self.act(ev.AuthCheckFailed(action.check_id, action.attempt))
 
-    def _stop_asking(self, action: ev.StopAsking) -> None:
-        self._checks.pop(action.check, None)
+    def _stop_asking(self, action: ev.StopAuthCheck) -> None:
+        self._checks.pop(action.check_id, None)
 
     # Feed -----------------------------------------------------------------------------------------------
 
-    def _listen(self, _: ev.Listen) -> None:
+    def _listen(self, _: ev.SubscribeEndpoints) -> None:
         self.listening = True
         self._subscribe(self)
 
--- a/martenstep/lab/emulate/limited.py
+++ b/martenstep/lab/emulate/limited.py
@@ -10,7 +10,7 @@
 from martenstep.lab.emulate.limiters import Buckets, share
 from martenstep.lab.emulate.net import Pipe
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.headers import header, own_answer
+from martenstep.proxy.headers import get_header, local_reply
 
 CLOSED_WAIT_MS = 200.0  # retry-after where the store does not answer and nothing passes without it
 
@@ -32,11 +32,11 @@
     def _arrived(self, ticket: int, method: bytes, target: bytes, headers: ev.Headers) -> None:
         if ticket not in self._callers or not self.alive:
             return
-        customer = (header(headers, b"x-customer") or b"").decode()
+        customer = (get_header(headers, b"x-customer") or b"").decode()
         plan_name, doors = self._known.get(customer, (self._default, self.settings.instances))
         plan = self._plans[plan_name]
         units = self._units[target.decode().split("/")[1]]
-        event = ev.Arrived(ticket, method, target, headers, "127.0.0.1")
+        event = ev.RequestReceived(ticket, method, target, headers, "127.0.0.1")
         if plan.rate <= 0:
             self.act(event)
         elif self._kind.startswith("central"):
@@ -46,7 +46,7 @@
             wait = self._own.take(self._sim.now, customer, plan.rate * part, max(plan.burst * part, units), units)
             self._decided(event, wait)
 
-    def _ask(self, event: ev.Arrived, customer: str, plan: Any, units: float) -> None:
+    def _ask(self, event: ev.RequestReceived, customer: str, plan: Any, units: float) -> None:
         """One bucket for all, in the store; without an answer in time the request passes, or does not."""
         done = [False]
 
@@ -70,12 +70,12 @@
         wait = self._central.take(self._sim.now, customer, plan.rate, plan.burst, units)
         self._sim.at(leaves, lambda: back.send(answer, wait, size=60))
 
-    def _decided(self, event: ev.Arrived, wait: float) -> None:
+    def _decided(self, event: ev.RequestReceived, wait: float) -> None:
         if wait <= 0:
             self.act(event)
             return
-        caller = self._callers.pop(event.ticket, None)
+        caller = self._callers.pop(event.request_id, None)
         if caller is not None:
             self.answers["quota"] = self.answers.get("quota", 0) + 1
-            headers, body = own_answer("quota", "", min(wait, self.settings.max_retry_after_ms))
+            headers, body = local_reply("quota", "", min(wait, self.settings.max_retry_after_ms))
             caller.pipe.send(caller.reply, 429, headers, True, size=len(body) + 300)
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -34,10 +34,10 @@
 from martenstep.node.counter import Counter
 from martenstep.node.discovery import AGENT, SERVICE, Discovery, DiscoveryError, Follower
 from martenstep.node.pending_signals import PendingSignals
-from martenstep.node.protocol import Requests, parts_of
+from martenstep.node.protocol import Requests, make_dependencies
 from martenstep.policy.messages import CallResult, EndpointListScope
 from martenstep.proxy.engine import Engine
-from martenstep.proxy.engine_messages import Counted
+from martenstep.proxy.engine_messages import CounterReplied
 from martenstep.proxy.loop_lag import LagSelector
 from martenstep.proxy.server import Driver
 from martenstep.proxy.transport import now_ms, polled
@@ -104,7 +104,7 @@
         self._event_logger = EventLogger()
         self.drain_plan = drain_plan_of(config.settings)
         self._requests = Requests(config.settings, now_ms)
-        self.engine = Engine(parts_of(config, self._requests), config.seed)
+        self.engine = Engine(make_dependencies(config, self._requests), config.seed)
         self.driver = Driver(config.listener, config.upstream, self.engine, self._event_logger.log, clock=selector)
         self.driver.pool.rest_ms = REST_MS
         self._follower = Follower()
@@ -168,7 +168,7 @@
                 self.driver.pool.forget(address)
 
     def _counted(self, call: int, verdict: CallResult, total: float) -> None:
-        self.driver.act(Counted(call, verdict, total))
+        self.driver.act(CounterReplied(call, verdict, total))
 
     def _known(self) -> None:
         """The list as last had, maybe old.  By the follower that goes on from it: a number that named another server
--- a/martenstep/node/protocol.py
+++ b/martenstep/node/protocol.py
@@ -21,10 +21,10 @@
 from martenstep.node.config import ANSWER_BYTES, MARGIN_MS, Config
 from martenstep.policy import messages as api
 from martenstep.policy.messages import CallResult, Idempotency
-from martenstep.proxy.dependencies import Guarded, Parts, Routed, Unroutable
+from martenstep.proxy.dependencies import EngineDependencies, RoutedRequest, RouteRejection, UnauthenticatedRequest
 from martenstep.proxy.engine_messages import Headers
-from martenstep.proxy.headers import header
-from martenstep.proxy.targets import Declined, Taken
+from martenstep.proxy.headers import get_header
+from martenstep.proxy.targets import NormalizedTarget, TargetRejection
 
 ID, CLASS, PLAN, DEADLINE, RETRY, QUOTA, KEY = (
     b"x-trace-id",
@@ -82,22 +82,24 @@
         self._ids = Ids(clock, max((cls.deadline_ms for cls in settings.classes), default=0.0) + IDS_SPARE_MS)
         self.ready = False
 
-    def take(self, method: bytes, target: bytes, headers: Headers) -> Taken | Declined:
+    def normalize(self, method: bytes, target: bytes, headers: Headers) -> NormalizedTarget | TargetRejection:
         """Whether a target is one that goes on; what asks whether the door is ready is answered here."""
         if target == READY_PATH and method == b"GET":
-            return Declined(200, "ready", []) if self.ready else Declined(503, "not ready", [])
+            return TargetRejection(200, "ready", []) if self.ready else TargetRejection(503, "not ready", [])
         if target[:1] != b"/":
-            return Declined(400, "bad target", [])
-        return Taken(target, headers)
+            return TargetRejection(400, "bad target", [])
+        return NormalizedTarget(target, headers)
 
-    def route(self, method: bytes, target: bytes, headers: Headers) -> Routed | Guarded | Unroutable:
+    def route(
+        self, method: bytes, target: bytes, headers: Headers
+    ) -> RoutedRequest | UnauthenticatedRequest | RouteRejection:
         """Where a request belongs, all that the protocol has it tell checked."""
         told: dict[bytes, bytes] = {}
         length = coded = False
         for name, value in headers:
             if name in OWN:
                 if name in told:
-                    return Unroutable(400, f"{name.decode()} told twice")
+                    return RouteRejection(400, f"{name.decode()} told twice")
                 told[name] = value
             elif name == LENGTH:
                 length = value.strip(b"0") != b""
@@ -105,53 +107,53 @@
                 coded = True
         cls, plan = self._classes.get(told.get(CLASS, b"")), self._plans.get(told.get(PLAN, b""))
         if cls is None or plan is None:
-            return Unroutable(400, "unknown class" if cls is None else "unknown plan")
+            return RouteRejection(400, "unknown class" if cls is None else "unknown plan")
         parts = target.partition(b"?")[0].split(b"/")
         customer = parts[-1]
         if len(parts) < 3 or parts[1] != told[CLASS] or CUSTOMER.fullmatch(customer) is None:
-            return Unroutable(400, "bad path")
+            return RouteRejection(400, "bad path")
         number = int(customer, 16)
         if number >= MOST_CUSTOMER:
-            return Unroutable(400, "bad customer")
+            return RouteRejection(400, "bad customer")
         keyed = cls.idempotency is Idempotency.KEYED
         if cls.idempotency is Idempotency.IDEMPOTENT:
             if method != b"GET" or length or coded:
-                return Unroutable(400, "bad method")
+                return RouteRejection(400, "bad method")
         elif method != b"POST" or (keyed and TOKEN.fullmatch(told.get(KEY, b"")) is None):
-            return Unroutable(400, "bad method or key")
+            return RouteRejection(400, "bad method or key")
         share = SHARE.fullmatch(told.get(QUOTA, b""))
         if share is None:
-            return Unroutable(400, "bad quota")
+            return RouteRejection(400, "bad quota")
         units, spread, first = float(share[1]), int(share[2]), int(share[3])
         if not 0 < units <= self._most_units or not 1 <= spread <= self._doors or first >= self._doors:
-            return Unroutable(400, "bad quota")
+            return RouteRejection(400, "bad quota")
         retry, label = told.get(RETRY), told.get(ID, b"")
         if retry not in (None, b"1") or DIGITS.fullmatch(told.get(DEADLINE, b"")) is None:
-            return Unroutable(400, "bad retry or deadline")
+            return RouteRejection(400, "bad retry or deadline")
         if TOKEN.fullmatch(label) is None:
-            return Unroutable(400, "bad id")
+            return RouteRejection(400, "bad id")
         if not self._ids.new(label):
-            return Unroutable(409, "id met before")
-        return Routed(cls, plan, number, customer.decode(), units, spread, first, retry is not None)
+            return RouteRejection(409, "id met before")
+        return RoutedRequest(cls, plan, number, customer.decode(), units, spread, first, retry is not None)
 
     def deadline_ms(self, cls: api.RequestClass, headers: Headers) -> float | None:
         """How long the client waits, never longer than its class allows."""
-        asked = int(header(headers, DEADLINE) or 0)  # digits: a request with others has no route
+        asked = int(get_header(headers, DEADLINE) or 0)  # digits: a request with others has no route
         return min(float(asked), cls.deadline_ms) if asked > 0 else None
 
-    def identify(self, guarded: Guarded, key: str, plan: str) -> Routed | Unroutable:
+    def identify(self, guarded: UnauthenticatedRequest, key: str, plan: str) -> RoutedRequest | RouteRejection:
         """No request here is guarded: its customer is in its path."""
-        return Unroutable(400, "bad path")
+        return RouteRejection(400, "bad path")
 
-    def anonymous(self, guarded: Guarded) -> Routed | Unroutable:
+    def anonymous(self, guarded: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
         """As above."""
-        return Unroutable(400, "bad path")
+        return RouteRejection(400, "bad path")
 
 
-class Statuses:
+class NodeStatusClassifier:
     """What the status of a backend's answer proves (door.parts.StatusReader)."""
 
-    def verdict(self, status: int, headers: Headers) -> CallResult:
+    def classify(self, status: int, headers: Headers) -> CallResult:
         """OK, FULL or ERROR, by the table above."""
         if status == 200:
             for name, value in headers:
@@ -163,21 +165,21 @@
         return CallResult.ERROR
 
 
-class Words:
+class NodeMessageBuilder:
     """How attempts and answers are worded (door.parts.Wording): no more than the protocol asks for, since every header
     is work at both ends."""
 
-    tells_limits = False
+    sends_rate_limits = False
 
-    def signed(self, label: str) -> Headers:
+    def identity_headers(self, label: str) -> Headers:
         """Nothing."""
         return []
 
-    def copied(self, headers: Headers) -> Headers:
+    def copied_auth_headers(self, headers: Headers) -> Headers:
         """Nothing: no service is asked."""
         return []
 
-    def headers(
+    def request_headers(
         self,
         client: Headers,
         more: Headers,
@@ -192,18 +194,18 @@
     ) -> Headers:
         """The client's id and key, and how long the door will wait."""
         made = [pair for pair in client if pair[0] in PASSED]
-        made.append(self.expiry(left_ms))
+        made.append(self.deadline_header(left_ms))
         return made
 
-    def expiry(self, left_ms: float) -> tuple[bytes, bytes]:
+    def deadline_header(self, left_ms: float) -> tuple[bytes, bytes]:
         """In whole milliseconds; none left would read as no bound."""
         return DEADLINE, b"%d" % max(left_ms, 1)
 
-    def passed(self, headers: Headers) -> Headers:
+    def response_headers(self, headers: Headers) -> Headers:
         """The length alone, where it is told."""
         return [pair for pair in headers if pair[0] == LENGTH]
 
-    def own(self, reason: str, label: str, wait_ms: float | None) -> tuple[Headers, bytes]:
+    def local_reply(self, reason: str, label: str, wait_ms: float | None) -> tuple[Headers, bytes]:
         """The reason as text, and when to come back.  A fault of the client's ends its connection: strays ask once and
         stay, by hundreds, and nobody else has faults."""
         body = reason.encode()
@@ -215,22 +217,22 @@
         return headers, body
 
 
-def parts_of(config: Config, requests: Requests) -> Parts:
+def make_dependencies(config: Config, requests: Requests) -> EngineDependencies:
     """An engine's parts by the platform's protocol."""
     settings = config.settings
-    return Parts(
+    return EngineDependencies(
         name=config.name,
         settings=settings,
-        routes=requests,
+        route_table=requests,
         targets=requests,
-        status=Statuses(),
-        wording=Words(),
-        id_header=ID,
-        margin_ms=MARGIN_MS,
-        max_open=config.max_open,
-        connect_ms=config.upstream.connect_ms,
-        cancel=settings.can_cancel,
-        max_wait_ms=settings.max_retry_after_ms,
-        streams=False,
-        noted=False,
+        status_classifier=NodeStatusClassifier(),
+        message_builder=NodeMessageBuilder(),
+        request_id_header=ID,
+        deadline_margin_ms=MARGIN_MS,
+        max_in_flight=config.max_open,
+        connect_timeout_ms=config.upstream.connect_ms,
+        can_cancel=settings.can_cancel,
+        max_retry_after_ms=settings.max_retry_after_ms,
+        streams_past_deadline=False,
+        logs_responses=False,
     )
--- a/martenstep/proxy/attempt_outcomes.py
+++ b/martenstep/proxy/attempt_outcomes.py
@@ -20,24 +20,24 @@
 from __future__ import annotations
 
 from martenstep.policy.messages import CallResult
-from martenstep.proxy.engine_messages import Ending, Headers
-
-ENDINGS = {
-    Ending.NOT_CONNECTED: CallResult.CONNECT_FAILED,
-    Ending.NO_PLACE: CallResult.CONNECT_FAILED,
-    Ending.NOT_WRITTEN: CallResult.CONNECT_FAILED,
-    Ending.CLOSED: CallResult.RESET,
-    Ending.BAD_ANSWER: CallResult.ERROR,
-    Ending.STALLED: CallResult.RESET,
+from martenstep.proxy.engine_messages import AttemptFailure, Headers
+
+RESULT_BY_FAILURE = {
+    AttemptFailure.NOT_CONNECTED: CallResult.CONNECT_FAILED,
+    AttemptFailure.CONNECTION_LIMIT: CallResult.CONNECT_FAILED,
+    AttemptFailure.NOT_WRITTEN: CallResult.CONNECT_FAILED,
+    AttemptFailure.CLOSED: CallResult.RESET,
+    AttemptFailure.MALFORMED_RESPONSE: CallResult.ERROR,
+    AttemptFailure.STALLED: CallResult.RESET,
 }
 
 
-def of_ending(how: Ending) -> CallResult:
+def classify_failure(how: AttemptFailure) -> CallResult:
     """The verdict on an attempt without a whole answer."""
-    return ENDINGS[how]
+    return RESULT_BY_FAILURE[how]
 
 
-def of_stop(wanted: CallResult, written: bool) -> CallResult:
+def classify_stop(wanted: CallResult, written: bool) -> CallResult:
     """The verdict on an attempt that the door itself stopped: time-out, or called off."""
     return wanted if written else CallResult.CONNECT_FAILED
 
@@ -51,7 +51,7 @@
     def __init__(self, refusal: int, header: str, errors: frozenset[int]) -> None:
         self._refusal, self._header, self._errors = refusal, header.lower().encode(), errors
 
-    def verdict(self, status: int, headers: Headers) -> CallResult:
+    def classify(self, status: int, headers: Headers) -> CallResult:
         """FULL, ERROR or OK."""
         if status == self._refusal and any(name == self._header for name, _ in headers):
             return CallResult.OVERLOADED
--- a/martenstep/proxy/auth_requests.py
+++ b/martenstep/proxy/auth_requests.py
@@ -55,20 +55,20 @@
         )
         self._flying: dict[int, _Flying] = {}
 
-    def ask(self, action: ev.Ask) -> None:
+    def ask(self, action: ev.StartAuthCheck) -> None:
         """Start an attempt."""
-        flying = self._flying[action.check] = _Flying(action.attempt)
+        flying = self._flying[action.check_id] = _Flying(action.attempt)
         upstream = self.pool.take(action.address)
         if upstream is not None:
             self._begin(action, flying, upstream)
         elif self.pool.reserve(action.address):
             flying.task = self._host.loop.create_task(self._dial(action, flying))
         else:
-            self._failed(action.check, flying)
+            self._failed(action.check_id, flying)
 
-    def stop(self, action: ev.StopAsking) -> None:
+    def stop(self, action: ev.StopAuthCheck) -> None:
         """End an attempt and its connection; what still comes of it reaches nobody."""
-        flying = self._flying.pop(action.check, None)
+        flying = self._flying.pop(action.check_id, None)
         if flying is not None:
             self._drop(flying)
 
@@ -92,29 +92,29 @@
             del self._flying[check]
             flying.task = None
             self._drop(flying)
-            self._host.act(ev.CheckFailed(check, flying.attempt))
+            self._host.act(ev.AuthCheckFailed(check, flying.attempt))
 
-    async def _dial(self, action: ev.Ask, flying: _Flying) -> None:
+    async def _dial(self, action: ev.StartAuthCheck, flying: _Flying) -> None:
         try:
             upstream = await self.pool.dial(action.address)
         except OSError:
-            self._failed(action.check, flying)
+            self._failed(action.check_id, flying)
             return
         flying.task = None
-        if self._flying.get(action.check) is not flying:
+        if self._flying.get(action.check_id) is not flying:
             self.pool.drop(upstream)
             return
         self._begin(action, flying, upstream)
 
-    def _begin(self, action: ev.Ask, flying: _Flying, upstream: Upstream) -> None:
+    def _begin(self, action: ev.StartAuthCheck, flying: _Flying, upstream: Upstream) -> None:
         flying.upstream = upstream
-        upstream.reader.sink = lambda data: self._came(action.check, flying, upstream, data)
+        upstream.reader.sink = lambda data: self._came(action.check_id, flying, upstream, data)
         host = f"{action.address[0]}:{action.address[1]}".encode()
         try:
             out = upstream.wire.head(b"GET", action.target, [(b"host", host), *action.headers])
             upstream.writer.write(out + upstream.wire.end())
         except UnwritableError:
-            self._failed(action.check, flying)
+            self._failed(action.check_id, flying)
 
     def _came(self, check: int, flying: _Flying, upstream: Upstream, data: bytes) -> None:
         if flying.upstream is not upstream:
@@ -143,4 +143,4 @@
         flying.upstream = None
         self._flying.pop(check, None)
         self.pool.put(upstream)  # with bytes behind the answer it is dropped
-        self._host.act(ev.Checked(check, flying.attempt, flying.status, flying.headers, bytes(flying.body)))
+        self._host.act(ev.AuthCheckReplied(check, flying.attempt, flying.status, flying.headers, bytes(flying.body)))
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -24,8 +24,8 @@
 from martenstep.hooks.runner import Limits
 from martenstep.policy.messages import CallResult, EndpointListScope
 from martenstep.proxy.admin import Admin, DoorCollector
-from martenstep.proxy.engine_factory import driver_of, engine_of, parts_of
-from martenstep.proxy.engine_messages import Counted, Tried
+from martenstep.proxy.engine_factory import make_dependencies, make_engine, make_server
+from martenstep.proxy.engine_messages import CounterReplied, RecordUsage
 from martenstep.proxy.event_logger import EventLogger
 from martenstep.proxy.traces import Exporter
 from martenstep.proxy.transport import now_ms
@@ -73,8 +73,8 @@
                 late=self._backstop.begin,
             )
         self._seed = random.SystemRandom().getrandbits(63) if seed is None else seed
-        self.engine = engine_of(door, self._seed, self.shelf, time.time() * 1000 - now_ms())
-        self.driver = driver_of(door, self.engine, self.event_logger.log)
+        self.engine = make_engine(door, self._seed, self.shelf, time.time() * 1000 - now_ms())
+        self.driver = make_server(door, self.engine, self.event_logger.log)
         self.ready = False
         self._store: RedisStore | None = None
         if door.HasField("store"):
@@ -212,7 +212,7 @@
             self.shelf.limit(Limits(told.failure_share, told.mean_steps, told.least_runs))
             self._backstop.most_ms = told.backstop_ms
         self.driver.reconfigure(door.listener, door.upstream)
-        self.engine.reconfigure(parts_of(door, self._seed, self.shelf, time.time() * 1000 - now_ms()))
+        self.engine.reconfigure(make_dependencies(door, self._seed, self.shelf, time.time() * 1000 - now_ms()))
 
     def renew(self) -> None:
         """Take up new hooks and certificates; requests and connections that stand keep theirs."""
@@ -266,7 +266,7 @@
         return clean
 
     def _counted(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
-        self.driver.act(Counted(call, verdict, total, kept_ms))
+        self.driver.act(CounterReplied(call, verdict, total, kept_ms))
 
     def _counter_clients(self) -> dict[str, CounterClient]:
         """One client a service, each with a journal of its own."""
@@ -334,27 +334,41 @@
         if self.copies is not None and self.copies.books is not None:
             self.copies.books.recorded(request)
 
-    def _tried(self, tried: Tried) -> asyncio.Future[bool] | None:
+    def _tried(self, tried: RecordUsage) -> asyncio.Future[bool] | None:
         assert self._counter is not None
         promised = None
         if self.copies is not None and self.copies.books is not None:
             from martenstep.counter.pending_increments import Try
 
             made = self.copies.books.promise(
-                Try(tried.request, time.time() * 1000, tried.units, tried.beyond, tried.customer, tried.plan, tried.cls)
+                Try(
+                    tried.correlation_id,
+                    time.time() * 1000,
+                    tried.units,
+                    tried.over_quota,
+                    tried.customer,
+                    tried.plan,
+                    tried.request_class,
+                )
             )
             promised = made if self.door.copies.book.before_answer else None
         if not self._counter.record(
-            time.time() * 1000, tried.units, tried.beyond, tried.request, tried.customer, tried.plan, tried.cls
+            time.time() * 1000,
+            tried.units,
+            tried.over_quota,
+            tried.correlation_id,
+            tried.customer,
+            tried.plan,
+            tried.request_class,
         ):
             self.event_logger.log(
                 "try not recorded",
                 {
-                    "request": tried.request,
+                    "request": tried.correlation_id,
                     "customer": tried.customer,
                     "plan": tried.plan,
                     "units": tried.units,
-                    "beyond": tried.beyond,
+                    "beyond": tried.over_quota,
                 },
             )
         return promised
--- a/martenstep/proxy/dependencies.py
+++ b/martenstep/proxy/dependencies.py
@@ -14,7 +14,7 @@
 from martenstep.policy import messages as api
 from martenstep.policy.messages import CallResult
 from martenstep.proxy.engine_messages import Headers
-from martenstep.proxy.targets import Declined, Taken
+from martenstep.proxy.targets import NormalizedTarget, TargetRejection
 
 if TYPE_CHECKING:
     from martenstep.auth import core as auth
@@ -24,30 +24,30 @@
 
 
 @dataclass(slots=True)
-class Routed:
+class RoutedRequest:
     """Where a request belongs."""
 
-    cls: api.RequestClass
+    request_class: api.RequestClass
     plan: api.Plan
     customer: int
-    key: str
+    customer_key: str
     units: float
-    spread: int
-    first: int
-    retry: bool = False
+    instances: int
+    first_instance: int
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Guarded:
+class UnauthenticatedRequest:
     """A request whose customer an authentication service must tell first."""
 
-    cls: api.RequestClass
+    request_class: api.RequestClass
     units: float
     fail_open: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Unroutable:
+class RouteRejection:
     """Why it belongs nowhere: a status and a reason."""
 
     status: int
@@ -57,45 +57,47 @@
 class RouteTable(Protocol):
     """From a request's head to what the module is told of it."""
 
-    def route(self, method: bytes, target: bytes, headers: Headers) -> Routed | Guarded | Unroutable:
+    def route(
+        self, method: bytes, target: bytes, headers: Headers
+    ) -> RoutedRequest | UnauthenticatedRequest | RouteRejection:
         """Where a request belongs."""
 
     def deadline_ms(self, cls: api.RequestClass, headers: Headers) -> float | None:
         """How long its client waits; None where that is told and is no figure."""
 
-    def identify(self, guarded: Guarded, key: str, plan: str) -> Routed | Unroutable:
+    def identify(self, guarded: UnauthenticatedRequest, key: str, plan: str) -> RoutedRequest | RouteRejection:
         """A guarded request, once its customer is told."""
 
-    def anonymous(self, guarded: Guarded) -> Routed | Unroutable:
+    def anonymous(self, guarded: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
         """A guarded request that passes without a verdict."""
 
 
-class TargetForms(Protocol):
+class TargetPolicy(Protocol):
     """Which forms of a target are taken."""
 
-    def take(self, method: bytes, target: bytes, headers: Headers) -> Taken | Declined:
+    def normalize(self, method: bytes, target: bytes, headers: Headers) -> NormalizedTarget | TargetRejection:
         """What goes on, or the door's own answer."""
 
 
-class StatusReader(Protocol):
+class StatusClassifier(Protocol):
     """What the status of a server's answer proves."""
 
-    def verdict(self, status: int, headers: Headers) -> CallResult:
+    def classify(self, status: int, headers: Headers) -> CallResult:
         """How the attempt ended."""
 
 
-class Wording(Protocol):
+class MessageBuilder(Protocol):
     """How attempts and answers are worded."""
 
-    tells_limits: bool  # answers tell what is left of the plan
+    sends_rate_limits: bool  # answers tell what is left of the plan
 
-    def signed(self, label: str) -> Headers:
+    def identity_headers(self, label: str) -> Headers:
         """What every message of the door carries."""
 
-    def copied(self, headers: Headers) -> Headers:
+    def copied_auth_headers(self, headers: Headers) -> Headers:
         """Of an authentication service's answer what servers are told."""
 
-    def headers(
+    def request_headers(
         self,
         client: Headers,
         more: Headers,
@@ -110,55 +112,55 @@
     ) -> Headers:
         """An attempt's headers."""
 
-    def expiry(self, left_ms: float) -> tuple[bytes, bytes]:
+    def deadline_header(self, left_ms: float) -> tuple[bytes, bytes]:
         """The header among an attempt's that tells its server how long the door waits."""
 
-    def passed(self, headers: Headers) -> Headers:
+    def response_headers(self, headers: Headers) -> Headers:
         """Of a server's answer what its client is told."""
 
-    def own(self, reason: str, label: str, wait_ms: float | None) -> tuple[Headers, bytes]:
+    def local_reply(self, reason: str, label: str, wait_ms: float | None) -> tuple[Headers, bytes]:
         """Headers and body of an answer of the door's own."""
 
 
 @dataclass(frozen=True, slots=True)
-class AuthParts:
+class AuthorizationSettings:
     """How authentication services are asked, and what of their answers counts.  Names are in lower case."""
 
     rules: auth.Rules
     services: Sequence[tuple[str, int]]
     path: bytes
-    by_target: bool
-    credentials: Sequence[bytes]
+    includes_target: bool
+    credential_headers: Sequence[bytes]
     customer_header: bytes
     plan_header: bytes
 
 
 @dataclass(slots=True)
-class Parts:
+class EngineDependencies:
     """All of it.  Times are milliseconds."""
 
     name: str
     settings: api.Settings
-    routes: RouteTable
-    targets: TargetForms
-    status: StatusReader
-    wording: Wording
-    id_header: bytes  # names a request in logs and to servers
-    margin_ms: float  # a request ends so much before its client's deadline
-    max_open: int  # requests held at once
-    connect_ms: float
-    cancel: bool  # an attempt may be called off before its end
-    max_wait_ms: float  # of a retry-after
-    streams: bool = True  # an answer that has begun may go on beyond its request's deadline
-    records: bool = False  # the counter service keeps tries
-    noted: bool = True  # each final answer is told to the log
-    auth: AuthParts | None = None
-    answerer: Answerer | None = None
-    sampler: Sampler | None = None
-    points: Points | None = None
-
-
-class ListenerBounds(Protocol):
+    route_table: RouteTable
+    targets: TargetPolicy
+    status_classifier: StatusClassifier
+    message_builder: MessageBuilder
+    request_id_header: bytes  # names a request in logs and to servers
+    deadline_margin_ms: float  # a request ends so much before its client's deadline
+    max_in_flight: int  # requests held at once
+    connect_timeout_ms: float
+    can_cancel: bool  # an attempt may be called off before its end
+    max_retry_after_ms: float  # of a retry-after
+    streams_past_deadline: bool = True  # an answer that has begun may go on beyond its request's deadline
+    records_usage: bool = False  # the counter service keeps tries
+    logs_responses: bool = True  # each final answer is told to the log
+    authorization: AuthorizationSettings | None = None
+    forward_auth_reader: Answerer | None = None
+    trace_sampler: Sampler | None = None
+    extension_points: Points | None = None
+
+
+class ListenerLimits(Protocol):
     """What a driver holds its clients to.  Sizes are bytes, times milliseconds."""
 
     @property
@@ -198,7 +200,7 @@
         """A request is taken once its body is whole."""
 
 
-class UpstreamBounds(Protocol):
+class UpstreamLimits(Protocol):
     """What a driver holds its connections to servers to."""
 
     @property
--- a/martenstep/proxy/engine.py
+++ b/martenstep/proxy/engine.py
@@ -21,11 +21,19 @@
 from martenstep.policy.gateway import Gateway
 from martenstep.policy.messages import CallResult
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.attempt_outcomes import of_ending, of_stop
-from martenstep.proxy.dependencies import Guarded, Parts, Routed, Unroutable
-from martenstep.proxy.headers import STATUS, encoded, header, overlaid, rate_limit, reason_header, waits
+from martenstep.proxy.attempt_outcomes import classify_failure, classify_stop
+from martenstep.proxy.dependencies import EngineDependencies, RoutedRequest, RouteRejection, UnauthenticatedRequest
+from martenstep.proxy.headers import (
+    REJECTION_STATUS,
+    encode_headers,
+    get_header,
+    override_headers,
+    rate_limit_headers,
+    reason_header,
+    retry_after_headers,
+)
 from martenstep.proxy.permission import AttemptFacts, Denial, may_begin
-from martenstep.proxy.targets import Declined
+from martenstep.proxy.targets import TargetRejection
 
 if TYPE_CHECKING:  # a door without them does not load them: hooks, traces and sub-requests weigh more than the rest
     from martenstep.hooks.releases import Edition, Shelf
@@ -88,14 +96,16 @@
         "verdict",
     )
 
-    def __init__(self, arrived: ev.Arrived, routed: Routed, rid: str, label: str, now: float, deadline: float) -> None:
-        self.ticket, self.rid, self.label, self.routed = arrived.ticket, rid, label, routed
+    def __init__(
+        self, arrived: ev.RequestReceived, routed: RoutedRequest, rid: str, label: str, now: float, deadline: float
+    ) -> None:
+        self.ticket, self.rid, self.label, self.routed = arrived.request_id, rid, label, routed
         self.head = arrived
         self.arrived, self.deadline = now, deadline
         self.attempt: Attempt | None = None  # the last one
         self.servers: list[int] = []  # of all attempts
         self.settled = False  # it has its final answer, or its client is gone
-        self.guarded: Guarded | None = None  # an authentication service is to tell its customer
+        self.guarded: UnauthenticatedRequest | None = None  # an authentication service is to tell its customer
         self.verdict: auth.Answer | None = None  # what it said
         self.credential = b""  # a digest
         self.told = False  # the module knows of it
@@ -105,7 +115,7 @@
         self.edition: Edition | None = None  # the hooks that act at its begin
         self.runner: Runner | None = None  # those of them that are its customer's
         self.shown: tuple[Any, ...] | None = None  # the record that hooks are given,
-        self.shown_as: Routed | None = None  # and what the request was then
+        self.shown_as: RoutedRequest | None = None  # and what the request was then
         self.sending: tuple[bytes, ev.Headers] | None = None  # what a hook made of its target, for all attempts
         self.timed_out = False
 
@@ -113,23 +123,27 @@
 class Engine:
     """One door: the module's Gateway, its requests, its timers."""
 
-    def __init__(self, parts: Parts, seed: int, shelf: Shelf | None = None) -> None:
+    def __init__(self, parts: EngineDependencies, seed: int, shelf: Shelf | None = None) -> None:
         """`shelf` holds the hooks, where there are any."""
         self.settings = parts.settings
         self._gateway = Gateway(self.settings, seed)
-        self._status, self._wording = parts.status, parts.wording
-        self._name, self._id_header = parts.name, parts.id_header
-        self._connect_ms, self._cancel, self._streams = parts.connect_ms, parts.cancel, parts.streams
-        self._records, self._noted = parts.records, parts.noted
-        self._max_wait = parts.max_wait_ms
-        self._sampler = parts.sampler
+        self._status, self._wording = parts.status_classifier, parts.message_builder
+        self._name, self._id_header = parts.name, parts.request_id_header
+        self._connect_ms, self._cancel, self._streams = (
+            parts.connect_timeout_ms,
+            parts.can_cancel,
+            parts.streams_past_deadline,
+        )
+        self._records, self._noted = parts.records_usage, parts.logs_responses
+        self._max_wait = parts.max_retry_after_ms
+        self._sampler = parts.trace_sampler
         self._plan_of: OrderedDict[bytes, str] = OrderedDict()  # by credential, as last told
         self._auth: auth.Core | None = None
-        if parts.auth is not None:
-            told = self._auth_told = parts.auth
+        if parts.authorization is not None:
+            told = self._auth_told = parts.authorization
             self._auth = auth.Core(told.rules, len(told.services), random.Random(seed))
         # Asked by an edge proxy: what the module sends on goes to the proxy itself, the one server there is.
-        self._answerer = parts.answerer
+        self._answerer = parts.forward_auth_reader
         if self._answerer is not None:
             edge = api.Endpoint(EDGE, self.settings.zone, "edge", 0, api.EndpointState.UP)
             self._gateway.handle(0.0, api.EndpointListUpdate(api.EndpointListScope.FULL, (edge,)))
@@ -159,20 +173,20 @@
         self._now = 0.0
         self._stopped = False  # no request is taken any more
         self._handlers: dict[type, Callable[[Any], None]] = {
-            ev.Arrived: self._arrived,
+            ev.RequestReceived: self._arrived,
             ev.ClockStepped: self._clock_stepped,
-            ev.ClientLeft: self._client_left,
-            ev.BodyDropped: self._body_dropped,
-            ev.Written: self._written,
-            ev.AnswerHead: self._answer_head,
-            ev.AnswerBegun: self._answer_begun,
-            ev.AnswerWhole: self._answer_whole,
-            ev.AttemptEnded: self._attempt_ended,
-            ev.Counted: self._counted,
+            ev.ClientDisconnected: self._client_left,
+            ev.RequestBodyNotReplayable: self._body_dropped,
+            ev.AttemptWritten: self._written,
+            ev.ResponseHeadReceived: self._answer_head,
+            ev.ResponseBufferExceeded: self._answer_begun,
+            ev.ResponseCompleted: self._answer_whole,
+            ev.AttemptFailed: self._attempt_ended,
+            ev.CounterReplied: self._counted,
             ev.Listed: self._listed,
             ev.Tick: self._tick,
-            ev.Checked: self._checked,
-            ev.CheckFailed: self._check_failed,
+            ev.AuthCheckReplied: self._checked,
+            ev.AuthCheckFailed: self._check_failed,
         }
 
     # Outside --------------------------------------------------------------------------------------------
@@ -220,18 +234,18 @@
         out, self._out = self._out, []
         return out
 
-    def reconfigure(self, parts: Parts) -> None:
+    def reconfigure(self, parts: EngineDependencies) -> None:
         """Take up parts that differ only in what can change in service; requests that are inside keep theirs."""
-        self._routes, self._targets, self._points = parts.routes, parts.targets, parts.points
-        self._margin, self._max_open = parts.margin_ms, parts.max_open
+        self._routes, self._targets, self._points = parts.route_table, parts.targets, parts.extension_points
+        self._margin, self._max_open = parts.deadline_margin_ms, parts.max_in_flight
 
-    def may_begin(self, now: float, action: ev.Open) -> Denial | None:
+    def may_begin(self, now: float, action: ev.OpenAttempt) -> Denial | None:
         """Why an attempt may not be written now; none where it may.  Asked at the moment of its first byte."""
-        exchange = self._exchanges.get(action.ticket)
+        exchange = self._exchanges.get(action.request_id)
         attempt = exchange.attempt if exchange is not None else None
         if exchange is None or attempt is None:
             return Denial.ANSWERED
-        cls = exchange.routed.cls
+        cls = exchange.routed.request_class
         return self._denied_now(
             exchange,
             may_begin(
@@ -241,7 +255,7 @@
                     exchange.settled,
                     self._stopped,
                     attempt.number == action.attempt and attempt.open,
-                    self._answerer is not None or action.server in self._taking,
+                    self._answerer is not None or action.endpoint in self._taking,
                     cls.idempotency,
                     exchange.risk_at,
                     cls.deduplication_window_ms,
@@ -261,7 +275,7 @@
 
     def worded(self, reason: str) -> tuple[ev.Headers, bytes]:
         """Headers and body of an answer to what is no request of the engine's."""
-        return self._wording.own(reason, "", None)
+        return self._wording.local_reply(reason, "", None)
 
     def stop(self, now: float) -> list[ev.Action]:
         """The daemon's time is over: every request that is still held gets its answer now, and no further attempt."""
@@ -279,7 +293,9 @@
             may_have_run = exchange.risk_at is not None or (open_attempt is not None and open_attempt.written)
             exchange.timed_out = True
             self._give_up(
-                exchange, not may_have_run or exchange.routed.cls.idempotency is api.Idempotency.IDEMPOTENT, "stopping"
+                exchange,
+                not may_have_run or exchange.routed.request_class.idempotency is api.Idempotency.IDEMPOTENT,
+                "stopping",
             )
             if open_attempt:
                 self._stop(exchange, open_attempt, CallResult.TIMEOUT)
@@ -303,7 +319,7 @@
             case api.StartAttempt():
                 self._send(action)
             case api.Reject(id=rid, retry_after_ms=wait, reason=reason):
-                self._answer(self._rids[rid], STATUS[reason], reason.value, min(wait, self._max_wait))
+                self._answer(self._rids[rid], REJECTION_STATUS[reason], reason.value, min(wait, self._max_wait))
             case api.Fail(id=rid):
                 self._fail(self._rids[rid])
             case api.IncrementCounter(key=name, units=units, expire_ms=expire_ms, bounds_ceiling=proof):
@@ -312,7 +328,7 @@
                 self._timer(
                     self._now + self.settings.counter_timeout_ms + COUNT_GRACE_MS, self._at_uncounted, self._serial
                 )
-                self._out.append(ev.Add(self._serial, name, units, expire_ms, proof))
+                self._out.append(ev.AddToCounter(self._serial, name, units, expire_ms, proof))
             case api.SetTimer(at_ms=at, token=token):
                 self._timer(at, self._due, token)
             case api.CancelAttempt(id=rid, attempt=number):
@@ -321,7 +337,7 @@
                 if attempt and attempt.number == number and attempt.open and not attempt.begun:
                     self._stop(exchange, attempt, CallResult.CANCELLED)
             case api.Subscribe():
-                self._out.append(ev.Listen())
+                self._out.append(ev.SubscribeEndpoints())
             case api.Log(text=text):
                 self._out.append(ev.LogEvent("module", {"text": text}))
 
@@ -335,11 +351,11 @@
         if self._records and number == 0:
             routed = exchange.routed
             self._out.append(
-                ev.Tried(
+                ev.RecordUsage(
                     exchange.label,
-                    routed.key,
+                    routed.customer_key,
                     routed.plan.name,
-                    routed.cls.name,
+                    routed.request_class.name,
                     routed.units,
                     action.over_quota,
                     exchange.ticket,
@@ -358,7 +374,7 @@
             return
         head = exchange.head
         wording, verdict = self._wording, exchange.verdict
-        copied = wording.copied(list(verdict.headers)) if verdict is not None else []
+        copied = wording.copied_auth_headers(list(verdict.headers)) if verdict is not None else []
         left = max(exchange.deadline - self._now, 0.0)
         target, given = head.target, NO_HEADERS
         if exchange.runner is not None and exchange.runner.has("sending"):
@@ -369,7 +385,7 @@
         parent = b""
         if trace is not None:
             parent = trace.outgoing(trace.begin("attempt", self._now, attempt=number, server=action.endpoint))
-        headers = wording.headers(
+        headers = wording.request_headers(
             head.headers,
             copied,
             given,
@@ -377,13 +393,13 @@
             exchange.rid,
             number,
             left,
-            head.peer,
+            head.client_address,
             parent,
-            exchange.routed.cls.idempotency is api.Idempotency.KEYED,
+            exchange.routed.request_class.idempotency is api.Idempotency.KEYED,
         )
         self._timer(min(self._now + self._connect_ms, exchange.deadline), self._at_unconnected, exchange.ticket, number)
         self._out.append(
-            ev.Open(
+            ev.OpenAttempt(
                 exchange.ticket,
                 number,
                 action.endpoint,
@@ -396,16 +412,16 @@
             )
         )
 
-    def restate(self, now: float, action: ev.Open) -> None:
+    def restate(self, now: float, action: ev.OpenAttempt) -> None:
         """Have an attempt tell what is left by now, after its dial: a server that believes more works for nobody."""
-        name, value = self._wording.expiry(max(action.expires - now, 0.0))
+        name, value = self._wording.deadline_header(max(action.deadline - now, 0.0))
         action.headers = [(name, value) if pair[0] == name else pair for pair in action.headers]
 
     @staticmethod
     def _deliver_by(exchange: Exchange) -> float | None:
         """A repeat of a keyed request must come to its server while servers still know its key: what the network holds
         for longer is not to be delivered any more."""
-        cls, risk = exchange.routed.cls, exchange.risk_at
+        cls, risk = exchange.routed.request_class, exchange.risk_at
         return (
             risk + cls.deduplication_window_ms
             if risk is not None and cls.idempotency is api.Idempotency.KEYED
@@ -420,12 +436,12 @@
         headers: ev.Headers = [
             (b"content-length", b"0"),
             *self._limits(routed),
-            (b"x-customer", routed.key.encode("latin-1", "replace")),
+            (b"x-customer", routed.customer_key.encode("latin-1", "replace")),
             (b"x-plan", routed.plan.name.encode()),
-            *self._wording.signed(exchange.label),
+            *self._wording.identity_headers(exchange.label),
         ]
         self._settle(exchange, 200, "let pass", None)
-        self._out.append(ev.Reply(exchange.ticket, 200, headers, b""))
+        self._out.append(ev.SendLocalReply(exchange.ticket, 200, headers, b""))
         self._forget(exchange)
         self._tell(api.AttemptEnded(exchange.rid, number, server, CallResult.OK, self._now - exchange.arrived, True))
 
@@ -443,8 +459,8 @@
     def _stop(self, exchange: Exchange, attempt: Attempt, wanted: CallResult) -> None:
         """The door itself stops an attempt."""
         attempt.open = False  # nothing that still comes from it counts
-        self._out.append(ev.Abandon(exchange.ticket, attempt.number))
-        self._ended(exchange, attempt, of_stop(wanted, attempt.written))
+        self._out.append(ev.AbortAttempt(exchange.ticket, attempt.number))
+        self._ended(exchange, attempt, classify_stop(wanted, attempt.written))
 
     def _ended(self, exchange: Exchange, attempt: Attempt, verdict: CallResult) -> None:
         """An attempt ended without an answer that can be passed on."""
@@ -453,12 +469,12 @@
             self._forget(exchange)
         elif attempt.begun:
             self._settle(exchange, 0, "broken answer", None)
-            self._out.append(ev.Break(exchange.ticket))
+            self._out.append(ev.ResetClientConnection(exchange.ticket))
             self._outcome(exchange, attempt, verdict, True)
             self._forget(exchange)
         elif exchange.one_attempt:
             # Its body is partly gone: the module is not asked for a further attempt that cannot be made.
-            harmless = exchange.routed.cls.idempotency is api.Idempotency.IDEMPOTENT or verdict.never_executed
+            harmless = exchange.routed.request_class.idempotency is api.Idempotency.IDEMPOTENT or verdict.never_executed
             self._give_up(exchange, harmless, "spent")
             self._outcome(exchange, attempt, verdict, True)
             self._forget(exchange)
@@ -467,13 +483,13 @@
 
     # Answers --------------------------------------------------------------------------------------------
 
-    def _limits(self, routed: Routed) -> ev.Headers:
+    def _limits(self, routed: RoutedRequest) -> ev.Headers:
         plan = routed.plan
-        if plan.rate <= 0 or not self._wording.tells_limits:
+        if plan.rate <= 0 or not self._wording.sends_rate_limits:
             return []
         room = self._gateway.room(self._now, routed.customer)
         full = 0.0 if room is None else max(plan.burst - room, 0.0) / plan.rate * 1000.0
-        return rate_limit(plan, room, full)
+        return rate_limit_headers(plan, room, full)
 
     def _fail(self, exchange: Exchange) -> None:
         """The final answer that promises nothing."""
@@ -484,16 +500,16 @@
         """The final answer where the module is not asked for a further attempt: a refusal for `reason` if a retry
         does no harm."""
         if harmless:
-            self._answer(exchange, UNAVAILABLE, reason, exchange.routed.cls.latency_objective_ms * 0.1)
+            self._answer(exchange, UNAVAILABLE, reason, exchange.routed.request_class.latency_objective_ms * 0.1)
         else:
             self._fail(exchange)
 
     def _answer(self, exchange: Exchange, status: int, reason: str, wait: float | None) -> None:
         """A final answer of the door's own."""
-        headers, body = self._wording.own(reason, exchange.label, wait)
+        headers, body = self._wording.local_reply(reason, exchange.label, wait)
         runner, edition = exchange.runner, exchange.edition
         if runner is None and edition is not None:
-            runner = edition.runner(exchange.routed.key)
+            runner = edition.runner(exchange.routed.customer_key)
         if wait is not None and runner is not None and runner.has("refusal"):
             assert self._points is not None
             words = self._points.refusal(self._now, runner, exchange, status, reason, wait)
@@ -503,13 +519,13 @@
                 headers = [
                     (b"content-type", words.content_type.encode()),
                     reason_header(reason),
-                    *waits(wait),
+                    *retry_after_headers(wait),
                     (b"content-length", str(len(body)).encode()),
-                    *encoded(words.headers),
+                    *encode_headers(words.headers),
                 ]
-        headers += [*self._limits(exchange.routed), *self._wording.signed(exchange.label)]
+        headers += [*self._limits(exchange.routed), *self._wording.identity_headers(exchange.label)]
         self._settle(exchange, status, reason, wait)
-        self._out.append(ev.Reply(exchange.ticket, status, headers, body))
+        self._out.append(ev.SendLocalReply(exchange.ticket, status, headers, body))
         self._forget(exchange)
 
     def _settle(self, exchange: Exchange, status: int, reason: str, wait: float | None) -> None:
@@ -521,7 +537,12 @@
             root = exchange.trace.root
             root.end = self._now
             root.attributes.update(
-                {"status": status, "reason": reason, "customer": exchange.routed.key, "plan": exchange.routed.plan.name}
+                {
+                    "status": status,
+                    "reason": reason,
+                    "customer": exchange.routed.customer_key,
+                    "plan": exchange.routed.plan.name,
+                }
             )
             for name in ("auth", "counter"):
                 exchange.trace.end(name, self._now)
@@ -532,9 +553,9 @@
         routed = exchange.routed
         fields: dict[str, Any] = {
             "request": exchange.label,
-            "customer": routed.key,
+            "customer": routed.customer_key,
             "plan": routed.plan.name,
-            "class": routed.cls.name,
+            "class": routed.request_class.name,
             "status": status,
             "reason": reason,
             "attempts": len(exchange.servers),
@@ -562,37 +583,37 @@
             self._rids.pop(exchange.rid, None)
             if exchange.trace is not None:
                 trace, exchange.trace = exchange.trace, None
-                self._out.append(ev.Traced(trace))
+                self._out.append(ev.ExportTrace(trace))
 
     # Clients --------------------------------------------------------------------------------------------
 
-    def _arrived(self, event: ev.Arrived) -> None:
-        label = header(event.headers, self._id_header)
+    def _arrived(self, event: ev.RequestReceived) -> None:
+        label = get_header(event.headers, self._id_header)
         self._serial += 1
         rid = f"{self._serial:x}"
         named = label.decode("latin-1")[:ID_BYTES] if label else f"{self._name}-{self._seed:x}-{rid}"
         method, target = event.method, event.target
         if self._answerer is not None:
-            about = self._answerer.read(method, target, event.headers, event.peer)
+            about = self._answerer.read(method, target, event.headers, event.client_address)
             if isinstance(about, auth.Unasked):
                 self._turn_away(event, about.status, about.reason, named, None)
                 return
             method, target = about.method, about.target
         else:
-            taken = self._targets.take(method, target, event.headers)
-            if isinstance(taken, Declined):
+            taken = self._targets.normalize(method, target, event.headers)
+            if isinstance(taken, TargetRejection):
                 self._turn_away(event, taken.status, taken.reason, named, None, taken.headers)
                 return
             target = event.target = taken.target
             event.headers = taken.headers
         routed = self._routes.route(method, target, event.headers)
-        if isinstance(routed, Unroutable):
+        if isinstance(routed, RouteRejection):
             self._turn_away(event, routed.status, routed.reason, named, None)
             return
-        guarded = routed if isinstance(routed, Guarded) else None
-        if isinstance(routed, Guarded):
-            routed = Routed(routed.cls, NOBODY, 0, "", routed.units, 1, 0)
-        remaining = self._routes.deadline_ms(routed.cls, event.headers)
+        guarded = routed if isinstance(routed, UnauthenticatedRequest) else None
+        if isinstance(routed, UnauthenticatedRequest):
+            routed = RoutedRequest(routed.request_class, NOBODY, 0, "", routed.units, 1, 0)
+        remaining = self._routes.deadline_ms(routed.request_class, event.headers)
         if remaining is None:
             self._turn_away(event, 400, "bad deadline", named, None)
             return
@@ -602,12 +623,12 @@
         if self._open >= self._max_open:
             self._turn_away(event, UNAVAILABLE, "full house", named, FULL_HOUSE_WAIT_MS)
             return
-        arrived = self._now if event.at is None else min(event.at, self._now)
+        arrived = self._now if event.received_at is None else min(event.received_at, self._now)
         remaining = max(arrived + remaining - self._margin - self._now, 0.0)
         exchange = Exchange(event, routed, rid, named, arrived, self._now + remaining)
         if self._sampler is not None:
             exchange.trace = self._sampler.trace(
-                header(event.headers, b"traceparent"),
+                get_header(event.headers, b"traceparent"),
                 self._now,
                 request=named,
                 door=self._name,
@@ -615,45 +636,48 @@
                 path=target.partition(b"?")[0].decode("latin-1"),
             )
             if exchange.trace is not None:
-                exchange.trace.root.attributes["class"] = routed.cls.name
+                exchange.trace.root.attributes["class"] = routed.request_class.name
         if self._shelf is not None:
             exchange.edition = self._shelf.edition
-        self._exchanges[event.ticket] = self._rids[rid] = exchange
+        self._exchanges[event.request_id] = self._rids[rid] = exchange
         self._open += 1
-        self._timer(exchange.deadline, self._at_deadline, event.ticket)
+        self._timer(exchange.deadline, self._at_deadline, event.request_id)
         if guarded is not None:
             exchange.guarded = guarded
             self._ask(exchange, guarded, remaining)
         else:
             self._admit(exchange, routed)
 
-    def _admit(self, exchange: Exchange, routed: Routed) -> None:
+    def _admit(self, exchange: Exchange, routed: RoutedRequest) -> None:
         """Who the customer is is known: the module decides."""
         if exchange.trace is not None:
             exchange.trace.end("auth", self._now)
-        runner = exchange.edition.runner(routed.key) if exchange.edition is not None else None
+        runner = exchange.edition.runner(routed.customer_key) if exchange.edition is not None else None
         exchange.runner = runner
         if runner is not None and runner.has("classify"):
             assert self._points is not None
             exchange.routed = before = routed
             routed = self._points.classify(self._now, runner, exchange)
-            if routed.cls.deadline_ms < before.cls.deadline_ms:  # an earlier end takes effect, a later one never
+            if (
+                routed.request_class.deadline_ms < before.request_class.deadline_ms
+            ):  # an earlier end takes effect, a later one never
                 exchange.deadline = min(
-                    exchange.deadline, max(exchange.arrived + routed.cls.deadline_ms - self._margin, self._now)
+                    exchange.deadline,
+                    max(exchange.arrived + routed.request_class.deadline_ms - self._margin, self._now),
                 )
                 self._timer(exchange.deadline, self._at_deadline, exchange.ticket)
         exchange.routed, exchange.told = routed, True
         self._tell(
             api.Request(
                 exchange.rid,
-                routed.cls.name,
+                routed.request_class.name,
                 routed.plan.name,
                 routed.customer,
                 max(exchange.deadline - self._now, 0.0),
                 routed.units,
-                routed.spread,
-                routed.first,
-                routed.retry,
+                routed.instances,
+                routed.first_instance,
+                routed.is_retry,
             )
         )
         if exchange.trace is not None and not exchange.settled and not exchange.servers:
@@ -661,7 +685,7 @@
 
     # Authentication -------------------------------------------------------------------------------------
 
-    def _ask(self, exchange: Exchange, guarded: Guarded, remaining: float) -> None:
+    def _ask(self, exchange: Exchange, guarded: UnauthenticatedRequest, remaining: float) -> None:
         """Wait for a verdict on the request's credential."""
         assert self._auth is not None, "the settings' check lets no route authenticate without a service"
         if exchange.trace is not None:
@@ -670,18 +694,18 @@
         digest = hashlib.blake2b(digest_size=16)
         sent: ev.Headers = []
         for name, value in head.headers:
-            if name in self._auth_told.credentials:
+            if name in self._auth_told.credential_headers:
                 sent.append((name, value))
                 digest.update(b"%d %b %d %b " % (len(name), name, len(value), value))
-        if self._auth_told.by_target:
+        if self._auth_told.includes_target:
             digest.update(head.method + b" " + head.target)
-        host = header(head.headers, b"host") or b""
+        host = get_header(head.headers, b"host") or b""
         sent += [
             (b"x-forwarded-method", head.method),
             (b"x-forwarded-proto", b"http"),
             (b"x-forwarded-host", host),
             (b"x-forwarded-uri", head.target),
-            (b"x-forwarded-for", head.peer.encode()),
+            (b"x-forwarded-for", head.client_address.encode()),
             (self._id_header, exchange.label.encode("latin-1", "replace")),
         ]
         # Who gives way where too many wait goes by plan, as the credential's last verdict told it; those that nobody
@@ -695,9 +719,9 @@
             match action:
                 case auth.Start(check=check, attempt=attempt, service=service, payload=payload):
                     told = self._auth_told
-                    self._out.append(ev.Ask(check, attempt, told.services[service], told.path, payload))
+                    self._out.append(ev.StartAuthCheck(check, attempt, told.services[service], told.path, payload))
                 case auth.Stop(check=check, attempt=attempt):
-                    self._out.append(ev.StopAsking(check, attempt))
+                    self._out.append(ev.StopAuthCheck(check, attempt))
                 case auth.Allow(ticket=ticket, answer=answer):
                     self._allowed(self._exchanges[ticket], answer)
                 case auth.Deny(ticket=ticket, answer=answer):
@@ -712,11 +736,14 @@
         else:
             exchange.verdict = answer
             found = list(answer.headers)
-            key, plan = header(found, self._auth_told.customer_header), header(found, self._auth_told.plan_header)
+            key, plan = (
+                get_header(found, self._auth_told.customer_header),
+                get_header(found, self._auth_told.plan_header),
+            )
             routed = self._routes.identify(
                 exchange.guarded, (key or b"").decode("latin-1").strip(), (plan or b"").decode("latin-1").strip()
             )
-        if isinstance(routed, Unroutable):
+        if isinstance(routed, RouteRejection):
             self._answer(exchange, routed.status, routed.reason, None)
         else:
             if answer is not None:
@@ -734,36 +761,42 @@
         headers += [
             (b"content-length", str(len(answer.body)).encode()),
             (b"x-reason", b"denied"),
-            *self._wording.signed(exchange.label),
+            *self._wording.identity_headers(exchange.label),
         ]
         self._settle(exchange, answer.status, "denied", None)
-        self._out.append(ev.Reply(exchange.ticket, answer.status, headers, answer.body))
+        self._out.append(ev.SendLocalReply(exchange.ticket, answer.status, headers, answer.body))
         self._forget(exchange)
 
-    def _checked(self, event: ev.Checked) -> None:
+    def _checked(self, event: ev.AuthCheckReplied) -> None:
         assert self._auth is not None
         if event.status >= 500 or event.status < 200:  # a fault of the service is no verdict
-            self._ask_did(self._auth.failed(self._now, event.check, event.attempt))
+            self._ask_did(self._auth.failed(self._now, event.check_id, event.attempt))
             return
         answer = auth.Answer(event.status, tuple(event.headers), event.body, auth.keep_of(event.headers))
-        self._ask_did(self._auth.answered(self._now, event.check, event.attempt, answer))
+        self._ask_did(self._auth.answered(self._now, event.check_id, event.attempt, answer))
 
-    def _check_failed(self, event: ev.CheckFailed) -> None:
+    def _check_failed(self, event: ev.AuthCheckFailed) -> None:
         assert self._auth is not None
-        self._ask_did(self._auth.failed(self._now, event.check, event.attempt))
+        self._ask_did(self._auth.failed(self._now, event.check_id, event.attempt))
 
     def _turn_away(
-        self, event: ev.Arrived, status: int, reason: str, label: str, wait: float | None, more: ev.Headers = NO_HEADERS
+        self,
+        event: ev.RequestReceived,
+        status: int,
+        reason: str,
+        label: str,
+        wait: float | None,
+        more: ev.Headers = NO_HEADERS,
     ) -> None:
         """Answer what never reaches the module."""
-        headers, body = self._wording.own(reason, label, wait) if status != NO_CONTENT else ([], b"")
-        headers += [*more, *self._wording.signed(label)]
+        headers, body = self._wording.local_reply(reason, label, wait) if status != NO_CONTENT else ([], b"")
+        headers += [*more, *self._wording.identity_headers(label)]
         if status >= 400:  # a probe that is answered well is not turned away: on a quiet door it would be most lines
             self._out.append(ev.LogEvent("turned away", {"request": label, "status": status, "reason": reason}))
-        self._out.append(ev.Reply(event.ticket, status, headers, body))
+        self._out.append(ev.SendLocalReply(event.request_id, status, headers, body))
 
-    def _client_left(self, event: ev.ClientLeft) -> None:
-        exchange = self._exchanges.get(event.ticket)
+    def _client_left(self, event: ev.ClientDisconnected) -> None:
+        exchange = self._exchanges.get(event.request_id)
         if exchange is None or exchange.settled:
             return
         self._settle(exchange, 0, "client left", None)
@@ -779,11 +812,11 @@
     def _withdraw(self, exchange: Exchange, attempt: Attempt) -> None:
         """Never begin an attempt that is not written: no work of its server's is called off, and no failure of its."""
         attempt.open = False
-        self._out.append(ev.Abandon(exchange.ticket, attempt.number))
+        self._out.append(ev.AbortAttempt(exchange.ticket, attempt.number))
         self._outcome(exchange, attempt, CallResult.NOT_SENT, exchange.settled)
 
-    def _body_dropped(self, event: ev.BodyDropped) -> None:
-        exchange = self._exchanges.get(event.ticket)
+    def _body_dropped(self, event: ev.RequestBodyNotReplayable) -> None:
+        exchange = self._exchanges.get(event.request_id)
         if exchange is not None:
             exchange.one_attempt = True
 
@@ -797,30 +830,30 @@
             return None
         return exchange, attempt
 
-    def _written(self, event: ev.Written) -> None:
-        live = self._live(event.ticket, event.attempt)
+    def _written(self, event: ev.AttemptWritten) -> None:
+        live = self._live(event.request_id, event.attempt)
         if live:
             live[1].written = True
 
-    def _answer_head(self, event: ev.AnswerHead) -> None:
-        live = self._live(event.ticket, event.attempt)
+    def _answer_head(self, event: ev.ResponseHeadReceived) -> None:
+        live = self._live(event.request_id, event.attempt)
         if live is None:
             return
         exchange, attempt = live
-        verdict = self._status.verdict(event.status, event.headers)
+        verdict = self._status.classify(event.status, event.headers)
         if verdict is not CallResult.OK:
             attempt.open = False
-            self._out.append(ev.Abandon(event.ticket, event.attempt))
+            self._out.append(ev.AbortAttempt(event.request_id, event.attempt))
             self._ended(exchange, attempt, verdict)
             return
         attempt.status, attempt.headers = event.status, event.headers
 
     def _passed(self, exchange: Exchange, attempt: Attempt, whole: bool) -> None:
-        headers = self._wording.passed(attempt.headers)
+        headers = self._wording.response_headers(attempt.headers)
         runner = exchange.runner
         if runner is not None and runner.has("answer"):
             assert self._points is not None
-            headers = overlaid(
+            headers = override_headers(
                 headers,
                 self._points.answer(
                     self._now,
@@ -832,19 +865,19 @@
                     headers,
                 ),
             )
-        headers += [*self._limits(exchange.routed), *self._wording.signed(exchange.label)]
-        self._out.append(ev.Pass(exchange.ticket, attempt.number, attempt.status, headers, whole))
+        headers += [*self._limits(exchange.routed), *self._wording.identity_headers(exchange.label)]
+        self._out.append(ev.RelayResponse(exchange.ticket, attempt.number, attempt.status, headers, whole))
 
-    def _answer_begun(self, event: ev.AnswerBegun) -> None:
-        live = self._live(event.ticket, event.attempt)
+    def _answer_begun(self, event: ev.ResponseBufferExceeded) -> None:
+        live = self._live(event.request_id, event.attempt)
         if live is None or live[1].begun or live[0].settled:
             return
         live[1].begun = True
         self._tell(api.ResponseStarted(live[0].rid))
         self._passed(live[0], live[1], False)
 
-    def _answer_whole(self, event: ev.AnswerWhole) -> None:
-        live = self._live(event.ticket, event.attempt)
+    def _answer_whole(self, event: ev.ResponseCompleted) -> None:
+        live = self._live(event.request_id, event.attempt)
         if live is None:
             return
         exchange, attempt = live
@@ -855,11 +888,11 @@
         self._outcome(exchange, attempt, CallResult.OK, True)
         self._forget(exchange)
 
-    def _attempt_ended(self, event: ev.AttemptEnded) -> None:
-        live = self._live(event.ticket, event.attempt)
+    def _attempt_ended(self, event: ev.AttemptFailed) -> None:
+        live = self._live(event.request_id, event.attempt)
         if live is not None:
             live[1].open = False
-            self._ended(live[0], live[1], of_ending(event.how))
+            self._ended(live[0], live[1], classify_failure(event.failure))
 
     # Clock, store and feed -------------------------------------------------------------------------------------
 
@@ -868,10 +901,10 @@
             self._out.append(ev.LogEvent("clock stepped", {"shift_ms": round(event.shift_ms, 3)}))
         self._tell(api.ClockStepped(event.shift_ms))
 
-    def _counted(self, event: ev.Counted) -> None:
-        call = self._calls.pop(event.call, None)
+    def _counted(self, event: ev.CounterReplied) -> None:
+        call = self._calls.pop(event.call_id, None)
         if call is not None:  # else its time-out was told already
-            self._tell(api.CounterReply(call[0], event.verdict, self._now - call[1], event.total, event.kept_ms))
+            self._tell(api.CounterReply(call[0], event.result, self._now - call[1], event.total, event.retained_ms))
 
     def _listed(self, event: ev.Listed) -> None:
         self._addresses.update(event.addresses)
@@ -929,7 +962,7 @@
         self._tell(api.TimerFired(token))
 
     def _uncounted(self, call: int) -> None:
-        self._counted(ev.Counted(call, CallResult.TIMEOUT))
+        self._counted(ev.CounterReplied(call, CallResult.TIMEOUT))
 
     def _unconnected(self, ticket: int, number: int) -> None:
         live = self._live(ticket, number)
--- a/martenstep/proxy/engine_messages.py
+++ b/martenstep/proxy/engine_messages.py
@@ -20,14 +20,14 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class Ending(Enum):
+class AttemptFailure(Enum):
     """How an attempt ended without a whole answer; verdicts.py says what each proves."""
 
     NOT_CONNECTED = "no connection was made"
-    NO_PLACE = "the bound of connections to the server is reached"
+    CONNECTION_LIMIT = "the bound of connections to the server is reached"
     NOT_WRITTEN = "the connection ended before anything was written to it"
     CLOSED = "the connection ended after something was written and before the answer was whole"
-    BAD_ANSWER = "what came back is not HTTP"
+    MALFORMED_RESPONSE = "what came back is not HTTP"
     STALLED = "an answer that had begun stood still"
 
 
@@ -35,15 +35,15 @@
 
 
 @dataclass(slots=True)
-class Arrived:
+class RequestReceived:
     """A client's request head is whole."""
 
-    ticket: int
+    request_id: int
     method: bytes
     target: bytes
     headers: Headers
-    peer: str = ""
-    at: float | None = None  # when its last byte came; none: now
+    client_address: str = ""
+    received_at: float | None = None  # when its last byte came; none: now
 
 
 @dataclass(slots=True)
@@ -54,70 +54,70 @@
 
 
 @dataclass(slots=True)
-class ClientLeft:
+class ClientDisconnected:
     """The client's connection is gone, or its request broke off."""
 
-    ticket: int
+    request_id: int
 
 
 @dataclass(slots=True)
-class BodyDropped:
+class RequestBodyNotReplayable:
     """The request's body has outgrown what is kept: it cannot be written again."""
 
-    ticket: int
+    request_id: int
 
 
 @dataclass(slots=True)
-class Written:
+class AttemptWritten:
     """The first bytes of an attempt are being written: from here it may run."""
 
-    ticket: int
+    request_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class AnswerHead:
+class ResponseHeadReceived:
     """The head of an attempt's answer is whole."""
 
-    ticket: int
+    request_id: int
     attempt: int
     status: int
     headers: Headers
 
 
 @dataclass(slots=True)
-class AnswerBegun:
+class ResponseBufferExceeded:
     """More of an answer has come than is held back: it must go to the client now."""
 
-    ticket: int
+    request_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class AnswerWhole:
+class ResponseCompleted:
     """The last byte of an attempt's answer has come."""
 
-    ticket: int
+    request_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class AttemptEnded:
+class AttemptFailed:
     """An attempt ended without a whole answer."""
 
-    ticket: int
+    request_id: int
     attempt: int
-    how: Ending
+    failure: AttemptFailure
 
 
 @dataclass(slots=True)
-class Counted:
+class CounterReplied:
     """The store's answer to one Add."""
 
-    call: int
-    verdict: CallResult
+    call_id: int
+    result: CallResult
     total: float = 0.0
-    kept_ms: float = math.inf  # for so long it is known to have lost nothing
+    retained_ms: float = math.inf  # for so long it is known to have lost nothing
 
 
 @dataclass(slots=True)
@@ -126,10 +126,10 @@
 
 
 @dataclass(slots=True)
-class Checked:
+class AuthCheckReplied:
     """An authentication service answered a check."""
 
-    check: int
+    check_id: int
     attempt: int
     status: int
     headers: Headers
@@ -137,26 +137,26 @@
 
 
 @dataclass(slots=True)
-class CheckFailed:
+class AuthCheckFailed:
     """A check's attempt gave no answer that can be read."""
 
-    check: int
+    check_id: int
     attempt: int
 
 
 Event = (
-    Arrived
+    RequestReceived
     | ClockStepped
-    | ClientLeft
-    | BodyDropped
-    | Checked
-    | CheckFailed
-    | Written
-    | AnswerHead
-    | AnswerBegun
-    | AnswerWhole
-    | AttemptEnded
-    | Counted
+    | ClientDisconnected
+    | RequestBodyNotReplayable
+    | AuthCheckReplied
+    | AuthCheckFailed
+    | AttemptWritten
+    | ResponseHeadReceived
+    | ResponseBufferExceeded
+    | ResponseCompleted
+    | AttemptFailed
+    | CounterReplied
     | Listed
     | Tick
 )
@@ -165,72 +165,72 @@
 
 
 @dataclass(slots=True)
-class Open:
+class OpenAttempt:
     """Start an attempt: take or make a connection to the address and write the request."""
 
-    ticket: int
+    request_id: int
     attempt: int
-    server: int
+    endpoint: int
     address: tuple[str, int]
     method: bytes
     target: bytes
     headers: Headers
-    expires: float  # the request's deadline
-    by: float | None = None  # not to be delivered later than this
+    deadline: float  # the request's deadline
+    deliver_by: float | None = None  # not to be delivered later than this
 
 
 @dataclass(slots=True)
-class Abandon:
+class AbortAttempt:
     """Stop an attempt and close its connection; nothing more may be written for it."""
 
-    ticket: int
+    request_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Pass:
+class RelayResponse:
     """Give the attempt's answer, with this head, to the client; what is held first, the rest as it comes."""
 
-    ticket: int
+    request_id: int
     attempt: int
     status: int
     headers: Headers
-    whole: bool
+    complete: bool
 
 
 @dataclass(slots=True)
-class Reply:
+class SendLocalReply:
     """Final answer of the door's own."""
 
-    ticket: int
+    request_id: int
     status: int
     headers: Headers
     body: bytes
 
 
 @dataclass(slots=True)
-class Break:
+class ResetClientConnection:
     """An answer that had begun broke off: the client's connection is closed to say so."""
 
-    ticket: int
+    request_id: int
 
 
 @dataclass(slots=True)
-class Add:
+class AddToCounter:
     """Add units to a name of the store and learn the total."""
 
-    call: int
-    name: int
+    call_id: int
+    key: int
     units: float
     expire_ms: float
-    proof: bool = False  # how long nothing was lost is to be proved
+    bounds_ceiling: bool = False  # how long nothing was lost is to be proved
 
 
 @dataclass(slots=True)
-class Ask:
+class StartAuthCheck:
     """Ask an authentication service."""
 
-    check: int
+    check_id: int
     attempt: int
     address: tuple[str, int]
     target: bytes
@@ -238,35 +238,35 @@
 
 
 @dataclass(slots=True)
-class StopAsking:
+class StopAuthCheck:
     """Stop an attempt of a check and close its connection."""
 
-    check: int
+    check_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Tried:
+class RecordUsage:
     """A request was sent on for the first time: to be recorded, once."""
 
-    request: str
+    correlation_id: str
     customer: str
     plan: str
-    cls: str
+    request_class: str
     units: float
-    beyond: bool
-    ticket: int = 0
+    over_quota: bool
+    request_id: int = 0
 
 
 @dataclass(slots=True)
-class Traced:
+class ExportTrace:
     """A traced request is over."""
 
     trace: Trace
 
 
 @dataclass(slots=True)
-class Listen:
+class SubscribeEndpoints:
     """Ask the feed for changes from now on."""
 
 
@@ -278,4 +278,17 @@
     fields: dict[str, Any]
 
 
-Action = Traced | Ask | StopAsking | Open | Abandon | Pass | Reply | Break | Add | Tried | Listen | LogEvent
+Action = (
+    ExportTrace
+    | StartAuthCheck
+    | StopAuthCheck
+    | OpenAttempt
+    | AbortAttempt
+    | RelayResponse
+    | SendLocalReply
+    | ResetClientConnection
+    | AddToCounter
+    | RecordUsage
+    | SubscribeEndpoints
+    | LogEvent
+)
--- a/martenstep/proxy/extension_points.py
+++ b/martenstep/proxy/extension_points.py
@@ -10,9 +10,9 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.hooks import border
 from martenstep.hooks.runner import Runner
-from martenstep.proxy.dependencies import Routed
-from martenstep.proxy.engine_messages import Arrived, Headers
-from martenstep.proxy.headers import encoded, path_of
+from martenstep.proxy.dependencies import RoutedRequest
+from martenstep.proxy.engine_messages import Headers, RequestReceived
+from martenstep.proxy.headers import encode_headers, parse_path
 from martenstep.proxy.route_table import Routes
 
 # A hook reads no credential; the settings name more of them.
@@ -36,11 +36,11 @@
 class Subject(Protocol):
     """A request, as far as hooks have to do with it."""
 
-    head: Arrived
-    routed: Routed
+    head: RequestReceived
+    routed: RoutedRequest
     arrived: float
     shown: tuple[Any, ...] | None  # the record that hooks were given last,
-    shown_as: Routed | None  # and what it was then
+    shown_as: RoutedRequest | None  # and what it was then
 
 
 class Points:
@@ -64,16 +64,16 @@
             for name, cls in classes.items()
         }
 
-    def _bounds(self, routed: Routed) -> border.Bounds:
-        found = self._known.get((routed.cls.name, routed.units))
+    def _bounds(self, routed: RoutedRequest) -> border.Bounds:
+        found = self._known.get((routed.request_class.name, routed.units))
         if found is None:  # as many as there are routes
-            found = self._known[routed.cls.name, routed.units] = self._bounds_of(routed)
+            found = self._known[routed.request_class.name, routed.units] = self._bounds_of(routed)
         return found
 
-    def _bounds_of(self, routed: Routed) -> border.Bounds:
+    def _bounds_of(self, routed: RoutedRequest) -> border.Bounds:
         least = min(routed.units, self._least) if not self._own_least else routed.units
         return border.Bounds(
-            self._classes[routed.cls.name],
+            self._classes[routed.request_class.name],
             self._plans,
             self._customers,
             least,
@@ -103,9 +103,9 @@
                 str(head.method, "latin-1"),
                 origin_form(head.target),
                 str(host, "latin-1"),
-                routed.key,
+                routed.customer_key,
                 routed.plan.name,
-                routed.cls.name,
+                routed.request_class.name,
                 float(routed.units),
                 _first(language),
                 _first(accept),
@@ -114,15 +114,15 @@
             )
         return subject.shown
 
-    def classify(self, now: float, runner: Runner, subject: Subject) -> Routed:
+    def classify(self, now: float, runner: Runner, subject: Subject) -> RoutedRequest:
         """Class, customer, plan and units."""
         routed = subject.routed
-        before = border.Placed(routed.cls.name, routed.key, routed.plan.name, routed.units)
+        before = border.Placed(routed.request_class.name, routed.customer_key, routed.plan.name, routed.units)
         bounds = self._bounds(routed)
         placed = runner.call(
             now,
             "classify",
-            routed.key,
+            routed.customer_key,
             routed.plan.name,
             lambda: (self._request(subject),),
             lambda made: border.placed(made, before, bounds),
@@ -142,17 +142,20 @@
         def take(made: Any) -> tuple[bytes, Headers]:
             path, given = border.sending(made, before, bounds)
             if path == before:
-                return head.target, encoded(given)
+                return head.target, encode_headers(given)
             target = path.encode("latin-1")
             # A path of another class could be one whose repeats do what this one's may not.
-            if path_of(target) is None or (
-                not path.startswith(self._prefixes) and self._routes.class_at(head.method, target) != routed.cls.name
+            if parse_path(target) is None or (
+                not path.startswith(self._prefixes)
+                and self._routes.class_at(head.method, target) != routed.request_class.name
             ):
                 raise border.BorderError(f"path {path[:64]!r}: is of another class, and below no path_prefix")
-            return target, encoded(given)
+            return target, encode_headers(given)
 
         own: tuple[bytes, Headers] = head.target, []
-        return runner.call(now, "sending", routed.key, routed.plan.name, lambda: (self._request(subject),), take, own)
+        return runner.call(
+            now, "sending", routed.customer_key, routed.plan.name, lambda: (self._request(subject),), take, own
+        )
 
     def refusal(
         self, now: float, runner: Runner, subject: Subject, status: int, reason: str, wait_ms: float
@@ -168,7 +171,7 @@
         return runner.call(
             now,
             "refusal",
-            routed.key,
+            routed.customer_key,
             routed.plan.name,
             lambda: (self._request(subject), (float(status), reason, wait_ms)),
             take,
@@ -184,10 +187,10 @@
         return runner.call(
             now,
             "answer",
-            routed.key,
+            routed.customer_key,
             routed.plan.name,
             lambda: (self._request(subject), (float(status), float(attempts), took_ms, self._shown(headers))),
-            lambda made: encoded(border.headers(made, bounds)),
+            lambda made: encode_headers(border.headers(made, bounds)),
             [],
         )
 
@@ -199,7 +202,7 @@
         return runner.call(
             now,
             "log",
-            routed.key,
+            routed.customer_key,
             routed.plan.name,
             lambda: (self._request(subject), (float(status), float(attempts), took_ms, [])),
             border.log_fields,
--- a/martenstep/proxy/headers.py
+++ b/martenstep/proxy/headers.py
@@ -27,8 +27,8 @@
         b"upgrade",
     )
 )
-DROPPED = HOP_BY_HOP | {b"expect"}  # the door answers 100-continue itself
-STATUS = {
+NOT_FORWARDED = HOP_BY_HOP | {b"expect"}  # the door answers 100-continue itself
+REJECTION_STATUS = {
     RejectionReason.OVER_QUOTA: 429,
     RejectionReason.UNCONFIRMED: 429,
     RejectionReason.CEILING: 429,
@@ -38,7 +38,7 @@
     RejectionReason.RETRIES_EXHAUSTED: 503,
     RejectionReason.DEADLINE: 503,
 }
-WORDS = {
+REASON_TEXTS = {
     "quota": "the plan's quota is used for now",
     "unheard": "the plan's quota may be used: its count is not known at the moment",
     "ceiling": "the plan's ceiling leaves no room",
@@ -69,19 +69,19 @@
 Pairs = tuple[tuple[str, str], ...]
 
 
-def without_named(headers: Headers, drop: frozenset[bytes]) -> frozenset[bytes]:
+def connection_header_names(headers: Headers, drop: frozenset[bytes]) -> frozenset[bytes]:
     """Names to drop, and with them those that the message itself names as of its connection."""
     named = [value for name, value in headers if name == b"connection"]
     return drop | {part.strip().lower() for value in named for part in value.split(b",")} if named else drop
 
 
-def only_ours(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """The end-to-end headers of a message: without those of its connection, and those that it names so."""
-    drop = without_named(headers, DROPPED)
+    drop = connection_header_names(headers, NOT_FORWARDED)
     return [pair for pair in headers if pair[0] not in drop]
 
 
-def header(headers: Headers, name: bytes) -> bytes | None:
+def get_header(headers: Headers, name: bytes) -> bytes | None:
     """The first value of a header."""
     for key, value in headers:
         if key == name:
@@ -89,7 +89,7 @@
     return None
 
 
-def path_of(target: bytes) -> str | None:
+def parse_path(target: bytes) -> str | None:
     """The path of a request's target; None where it is not one the door routes.
 
     Dot segments are turned down, plain or encoded: a server may fold them, and the request would then be another
@@ -108,7 +108,7 @@
     return path
 
 
-def rate_limit(plan: Plan, room: float | None, now_full_ms: float) -> Headers:
+def rate_limit_headers(plan: Plan, room: float | None, now_full_ms: float) -> Headers:
     """RateLimit-Policy and RateLimit, where the plan has a quota and its use is known."""
     if plan.rate <= 0 or room is None:
         return []
@@ -119,7 +119,7 @@
     ]
 
 
-def overlaid(headers: Headers, given: Headers) -> Headers:
+def override_headers(headers: Headers, given: Headers) -> Headers:
     """Headers with those that are given, in place of any of the same names."""
     if not given:
         return headers
@@ -127,7 +127,7 @@
     return [pair for pair in headers if pair[0] not in names] + given
 
 
-def waits(wait_ms: float) -> Headers:
+def retry_after_headers(wait_ms: float) -> Headers:
     """A wait, in whole seconds (RFC 9110) and exactly."""
     return [
         (b"retry-after", str(math.ceil(wait_ms / SECOND_MS)).encode()),
@@ -140,18 +140,18 @@
     return b"x-reason", reason.replace(" ", "-").encode()
 
 
-def own_answer(reason: str, rid: str, wait_ms: float | None) -> tuple[Headers, bytes]:
+def local_reply(reason: str, rid: str, wait_ms: float | None) -> tuple[Headers, bytes]:
     """Headers and body of an answer of the door's own; the wait both in whole seconds and exactly."""
-    told: dict[str, object] = {"reason": reason, "text": WORDS.get(reason, reason), "request": rid}
+    told: dict[str, object] = {"reason": reason, "text": REASON_TEXTS.get(reason, reason), "request": rid}
     headers: Headers = [(b"content-type", b"application/json"), reason_header(reason)]
     if wait_ms is not None:
         told["retry_after_ms"] = round(wait_ms, 3)
-        headers += waits(wait_ms)
+        headers += retry_after_headers(wait_ms)
     body = msgspec.json.encode(told) + b"\n"
     headers.append((b"content-length", str(len(body)).encode()))
     return headers, body
 
 
-def encoded(pairs: Pairs) -> Headers:
+def encode_headers(pairs: Pairs) -> Headers:
     """Headers as the wire has them; the border lets nothing beyond Latin-1 pass."""
     return [(name.encode("latin-1"), value.encode("latin-1")) for name, value in pairs]
--- a/martenstep/proxy/permission.py
+++ b/martenstep/proxy/permission.py
@@ -37,30 +37,34 @@
 
     now: float
     deadline: float
-    settled: bool  # the request has its final answer, or its client is gone
-    ended: bool  # the gateway has answered all that it held
-    current: bool  # it is the request's last attempt, and was not given up
-    server_listed: bool  # as one that takes requests
-    effect: Idempotency
-    risk_at: float | None  # when the first attempt was sent that may have run; none: there is none
-    window_ms: float  # of the key
+    request_finished: bool  # the request has its final answer, or its client is gone
+    gateway_stopped: bool  # the gateway has answered all that it held
+    is_current: bool  # it is the request's last attempt, and was not given up
+    endpoint_accepts: bool  # as one that takes requests
+    idempotency: Idempotency
+    may_have_run_since: float | None  # when the first attempt was sent that may have run; none: there is none
+    deduplication_window_ms: float  # of the key
 
 
 def may_begin(facts: AttemptFacts) -> Denial | None:
     """Why an attempt may not be begun now; none where it may."""
-    if facts.settled:
+    if facts.request_finished:
         return Denial.ANSWERED
-    if facts.ended:
+    if facts.gateway_stopped:
         return Denial.ENDED
-    if not facts.current:
+    if not facts.is_current:
         return Denial.ANOTHER_OUT
     if facts.now >= facts.deadline:
         return Denial.NO_TIME
-    if not facts.server_listed:
+    if not facts.endpoint_accepts:
         return Denial.NOT_LISTED
-    if facts.risk_at is not None and facts.effect is Idempotency.AT_MOST_ONCE:
+    if facts.may_have_run_since is not None and facts.idempotency is Idempotency.AT_MOST_ONCE:
         return Denial.EFFECT
-    if facts.risk_at is not None and facts.effect is Idempotency.KEYED and facts.now >= facts.risk_at + facts.window_ms:
+    if (
+        facts.may_have_run_since is not None
+        and facts.idempotency is Idempotency.KEYED
+        and facts.now >= facts.may_have_run_since + facts.deduplication_window_ms
+    ):
         return Denial.WINDOW_OVER
     return None
 
--- a/martenstep/proxy/route_table.py
+++ b/martenstep/proxy/route_table.py
@@ -10,9 +10,9 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.settings import class_of, customer_id, plan_of
 from martenstep.policy import messages as api
-from martenstep.proxy.dependencies import Guarded, Routed, Unroutable
+from martenstep.proxy.dependencies import RoutedRequest, RouteRejection, UnauthenticatedRequest
 from martenstep.proxy.engine_messages import Headers
-from martenstep.proxy.headers import header, path_of
+from martenstep.proxy.headers import get_header, parse_path
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,18 +60,20 @@
         self.classes: Mapping[str, api.RequestClass] = self._classes
         self._deadline = door.listener.deadline_header.lower().encode()
 
-    def route(self, method: bytes, target: bytes, headers: Headers) -> Routed | Guarded | Unroutable:
+    def route(
+        self, method: bytes, target: bytes, headers: Headers
+    ) -> RoutedRequest | UnauthenticatedRequest | RouteRejection:
         """The first rule that fits decides."""
-        path = path_of(target)
+        path = parse_path(target)
         if path is None:
-            return Unroutable(400, "bad target")
+            return RouteRejection(400, "bad target")
         rule = self._rule(method, path)
         if rule is None:
-            return Unroutable(404, "no route")
+            return RouteRejection(404, "no route")
         if rule.authenticate:
-            return Guarded(rule.cls, rule.units, rule.fail_open)
+            return UnauthenticatedRequest(rule.cls, rule.units, rule.fail_open)
         if rule.header:
-            value = header(headers, rule.header)
+            value = get_header(headers, rule.header)
             key = value.decode("latin-1").strip() if value else ""
         else:
             parts = path.split("/")
@@ -86,46 +88,48 @@
 
     def class_at(self, method: bytes, target: bytes) -> str | None:
         """The class of requests to a target; None where none fits."""
-        path = path_of(target)
+        path = parse_path(target)
         rule = self._rule(method, path) if path is not None else None
         return rule.cls.name if rule is not None else None
 
-    def placed(self, routed: Routed, cls: str, key: str, plan: str, units: float) -> Routed:
+    def placed(self, routed: RoutedRequest, cls: str, key: str, plan: str, units: float) -> RoutedRequest:
         """A request under another class, customer, plan or units, each one that the settings know."""
-        customer, spread, first = routed.customer, routed.spread, routed.first
-        if key != routed.key:
+        customer, spread, first = routed.customer, routed.instances, routed.first_instance
+        if key != routed.customer_key:
             customer, own, spread, first = self._customers[key]
             plan = plan if plan != routed.plan.name else own.name  # the other customer's own, unless one was chosen
         chosen = routed.plan if plan == routed.plan.name else self._plans[plan]
-        return Routed(self._classes[cls], chosen, customer, key, units, spread, first)
+        return RoutedRequest(self._classes[cls], chosen, customer, key, units, spread, first)
 
-    def _of(self, cls: api.RequestClass, units: float, key: str, named: api.Plan | None = None) -> Routed | Unroutable:
+    def _of(
+        self, cls: api.RequestClass, units: float, key: str, named: api.Plan | None = None
+    ) -> RoutedRequest | RouteRejection:
         if not key:
-            return Unroutable(403, "no customer")
+            return RouteRejection(403, "no customer")
         known = self._customers.get(key)
         if known is None:
             fallback = named or self._default
             if fallback is None:
-                return Unroutable(403, "unknown customer")
+                return RouteRejection(403, "unknown customer")
             known = customer_id(key), fallback, self._doors, 0
         number, plan, spread, first = known
-        return Routed(cls, named or plan, number, key, units, spread, first)
+        return RoutedRequest(cls, named or plan, number, key, units, spread, first)
 
-    def identify(self, guarded: Guarded, key: str, plan: str) -> Routed | Unroutable:
+    def identify(self, guarded: UnauthenticatedRequest, key: str, plan: str) -> RoutedRequest | RouteRejection:
         """A guarded request, once a service has told who its customer is; a plan that is not known is the service's
         fault, and the request fails rather than pass under another."""
         named = self._plans.get(plan) if plan else None
         if plan and named is None:
-            return Unroutable(502, "unknown plan")
-        return self._of(guarded.cls, guarded.units, key, named)
+            return RouteRejection(502, "unknown plan")
+        return self._of(guarded.request_class, guarded.units, key, named)
 
-    def anonymous(self, guarded: Guarded) -> Routed | Unroutable:
+    def anonymous(self, guarded: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
         """A guarded request that passes without a verdict."""
-        return self._of(guarded.cls, guarded.units, "anonymous")
+        return self._of(guarded.request_class, guarded.units, "anonymous")
 
     def deadline_ms(self, cls: api.RequestClass, headers: Headers) -> float | None:
         """The least of the class's deadline and the one a header asks for; None where that is no figure."""
-        value = header(headers, self._deadline)
+        value = get_header(headers, self._deadline)
         if value is None:
             return cls.deadline_ms
         try:
--- a/martenstep/proxy/server.py
+++ b/martenstep/proxy/server.py
@@ -24,9 +24,9 @@
 from martenstep.event_log import EventLog
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.clock_step_detector import StepWatch
-from martenstep.proxy.dependencies import ListenerBounds, UpstreamBounds
+from martenstep.proxy.dependencies import ListenerLimits, UpstreamLimits
 from martenstep.proxy.engine import Engine
-from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.engine_messages import AttemptFailure
 from martenstep.proxy.http1.message_head import AnswerHead, Fault, RequestHead
 from martenstep.proxy.http1.message_reader import Data, End
 from martenstep.proxy.http1.message_writer import UnwritableError
@@ -181,7 +181,7 @@
         self.closing = True
         if self.flight is not None:
             self._driver.counts["clients_left"] += not self.flight.done.done()
-            self._driver.act(ev.ClientLeft(self.flight.ticket))
+            self._driver.act(ev.ClientDisconnected(self.flight.ticket))
             self.flight.finish()
 
     def has_gone(self) -> bool:
@@ -335,7 +335,7 @@
         driver.flights[ticket] = flight
         try:
             arrived = self.reader.arrival(self._received - self.wire.waiting)
-            driver.act(ev.Arrived(ticket, request.method, request.target, headers, self.peer, arrived))
+            driver.act(ev.RequestReceived(ticket, request.method, request.target, headers, self.peer, arrived))
             await flight.done
             if flight.pump is not None and not flight.pump.done():
                 flight.pump.cancel()
@@ -432,7 +432,7 @@
 
     def _give_up(self, flight: Flight, status: int, reason: str) -> None:
         """The request itself is at fault: the client's part of it is over."""
-        self._driver.act(ev.ClientLeft(flight.ticket))
+        self._driver.act(ev.ClientDisconnected(flight.ticket))
         if flight.passing:
             self.abort()
         else:
@@ -445,8 +445,8 @@
 
     def __init__(
         self,
-        listener: ListenerBounds,
-        upstream: UpstreamBounds,
+        listener: ListenerLimits,
+        upstream: UpstreamLimits,
         engine: Engine,
         log_event: EventLog,
         tls: ServerContext | None = None,
@@ -477,7 +477,7 @@
         self.stopping = False
         self.add: Callable[[int, int, float, float, bool], None] | None = None  # the store, where there is one
         # The counter service, where there is one.  Where it gives a future, an answer waits until that is done.
-        self.record: Callable[[ev.Tried], asyncio.Future[bool] | None] | None = None
+        self.record: Callable[[ev.RecordUsage], asyncio.Future[bool] | None] | None = None
         self.record_ms = 0.0  # and no longer than this
         self.listen: Callable[[], None] | None = None  # the feed
         # Whether the list of servers may be behind what counts as told: then attempts wait, for a bounded time.
@@ -511,16 +511,16 @@
         self._turning_away: set[asyncio.Task[None]] = set()
         self._checks: Checks | None = None
         self._carry: dict[type, Callable[[Any], None]] = {
-            ev.Open: self._open,
-            ev.Abandon: self._abandon,
-            ev.Pass: self._pass,
-            ev.Reply: self._reply,
-            ev.Break: self._break,
-            ev.Add: self._add,
-            ev.Tried: self._tried,
-            ev.Listen: self._listen,
+            ev.OpenAttempt: self._open,
+            ev.AbortAttempt: self._abandon,
+            ev.RelayResponse: self._pass,
+            ev.SendLocalReply: self._reply,
+            ev.ResetClientConnection: self._break,
+            ev.AddToCounter: self._add,
+            ev.RecordUsage: self._tried,
+            ev.SubscribeEndpoints: self._listen,
             ev.LogEvent: self._told,
-            ev.Traced: self._traced,
+            ev.ExportTrace: self._traced,
         }
 
     # Life -----------------------------------------------------------------------------------------------
@@ -529,9 +529,9 @@
         """Who carries checks to authentication services."""
         self._checks = checks
         self.client_tls += checks.tls
-        self._carry[ev.Ask], self._carry[ev.StopAsking] = checks.ask, checks.stop
+        self._carry[ev.StartAuthCheck], self._carry[ev.StopAuthCheck] = checks.ask, checks.stop
 
-    def reconfigure(self, listener: ListenerBounds, upstream: UpstreamBounds) -> None:
+    def reconfigure(self, listener: ListenerLimits, upstream: UpstreamLimits) -> None:
         """Take up bounds that differ only in what can change in service."""
         self.listener, self.upstream = listener, upstream
 
@@ -689,7 +689,7 @@
                     client.close_idle()
             for flight in list(self.flights.values()):
                 if flight.passing and now - flight.progress > self.upstream.answer_idle_ms:
-                    self._failed(flight, Ending.STALLED)
+                    self._failed(flight, AttemptFailure.STALLED)
 
     # Engine ---------------------------------------------------------------------------------------------
 
@@ -727,14 +727,14 @@
     def _told(self, action: ev.LogEvent) -> None:
         self._log_event(action.event, action.fields)
 
-    def _add(self, action: ev.Add) -> None:
+    def _add(self, action: ev.AddToCounter) -> None:
         assert self.add is not None, "the module counts only where the settings name a store"
-        self.add(action.call, action.name, action.units, action.expire_ms, action.proof)
+        self.add(action.call_id, action.key, action.units, action.expire_ms, action.bounds_ceiling)
 
-    def _tried(self, action: ev.Tried) -> None:
+    def _tried(self, action: ev.RecordUsage) -> None:
         if self.record is None:
             return
-        promised, flight = self.record(action), self.flights.get(action.ticket)
+        promised, flight = self.record(action), self.flights.get(action.request_id)
         if promised is not None and flight is not None:
             flight.promised = promised
             promised.add_done_callback(lambda _: self._promised(flight, promised))
@@ -751,11 +751,11 @@
         for upstream, data in waiting:
             self._came(flight, upstream, data)
 
-    def _traced(self, action: ev.Traced) -> None:
+    def _traced(self, action: ev.ExportTrace) -> None:
         if self.trace is not None:
             self.trace(action.trace)
 
-    def _listen(self, action: ev.Listen) -> None:
+    def _listen(self, action: ev.SubscribeEndpoints) -> None:
         if self.listen is not None:
             self.listen()
 
@@ -771,8 +771,8 @@
         """A server or an authentication service is not the one that TLS must show."""
         self._log_event("server refused", {"address": address, "reason": reason})
 
-    def _reply(self, action: ev.Reply) -> None:
-        flight = self.flights.get(action.ticket)
+    def _reply(self, action: ev.SendLocalReply) -> None:
+        flight = self.flights.get(action.request_id)
         if flight is None:
             return
         self.counts["replies"] += 1
@@ -781,14 +781,14 @@
         flight.client.answer(action.status, self._ending(flight, action.headers), [action.body])
         flight.finish()
 
-    def _pass(self, action: ev.Pass) -> None:
-        flight = self.flights.get(action.ticket)
+    def _pass(self, action: ev.RelayResponse) -> None:
+        flight = self.flights.get(action.request_id)
         if flight is None:
             return
         self.counts["passed"] += 1
         self.know(flight.client)
         headers, client = self._ending(flight, action.headers), flight.client
-        if action.whole:
+        if action.complete:
             client.answer(action.status, headers, flight.held)
             flight.finish()
             return
@@ -804,8 +804,8 @@
         flight.held = []
         client.writer.write(b"".join(out))
 
-    def _break(self, action: ev.Break) -> None:
-        flight = self.flights.get(action.ticket)
+    def _break(self, action: ev.ResetClientConnection) -> None:
+        flight = self.flights.get(action.request_id)
         if flight is not None:
             self.counts["broken"] += 1
             flight.client.abort()
@@ -813,8 +813,8 @@
 
     # Attempts -------------------------------------------------------------------------------------------
 
-    def _open(self, action: ev.Open) -> None:
-        flight = self.flights.get(action.ticket)
+    def _open(self, action: ev.OpenAttempt) -> None:
+        flight = self.flights.get(action.request_id)
         if flight is None:
             return
         if flight.client.has_gone():  # this attempt ends with it, unwritten
@@ -825,7 +825,7 @@
         else:
             self._connect(flight, action)
 
-    async def _open_later(self, flight: Flight, action: ev.Open) -> None:
+    async def _open_later(self, flight: Flight, action: ev.OpenAttempt) -> None:
         """Begin an attempt once the list is up to date: its server may be draining.  Cancelled when it is given up."""
         while self.list_behind():
             await asyncio.sleep(BEHIND_STEP_S)
@@ -838,7 +838,7 @@
         self.engine.restate(self._now, action)
         self._connect(flight, action)
 
-    def _connect(self, flight: Flight, action: ev.Open) -> None:
+    def _connect(self, flight: Flight, action: ev.OpenAttempt) -> None:
         """Begin an attempt on an idle connection, or on a new one."""
         self.counts["attempts"] += 1
         upstream = self.pool.take(action.address)
@@ -847,10 +847,10 @@
         elif self.pool.reserve(action.address):
             flight.task = self.loop.create_task(self._dial(flight, action))
         else:
-            self.act(ev.AttemptEnded(action.ticket, action.attempt, Ending.NO_PLACE))
+            self.act(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.CONNECTION_LIMIT))
 
-    def _abandon(self, action: ev.Abandon) -> None:
-        flight = self.flights.get(action.ticket)
+    def _abandon(self, action: ev.AbortAttempt) -> None:
+        flight = self.flights.get(action.request_id)
         if flight is not None:
             self._let_go(flight)
 
@@ -866,12 +866,12 @@
         if flight.done.done():
             self.flights.pop(flight.ticket, None)
 
-    def _failed(self, flight: Flight, how: Ending) -> None:
+    def _failed(self, flight: Flight, how: AttemptFailure) -> None:
         """Tell of an attempt that ended by itself; its connection is of no more use."""
         self._let_go(flight)
-        self.act(ev.AttemptEnded(flight.ticket, flight.number, how))
+        self.act(ev.AttemptFailed(flight.ticket, flight.number, how))
 
-    async def _dial(self, flight: Flight, action: ev.Open) -> None:
+    async def _dial(self, flight: Flight, action: ev.OpenAttempt) -> None:
         """Make a connection for an attempt.  Cancelled when it is given up."""
         try:
             upstream = await self.pool.dial(action.address)
@@ -880,7 +880,7 @@
                 self.failed("dial", error)
             if flight.task is asyncio.current_task():
                 flight.task = None
-                self.act(ev.AttemptEnded(flight.ticket, action.attempt, Ending.NOT_CONNECTED))
+                self.act(ev.AttemptFailed(flight.ticket, action.attempt, AttemptFailure.NOT_CONNECTED))
             return
         if flight.task is not asyncio.current_task():  # given up while it was being made
             self.pool.drop(upstream)
@@ -893,28 +893,28 @@
         self.engine.restate(self._now, action)
         self._begin(flight, action, upstream)
 
-    def _begin(self, flight: Flight, action: ev.Open, upstream: Upstream) -> None:
+    def _begin(self, flight: Flight, action: ev.OpenAttempt, upstream: Upstream) -> None:
         """Write an attempt to a connection; what comes back goes on at once."""
         flight.upstream = upstream
         if not upstream.sound:
-            self._failed(flight, Ending.NOT_WRITTEN)
+            self._failed(flight, AttemptFailure.NOT_WRITTEN)
             return
         if self.engine.may_begin(self._now, action) is not None:
-            self._failed(flight, Ending.NOT_WRITTEN)
+            self._failed(flight, AttemptFailure.NOT_WRITTEN)
             return
-        upstream.deliver_within(action.by - self._now if action.by is not None else None)
+        upstream.deliver_within(action.deliver_by - self._now if action.deliver_by is not None else None)
         upstream.reader.sink = lambda data: self._came(flight, upstream, data)
         try:
             more = self._write(flight, action, upstream)
         except UnwritableError:  # a head that may not be sent on, though it may come
-            self._failed(flight, Ending.NOT_WRITTEN)
+            self._failed(flight, AttemptFailure.NOT_WRITTEN)
             return
         if more:
             if flight.pump is None:
                 flight.pump = self.loop.create_task(flight.client.pump(flight))
             flight.task = self.loop.create_task(self._feed(flight, upstream))
 
-    def _write(self, flight: Flight, action: ev.Open, upstream: Upstream) -> bool:
+    def _write(self, flight: Flight, action: ev.OpenAttempt, upstream: Upstream) -> bool:
         """Write the head, and the body as far as it is at hand; True where more of it is to come."""
         body, headers = flight.body, action.headers
         if body is not None and body.length is None:
@@ -932,10 +932,10 @@
         if not more:
             out.append(upstream.wire.end())
         # From here it may run.  No await between this word and the write.
-        self.act(ev.Written(flight.ticket, action.attempt))
+        self.act(ev.AttemptWritten(flight.ticket, action.attempt))
         upstream.writer.write(b"".join(out))
         if body is not None and body.trim():
-            self.act(ev.BodyDropped(flight.ticket))
+            self.act(ev.RequestBodyNotReplayable(flight.ticket))
         return more
 
     async def _feed(self, flight: Flight, upstream: Upstream) -> None:
@@ -948,7 +948,7 @@
                     upstream.writer.write(upstream.wire.data(body.take()))
                     await upstream.writer.drain()
                     if flight.upstream is upstream and body.trim():
-                        self.act(ev.BodyDropped(flight.ticket))
+                        self.act(ev.RequestBodyNotReplayable(flight.ticket))
                 elif body.complete:
                     upstream.writer.write(upstream.wire.end())
                     return
@@ -970,7 +970,9 @@
             self._read(flight, upstream)
         except Fault:
             if flight.upstream is upstream:
-                self._failed(flight, Ending.CLOSED if upstream.reader.ended else Ending.BAD_ANSWER)
+                self._failed(
+                    flight, AttemptFailure.CLOSED if upstream.reader.ended else AttemptFailure.MALFORMED_RESPONSE
+                )
 
     def _read(self, flight: Flight, upstream: Upstream) -> None:
         """Take what there is of an answer; pass it on as the engine says."""
@@ -981,19 +983,19 @@
             if event is None:
                 return
             if isinstance(event, AnswerHead):
-                self.act(ev.AnswerHead(ticket, number, event.status, event.headers))
+                self.act(ev.ResponseHeadReceived(ticket, number, event.status, event.headers))
             elif isinstance(event, Data):
                 flight.progress = now_ms()
                 part = event.data
                 flight.answer_bytes += len(part)
                 if 0 < self.upstream.answer_bytes < flight.answer_bytes:
-                    self._failed(flight, Ending.BAD_ANSWER)
+                    self._failed(flight, AttemptFailure.MALFORMED_RESPONSE)
                     return
                 if not flight.passing:
                     flight.held.append(part)
                     flight.held_bytes += len(part)
                     if flight.held_bytes > self.upstream.hold_answer_bytes:
-                        self.act(ev.AnswerBegun(ticket, number))
+                        self.act(ev.ResponseBufferExceeded(ticket, number))
                 elif not client.writer.transport.is_closing():
                     try:
                         client.writer.write(client.wire.data(part))
@@ -1004,7 +1006,7 @@
             elif isinstance(event, End):
                 self._whole(flight, upstream)
             else:
-                self._failed(flight, Ending.CLOSED)
+                self._failed(flight, AttemptFailure.CLOSED)
 
     def _hold_back(self, flight: Flight, upstream: Upstream) -> None:
         """The server is read no faster than the client reads."""
@@ -1040,7 +1042,7 @@
             self.pool.drop(upstream)
         else:
             self.pool.put(upstream)  # dropped there too, after an early answer: the rest of the body is not written
-        self.act(ev.AnswerWhole(flight.ticket, flight.number))
+        self.act(ev.ResponseCompleted(flight.ticket, flight.number))
         if passing:
             flight.finish()
         if flight.done.done():
--- a/martenstep/proxy/targets.py
+++ b/martenstep/proxy/targets.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class NormalizedTarget:
     """What goes on: the origin form, and the headers with the Host that counts."""
 
     target: bytes
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Declined:
+class TargetRejection:
     """An answer of the door's own, and what it carries."""
 
     status: int
@@ -48,7 +48,7 @@
     return (found[1] or found[2]).lower().decode("ascii"), port
 
 
-class Targets:
+class TargetNormalizer:
     """The forms that one listener takes."""
 
     def __init__(self, secure: bool, names: list[str]) -> None:
@@ -57,33 +57,33 @@
         parts = [split_authority(name.encode()) for name in names]
         self._names = {part for part in parts if part is not None}
 
-    def take(self, method: bytes, target: bytes, headers: Headers) -> Taken | Declined:
+    def normalize(self, method: bytes, target: bytes, headers: Headers) -> NormalizedTarget | TargetRejection:
         """A request's target and headers, whose names are in lower case."""
         if method == b"CONNECT":
-            return Declined(405, "no tunnels", [(b"allow", METHODS), (b"connection", b"close")])
+            return TargetRejection(405, "no tunnels", [(b"allow", METHODS), (b"connection", b"close")])
         if target[:1] == b"/":
             host = next((value for name, value in headers if name == b"host"), None)
             if host and not self._ours(host):
                 return self._not_ours(host)
-            return Taken(target, headers)
+            return NormalizedTarget(target, headers)
         if target == b"*":
             if method == b"OPTIONS":
-                return Declined(204, "options", [(b"allow", METHODS)])
-            return Declined(400, "bad target", [])
+                return TargetRejection(204, "options", [(b"allow", METHODS)])
+            return TargetRejection(400, "bad target", [])
         scheme, found, rest = target.partition(b"://")
         scheme = scheme.lower()
         if not found or scheme not in SCHEMES:
-            return Declined(400, "bad target", [])
+            return TargetRejection(400, "bad target", [])
         end = min((at for at in (rest.find(b"/"), rest.find(b"?")) if at >= 0), default=len(rest))
         authority, path = rest[:end], rest[end:]
         if b"#" in authority or split_authority(authority) is None:
-            return Declined(400, "bad target", [])
+            return TargetRejection(400, "bad target", [])
         if scheme != self._scheme or not self._ours(authority):
-            return Declined(421, "misdirected", [])
+            return TargetRejection(421, "misdirected", [])
         if path[:1] != b"/":
             path = b"/" + path
         # First, as RFC 9110 7.2 would have it; and once.
-        return Taken(path, [(b"host", authority), *(pair for pair in headers if pair[0] != b"host")])
+        return NormalizedTarget(path, [(b"host", authority), *(pair for pair in headers if pair[0] != b"host")])
 
     def _ours(self, authority: bytes) -> bool:
         if not self._names:
@@ -95,5 +95,5 @@
         return (host, None) in self._names or (host, port or SCHEMES[self._scheme]) in self._names
 
     @staticmethod
-    def _not_ours(host: bytes) -> Declined:
-        return Declined(421 if split_authority(host) is not None else 400, "misdirected", [])
+    def _not_ours(host: bytes) -> TargetRejection:
+        return TargetRejection(421 if split_authority(host) is not None else 400, "misdirected", [])
--- a/tests/door_rig.py
+++ b/tests/door_rig.py
@@ -10,7 +10,7 @@
 from martenstep.hooks.releases import Shelf
 from martenstep.policy.messages import CallResult, Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.engine_factory import engine_of
+from martenstep.proxy.engine_factory import make_engine
 
 DOOR = """
 name: "door-0" instance: 0 instances: 2 zone: "a" max_units: 4
@@ -58,7 +58,7 @@
     def __init__(
         self, text: str = "", servers: tuple[int, ...] = (1, 2, 3, 4), seed: int = 1, shelf: Shelf | None = None
     ) -> None:
-        self.engine = engine_of(settings(text), seed, shelf)
+        self.engine = make_engine(settings(text), seed, shelf)
         self.now = START
         self.did: list[ev.Action] = []
         self._ticket = 0
@@ -84,7 +84,7 @@
         self._ticket += 1
         told = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
         told.append((b"x-customer", customer.encode()))
-        self.tell(ev.Arrived(self._ticket, method.encode(), path.encode(), told, "10.0.0.1"))
+        self.tell(ev.RequestReceived(self._ticket, method.encode(), path.encode(), told, "10.0.0.1"))
         return self._ticket
 
     def of(self, kind: type[A], ticket: int | None = None) -> list[A]:
@@ -92,44 +92,48 @@
         return [
             action
             for action in self.did
-            if isinstance(action, kind) and (ticket is None or getattr(action, "ticket", ticket) == ticket)
+            if isinstance(action, kind) and (ticket is None or getattr(action, "request_id", ticket) == ticket)
         ]
 
-    def opened(self, ticket: int) -> ev.Open:
+    def opened(self, ticket: int) -> ev.OpenAttempt:
         """The last attempt of a request."""
-        return self.of(ev.Open, ticket)[-1]
+        return self.of(ev.OpenAttempt, ticket)[-1]
 
     def write(self, ticket: int) -> None:
         """The last attempt's first bytes are written."""
-        self.tell(ev.Written(ticket, self.opened(ticket).attempt))
+        self.tell(ev.AttemptWritten(ticket, self.opened(ticket).attempt))
 
     def serve(self, ticket: int, status: int = 200, headers: ev.Headers | None = None) -> list[ev.Action]:
         """The last attempt is written and answered whole."""
         number = self.opened(ticket).attempt
         self.write(ticket)
-        out = self.tell(ev.AnswerHead(ticket, number, status, headers or []))
-        return out + self.tell(ev.AnswerWhole(ticket, number))
+        out = self.tell(ev.ResponseHeadReceived(ticket, number, status, headers or []))
+        return out + self.tell(ev.ResponseCompleted(ticket, number))
 
-    def end(self, ticket: int, how: ev.Ending, written: bool = True) -> list[ev.Action]:
+    def end(self, ticket: int, how: ev.AttemptFailure, written: bool = True) -> list[ev.Action]:
         """The last attempt ends without an answer."""
         if written:
             self.write(ticket)
-        return self.tell(ev.AttemptEnded(ticket, self.opened(ticket).attempt, how))
+        return self.tell(ev.AttemptFailed(ticket, self.opened(ticket).attempt, how))
 
     def count_all(self, total: float) -> None:
         """The store answers every Add that is out, and those that follow."""
         answered: set[int] = set()
-        while todo := [add.call for add in self.of(ev.Add) if add.call not in answered]:
+        while todo := [add.call_id for add in self.of(ev.AddToCounter) if add.call_id not in answered]:
             answered.add(todo[0])
-            self.tell(ev.Counted(todo[0], CallResult.OK, total))
+            self.tell(ev.CounterReplied(todo[0], CallResult.OK, total))
 
-    def finals(self, ticket: int) -> list[ev.Reply | ev.Pass | ev.Break]:
+    def finals(self, ticket: int) -> list[ev.SendLocalReply | ev.RelayResponse | ev.ResetClientConnection]:
         """The final answers of a request: there must be one."""
-        return [action for action in self.did if isinstance(action, ev.Reply | ev.Pass) and action.ticket == ticket]
+        return [
+            action
+            for action in self.did
+            if isinstance(action, ev.SendLocalReply | ev.RelayResponse) and action.request_id == ticket
+        ]
 
-    def reply(self, ticket: int) -> ev.Reply:
+    def reply(self, ticket: int) -> ev.SendLocalReply:
         """The door's own answer to a request."""
-        [found] = self.of(ev.Reply, ticket)
+        [found] = self.of(ev.SendLocalReply, ticket)
         return found
 
     def quiet(self) -> dict[str, int]:
@@ -140,6 +144,6 @@
 QUIET = {"exchanges": 0, "calls": 0, "open": 0}
 
 
-def head(action: ev.Reply | ev.Pass | ev.Open, name: str) -> str | None:
+def head(action: ev.SendLocalReply | ev.RelayResponse | ev.OpenAttempt, name: str) -> str | None:
     """A header of an action."""
     return next((value.decode() for key, value in action.headers if key == name.encode()), None)
--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -14,7 +14,7 @@
 
 from martenstep.discovery.endpoint_list import Listed
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
-from martenstep.proxy.engine_factory import driver_of, engine_of
+from martenstep.proxy.engine_factory import make_engine, make_server
 from martenstep.proxy.server import Driver
 from tests.door_rig import settings
 
@@ -154,7 +154,7 @@
     notes: list[tuple[str, dict[str, Any]]] = []
     door = settings(text)
     door.ClearField("store")
-    driver = driver_of(door, engine_of(door, 1), lambda event, fields: notes.append((event, fields)))
+    driver = make_server(door, make_engine(door, 1), lambda event, fields: notes.append((event, fields)))
     numbers = [await back.start() for back in backs] + list(ports)
     servers = tuple(Endpoint(n, "a", "std", 0, EndpointState.UP) for n in range(1, len(numbers) + 1))
     driver.act(
--- a/tests/test_auth_answerer.py
+++ b/tests/test_auth_answerer.py
@@ -16,7 +16,7 @@
 from martenstep.config.settings import parse_door
 from martenstep.config.text import Faults
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.engine_factory import engine_of
+from martenstep.proxy.engine_factory import make_engine
 from tests.door_rig import DOOR, QUIET, Rig, head
 
 LINES = [line for line in DOOR.split("\n") if not line.startswith("members")]
@@ -30,7 +30,7 @@
     def __init__(self, more: str = "") -> None:
         door = parse_door(FORWARDED, "d")
         text_format.Merge(more, door)
-        self.engine = engine_of(door, 1)
+        self.engine = make_engine(door, 1)
         self.now, self.did, self._ticket = 100_000.0, [], 0
 
     def sub(self, uri: str = "/read/1", customer: str = "free", peer: str = "10.0.0.1", **more: str) -> int:
@@ -42,7 +42,7 @@
             **{name.replace("_", "-"): value for name, value in more.items()},
         }
         self.tell(
-            ev.Arrived(
+            ev.RequestReceived(
                 self._ticket,
                 b"GET",
                 b"/auth",
@@ -60,7 +60,7 @@
     reply = rig.reply(ticket)
     assert reply.status == 200 and reply.body == b"" and head(reply, "x-customer") == "anna"
     assert head(reply, "ratelimit-policy") == '"plain";q=20;w=2' and head(reply, "ratelimit")
-    assert not rig.of(ev.Open) and rig.quiet() == QUIET
+    assert not rig.of(ev.OpenAttempt) and rig.quiet() == QUIET
 
 
 def test_one_beyond_its_quota_is_told_when_to_come_back() -> None:
@@ -117,7 +117,7 @@
     for twin in (b"x-forwarded-uri", b"x_forwarded_uri", b"x-forwarded_uri"):
         rig = Asked()
         rig.tell(
-            ev.Arrived(
+            ev.RequestReceived(
                 1,
                 b"GET",
                 b"/auth",
--- a/tests/test_auth_door.py
+++ b/tests/test_auth_door.py
@@ -12,7 +12,7 @@
 from martenstep.config.settings import parse_door
 from martenstep.config.text import Faults
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.engine_messages import AttemptFailure
 from tests.door_rig import DOOR, QUIET, Rig, head
 from tests.socket_rig import Back, House, Peer, Script, get, house, run
 
@@ -33,12 +33,14 @@
     def __init__(self, more: str = "") -> None:
         super().__init__(AUTH + more)
 
-    def asked(self) -> ev.Ask:
-        return self.of(ev.Ask)[-1]
+    def asked(self) -> ev.StartAuthCheck:
+        return self.of(ev.StartAuthCheck)[-1]
 
     def verdict(self, status: int = 200, headers: ev.Headers | None = None, body: bytes = b"") -> list[ev.Action]:
         told = self.asked()
-        return self.tell(ev.Checked(told.check, told.attempt, status, YES if headers is None else headers, body))
+        return self.tell(
+            ev.AuthCheckReplied(told.check_id, told.attempt, status, YES if headers is None else headers, body)
+        )
 
 
 def test_nothing_goes_to_a_server_without_a_verdict_and_identity_is_the_services() -> None:
@@ -52,14 +54,14 @@
         x_forwarded_uri="/else",
         accept="image/*",
     )
-    assert not rig.of(ev.Open) and not rig.of(ev.Add)
+    assert not rig.of(ev.OpenAttempt) and not rig.of(ev.AddToCounter)
     asked = rig.asked()
     told = dict(asked.headers)
     assert asked.target == b"/auth" and told[b"authorization"] == b"Bearer t" and told[b"cookie"] == b"c=1"
     assert told[b"x-forwarded-uri"] == b"/safe/1" and told[b"x-forwarded-method"] == b"GET"
     assert told[b"x-forwarded-for"] == b"10.0.0.1" and b"accept" not in told and b"x-auth-customer" not in told
     rig.verdict()
-    assert rig.of(ev.Add)  # anna's plan has a quota: the module decides on her
+    assert rig.of(ev.AddToCounter)  # anna's plan has a quota: the module decides on her
     rig.count_all(1.0)
     sent = rig.opened(ticket)
     names = [(name, value) for name, value in sent.headers if name in (b"x-auth-customer", b"x-role", b"x-secret")]
@@ -71,7 +73,7 @@
 def test_underscored_twins_of_identity_headers_do_not_pass() -> None:
     rig = Door()
     ticket = rig._ticket = 1
-    rig.tell(ev.Arrived(1, b"GET", b"/safe/1", [(b"x_auth_customer", b"eve"), (b"x_role", b"admin")]))
+    rig.tell(ev.RequestReceived(1, b"GET", b"/safe/1", [(b"x_auth_customer", b"eve"), (b"x_role", b"admin")]))
     rig.verdict(headers=[(b"x-auth-customer", b"free")])
     assert head(rig.opened(ticket), "x_auth_customer") is None and head(rig.opened(ticket), "x_role") is None
 
@@ -86,7 +88,7 @@
     redirected = rig.ask("/safe/1", authorization="none")
     rig.verdict(302, [(b"location", b"/login")])
     assert rig.reply(redirected).status == 302 and head(rig.reply(redirected), "location") == "/login"
-    assert not rig.of(ev.Open) and not rig.of(ev.Add) and rig.quiet() == QUIET
+    assert not rig.of(ev.OpenAttempt) and not rig.of(ev.AddToCounter) and rig.quiet() == QUIET
 
 
 def test_a_check_that_eats_its_part_of_the_time_is_answered_with_the_true_reason_and_uncharged() -> None:
@@ -99,16 +101,24 @@
     assert reply.status == 503 and json.loads(reply.body)["reason"] == "check late" and head(reply, "retry-after")
     rig.pass_time(650)  # 1.4 s of 1.5: too late, and nobody's
     rig.verdict()
-    assert not rig.of(ev.Open) and not rig.of(ev.Add) and len(rig.finals(ticket)) == 1 and rig.quiet() == QUIET
+    assert (
+        not rig.of(ev.OpenAttempt)
+        and not rig.of(ev.AddToCounter)
+        and len(rig.finals(ticket)) == 1
+        and rig.quiet() == QUIET
+    )
 
 
 def test_a_service_that_fails_is_followed_by_another_then_the_route_fails_closed_or_open() -> None:
     rig = Door()
     closed, opened = rig.ask("/safe/1", authorization="a"), rig.ask("/loose/1", authorization="b")
     for _ in range(2):
-        for asked in rig.of(ev.Ask)[-2:]:
-            rig.tell(ev.CheckFailed(asked.check, asked.attempt))
-    assert len(rig.of(ev.Ask)) == 4 and {asked.address[1] for asked in rig.of(ev.Ask)} == {7001, 7002}
+        for asked in rig.of(ev.StartAuthCheck)[-2:]:
+            rig.tell(ev.AuthCheckFailed(asked.check_id, asked.attempt))
+    assert len(rig.of(ev.StartAuthCheck)) == 4 and {asked.address[1] for asked in rig.of(ev.StartAuthCheck)} == {
+        7001,
+        7002,
+    }
     assert json.loads(rig.reply(closed).body)["reason"] == "check failed"
     rig.count_all(1.0)
     assert rig.opened(opened) and head(rig.opened(opened), "x-auth-customer") is None
@@ -118,7 +128,7 @@
     rig = Door()
     ticket = rig.ask("/safe/1")
     rig.verdict(500, [])
-    assert not rig.finals(ticket) and len(rig.of(ev.Ask)) == 2
+    assert not rig.finals(ticket) and len(rig.of(ev.StartAuthCheck)) == 2
     rig.verdict()
     rig.count_all(1.0)
     assert rig.opened(ticket)
@@ -128,7 +138,7 @@
     rig = Door()
     ticket = rig.ask("/safe/1")
     rig.verdict(200, [(b"x-auth-customer", b"anna"), (b"x-auth-plan", b"gold")])
-    assert rig.reply(ticket).status == 502 and not rig.of(ev.Open)
+    assert rig.reply(ticket).status == 502 and not rig.of(ev.OpenAttempt)
     nobody = rig.ask("/safe/1", authorization="x")
     rig.verdict(200, [])
     assert rig.reply(nobody).status == 403
@@ -138,32 +148,32 @@
     rig = Door()
     waits = rig.ask("/safe/1", authorization="t")
     rig.verdict()  # let pass; the counter is asked
-    assert rig.of(ev.Add) and not rig.of(ev.Open)
+    assert rig.of(ev.AddToCounter) and not rig.of(ev.OpenAttempt)
     rig.ask("/safe/2", authorization="t")
     rig.verdict(403, [], b"revoked")
     assert rig.reply(waits).status == 403
     rig.count_all(1.0)
-    assert not rig.of(ev.Open) and rig.quiet() == QUIET
+    assert not rig.of(ev.OpenAttempt) and rig.quiet() == QUIET
 
 
 def test_the_client_leaves_while_its_check_is_out() -> None:
     rig = Door()
     ticket = rig.ask("/safe/1")
-    rig.tell(ev.ClientLeft(ticket))
-    assert rig.of(ev.StopAsking) and rig.quiet() == QUIET and rig.engine.held["auth_checks"] == 0
+    rig.tell(ev.ClientDisconnected(ticket))
+    assert rig.of(ev.StopAuthCheck) and rig.quiet() == QUIET and rig.engine.held["auth_checks"] == 0
     rig.verdict()
-    assert not rig.finals(ticket) and not rig.of(ev.Open)
+    assert not rig.finals(ticket) and not rig.of(ev.OpenAttempt)
 
 
 def test_a_stampede_asks_once_and_is_answered_each_once() -> None:
     rig = Door("listener { max_open: 9000 }")
     tickets = [rig.ask("/safe/1", authorization="same") for _ in range(5000)]
-    assert len(rig.of(ev.Ask)) == 1
+    assert len(rig.of(ev.StartAuthCheck)) == 1
     rig.verdict(200, [(b"x-auth-customer", b"anna")])
     rig.count_all(1000.0)
     rig.pass_time(10_000)
     assert all(len(rig.finals(ticket)) == 1 for ticket in tickets[::50]) and rig.quiet() == QUIET
-    assert len(rig.of(ev.Reply)) + len(rig.of(ev.Pass)) == 5000
+    assert len(rig.of(ev.SendLocalReply)) + len(rig.of(ev.RelayResponse)) == 5000
 
 
 def test_where_too_many_wait_the_largest_plan_gives_way() -> None:
@@ -183,8 +193,8 @@
     rig = Door()
     ticket = rig.ask("/bill/1", authorization="t")
     rig.verdict(200, [(b"x-auth-customer", b"free")])
-    rig.end(ticket, Ending.NOT_CONNECTED, written=False)
-    assert len(rig.of(ev.Open, ticket)) == 2 and len(rig.of(ev.Ask)) == 1
+    rig.end(ticket, AttemptFailure.NOT_CONNECTED, written=False)
+    assert len(rig.of(ev.OpenAttempt, ticket)) == 2 and len(rig.of(ev.StartAuthCheck)) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -222,7 +222,7 @@
         lost = [0]
         reply = EmuDoor._reply
 
-        def forget(self: EmuDoor, action: ev.Reply) -> None:
+        def forget(self: EmuDoor, action: ev.SendLocalReply) -> None:
             lost[0] += 1
             if lost[0] % 5:
                 reply(self, action)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -8,7 +8,7 @@
 
 from martenstep.policy.messages import CallResult, EndpointListScope, EndpointState
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.engine_messages import AttemptFailure
 from tests.door_rig import QUIET, Rig, head, listed
 
 
@@ -23,8 +23,8 @@
     assert head(sent, "via") == "1.1 door-0" and head(sent, "accept") == "image/*"
     assert head(sent, "x-forwarded-for") == "10.0.0.1"
     rig.serve(ticket, 201, [(b"etag", b"1"), (b"connection", b"keep-alive"), (b"keep-alive", b"timeout=5")])
-    [passed] = rig.of(ev.Pass, ticket)
-    assert (passed.status, passed.whole) == (201, True)
+    [passed] = rig.of(ev.RelayResponse, ticket)
+    assert (passed.status, passed.complete) == (201, True)
     assert head(passed, "etag") == "1" and head(passed, "keep-alive") is None
     assert head(passed, "x-request-id") == "mine"
     assert rig.quiet() == QUIET
@@ -60,7 +60,7 @@
     ticket = rig.ask(path, customer, method)
     reply = rig.reply(ticket)
     assert reply.status == status and json.loads(reply.body)["reason"] == reason
-    assert not rig.of(ev.Open) and rig.quiet() == QUIET
+    assert not rig.of(ev.OpenAttempt) and rig.quiet() == QUIET
 
 
 def test_the_customer_can_stand_in_the_path() -> None:
@@ -81,7 +81,7 @@
     reply = rig.reply(rig.ask("*", method="OPTIONS"))
     assert reply.status == 204 and reply.body == b"" and head(reply, "allow")
     assert not head(reply, "content-length")
-    assert not rig.of(ev.Open) and rig.quiet() == QUIET
+    assert not rig.of(ev.OpenAttempt) and rig.quiet() == QUIET
 
 
 @pytest.mark.parametrize("value", ["soon", "-5", "0", "nan", "inf"])
@@ -103,7 +103,7 @@
     rig.pass_time(699)
     assert not rig.finals(ticket)
     actions = rig.pass_time(1)
-    assert isinstance(actions[0], ev.Abandon)  # before the answer: nothing may follow it
+    assert isinstance(actions[0], ev.AbortAttempt)  # before the answer: nothing may follow it
     assert rig.reply(ticket).status == 503  # safe to repeat: a refusal says so
     assert rig.quiet() == QUIET
 
@@ -115,39 +115,39 @@
     rig.pass_time(4000)
     reply = rig.reply(ticket)
     assert reply.status == 504 and head(reply, "retry-after") is None
-    assert len(rig.of(ev.Open, ticket)) == 1
+    assert len(rig.of(ev.OpenAttempt, ticket)) == 1
 
 
 def test_the_deadline_between_connect_and_write_proves_that_it_never_ran() -> None:
     rig = Rig("upstream { connect_ms: 60000 }")
     ticket = rig.ask("/pay/1", x_deadline_ms="300")
     rig.pass_time(300)  # connected or not: nothing was written
-    assert rig.of(ev.Abandon, ticket)
+    assert rig.of(ev.AbortAttempt, ticket)
     assert rig.reply(ticket).status == 503  # may be repeated: it never ran
-    assert rig.tell(ev.Written(ticket, 0)) == []  # the driver is late: the attempt is no more
+    assert rig.tell(ev.AttemptWritten(ticket, 0)) == []  # the driver is late: the attempt is no more
 
 
 def test_no_connection_within_the_time_out_goes_elsewhere() -> None:
     rig = Rig()
     ticket = rig.ask("/pay/1")
     rig.pass_time(200)
-    first, second = rig.of(ev.Open, ticket)
+    first, second = rig.of(ev.OpenAttempt, ticket)
     assert second.attempt == 1 and head(second, "x-attempt") == "1"
-    assert rig.of(ev.Abandon, ticket)[0].attempt == 0
+    assert rig.of(ev.AbortAttempt, ticket)[0].attempt == 0
     rig.serve(ticket)
-    assert len(rig.finals(ticket)) == 1 and first.server != second.server
+    assert len(rig.finals(ticket)) == 1 and first.endpoint != second.endpoint
 
 
 def test_an_answer_after_its_attempt_was_called_off_is_nobodys() -> None:
     rig = Rig()
     ticket = rig.ask()
-    rig.end(ticket, Ending.CLOSED)
-    assert [open_.attempt for open_ in rig.of(ev.Open, ticket)] == [0, 1]
-    assert rig.tell(ev.AnswerHead(ticket, 0, 200, [])) == []
-    assert rig.tell(ev.AnswerWhole(ticket, 0)) == []
+    rig.end(ticket, AttemptFailure.CLOSED)
+    assert [open_.attempt for open_ in rig.of(ev.OpenAttempt, ticket)] == [0, 1]
+    assert rig.tell(ev.ResponseHeadReceived(ticket, 0, 200, [])) == []
+    assert rig.tell(ev.ResponseCompleted(ticket, 0)) == []
     rig.serve(ticket)
     assert len(rig.finals(ticket)) == 1 and rig.quiet() == QUIET
-    assert rig.tell(ev.AnswerWhole(ticket, 1)) == []
+    assert rig.tell(ev.ResponseCompleted(ticket, 1)) == []
 
 
 def test_a_silent_server_is_given_up_by_the_module_and_another_tried() -> None:
@@ -159,29 +159,29 @@
     ticket = rig.ask()
     rig.write(ticket)
     rig.pass_time(450)
-    assert [abandon.attempt for abandon in rig.of(ev.Abandon, ticket)] == [0]
-    assert [open_.attempt for open_ in rig.of(ev.Open, ticket)] == [0, 1]
+    assert [abandon.attempt for abandon in rig.of(ev.AbortAttempt, ticket)] == [0]
+    assert [open_.attempt for open_ in rig.of(ev.OpenAttempt, ticket)] == [0, 1]
 
 
 @pytest.mark.parametrize(
     ("path", "how", "written", "attempts"),
     [
-        ("/pay/1", Ending.NOT_CONNECTED, False, 2),  # nothing was written: even an unsafe one may go again
-        ("/pay/1", Ending.NO_PLACE, False, 2),
-        ("/pay/1", Ending.NOT_WRITTEN, False, 2),
-        ("/pay/1", Ending.CLOSED, True, 1),  # it may have run
-        ("/pay/1", Ending.BAD_ANSWER, True, 1),
-        ("/read/1", Ending.CLOSED, True, 2),
-        ("/read/1", Ending.BAD_ANSWER, True, 2),
+        ("/pay/1", AttemptFailure.NOT_CONNECTED, False, 2),  # nothing was written: even an unsafe one may go again
+        ("/pay/1", AttemptFailure.CONNECTION_LIMIT, False, 2),
+        ("/pay/1", AttemptFailure.NOT_WRITTEN, False, 2),
+        ("/pay/1", AttemptFailure.CLOSED, True, 1),  # it may have run
+        ("/pay/1", AttemptFailure.MALFORMED_RESPONSE, True, 1),
+        ("/read/1", AttemptFailure.CLOSED, True, 2),
+        ("/read/1", AttemptFailure.MALFORMED_RESPONSE, True, 2),
     ],
 )
 def test_what_an_ending_proves_decides_on_a_further_attempt(
-    path: str, how: Ending, written: bool, attempts: int
+    path: str, how: AttemptFailure, written: bool, attempts: int
 ) -> None:
     rig = Rig()
     ticket = rig.ask(path)
     rig.end(ticket, how, written)
-    assert len(rig.of(ev.Open, ticket)) == attempts
+    assert len(rig.of(ev.OpenAttempt, ticket)) == attempts
     if attempts == 1:
         assert rig.reply(ticket).status == 502
 
@@ -190,21 +190,21 @@
     rig = Rig()
     refused = rig.ask("/pay/1")
     rig.write(refused)
-    rig.tell(ev.AnswerHead(refused, 0, 503, [(b"x-not-run", b"1")]))
-    assert len(rig.of(ev.Open, refused)) == 2
+    rig.tell(ev.ResponseHeadReceived(refused, 0, 503, [(b"x-not-run", b"1")]))
+    assert len(rig.of(ev.OpenAttempt, refused)) == 2
     unknown = rig.ask("/pay/1")
     rig.write(unknown)
-    rig.tell(ev.AnswerHead(unknown, 0, 503, []))  # from something between: it proves nothing
-    assert len(rig.of(ev.Open, unknown)) == 1 and rig.reply(unknown).status == 502
+    rig.tell(ev.ResponseHeadReceived(unknown, 0, 503, []))  # from something between: it proves nothing
+    assert len(rig.of(ev.OpenAttempt, unknown)) == 1 and rig.reply(unknown).status == 502
 
 
 def test_a_keyed_request_carries_one_key_through_its_attempts() -> None:
     rig = Rig()
     ticket = rig.ask("/write/free/1", method="POST")
-    rig.end(ticket, Ending.CLOSED)
-    first, second = rig.of(ev.Open, ticket)
+    rig.end(ticket, AttemptFailure.CLOSED)
+    first, second = rig.of(ev.OpenAttempt, ticket)
     assert head(first, "idempotency-key") and head(first, "idempotency-key") == head(second, "idempotency-key")
-    assert first.server % 2 == second.server % 2  # the zone that drops repeats
+    assert first.endpoint % 2 == second.endpoint % 2  # the zone that drops repeats
     own = rig.ask("/write/free/1", method="POST", idempotency_key="k1")
     assert head(rig.opened(own), "idempotency-key") == "k1"
 
@@ -212,12 +212,12 @@
 def test_a_body_that_is_partly_gone_allows_one_attempt() -> None:
     rig = Rig()
     safe = rig.ask()
-    rig.tell(ev.BodyDropped(safe))
-    rig.end(safe, Ending.CLOSED)
-    assert len(rig.of(ev.Open, safe)) == 1 and rig.reply(safe).status == 503
+    rig.tell(ev.RequestBodyNotReplayable(safe))
+    rig.end(safe, AttemptFailure.CLOSED)
+    assert len(rig.of(ev.OpenAttempt, safe)) == 1 and rig.reply(safe).status == 503
     unsafe = rig.ask("/pay/1")
-    rig.tell(ev.BodyDropped(unsafe))
-    rig.end(unsafe, Ending.CLOSED)
+    rig.tell(ev.RequestBodyNotReplayable(unsafe))
+    rig.end(unsafe, AttemptFailure.CLOSED)
     assert rig.reply(unsafe).status == 502
     assert rig.quiet() == QUIET
 
@@ -226,12 +226,12 @@
     rig = Rig()
     ticket = rig.ask(x_deadline_ms="500")
     rig.write(ticket)
-    rig.tell(ev.AnswerHead(ticket, 0, 200, []))
-    rig.tell(ev.AnswerBegun(ticket, 0))
-    [passed] = rig.of(ev.Pass, ticket)
-    assert not passed.whole
+    rig.tell(ev.ResponseHeadReceived(ticket, 0, 200, []))
+    rig.tell(ev.ResponseBufferExceeded(ticket, 0))
+    [passed] = rig.of(ev.RelayResponse, ticket)
+    assert not passed.complete
     assert not rig.pass_time(10_000)  # neither its time-out nor the deadline runs any more
-    rig.tell(ev.AnswerWhole(ticket, 0))
+    rig.tell(ev.ResponseCompleted(ticket, 0))
     assert len(rig.finals(ticket)) == 1 and rig.quiet() == QUIET
 
 
@@ -239,20 +239,20 @@
     rig = Rig()
     ticket = rig.ask()
     rig.write(ticket)
-    rig.tell(ev.AnswerHead(ticket, 0, 200, []))
-    rig.tell(ev.AnswerBegun(ticket, 0))
-    rig.end(ticket, Ending.CLOSED)
-    assert rig.of(ev.Break, ticket) and len(rig.of(ev.Open, ticket)) == 1
+    rig.tell(ev.ResponseHeadReceived(ticket, 0, 200, []))
+    rig.tell(ev.ResponseBufferExceeded(ticket, 0))
+    rig.end(ticket, AttemptFailure.CLOSED)
+    assert rig.of(ev.ResetClientConnection, ticket) and len(rig.of(ev.OpenAttempt, ticket)) == 1
     assert rig.quiet() == QUIET
 
 
 def test_the_client_leaves_while_its_counter_call_is_out() -> None:
     rig = Rig()
     ticket = rig.ask(customer="anna")
-    assert rig.of(ev.Add) and not rig.of(ev.Open)
-    rig.tell(ev.ClientLeft(ticket))
+    assert rig.of(ev.AddToCounter) and not rig.of(ev.OpenAttempt)
+    rig.tell(ev.ClientDisconnected(ticket))
     rig.count_all(1.0)
-    assert not rig.of(ev.Open) and not rig.finals(ticket)
+    assert not rig.of(ev.OpenAttempt) and not rig.finals(ticket)
     assert rig.quiet() == QUIET
 
 
@@ -260,29 +260,29 @@
     rig = Rig()
     ticket = rig.ask()
     rig.write(ticket)
-    rig.tell(ev.ClientLeft(ticket))
-    assert rig.of(ev.Abandon, ticket) and rig.quiet() == QUIET
+    rig.tell(ev.ClientDisconnected(ticket))
+    assert rig.of(ev.AbortAttempt, ticket) and rig.quiet() == QUIET
     assert not rig.finals(ticket)
     kept = Rig("upstream { cancel: false }")
     ticket = kept.ask(x_deadline_ms="900")
     kept.write(ticket)
-    kept.tell(ev.ClientLeft(ticket))
-    assert not kept.of(ev.Abandon)  # calling off is not allowed: its outcome is waited for, to the deadline
+    kept.tell(ev.ClientDisconnected(ticket))
+    assert not kept.of(ev.AbortAttempt)  # calling off is not allowed: its outcome is waited for, to the deadline
     kept.pass_time(900)
-    assert kept.of(ev.Abandon) and kept.quiet() == QUIET
+    assert kept.of(ev.AbortAttempt) and kept.quiet() == QUIET
 
 
 def test_a_late_reply_of_the_store_is_not_taken_for_the_next_calls() -> None:
     rig = Rig()
     first = rig.ask(customer="anna")
-    [add] = rig.of(ev.Add)
+    [add] = rig.of(ev.AddToCounter)
     rig.pass_time(60)  # its time-out is told by the engine, whatever the store does
-    assert rig.finals(first) or len(rig.of(ev.Open, first)) == 1
+    assert rig.finals(first) or len(rig.of(ev.OpenAttempt, first)) == 1
     rig.ask(customer="anna")
-    later = rig.of(ev.Add)
-    assert len(later) == 2 and later[1].call != add.call
+    later = rig.of(ev.AddToCounter)
+    assert len(later) == 2 and later[1].call_id != add.call_id
     before = len(rig.did)
-    rig.tell(ev.Counted(add.call, CallResult.OK, 1e6))  # late: it would look like a flood
+    rig.tell(ev.CounterReplied(add.call_id, CallResult.OK, 1e6))  # late: it would look like a flood
     assert len(rig.did) == before
 
 
@@ -320,12 +320,12 @@
     rig.tell(listed(1, 2))
     for _ in range(20):
         rig.serve(rig.ask())
-    assert {open_.server for open_ in rig.of(ev.Open)} == {1, 2}
+    assert {open_.endpoint for open_ in rig.of(ev.OpenAttempt)} == {1, 2}
     rig.tell(listed(1, scope=EndpointListScope.DELTA, state=EndpointState.DRAINING))
-    before = len(rig.of(ev.Open))
+    before = len(rig.of(ev.OpenAttempt))
     for _ in range(20):
         rig.serve(rig.ask())
-    assert {open_.server for open_ in rig.of(ev.Open)[before:]} == {2}
+    assert {open_.endpoint for open_ in rig.of(ev.OpenAttempt)[before:]} == {2}
 
 
 def test_a_stop_answers_all_that_is_held() -> None:
@@ -358,10 +358,10 @@
     rig = Rig()
     rig.engine._records = True
     ticket = rig.ask("/pay/1", x_request_id="t1")
-    rig.end(ticket, Ending.NOT_CONNECTED, written=False)  # a further attempt is no further try
+    rig.end(ticket, AttemptFailure.NOT_CONNECTED, written=False)  # a further attempt is no further try
     refused = rig.ask(customer="nobody")
     rig.serve(ticket)
-    assert rig.of(ev.Tried) == [ev.Tried("t1", "free", "open", "pay", 2.0, False, 1)] and rig.reply(refused)
+    assert rig.of(ev.RecordUsage) == [ev.RecordUsage("t1", "free", "open", "pay", 2.0, False, 1)] and rig.reply(refused)
 
 
 def test_a_try_beyond_the_quota_is_told_as_such() -> None:
@@ -370,7 +370,9 @@
     for _ in range(3):
         rig.ask(customer="eve")
         rig.count_all(50.0)
-    assert [tried.beyond for tried in rig.of(ev.Tried)] == [True] * len(rig.of(ev.Tried)) and rig.of(ev.Tried)
+    assert [tried.over_quota for tried in rig.of(ev.RecordUsage)] == [True] * len(rig.of(ev.RecordUsage)) and rig.of(
+        ev.RecordUsage
+    )
 
 
 def test_the_addresses_of_servers_that_have_gone_go_too() -> None:
@@ -395,7 +397,7 @@
     rig.tell(ev.Tick())
     assert rig.engine.next_at() is None and rig.engine.held["timers"] == 0, "nor its deadline"
     counted = rig.ask(customer="anna")
-    assert rig.of(ev.Add)
+    assert rig.of(ev.AddToCounter)
     rig.count_all(1.0)
     rig.serve(counted)
     assert rig.engine.next_at() != rig.now + 51.0, "nor a call that is answered"
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -8,7 +8,7 @@
 
 from martenstep.policy.messages import CallResult, EndpointListScope, EndpointState
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.engine_messages import AttemptFailure
 from tests.door_rig import QUIET, Rig, listed
 from tests.test_auth_door import Door as Guarded
 
@@ -33,23 +33,23 @@
         """Carry out what the engine did, and check each step of it."""
         for action in self.rig.did[self.seen :]:
             match action:
-                case ev.Open(ticket=ticket, attempt=number):
+                case ev.OpenAttempt(request_id=ticket, attempt=number):
                     assert ticket not in self.over, "an attempt after the final answer"
                     assert ticket not in self.out, "two attempts out at once"
                     self.out[ticket] = number
-                case ev.Abandon(ticket=ticket, attempt=number):
+                case ev.AbortAttempt(request_id=ticket, attempt=number):
                     assert self.out.get(ticket) == number
                     del self.out[ticket]
-                case ev.Reply(ticket=ticket):
+                case ev.SendLocalReply(request_id=ticket):
                     assert ticket not in self.over and ticket not in self.left, "a second final answer"
                     assert ticket not in self.out, "answered while an attempt is out"
                     self.over.add(ticket)
-                case ev.Pass(ticket=ticket):
+                case ev.RelayResponse(request_id=ticket):
                     assert ticket not in self.over and ticket not in self.left, "a second final answer"
                     self.over.add(ticket)
-                case ev.Break(ticket=ticket):
+                case ev.ResetClientConnection(request_id=ticket):
                     assert ticket in self.begun
-                case ev.Add(call=call):
+                case ev.AddToCounter(call_id=call):
                     self.calls.append(call)
         self.seen = len(self.rig.did)
 
@@ -63,13 +63,13 @@
         self._look()
 
     @precondition(lambda self: self.out)
-    @rule(data=st.data(), how=st.sampled_from(list(Ending)))
-    def attempt_ends(self, data: st.DataObject, how: Ending) -> None:
+    @rule(data=st.data(), how=st.sampled_from(list(AttemptFailure)))
+    def attempt_ends(self, data: st.DataObject, how: AttemptFailure) -> None:
         ticket = data.draw(st.sampled_from(sorted(self.out)))
         number = self.out.pop(ticket)
-        if how not in (Ending.NOT_CONNECTED, Ending.NO_PLACE, Ending.NOT_WRITTEN):
-            self.rig.tell(ev.Written(ticket, number))
-        self.rig.tell(ev.AttemptEnded(ticket, number, how))
+        if how not in (AttemptFailure.NOT_CONNECTED, AttemptFailure.CONNECTION_LIMIT, AttemptFailure.NOT_WRITTEN):
+            self.rig.tell(ev.AttemptWritten(ticket, number))
+        self.rig.tell(ev.AttemptFailed(ticket, number, how))
         self._look()
 
     @precondition(lambda self: self.out)
@@ -83,25 +83,25 @@
     def answer(self, data: st.DataObject, status: int, refused: bool, begins: bool, ends: bool) -> None:
         ticket = data.draw(st.sampled_from(sorted(self.out)))
         number = self.out[ticket]
-        self.rig.tell(ev.Written(ticket, number))
+        self.rig.tell(ev.AttemptWritten(ticket, number))
         if ticket not in self.begun:
-            self.rig.tell(ev.AnswerHead(ticket, number, status, [(b"x-not-run", b"1")] if refused else []))
+            self.rig.tell(ev.ResponseHeadReceived(ticket, number, status, [(b"x-not-run", b"1")] if refused else []))
             self._look()
         if self.out.get(ticket) != number:
             return  # it was no answer to pass on
         if begins and ticket not in self.begun and ticket not in self.left:
             self.begun.add(ticket)
-            self.rig.tell(ev.AnswerBegun(ticket, number))
+            self.rig.tell(ev.ResponseBufferExceeded(ticket, number))
         if ends:
             del self.out[ticket]
-            self.rig.tell(ev.AnswerWhole(ticket, number))
+            self.rig.tell(ev.ResponseCompleted(ticket, number))
         self._look()
 
     @precondition(lambda self: self.tickets)
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
         ticket = data.draw(st.sampled_from(self.tickets))
-        self.rig.tell(ev.ClientLeft(ticket))
+        self.rig.tell(ev.ClientDisconnected(ticket))
         self.left.add(ticket)
         self._look()
 
@@ -113,7 +113,7 @@
     )
     def count(self, data: st.DataObject, verdict: CallResult, total: float) -> None:
         call = data.draw(st.sampled_from(self.calls))  # an old one as well: a late or doubled reply
-        self.rig.tell(ev.Counted(call, verdict, total))
+        self.rig.tell(ev.CounterReplied(call, verdict, total))
         self._look()
 
     @rule(ms=st.sampled_from((1.0, 30.0, 300.0, 5000.0)))
@@ -139,7 +139,7 @@
     def teardown(self) -> None:
         for ticket, number in list(self.out.items()):
             if ticket in self.begun:
-                self.rig.tell(ev.AnswerWhole(ticket, number))
+                self.rig.tell(ev.ResponseCompleted(ticket, number))
                 del self.out[ticket]
         self.rig.pass_time(20_000)
         self._look()
@@ -167,12 +167,12 @@
     def _look(self) -> None:
         for action in self.rig.did[self.seen :]:
             match action:
-                case ev.Ask(check=check, attempt=attempt):
+                case ev.StartAuthCheck(check_id=check, attempt=attempt):
                     assert check not in self.checks, "two attempts of one check"
                     self.checks[check] = attempt
-                case ev.StopAsking(check=check, attempt=attempt):
+                case ev.StopAuthCheck(check_id=check, attempt=attempt):
                     assert self.checks.pop(check) == attempt
-                case ev.Open(ticket=ticket) if ticket in self.credential:
+                case ev.OpenAttempt(request_id=ticket) if ticket in self.credential:
                     assert self.credential[ticket] in self.given, "sent on without a positive verdict"
         super()._look()
 
@@ -192,15 +192,15 @@
     def verdict(self, data: st.DataObject, status: int, keep: bool, fails: bool) -> None:
         check = data.draw(st.sampled_from(sorted(self.checks)))
         attempt = self.checks.pop(check)
-        asked = next(ask for ask in self.rig.of(ev.Ask) if ask.check == check)
+        asked = next(ask for ask in self.rig.of(ev.StartAuthCheck) if ask.check_id == check)
         who = dict(asked.headers)[b"authorization"].decode()
         if fails:
-            self.rig.tell(ev.CheckFailed(check, attempt))
+            self.rig.tell(ev.AuthCheckFailed(check, attempt))
         else:
             if status == 200:
                 self.given.add(who)
             headers = [(b"x-auth-customer", b"free"), *([(b"cache-control", b"max-age=5")] if keep else [])]
-            self.rig.tell(ev.Checked(check, attempt, status, headers))
+            self.rig.tell(ev.AuthCheckReplied(check, attempt, status, headers))
         self._look()
 
     def teardown(self) -> None:
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -18,7 +18,7 @@
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.admin import Admin, DoorCollector
 from martenstep.proxy.daemon import Daemon
-from martenstep.proxy.headers import STATUS, WORDS, own_answer
+from martenstep.proxy.headers import REASON_TEXTS, REJECTION_STATUS, local_reply
 from tests.door_rig import Rig, settings
 from tests.hook_rig import HookRig, release
 from tests.socket_rig import Peer, get, house, run
@@ -176,16 +176,16 @@
 
 def test_the_responses_that_a_gateway_words_itself() -> None:
     lines: list[str] = []
-    for reason in (*WORDS, "another reason"):
+    for reason in (*REASON_TEXTS, "another reason"):
         for wait_ms in (None, 1234.5678):
-            headers, body = own_answer(reason, "id-1", wait_ms)
+            headers, body = local_reply(reason, "id-1", wait_ms)
             head = "".join(f"{name.decode()}: {value.decode()}\n" for name, value in headers)
             lines.append(f"{head}\n{body.decode()}\n")
     assert "".join(lines) == stored("own_responses.txt")
 
 
 def test_the_status_of_each_reason_to_reject() -> None:
-    assert {reason.value: status for reason, status in STATUS.items()} == {
+    assert {reason.value: status for reason, status in REJECTION_STATUS.items()} == {
         "quota": 429,
         "unheard": 429,
         "ceiling": 429,
--- a/tests/test_hooks_points.py
+++ b/tests/test_hooks_points.py
@@ -8,7 +8,7 @@
 
 from martenstep.hooks.runner import Limits
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.engine_messages import AttemptFailure
 from tests.door_rig import QUIET, START, head
 from tests.hook_rig import HookRig, release, words
 
@@ -19,12 +19,12 @@
 )
 
 
-def refused(rig: HookRig, customer: str = "anna") -> ev.Reply:
+def refused(rig: HookRig, customer: str = "anna") -> ev.SendLocalReply:
     """The first request of a customer that is refused for its quota."""
     for _ in range(40):
         ticket = rig.ask(customer=customer, accept_language="de-AT, en;q=0.5", accept="text/html;q=1, */*")
         rig.count_all(0.0)
-        found = rig.of(ev.Reply, ticket)
+        found = rig.of(ev.SendLocalReply, ticket)
         if found:
             return found[0]
         rig.serve(ticket)
@@ -84,7 +84,7 @@
     reply = refused(rig)
     assert reply.status == 429 and json.loads(reply.body)["reason"] == "quota"
     assert rig.shelf.counts == {f"refusal {kind}": 1} and rig.quiet() == QUIET
-    assert len(rig.finals(reply.ticket)) == 1
+    assert len(rig.finals(reply.request_id)) == 1
 
 
 def test_a_hook_that_stands_still_ends_at_the_hosts_backstop() -> None:
@@ -98,9 +98,9 @@
     for _ in range(200):
         ticket = rig.ask(customer="anna")
         rig.count_all(0.0)
-        if rig.of(ev.Open, ticket):
+        if rig.of(ev.OpenAttempt, ticket):
             rig.serve(ticket)
-        refusals += bool(rig.of(ev.Reply, ticket))
+        refusals += bool(rig.of(ev.SendLocalReply, ticket))
         assert len(rig.finals(ticket)) == 1
     assert refusals >= 150 and rig.shelf.counts["refusal steps"] == 10  # then it is left alone
     assert rig.shelf.counts["refusal left alone"] == refusals - 10 and rig.quiet() == QUIET
@@ -129,7 +129,7 @@
 def test_classify_loosens_nothing(made: str) -> None:
     rig = HookRig(release(1, f"on classify(r) {{ Class {{ {made} }} }}"), text=OPEN)
     ticket = rig.ask("/pay/1", customer="free")
-    rig.end(ticket, Ending.CLOSED)  # an attempt that may have run
+    rig.end(ticket, AttemptFailure.CLOSED)  # an attempt that may have run
     [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "answer"]
     assert (line["class"], line["customer"], line["plan"], line["attempts"]) == ("pay", "free", "open", 1)
     assert rig.shelf.counts == {"classify border": 1}
@@ -161,7 +161,7 @@
     )
     ticket = rig.ask(accept="image/png")
     first = rig.opened(ticket)
-    rig.end(ticket, Ending.CLOSED)
+    rig.end(ticket, AttemptFailure.CLOSED)
     second = rig.opened(ticket)
     assert (first.attempt, second.attempt) == (0, 1) and first.target == second.target == b"/inside/1"
     assert head(second, "x-studio") == "free" and [v for n, v in second.headers if n == b"accept"] == [b"a/b"]
@@ -202,7 +202,7 @@
     )
     ticket = rig.ask()
     rig.serve(ticket, 201, [(b"etag", b"e")])
-    [passed] = rig.of(ev.Pass, ticket)
+    [passed] = rig.of(ev.RelayResponse, ticket)
     assert [value for name, value in passed.headers if name == b"etag"] == [b"e!"]
     [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "answer"]
     assert line["hook_studio"] == "free 201 1"
@@ -223,17 +223,17 @@
     source = 'on answer(r, a) {{ [Header {{ name: "x-release", value: "{}" }}] }}'
     rig = HookRig(release(1, source.format("one")), servers=tuple(range(1, 301)))
     tickets = [rig.ask() for _ in range(1000)]
-    inside = [ticket for ticket in tickets if rig.of(ev.Open, ticket) and not rig.finals(ticket)]
+    inside = [ticket for ticket in tickets if rig.of(ev.OpenAttempt, ticket) and not rig.finals(ticket)]
     rig.shelf.stock([release(1, source.format("one")), release(2, source.format("two"))])
     late = rig.ask()
     for ticket in [*inside, late]:
         if not rig.finals(ticket):
             rig.serve(ticket)
-    made = {action.ticket: head(action, "x-release") for action in rig.of(ev.Pass)}
+    made = {action.request_id: head(action, "x-release") for action in rig.of(ev.RelayResponse)}
     assert len(inside) > 100 and all(made[ticket] == "one" for ticket in inside) and rig.quiet() == QUIET
     newest = rig.ask()
     rig.serve(newest)
-    assert head(rig.of(ev.Pass, newest)[0], "x-release") == "two"
+    assert head(rig.of(ev.RelayResponse, newest)[0], "x-release") == "two"
 
 
 def test_a_hook_for_some_leaves_the_others_alone() -> None:
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -15,10 +15,10 @@
 
 from martenstep.discovery.endpoint_list import Listed
 from martenstep.node.config import ConfigError, drain_plan_of, read_config
-from martenstep.node.protocol import Requests, parts_of
+from martenstep.node.protocol import Requests, make_dependencies
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine import Engine
-from martenstep.proxy.engine_messages import Arrived, Tick
+from martenstep.proxy.engine_messages import RequestReceived, Tick
 from martenstep.proxy.server import END_MS
 from tests.node_rig import SETTINGS, config, raw, request, target
 
@@ -150,7 +150,7 @@
             assert str(error), "names what is wrong"
             continue
         requests = Requests(made.settings, lambda: 0.0)
-        engine = Engine(parts_of(made, requests), made.seed)
+        engine = Engine(make_dependencies(made, requests), made.seed)
         engine.handle(
             0.0,
             Listed(EndpointListScope.CACHED, (Endpoint(1, "north", "m", 0, EndpointState.UP),), {1: ("127.0.0.1", 1)}),
@@ -158,7 +158,7 @@
         for number, plan in enumerate(made.settings.plans):
             head = request(number, X_Plan=plan.name).split("\r\n")[1:-2]
             headers = [(name.lower().encode(), value.encode()) for name, value in (one.split(": ") for one in head)]
-            engine.handle(1.0, Arrived(number, b"GET", b"/read/00000000000000a1", headers, ""))
+            engine.handle(1.0, RequestReceived(number, b"GET", b"/read/00000000000000a1", headers, ""))
         engine.handle(20_000.0, Tick())
         engine.stop(30_000.0)
         assert engine.open == 0
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -20,7 +20,7 @@
 from martenstep.node.config import REST_MS, DrainPlan
 from martenstep.node.discovery import Discovery, Follower
 from martenstep.proxy import server as driver
-from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.engine_messages import AttemptFailure
 from martenstep.proxy.listener import MAX_ACCEPTS
 from martenstep.proxy.server import TURNED_AWAY, YOUNG_MS, Client
 from martenstep.proxy.transport import GONE, READ_BYTES, Pool, now_ms
@@ -252,7 +252,7 @@
             if how == "reset":
                 raw.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             raw.socket.close()
-            driver._failed(flight, Ending.CLOSED)
+            driver._failed(flight, AttemptFailure.CLOSED)
             assert driver.counts["attempts"] == 1 and door.node.engine.answers == {"client left": 1}
             await until(lambda: not driver.flights)
 
--- a/tests/test_node_protocol.py
+++ b/tests/test_node_protocol.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from martenstep.node.protocol import IDS_SPARE_MS, MOST_IDS, Requests, Statuses, Words
+from martenstep.node.protocol import IDS_SPARE_MS, MOST_IDS, NodeMessageBuilder, NodeStatusClassifier, Requests
 from martenstep.policy.messages import CallResult
-from martenstep.proxy.dependencies import Routed, Unroutable
+from martenstep.proxy.dependencies import RoutedRequest, RouteRejection
 from martenstep.proxy.http1.message_head import request_head
-from martenstep.proxy.targets import Declined, Taken
+from martenstep.proxy.targets import NormalizedTarget, TargetRejection
 from tests.node_rig import config, request
 
 
@@ -32,13 +32,13 @@
 
 def test_a_request_tells_all_that_the_module_is_told() -> None:
     found = routed(request(1, X_Quota="units=2,spread=2,first=1", X_Second_Try="1"))
-    assert isinstance(found, Routed)
-    assert (found.cls.name, found.plan.name, found.customer) == ("read", "free", 0xA1)
-    assert (found.units, found.spread, found.first, found.retry) == (2.0, 2, 1, True)
+    assert isinstance(found, RoutedRequest)
+    assert (found.request_class.name, found.plan.name, found.customer) == ("read", "free", 0xA1)
+    assert (found.units, found.instances, found.first_instance, found.is_retry) == (2.0, 2, 1, True)
 
 
 def test_a_keyed_class_is_asked_by_post_with_a_key() -> None:
-    assert isinstance(routed(request(1, "book", method="POST", body="x")), Routed)
+    assert isinstance(routed(request(1, "book", method="POST", body="x")), RoutedRequest)
 
 
 @pytest.mark.parametrize(
@@ -84,24 +84,24 @@
 )
 def test_what_is_not_in_form_is_the_clients_fault(text: str) -> None:
     found = routed(text)
-    assert isinstance(found, Unroutable) and found.status == 400
+    assert isinstance(found, RouteRejection) and found.status == 400
 
 
 def test_an_id_is_taken_once() -> None:
     clock = Clock()
     requests = Requests(config().settings, clock)
-    assert isinstance(routed(request(1), requests), Routed)
+    assert isinstance(routed(request(1), requests), RoutedRequest)
     again = routed(request(1, customer="00000000000000ff"), requests)
-    assert isinstance(again, Unroutable) and again.status == 409
-    assert isinstance(routed(request(2), requests), Routed)
+    assert isinstance(again, RouteRejection) and again.status == 409
+    assert isinstance(routed(request(2), requests), RoutedRequest)
     clock.now += 3000.0 + IDS_SPARE_MS  # the longest deadline there is
-    assert isinstance(routed(request(1), requests), Routed), "no client waits so long: memory is bounded by time"
+    assert isinstance(routed(request(1), requests), RoutedRequest), "no client waits so long: memory is bounded by time"
 
 
 def test_a_faulty_request_does_not_take_an_id() -> None:
     requests = Requests(config().settings, Clock())
-    assert isinstance(routed(request(1, X_Quota="units=9,spread=3,first=0"), requests), Unroutable)
-    assert isinstance(routed(request(1), requests), Routed)
+    assert isinstance(routed(request(1, X_Quota="units=9,spread=3,first=0"), requests), RouteRejection)
+    assert isinstance(routed(request(1), requests), RoutedRequest)
 
 
 def test_ids_are_bounded_in_number() -> None:
@@ -121,13 +121,13 @@
 
 def test_the_door_tells_when_it_is_ready() -> None:
     requests = Requests(config().settings, Clock())
-    before = requests.take(b"GET", b"/_health", [])
-    assert isinstance(before, Declined) and before.status == 503
+    before = requests.normalize(b"GET", b"/_health", [])
+    assert isinstance(before, TargetRejection) and before.status == 503
     requests.ready = True
-    after = requests.take(b"GET", b"/_health", [])
-    assert isinstance(after, Declined) and after.status == 200
-    assert isinstance(requests.take(b"GET", b"/read/00000000000000a1", []), Taken)
-    assert isinstance(requests.take(b"GET", b"http://x/read/1", []), Declined)
+    after = requests.normalize(b"GET", b"/_health", [])
+    assert isinstance(after, TargetRejection) and after.status == 200
+    assert isinstance(requests.normalize(b"GET", b"/read/00000000000000a1", []), NormalizedTarget)
+    assert isinstance(requests.normalize(b"GET", b"http://x/read/1", []), TargetRejection)
 
 
 @pytest.mark.parametrize(
@@ -147,12 +147,12 @@
     ],
 )
 def test_has_it_run(status: int, headers: list[tuple[bytes, bytes]], verdict: CallResult) -> None:
-    assert Statuses().verdict(status, headers) is verdict
+    assert NodeStatusClassifier().classify(status, headers) is verdict
 
 
 def test_an_attempt_carries_id_and_key_and_what_is_left() -> None:
     head = request_head(request(7, "book", method="POST", body="abc").partition("\r\n\r\n")[0].encode() + b"\r\n\r\n")
-    made = Words().headers(head.headers, [], [], "label", "rid", 0, 812.7, "", b"", True)
+    made = NodeMessageBuilder().request_headers(head.headers, [], [], "label", "rid", 0, 812.7, "", b"", True)
     assert sorted(made) == sorted(
         [
             (b"host", b"svc"),
@@ -165,8 +165,8 @@
 
 
 def test_a_refusal_tells_when_to_come_back() -> None:
-    headers, body = Words().own("quota", "", 250.0)
+    headers, body = NodeMessageBuilder().local_reply("quota", "", 250.0)
     assert (b"retry-after", b"0.250") in headers and (b"content-length", b"5") in headers and body == b"quota"
-    headers, _ = Words().own("failed", "", None)
+    headers, _ = NodeMessageBuilder().local_reply("failed", "", None)
     assert [name for name, _ in headers] == [b"content-length"]
-    assert (b"connection", b"close") in Words().own("bad path", "", None)[0]
+    assert (b"connection", b"close") in NodeMessageBuilder().local_reply("bad path", "", None)[0]
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -13,13 +13,13 @@
 ALLOWED = AttemptFacts(
     now=100.0,
     deadline=200.0,
-    settled=False,
-    ended=False,
-    current=True,
-    server_listed=True,
-    effect=Idempotency.IDEMPOTENT,
-    risk_at=None,
-    window_ms=50.0,
+    request_finished=False,
+    gateway_stopped=False,
+    is_current=True,
+    endpoint_accepts=True,
+    idempotency=Idempotency.IDEMPOTENT,
+    may_have_run_since=None,
+    deduplication_window_ms=50.0,
 )
 
 
@@ -27,16 +27,16 @@
     ("changed", "denial"),
     [
         ({}, None),
-        ({"settled": True}, Denial.ANSWERED),
-        ({"ended": True}, Denial.ENDED),
-        ({"current": False}, Denial.ANOTHER_OUT),
+        ({"request_finished": True}, Denial.ANSWERED),
+        ({"gateway_stopped": True}, Denial.ENDED),
+        ({"is_current": False}, Denial.ANOTHER_OUT),
         ({"now": 200.0}, Denial.NO_TIME),
-        ({"server_listed": False}, Denial.NOT_LISTED),
-        ({"risk_at": 10.0}, None),
-        ({"effect": Idempotency.AT_MOST_ONCE}, None),
-        ({"effect": Idempotency.AT_MOST_ONCE, "risk_at": 99.0}, Denial.EFFECT),
-        ({"effect": Idempotency.KEYED, "risk_at": 51.0}, None),
-        ({"effect": Idempotency.KEYED, "risk_at": 50.0}, Denial.WINDOW_OVER),
+        ({"endpoint_accepts": False}, Denial.NOT_LISTED),
+        ({"may_have_run_since": 10.0}, None),
+        ({"idempotency": Idempotency.AT_MOST_ONCE}, None),
+        ({"idempotency": Idempotency.AT_MOST_ONCE, "may_have_run_since": 99.0}, Denial.EFFECT),
+        ({"idempotency": Idempotency.KEYED, "may_have_run_since": 51.0}, None),
+        ({"idempotency": Idempotency.KEYED, "may_have_run_since": 50.0}, Denial.WINDOW_OVER),
     ],
 )
 def test_an_attempt_is_begun_only_where_each_rule_allows_it(changed: dict[str, Any], denial: Denial | None) -> None:
--- a/tests/test_promised.py
+++ b/tests/test_promised.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self.made: list[asyncio.Future[bool]] = []
 
-    def __call__(self, tried: ev.Tried) -> asyncio.Future[bool]:
+    def __call__(self, tried: ev.RecordUsage) -> asyncio.Future[bool]:
         self.made.append(asyncio.get_running_loop().create_future())
         return self.made[-1]
 
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -10,7 +10,7 @@
 
 from martenstep.proxy.engine_messages import Headers
 from martenstep.proxy.http1.client_connection import Asking
-from martenstep.proxy.targets import Declined, Taken, Targets, split_authority
+from martenstep.proxy.targets import NormalizedTarget, TargetNormalizer, TargetRejection, split_authority
 
 HOST: Headers = [(b"host", b"a.example"), (b"accept", b"*/*")]
 TABLE: list[tuple[bytes, bytes, int | tuple[bytes, bytes]]] = [
@@ -53,8 +53,8 @@
 
 @pytest.mark.parametrize(("method", "target", "wanted"), TABLE)
 def test_each_form_is_taken_or_declined(method: bytes, target: bytes, wanted: int | tuple[bytes, bytes]) -> None:
-    found = Targets(False, []).take(method, target, HOST)
-    if isinstance(found, Declined):
+    found = TargetNormalizer(False, []).normalize(method, target, HOST)
+    if isinstance(found, TargetRejection):
         assert found.status == wanted
     else:
         assert (found.target, dict(found.headers)[b"host"]) == wanted
@@ -63,8 +63,8 @@
 
 
 def test_a_declined_tunnel_ends_its_connection_and_says_what_is_taken() -> None:
-    found = Targets(False, []).take(b"CONNECT", b"b.example:443", HOST)
-    assert isinstance(found, Declined)
+    found = TargetNormalizer(False, []).normalize(b"CONNECT", b"b.example:443", HOST)
+    assert isinstance(found, TargetRejection)
     assert (b"connection", b"close") in found.headers and dict(found.headers)[b"allow"]
 
 
@@ -86,8 +86,8 @@
 )
 def test_a_door_that_knows_its_names_answers_for_no_others(host: bytes, target: bytes, status: int) -> None:
     names = ["photos.example", "b.example:8443", "[::1]:443"]
-    found = Targets(True, names).take(b"GET", target, [(b"host", host)])
-    assert (found.status if isinstance(found, Declined) else 200) == status
+    found = TargetNormalizer(True, names).normalize(b"GET", target, [(b"host", host)])
+    assert (found.status if isinstance(found, TargetRejection) else 200) == status
 
 
 def test_authorities_are_taken_apart() -> None:
@@ -115,10 +115,10 @@
 def test_what_is_taken_is_written_so_that_a_server_reads_the_same(
     method: bytes, target: str, more: Headers, host: bytes
 ) -> None:
-    found = Targets(False, []).take(method, target.encode(), [(b"host", host), *more])
-    if isinstance(found, Declined):
+    found = TargetNormalizer(False, []).normalize(method, target.encode(), [(b"host", host), *more])
+    if isinstance(found, TargetRejection):
         return
-    assert isinstance(found, Taken) and found.target.startswith(b"/")
+    assert isinstance(found, NormalizedTarget) and found.target.startswith(b"/")
     server = h11.Connection(h11.SERVER)
     asking = Asking()
     server.receive_data(asking.head(method, found.target, found.headers) + asking.end())
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -10,7 +10,7 @@
 
 from martenstep.cli.main import cli
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.engine_messages import Ending
+from martenstep.proxy.engine_messages import AttemptFailure
 from martenstep.proxy.traces import Exporter, Sampler, Trace
 from tests.door_rig import Rig, head
 from tests.test_auth_door import Door
@@ -20,7 +20,7 @@
 
 
 def traces(rig: Rig) -> list[Trace]:
-    return [action.trace for action in rig.of(ev.Traced)]
+    return [action.trace for action in rig.of(ev.ExportTrace)]
 
 
 def test_a_request_makes_one_tree_with_all_its_parts() -> None:
@@ -31,7 +31,7 @@
     rig.pass_time(3)
     rig.count_all(1.0)
     rig.pass_time(5)
-    rig.end(ticket, Ending.CLOSED)
+    rig.end(ticket, AttemptFailure.CLOSED)
     rig.pass_time(20)
     rig.serve(ticket)
     [trace] = traces(rig)
@@ -55,7 +55,7 @@
     }
     assert [span.attributes["verdict"] for span in trace.parts[2:]] == ["reset", "ok"]
     assert "secret" not in repr(trace)
-    for sent, span in zip(rig.of(ev.Open, ticket), trace.parts[2:], strict=True):
+    for sent, span in zip(rig.of(ev.OpenAttempt, ticket), trace.parts[2:], strict=True):
         assert head(sent, "traceparent") == f"00-{trace.id:032x}-{span.id:016x}-01"
 
 
@@ -63,7 +63,7 @@
     rig = Rig(TRACING + " upstream { cancel: false }")
     left = rig.ask(x_deadline_ms="900")
     rig.write(left)
-    rig.tell(ev.ClientLeft(left))
+    rig.tell(ev.ClientDisconnected(left))
     assert not traces(rig)  # an attempt is still out
     rig.pass_time(900)
     [trace] = traces(rig)
@@ -98,7 +98,7 @@
     rig = Rig(TRACING)
     ticket = rig.ask(x_request_id="r1", traceparent=PARENT)
     rig.pass_time(4)
-    rig.end(ticket, Ending.CLOSED)
+    rig.end(ticket, AttemptFailure.CLOSED)
     rig.pass_time(6)
     rig.serve(ticket)
     file = tmp_path / "traces.jsonl"
@@ -130,8 +130,8 @@
             ticket = rig.ask(customer="anna" if number % 3 else "free")
             rig.count_all(1.0)
             rig.pass_time(3)
-            if rig.of(ev.Open, ticket):
+            if rig.of(ev.OpenAttempt, ticket):
                 rig.serve(ticket)
-        return [opened.server for opened in rig.of(ev.Open)]
+        return [opened.endpoint for opened in rig.of(ev.OpenAttempt)]
 
     assert played(f'tracing {{ file: "x" share: {share} }}') == played("")
