--- a/martenstep/node/protocol.py
+++ b/martenstep/node/protocol.py
@@ -21,7 +21,13 @@
 from martenstep.node.config import ANSWER_BYTES, MARGIN_MS, Config
 from martenstep.policy import messages as api
 from martenstep.policy.messages import CallResult, Idempotency
-from martenstep.proxy.dependencies import EngineDependencies, RoutedRequest, RouteRejection, UnauthenticatedRequest
+from martenstep.proxy.dependencies import (
+    EngineDependencies,
+    RoutedRequest,
+    RouteRejection,
+    UnauthenticatedRequest,
+    UpstreamRequest,
+)
 from martenstep.proxy.engine_messages import Headers
 from martenstep.proxy.headers import get_header
 from martenstep.proxy.targets import NormalizedTarget, TargetRejection
@@ -179,23 +185,11 @@
         """Nothing: no service is asked."""
         return []
 
-    def request_headers(
-        self,
-        client: Headers,
-        more: Headers,
-        given: Headers,
-        label: str,
-        rid: str,
-        attempt: int,
-        left_ms: float,
-        peer: str,
-        traceparent: bytes,
-        keyed: bool,
-    ) -> Headers:
-        """The client's id and key, and how long the door will wait."""
-        made = [pair for pair in client if pair[0] in PASSED]
-        made.append(self.deadline_header(left_ms))
-        return made
+    def request_headers(self, request: UpstreamRequest) -> Headers:
+        """The client's id and key, and how long the gateway waits."""
+        headers = [pair for pair in request.client_headers if pair[0] in PASSED]
+        headers.append(self.deadline_header(request.remaining_ms))
+        return headers
 
     def deadline_header(self, left_ms: float) -> tuple[bytes, bytes]:
         """In whole milliseconds; none left would read as no bound."""
--- a/martenstep/proxy/attempt_outcomes.py
+++ b/martenstep/proxy/attempt_outcomes.py
@@ -1,20 +1,20 @@
-"""What each way an attempt can end proves: the written table that rule 2 rests on.
+"""What each way an attempt can end proves of its execution.
 
-| how it ended | verdict | proves that it never ran, because |
+| how it ended | result | proves that it was never executed, because |
 | --- | --- | --- |
 | no connection was made, or none may be | CONNECT_FAILED | nothing was written to a socket |
 | the connection ended before a write | CONNECT_FAILED | nothing was written to a socket |
-| the back end's refusal (status and header) | FULL | the back end says so |
-| closed after a write, answer not whole | RESET | no: what was written may have been read |
+| the endpoint's rejection (status and header) | OVERLOADED | the endpoint says so |
+| closed after a write, response not complete | RESET | no: what was written may have been read |
 | an error status | ERROR | no |
-| not HTTP, or an answer that stood still | ERROR, RESET | no |
-| time-out, nothing written yet | CONNECT_FAILED | nothing was written to a socket |
-| time-out after a write | TIMEOUT | no |
-| called off, nothing written yet | CONNECT_FAILED | nothing was written to a socket |
-| called off after a write | CANCELLED | no |
-
-A kept-alive connection that the server closed is found before the write wherever its end has already come; a
-write that crosses the close on the wire is RESET, since the bytes may have been read before it.
+| not HTTP, or a response that stood still | ERROR, RESET | no |
+| timeout, nothing written yet | CONNECT_FAILED | nothing was written to a socket |
+| timeout after a write | TIMEOUT | no |
+| cancelled, nothing written yet | CONNECT_FAILED | nothing was written to a socket |
+| cancelled after a write | CANCELLED | no |
+
+A kept-alive connection that the endpoint closed is found before the write wherever its end has already come; a write
+that crosses the close on the wire is RESET, since the bytes may have been read before it.
 """
 
 from __future__ import annotations
@@ -32,27 +32,31 @@
 }
 
 
-def classify_failure(how: AttemptFailure) -> CallResult:
-    """The verdict on an attempt without a whole answer."""
-    return RESULT_BY_FAILURE[how]
+def classify_failure(failure: AttemptFailure) -> CallResult:
+    """The result of an attempt without a complete response."""
+    return RESULT_BY_FAILURE[failure]
 
 
-def classify_stop(wanted: CallResult, written: bool) -> CallResult:
-    """The verdict on an attempt that the door itself stopped: time-out, or called off."""
-    return wanted if written else CallResult.CONNECT_FAILED
+def classify_stop(result: CallResult, written: bool) -> CallResult:
+    """The result of an attempt that the gateway itself stopped: `result` where it was written."""
+    return result if written else CallResult.CONNECT_FAILED
 
 
 class StatusTable:
-    """What the status of an answer means; the refusal is a status together with a header, so that an answer of
-    some other part between, with the same status, proves nothing."""
+    """What the status of a response means.
 
-    __slots__ = ("_errors", "_header", "_refusal")
+    A rejection is a status together with a header, so that a response of some part between, with the same status,
+    proves nothing."""
 
-    def __init__(self, refusal: int, header: str, errors: frozenset[int]) -> None:
-        self._refusal, self._header, self._errors = refusal, header.lower().encode(), errors
+    __slots__ = ("_error_statuses", "_rejection_header", "_rejection_status")
+
+    def __init__(self, rejection_status: int, rejection_header: str, error_statuses: frozenset[int]) -> None:
+        """The header's name in any case."""
+        self._rejection_status, self._error_statuses = rejection_status, error_statuses
+        self._rejection_header = rejection_header.lower().encode()
 
     def classify(self, status: int, headers: Headers) -> CallResult:
-        """FULL, ERROR or OK."""
-        if status == self._refusal and any(name == self._header for name, _ in headers):
+        """OVERLOADED, ERROR or OK."""
+        if status == self._rejection_status and any(name == self._rejection_header for name, _ in headers):
             return CallResult.OVERLOADED
-        return CallResult.ERROR if status in self._errors else CallResult.OK
+        return CallResult.ERROR if status in self._error_statuses else CallResult.OK
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -206,7 +206,7 @@
     def reconfigure(self, door: pb.Door) -> None:
         """Take up settings that differ only in what can change in service (config.changes)."""
         self.door = door
-        self.event_logger.bound(door.log)
+        self.event_logger.reconfigure(door.log)
         if self.shelf is not None:
             told = door.hooks
             self.shelf.limit(Limits(told.failure_share, told.mean_steps, told.least_runs))
--- /dev/null
+++ b/martenstep/proxy/engine/admission.py
@@ -0,0 +1,170 @@
+"""From a request's head to the policy: whether it is accepted, where it is routed, and whose it is."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from martenstep.policy import messages as api
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.dependencies import RoutedRequest, RouteRejection, UnauthenticatedRequest
+from martenstep.proxy.engine.policy_driver import PolicyDriver
+from martenstep.proxy.engine.request import InFlightRequest, RequestLine
+from martenstep.proxy.engine.responses import UNAVAILABLE, Responses
+from martenstep.proxy.engine.state import EngineState
+from martenstep.proxy.engine.timers import RequestDeadline
+from martenstep.proxy.headers import get_header
+from martenstep.proxy.targets import TargetRejection
+
+if TYPE_CHECKING:  # loaded only where the settings ask for them
+    from martenstep.hooks.releases import Shelf
+    from martenstep.proxy.engine.authorization import Authorization
+    from martenstep.proxy.engine.forward_auth import ForwardAuth
+
+BAD_REQUEST = 400
+OVERLOAD_RETRY_AFTER_MS = 1000.0  # where the gateway holds all it may: about the time a request takes
+MAX_CORRELATION_ID_LENGTH = 200  # of a client's own: longer ones are cut
+UNKNOWN_CUSTOMER_PLAN = api.Plan("")  # until an authentication service has named the customer
+
+
+class Admission:
+    """Accepts requests, or rejects them before the policy learns of them."""
+
+    def __init__(
+        self, state: EngineState, policy: PolicyDriver, responses: Responses, hook_releases: Shelf | None
+    ) -> None:
+        """`hook_releases` has the hooks, where there are any."""
+        self._state, self._policy, self._responses = state, policy, responses
+        self._dependencies = state.dependencies
+        self._hook_releases = hook_releases
+        self.authorization: Authorization | None = None
+        self.forward_auth: ForwardAuth | None = None
+
+    def request_received(self, event: ev.RequestReceived) -> None:
+        """A client's request head is complete."""
+        policy_id = f"{self._state.next_serial():x}"
+        correlation_id = self._correlation_id(event, policy_id)
+        line = self._request_line(event, correlation_id)
+        if line is None:
+            return
+        reject = self._responses.reject_unaccepted
+        route_table = self._state.route_table
+        route = route_table.route(line.method, line.target, event.headers)
+        if isinstance(route, RouteRejection):
+            reject(event, route.status, route.reason, correlation_id)
+            return
+        remaining_ms = route_table.deadline_ms(route.request_class, event.headers)
+        if remaining_ms is None:
+            reject(event, BAD_REQUEST, "bad deadline", correlation_id)
+            return
+        if self._state.stopped:
+            reject(event, UNAVAILABLE, "stopping", correlation_id, OVERLOAD_RETRY_AFTER_MS)
+            return
+        if self._state.unanswered >= self._state.max_in_flight:
+            reject(event, UNAVAILABLE, "full house", correlation_id, OVERLOAD_RETRY_AFTER_MS)
+            return
+        self._accept(event, line, route, policy_id, correlation_id, remaining_ms)
+
+    def _correlation_id(self, event: ev.RequestReceived, policy_id: str) -> str:
+        """The id that the client gave the request, or one that no other gateway gives."""
+        own = get_header(event.headers, self._dependencies.request_id_header)
+        if own:
+            return own.decode("latin-1")[:MAX_CORRELATION_ID_LENGTH]
+        return f"{self._dependencies.name}-{self._state.seed:x}-{policy_id}"
+
+    def _request_line(self, event: ev.RequestReceived, correlation_id: str) -> RequestLine | None:
+        """The request line that counts; None where there is none, and the request has been rejected."""
+        if self.forward_auth is not None:
+            return self.forward_auth.read_request_line(event, correlation_id)
+        normalized = self._state.targets.normalize(event.method, event.target, event.headers)
+        if isinstance(normalized, TargetRejection):
+            self._responses.reject_unaccepted(
+                event, normalized.status, normalized.reason, correlation_id, headers=normalized.headers
+            )
+            return None
+        event.target, event.headers = normalized.target, normalized.headers
+        return RequestLine(event.method, normalized.target)
+
+    def _accept(
+        self,
+        event: ev.RequestReceived,
+        line: RequestLine,
+        route: RoutedRequest | UnauthenticatedRequest,
+        policy_id: str,
+        correlation_id: str,
+        remaining_ms: float,
+    ) -> None:
+        """Take a request in flight."""
+        state = self._state
+        now = state.now
+        unauthenticated = route if isinstance(route, UnauthenticatedRequest) else None
+        if isinstance(route, UnauthenticatedRequest):
+            route = RoutedRequest(route.request_class, UNKNOWN_CUSTOMER_PLAN, 0, "", route.units, 1, 0)
+        arrived_at = now if event.received_at is None else min(event.received_at, now)
+        remaining_ms = max(arrived_at + remaining_ms - state.deadline_margin_ms - now, 0.0)
+        request = InFlightRequest(event, route, policy_id, correlation_id, arrived_at, now + remaining_ms)
+        if self._dependencies.trace_sampler is not None:
+            self._sample(request, line)
+        if self._hook_releases is not None:
+            request.hook_edition = self._hook_releases.edition
+        state.requests.add(request)
+        state.unanswered += 1
+        state.timers.schedule(request.deadline, RequestDeadline(event.request_id))
+        if unauthenticated is None:
+            self.admit(request, route)
+            return
+        assert self.authorization is not None, "settings with a route that authenticates name a service"
+        self.authorization.authorize(request, unauthenticated, remaining_ms)
+
+    def _sample(self, request: InFlightRequest, line: RequestLine) -> None:
+        """Begin a trace of a request, where it is sampled."""
+        sampler = self._dependencies.trace_sampler
+        assert sampler is not None
+        request.trace = sampler.trace(
+            get_header(request.received.headers, b"traceparent"),
+            self._state.now,
+            request=request.correlation_id,
+            door=self._dependencies.name,
+            method=line.method.decode("latin-1"),
+            path=line.target.partition(b"?")[0].decode("latin-1"),
+        )
+        if request.trace is not None:
+            request.trace.root.attributes["class"] = request.route.request_class.name
+
+    def admit(self, request: InFlightRequest, route: RoutedRequest) -> None:
+        """Submit a request whose customer is known to the policy."""
+        now = self._state.now
+        if request.trace is not None:
+            request.trace.end("auth", now)
+        edition = request.hook_edition
+        runner = request.hook_runner = edition.runner(route.customer_key) if edition is not None else None
+        if runner is not None and runner.has("classify"):
+            route = self._reclassify(request, route)
+        request.route, request.submitted = route, True
+        self._policy.submit(
+            api.Request(
+                request.policy_id,
+                route.request_class.name,
+                route.plan.name,
+                route.customer,
+                max(request.deadline - now, 0.0),
+                route.units,
+                route.instances,
+                route.first_instance,
+                route.is_retry,
+            )
+        )
+        if request.trace is not None and not request.finished and not request.endpoints:
+            request.trace.begin("counter", self._state.now)  # the policy waits for the counter
+
+    def _reclassify(self, request: InFlightRequest, route: RoutedRequest) -> RoutedRequest:
+        """The route as a hook has it."""
+        state, runner = self._state, request.hook_runner
+        assert state.extension_points is not None and runner is not None
+        request.route = route
+        changed = state.extension_points.classify(state.now, runner, request)
+        deadline_ms = changed.request_class.deadline_ms
+        if deadline_ms < route.request_class.deadline_ms:  # an earlier deadline takes effect, a later one never
+            earlier = max(request.arrived_at + deadline_ms - state.deadline_margin_ms, state.now)
+            request.deadline = min(request.deadline, earlier)
+            state.timers.schedule(request.deadline, RequestDeadline(request.request_id))
+        return changed
--- /dev/null
+++ b/martenstep/proxy/engine/attempts.py
@@ -0,0 +1,290 @@
+"""The attempts of requests: started by the policy, carried by the driver, and each ended exactly once."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from martenstep.policy import messages as api
+from martenstep.policy.messages import CallResult, Idempotency
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.attempt_outcomes import classify_failure, classify_stop
+from martenstep.proxy.dependencies import UpstreamRequest
+from martenstep.proxy.engine.endpoints import EndpointAddresses
+from martenstep.proxy.engine.policy_driver import PolicyDriver
+from martenstep.proxy.engine.request import Attempt, InFlightRequest, UpstreamTarget
+from martenstep.proxy.engine.responses import Responses
+from martenstep.proxy.engine.state import EngineState
+from martenstep.proxy.engine.timers import ConnectTimeout
+from martenstep.proxy.permission import AttemptFacts, Denial, may_begin
+
+
+class Attempts:
+    """Starts, follows and ends attempts."""
+
+    def __init__(
+        self, state: EngineState, policy: PolicyDriver, responses: Responses, endpoints: EndpointAddresses
+    ) -> None:
+        """`endpoints` knows where the listed endpoints are."""
+        self._state, self._policy, self._responses, self._endpoints = state, policy, responses, endpoints
+        self._dependencies = state.dependencies
+        self._messages = state.dependencies.message_builder
+        self._classify = state.dependencies.status_classifier.classify
+        # Told the request id of each request whose first attempt starts.
+        self.on_first_attempt: Callable[[int], None] | None = None
+        self.result_counts: dict[str, int] = {}
+        self.denial_counts: dict[str, int] = {}  # of attempts at the moment of their first byte, by name
+
+    # Start --------------------------------------------------------------------------------------------------
+
+    def start(self, action: api.StartAttempt) -> None:
+        """Start the attempt that the policy has decided on."""
+        state = self._state
+        request = state.requests.of_policy(action.id)
+        number = len(request.endpoints)
+        request.endpoints.append(action.endpoint)
+        if request.trace is not None:
+            request.trace.end("counter", state.now)
+        if number == 0:
+            self._first_attempt(request, action.over_quota)
+        address = self._endpoints.addresses.get(action.endpoint)
+        attempt = request.attempt = Attempt(number, action.endpoint, state.now)
+        if request.finished or address is None:
+            attempt.open = False
+            self._policy.submit(
+                api.AttemptEnded(action.id, number, action.endpoint, CallResult.NOT_SENT, 0.0, request.finished)
+            )
+            return
+        target, headers = self._upstream_message(request, attempt)
+        connect_by = min(state.now + self._dependencies.connect_timeout_ms, request.deadline)
+        state.timers.schedule(connect_by, ConnectTimeout(request.request_id, number))
+        state.actions.append(
+            ev.OpenAttempt(
+                request.request_id,
+                number,
+                action.endpoint,
+                address,
+                request.received.method,
+                target,
+                headers,
+                request.deadline,
+                self._deliver_by(request),
+            )
+        )
+
+    def record_usage(self, request: InFlightRequest, over_quota: bool) -> None:
+        """Have the counter service keep that a request was forwarded, where it does."""
+        if not self._dependencies.records_usage:
+            return
+        route = request.route
+        self._state.actions.append(
+            ev.RecordUsage(
+                request.correlation_id,
+                route.customer_key,
+                route.plan.name,
+                route.request_class.name,
+                route.units,
+                over_quota,
+                request.request_id,
+            )
+        )
+
+    def _first_attempt(self, request: InFlightRequest, over_quota: bool) -> None:
+        self.record_usage(request, over_quota)
+        if self.on_first_attempt is not None:
+            self.on_first_attempt(request.request_id)
+
+    def _upstream_message(self, request: InFlightRequest, attempt: Attempt) -> UpstreamTarget:
+        """The target and the headers of an attempt."""
+        now, received, messages = self._state.now, request.received, self._messages
+        auth_response = request.auth_response
+        auth_headers = messages.copied_auth_headers(list(auth_response.headers)) if auth_response is not None else []
+        target, hook_headers = self._hooked_target(request)
+        traceparent = b""
+        if request.trace is not None:
+            span = request.trace.begin("attempt", now, attempt=attempt.number, server=attempt.endpoint)
+            traceparent = request.trace.outgoing(span)
+        headers = messages.request_headers(
+            UpstreamRequest(
+                received.headers,
+                auth_headers,
+                hook_headers,
+                request.correlation_id,
+                request.policy_id,
+                attempt.number,
+                max(request.deadline - now, 0.0),
+                received.client_address,
+                traceparent,
+                request.route.request_class.idempotency is Idempotency.KEYED,
+            )
+        )
+        return UpstreamTarget(target, headers)
+
+    def _hooked_target(self, request: InFlightRequest) -> UpstreamTarget:
+        """The target and the additional headers of all attempts, as a hook may have set them."""
+        runner = request.hook_runner
+        if runner is None or not runner.has("sending"):
+            return UpstreamTarget(request.received.target, [])
+        if request.upstream_target is None:
+            points = self._state.extension_points
+            assert points is not None
+            request.upstream_target = UpstreamTarget(*points.sending(self._state.now, runner, request))
+        return request.upstream_target
+
+    @staticmethod
+    def _deliver_by(request: InFlightRequest) -> float | None:
+        """A retry with an idempotency key must reach its endpoint while endpoints still know the key: what the network
+        holds for longer must not be delivered any more."""
+        request_class, since = request.route.request_class, request.may_have_run_since
+        if since is None or request_class.idempotency is not Idempotency.KEYED:
+            return None
+        return since + request_class.deduplication_window_ms
+
+    def update_deadline_header(self, now: float, action: ev.OpenAttempt) -> None:
+        """Have an attempt that had to wait state what is left of its time by now: an endpoint that believes in more
+        works for nobody."""
+        name, value = self._messages.deadline_header(max(action.deadline - now, 0.0))
+        action.headers = [(name, value) if pair[0] == name else pair for pair in action.headers]
+
+    def check_permission(self, now: float, action: ev.OpenAttempt) -> Denial | None:
+        """Why an attempt may not be written now; None where it may."""
+        request = self._state.requests.find(action.request_id)
+        attempt = request.attempt if request is not None else None
+        if request is None or attempt is None:
+            return Denial.ANSWERED
+        request_class = request.route.request_class
+        facts = AttemptFacts(
+            now,
+            request.deadline,
+            request.finished,
+            self._state.stopped,
+            attempt.number == action.attempt and attempt.open,
+            self._endpoints.accepts_requests(action.endpoint),
+            request_class.idempotency,
+            request.may_have_run_since,
+            request_class.deduplication_window_ms,
+        )
+        denial = may_begin(facts)
+        if denial is not None:
+            self._log_denial(request, denial)
+        return denial
+
+    def _log_denial(self, request: InFlightRequest, denial: Denial) -> None:
+        self.denial_counts[denial.name] = self.denial_counts.get(denial.name, 0) + 1
+        fields: dict[str, Any] = {
+            "request": request.correlation_id,
+            "why": denial.value,
+            "servers": request.endpoints,
+        }
+        self._state.actions.append(ev.LogEvent("attempt denied", fields))
+
+    # Progress -----------------------------------------------------------------------------------------------
+
+    def written(self, event: ev.AttemptWritten) -> None:
+        """The first bytes of an attempt are being written."""
+        found = self._state.requests.open_attempt(event.request_id, event.attempt)
+        if found is not None:
+            found.attempt.written = True
+
+    def response_head_received(self, event: ev.ResponseHeadReceived) -> None:
+        """The head of an attempt's response is complete."""
+        found = self._state.requests.open_attempt(event.request_id, event.attempt)
+        if found is None:
+            return
+        result = self._classify(event.status, event.headers)
+        if result is not CallResult.OK:
+            found.attempt.open = False
+            self._state.actions.append(ev.AbortAttempt(event.request_id, event.attempt))
+            self._end_without_response(found.request, found.attempt, result)
+            return
+        found.attempt.status, found.attempt.headers = event.status, event.headers
+
+    def response_buffer_exceeded(self, event: ev.ResponseBufferExceeded) -> None:
+        """More of a response has come than is buffered: it belongs to the client from now on."""
+        found = self._state.requests.open_attempt(event.request_id, event.attempt)
+        if found is None or found.attempt.streaming or found.request.finished:
+            return
+        found.attempt.streaming = True
+        self._policy.submit(api.ResponseStarted(found.request.policy_id))
+        self._responses.relay(found.request, found.attempt, complete=False)
+
+    def response_completed(self, event: ev.ResponseCompleted) -> None:
+        """The last byte of an attempt's response has come."""
+        found = self._state.requests.open_attempt(event.request_id, event.attempt)
+        if found is None:
+            return
+        request, attempt = found.request, found.attempt
+        if not request.finished:
+            if not attempt.streaming:
+                self._responses.relay(request, attempt, complete=True)
+            self._responses.finish(request, attempt.status, "served")
+        self._end(request, attempt, CallResult.OK, request_complete=True)
+        self._responses.release(request)
+
+    # End ----------------------------------------------------------------------------------------------------
+
+    def failed(self, event: ev.AttemptFailed) -> None:
+        """An attempt ended without a complete response."""
+        found = self._state.requests.open_attempt(event.request_id, event.attempt)
+        if found is not None:
+            found.attempt.open = False
+            self._end_without_response(found.request, found.attempt, classify_failure(event.failure))
+
+    def cancel(self, action: api.CancelAttempt) -> None:
+        """The policy cancels an attempt."""
+        request = self._state.requests.of_policy(action.id)
+        attempt = request.attempt
+        if attempt is not None and attempt.number == action.attempt and attempt.open and not attempt.streaming:
+            self.stop(request, attempt, CallResult.CANCELLED)
+
+    def connect_timed_out(self, timer: ConnectTimeout) -> None:
+        """An attempt was not written in time."""
+        found = self._state.requests.open_attempt(timer.request_id, timer.attempt)
+        if found is not None and not found.attempt.written:
+            self.stop(found.request, found.attempt, CallResult.CONNECT_FAILED)
+
+    def connect_timeout_is_obsolete(self, timer: ConnectTimeout) -> bool:
+        """Whether an attempt has been written, or has ended."""
+        found = self._state.requests.open_attempt(timer.request_id, timer.attempt)
+        return found is None or found.attempt.written
+
+    def stop(self, request: InFlightRequest, attempt: Attempt, result: CallResult) -> None:
+        """Stop an attempt by the gateway's own decision; `result` counts where it has been written."""
+        attempt.open = False  # nothing that still comes from it counts
+        self._state.actions.append(ev.AbortAttempt(request.request_id, attempt.number))
+        self._end_without_response(request, attempt, classify_stop(result, attempt.written))
+
+    def withdraw(self, request: InFlightRequest, attempt: Attempt) -> None:
+        """Never begin an attempt that is not written yet: that is no failure of its endpoint."""
+        attempt.open = False
+        self._state.actions.append(ev.AbortAttempt(request.request_id, attempt.number))
+        self._end(request, attempt, CallResult.NOT_SENT, request.finished)
+
+    def _end(self, request: InFlightRequest, attempt: Attempt, result: CallResult, request_complete: bool) -> None:
+        """Report the end of an attempt; the one place that does."""
+        attempt.open = False
+        self.result_counts[result.value] = self.result_counts.get(result.value, 0) + 1
+        now = self._state.now
+        if request.trace is not None:
+            request.trace.end("attempt", now, verdict=result.value, written=attempt.written)
+        if request.may_have_run_since is None and not result.never_executed:
+            request.may_have_run_since = attempt.started_at
+        rtt_ms = now - attempt.started_at
+        self._policy.submit(
+            api.AttemptEnded(request.policy_id, attempt.number, attempt.endpoint, result, rtt_ms, request_complete)
+        )
+
+    def _end_without_response(self, request: InFlightRequest, attempt: Attempt, result: CallResult) -> None:
+        """An attempt ended without a response that can be relayed."""
+        if not request.finished:
+            if attempt.streaming:
+                self._responses.finish(request, 0, "broken answer")
+                self._state.actions.append(ev.ResetClientConnection(request.request_id))
+            elif not request.replayable:
+                # A part of its body is gone: the policy is not asked for another attempt, which could not be made.
+                idempotent = request.route.request_class.idempotency is Idempotency.IDEMPOTENT
+                self._responses.give_up(request, idempotent or result.never_executed, "spent")
+        request_complete = request.finished
+        self._end(request, attempt, result, request_complete)
+        if request_complete:
+            self._responses.release(request)
--- /dev/null
+++ b/martenstep/proxy/engine/authorization.py
@@ -0,0 +1,195 @@
+"""Authorization of requests whose customer an authentication service must name first."""
+
+from __future__ import annotations
+
+import hashlib
+import random
+from collections import OrderedDict
+from collections.abc import Callable
+
+from martenstep.auth import core as auth
+from martenstep.policy import messages as api
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.dependencies import (
+    AuthorizationSettings,
+    RoutedRequest,
+    RouteRejection,
+    UnauthenticatedRequest,
+)
+from martenstep.proxy.engine.policy_driver import PolicyDriver
+from martenstep.proxy.engine.request import InFlightRequest
+from martenstep.proxy.engine.responses import UNAVAILABLE, Responses
+from martenstep.proxy.engine.state import EngineState
+from martenstep.proxy.headers import get_header
+
+MAX_KNOWN_PLANS = 20_000  # credentials whose plan is remembered, to shed load by it
+MIN_SUCCESS_STATUS, MIN_SERVER_ERROR_STATUS = 200, 500
+# Of a denying response, what a client needs to do better: where to log in, and how.
+DENIAL_HEADERS = frozenset(
+    (b"content-type", b"www-authenticate", b"location", b"set-cookie", b"retry-after", b"cache-control")
+)
+Admit = Callable[[InFlightRequest, RoutedRequest], None]
+
+
+class Authorization:
+    """Has the credentials of requests checked, and admits or denies the requests."""
+
+    def __init__(
+        self,
+        state: EngineState,
+        policy: PolicyDriver,
+        responses: Responses,
+        settings: AuthorizationSettings,
+        admit: Admit,
+    ) -> None:
+        """`admit` is called with each request whose customer is known, and its route."""
+        self._state, self._policy, self._responses, self._admit = state, policy, responses, admit
+        self._settings = settings
+        self._checks = auth.Core(settings.rules, len(settings.services), random.Random(state.seed))
+        self._plan_by_credential: OrderedDict[bytes, str] = OrderedDict()  # as a service named it last
+
+    @property
+    def held(self) -> dict[str, int]:
+        """Numbers of what is held in memory, by name."""
+        return self._checks.held
+
+    def next_at(self) -> float | None:
+        """When `tick` is due; None where nothing is waited for."""
+        return self._checks.next_at()
+
+    def tick(self) -> None:
+        """Time has passed."""
+        self._carry_out(self._checks.tick(self._state.now))
+
+    def first_attempt_started(self, request_id: int) -> None:
+        """A request is being forwarded: its permission needs no longer be kept."""
+        self._checks.sent(request_id)
+
+    def request_finished(self, request_id: int) -> None:
+        """A request has its final response, or its client has disconnected."""
+        self._carry_out(self._checks.left(self._state.now, request_id))
+
+    # Checks -------------------------------------------------------------------------------------------------
+
+    def authorize(self, request: InFlightRequest, unauthenticated: UnauthenticatedRequest, remaining_ms: float) -> None:
+        """Have a request's credential checked."""
+        if request.trace is not None:
+            request.trace.begin("auth", self._state.now)
+        request.unauthenticated = unauthenticated
+        request.credential_digest = self._credential_digest(request.received)
+        actions = self._checks.ask(
+            self._state.now,
+            request.request_id,
+            request.credential_digest,
+            remaining_ms,
+            self._shedding_group(request),
+            unauthenticated.fail_open,
+            self._check_headers(request),
+        )
+        self._carry_out(actions)
+
+    def _credential_digest(self, received: ev.RequestReceived) -> bytes:
+        """Tells checks apart: requests of one digest share one check."""
+        digest = hashlib.blake2b(digest_size=16)
+        for name, value in received.headers:
+            if name in self._settings.credential_headers:
+                digest.update(b"%d %b %d %b " % (len(name), name, len(value), value))
+        if self._settings.includes_target:
+            digest.update(received.method + b" " + received.target)
+        return digest.digest()
+
+    def _check_headers(self, request: InFlightRequest) -> ev.Headers:
+        received, credential_headers = request.received, self._settings.credential_headers
+        return [
+            *(pair for pair in received.headers if pair[0] in credential_headers),
+            (b"x-forwarded-method", received.method),
+            (b"x-forwarded-proto", b"http"),
+            (b"x-forwarded-host", get_header(received.headers, b"host") or b""),
+            (b"x-forwarded-uri", received.target),
+            (b"x-forwarded-for", received.client_address.encode()),
+            (self._state.dependencies.request_id_header, request.correlation_id.encode("latin-1", "replace")),
+        ]
+
+    def _shedding_group(self, request: InFlightRequest) -> str:
+        """The group of requests that share load shedding where too many wait: those of a plan, as the credential's last
+        check named it, and those that no service has vouched for yet by their host."""
+        plan = self._plan_by_credential.get(request.credential_digest)
+        if plan:
+            return plan
+        host = get_header(request.received.headers, b"host") or b""
+        return "host " + host.decode("latin-1")
+
+    def replied(self, event: ev.AuthCheckReplied) -> None:
+        """A service answered a check."""
+        if event.status >= MIN_SERVER_ERROR_STATUS or event.status < MIN_SUCCESS_STATUS:
+            # A fault of the service says nothing about the credential.
+            self._carry_out(self._checks.failed(self._state.now, event.check_id, event.attempt))
+            return
+        answer = auth.Answer(event.status, tuple(event.headers), event.body, auth.keep_of(event.headers))
+        self._carry_out(self._checks.answered(self._state.now, event.check_id, event.attempt, answer))
+
+    def check_failed(self, event: ev.AuthCheckFailed) -> None:
+        """An attempt of a check gave no response that can be read."""
+        self._carry_out(self._checks.failed(self._state.now, event.check_id, event.attempt))
+
+    def _carry_out(self, actions: list[auth.Action]) -> None:
+        requests, settings = self._state.requests, self._settings
+        for action in actions:
+            match action:
+                case auth.Start(check=check, attempt=attempt, service=service, payload=headers):
+                    address = settings.services[service]
+                    self._state.actions.append(ev.StartAuthCheck(check, attempt, address, settings.path, headers))
+                case auth.Stop(check=check, attempt=attempt):
+                    self._state.actions.append(ev.StopAuthCheck(check, attempt))
+                case auth.Allow(ticket=request_id, answer=answer):
+                    self._allow(requests.get(request_id), answer)
+                case auth.Deny(ticket=request_id, answer=answer):
+                    self._deny(requests.get(request_id), answer)
+                case auth.Unsure(ticket=request_id, reason=reason, wait_ms=retry_after_ms):
+                    request = requests.get(request_id)
+                    self._responses.send_local_reply(request, UNAVAILABLE, reason.value, retry_after_ms)
+
+    # Verdicts -----------------------------------------------------------------------------------------------
+
+    def _allow(self, request: InFlightRequest, answer: auth.Answer | None) -> None:
+        """A request may pass; without an answer where its route fails open."""
+        assert request.unauthenticated is not None
+        if answer is None:
+            route = self._state.route_table.anonymous(request.unauthenticated)
+        else:
+            request.auth_response = answer
+            route = self._identify(request.unauthenticated, list(answer.headers))
+        if isinstance(route, RouteRejection):
+            self._responses.send_local_reply(request, route.status, route.reason, None)
+            return
+        if answer is not None:
+            self._remember_plan(request.credential_digest, route.plan.name)
+        self._admit(request, route)
+
+    def _identify(self, unauthenticated: UnauthenticatedRequest, headers: ev.Headers) -> RoutedRequest | RouteRejection:
+        customer = get_header(headers, self._settings.customer_header) or b""
+        plan = get_header(headers, self._settings.plan_header) or b""
+        return self._state.route_table.identify(
+            unauthenticated, customer.decode("latin-1").strip(), plan.decode("latin-1").strip()
+        )
+
+    def _remember_plan(self, credential_digest: bytes, plan: str) -> None:
+        known = self._plan_by_credential
+        known[credential_digest] = plan
+        known.move_to_end(credential_digest)
+        if len(known) > MAX_KNOWN_PLANS:
+            known.popitem(last=False)
+
+    def _deny(self, request: InFlightRequest, answer: auth.Answer) -> None:
+        """The service's response is the client's, also where the request waits for the counter by now."""
+        if request.submitted:
+            self._policy.submit(api.ClientDisconnected(request.policy_id))
+        headers = [pair for pair in answer.headers if pair[0] in DENIAL_HEADERS]
+        headers += [
+            (b"content-length", str(len(answer.body)).encode()),
+            (b"x-reason", b"denied"),
+            *self._state.dependencies.message_builder.identity_headers(request.correlation_id),
+        ]
+        self._responses.finish(request, answer.status, "denied")
+        self._state.actions.append(ev.SendLocalReply(request.request_id, answer.status, headers, answer.body))
+        self._responses.release(request)
--- /dev/null
+++ b/martenstep/proxy/engine/deadlines.py
@@ -0,0 +1,94 @@
+"""What ends a request besides its response: its deadline, its client, and the end of the gateway."""
+
+from __future__ import annotations
+
+from martenstep.policy import messages as api
+from martenstep.policy.messages import CallResult, Idempotency
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.engine.attempts import Attempts
+from martenstep.proxy.engine.policy_driver import PolicyDriver
+from martenstep.proxy.engine.request import InFlightRequest
+from martenstep.proxy.engine.responses import GATEWAY_TIMEOUT, Responses
+from martenstep.proxy.engine.state import EngineState
+from martenstep.proxy.engine.timers import RequestDeadline
+
+
+class RequestTermination:
+    """Ends requests that cannot be waited for any longer."""
+
+    def __init__(self, state: EngineState, policy: PolicyDriver, responses: Responses, attempts: Attempts) -> None:
+        """Ends their attempts with them."""
+        self._state, self._policy, self._responses, self._attempts = state, policy, responses, attempts
+        self._dependencies = state.dependencies
+
+    def deadline_is_obsolete(self, timer: RequestDeadline) -> bool:
+        """Whether a request has ended before its deadline."""
+        return timer.request_id not in self._state.requests
+
+    def deadline_reached(self, timer: RequestDeadline) -> None:
+        """A request's time is over."""
+        request = self._state.requests.find(timer.request_id)
+        if request is not None:
+            self.time_out(request)
+
+    def time_out(self, request: InFlightRequest) -> None:
+        """End a request whose time is over: its open attempt ends, and its response goes out at once."""
+        attempt = request.attempt
+        if attempt is not None and attempt.streaming and self._dependencies.streams_past_deadline:
+            return  # a streamed response that has begun belongs to the client
+        request.timed_out = True
+        is_open = attempt is not None and attempt.open
+        if attempt is not None and is_open:
+            # Also where the client has disconnected, and the attempt could not be cancelled then.
+            self._attempts.stop(request, attempt, CallResult.TIMEOUT)
+        if request.finished:
+            return
+        # No attempt was open: the policy holds the request, and cannot be waited for any longer.
+        self._responses.send_local_reply(request, GATEWAY_TIMEOUT, "timed out", None)
+        if request.submitted:
+            self._policy.submit(api.ClientDisconnected(request.policy_id))
+
+    def client_disconnected(self, event: ev.ClientDisconnected) -> None:
+        """A client has disconnected, or its request broke off."""
+        request = self._state.requests.find(event.request_id)
+        if request is None or request.finished:
+            return
+        self._responses.finish(request, 0, "client left")
+        if request.submitted:
+            self._policy.submit(api.ClientDisconnected(request.policy_id))
+        attempt = request.attempt
+        if attempt is not None and attempt.open:
+            if not attempt.written:
+                self._attempts.withdraw(request, attempt)
+            elif self._dependencies.can_cancel or attempt.streaming:
+                self._attempts.stop(request, attempt, CallResult.CANCELLED)
+        self._responses.release(request)
+
+    def body_not_replayable(self, event: ev.RequestBodyNotReplayable) -> None:
+        """A request's body cannot be written again: its attempt is the last one."""
+        request = self._state.requests.find(event.request_id)
+        if request is not None:
+            request.replayable = False
+
+    def stop_all(self) -> None:
+        """The gateway ends: every request that is still in flight gets its response now, and no further attempt."""
+        self._state.stopped = True
+        for request in self._state.requests:
+            self._stop(request)
+
+    def _stop(self, request: InFlightRequest) -> None:
+        attempt = request.attempt
+        if request.finished or (attempt is not None and attempt.streaming):
+            # The end of the connection tells that a streamed response is not complete.
+            if request.request_id in self._state.requests:
+                self.time_out(request)
+            return
+        if request.submitted:  # else the policy would answer the end of the attempt with another one
+            self._policy.submit(api.ClientDisconnected(request.policy_id))
+        open_attempt = attempt if attempt is not None and attempt.open else None
+        may_have_run = request.may_have_run_since is not None or (open_attempt is not None and open_attempt.written)
+        idempotent = request.route.request_class.idempotency is Idempotency.IDEMPOTENT
+        request.timed_out = True
+        self._responses.give_up(request, not may_have_run or idempotent, "stopping")
+        if open_attempt is not None:
+            self._attempts.stop(request, open_attempt, CallResult.TIMEOUT)
--- /dev/null
+++ b/martenstep/proxy/engine/policy_driver.py
@@ -0,0 +1,44 @@
+"""Drives the policy: hands it one event at a time and dispatches the actions that it returns."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from martenstep.policy import messages as api
+from martenstep.policy.gateway import Gateway
+from martenstep.proxy.engine.state import EngineState
+
+ActionHandler = Callable[[Any], None]
+
+
+class PolicyDriver:
+    """The policy's Gateway, and what is still to be told to it."""
+
+    def __init__(self, state: EngineState) -> None:
+        """Makes a Gateway by the settings of the engine's dependencies."""
+        self._state = state
+        self.gateway = Gateway(state.dependencies.settings, state.seed)
+        self._events: deque[api.Event] = deque()
+        self._handlers: Mapping[type, ActionHandler] = {}
+
+    def dispatch_to(self, handlers: Mapping[type, ActionHandler]) -> None:
+        """Set the handler of each type of action; actions of other types are ignored."""
+        self._handlers = handlers
+
+    def submit(self, event: api.Event) -> None:
+        """Hand an event to the policy, and carry out what it decides.
+
+        An event that is submitted while an action is carried out follows after it, in order."""
+        events = self._events
+        events.append(event)
+        if len(events) > 1:
+            return
+        handlers = self._handlers
+        while events:
+            for action in self.gateway.handle(self._state.now, events[0]):
+                handler = handlers.get(type(action))
+                if handler is not None:
+                    handler(action)
+            events.popleft()
--- /dev/null
+++ b/martenstep/proxy/engine/request.py
@@ -0,0 +1,159 @@
+"""The record of a request in flight and of its attempts, and the table of them."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.dependencies import RoutedRequest, UnauthenticatedRequest
+
+if TYPE_CHECKING:  # a gateway without hooks and traces does not load them
+    from martenstep.auth import core as auth
+    from martenstep.hooks.releases import Edition
+    from martenstep.hooks.runner import Runner
+    from martenstep.proxy.traces import Trace
+
+
+class RequestLine(NamedTuple):
+    """What a request is routed by."""
+
+    method: bytes
+    target: bytes
+
+
+class Attempt:
+    """One attempt of a request, from the policy's StartAttempt to its AttemptEnded."""
+
+    __slots__ = ("endpoint", "headers", "number", "open", "started_at", "status", "streaming", "written")
+
+    def __init__(self, number: int, endpoint: int, started_at: float) -> None:
+        """`number` counts a request's attempts from 0."""
+        self.number, self.endpoint, self.started_at = number, endpoint, started_at
+        self.open, self.written, self.streaming = True, False, False
+        self.status = 0
+        self.headers: ev.Headers = []
+
+
+class UpstreamTarget(NamedTuple):
+    """The target of a request as a hook rewrote it, and the headers that the hook set."""
+
+    target: bytes
+    headers: ev.Headers
+
+
+class InFlightRequest:
+    """One client request, from its head to the end of its last attempt.  Times are milliseconds on the driver's
+    clock."""
+
+    __slots__ = (
+        "arrived_at",
+        "attempt",
+        "auth_response",
+        "correlation_id",
+        "credential_digest",
+        "deadline",
+        "endpoints",
+        "finished",
+        "hook_edition",
+        "hook_record",
+        "hook_record_route",
+        "hook_runner",
+        "may_have_run_since",
+        "policy_id",
+        "received",
+        "replayable",
+        "request_id",
+        "route",
+        "submitted",
+        "timed_out",
+        "trace",
+        "unauthenticated",
+        "upstream_target",
+    )
+
+    def __init__(
+        self,
+        received: ev.RequestReceived,
+        route: RoutedRequest,
+        policy_id: str,
+        correlation_id: str,
+        arrived_at: float,
+        deadline: float,
+    ) -> None:
+        """`policy_id` names the request to the policy, `correlation_id` in logs and to endpoints."""
+        self.request_id, self.policy_id, self.correlation_id = received.request_id, policy_id, correlation_id
+        self.received, self.route = received, route
+        self.arrived_at, self.deadline = arrived_at, deadline
+        self.attempt: Attempt | None = None  # the last one
+        self.endpoints: list[int] = []  # of all attempts
+        self.finished = False  # it has its final response, or its client has disconnected
+        self.submitted = False  # the policy knows of it
+        self.timed_out = False
+        self.replayable = True  # its body can be written again
+        self.may_have_run_since: float | None = None  # start of the first attempt that may have been executed
+        self.unauthenticated: UnauthenticatedRequest | None = None  # an authentication service must name its customer
+        self.auth_response: auth.Answer | None = None
+        self.credential_digest = b""
+        self.trace: Trace | None = None
+        self.hook_edition: Edition | None = None  # the hooks that were in service when it arrived
+        self.hook_runner: Runner | None = None  # those of them that apply to its customer
+        self.hook_record: tuple[Any, ...] | None = None  # the record that hooks are given,
+        self.hook_record_route: RoutedRequest | None = None  # and the route that it was made for
+        self.upstream_target: UpstreamTarget | None = None  # of all attempts, where a hook rewrote it
+
+
+@dataclass(slots=True)
+class OpenAttempt:
+    """A request together with its attempt that is still open."""
+
+    request: InFlightRequest
+    attempt: Attempt
+
+
+class RequestTable:
+    """All requests in flight, by both of their ids."""
+
+    def __init__(self) -> None:
+        """Starts empty."""
+        self._by_request_id: dict[int, InFlightRequest] = {}
+        self._by_policy_id: dict[str, InFlightRequest] = {}
+
+    def __len__(self) -> int:
+        return len(self._by_request_id)
+
+    def __contains__(self, request_id: int) -> bool:
+        return request_id in self._by_request_id
+
+    def __iter__(self) -> Iterator[InFlightRequest]:
+        return iter(list(self._by_request_id.values()))
+
+    def add(self, request: InFlightRequest) -> None:
+        """Add a request."""
+        self._by_request_id[request.request_id] = self._by_policy_id[request.policy_id] = request
+
+    def remove(self, request: InFlightRequest) -> None:
+        """Remove a request, where it is still there."""
+        self._by_request_id.pop(request.request_id, None)
+        self._by_policy_id.pop(request.policy_id, None)
+
+    def find(self, request_id: int) -> InFlightRequest | None:
+        """The request with an id; None where it is no longer in flight."""
+        return self._by_request_id.get(request_id)
+
+    def get(self, request_id: int) -> InFlightRequest:
+        """The request with an id; raises KeyError where it is no longer in flight."""
+        return self._by_request_id[request_id]
+
+    def of_policy(self, policy_id: str) -> InFlightRequest:
+        """The request that the policy names; raises KeyError where it is no longer in flight."""
+        return self._by_policy_id[policy_id]
+
+    def open_attempt(self, request_id: int, number: int) -> OpenAttempt | None:
+        """The attempt with a number, where it is its request's last one and still open."""
+        request = self._by_request_id.get(request_id)
+        attempt = request.attempt if request is not None else None
+        if request is None or attempt is None or attempt.number != number or not attempt.open:
+            return None
+        return OpenAttempt(request, attempt)
--- /dev/null
+++ b/martenstep/proxy/engine/responses.py
@@ -0,0 +1,204 @@
+"""The final responses of requests: one for each, from an endpoint or of the gateway's own."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from martenstep.policy import messages as api
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.dependencies import RoutedRequest
+from martenstep.proxy.engine.policy_driver import PolicyDriver
+from martenstep.proxy.engine.request import Attempt, InFlightRequest
+from martenstep.proxy.engine.state import EngineState
+from martenstep.proxy.headers import (
+    REJECTION_STATUS,
+    encode_headers,
+    override_headers,
+    rate_limit_headers,
+    reason_header,
+    retry_after_headers,
+)
+
+GATEWAY_ERROR, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
+NO_CONTENT = 204
+FIRST_ERROR_STATUS = 400
+RETRY_AFTER_SHARE = 0.1  # of the latency objective, where the gateway itself gives up
+MS_PER_S = 1000.0
+NO_HEADERS: ev.Headers = []
+
+
+class Responses:
+    """Gives requests their final responses."""
+
+    def __init__(self, state: EngineState, policy: PolicyDriver) -> None:
+        """`policy` knows what is left of a customer's quota."""
+        self._state, self._policy = state, policy
+        self._messages = state.dependencies.message_builder
+        self._max_retry_after_ms = state.dependencies.max_retry_after_ms
+        self._logs_responses = state.dependencies.logs_responses
+        self.on_finished: Callable[[int], None] | None = None  # told the request id of each request that is finished
+        self.counts: dict[str, int] = {}  # final responses, by reason
+
+    # The gateway's own --------------------------------------------------------------------------------------
+
+    def reject(self, action: api.Reject) -> None:
+        """The policy rejects a request."""
+        retry_after_ms = min(action.retry_after_ms, self._max_retry_after_ms)
+        request = self._state.requests.of_policy(action.id)
+        self.send_local_reply(request, REJECTION_STATUS[action.reason], action.reason.value, retry_after_ms)
+
+    def fail(self, request: InFlightRequest) -> None:
+        """The final response that promises nothing of what happened."""
+        if request.timed_out:
+            self.send_local_reply(request, GATEWAY_TIMEOUT, "timed out", None)
+        else:
+            self.send_local_reply(request, GATEWAY_ERROR, "failed", None)
+
+    def give_up(self, request: InFlightRequest, retry_is_harmless: bool, reason: str) -> None:
+        """The final response where the policy is not asked for another attempt."""
+        if retry_is_harmless:
+            retry_after_ms = request.route.request_class.latency_objective_ms * RETRY_AFTER_SHARE
+            self.send_local_reply(request, UNAVAILABLE, reason, retry_after_ms)
+        else:
+            self.fail(request)
+
+    def send_local_reply(
+        self, request: InFlightRequest, status: int, reason: str, retry_after_ms: float | None
+    ) -> None:
+        """Send a final response of the gateway's own.  A wait in `retry_after_ms` says that a retry does no harm."""
+        headers, body = self._messages.local_reply(reason, request.correlation_id, retry_after_ms)
+        if retry_after_ms is not None:
+            custom = self._custom_rejection(request, status, reason, retry_after_ms)
+            if custom is not None:
+                retry_after_ms = min(custom.retry_after_ms, max(self._max_retry_after_ms, retry_after_ms))
+                body = custom.body
+                headers = [
+                    (b"content-type", custom.content_type.encode()),
+                    reason_header(reason),
+                    *retry_after_headers(retry_after_ms),
+                    (b"content-length", str(len(body)).encode()),
+                    *encode_headers(custom.headers),
+                ]
+        headers += [*self.rate_limits(request.route), *self._messages.identity_headers(request.correlation_id)]
+        self.finish(request, status, reason, retry_after_ms)
+        self._state.actions.append(ev.SendLocalReply(request.request_id, status, headers, body))
+        self.release(request)
+
+    def _custom_rejection(self, request: InFlightRequest, status: int, reason: str, retry_after_ms: float) -> Any:
+        """The response that a hook gives in place of the gateway's own; None where none does."""
+        runner = request.hook_runner
+        if runner is None and request.hook_edition is not None:
+            runner = request.hook_edition.runner(request.route.customer_key)
+        if runner is None or not runner.has("refusal"):
+            return None
+        points = self._state.extension_points
+        assert points is not None
+        return points.refusal(self._state.now, runner, request, status, reason, retry_after_ms)
+
+    def reject_unaccepted(
+        self,
+        received: ev.RequestReceived,
+        status: int,
+        reason: str,
+        correlation_id: str,
+        retry_after_ms: float | None = None,
+        headers: ev.Headers = NO_HEADERS,
+    ) -> None:
+        """Answer a request that is not accepted: the policy never learns of it."""
+        own_headers, body = NO_HEADERS, b""
+        if status != NO_CONTENT:
+            own_headers, body = self._messages.local_reply(reason, correlation_id, retry_after_ms)
+        all_headers = [*own_headers, *headers, *self._messages.identity_headers(correlation_id)]
+        if status >= FIRST_ERROR_STATUS:  # health checks of a quiet gateway would be most of its lines
+            fields = {"request": correlation_id, "status": status, "reason": reason}
+            self._state.actions.append(ev.LogEvent("turned away", fields))
+        self._state.actions.append(ev.SendLocalReply(received.request_id, status, all_headers, body))
+
+    def rate_limits(self, route: RoutedRequest) -> ev.Headers:
+        """The RateLimit header fields of a response to a customer."""
+        plan = route.plan
+        if plan.rate <= 0 or not self._messages.sends_rate_limits:
+            return []
+        remaining = self._policy.gateway.room(self._state.now, route.customer)
+        full_in_ms = 0.0 if remaining is None else max(plan.burst - remaining, 0.0) / plan.rate * MS_PER_S
+        return rate_limit_headers(plan, remaining, full_in_ms)
+
+    # Of endpoints -------------------------------------------------------------------------------------------
+
+    def relay(self, request: InFlightRequest, attempt: Attempt, complete: bool) -> None:
+        """Pass an attempt's response on to the client; `complete` where all of it has come."""
+        headers = self._messages.response_headers(attempt.headers)
+        runner = request.hook_runner
+        if runner is not None and runner.has("answer"):
+            headers = override_headers(headers, self._hook_headers(request, attempt, headers))
+        headers += [*self.rate_limits(request.route), *self._messages.identity_headers(request.correlation_id)]
+        self._state.actions.append(
+            ev.RelayResponse(request.request_id, attempt.number, attempt.status, headers, complete)
+        )
+
+    def _hook_headers(self, request: InFlightRequest, attempt: Attempt, headers: ev.Headers) -> ev.Headers:
+        points, runner, now = self._state.extension_points, request.hook_runner, self._state.now
+        assert points is not None and runner is not None
+        took_ms = now - request.arrived_at
+        return points.answer(now, runner, request, attempt.status, len(request.endpoints), took_ms, headers)
+
+    # The end of a request -----------------------------------------------------------------------------------
+
+    def finish(self, request: InFlightRequest, status: int, reason: str, retry_after_ms: float | None = None) -> None:
+        """Record the final response: the one place where a request stops being owed one.  Status 0 is of a client that
+        gets none."""
+        request.finished = True
+        if self.on_finished is not None:
+            self.on_finished(request.request_id)
+        if request.trace is not None:
+            self._end_trace(request, status, reason)
+        self._state.unanswered -= 1
+        self.counts[reason] = self.counts.get(reason, 0) + 1
+        if self._logs_responses:
+            self._log_response(request, status, reason, retry_after_ms)
+
+    def _end_trace(self, request: InFlightRequest, status: int, reason: str) -> None:
+        trace, route, now = request.trace, request.route, self._state.now
+        assert trace is not None
+        trace.root.end = now
+        trace.root.attributes.update(
+            {"status": status, "reason": reason, "customer": route.customer_key, "plan": route.plan.name}
+        )
+        trace.end("auth", now)
+        trace.end("counter", now)
+
+    def _log_response(self, request: InFlightRequest, status: int, reason: str, retry_after_ms: float | None) -> None:
+        route = request.route
+        took_ms = self._state.now - request.arrived_at
+        fields: dict[str, Any] = {
+            "request": request.correlation_id,
+            "customer": route.customer_key,
+            "plan": route.plan.name,
+            "class": route.request_class.name,
+            "status": status,
+            "reason": reason,
+            "attempts": len(request.endpoints),
+            "servers": request.endpoints,
+            "ms": round(took_ms, 3),
+        }
+        if retry_after_ms is not None:
+            fields["retry_after_ms"] = round(retry_after_ms, 3)
+        runner = request.hook_runner
+        if runner is not None:
+            fields["hooks"] = runner.release.version
+            if runner.has("log"):
+                points = self._state.extension_points
+                assert points is not None
+                attempts = len(request.endpoints)
+                fields.update(points.fields(self._state.now, runner, request, status, attempts, took_ms))
+        self._state.actions.append(ev.LogEvent("answer", fields))
+
+    def release(self, request: InFlightRequest) -> None:
+        """Forget a request that is finished and has no attempt open."""
+        if not request.finished or (request.attempt is not None and request.attempt.open):
+            return
+        self._state.requests.remove(request)
+        if request.trace is not None:
+            trace, request.trace = request.trace, None
+            self._state.actions.append(ev.ExportTrace(trace))
--- /dev/null
+++ b/martenstep/proxy/engine/state.py
@@ -0,0 +1,45 @@
+"""What the parts of an engine share: the time, the requests in flight, the timers and the actions to be carried out."""
+
+from __future__ import annotations
+
+from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.dependencies import EngineDependencies
+from martenstep.proxy.engine.request import RequestTable
+from martenstep.proxy.engine.timers import TimerQueue
+
+
+class EngineState:
+    """The shared state of one engine.  Times are milliseconds on the driver's clock."""
+
+    def __init__(self, dependencies: EngineDependencies, seed: int) -> None:
+        """`seed` distinguishes the ids that this process gives to requests from those of others."""
+        self.dependencies = dependencies
+        self.seed = seed
+        self.now = 0.0
+        self.stopped = False  # no request is accepted any more
+        self.requests = RequestTable()
+        self.unanswered = 0  # requests without a final response
+        self.timers = TimerQueue()
+        self.actions: list[ev.Action] = []  # to be carried out, in order
+        self._serial = 0
+        self.reconfigure(dependencies)
+
+    def reconfigure(self, dependencies: EngineDependencies) -> None:
+        """Take over what may change in service; requests in flight keep their routes."""
+        self.route_table, self.targets = dependencies.route_table, dependencies.targets
+        self.extension_points = dependencies.extension_points
+        self.deadline_margin_ms, self.max_in_flight = dependencies.deadline_margin_ms, dependencies.max_in_flight
+
+    def next_serial(self) -> int:
+        """A number that no request and no counter call of this engine has had."""
+        self._serial += 1
+        return self._serial
+
+    def advance(self, now: float) -> None:
+        """Set the time, which never goes back."""
+        self.now = max(now, self.now)
+
+    def take_actions(self) -> list[ev.Action]:
+        """The actions so far, which are then the caller's."""
+        actions, self.actions = self.actions, []
+        return actions
--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -1,4 +1,4 @@
-"""The parts of an engine as a door's settings (door.proto) give them."""
+"""Makes an engine and a server from a gateway's settings (door.proto)."""
 
 from __future__ import annotations
 
@@ -15,92 +15,114 @@
 from martenstep.proxy.auth_requests import Checks
 from martenstep.proxy.dependencies import AuthorizationSettings, EngineDependencies
 from martenstep.proxy.engine import Engine
-from martenstep.proxy.extension_points import Points
-from martenstep.proxy.route_table import Routes
+from martenstep.proxy.extension_points import HookExtensionPoints
+from martenstep.proxy.route_table import GatewayRouteTable
 from martenstep.proxy.server import Driver
 from martenstep.proxy.stages.upstream_request import GatewayMessageBuilder
 from martenstep.proxy.targets import TargetNormalizer
 from martenstep.proxy.traces import Sampler
 
+DEFAULT_CREDENTIAL_HEADERS = ("authorization", "cookie")
 
-def _auth_of(door: pb.Door) -> AuthorizationSettings | None:
+
+def _header_name(name: str) -> bytes:
+    return name.lower().encode()
+
+
+def _authorization_settings(door: pb.Door) -> AuthorizationSettings | None:
     if not door.HasField("auth"):
         return None
-    told = door.auth
+    settings = door.auth
     rules = auth.Rules(
-        told.share,
-        told.attempt_ms,
-        told.attempts,
-        told.per_service,
-        told.total,
-        told.waiting,
-        told.cache_entries,
-        told.cache_ms,
-        told.deny_ms,
-        told.open_ms,
+        settings.share,
+        settings.attempt_ms,
+        settings.attempts,
+        settings.per_service,
+        settings.total,
+        settings.waiting,
+        settings.cache_entries,
+        settings.cache_ms,
+        settings.deny_ms,
+        settings.open_ms,
     )
-    names = told.credential_header or ("authorization", "cookie")
+    credential_headers = settings.credential_header or DEFAULT_CREDENTIAL_HEADERS
     return AuthorizationSettings(
         rules,
-        [(one.host, one.port) for one in told.service],
-        told.path.encode(),
-        told.by_target,
-        [name.lower().encode() for name in names],
-        told.customer_header.lower().encode(),
-        told.plan_header.lower().encode(),
+        [(service.host, service.port) for service in settings.service],
+        settings.path.encode(),
+        settings.by_target,
+        [_header_name(name) for name in credential_headers],
+        _header_name(settings.customer_header),
+        _header_name(settings.plan_header),
     )
 
 
+def _message_builder(door: pb.Door, authorization: AuthorizationSettings | None) -> GatewayMessageBuilder:
+    if authorization is None:
+        return GatewayMessageBuilder(door, frozenset(), frozenset())
+    copies = frozenset(_header_name(name) for name in door.auth.copy_header)
+    # What only the service may set: a client that sets it itself is ignored.
+    auth_only = copies | {authorization.customer_header, authorization.plan_header}
+    return GatewayMessageBuilder(door, auth_only, copies)
+
+
+def _extension_points(
+    door: pb.Door,
+    route_table: GatewayRouteTable,
+    authorization: AuthorizationSettings | None,
+    message_builder: GatewayMessageBuilder,
+    epoch_ms: float,
+) -> HookExtensionPoints:
+    customer_headers = {_header_name(route.customer_header) for route in door.route if route.customer_header}
+    credential_headers = set(authorization.credential_headers) if authorization is not None else set()
+    if door.HasField("forward_auth"):
+        credential_headers.add(_header_name(door.forward_auth.secret_header))
+    protected = {*message_builder.own_names, *customer_headers, *message_builder.auth_only}
+    return HookExtensionPoints(door, route_table, credential_headers - {b""}, protected, epoch_ms)
+
+
 def make_dependencies(
-    door: pb.Door, seed: int, shelf: Shelf | None = None, epoch_ms: float = 0.0
+    door: pb.Door, seed: int, hook_releases: Shelf | None = None, epoch_ms: float = 0.0
 ) -> EngineDependencies:
-    """Everything that an engine needs of the settings.  `shelf` holds the hooks, where there are any; `epoch_ms` is
-    what the clock lacks to Unix time, for them."""
+    """All that an engine needs of the settings.  `hook_releases` has the hooks, where there are any; `epoch_ms` turns
+    the engine's clock into Unix time, for them."""
     upstream, listener = door.upstream, door.listener
-    routes, asked = Routes(door), _auth_of(door)
-    copies = frozenset(name.lower().encode() for name in door.auth.copy_header) if asked is not None else frozenset()
-    # What only the service may say: a client that says it itself is not heard.
-    only = copies | {asked.customer_header, asked.plan_header} if asked is not None else frozenset()
-    wording = GatewayMessageBuilder(door, only, copies)
-    points = None
-    if shelf is not None:
-        named = {route.customer_header.lower().encode() for route in door.route if route.customer_header}
-        secret = set(asked.credential_headers) if asked is not None else set()
-        if door.HasField("forward_auth"):
-            secret.add(door.forward_auth.secret_header.lower().encode())
-        points = Points(door, routes, secret - {b""}, {*wording.own_names, *named, *only}, epoch_ms)
+    route_table, authorization = GatewayRouteTable(door), _authorization_settings(door)
+    message_builder = _message_builder(door, authorization)
+    extension_points = None
+    if hook_releases is not None:
+        extension_points = _extension_points(door, route_table, authorization, message_builder, epoch_ms)
+    error_statuses = frozenset(upstream.error_status or ERROR_STATUS)
     return EngineDependencies(
         name=door.name,
         settings=module_settings(door),
-        route_table=routes,
+        route_table=route_table,
         targets=TargetNormalizer(listener.HasField("tls"), list(listener.host_name)),
-        status_classifier=StatusTable(
-            upstream.refusal_status, upstream.refusal_header, frozenset(upstream.error_status or ERROR_STATUS)
-        ),
-        message_builder=wording,
-        request_id_header=listener.request_id_header.lower().encode(),
+        status_classifier=StatusTable(upstream.refusal_status, upstream.refusal_header, error_statuses),
+        message_builder=message_builder,
+        request_id_header=_header_name(listener.request_id_header),
         deadline_margin_ms=listener.answer_margin_ms,
         max_in_flight=listener.max_open,
         connect_timeout_ms=upstream.connect_ms,
         can_cancel=upstream.cancel,
         max_retry_after_ms=door.max_retry_after_ms,
-        records_usage=door.HasField("counter"),  # the counter service keeps tries, Redis only counts
-        authorization=asked,
+        records_usage=door.HasField("counter"),  # the counter service keeps them, Redis only counts
+        authorization=authorization,
         forward_auth_reader=Answerer(door.forward_auth) if door.HasField("forward_auth") else None,
         trace_sampler=Sampler(door.tracing.share, random.Random(~seed)) if door.HasField("tracing") else None,
-        extension_points=points,
+        extension_points=extension_points,
     )
 
 
-def make_engine(door: pb.Door, seed: int, shelf: Shelf | None = None, epoch_ms: float = 0.0) -> Engine:
-    """An engine by a door's settings."""
-    return Engine(make_dependencies(door, seed, shelf, epoch_ms), seed, shelf)
+def make_engine(door: pb.Door, seed: int, hook_releases: Shelf | None = None, epoch_ms: float = 0.0) -> Engine:
+    """An engine by a gateway's settings (see `make_dependencies`)."""
+    return Engine(make_dependencies(door, seed, hook_releases, epoch_ms), seed, hook_releases)
 
 
 def make_server(door: pb.Door, engine: Engine, log_event: EventLog) -> Driver:
-    """A driver by a door's settings; raises TlsError."""
+    """A server by a gateway's settings; raises TlsError."""
     listener, upstream = door.listener, door.upstream
-    driver = Driver(
+    server = Driver(
         listener,
         upstream,
         engine,
@@ -110,5 +132,5 @@
         upstream.tls.server_name,
     )
     if door.HasField("auth"):
-        driver.check_by(Checks(driver, door.auth))
-    return driver
+        server.check_by(Checks(server, door.auth))
+    return server
--- a/martenstep/proxy/engine_messages.py
+++ b/martenstep/proxy/engine_messages.py
@@ -1,7 +1,7 @@
-"""What the door's engine takes in and gives out.
+"""The messages between an engine and its driver: events in, actions out.
 
-A ticket is the driver's number of one client request; an attempt is numbered within its request as the module
-counts it.  Times are milliseconds on the driver's clock.  Header names are lower case.
+A request id is the driver's number of one client request; an attempt is numbered within its request, from 0.  Times are
+milliseconds on the driver's clock.  Header names are in lower case.
 """
 
 from __future__ import annotations
@@ -9,41 +9,42 @@
 import math
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from martenstep.discovery.endpoint_list import Listed as Listed
+from martenstep.event_log import LogFields
 from martenstep.policy.messages import CallResult
 
-if TYPE_CHECKING:  # a door that traces nothing does not load what traces weigh
+if TYPE_CHECKING:  # a gateway that traces nothing does not load what traces need
     from martenstep.proxy.traces import Trace
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class AttemptFailure(Enum):
-    """How an attempt ended without a whole answer; verdicts.py says what each proves."""
+    """How an attempt ended without a complete response; `attempt_outcomes` says what each proves."""
 
     NOT_CONNECTED = "no connection was made"
-    CONNECTION_LIMIT = "the bound of connections to the server is reached"
+    CONNECTION_LIMIT = "the limit of connections to the endpoint is reached"
     NOT_WRITTEN = "the connection ended before anything was written to it"
-    CLOSED = "the connection ended after something was written and before the answer was whole"
+    CLOSED = "the connection ended after something was written and before the response was complete"
     MALFORMED_RESPONSE = "what came back is not HTTP"
-    STALLED = "an answer that had begun stood still"
+    STALLED = "a response that had begun stood still"
 
 
-# Events -----------------------------------------------------------------------------------------------
+# Events -------------------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client's request head is whole."""
+    """A client's request head is complete."""
 
     request_id: int
     method: bytes
     target: bytes
     headers: Headers
     client_address: str = ""
-    received_at: float | None = None  # when its last byte came; none: now
+    received_at: float | None = None  # when its last byte came; None: now
 
 
 @dataclass(slots=True)
@@ -55,21 +56,21 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client's connection is gone, or its request broke off."""
+    """The client's connection has ended, or its request broke off."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class RequestBodyNotReplayable:
-    """The request's body has outgrown what is kept: it cannot be written again."""
+    """The request's body has outgrown its buffer: it cannot be written again."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class AttemptWritten:
-    """The first bytes of an attempt are being written: from here it may run."""
+    """The first bytes of an attempt are being written: from here it may be executed."""
 
     request_id: int
     attempt: int
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True)
 class ResponseHeadReceived:
-    """The head of an attempt's answer is whole."""
+    """The head of an attempt's response is complete."""
 
     request_id: int
     attempt: int
@@ -87,7 +88,7 @@
 
 @dataclass(slots=True)
 class ResponseBufferExceeded:
-    """More of an answer has come than is held back: it must go to the client now."""
+    """More of a response has come than is buffered: it must go to the client now."""
 
     request_id: int
     attempt: int
@@ -95,7 +96,7 @@
 
 @dataclass(slots=True)
 class ResponseCompleted:
-    """The last byte of an attempt's answer has come."""
+    """The last byte of an attempt's response has come."""
 
     request_id: int
     attempt: int
@@ -103,7 +104,7 @@
 
 @dataclass(slots=True)
 class AttemptFailed:
-    """An attempt ended without a whole answer."""
+    """An attempt ended without a complete response."""
 
     request_id: int
     attempt: int
@@ -112,17 +113,17 @@
 
 @dataclass(slots=True)
 class CounterReplied:
-    """The store's answer to one Add."""
+    """A counter call ended."""
 
     call_id: int
     result: CallResult
     total: float = 0.0
-    retained_ms: float = math.inf  # for so long it is known to have lost nothing
+    retained_ms: float = math.inf  # for so long the counter is known to have lost nothing
 
 
 @dataclass(slots=True)
 class Tick:
-    """Time has passed: what is due is done."""
+    """Time has passed: the timers that are due fire."""
 
 
 @dataclass(slots=True)
@@ -138,7 +139,7 @@
 
 @dataclass(slots=True)
 class AuthCheckFailed:
-    """A check's attempt gave no answer that can be read."""
+    """A check's attempt gave no response that can be read."""
 
     check_id: int
     attempt: int
@@ -161,12 +162,12 @@
     | Tick
 )
 
-# Actions ----------------------------------------------------------------------------------------------
+# Actions ------------------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class OpenAttempt:
-    """Start an attempt: take or make a connection to the address and write the request."""
+    """Begin an attempt: take or make a connection to the address and write the request."""
 
     request_id: int
     attempt: int
@@ -175,13 +176,13 @@
     method: bytes
     target: bytes
     headers: Headers
-    deadline: float  # the request's deadline
+    deadline: float  # of the request
     deliver_by: float | None = None  # not to be delivered later than this
 
 
 @dataclass(slots=True)
 class AbortAttempt:
-    """Stop an attempt and close its connection; nothing more may be written for it."""
+    """Give an attempt up and close its connection; nothing more may be written for it."""
 
     request_id: int
     attempt: int
@@ -189,7 +190,7 @@
 
 @dataclass(slots=True)
 class RelayResponse:
-    """Give the attempt's answer, with this head, to the client; what is held first, the rest as it comes."""
+    """Pass the attempt's response, with this head, on to the client; what is buffered first, the rest as it comes."""
 
     request_id: int
     attempt: int
@@ -200,7 +201,7 @@
 
 @dataclass(slots=True)
 class SendLocalReply:
-    """Final answer of the door's own."""
+    """Send a final response of the gateway's own."""
 
     request_id: int
     status: int
@@ -210,14 +211,14 @@
 
 @dataclass(slots=True)
 class ResetClientConnection:
-    """An answer that had begun broke off: the client's connection is closed to say so."""
+    """A response that had begun broke off: close the client's connection to say so."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add units to a name of the store and learn the total."""
+    """Add units to a key of the counter and learn the total."""
 
     call_id: int
     key: int
@@ -239,7 +240,7 @@
 
 @dataclass(slots=True)
 class StopAuthCheck:
-    """Stop an attempt of a check and close its connection."""
+    """Give an attempt of a check up and close its connection."""
 
     check_id: int
     attempt: int
@@ -247,7 +248,7 @@
 
 @dataclass(slots=True)
 class RecordUsage:
-    """A request was sent on for the first time: to be recorded, once."""
+    """A request was forwarded for the first time: to be recorded, once."""
 
     correlation_id: str
     customer: str
@@ -267,15 +268,15 @@
 
 @dataclass(slots=True)
 class SubscribeEndpoints:
-    """Ask the feed for changes from now on."""
+    """Ask discovery for changes of the endpoint list from now on."""
 
 
 @dataclass(slots=True)
 class LogEvent:
-    """One line for the operators."""
+    """Write one line for the operators."""
 
     event: str
-    fields: dict[str, Any]
+    fields: LogFields
 
 
 Action = (
--- a/martenstep/proxy/event_logger.py
+++ b/martenstep/proxy/event_logger.py
@@ -1,6 +1,6 @@
 """Structured lines for the operators, bounded under overload.
 
-One line a final answer; past the bound of lines a second they are left out, and the next second's first line says
+One line a final response; past the limit of lines a second they are left out, and the next second's first line states
 how many.  Other lines are few and always written.
 """
 
@@ -14,8 +14,9 @@
 import structlog
 
 from martenstep.config import door_pb2 as pb
+from martenstep.event_log import LogFields
 
-BOUNDED = ("answer", "turned away", "module")
+LIMITED_EVENTS = ("answer", "turned away", "module")
 
 
 def configure(form: pb.Log.Form) -> None:
@@ -37,26 +38,29 @@
 
 
 class EventLogger:
-    """Where the door's notes go."""
+    """Writes the event log of one gateway."""
 
-    def __init__(self, log: pb.Log, door: str, clock: Callable[[], float] = time.monotonic, logger: Any = None) -> None:
-        self._bound, self._clock = log.lines_per_s, clock
-        self._logger = logger if logger is not None else structlog.get_logger().bind(door=door)
+    def __init__(
+        self, settings: pb.Log, gateway: str, clock: Callable[[], float] = time.monotonic, logger: Any = None
+    ) -> None:
+        """`clock` in seconds; `logger` in place of structlog's."""
+        self._max_lines_per_s, self._clock = settings.lines_per_s, clock
+        self._logger = logger if logger is not None else structlog.get_logger().bind(door=gateway)
         self._second, self._written, self._left_out = 0, 0, 0
 
-    def bound(self, log: pb.Log) -> None:
-        """Another bound of lines a second."""
-        self._bound = log.lines_per_s
+    def reconfigure(self, settings: pb.Log) -> None:
+        """Set another limit of lines a second."""
+        self._max_lines_per_s = settings.lines_per_s
 
-    def log(self, event: str, fields: dict[str, Any]) -> None:
-        """One line, or none past the bound."""
-        if event in BOUNDED:
+    def log(self, event: str, fields: LogFields) -> None:
+        """Write one line, or none past the limit."""
+        if event in LIMITED_EVENTS:
             second = int(self._clock())
             if second != self._second:
                 if self._left_out:
                     self._logger.warning("lines left out", lines=self._left_out)
                 self._second, self._written, self._left_out = second, 0, 0
-            if self._written >= self._bound:
+            if self._written >= self._max_lines_per_s:
                 self._left_out += 1
                 return
             self._written += 1
--- a/martenstep/proxy/extension_points.py
+++ b/martenstep/proxy/extension_points.py
@@ -1,24 +1,27 @@
-"""Where hooks act on a request: what each is given, and what becomes of what it gives.
+"""Where hooks act on a request: what each hook is given, and what becomes of what it returns.
 
-No I/O.  The bounds come from the settings; `hooks.border` holds what a hook gives within them.
+No I/O.  The limits come from the settings; `hooks.border` holds what a hook returns within them.
 """
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from collections.abc import Callable
+from typing import Any, TypeVar
 
 from martenstep.config import door_pb2 as pb
 from martenstep.hooks import border
 from martenstep.hooks.runner import Runner
-from martenstep.proxy.dependencies import RoutedRequest
-from martenstep.proxy.engine_messages import Headers, RequestReceived
+from martenstep.proxy.dependencies import HookSubject, RoutedRequest
+from martenstep.proxy.engine_messages import Headers
 from martenstep.proxy.headers import encode_headers, parse_path
-from martenstep.proxy.route_table import Routes
+from martenstep.proxy.route_table import GatewayRouteTable
 
-# A hook reads no credential; the settings name more of them.
-SECRET = frozenset((b"authorization", b"cookie", b"proxy-authorization"))
-MOST_GIVEN = 100  # headers that a hook is given
-DEFAULT_BODY = "text/plain"
+# Hooks read no credential; the settings name more of them.
+CREDENTIAL_HEADERS = frozenset((b"authorization", b"cookie", b"proxy-authorization"))
+MAX_SHOWN_HEADERS = 100
+DEFAULT_CONTENT_TYPE = "text/plain"
+MS_PER_S = 1000.0
+HookResult = TypeVar("HookResult")
 
 
 def origin_form(target: bytes) -> str:
@@ -28,190 +31,220 @@
     return target.partition(b"#")[0].decode("latin-1")
 
 
-def _first(value: bytes) -> str:
+def _first_entry(value: bytes) -> str:
     """The first entry of a list in a header, without its parameters."""
     return str(value.partition(b",")[0].partition(b";")[0].strip(), "latin-1") if value else ""
 
 
-class Subject(Protocol):
-    """A request, as far as hooks have to do with it."""
-
-    head: RequestReceived
-    routed: RoutedRequest
-    arrived: float
-    shown: tuple[Any, ...] | None  # the record that hooks were given last,
-    shown_as: RoutedRequest | None  # and what it was then
-
-
-class Points:
-    """The five points of one door."""
-
-    def __init__(self, door: pb.Door, routes: Routes, secret: set[bytes], kept: set[bytes], epoch_ms: float) -> None:
-        """`secret` headers are not shown to hooks, `kept` ones not set by them; `epoch_ms` turns the engine's clock
-        into Unix time."""
-        told = door.hooks
-        self._routes, self._epoch_ms = routes, epoch_ms
-        self._secret = SECRET | secret
-        self._least, self._most = told.least_units, told.most_units or door.max_units
-        self._own_least = not told.HasField("least_units")
-        self._plans, self._customers = frozenset(told.plan), frozenset(told.customer)
-        self._prefixes = tuple(told.path_prefix)
-        self._kept = border.KEPT_HEADERS | {name.decode("latin-1").replace("_", "-") for name in secret | kept}
-        classes = routes.classes
-        self._known: dict[tuple[str, float], border.Bounds] = {}
-        self._classes = {
-            name: frozenset(other for other in getattr(told, "class") if border.may_become(cls, classes[other]))
-            for name, cls in classes.items()
+def _shown_headers(headers: Headers) -> list[tuple[str, str]]:
+    """Of a response's headers those that hooks are shown."""
+    return [
+        (str(name, "latin-1"), str(value, "latin-1"))
+        for name, value in headers[:MAX_SHOWN_HEADERS]
+        if name != b"set-cookie"
+    ]
+
+
+class HookExtensionPoints:
+    """The five points of one gateway where hooks act."""
+
+    def __init__(
+        self,
+        door: pb.Door,
+        route_table: GatewayRouteTable,
+        credential_headers: set[bytes],
+        protected_headers: set[bytes],
+        epoch_ms: float,
+    ) -> None:
+        """`credential_headers` are neither shown to hooks nor set by them, `protected_headers` not set; `epoch_ms`
+        turns the engine's clock into Unix time."""
+        settings = door.hooks
+        self._route_table, self._epoch_ms = route_table, epoch_ms
+        self._hidden_headers = CREDENTIAL_HEADERS | credential_headers
+        self._min_units, self._max_units = settings.least_units, settings.most_units or door.max_units
+        self._has_min_units = settings.HasField("least_units")
+        self._plans, self._customers = frozenset(settings.plan), frozenset(settings.customer)
+        self._path_prefixes = tuple(settings.path_prefix)
+        self._protected_headers = border.KEPT_HEADERS | {
+            name.decode("latin-1").replace("_", "-") for name in credential_headers | protected_headers
         }
-
-    def _bounds(self, routed: RoutedRequest) -> border.Bounds:
-        found = self._known.get((routed.request_class.name, routed.units))
-        if found is None:  # as many as there are routes
-            found = self._known[routed.request_class.name, routed.units] = self._bounds_of(routed)
-        return found
-
-    def _bounds_of(self, routed: RoutedRequest) -> border.Bounds:
-        least = min(routed.units, self._least) if not self._own_least else routed.units
-        return border.Bounds(
-            self._classes[routed.request_class.name],
-            self._plans,
-            self._customers,
-            least,
-            max(self._most, routed.units),
-            self._kept,
-        )
-
-    def _request(self, subject: Subject) -> tuple[Any, ...]:
-        """The Request record (see hooks.types), made once for all points as long as the request stays where it is."""
-        routed = subject.routed
-        if subject.shown is None or subject.shown_as is not routed:
-            head = subject.head
-            host = language = accept = b""
-            shown = []
-            for name, value in head.headers:
-                if name == b"host":
-                    host = host or value
-                elif name == b"accept-language":
-                    language = language or value
-                elif name == b"accept":
-                    accept = accept or value
-                elif name in self._secret:
-                    continue
-                shown.append((str(name, "latin-1"), str(value, "latin-1")))
-            subject.shown_as = routed
-            subject.shown = (
-                str(head.method, "latin-1"),
-                origin_form(head.target),
-                str(host, "latin-1"),
-                routed.customer_key,
-                routed.plan.name,
-                routed.request_class.name,
-                float(routed.units),
-                _first(language),
-                _first(accept),
-                shown[:MOST_GIVEN],
-                (subject.arrived + self._epoch_ms) / 1000.0,
+        classes = route_table.classes
+        self._bounds_cache: dict[tuple[str, float], border.Bounds] = {}
+        self._allowed_classes = {
+            name: frozenset(
+                other for other in getattr(settings, "class") if border.may_become(request_class, classes[other])
             )
-        return subject.shown
+            for name, request_class in classes.items()
+        }
 
-    def classify(self, now: float, runner: Runner, subject: Subject) -> RoutedRequest:
+    # The points ---------------------------------------------------------------------------------------------
+
+    def classify(self, now: float, runner: Runner, subject: HookSubject) -> RoutedRequest:
         """Class, customer, plan and units."""
-        routed = subject.routed
-        before = border.Placed(routed.request_class.name, routed.customer_key, routed.plan.name, routed.units)
-        bounds = self._bounds(routed)
-        placed = runner.call(
+        route = subject.route
+        before = border.Placed(route.request_class.name, route.customer_key, route.plan.name, route.units)
+        bounds = self._bounds(route)
+        placed = self._call(
             now,
+            runner,
+            subject,
             "classify",
-            routed.customer_key,
-            routed.plan.name,
-            lambda: (self._request(subject),),
-            lambda made: border.placed(made, before, bounds),
+            lambda: (self._request_record(subject),),
+            lambda returned: border.placed(returned, before, bounds),
             before,
         )
-        return (
-            routed
-            if placed == before
-            else self._routes.placed(routed, placed.cls, placed.customer, placed.plan, placed.units)
-        )
+        if placed == before:
+            return route
+        return self._route_table.reclassified(route, placed.cls, placed.customer, placed.plan, placed.units)
 
-    def sending(self, now: float, runner: Runner, subject: Subject) -> tuple[bytes, Headers]:
-        """Target and headers of what goes to a server: the same at each attempt, so it is asked for once."""
-        head, routed = subject.head, subject.routed
-        bounds, before = self._bounds(routed), origin_form(head.target)
+    def sending(self, now: float, runner: Runner, subject: HookSubject) -> tuple[bytes, Headers]:
+        """Target and additional headers of what goes to an endpoint: the same at each attempt."""
+        received, route = subject.received, subject.route
+        bounds, before = self._bounds(route), origin_form(received.target)
 
-        def take(made: Any) -> tuple[bytes, Headers]:
-            path, given = border.sending(made, before, bounds)
+        def accept(returned: Any) -> tuple[bytes, Headers]:
+            path, headers = border.sending(returned, before, bounds)
             if path == before:
-                return head.target, encode_headers(given)
+                return received.target, encode_headers(headers)
             target = path.encode("latin-1")
-            # A path of another class could be one whose repeats do what this one's may not.
-            if parse_path(target) is None or (
-                not path.startswith(self._prefixes)
-                and self._routes.class_at(head.method, target) != routed.request_class.name
-            ):
+            # A path of another class could be one whose retries do what this one's may not.
+            if parse_path(target) is None or not self._may_rewrite(received.method, target, route):
                 raise border.BorderError(f"path {path[:64]!r}: is of another class, and below no path_prefix")
-            return target, encode_headers(given)
+            return target, encode_headers(headers)
 
-        own: tuple[bytes, Headers] = head.target, []
-        return runner.call(
-            now, "sending", routed.customer_key, routed.plan.name, lambda: (self._request(subject),), take, own
-        )
+        unchanged: tuple[bytes, Headers] = received.target, []
+        return self._call(now, runner, subject, "sending", lambda: (self._request_record(subject),), accept, unchanged)
+
+    def _may_rewrite(self, method: bytes, target: bytes, route: RoutedRequest) -> bool:
+        if target.decode("latin-1").startswith(self._path_prefixes):
+            return True
+        return self._route_table.class_of_target(method, target) == route.request_class.name
 
     def refusal(
-        self, now: float, runner: Runner, subject: Subject, status: int, reason: str, wait_ms: float
+        self, now: float, runner: Runner, subject: HookSubject, status: int, reason: str, retry_after_ms: float
     ) -> border.Words | None:
-        """A refusal's words; None: the door's own."""
-        routed = subject.routed
-        bounds = self._bounds(routed)
+        """The response to a rejected request; None: the gateway's own."""
+        bounds = self._bounds(subject.route)
 
-        def take(made: Any) -> border.Words | None:
-            body, kind, retry, given = made
-            return border.words((body, kind or DEFAULT_BODY, retry, given), wait_ms, bounds)
+        def accept(returned: Any) -> border.Words | None:
+            body, content_type, retry_after, headers = returned
+            words = (body, content_type or DEFAULT_CONTENT_TYPE, retry_after, headers)
+            return border.words(words, retry_after_ms, bounds)
 
-        return runner.call(
+        return self._call(
             now,
+            runner,
+            subject,
             "refusal",
-            routed.customer_key,
-            routed.plan.name,
-            lambda: (self._request(subject), (float(status), reason, wait_ms)),
-            take,
+            lambda: (self._request_record(subject), (float(status), reason, retry_after_ms)),
+            accept,
             None,
         )
 
     def answer(
-        self, now: float, runner: Runner, subject: Subject, status: int, attempts: int, took_ms: float, headers: Headers
+        self,
+        now: float,
+        runner: Runner,
+        subject: HookSubject,
+        status: int,
+        attempts: int,
+        took_ms: float,
+        headers: Headers,
     ) -> Headers:
-        """Headers that a served answer gets besides."""
-        routed = subject.routed
-        bounds = self._bounds(routed)
-        return runner.call(
+        """Additional headers of a relayed response."""
+        bounds = self._bounds(subject.route)
+        return self._call(
             now,
+            runner,
+            subject,
             "answer",
-            routed.customer_key,
-            routed.plan.name,
-            lambda: (self._request(subject), (float(status), float(attempts), took_ms, self._shown(headers))),
-            lambda made: encode_headers(border.headers(made, bounds)),
+            lambda: (
+                self._request_record(subject),
+                (float(status), float(attempts), took_ms, _shown_headers(headers)),
+            ),
+            lambda returned: encode_headers(border.headers(returned, bounds)),
             [],
         )
 
     def fields(
-        self, now: float, runner: Runner, subject: Subject, status: int, attempts: int, took_ms: float
+        self, now: float, runner: Runner, subject: HookSubject, status: int, attempts: int, took_ms: float
     ) -> dict[str, str]:
-        """Fields of the answer's line."""
-        routed = subject.routed
-        return runner.call(
+        """Additional fields of the log line of a response."""
+        return self._call(
             now,
+            runner,
+            subject,
             "log",
-            routed.customer_key,
-            routed.plan.name,
-            lambda: (self._request(subject), (float(status), float(attempts), took_ms, [])),
+            lambda: (self._request_record(subject), (float(status), float(attempts), took_ms, [])),
             border.log_fields,
             {},
         )
 
-    def _shown(self, headers: Headers) -> list[tuple[str, str]]:
-        return [
-            (str(name, "latin-1"), str(value, "latin-1"))
-            for name, value in headers[:MOST_GIVEN]
-            if name != b"set-cookie"
-        ]
+    # What hooks are given, and held to ----------------------------------------------------------------------
+
+    @staticmethod
+    def _call(
+        now: float,
+        runner: Runner,
+        subject: HookSubject,
+        point: str,
+        arguments: Callable[[], tuple[Any, ...]],
+        accept: Callable[[Any], HookResult],
+        default: HookResult,
+    ) -> HookResult:
+        """What the hook at a point returns, once it is accepted; `default` where it fails."""
+        route = subject.route
+        return runner.call(now, point, route.customer_key, route.plan.name, arguments, accept, default)
+
+    def _bounds(self, route: RoutedRequest) -> border.Bounds:
+        key = route.request_class.name, route.units
+        bounds = self._bounds_cache.get(key)
+        if bounds is None:  # as many as there are routes
+            bounds = self._bounds_cache[key] = self._make_bounds(route)
+        return bounds
+
+    def _make_bounds(self, route: RoutedRequest) -> border.Bounds:
+        min_units = min(route.units, self._min_units) if self._has_min_units else route.units
+        return border.Bounds(
+            self._allowed_classes[route.request_class.name],
+            self._plans,
+            self._customers,
+            min_units,
+            max(self._max_units, route.units),
+            self._protected_headers,
+        )
+
+    def _request_record(self, subject: HookSubject) -> tuple[Any, ...]:
+        """The Request record (see hooks.types), made once for all points as long as the request keeps its route."""
+        if subject.hook_record is None or subject.hook_record_route is not subject.route:
+            subject.hook_record_route = subject.route
+            subject.hook_record = self._make_request_record(subject)
+        return subject.hook_record
+
+    def _make_request_record(self, subject: HookSubject) -> tuple[Any, ...]:
+        received, route = subject.received, subject.route
+        host = language = accept = b""
+        shown = []
+        for name, value in received.headers:
+            if name == b"host":
+                host = host or value
+            elif name == b"accept-language":
+                language = language or value
+            elif name == b"accept":
+                accept = accept or value
+            elif name in self._hidden_headers:
+                continue
+            shown.append((str(name, "latin-1"), str(value, "latin-1")))
+        return (
+            str(received.method, "latin-1"),
+            origin_form(received.target),
+            str(host, "latin-1"),
+            route.customer_key,
+            route.plan.name,
+            route.request_class.name,
+            float(route.units),
+            _first_entry(language),
+            _first_entry(accept),
+            shown[:MAX_SHOWN_HEADERS],
+            (subject.arrived_at + self._epoch_ms) / MS_PER_S,
+        )
--- a/martenstep/proxy/headers.py
+++ b/martenstep/proxy/headers.py
@@ -1,4 +1,4 @@
-"""The HTTP rules that the engine follows: which headers travel, and how a refusal is worded.
+"""The HTTP rules that the engine follows: which headers are forwarded, and what a response of its own says.
 
 Sources: RFC 9110 (7.6.1 connection-specific fields, 7.6.3 Via, 10.2.3 Retry-After) and the IETF draft
 "RateLimit header fields for HTTP" (RateLimit, RateLimit-Policy).
@@ -27,7 +27,7 @@
         b"upgrade",
     )
 )
-NOT_FORWARDED = HOP_BY_HOP | {b"expect"}  # the door answers 100-continue itself
+NOT_FORWARDED = HOP_BY_HOP | {b"expect"}  # the gateway answers 100-continue itself
 REJECTION_STATUS = {
     RejectionReason.OVER_QUOTA: 429,
     RejectionReason.UNCONFIRMED: 429,
@@ -38,6 +38,7 @@
     RejectionReason.RETRIES_EXHAUSTED: 503,
     RejectionReason.DEADLINE: 503,
 }
+# What clients read, by the reason as it stands in responses and logs.
 REASON_TEXTS = {
     "quota": "the plan's quota is used for now",
     "unheard": "the plan's quota may be used: its count is not known at the moment",
@@ -65,24 +66,25 @@
     "no tunnels": "this door makes no tunnels",
     "bad deadline": "the deadline header is not a number above 0",
 }
-SECOND_MS = 1000.0
-Pairs = tuple[tuple[str, str], ...]
+MS_PER_S = 1000.0
 
 
-def connection_header_names(headers: Headers, drop: frozenset[bytes]) -> frozenset[bytes]:
-    """Names to drop, and with them those that the message itself names as of its connection."""
-    named = [value for name, value in headers if name == b"connection"]
-    return drop | {part.strip().lower() for value in named for part in value.split(b",")} if named else drop
+def connection_header_names(headers: Headers, names: frozenset[bytes]) -> frozenset[bytes]:
+    """`names` together with those that a message itself names as of its connection."""
+    listed = [value for name, value in headers if name == b"connection"]
+    if not listed:
+        return names
+    return names | {part.strip().lower() for value in listed for part in value.split(b",")}
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """The end-to-end headers of a message: without those of its connection, and those that it names so."""
-    drop = connection_header_names(headers, NOT_FORWARDED)
-    return [pair for pair in headers if pair[0] not in drop]
+    """The headers of a message without those of its connection."""
+    excluded = connection_header_names(headers, NOT_FORWARDED)
+    return [pair for pair in headers if pair[0] not in excluded]
 
 
 def get_header(headers: Headers, name: bytes) -> bytes | None:
-    """The first value of a header."""
+    """The first value of a header; None where there is none."""
     for key, value in headers:
         if key == name:
             return value
@@ -90,11 +92,10 @@
 
 
 def parse_path(target: bytes) -> str | None:
-    """The path of a request's target; None where it is not one the door routes.
+    """The path of a request's target; None where it is not one that is routed.
 
-    Dot segments are turned down, plain or encoded: a server may fold them, and the request would then be another
-    than the one that was routed.
-    """
+    Dot segments are rejected, plain or encoded: an endpoint may remove them, and the request would then be another than
+    the one that was routed."""
     if target[:1] != b"/":
         scheme, found, rest = target.partition(b"://")
         if not found or scheme.lower() not in (b"http", b"https"):
@@ -102,56 +103,61 @@
         target = b"/" + rest.partition(b"/")[2]
     path = target.partition(b"?")[0].partition(b"#")[0].decode("latin-1")
     if "." in path or "%" in path:
-        plain = unquote(path, "latin-1")
-        if any(part in (".", "..") for part in plain.split("/")) or "\0" in plain:
+        decoded = unquote(path, "latin-1")
+        if any(part in (".", "..") for part in decoded.split("/")) or "\0" in decoded:
             return None
     return path
 
 
-def rate_limit_headers(plan: Plan, room: float | None, now_full_ms: float) -> Headers:
+def rate_limit_headers(plan: Plan, remaining: float | None, full_in_ms: float) -> Headers:
     """RateLimit-Policy and RateLimit, where the plan has a quota and its use is known."""
-    if plan.rate <= 0 or room is None:
+    if plan.rate <= 0 or remaining is None:
         return []
-    window = max(math.ceil(plan.burst / plan.rate), 1)
+    window_s = max(math.ceil(plan.burst / plan.rate), 1)
+    reset_s = math.ceil(full_in_ms / MS_PER_S)
     return [
-        (b"ratelimit-policy", f'"{plan.name}";q={math.floor(plan.burst)};w={window}'.encode()),
-        (b"ratelimit", f'"{plan.name}";r={math.floor(room)};t={math.ceil(now_full_ms / SECOND_MS)}'.encode()),
+        (b"ratelimit-policy", f'"{plan.name}";q={math.floor(plan.burst)};w={window_s}'.encode()),
+        (b"ratelimit", f'"{plan.name}";r={math.floor(remaining)};t={reset_s}'.encode()),
     ]
 
 
-def override_headers(headers: Headers, given: Headers) -> Headers:
-    """Headers with those that are given, in place of any of the same names."""
-    if not given:
+def override_headers(headers: Headers, overrides: Headers) -> Headers:
+    """Headers with `overrides` in place of any of the same names."""
+    if not overrides:
         return headers
-    names = {name for name, _ in given}
-    return [pair for pair in headers if pair[0] not in names] + given
+    names = {name for name, _ in overrides}
+    return [pair for pair in headers if pair[0] not in names] + overrides
 
 
-def retry_after_headers(wait_ms: float) -> Headers:
-    """A wait, in whole seconds (RFC 9110) and exactly."""
+def retry_after_headers(retry_after_ms: float) -> Headers:
+    """Retry-After in whole seconds (RFC 9110), and the exact time."""
     return [
-        (b"retry-after", str(math.ceil(wait_ms / SECOND_MS)).encode()),
-        (b"retry-after-ms", f"{wait_ms:.3f}".encode()),
+        (b"retry-after", str(math.ceil(retry_after_ms / MS_PER_S)).encode()),
+        (b"retry-after-ms", f"{retry_after_ms:.3f}".encode()),
     ]
 
 
 def reason_header(reason: str) -> tuple[bytes, bytes]:
-    """What tells clients and operators an answer of the door's own from a server's."""
+    """What tells clients and operators a response of the gateway's own from an endpoint's."""
     return b"x-reason", reason.replace(" ", "-").encode()
 
 
-def local_reply(reason: str, rid: str, wait_ms: float | None) -> tuple[Headers, bytes]:
-    """Headers and body of an answer of the door's own; the wait both in whole seconds and exactly."""
-    told: dict[str, object] = {"reason": reason, "text": REASON_TEXTS.get(reason, reason), "request": rid}
+def local_reply(reason: str, correlation_id: str, retry_after_ms: float | None) -> tuple[Headers, bytes]:
+    """Headers and body of a response of the gateway's own."""
+    content: dict[str, object] = {
+        "reason": reason,
+        "text": REASON_TEXTS.get(reason, reason),
+        "request": correlation_id,
+    }
     headers: Headers = [(b"content-type", b"application/json"), reason_header(reason)]
-    if wait_ms is not None:
-        told["retry_after_ms"] = round(wait_ms, 3)
-        headers += retry_after_headers(wait_ms)
-    body = msgspec.json.encode(told) + b"\n"
+    if retry_after_ms is not None:
+        content["retry_after_ms"] = round(retry_after_ms, 3)
+        headers += retry_after_headers(retry_after_ms)
+    body = msgspec.json.encode(content) + b"\n"
     headers.append((b"content-length", str(len(body)).encode()))
     return headers, body
 
 
-def encode_headers(pairs: Pairs) -> Headers:
-    """Headers as the wire has them; the border lets nothing beyond Latin-1 pass."""
+def encode_headers(pairs: tuple[tuple[str, str], ...]) -> Headers:
+    """Headers of a hook as they are written; what hooks return has been checked to be Latin-1."""
     return [(name.encode("latin-1"), value.encode("latin-1")) for name, value in pairs]
--- a/martenstep/proxy/route_table.py
+++ b/martenstep/proxy/route_table.py
@@ -1,10 +1,11 @@
-"""From a request's head to what the module is told of it: class, customer, plan, units, deadline."""
+"""From a request's head to what the policy learns of it: class, customer, plan, units and deadline."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 from urllib.parse import unquote
 
 from martenstep.config import door_pb2 as pb
@@ -14,29 +15,43 @@
 from martenstep.proxy.engine_messages import Headers
 from martenstep.proxy.headers import get_header, parse_path
 
+ANONYMOUS_CUSTOMER = "anonymous"
+
 
 @dataclass(frozen=True, slots=True)
-class _Rule:
-    methods: frozenset[bytes]
-    prefix: str
-    cls: api.RequestClass
+class _Route:
+    """One route of the settings."""
+
+    methods: frozenset[bytes]  # none: all
+    path_prefix: str
+    request_class: api.RequestClass
     units: float
-    header: bytes
-    segment: int
+    customer_header: bytes  # none: the customer stands in a segment of the path
+    customer_segment: int
     authenticate: bool
     fail_open: bool
 
 
-class Routes:
-    """The route table and the customers, as the settings give them."""
+class _Customer(NamedTuple):
+    """One customer of the settings."""
+
+    number: int
+    plan: api.Plan
+    instances: int
+    first_instance: int
+
+
+class GatewayRouteTable:
+    """The routes and the customers, as the settings have them."""
 
     def __init__(self, door: pb.Door) -> None:
-        self._classes = {entry.name: class_of(entry) for entry in getattr(door, "class")}
+        """The settings name every class and plan that they refer to."""
+        self.classes: Mapping[str, api.RequestClass] = {entry.name: class_of(entry) for entry in getattr(door, "class")}
         self._plans = {entry.name: plan_of(entry) for entry in door.plan}
-        self._doors = door.instances
-        self._default = self._plans.get(door.default_plan)
-        self._customers: dict[str, tuple[int, api.Plan, int, int]] = {
-            entry.key: (
+        self._instances = door.instances
+        self._default_plan = self._plans.get(door.default_plan)
+        self._customers = {
+            entry.key: _Customer(
                 customer_id(entry.key),
                 self._plans[entry.plan],
                 entry.doors or door.instances,
@@ -44,96 +59,115 @@
             )
             for entry in door.customer
         }
-        self._rules = [
-            _Rule(
-                frozenset(method.encode() for method in entry.method),
-                entry.path_prefix,
-                self._classes[getattr(entry, "class")],
-                entry.units,
-                entry.customer_header.lower().encode(),
-                entry.customer_segment,
-                entry.authenticate,
-                entry.fail_open,
-            )
-            for entry in door.route
-        ]
-        self.classes: Mapping[str, api.RequestClass] = self._classes
-        self._deadline = door.listener.deadline_header.lower().encode()
+        self._routes = [self._make_route(entry) for entry in door.route]
+        self._deadline_header = door.listener.deadline_header.lower().encode()
+
+    def _make_route(self, entry: pb.Route) -> _Route:
+        return _Route(
+            frozenset(method.encode() for method in entry.method),
+            entry.path_prefix,
+            self.classes[getattr(entry, "class")],
+            entry.units,
+            entry.customer_header.lower().encode(),
+            entry.customer_segment,
+            entry.authenticate,
+            entry.fail_open,
+        )
 
     def route(
         self, method: bytes, target: bytes, headers: Headers
     ) -> RoutedRequest | UnauthenticatedRequest | RouteRejection:
-        """The first rule that fits decides."""
+        """Where a request belongs: the first route that matches decides."""
         path = parse_path(target)
         if path is None:
             return RouteRejection(400, "bad target")
-        rule = self._rule(method, path)
-        if rule is None:
+        route = self._match(method, path)
+        if route is None:
             return RouteRejection(404, "no route")
-        if rule.authenticate:
-            return UnauthenticatedRequest(rule.cls, rule.units, rule.fail_open)
-        if rule.header:
-            value = get_header(headers, rule.header)
-            key = value.decode("latin-1").strip() if value else ""
+        if route.authenticate:
+            return UnauthenticatedRequest(route.request_class, route.units, route.fail_open)
+        if route.customer_header:
+            value = get_header(headers, route.customer_header)
+            customer_key = value.decode("latin-1").strip() if value else ""
         else:
-            parts = path.split("/")
-            key = unquote(parts[rule.segment]) if rule.segment < len(parts) else ""
-        return self._of(rule.cls, rule.units, key)
-
-    def _rule(self, method: bytes, path: str) -> _Rule | None:
-        for rule in self._rules:
-            if path.startswith(rule.prefix) and (not rule.methods or method in rule.methods):
-                return rule
+            segments = path.split("/")
+            has_segment = route.customer_segment < len(segments)
+            customer_key = unquote(segments[route.customer_segment]) if has_segment else ""
+        return self._of_customer(route.request_class, route.units, customer_key)
+
+    def _match(self, method: bytes, path: str) -> _Route | None:
+        for route in self._routes:
+            if path.startswith(route.path_prefix) and (not route.methods or method in route.methods):
+                return route
         return None
 
-    def class_at(self, method: bytes, target: bytes) -> str | None:
-        """The class of requests to a target; None where none fits."""
+    def class_of_target(self, method: bytes, target: bytes) -> str | None:
+        """The class of requests to a target; None where no route matches."""
         path = parse_path(target)
-        rule = self._rule(method, path) if path is not None else None
-        return rule.cls.name if rule is not None else None
+        route = self._match(method, path) if path is not None else None
+        return route.request_class.name if route is not None else None
 
-    def placed(self, routed: RoutedRequest, cls: str, key: str, plan: str, units: float) -> RoutedRequest:
+    def reclassified(
+        self, routed: RoutedRequest, request_class: str, customer_key: str, plan: str, units: float
+    ) -> RoutedRequest:
         """A request under another class, customer, plan or units, each one that the settings know."""
-        customer, spread, first = routed.customer, routed.instances, routed.first_instance
-        if key != routed.customer_key:
-            customer, own, spread, first = self._customers[key]
-            plan = plan if plan != routed.plan.name else own.name  # the other customer's own, unless one was chosen
+        customer, instances, first_instance = routed.customer, routed.instances, routed.first_instance
+        if customer_key != routed.customer_key:
+            other = self._customers[customer_key]
+            customer, instances, first_instance = other.number, other.instances, other.first_instance
+            plan = plan if plan != routed.plan.name else other.plan.name  # the other's own, unless one was chosen
         chosen = routed.plan if plan == routed.plan.name else self._plans[plan]
-        return RoutedRequest(self._classes[cls], chosen, customer, key, units, spread, first)
-
-    def _of(
-        self, cls: api.RequestClass, units: float, key: str, named: api.Plan | None = None
+        return RoutedRequest(
+            self.classes[request_class], chosen, customer, customer_key, units, instances, first_instance
+        )
+
+    def _of_customer(
+        self,
+        request_class: api.RequestClass,
+        units: float,
+        customer_key: str,
+        plan: api.Plan | None = None,
     ) -> RoutedRequest | RouteRejection:
-        if not key:
+        """The request of a customer, under its own plan unless another is given."""
+        if not customer_key:
             return RouteRejection(403, "no customer")
-        known = self._customers.get(key)
-        if known is None:
-            fallback = named or self._default
-            if fallback is None:
+        customer = self._customers.get(customer_key)
+        if customer is None:
+            default_plan = plan or self._default_plan
+            if default_plan is None:
                 return RouteRejection(403, "unknown customer")
-            known = customer_id(key), fallback, self._doors, 0
-        number, plan, spread, first = known
-        return RoutedRequest(cls, named or plan, number, key, units, spread, first)
-
-    def identify(self, guarded: UnauthenticatedRequest, key: str, plan: str) -> RoutedRequest | RouteRejection:
-        """A guarded request, once a service has told who its customer is; a plan that is not known is the service's
+            customer = _Customer(customer_id(customer_key), default_plan, self._instances, 0)
+        return RoutedRequest(
+            request_class,
+            plan or customer.plan,
+            customer.number,
+            customer_key,
+            units,
+            customer.instances,
+            customer.first_instance,
+        )
+
+    def identify(
+        self, unauthenticated: UnauthenticatedRequest, customer_key: str, plan: str
+    ) -> RoutedRequest | RouteRejection:
+        """Where a request belongs, once a service has named its customer.  A plan that is not known is the service's
         fault, and the request fails rather than pass under another."""
-        named = self._plans.get(plan) if plan else None
-        if plan and named is None:
+        named_plan = self._plans.get(plan) if plan else None
+        if plan and named_plan is None:
             return RouteRejection(502, "unknown plan")
-        return self._of(guarded.request_class, guarded.units, key, named)
+        return self._of_customer(unauthenticated.request_class, unauthenticated.units, customer_key, named_plan)
 
-    def anonymous(self, guarded: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
-        """A guarded request that passes without a verdict."""
-        return self._of(guarded.request_class, guarded.units, "anonymous")
+    def anonymous(self, unauthenticated: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
+        """Where a request belongs that passes without a verdict."""
+        return self._of_customer(unauthenticated.request_class, unauthenticated.units, ANONYMOUS_CUSTOMER)
 
-    def deadline_ms(self, cls: api.RequestClass, headers: Headers) -> float | None:
-        """The least of the class's deadline and the one a header asks for; None where that is no figure."""
-        value = get_header(headers, self._deadline)
+    def deadline_ms(self, request_class: api.RequestClass, headers: Headers) -> float | None:
+        """The least of the class's deadline and the one a header asks for; None where that is no number above 0."""
+        value = get_header(headers, self._deadline_header)
         if value is None:
-            return cls.deadline_ms
+            return request_class.deadline_ms
         try:
-            asked = float(value)
+            asked_ms = float(value)
         except ValueError:
             return None
-        return min(asked, cls.deadline_ms) if 0 < asked < math.inf else None
+        return min(asked_ms, request_class.deadline_ms) if 0 < asked_ms < math.inf else None
--- a/martenstep/proxy/server.py
+++ b/martenstep/proxy/server.py
@@ -293,7 +293,7 @@
 
     def plain(self, status: int, reason: str) -> None:
         """An answer of the door's own outside the engine; the connection ends after it."""
-        headers, body = self._driver.engine.worded(reason)
+        headers, body = self._driver.engine.local_reply(reason)
         self.closing = True
         self.answer(status, [*headers, (b"connection", b"close")], [body])
 
@@ -835,7 +835,7 @@
         if flight.client.has_gone():
             return
         self._now = now_ms()
-        self.engine.restate(self._now, action)
+        self.engine.update_deadline_header(self._now, action)
         self._connect(flight, action)
 
     def _connect(self, flight: Flight, action: ev.OpenAttempt) -> None:
@@ -890,7 +890,7 @@
             self.pool.put(upstream)
             return
         self._now = now_ms()
-        self.engine.restate(self._now, action)
+        self.engine.update_deadline_header(self._now, action)
         self._begin(flight, action, upstream)
 
     def _begin(self, flight: Flight, action: ev.OpenAttempt, upstream: Upstream) -> None:
--- a/martenstep/proxy/stages/upstream_request.py
+++ b/martenstep/proxy/stages/upstream_request.py
@@ -1,10 +1,11 @@
-"""The stage that words a request for a server: which of the client's headers go on, and what the door adds."""
+"""Builds the headers of a gateway's attempts and responses: which of the client's are forwarded, and what it adds."""
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
 from martenstep.config import door_pb2 as pb
+from martenstep.proxy.dependencies import UpstreamRequest
 from martenstep.proxy.engine_messages import Headers
 from martenstep.proxy.headers import (
     NOT_FORWARDED,
@@ -17,73 +18,69 @@
 
 
 class GatewayMessageBuilder:
-    """The wording of one door."""
+    """The messages of one gateway, by its settings."""
 
     sends_rate_limits = True
 
     def __init__(self, door: pb.Door, auth_only: Collection[bytes], auth_copies: Collection[bytes]) -> None:
-        """`auth_only`: headers that only an authentication service may say; `auth_copies`: of its answer, those that
-        servers are told."""
+        """`auth_only`: headers that only an authentication service may set; `auth_copies`: of its response, those that
+        endpoints are sent."""
         upstream, listener = door.upstream, door.listener
         self._via = f"1.1 {door.name}".encode()
         self._name = door.name
-        self._id = listener.request_id_header.lower().encode()
-        self._attempt = upstream.attempt_header.lower().encode()
-        self._key = upstream.key_header.lower().encode()
-        self._deadline = listener.deadline_header.lower().encode()
-        self._drop = NOT_FORWARDED | {self._id, self._attempt, self._deadline}
-        self.own_names = (self._id, self._attempt, self._key, self._deadline)  # headers that are the door's to word
-        self._auth_only, self._auth_copies = frozenset(auth_only), frozenset(auth_copies)
+        self._id_header = listener.request_id_header.lower().encode()
+        self._attempt_header = upstream.attempt_header.lower().encode()
+        self._key_header = upstream.key_header.lower().encode()
+        self._deadline_header = listener.deadline_header.lower().encode()
+        self._not_forwarded = NOT_FORWARDED | {self._id_header, self._attempt_header, self._deadline_header}
+        # Headers that only the gateway sets.
+        self.own_names = (self._id_header, self._attempt_header, self._key_header, self._deadline_header)
+        self.auth_only, self._auth_copies = frozenset(auth_only), frozenset(auth_copies)
 
-    def identity_headers(self, label: str) -> Headers:
-        """What every message of the door carries: the request's id, and who passed it on."""
-        return [(self._id, label.encode("latin-1", "replace")), (b"via", self._via)]
+    def identity_headers(self, correlation_id: str) -> Headers:
+        """What every message of the gateway carries: the request's id, and who forwarded it."""
+        return [(self._id_header, correlation_id.encode("latin-1", "replace")), (b"via", self._via)]
 
-    def end_to_end_headers(self, headers: Headers) -> Headers:
-        """Of the client's headers those that go on: end to end, and none that the door or a service says itself."""
-        drop = connection_header_names(headers, self._drop)
-        if not self._auth_only:
-            return [pair for pair in headers if pair[0] not in drop]
+    def forwarded_headers(self, headers: Headers) -> Headers:
+        """Of the client's headers those that are forwarded: end to end, and none that the gateway or an authentication
+        service sets itself."""
+        excluded = connection_header_names(headers, self._not_forwarded)
+        if not self.auth_only:
+            return [pair for pair in headers if pair[0] not in excluded]
         # Some servers read x_auth_customer as x-auth-customer.
-        return [pair for pair in headers if pair[0] not in drop and pair[0].replace(b"_", b"-") not in self._auth_only]
+        auth_only = self.auth_only
+        return [pair for pair in headers if pair[0] not in excluded and pair[0].replace(b"_", b"-") not in auth_only]
 
     def copied_auth_headers(self, headers: Headers) -> Headers:
-        """Of a service's answer what servers are told."""
+        """Of an authentication service's response what endpoints are sent."""
         return [pair for pair in headers if pair[0] in self._auth_copies]
 
-    def deadline_header(self, left_ms: float) -> tuple[bytes, bytes]:
-        """In whole milliseconds."""
-        return self._deadline, f"{left_ms:.0f}".encode()
+    def deadline_header(self, remaining_ms: float) -> tuple[bytes, bytes]:
+        """The header that tells an endpoint how long the gateway waits, in whole milliseconds."""
+        return self._deadline_header, f"{remaining_ms:.0f}".encode()
 
     def response_headers(self, headers: Headers) -> Headers:
-        """Of a server's answer what its client is told: the request's id is the door's to tell."""
-        return [pair for pair in end_to_end_headers(headers) if pair[0] != self._id]
+        """Of an endpoint's response what its client is sent: the request's id is the gateway's to set."""
+        return [pair for pair in end_to_end_headers(headers) if pair[0] != self._id_header]
 
-    def local_reply(self, reason: str, label: str, wait_ms: float | None) -> tuple[Headers, bytes]:
-        """Headers and body of an answer of the door's own."""
-        return local_reply(reason, label, wait_ms)
+    def local_reply(self, reason: str, correlation_id: str, retry_after_ms: float | None) -> tuple[Headers, bytes]:
+        """Headers and body of a response of the gateway's own."""
+        return local_reply(reason, correlation_id, retry_after_ms)
 
-    def request_headers(
-        self,
-        client: Headers,
-        more: Headers,
-        given: Headers,
-        label: str,
-        rid: str,
-        attempt: int,
-        left_ms: float,
-        peer: str,
-        traceparent: bytes,
-        keyed: bool,
-    ) -> Headers:
-        """An attempt's headers: the client's, a service's (`more`), a hook's (`given`), and the door's own."""
-        made = override_headers(self.end_to_end_headers(client) + more, given)
-        made += [*self.identity_headers(label), (self._attempt, b"%d" % attempt), self.deadline_header(left_ms)]
-        if traceparent:
-            made = [pair for pair in made if pair[0] != b"traceparent"]
-            made.append((b"traceparent", traceparent))
-        if peer:
-            made.append((b"x-forwarded-for", peer.encode()))
-        if keyed and get_header(made, self._key) is None:
-            made.append((self._key, f"{self._name}-{rid}".encode()))
-        return made
+    def request_headers(self, request: UpstreamRequest) -> Headers:
+        """An attempt's headers: the client's, an authentication service's, a hook's, and the gateway's own."""
+        forwarded = self.forwarded_headers(request.client_headers) + request.auth_headers
+        headers = override_headers(forwarded, request.hook_headers)
+        headers += [
+            *self.identity_headers(request.correlation_id),
+            (self._attempt_header, b"%d" % request.attempt),
+            self.deadline_header(request.remaining_ms),
+        ]
+        if request.traceparent:
+            headers = [pair for pair in headers if pair[0] != b"traceparent"]
+            headers.append((b"traceparent", request.traceparent))
+        if request.client_address:
+            headers.append((b"x-forwarded-for", request.client_address.encode()))
+        if request.uses_idempotency_key and get_header(headers, self._key_header) is None:
+            headers.append((self._key_header, f"{self._name}-{request.policy_id}".encode()))
+        return headers
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -8,6 +8,7 @@
 
 from martenstep.policy.messages import CallResult, EndpointListScope, EndpointState
 from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.engine.timers import RequestDeadline
 from martenstep.proxy.engine_messages import AttemptFailure
 from tests.door_rig import QUIET, Rig, head, listed
 
@@ -340,7 +341,8 @@
 def test_a_held_request_is_answered_at_its_deadline_even_if_the_module_holds_it() -> None:
     rig = Rig()
     ticket = rig.ask(customer="anna")  # the counter is asked; nothing answers, and the engine's own timer is lost
-    rig.engine._timers = [timer for timer in rig.engine._timers if timer[2].__name__ == "_deadline"]
+    timers = rig.engine._state.timers
+    timers._heap = [entry for entry in timers._heap if isinstance(entry[2], RequestDeadline)]
     rig.pass_time(4000)
     assert rig.reply(ticket).status == 504 and rig.engine.open == 0
 
@@ -356,7 +358,7 @@
 
 def test_a_try_is_told_for_the_record_once_when_it_is_first_sent_on() -> None:
     rig = Rig()
-    rig.engine._records = True
+    rig.engine._state.dependencies.records_usage = True
     ticket = rig.ask("/pay/1", x_request_id="t1")
     rig.end(ticket, AttemptFailure.NOT_CONNECTED, written=False)  # a further attempt is no further try
     refused = rig.ask(customer="nobody")
@@ -366,7 +368,7 @@
 
 def test_a_try_beyond_the_quota_is_told_as_such() -> None:
     rig = Rig("plan { name: 'paid' rate: 1 burst: 1 over_worth: 2 over_cost: 1 } customer { key: 'eve' plan: 'paid' }")
-    rig.engine._records = True
+    rig.engine._state.dependencies.records_usage = True
     for _ in range(3):
         rig.ask(customer="eve")
         rig.count_all(50.0)
--- a/tests/test_node_protocol.py
+++ b/tests/test_node_protocol.py
@@ -8,7 +8,7 @@
 
 from martenstep.node.protocol import IDS_SPARE_MS, MOST_IDS, NodeMessageBuilder, NodeStatusClassifier, Requests
 from martenstep.policy.messages import CallResult
-from martenstep.proxy.dependencies import RoutedRequest, RouteRejection
+from martenstep.proxy.dependencies import RoutedRequest, RouteRejection, UpstreamRequest
 from martenstep.proxy.http1.message_head import request_head
 from martenstep.proxy.targets import NormalizedTarget, TargetRejection
 from tests.node_rig import config, request
@@ -152,7 +152,9 @@
 
 def test_an_attempt_carries_id_and_key_and_what_is_left() -> None:
     head = request_head(request(7, "book", method="POST", body="abc").partition("\r\n\r\n")[0].encode() + b"\r\n\r\n")
-    made = NodeMessageBuilder().request_headers(head.headers, [], [], "label", "rid", 0, 812.7, "", b"", True)
+    made = NodeMessageBuilder().request_headers(
+        UpstreamRequest(head.headers, [], [], "label", "rid", 0, 812.7, "", b"", True)
+    )
     assert sorted(made) == sorted(
         [
             (b"host", b"svc"),
