--- a/martenstep/proxy/engine_messages.py
+++ b/martenstep/proxy/engine_messages.py
@@ -1,7 +1,7 @@
-"""What the door's engine takes in and gives out.
+"""The messages between an engine and its driver: events in, actions out.
 
-A ticket is the driver's number of one client request; an attempt is numbered within its request as the module
-counts it.  Times are milliseconds on the driver's clock.  Header names are lower case.
+A request id is the driver's number of one client request; an attempt is numbered within its request, from 0.  Times are
+milliseconds on the driver's clock.  Header names are in lower case.
 """
 
 from __future__ import annotations
@@ -9,41 +9,42 @@
 import math
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from martenstep.discovery.endpoint_list import Listed as Listed
+from martenstep.event_log import LogFields
 from martenstep.policy.messages import CallResult
 
-if TYPE_CHECKING:  # a door that traces nothing does not load what traces weigh
+if TYPE_CHECKING:  # a gateway that traces nothing does not load what traces need
     from martenstep.proxy.traces import Trace
 
 Headers = list[tuple[bytes, bytes]]
 
 
-class Ending(Enum):
-    """How an attempt ended without a whole answer; verdicts.py says what each proves."""
+class AttemptFailure(Enum):
+    """How an attempt ended without a complete response; `attempt_outcomes` says what each proves."""
 
     NOT_CONNECTED = "no connection was made"
-    NO_PLACE = "the bound of connections to the server is reached"
+    CONNECTION_LIMIT = "the limit of connections to the endpoint is reached"
     NOT_WRITTEN = "the connection ended before anything was written to it"
-    CLOSED = "the connection ended after something was written and before the answer was whole"
-    BAD_ANSWER = "what came back is not HTTP"
-    STALLED = "an answer that had begun stood still"
+    CLOSED = "the connection ended after something was written and before the response was complete"
+    MALFORMED_RESPONSE = "what came back is not HTTP"
+    STALLED = "a response that had begun stood still"
 
 
-# Events -----------------------------------------------------------------------------------------------
+# Events -------------------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Arrived:
-    """A client's request head is whole."""
+class RequestReceived:
+    """A client's request head is complete."""
 
-    ticket: int
+    request_id: int
     method: bytes
     target: bytes
     headers: Headers
-    peer: str = ""
-    at: float | None = None  # when its last byte came; none: now
+    client_address: str = ""
+    received_at: float | None = None  # when its last byte came; None: now
 
 
 @dataclass(slots=True)
@@ -54,82 +55,82 @@
 
 
 @dataclass(slots=True)
-class ClientLeft:
-    """The client's connection is gone, or its request broke off."""
+class ClientDisconnected:
+    """The client's connection has ended, or its request broke off."""
 
-    ticket: int
+    request_id: int
 
 
 @dataclass(slots=True)
-class BodyDropped:
-    """The request's body has outgrown what is kept: it cannot be written again."""
+class RequestBodyNotReplayable:
+    """The request's body has outgrown its buffer: it cannot be written again."""
 
-    ticket: int
+    request_id: int
 
 
 @dataclass(slots=True)
-class Written:
-    """The first bytes of an attempt are being written: from here it may run."""
+class AttemptWritten:
+    """The first bytes of an attempt are being written: from here it may be executed."""
 
-    ticket: int
+    request_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class AnswerHead:
-    """The head of an attempt's answer is whole."""
+class ResponseHeadReceived:
+    """The head of an attempt's response is complete."""
 
-    ticket: int
+    request_id: int
     attempt: int
     status: int
     headers: Headers
 
 
 @dataclass(slots=True)
-class AnswerBegun:
-    """More of an answer has come than is held back: it must go to the client now."""
+class ResponseBufferExceeded:
+    """More of a response has come than is buffered: it must go to the client now."""
 
-    ticket: int
+    request_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class AnswerWhole:
-    """The last byte of an attempt's answer has come."""
+class ResponseCompleted:
+    """The last byte of an attempt's response has come."""
 
-    ticket: int
+    request_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class AttemptEnded:
-    """An attempt ended without a whole answer."""
+class AttemptFailed:
+    """An attempt ended without a complete response."""
 
-    ticket: int
+    request_id: int
     attempt: int
-    how: Ending
+    failure: AttemptFailure
 
 
 @dataclass(slots=True)
-class Counted:
-    """The store's answer to one Add."""
+class CounterReplied:
+    """A counter call ended."""
 
-    call: int
-    verdict: CallResult
+    call_id: int
+    result: CallResult
     total: float = 0.0
-    kept_ms: float = math.inf  # for so long it is known to have lost nothing
+    retained_ms: float = math.inf  # for so long the counter is known to have lost nothing
 
 
 @dataclass(slots=True)
 class Tick:
-    """Time has passed: what is due is done."""
+    """Time has passed: the timers that are due fire."""
 
 
 @dataclass(slots=True)
-class Checked:
+class AuthCheckReplied:
     """An authentication service answered a check."""
 
-    check: int
+    check_id: int
     attempt: int
     status: int
     headers: Headers
@@ -137,100 +138,100 @@
 
 
 @dataclass(slots=True)
-class CheckFailed:
-    """A check's attempt gave no answer that can be read."""
+class AuthCheckFailed:
+    """A check's attempt gave no response that can be read."""
 
-    check: int
+    check_id: int
     attempt: int
 
 
 Event = (
-    Arrived
+    RequestReceived
     | ClockStepped
-    | ClientLeft
-    | BodyDropped
-    | Checked
-    | CheckFailed
-    | Written
-    | AnswerHead
-    | AnswerBegun
-    | AnswerWhole
-    | AttemptEnded
-    | Counted
+    | ClientDisconnected
+    | RequestBodyNotReplayable
+    | AuthCheckReplied
+    | AuthCheckFailed
+    | AttemptWritten
+    | ResponseHeadReceived
+    | ResponseBufferExceeded
+    | ResponseCompleted
+    | AttemptFailed
+    | CounterReplied
     | Listed
     | Tick
 )
 
-# Actions ----------------------------------------------------------------------------------------------
+# Actions ------------------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Open:
-    """Start an attempt: take or make a connection to the address and write the request."""
+class OpenAttempt:
+    """Begin an attempt: take or make a connection to the address and write the request."""
 
-    ticket: int
+    request_id: int
     attempt: int
-    server: int
+    endpoint: int
     address: tuple[str, int]
     method: bytes
     target: bytes
     headers: Headers
-    expires: float  # the request's deadline
-    by: float | None = None  # not to be delivered later than this
+    deadline: float  # of the request
+    deliver_by: float | None = None  # not to be delivered later than this
 
 
 @dataclass(slots=True)
-class Abandon:
-    """Stop an attempt and close its connection; nothing more may be written for it."""
+class AbortAttempt:
+    """Give an attempt up and close its connection; nothing more may be written for it."""
 
-    ticket: int
+    request_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Pass:
-    """Give the attempt's answer, with this head, to the client; what is held first, the rest as it comes."""
+class RelayResponse:
+    """Pass the attempt's response, with this head, on to the client; what is buffered first, the rest as it comes."""
 
-    ticket: int
+    request_id: int
     attempt: int
     status: int
     headers: Headers
-    whole: bool
+    complete: bool
 
 
 @dataclass(slots=True)
-class Reply:
-    """Final answer of the door's own."""
+class SendLocalReply:
+    """Send a final response of the gateway's own."""
 
-    ticket: int
+    request_id: int
     status: int
     headers: Headers
     body: bytes
 
 
 @dataclass(slots=True)
-class Break:
-    """An answer that had begun broke off: the client's connection is closed to say so."""
+class ResetClientConnection:
+    """A response that had begun broke off: close the client's connection to say so."""
 
-    ticket: int
+    request_id: int
 
 
 @dataclass(slots=True)
-class Add:
-    """Add units to a name of the store and learn the total."""
+class AddToCounter:
+    """Add units to a key of the counter and learn the total."""
 
-    call: int
-    name: int
+    call_id: int
+    key: int
     units: float
     expire_ms: float
-    proof: bool = False  # how long nothing was lost is to be proved
+    bounds_ceiling: bool = False  # how long nothing was lost is to be proved
 
 
 @dataclass(slots=True)
-class Ask:
+class StartAuthCheck:
     """Ask an authentication service."""
 
-    check: int
+    check_id: int
     attempt: int
     address: tuple[str, int]
     target: bytes
@@ -238,44 +239,57 @@
 
 
 @dataclass(slots=True)
-class StopAsking:
-    """Stop an attempt of a check and close its connection."""
+class StopAuthCheck:
+    """Give an attempt of a check up and close its connection."""
 
-    check: int
+    check_id: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Tried:
-    """A request was sent on for the first time: to be recorded, once."""
+class RecordUsage:
+    """A request was forwarded for the first time: to be recorded, once."""
 
-    request: str
+    correlation_id: str
     customer: str
     plan: str
-    cls: str
+    request_class: str
     units: float
-    beyond: bool
-    ticket: int = 0
+    over_quota: bool
+    request_id: int = 0
 
 
 @dataclass(slots=True)
-class Traced:
+class ExportTrace:
     """A traced request is over."""
 
     trace: Trace
 
 
 @dataclass(slots=True)
-class Listen:
-    """Ask the feed for changes from now on."""
+class SubscribeEndpoints:
+    """Ask discovery for changes of the endpoint list from now on."""
 
 
 @dataclass(slots=True)
 class LogEvent:
-    """One line for the operators."""
+    """Write one line for the operators."""
 
     event: str
-    fields: dict[str, Any]
-
-
-Action = Traced | Ask | StopAsking | Open | Abandon | Pass | Reply | Break | Add | Tried | Listen | LogEvent
+    fields: LogFields
+
+
+Action = (
+    ExportTrace
+    | StartAuthCheck
+    | StopAuthCheck
+    | OpenAttempt
+    | AbortAttempt
+    | RelayResponse
+    | SendLocalReply
+    | ResetClientConnection
+    | AddToCounter
+    | RecordUsage
+    | SubscribeEndpoints
+    | LogEvent
+)
