--- a/martenstep/cli/copies.py
+++ b/martenstep/cli/copies.py
@@ -76,13 +76,13 @@
     """Tell the number of the copies' disk DIRECTORY, for `founder` in the settings; an empty one gets one."""
     import contextlib
 
-    from martenstep.replication.replica_manager import KeeperError, disk_identity
+    from martenstep.replication.replica_manager import ReplicaManagerError, load_disk_identity
     from martenstep.storage.files import Disk, LockedError
 
     try:
         with contextlib.closing(Disk(directory)) as disk:
-            click.echo(disk_identity(disk).id)
-    except (KeeperError, LockedError, OSError) as error:
+            click.echo(load_disk_identity(disk).id)
+    except (ReplicaManagerError, LockedError, OSError) as error:
         failed(str(error))
 
 
@@ -110,7 +110,7 @@
 def verify(directory: tuple[Path, ...]) -> None:
     """Read the copies of doors that do not run, and hold those of the same group against each other; exit 1 where one
     is damaged or two differ."""
-    from martenstep.replication.verify import differences, read_folder
+    from martenstep.replication.verify import find_differences, read_folder
     from martenstep.storage.files import LockedError
 
     try:
@@ -118,9 +118,11 @@
     except (LockedError, OSError) as error:
         failed(str(error))
     for one in found:
-        click.echo(f"{one.folder}: " + (one.wrong or f"copy {one.copy}, term {one.kept.term}, entries to {one.last}"))
-    wrong = differences(found)
+        click.echo(
+            f"{one.folder}: " + (one.error or f"copy {one.replica}, term {one.state.term}, entries to {one.last_index}")
+        )
+    wrong = find_differences(found)
     for line in wrong:
         click.echo(line)
-    if wrong or any(one.wrong for one in found):
+    if wrong or any(one.error for one in found):
         sys.exit(1)
--- a/martenstep/counter/increment_ledger.py
+++ b/martenstep/counter/increment_ledger.py
@@ -21,8 +21,8 @@
 
 from martenstep.counter.pending_increments import Begin, Book, Done, Seal, Try, dones, entry, puts
 from martenstep.event_log import EventLog
-from martenstep.replication.replica import Host, InDoubtError, NotLeaderError, now_ms
-from martenstep.replication.replica_manager import Keeper
+from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica, now_ms
+from martenstep.replication.replica_manager import ReplicaManager
 from martenstep.tasks import Tasks
 
 PREFIX = "book-"
@@ -44,7 +44,7 @@
 class Books:
     """One door's part in them."""
 
-    def __init__(self, me: str, keeper: Keeper, deliver: Callable[[Try], bool], log_event: EventLog) -> None:
+    def __init__(self, me: str, keeper: ReplicaManager, deliver: Callable[[Try], bool], log_event: EventLog) -> None:
         """`deliver` hands a try to the counter's client, False where that has no room; `recorded` is to be told when
         the counter has it."""
         self.me, self._keeper, self._deliver, self._log_event = me, keeper, deliver, log_event
@@ -59,8 +59,8 @@
 
     async def start(self) -> None:
         """Take up this door's book, or begin one."""
-        self.own = self._keeper.alone()
-        if not self.own or self._keeper.host(self.own) is None:
+        self.own = self._keeper.latest_own_group()
+        if not self.own or self._keeper.replica(self.own) is None:
             await self._another()
         self._tending = asyncio.get_running_loop().create_task(self._tend())
 
@@ -74,7 +74,7 @@
 
     async def _another(self) -> None:
         self.own = drawn_name(self.me)
-        if await self._keeper.begin_alone(self.own) is None:
+        if await self._keeper.create_own_group(self.own) is None:
             self._log_event("no book", {"group": self.own})
 
     # Promising.
@@ -100,16 +100,20 @@
     async def _proposed(
         self, tries: tuple[Try, ...], data: bytes, waiting: list[tuple[Try, asyncio.Future[bool]]]
     ) -> None:
-        host = self._keeper.host(self.own)
+        host = self._keeper.replica(self.own)
         stands = False
         try:
             if host is not None:
                 stands = bool(await host.propose(data))
                 if not stands:
                     self.counts["sealed"] += len(tries)
-        except (NotLeaderError, InDoubtError, ValueError):
+        except (NotLeaderError, IndeterminateError, ValueError):
             pass
-        strong = stands and host is not None and len(host.copy.config.voters) >= self._keeper.holding.count
+        strong = (
+            stands
+            and host is not None
+            and len(host.raft.configuration.voters) >= self._keeper.replication.replication_factor
+        )
         self.counts["promised" if strong else "thin"] += len(tries)
         self._told(waiting, strong)
 
@@ -125,13 +129,13 @@
 
     # Delivering.
 
-    def led(self) -> list[tuple[Host, Book]]:
+    def led(self) -> list[tuple[Replica, Book]]:
         """The books that this door leads."""
         made = []
         for group in self._keeper.groups():
-            host = self._keeper.host(group) if is_book(group) else None
-            if host is not None and isinstance(host.machine, Book) and host.copy.may_read(now_ms()):
-                made.append((host, host.machine))
+            host = self._keeper.replica(group) if is_book(group) else None
+            if host is not None and isinstance(host.state_machine, Book) and host.raft.can_serve_read(now_ms()):
+                made.append((host, host.state_machine))
         return made
 
     async def _tend(self) -> None:
@@ -156,19 +160,19 @@
             self._hand_on(book, set(recorded))
             self._end(host, book)
         # Of books that are led elsewhere by now, or were not led yet: they stay until whoever leads finds them known.
-        own = self._keeper.host(self.own)
-        if own is not None and own.copy.leader is not None:
+        own = self._keeper.replica(self.own)
+        if own is not None and own.raft.leader is not None:
             self._led_at = now_ms()
         if (
             own is None
             or now_ms() - self._led_at > LEADERLESS_MS
-            or (isinstance(own.machine, Book) and own.machine.sealed)
+            or (isinstance(own.state_machine, Book) and own.state_machine.sealed)
         ):
             self._log_event("book ends", {"group": self.own})
             self._led_at = now_ms()
-            if own is not None and len(own.copy.config.voters) < self._keeper.holding.count:
+            if own is not None and len(own.raft.configuration.voters) < self._keeper.replication.replication_factor:
                 # It never was whole, so it promised nothing beyond this door's own journal; of two copies one was lost.
-                self._keeper.abandon(self.own)
+                self._keeper.abandon_group(self.own)
             await self._another()
 
     def _hand_on(self, book: Book, recorded: set[str]) -> None:
@@ -183,28 +187,28 @@
                 self._delivering.add(made.request)
                 self.counts["delivered"] += 1
 
-    def _end(self, host: Host, book: Book) -> None:
+    def _end(self, host: Replica, book: Book) -> None:
         """Of a book whose owner is lost for good."""
-        if book.owner and book.owner != self.me and book.owner in self._keeper.lost_places():
+        if book.owner and book.owner != self.me and book.owner in self._keeper.lost_nodes():
             if not book.sealed:
                 self._log_event("book sealed", {"group": host.group, "owner": book.owner, "pending": len(book.pending)})
                 self._tasks.spawn(self._entered(host, Seal()))
             elif not book.pending:
-                self._keeper.dissolve(host.group)
+                self._keeper.dissolve_group(host.group)
 
-    async def _entered(self, host: Host, told: Begin | Done | Seal) -> None:
+    async def _entered(self, host: Replica, told: Begin | Done | Seal) -> None:
         try:
             await host.propose(entry(told))
-        except (NotLeaderError, InDoubtError):
+        except (NotLeaderError, IndeterminateError):
             if isinstance(told, Done):  # whoever leads next delivers them once more, and finds them known
                 self.counts["done_in_doubt"] += len(told.requests)
 
     def gauges(self) -> dict[str, float]:
         """For metrics."""
         led = self.led()
-        own = self._keeper.host(self.own)
+        own = self._keeper.replica(self.own)
         return {
             "books_led": len(led),
             "books_pending": sum(len(book.pending) for _, book in led),
-            "books_own_copies": len(own.copy.config.voters) if own is not None else 0,
+            "books_own_copies": len(own.raft.configuration.voters) if own is not None else 0,
         }
--- a/martenstep/counter/replicated_counter.py
+++ b/martenstep/counter/replicated_counter.py
@@ -21,8 +21,8 @@
 from martenstep.counter import protocol as frames
 from martenstep.counter.protocol import Add, FrameError, Hello, Record, Refused, Reply, Status, Welcome
 from martenstep.counter.state import Counter, Limits
-from martenstep.replication.messages import Kind
-from martenstep.replication.raft import Kept
+from martenstep.replication.messages import EntryKind
+from martenstep.replication.raft import PersistentState
 
 _HEAD = struct.Struct(">dQH")  # time at the leader (Unix ms), epoch, length of the door's name
 
@@ -79,13 +79,13 @@
             return frames.without(command, Status.BAD)
 
     @classmethod
-    def of(cls, kept: Kept) -> CopiedCounter:
+    def of(cls, kept: PersistentState) -> CopiedCounter:
         """What a copy that is down would hold, all entries of its disk applied."""
         made = cls()
         if kept.snapshot is not None:
             made.restore(kept.snapshot.body)
         for entry in kept.entries:
-            if entry.kind is Kind.COMMAND:
+            if entry.kind is EntryKind.COMMAND:
                 made.apply(entry.data)
         return made
 
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -48,12 +48,18 @@
 from martenstep.event_log import EventLog
 from martenstep.lifetime import until_stopped
 from martenstep.membership.keys import KeyFileError, read_keys
-from martenstep.replication.messages import Config
-from martenstep.replication.placement import Change, HandOver, Invite, learning, next_step
+from martenstep.replication.messages import Configuration
+from martenstep.replication.placement import (
+    AddReplica,
+    ChangeConfiguration,
+    TransferLeadership,
+    next_step,
+    with_learner,
+)
 from martenstep.replication.raft import Role
-from martenstep.replication.replica import Host, InDoubtError, NotLeaderError
-from martenstep.replication.replica_storage import Store, StoreError
-from martenstep.replication.transport import Links
+from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica
+from martenstep.replication.replica_storage import ReplicaStorage, ReplicaStorageError
+from martenstep.replication.transport import Transport
 from martenstep.storage.files import Disk
 
 TEND_S = 0.25  # between two looks at whether the group is as it is listed
@@ -79,7 +85,7 @@
 
     def __init__(
         self,
-        held: Callable[[str], Host | None],
+        held: Callable[[str], Replica | None],
         where: Callable[[str, int | None], str | None],
         bounds: Bounds | None = None,
         clock: Callable[[], float] | None = None,
@@ -118,17 +124,17 @@
         if isinstance(command, Read):
             return asyncio.get_running_loop().create_task(self._read(host, command))
         try:
-            return host.proposed(asked(self._clock() * 1000, hello.door, hello.epoch, command))
+            return host.submit(asked(self._clock() * 1000, hello.door, hello.epoch, command))
         except NotLeaderError as error:
             return self._moved(hello, error.leader)
         except (ValueError, FrameError) as error:  # larger than an entry may be
             return Refused(Status.BAD, str(error)) if isinstance(command, Hello) else without(command, Status.BAD)
 
     @staticmethod
-    async def _read(host: Host, command: Read) -> Reply:
-        await host.read()
-        assert isinstance(host.machine, CopiedCounter)
-        return Total(command.sequence, Status.DONE, host.machine.total(command.name))
+    async def _read(host: Replica, command: Read) -> Reply:
+        await host.confirm_leadership()
+        assert isinstance(host.state_machine, CopiedCounter)
+        return Total(command.sequence, Status.DONE, host.state_machine.total(command.name))
 
     def _moved(self, hello: Hello, leader: int | None) -> Refused:
         return Refused(Status.MOVED, (self._where(hello.group, leader) or "") if leader is not None else "")
@@ -141,9 +147,9 @@
             reply = waiting.result()
         except NotLeaderError as error:
             return self._moved(hello, error.leader)
-        except InDoubtError:
+        except IndeterminateError:
             host = self.held(hello.group)
-            leader = host.copy.leader if host is not None and host.copy.leader != host.copy.me else None
+            leader = host.raft.leader if host is not None and host.raft.leader != host.raft.replica_id else None
             return self._moved(hello, leader)
         if isinstance(reply, Welcome):
             reply.map_version = hello.map_version
@@ -242,13 +248,13 @@
     """Whose disk a directory is; an empty one becomes a new copy's.  Raises CopyError, LockedError, OSError."""
     with contextlib.ExitStack() as stack:
         disks = [stack.enter_context(contextlib.closing(Disk(path))) for path in (directory, witness)]
-        return stack.enter_context(contextlib.closing(_opened(disks[0], disks[1]))).id
+        return stack.enter_context(contextlib.closing(_opened(disks[0], disks[1]))).replica_id
 
 
-def _opened(disk: Disk, witness: Disk) -> Store:
+def _opened(disk: Disk, witness: Disk) -> ReplicaStorage:
     try:
-        return Store(disk, witness, random.SystemRandom())
-    except StoreError as error:
+        return ReplicaStorage(disk, witness, random.SystemRandom())
+    except ReplicaStorageError as error:
         raise CopyError(str(error)) from None
 
 
@@ -262,7 +268,7 @@
     def __init__(self, copies: pb.Copies) -> None:
         self.take(copies)
         # Danger: were those that came later among them, two of three new ones would make a group of their own.
-        self.first = Config(tuple(copy.id for copy in copies.copy if not copy.later))
+        self.first = Configuration(tuple(copy.id for copy in copies.copy if not copy.later))
 
     def take(self, copies: pb.Copies) -> None:
         """Take up another list."""
@@ -277,25 +283,27 @@
         """Where doors reach a copy."""
         return self.copies[copy].doors if copy in self.copies else None
 
-    def step(self, config: Config, me: int) -> Config | HandOver | None:
+    def step(self, config: Configuration, me: int) -> Configuration | TransferLeadership | None:
         """The next thing to do on the way to the list, for who leads."""
         places = [str(copy) for copy in self.copies]
-        homes = tuple((copy, str(copy)) for copy in config.everyone)
-        told = next_step(Config(config.voters, config.learners, homes), me, places, (), places, len(places), True)
-        if isinstance(told, Invite):
-            return learning(config, int(told.place), told.place)
-        return told.config if isinstance(told, Change) else told
+        homes = tuple((copy, str(copy)) for copy in config.members)
+        told = next_step(
+            Configuration(config.voters, config.learners, homes), me, places, (), places, len(places), True
+        )
+        if isinstance(told, AddReplica):
+            return with_learner(config, int(told.node), told.node)
+        return told.configuration if isinstance(told, ChangeConfiguration) else told
 
 
-async def _lead_to(listed: Listed, host: Host, log_event: EventLog) -> None:
+async def _lead_to(listed: Listed, host: Replica, log_event: EventLog) -> None:
     """Lead the group to what is listed, one change after another, wherever this copy leads."""
     while True:
         await asyncio.sleep(TEND_S)
-        copy = host.copy
-        step = listed.step(copy.config, copy.me) if copy.role is Role.LEADER else None
-        if isinstance(step, HandOver):
-            host.hand_over(step.to)
-        elif step is not None and host.change(step):
+        copy = host.raft
+        step = listed.step(copy.configuration, copy.replica_id) if copy.role is Role.LEADER else None
+        if isinstance(step, TransferLeadership):
+            host.transfer_leadership(step.to)
+        elif step is not None and host.change_configuration(step):
             log_event("copies change", {"voters": step.voters, "learners": step.learners})
 
 
@@ -312,29 +320,29 @@
     try:
         store = _opened(disk, witness)
         listed = Listed(told)
-        if store.id not in listed.copies:
+        if store.replica_id not in listed.copies:
             raise CopyError(
-                f"{settings.log.directory} is the disk of copy {store.id}, not among those of the settings "
+                f"{settings.log.directory} is the disk of copy {store.replica_id}, not among those of the settings "
                 f"({', '.join(map(str, listed.copies))}): an emptied disk is another copy"
             )
         machine = CopiedCounter(limits_of(settings))
-        links = Links(told.group, str(store.id), lambda: keys, listed.address)
-        host = Host(told.group, store, listed.first, machine, links, _log_event, place_of=str)
+        links = Transport(told.group, str(store.replica_id), lambda: keys, listed.address)
+        host = Replica(told.group, store, listed.first, machine, links, _log_event, place_of=str)
         service = CopiedService(
             lambda group: host,
             lambda group, copy: listed.doors(copy),
             Bounds(settings.max_connections, settings.max_waiting, settings.unsent_bytes, settings.idle_ms / 1000),
         )
-        mine = listed.copies[store.id]
+        mine = listed.copies[store.replica_id]
         await links.start(mine.host, mine.port)
         host.start()
         tending = asyncio.get_running_loop().create_task(_lead_to(listed, host, _log_event))
         port = await service.start(settings.host, settings.port)
         if load is not None:
             asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, _renew, listed, load)
-        await until_stopped({"port": port}, copy=store.id, proven=store.proven)
+        await until_stopped({"port": port}, copy=store.replica_id, proven=store.disk_verified)
         tending.cancel()
-        if host.hand_over():  # so that nobody waits for an election
+        if host.transfer_leadership():  # so that nobody waits for an election
             await asyncio.sleep(HAND_OVER_S)
         await service.stop()
         await host.stop()
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -20,9 +20,9 @@
 from martenstep.maintenance.coordinator import GROUP as ORDERS
 from martenstep.maintenance.queue import Book as OrderBook
 from martenstep.membership.transport import Membership
-from martenstep.replication.replica import Host
-from martenstep.replication.replica_manager import Founder, Holding, Keeper, Place
-from martenstep.replication.transport import Links
+from martenstep.replication.replica import Replica
+from martenstep.replication.replica_manager import BootstrapMember, ClusterNode, ReplicaManager, ReplicationSettings
+from martenstep.replication.transport import Transport
 
 Address = tuple[str, int]
 
@@ -32,13 +32,13 @@
     return tuple(f"counter-{number}" for number in range(copies.slots))
 
 
-def holding(door: pb.Door) -> Holding:
+def holding(door: pb.Door) -> ReplicationSettings:
     """What the settings ask of each door."""
     copies = door.copies
     more = (ORDERS,) if door.HasField("maintenance") else ()
-    return Holding(
+    return ReplicationSettings(
         slots(copies) + more,
-        tuple(Founder(one.door, one.disk) for one in copies.founder),
+        tuple(BootstrapMember(one.door, one.disk) for one in copies.founder),
         copies.count,
         copies.final_ms,
     )
@@ -57,7 +57,7 @@
         """`deliver` hands a try of somebody's book to this door's clients of the counter."""
         self._copies, self._membership = door.copies, membership
         self._host = door.fleet.host
-        self.keeper = Keeper(
+        self.keeper = ReplicaManager(
             door.name,
             Path(door.copies.directory),
             Path(door.copies.witness),
@@ -69,13 +69,13 @@
             first=self._owner,
         )
         self.books = Books(door.name, self.keeper, deliver, log_event) if door.copies.HasField("book") else None
-        self.links = Links(
+        self.links = Transport(
             door.fleet.cluster,
             door.name,
             lambda: membership.keys,
             self._link_address,
-            self.keeper.word,
-            self.keeper.nobody,
+            self.keeper.receive,
+            self.keeper.report_unknown_replica,
         )
         self.service = CopiedService(self._counter, self._where, Bounds(map_version=door.copies.slots))
 
@@ -101,19 +101,19 @@
             return OrderBook()
         return Book() if is_book(group) else CopiedCounter()
 
-    def _counter(self, group: str) -> Host | None:
-        host = self.keeper.host(group)
-        return host if host is not None and isinstance(host.machine, CopiedCounter) else None
+    def _counter(self, group: str) -> Replica | None:
+        host = self.keeper.replica(group)
+        return host if host is not None and isinstance(host.state_machine, CopiedCounter) else None
 
     def _owner(self, group: str) -> str | None:
-        host = self.keeper.host(group)
-        return (host.machine.owner or None) if host is not None and isinstance(host.machine, Book) else None
+        host = self.keeper.replica(group)
+        return (host.state_machine.owner or None) if host is not None and isinstance(host.state_machine, Book) else None
 
     # Who is where.
 
-    def _places(self) -> Iterable[Place]:
+    def _places(self) -> Iterable[ClusterNode]:
         core = self._membership.core
-        return [Place(fact.name, fact.zone, fact.present) for fact in core.table] if core is not None else []
+        return [ClusterNode(fact.name, fact.zone, fact.present) for fact in core.table] if core is not None else []
 
     def _address(self, place: str | None, port: int) -> Address | None:
         """As every door knows it: ways to it are each door's own."""
@@ -127,16 +127,16 @@
 
     def _where(self, group: str, copy: int | None) -> str | None:
         if copy is None:
-            place = next((place for place in self.keeper.wanted(group) if place != self.keeper.me), None)
+            place = next((place for place in self.keeper.desired_nodes(group) if place != self.keeper.node), None)
         else:
-            host: Host | None = self.keeper.host(group)
-            place = host.home(copy) if host is not None else None
+            host: Replica | None = self.keeper.replica(group)
+            place = host.find_node(copy) if host is not None else None
         address = self._address(place, self._copies.counter_port)
         return "{}:{}".format(*address) if address is not None else None
 
     def addresses(self, group: str) -> list[Address]:
         """Where a slot's leader may be: those that should hold it first, then all others."""
-        likely = self.keeper.wanted(group)
+        likely = self.keeper.desired_nodes(group)
         rest = sorted(place.name for place in self._places() if place.present and place.name not in likely)
         return [
             address
--- a/martenstep/lab/copies.py
+++ b/martenstep/lab/copies.py
@@ -16,7 +16,7 @@
 from martenstep.counter.replicated_service import identity_of
 from martenstep.counter.state import Counter
 from martenstep.lab.ports import held_ports
-from martenstep.replication.replica_storage import Store
+from martenstep.replication.replica_storage import ReplicaStorage
 from martenstep.storage.files import Disk
 
 ASK_S = 2.0  # a copy that says nothing for so long is paused or gone
@@ -130,4 +130,4 @@
     def on_disk(self, number: int) -> Counter:
         """What a copy that is down would begin with, all its entries applied."""
         with contextlib.closing(Disk(self.folder / f"log-{number}")) as disk:
-            return CopiedCounter.of(Store(disk, None, random.Random(1)).image()).counter
+            return CopiedCounter.of(ReplicaStorage(disk, None, random.Random(1)).read_state()).counter
--- a/martenstep/lab/explore.py
+++ b/martenstep/lab/explore.py
@@ -29,13 +29,31 @@
 import msgspec
 import xxhash
 
-from martenstep.replication.messages import Appended, AskVote, Config, Entry, GiveVote, Kind, Message
-from martenstep.replication.raft import Became, Committed, Copy, Installed, Kept, Role, Send, Settings, Write
-from martenstep.replication.replica_storage import apply
+from martenstep.replication.messages import (
+    AppendEntriesResponse,
+    Configuration,
+    EntryKind,
+    LogEntry,
+    RaftMessage,
+    RequestVote,
+    VoteResponse,
+)
+from martenstep.replication.raft import (
+    DurableWrite,
+    EntryCommitted,
+    PersistentState,
+    RaftNode,
+    RaftSettings,
+    Role,
+    RoleChanged,
+    Send,
+    SnapshotInstalled,
+)
+from martenstep.replication.replica_storage import apply_write
 
 NOW = 1e9  # on every clock, always
 LONG_AGO = -1e9
-Make = Callable[..., Copy]
+Make = Callable[..., RaftNode]
 Pair = tuple[int, int]
 
 
@@ -60,8 +78,8 @@
 class Node:
     """One machine."""
 
-    copy: Copy
-    kept: Kept
+    copy: RaftNode
+    kept: PersistentState
 
 
 @dataclass(slots=True)
@@ -69,12 +87,12 @@
     """One state."""
 
     nodes: dict[int, Node]
-    queues: dict[Pair, tuple[Message, ...]]
+    queues: dict[Pair, tuple[RaftMessage, ...]]
     budget: Budget
     cut: frozenset[Pair]
     leaders: dict[int, int]
-    stands: dict[int, Entry]
-    told: tuple[Entry, ...]
+    stands: dict[int, LogEntry]
+    told: tuple[LogEntry, ...]
     proposed: frozenset[tuple[int, int, int]]  # copy, index, term of what clients wait for
 
     def clone(self) -> World:
@@ -105,17 +123,17 @@
                 (
                     name[number],
                     copy.term,
-                    copy.vote and name[copy.vote],
+                    copy.voted_for and name[copy.voted_for],
                     copy.log,
-                    copy.commit,
+                    copy.commit_index,
                     copy.role.value,
                     copy.leader and name[copy.leader],
-                    copy.proven,
-                    copy._floor,
+                    copy.disk_verified,
+                    copy._log_floor,
                     sorted([name[one] for one in copy._votes]),
-                    sorted([name[one] for one in copy._told]),
-                    sorted([(name[to], peer.next, peer.match) for to, peer in copy._peers.items()]),
-                    copy._heard_leader > LONG_AGO,
+                    sorted([name[one] for one in copy._recovery_responses]),
+                    sorted([(name[to], peer.next_index, peer.match_index) for to, peer in copy._progress.items()]),
+                    copy._leader_contact_at > LONG_AGO,
                 )
             )
         nodes.sort(key=_first)
@@ -135,13 +153,13 @@
         return xxhash.xxh3_128_intdigest(msgspec.msgpack.encode(told))
 
 
-def _clone(copy: Copy) -> Copy:
-    made: Copy = object.__new__(type(copy))
+def _clone(copy: RaftNode) -> RaftNode:
+    made: RaftNode = object.__new__(type(copy))
     made.__dict__.update(copy.__dict__)
-    made.log, made.out, made._waiting, made._heap = list(copy.log), [], [], []
-    made._index_of, made._sent_at, made._pieces = {}, {}, {}
-    made._peers = {to: replace(peer) for to, peer in copy._peers.items()}
-    made._votes, made._told = set(copy._votes), dict(copy._told)
+    made.log, made.actions, made._waiting_for_durability, made._timers = list(copy.log), [], [], []
+    made._last_index_by_write, made._round_sent_at, made._snapshot_chunks = {}, {}, {}
+    made._progress = {to: replace(peer) for to, peer in copy._progress.items()}
+    made._votes, made._recovery_responses = set(copy._votes), dict(copy._recovery_responses)
     return made
 
 
@@ -153,13 +171,13 @@
     return told[:2]
 
 
-def _over(message: Message, copy: Copy) -> bool:
+def _over(message: RaftMessage, copy: RaftNode) -> bool:
     """It can change nothing at this copy, now or later."""
-    if isinstance(message, GiveVote):
+    if isinstance(message, VoteResponse):
         return message.term < copy.term or (
             message.term == copy.term and (not message.granted or copy.role is not Role.CANDIDATE)
         )
-    if isinstance(message, Appended):
+    if isinstance(message, AppendEntriesResponse):
         return message.term < copy.term or (message.term == copy.term and copy.role is not Role.LEADER)
     return False
 
@@ -167,9 +185,9 @@
 class Explorer:
     """Of one small world."""
 
-    def __init__(self, budget: Budget, copies: int = 3, make: Make = Copy) -> None:
+    def __init__(self, budget: Budget, copies: int = 3, make: Make = RaftNode) -> None:
         self._make = make
-        self._first = Config(tuple(range(1, copies + 1)))
+        self._first = Configuration(tuple(range(1, copies + 1)))
         self._budget = budget
         voters = self._first.voters
         self._names = [dict(zip(voters, names, strict=True)) for names in itertools.permutations(voters)]
@@ -179,17 +197,25 @@
 
     def begin(self) -> World:
         """All copies with empty disks, which they know for theirs; none has heard of a leader."""
-        nodes = {number: Node(self._copy(number, Kept()), Kept()) for number in self._first.voters}
+        nodes = {
+            number: Node(self._copy(number, PersistentState()), PersistentState()) for number in self._first.voters
+        }
         world = World(nodes, {}, self._budget, frozenset(), {}, {}, (), frozenset())
         for node in nodes.values():
-            node.copy._heard_leader = LONG_AGO
+            node.copy._leader_contact_at = LONG_AGO
         return world
 
-    def _copy(self, number: int, kept: Kept, proven: bool = True) -> Copy:
+    def _copy(self, number: int, kept: PersistentState, proven: bool = True) -> RaftNode:
         made = self._make(
-            number, replace(kept, entries=list(kept.entries)), self._first, Settings(), random.Random(1), NOW, proven
+            number,
+            replace(kept, entries=list(kept.entries)),
+            self._first,
+            RaftSettings(),
+            random.Random(1),
+            NOW,
+            proven,
         )
-        made._heap.clear()
+        made._timers.clear()
         return made
 
     # What can happen.
@@ -203,7 +229,7 @@
                 yield from self._delivered(world, pair, queue)
         for number, node in sorted(world.nodes.items()):
             copy = node.copy
-            if budget.timeouts and copy.role is not Role.LEADER and copy.may_stand and (not first or number == 1):
+            if budget.timeouts and copy.role is not Role.LEADER and copy.can_campaign and (not first or number == 1):
                 yield from self._event(world, number, f"{number} hears no leader", _stands, timeouts=1)
             if copy.role is Role.LEADER:
                 if budget.commands:
@@ -224,7 +250,7 @@
             if budget.old and not first:
                 after = world.clone()
                 after.budget = replace(budget, old=budget.old - 1)
-                after.nodes[number].kept = Kept()
+                after.nodes[number].kept = PersistentState()
                 self._again(after, number, False)
                 yield f"{number} comes back with the disk of the begin", after
             if budget.cuts and not world.cut and not first:
@@ -242,20 +268,20 @@
             after.cut = frozenset()
             yield "the cut is healed", after
 
-    def _delivered(self, world: World, pair: Pair, queue: tuple[Message, ...]) -> Iterator[tuple[str, World]]:
+    def _delivered(self, world: World, pair: Pair, queue: tuple[RaftMessage, ...]) -> Iterator[tuple[str, World]]:
         source, to = pair
         message = queue[0]
         if to not in world.nodes:
             return
         lately = [True]
-        if isinstance(message, AskVote) and world.nodes[to].copy._heard_leader > LONG_AGO:
+        if isinstance(message, RequestVote) and world.nodes[to].copy._leader_contact_at > LONG_AGO:
             lately = [True, False]
         for heard in lately:
 
-            def event(copy: Copy, heard: bool = heard) -> None:
+            def event(copy: RaftNode, heard: bool = heard) -> None:
                 if not heard:
-                    copy._heard_leader = LONG_AGO
-                copy.message(NOW, source, message)
+                    copy._leader_contact_at = LONG_AGO
+                copy.receive(NOW, source, message)
 
             name = f"{to} gets {type(message).__name__} of {source}" + ("" if heard else ", long after its leader")
             yield from self._event(world, to, name, event, popped=pair)
@@ -265,7 +291,7 @@
         world: World,
         number: int,
         name: str,
-        event: Callable[[Copy], None],
+        event: Callable[[RaftNode], None],
         popped: Pair | None = None,
         **spent: int,
     ) -> Iterator[tuple[str, World]]:
@@ -281,7 +307,7 @@
         event(node.copy)
         if "commands" in spent:
             after.proposed |= {(number, node.copy.last_index, node.copy.term)}
-        writes = sum(isinstance(action, Write) for action in node.copy.out)
+        writes = sum(isinstance(action, DurableWrite) for action in node.copy.actions)
         self._after(after, number)
         yield name, after
         for kept in range(writes if broken is not None else 0):
@@ -290,11 +316,11 @@
             crashed.budget = replace(crashed.budget, crashes=crashed.budget.crashes - 1)
             node = crashed.nodes[number]
             event(node.copy)
-            for action in node.copy.out:
+            for action in node.copy.actions:
                 if isinstance(action, Send):  # what waits for no write may have left
                     self._send(crashed, number, action.to, action.message)
-            for write in [action for action in node.copy.out if isinstance(action, Write)][:kept]:
-                apply(node.kept, write)
+            for write in [action for action in node.copy.actions if isinstance(action, DurableWrite)][:kept]:
+                apply_write(node.kept, write)
             self._again(crashed, number, True)
             yield f"{name}, and ends with {kept} of {writes} writes", crashed
 
@@ -304,7 +330,7 @@
         kept = world.nodes[number].kept
         world.nodes[number].copy = self._copy(number, kept, proven)
         if not proven:
-            world.nodes[number].copy._ask(NOW)
+            world.nodes[number].copy._query_recovery(NOW)
         self._after(world, number)
 
     @staticmethod
@@ -314,7 +340,7 @@
         world.proposed = frozenset(one for one in world.proposed if one[0] != number)
 
     @staticmethod
-    def _send(world: World, source: int, to: int, message: Message) -> None:
+    def _send(world: World, source: int, to: int, message: RaftMessage) -> None:
         pair = source, to
         if pair in world.cut or to not in world.nodes:
             return
@@ -328,39 +354,39 @@
         """Carry out what a copy wants; its writes become durable."""
         node = world.nodes[number]
         copy = node.copy
-        while copy.out:
-            actions, copy.out = copy.out, []
+        while copy.actions:
+            actions, copy.actions = copy.actions, []
             ticket = None
             for action in actions:
                 if isinstance(action, Send):
                     self._send(world, number, action.to, action.message)
-                elif isinstance(action, Write):
-                    apply(node.kept, action)
-                    ticket = action.ticket
-                elif isinstance(action, Committed):
+                elif isinstance(action, DurableWrite):
+                    apply_write(node.kept, action)
+                    ticket = action.sequence
+                elif isinstance(action, EntryCommitted):
                     self._committed(world, number, action.entry)
-                elif isinstance(action, Became):
+                elif isinstance(action, RoleChanged):
                     self._became(world, number, action)
                 else:
-                    assert isinstance(action, Installed)
+                    assert isinstance(action, SnapshotInstalled)
             if ticket is not None:
-                copy.written(NOW, ticket)
+                copy.write_completed(NOW, ticket)
         for (source, to), queue in list(world.queues.items()):
             while to == number and queue and _over(queue[0], copy):
                 queue = world.queues[source, to] = queue[1:]
         # What only counts tickets, rounds and times.
-        copy._heap.clear()
-        copy._index_of.clear()
-        copy._sent_at.clear()
-        copy._ticket = copy._durable = 0
+        copy._timers.clear()
+        copy._last_index_by_write.clear()
+        copy._round_sent_at.clear()
+        copy._last_write = copy._last_durable_write = 0
         copy._durable_index = copy.last_index
-        copy._round, copy._quorum_at, copy.lease_until, copy._nonce = 1, NOW, 0.0, 1
-        for peer in copy._peers.values():
+        copy._heartbeat_round, copy._quorum_contact_at, copy.lease_expires_at, copy._recovery_nonce = 1, NOW, 0.0, 1
+        for peer in copy._progress.values():
             peer.acked_round = 0
 
     # What must hold.
 
-    def _became(self, world: World, number: int, became: Became) -> None:
+    def _became(self, world: World, number: int, became: RoleChanged) -> None:
         if became.role is not Role.LEADER:
             return
         if world.leaders.setdefault(became.term, number) != number:
@@ -371,14 +397,14 @@
                 raise BreachError(f"{number} leads term {became.term} without entry {entry.index}, which was told")
 
     @staticmethod
-    def _committed(world: World, number: int, entry: Entry) -> None:
+    def _committed(world: World, number: int, entry: LogEntry) -> None:
         if world.stands.setdefault(entry.index, entry) != entry:
             raise BreachError(
                 f"entry {entry.index} stands as of term {world.stands[entry.index].term}, at {number} as "
                 f"of term {entry.term}"
             )
         asked = number, entry.index, entry.term
-        if entry.kind is Kind.COMMAND and asked in world.proposed:
+        if entry.kind is EntryKind.COMMAND and asked in world.proposed:
             world.proposed -= {asked}
             world.told = (*world.told, entry)
 
@@ -415,14 +441,14 @@
         return True
 
 
-def _stands(copy: Copy) -> None:
-    copy._heard_leader = LONG_AGO
-    copy._stand(NOW)
+def _stands(copy: RaftNode) -> None:
+    copy._leader_contact_at = LONG_AGO
+    copy._start_election(NOW)
 
 
-def _asked(copy: Copy) -> None:
-    copy.propose(NOW, b"%d.%d" % (copy.me, copy.term))
+def _asked(copy: RaftNode) -> None:
+    copy.propose(NOW, b"%d.%d" % (copy.replica_id, copy.term))
 
 
-def _beats(copy: Copy) -> None:
-    copy._beat(NOW, copy.term)
+def _beats(copy: RaftNode) -> None:
+    copy._heartbeat(NOW, copy.term)
--- a/martenstep/lab/fleet/groups.py
+++ b/martenstep/lab/fleet/groups.py
@@ -18,10 +18,26 @@
 from typing import Any
 
 from martenstep.lab.emulate.core import Sim, Timer
-from martenstep.replication.messages import Config, Entry, Kind, Message
-from martenstep.replication.placement import Change, HandOver, Invite, learning, next_step
-from martenstep.replication.raft import Became, Committed, Copy, Installed, Kept, Role, Send, Settings, Write
-from martenstep.replication.replica_storage import apply
+from martenstep.replication.messages import Configuration, EntryKind, LogEntry, RaftMessage
+from martenstep.replication.placement import (
+    AddReplica,
+    ChangeConfiguration,
+    TransferLeadership,
+    next_step,
+    with_learner,
+)
+from martenstep.replication.raft import (
+    DurableWrite,
+    EntryCommitted,
+    PersistentState,
+    RaftNode,
+    RaftSettings,
+    Role,
+    RoleChanged,
+    Send,
+    SnapshotInstalled,
+)
+from martenstep.replication.replica_storage import apply_write
 
 HEAL_MS = 12_000.0  # without faults, for the group to commit again
 PROPOSE_MS = (15.0, 60.0, 250.0)  # between two of the clients' proposals, by the seed: rare ones leave stale leaders be
@@ -39,14 +55,14 @@
 class Disk:
     """Durable state, and writes that are not durable yet, in order."""
 
-    kept: Kept = field(default_factory=Kept)
-    pending: list[Write] = field(default_factory=list)
+    kept: PersistentState = field(default_factory=PersistentState)
+    pending: list[DurableWrite] = field(default_factory=list)
 
-    def apply(self, write: Write) -> None:
+    def apply(self, write: DurableWrite) -> None:
         """One write becomes durable."""
-        apply(self.kept, write)
+        apply_write(self.kept, write)
 
-    def copied(self) -> Kept:
+    def copied(self) -> PersistentState:
         """What a copy of it would hold."""
         return replace(self.kept, entries=list(self.kept.entries))
 
@@ -58,19 +74,19 @@
     name: str
     id: int
     disk: Disk = field(default_factory=Disk)
-    copy: Copy | None = None
+    copy: RaftNode | None = None
     timer: Timer | None = None
     paused: bool = False
     rate: float = 1.0  # of its clock
     offset: float = 0.0
     state: list[bytes] = field(default_factory=list)  # commands delivered since the log's begin
-    old: Kept | None = None
+    old: PersistentState | None = None
     sync_ms: float = 4.0
     restored: bool = False  # its disk is an old copy
     was_restored: bool = False
     doubted: bool = False  # it could not prove its disk when it ended: kept, so that it cannot at the next start either
     unproven_since: float | None = None
-    inbox: list[tuple[int, Message]] = field(default_factory=list)
+    inbox: list[tuple[int, RaftMessage]] = field(default_factory=list)
     proposed: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # index to term and command
 
     def clock(self, now: float) -> float:
@@ -78,7 +94,7 @@
         return self.offset + now * self.rate
 
 
-Make = Callable[..., Copy]
+Make = Callable[..., RaftNode]
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,19 +106,19 @@
     faults: int = 14  # drawn over the length
     loss: float = 0.03
     lost_disks: int = 1  # machines whose disk is lost or put back old, over the whole run
-    settings: Settings = field(default_factory=Settings)
+    settings: RaftSettings = field(default_factory=RaftSettings)
 
 
 class Group:
     """A play with one seed."""
 
-    def __init__(self, plan: Plan, seed: int, make: Make = Copy) -> None:
+    def __init__(self, plan: Plan, seed: int, make: Make = RaftNode) -> None:
         self.plan, self.seed, self._make = plan, seed, make
         self.sim, self.rng = Sim(), random.Random(seed)
         self.counts: Counter[str] = Counter()
         self.nodes: dict[int, Node] = {}
         self._leaders: dict[int, int] = {}
-        self._stands: dict[int, Entry] = {}  # by index: what was delivered there first
+        self._stands: dict[int, LogEntry] = {}  # by index: what was delivered there first
         self._told: list[tuple[int, bytes]] = []  # index and command that a client was told of, in order
         self._cuts: set[tuple[int, int]] = set()
         self._loss = plan.loss
@@ -112,19 +128,19 @@
         self._over = self._healed = False
         self._gone: set[int] = set()  # identities whose disk is lost
         for number in range(1, plan.copies + 1):
-            drift = plan.settings.drift
+            drift = plan.settings.max_clock_drift
             node = Node(
                 f"m{number}", number, rate=1 + self.rng.uniform(-drift, drift) / 2, offset=self.rng.uniform(0, 1e6)
             )
             self.nodes[number] = node
         self._names = {node.name for node in self.nodes.values()}
-        self.first = Config(tuple(self.nodes), (), tuple((node.id, node.name) for node in self.nodes.values()))
+        self.first = Configuration(tuple(self.nodes), (), tuple((node.id, node.name) for node in self.nodes.values()))
 
     # Machines.
 
     def start(self, node: Node, proven: bool = True) -> None:
         """Its process begins from its disk."""
-        first = self.first if node.id in self.first.voters else Config((0,))
+        first = self.first if node.id in self.first.voters else Configuration((0,))
         node.state, node.proposed, node.paused = [], {}, False
         node.inbox.clear()
         kept = node.disk.copied()
@@ -146,7 +162,7 @@
         """It ends; of what was not synced a drawn part is there, in order."""
         if node.copy is None:
             return
-        node.doubted = node.doubted or not node.copy.proven
+        node.doubted = node.doubted or not node.copy.disk_verified
         node.copy = None
         if node.timer is not None:
             node.timer.cancel()
@@ -159,48 +175,48 @@
         copy = node.copy
         if copy is None:
             return
-        actions, copy.out = copy.out, []
+        actions, copy.actions = copy.actions, []
         for action in actions:
             if isinstance(action, Send):
                 self._send(node, action.to, action.message)
-            elif isinstance(action, Write):
+            elif isinstance(action, DurableWrite):
                 node.disk.pending.append(action)
                 self.sim.after(node.sync_ms * self.rng.uniform(0.5, 2), self._synced, node, copy, action)
-            elif isinstance(action, Committed):
+            elif isinstance(action, EntryCommitted):
                 self._committed(node, copy, action.entry)
-            elif isinstance(action, Installed):
+            elif isinstance(action, SnapshotInstalled):
                 node.state = _commands(action.snapshot.body)
             else:
                 self._became(node, action)
         if node.timer is not None:
             node.timer.cancel()
-        if copy.next_at < float("inf"):
+        if copy.next_timer_at < float("inf"):
             self._arm(node, copy)
 
-    def _arm(self, node: Node, copy: Copy) -> None:
-        due = (copy.next_at - node.offset) / node.rate + 1e-6
+    def _arm(self, node: Node, copy: RaftNode) -> None:
+        due = (copy.next_timer_at - node.offset) / node.rate + 1e-6
         node.timer = self.sim.at(due, self._wake, node, copy)
 
-    def _wake(self, node: Node, copy: Copy) -> None:
+    def _wake(self, node: Node, copy: RaftNode) -> None:
         if node.copy is copy and not node.paused:
-            copy.wake(node.clock(self.sim.now))
+            copy.run_due_timers(node.clock(self.sim.now))
             self._after(node)
 
-    def _synced(self, node: Node, copy: Copy, write: Write) -> None:
+    def _synced(self, node: Node, copy: RaftNode, write: DurableWrite) -> None:
         if node.copy is not copy:
             return
         if node.paused:
             self.sim.after(20.0, self._synced, node, copy, write)
             return
         last = None
-        while node.disk.pending and node.disk.pending[0].ticket <= write.ticket:
+        while node.disk.pending and node.disk.pending[0].sequence <= write.sequence:
             last = node.disk.pending.pop(0)
             node.disk.apply(last)
         if last is not None:
-            copy.written(node.clock(self.sim.now), last.ticket)
+            copy.write_completed(node.clock(self.sim.now), last.sequence)
             self._after(node)
 
-    def _send(self, node: Node, to: int, message: Message) -> None:
+    def _send(self, node: Node, to: int, message: RaftMessage) -> None:
         if (node.id, to) in self._cuts or self.rng.random() < self._loss:
             return
         times = 2 if self.rng.random() < 0.02 else 1
@@ -208,7 +224,7 @@
             late = self.rng.uniform(100, 900) if self.rng.random() < 0.02 else 0.0
             self.sim.after(self.rng.uniform(0.3, 3.0) + late, self._arrive, node.id, to, message)
 
-    def _arrive(self, source: int, to: int, message: Message) -> None:
+    def _arrive(self, source: int, to: int, message: RaftMessage) -> None:
         node = self.nodes.get(to)  # by identity: a machine with another disk is another copy
         if node is None or node.copy is None or node.id != to:
             return
@@ -216,25 +232,25 @@
             if len(node.inbox) < 200:
                 node.inbox.append((source, message))
             return
-        node.copy.message(node.clock(self.sim.now), source, message)
+        node.copy.receive(node.clock(self.sim.now), source, message)
         self._after(node)
 
     # The checker.
 
-    def _became(self, node: Node, became: Became) -> None:
+    def _became(self, node: Node, became: RoleChanged) -> None:
         if became.role is Role.LEADER:
             self.counts["leaders"] += 1
             if self._leaders.setdefault(became.term, node.id) != node.id:
                 raise BrokenError(f"two leaders of term {became.term}: {self._leaders[became.term]} and {node.id}")
 
-    def _committed(self, node: Node, copy: Copy, entry: Entry) -> None:
+    def _committed(self, node: Node, copy: RaftNode, entry: LogEntry) -> None:
         stands = self._stands.setdefault(entry.index, entry)
         if stands != entry:
             raise BrokenError(f"entry {entry.index} is {stands} at one and {entry} at {node.id}")
-        if entry.kind is Kind.COMMAND:
+        if entry.kind is EntryKind.COMMAND:
             node.state.append(entry.data)
         term, command = node.proposed.pop(entry.index, (0, b""))
-        if entry.kind is Kind.COMMAND and (term, command) == (entry.term, entry.data) and not node.paused:
+        if entry.kind is EntryKind.COMMAND and (term, command) == (entry.term, entry.data) and not node.paused:
             self._told.append((entry.index, command))
             self.counts["told"] += 1
 
@@ -249,9 +265,9 @@
 
     def _read_at(self, node: Node) -> None:
         copy = node.copy
-        if copy is not None and copy.may_read(node.clock(self.sim.now)):
+        if copy is not None and copy.can_serve_read(node.clock(self.sim.now)):
             self.counts["reads"] += 1
-            if self._told and copy.commit < max(index for index, _ in self._told[-8:]):
+            if self._told and copy.commit_index < max(index for index, _ in self._told[-8:]):
                 raise BrokenError(f"a read at {node.id} misses what was committed before it was asked")
 
     def _propose(self) -> None:
@@ -279,10 +295,12 @@
         self.sim.after(COMPACT_MS, self._compact)
         for node in list(self.nodes.values()):
             copy = node.copy
-            if copy is not None and not node.paused and copy.commit - copy.base > 2 * KEEP:
-                index = copy.commit - KEEP
+            if copy is not None and not node.paused and copy.commit_index - copy.snapshot_index > 2 * KEEP:
+                index = copy.commit_index - KEEP
                 body = [
-                    entry.data for number in range(1, index + 1) if (entry := self._stands[number]).kind is Kind.COMMAND
+                    entry.data
+                    for number in range(1, index + 1)
+                    if (entry := self._stands[number]).kind is EntryKind.COMMAND
                 ]
                 copy.compact(index, b"\n".join(body))
                 self._after(node)
@@ -298,14 +316,18 @@
             copy = node.copy
             if copy is None or node.paused or copy.role is not Role.LEADER:
                 continue
-            step = next_step(copy.config, copy.me, sorted(self._names), self._gone, here, self.plan.copies, True)
-            if isinstance(step, Invite):
+            step = next_step(
+                copy.configuration, copy.replica_id, sorted(self._names), self._gone, here, self.plan.copies, True
+            )
+            if isinstance(step, AddReplica):
                 self.counts["invited"] += 1
-                copy.change(node.clock(self.sim.now), learning(copy.config, here[step.place].id, step.place))
-            elif isinstance(step, Change):
-                self.counts["changes"] += copy.change(node.clock(self.sim.now), step.config)
-            elif isinstance(step, HandOver):
-                copy.hand_over(node.clock(self.sim.now), step.to)
+                copy.change_configuration(
+                    node.clock(self.sim.now), with_learner(copy.configuration, here[step.node].id, step.node)
+                )
+            elif isinstance(step, ChangeConfiguration):
+                self.counts["changes"] += copy.change_configuration(node.clock(self.sim.now), step.configuration)
+            elif isinstance(step, TransferLeadership):
+                copy.transfer_leadership(node.clock(self.sim.now), step.to)
             self._after(node)
 
     # Faults.
@@ -358,16 +380,16 @@
             node.paused = True
             self.sim.after(self.rng.uniform(100, 3000), self._resume, node, node.copy)
 
-    def _resume(self, node: Node, copy: Copy) -> None:
+    def _resume(self, node: Node, copy: RaftNode) -> None:
         if node.copy is not copy or not node.paused:
             return
         node.paused = False
         now = node.clock(self.sim.now)
         waiting, node.inbox = node.inbox, []
         if self.rng.random() < 0.5:
-            copy.wake(now)
+            copy.run_due_timers(now)
         for source, message in waiting:
-            copy.message(now, source, message)
+            copy.receive(now, source, message)
             self._read_at(node)  # between two messages of its buffer
         self._after(node)
 
@@ -441,7 +463,7 @@
     def _hand_over(self, _: Node) -> None:
         for node in self.nodes.values():
             if node.copy is not None and not node.paused and node.copy.role is Role.LEADER:
-                node.copy.hand_over(node.clock(self.sim.now))
+                node.copy.transfer_leadership(node.clock(self.sim.now))
                 self._after(node)
 
     def _lossy(self, _: Node) -> None:
@@ -482,9 +504,15 @@
         self.sim.after(500.0, self._people)
         for node in list(self.nodes.values()):
             copy = node.copy
-            if copy is not None and copy.proven and copy.short and not node.was_restored and self._gone:
+            if (
+                copy is not None
+                and copy.disk_verified
+                and copy.is_below_log_floor
+                and not node.was_restored
+                and self._gone
+            ):
                 self._vouch(node, copy)  # it waits for what a machine had that is lost
-            if copy is None or copy.proven:
+            if copy is None or copy.disk_verified:
                 if copy is not None and not node.disk.pending:  # what it was told is durable
                     node.unproven_since, node.doubted, node.restored = None, False, False
             elif node.unproven_since is not None and self.sim.now - node.unproven_since > STAFF_MS and not node.paused:
@@ -494,9 +522,9 @@
                 else:
                     self._vouch(node, copy)
 
-    def _vouch(self, node: Node, copy: Copy) -> None:
+    def _vouch(self, node: Node, copy: RaftNode) -> None:
         self.counts["vouched"] += 1
-        copy.vouch(node.clock(self.sim.now))
+        copy.confirm_disk(node.clock(self.sim.now))
         self._after(node)
 
     def _join(self, node: Node) -> None:
@@ -540,7 +568,8 @@
             for node in self.nodes.values()
             if node.copy is not None
             and node.copy.role is Role.LEADER
-            and node.copy.commit == max(other.copy.commit for other in self.nodes.values() if other.copy is not None)
+            and node.copy.commit_index
+            == max(other.copy.commit_index for other in self.nodes.values() if other.copy is not None)
         ]
         if not leaders:
             raise BrokenError(f"nobody leads at the end: {self._states()}")
@@ -560,9 +589,9 @@
                     node.copy.role.value,
                     node.copy.term,
                     node.copy.last_index,
-                    node.copy.commit,
-                    node.copy.proven,
-                    node.copy.config,
+                    node.copy.commit_index,
+                    node.copy.disk_verified,
+                    node.copy.configuration,
                 ),
             )
             for node in self.nodes.values()
--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -23,7 +23,7 @@
 from martenstep.counter.replicated_counter import CopiedCounter
 from martenstep.counter.shards import Shards, owner
 from martenstep.policy.messages import CallResult
-from martenstep.replication.verify import Found, differences, furthest, read_folder
+from martenstep.replication.verify import StoredReplica, find_differences, find_most_advanced, read_folder
 
 EXPIRE_MS = 3_600_000.0
 TIMEOUT_MS = 1000.0
@@ -149,7 +149,7 @@
     def judge(self, folders: Sequence[Path]) -> list[str]:
         """What was promised and does not hold, a line each; the doors must have ended."""
         found = [one for folder in folders if (folder / "groups").exists() for one in read_folder(folder)]
-        breaches = [line for asker in self.askers for line in asker.breaches] + differences(found)
+        breaches = [line for asker in self.askers for line in asker.breaches] + find_differences(found)
         totals, tries = _held(found, self._names)
         sent: Counter[int] = Counter()
         for asker in self.askers:
@@ -177,12 +177,12 @@
         }
 
 
-def _held(found: list[Found], names: int) -> tuple[Counter[int], int]:
+def _held(found: list[StoredReplica], names: int) -> tuple[Counter[int], int]:
     """Totals by name and the number of tries, from the furthest copy of each group."""
     totals: Counter[int] = Counter()
     tries = 0
-    for one in furthest(found).values():
-        machine = CopiedCounter.of(one.kept)
+    for one in find_most_advanced(found).values():
+        machine = CopiedCounter.of(one.state)
         totals.update({name: int(machine.total(name)) for name in range(names)})
         tries += sum(use.tries for use in machine.counter.uses().values())
     return totals, tries
--- a/martenstep/lab/fleet/rig.py
+++ b/martenstep/lab/fleet/rig.py
@@ -31,7 +31,7 @@
 from martenstep.lab.play import PlayError, Process
 from martenstep.lab.ports import held_ports
 from martenstep.membership.core import Address
-from martenstep.replication.replica_manager import disk_identity
+from martenstep.replication.replica_manager import load_disk_identity
 from martenstep.standins.base import now_ms
 from martenstep.storage.files import FAULTS, Disk
 
@@ -186,7 +186,7 @@
             self._place(member.name, member, (f"127.0.1.{number + 1}", port))
             if number < self._schedule.copies and self._schedule.slots:
                 with contextlib.closing(Disk(self._places[member.name].copies)) as disk:
-                    self._founders[member.name] = disk_identity(disk).id
+                    self._founders[member.name] = load_disk_identity(disk).id
         for number, entry in enumerate(self._schedule.trouble):
             if entry.what not in (pb.TWIN, pb.SQUAT):
                 continue
--- a/martenstep/lab/held.py
+++ b/martenstep/lab/held.py
@@ -12,9 +12,9 @@
 from martenstep.counter.protocol import FrameError, Record, Status, Stored
 from martenstep.counter.replicated_counter import CopiedCounter, command_of
 from martenstep.lab import day_pb2 as pb
-from martenstep.replication.messages import Kind
-from martenstep.replication.replica_manager import GROUPS, disk_identity
-from martenstep.replication.verify import Found, furthest, read_folder
+from martenstep.replication.messages import EntryKind
+from martenstep.replication.replica_manager import GROUPS_FOLDER, load_disk_identity
+from martenstep.replication.verify import StoredReplica, find_most_advanced, read_folder
 from martenstep.storage.files import Disk
 
 SEEDS = 3  # doors that are told to all
@@ -32,7 +32,7 @@
         self._founders: dict[str, int] = {}
         for number in range(min(day.held_by_doors.copies, day.fleet.doors)):
             with contextlib.closing(Disk(self.disk(number) / "copies")) as disk:
-                self._founders[f"door-{number}"] = disk_identity(disk).id
+                self._founders[f"door-{number}"] = load_disk_identity(disk).id
 
     def disk(self, number: int) -> Path:
         """What a door keeps."""
@@ -74,19 +74,19 @@
     found = [
         one
         for folder in sorted((out / FOLDER).glob("door-*/copies"))
-        if (folder / GROUPS).exists()
+        if (folder / GROUPS_FOLDER).exists()
         for one in read_folder(folder)
         if one.group.startswith("counter-")
     ]
-    return [told for one in furthest(found).values() for told in _tries(one)]
+    return [told for one in find_most_advanced(found).values() for told in _tries(one)]
 
 
-def _tries(found: Found) -> Iterable[tuple[str, str, float]]:
-    if found.kept.snapshot is not None:
+def _tries(found: StoredReplica) -> Iterable[tuple[str, str, float]]:
+    if found.state.snapshot is not None:
         raise ValueError(f"{found.folder}: its first entries are in a snapshot, which does not hold tries one by one")
     machine = CopiedCounter()
-    for entry in found.kept.entries:
-        if entry.kind is not Kind.COMMAND:
+    for entry in found.state.entries:
+        if entry.kind is not EntryKind.COMMAND:
             continue
         reply = machine.apply(entry.data)
         if isinstance(reply, Stored) and reply.status is Status.DONE:
--- a/martenstep/maintenance/coordinator.py
+++ b/martenstep/maintenance/coordinator.py
@@ -30,8 +30,8 @@
     What,
     entry,
 )
-from martenstep.replication.replica import Host, InDoubtError, NotLeaderError, now_ms
-from martenstep.replication.replica_manager import Keeper, UnansweredError
+from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica, now_ms
+from martenstep.replication.replica_manager import LeaderUnreachableError, ReplicaManager
 
 GROUP = "orders"
 TEND_S = 0.5
@@ -99,7 +99,7 @@
         me: str,
         zone: str,
         capacity: float,
-        keeper: Keeper,
+        keeper: ReplicaManager,
         ready: Callable[[], bool],
         known: Callable[[], Iterable[tuple[str, str]]],
         leave: Callable[[str], None],
@@ -114,7 +114,7 @@
         self._reports: dict[str, tuple[float, Report]] = {}
         self._told_at = 0.0
         self._tending: asyncio.Task[None] | None = None
-        keeper.answers[GROUP] = self._asked
+        keeper.leader_handlers[GROUP] = self._asked
 
     def start(self) -> None:
         """Take part."""
@@ -130,41 +130,41 @@
     async def tell(self, what: What) -> Answer:
         """Put something into the book; raises UnansweredError where nobody leads it within some seconds.  It is then in
         doubt: the same again is one."""
-        return _answer(await self._keeper.ask(GROUP, _encode(what), WITHIN_S))
+        return _answer(await self._keeper.request_leader(GROUP, _encode(what), WITHIN_S))
 
     async def look(self) -> View:
         """The book; raises UnansweredError."""
-        return _view(await self._keeper.ask(GROUP, _encode(Look()), WITHIN_S))
+        return _view(await self._keeper.request_leader(GROUP, _encode(Look()), WITHIN_S))
 
     # Answering, where this door leads the book.
 
-    async def _asked(self, host: Host, data: bytes) -> bytes:
+    async def _asked(self, host: Replica, data: bytes) -> bytes:
         """Raises NotLeaderError, InDoubtError."""
         try:
             question = _question(data)
         except msgspec.MsgspecError as error:
             return _encode(Answer(False, f"a question that cannot be read: {error}"))
         if isinstance(question, Report):
-            if host.copy.leader != host.copy.me:
-                raise NotLeaderError(host.copy.leader)
+            if host.raft.leader != host.raft.replica_id:
+                raise NotLeaderError(host.raft.leader)
             self._reports[question.machine] = now_ms(), question
             return _encode(Answer(True))
-        assert isinstance(host.machine, Book)
+        assert isinstance(host.state_machine, Book)
         if isinstance(question, Look):
-            await host.read()
-            return _encode(view_of(host.machine, self.me))
+            await host.confirm_leadership()
+            return _encode(view_of(host.state_machine, self.me))
         return _encode(await self._put(host, question))
 
-    async def _put(self, host: Host, what: What) -> Answer:
+    async def _put(self, host: Replica, what: What) -> Answer:
         answer: Answer = await host.propose(entry(self._time(host), what))
         return answer
 
-    def _time(self, host: Host) -> float:
+    def _time(self, host: Replica) -> float:
         """The book's time now; only a leader's entries stand, so a clock of a term that is over does no harm."""
-        assert isinstance(host.machine, Book)
-        term = host.copy.term
+        assert isinstance(host.state_machine, Book)
+        term = host.raft.term
         if self._clock is None or self._clock[0] != term:
-            self._clock = term, Clock(host.machine.now, now_ms())
+            self._clock = term, Clock(host.state_machine.now, now_ms())
             self._reports = {name: told for name, told in self._reports.items() if told[0] > now_ms() - REPORT_MS}
         return self._clock[1].at(now_ms())
 
@@ -196,24 +196,24 @@
             await asyncio.sleep(TEND_S)
             try:
                 await self._turn()
-            except (NotLeaderError, InDoubtError, UnansweredError):
+            except (NotLeaderError, IndeterminateError, LeaderUnreachableError):
                 pass  # nobody leads just now
             except Exception as error:  # a door goes on serving whatever is wrong with its orders
                 self._log_event("fault", {"where": "orders", "error": repr(error)})
 
     async def _turn(self) -> None:
-        await self._keeper.ask(GROUP, _encode(self._report()), WITHIN_S)
-        host = self._keeper.host(GROUP)
-        if host is not None and host.copy.may_read(now_ms()) and isinstance(host.machine, Book):
-            sight, now = self._sight(host.machine), now_ms()
-            if sight != host.machine.sight or now - self._told_at > SIGHT_MS:
+        await self._keeper.request_leader(GROUP, _encode(self._report()), WITHIN_S)
+        host = self._keeper.replica(GROUP)
+        if host is not None and host.raft.can_serve_read(now_ms()) and isinstance(host.state_machine, Book):
+            sight, now = self._sight(host.state_machine), now_ms()
+            if sight != host.state_machine.sight or now - self._told_at > SIGHT_MS:
                 await self._put(host, sight)
                 self._told_at = now
         await self._own(await self.look())
 
     def _report(self) -> Report:
         led = []
-        for group, places, whole in self._keeper.led():
+        for group, places, whole in self._keeper.led_groups():
             if group != GROUP:
                 led.append(Group(group, tuple(sorted(places)), whole))
         return Report(self.me, self._zone, self._capacity, self._ready(), tuple(led))
@@ -248,8 +248,8 @@
 
     def gauges(self) -> dict[str, float]:
         """For metrics, of the copy that is here."""
-        host = self._keeper.host(GROUP)
-        if host is None or not isinstance(host.machine, Book):
+        host = self._keeper.replica(GROUP)
+        if host is None or not isinstance(host.state_machine, Book):
             return {}
-        states = [held.state for held in host.machine.requests.values()]
+        states = [held.state for held in host.state_machine.requests.values()]
         return {f"maintenance_{state.value}": states.count(state) for state in State}
--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -38,7 +38,7 @@
     def view(self) -> dict[str, Any]:
         """The groups and their copies."""
 
-    def move(self, group: str, to: str) -> bool:
+    def transfer_leadership(self, group: str, to: str) -> bool:
         """Let the copy at another place lead."""
 
 
@@ -137,7 +137,7 @@
                 return 405, "text/plain", b"POST moves\n"
             asked = parse_qs(query)
             group, to = asked.get("group", [""])[-1], asked.get("to", [""])[-1]
-            if not self._copies.move(group, to):
+            if not self._copies.transfer_leadership(group, to):
                 return 409, "text/plain", b"this door does not lead that group, or the other does not hold it\n"
         elif path != "/copies":
             return 404, "text/plain", b"there are: /copies /copies/move\n"
@@ -148,7 +148,7 @@
         if self._orders is None:
             return 404, "text/plain", b"the settings have no maintenance\n"
         from martenstep.maintenance.queue import What
-        from martenstep.replication.replica_manager import UnansweredError
+        from martenstep.replication.replica_manager import LeaderUnreachableError
 
         if path != "/maintenance":
             return 404, "text/plain", b"there is: /maintenance\n"
@@ -159,7 +159,7 @@
             return 200, "application/json", msgspec.json.encode(await self._orders.tell(what))
         except msgspec.DecodeError as error:
             return 400, "text/plain", f"what: {error}\n".encode()
-        except UnansweredError as error:
+        except LeaderUnreachableError as error:
             return 503, "text/plain", f"{error}\n".encode()
 
     def answer(self, path: str) -> Answer:
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -138,13 +138,13 @@
     async def _hold_copies(self, fleet: Membership) -> None:
         """Hold what others rely on.  What is wrong with it keeps nobody from serving: the copies elsewhere go on."""
         from martenstep.counter.sharded_counter import HeldByDoors
-        from martenstep.replication.replica_manager import KeeperError
+        from martenstep.replication.replica_manager import ReplicaManagerError
         from martenstep.storage.files import LockedError
 
         self.copies = HeldByDoors(self.door, fleet, self.event_logger.log, self._deliver)
         try:
             self.ports.update(await self.copies.start())
-        except (KeeperError, LockedError, OSError) as error:
+        except (ReplicaManagerError, LockedError, OSError) as error:
             self.event_logger.log("copies not held", {"error": str(error)})
             await self.copies.stop()
         self._admin.copies(self.copies.keeper)
--- a/martenstep/replication/background_snapshot.py
+++ b/martenstep/replication/background_snapshot.py
@@ -13,12 +13,12 @@
 import signal
 from collections.abc import Callable
 
-READ_BYTES = 1 << 20
-FIRST = 3  # file descriptors below are the standard ones
-MOST_FILES = 1 << 20
+READ_CHUNK_BYTES = 1 << 20
+FIRST_INHERITED_FD = 3  # file descriptors below are the standard ones
+MAX_FD = 1 << 20
 
 
-class Aside:
+class BackgroundSnapshot:
     """One snapshot under way."""
 
     def __init__(self, make: Callable[[], bytes]) -> None:
@@ -34,21 +34,21 @@
             _child(make, write)
         os.close(write)
 
-    async def body(self) -> bytes | None:
+    async def result(self) -> bytes | None:
         """What was made; None where the child failed."""
         return await asyncio.to_thread(self._wait)
 
     def _wait(self) -> bytes | None:
         parts = []
         try:
-            while part := os.read(self._read, READ_BYTES):
+            while part := os.read(self._read, READ_CHUNK_BYTES):
                 parts.append(part)
         finally:
             os.close(self._read)
             _, status = os.waitpid(self.pid, 0)
         return b"".join(parts) if status == 0 else None
 
-    def end(self) -> None:
+    def cancel(self) -> None:
         """It is not wanted any more; `body` then gives None."""
         os.kill(self.pid, signal.SIGKILL)
 
@@ -56,8 +56,8 @@
 def _child(make: Callable[[], bytes], write: int) -> None:
     code = 1
     try:
-        os.closerange(FIRST, write)
-        os.closerange(write + 1, MOST_FILES)
+        os.closerange(FIRST_INHERITED_FD, write)
+        os.closerange(write + 1, MAX_FD)
         data = memoryview(make())
         while data:
             data = data[os.write(write, data) :]
--- a/martenstep/replication/placement.py
+++ b/martenstep/replication/placement.py
@@ -16,35 +16,35 @@
 from dataclasses import dataclass
 
 from martenstep.membership.ownership import holders
-from martenstep.replication.messages import Config
+from martenstep.replication.messages import Configuration
 
 
 @dataclass(frozen=True, slots=True)
-class Invite:
+class AddReplica:
     """Ask a place to begin a copy."""
 
-    place: str
+    node: str
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class ChangeConfiguration:
     """Put another configuration in place; the core refuses it until it may be, and a learner until it is near."""
 
-    config: Config
-    why: str
+    configuration: Configuration
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class HandOver:
+class TransferLeadership:
     """Let another copy lead: this one is to go."""
 
     to: int
 
 
-Step = Invite | Change | HandOver
+Step = AddReplica | ChangeConfiguration | TransferLeadership
 
 
-class Away:
+class AbsenceTracker:
     """Since when places have not been there, as far as this machine knows."""
 
     def __init__(self, final_ms: float) -> None:
@@ -52,7 +52,7 @@
         self._final = final_ms
         self._since: dict[str, float] = {}
 
-    def look(self, now: float, present: Collection[str], held: Iterable[str]) -> None:
+    def observe(self, now: float, present: Collection[str], held: Iterable[str]) -> None:
         """Who is there now, and which places hold copies."""
         held = set(held)
         self._since = {place: self._since.get(place, now) for place in held if place not in present}
@@ -62,9 +62,9 @@
         return {place for place, since in self._since.items() if now - since >= self._final}
 
 
-def wanted(
+def desired_nodes(
     group: str,
-    config: Config,
+    config: Configuration,
     zones: Mapping[str, str],
     present: Collection[str],
     lost: Collection[str],
@@ -76,7 +76,7 @@
     `zones` tells the zone of every place that is known; a holder that is not known counts as a zone of its own.
     `first` is a place that should hold it in any case, as long as it is not lost: the others are then in other zones if
     they can be."""
-    held = {place for copy, place in config.homes if copy in config.voters}
+    held = {place for copy, place in config.locations if copy in config.voters}
     able = {place: zones.get(place, f"?{place}") for place in (set(present) | held) - set(lost)}
     if first is None or first not in able:
         return holders(group, able.items(), count)
@@ -86,27 +86,27 @@
     return [first, *line[: count - 1]]
 
 
-def without(config: Config, copy: int) -> Config:
+def without_replica(config: Configuration, copy: int) -> Configuration:
     """The same without one copy."""
-    return Config(
+    return Configuration(
         tuple(one for one in config.voters if one != copy),
         tuple(one for one in config.learners if one != copy),
-        tuple(home for home in config.homes if home[0] != copy),
+        tuple(home for home in config.locations if home[0] != copy),
     )
 
 
-def learning(config: Config, copy: int, place: str) -> Config:
+def with_learner(config: Configuration, copy: int, place: str) -> Configuration:
     """The same with one more copy that learns."""
-    return Config(config.voters, (*config.learners, copy), (*config.homes, (copy, place)))
+    return Configuration(config.voters, (*config.learners, copy), (*config.locations, (copy, place)))
 
 
-def counting(config: Config, copy: int) -> Config:
+def with_promoted_learner(config: Configuration, copy: int) -> Configuration:
     """The same with a learner that counts from now on."""
-    return Config((*config.voters, copy), tuple(one for one in config.learners if one != copy), config.homes)
+    return Configuration((*config.voters, copy), tuple(one for one in config.learners if one != copy), config.locations)
 
 
 def next_step(
-    config: Config,
+    config: Configuration,
     me: int,
     places: list[str],
     gone: Collection[int],
@@ -122,7 +122,7 @@
     majority stays what it was.  `may_fill` is False while other groups are being filled from here.  `first` is the
     place that should lead.
     """
-    home = dict(config.homes)
+    home = dict(config.locations)
     sound: dict[str, int] = {}
     for copy in config.voters:
         place = home.get(copy, "")
@@ -130,20 +130,20 @@
             sound[place] = copy
     for copy in config.learners:
         if copy in gone or home.get(copy) not in places or home[copy] in sound:
-            return Change(without(config, copy), "a learner that is not wanted any more")
+            return ChangeConfiguration(without_replica(config, copy), "a learner that is not wanted any more")
     spare = [copy for copy in config.voters if copy not in sound.values()]
     if len(config.voters) > count:  # then there are spare ones, as `places` are no more than `count`
         # Lost ones first, this copy last: a copy that leads its own leaving costs an election.
         out = min(spare, key=lambda copy: (copy == me, copy not in gone and home.get(copy) in present))
         if out == me:
             heirs = [copy for place, copy in sound.items() if place in present]
-            return HandOver(heirs[0]) if heirs else None
-        return Change(without(config, out), "a copy that is lost, or not wanted here")
+            return TransferLeadership(heirs[0]) if heirs else None
+        return ChangeConfiguration(without_replica(config, out), "a copy that is lost, or not wanted here")
     if config.learners:
-        return Change(counting(config, config.learners[0]), "it has learned")
+        return ChangeConfiguration(with_promoted_learner(config, config.learners[0]), "it has learned")
     for place in places:
         if place not in sound and place in present and may_fill:
-            return Invite(place)
+            return AddReplica(place)
     if first in sound and first in present and sound[first] != me:
-        return HandOver(sound[first])
+        return TransferLeadership(sound[first])
     return None
--- a/martenstep/replication/replica_storage.py
+++ b/martenstep/replication/replica_storage.py
@@ -20,126 +20,126 @@
 import google_crc32c
 import msgspec
 
-from martenstep.replication.messages import Entry, Snapshot
-from martenstep.replication.raft import Kept, Write
+from martenstep.replication.messages import LogEntry, Snapshot
+from martenstep.replication.raft import DurableWrite, PersistentState
 from martenstep.storage.files import Files
 from martenstep.storage.log import LogError, Writer, compact, open_log, write_snapshot
 
-IDENTITY, WITNESS = "copy.json", "witness"
+IDENTITY_FILE, WITNESS_FILE = "copy.json", "witness"
 SEGMENT_BYTES = 4 << 20
-LINE_BYTES = 96 << 10  # of the entries of one line: below what the log takes for damage
-SLOT = 64  # bytes of a witness's mark, far within a sector
+MAX_RECORD_BYTES = 96 << 10  # of the entries of one line: below what the log takes for damage
+WITNESS_SLOT_BYTES = 64  # bytes of a witness's mark, far within a sector
 _MARK = struct.Struct(">QQQ")
-ENTRY_BYTES = 64 << 10  # of one entry's data: more is refused where it is proposed
+MAX_ENTRY_BYTES = 64 << 10  # of one entry's data: more is refused where it is proposed
 
 
-class Line(msgspec.Struct, array_like=True, frozen=True):
+class WriteRecord(msgspec.Struct, array_like=True, frozen=True):
     """One durable write, or a part of it."""
 
     term: int
-    vote: int | None
-    floor: tuple[int, int]
-    cut_from: int | None
-    entries: tuple[Entry, ...]
+    voted_for: int | None
+    log_floor: tuple[int, int]
+    truncate_from: int | None
+    entries: tuple[LogEntry, ...]
 
 
-class Image(msgspec.Struct, array_like=True, frozen=True):
+class StateImage(msgspec.Struct, array_like=True, frozen=True):
     """All that holds, as a snapshot of the log has it."""
 
     term: int
-    vote: int | None
-    floor: tuple[int, int]
+    voted_for: int | None
+    log_floor: tuple[int, int]
     snapshot: Snapshot | None
-    entries: list[Entry]
+    entries: list[LogEntry]
 
 
-class Identity(msgspec.Struct):
+class ReplicaIdentity(msgspec.Struct):
     """Whose disk this is."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class WitnessMark:
     """What the witness knows: of `number` marks the latest."""
 
     number: int
-    id: int
-    lines: int
+    replica: int
+    records: int
 
-    def packed(self) -> bytes:
+    def encode(self) -> bytes:
         """One slot's bytes."""
-        told = _MARK.pack(self.number, self.id, self.lines)
+        told = _MARK.pack(self.number, self.replica, self.records)
         return told + int(google_crc32c.value(told)).to_bytes(4, "big")
 
 
-def mark_of(data: bytes) -> Mark | None:
+def read_witness_mark(data: bytes) -> WitnessMark | None:
     """The latest of a witness's slots that are whole."""
     marks = []
-    for at in (0, SLOT):
+    for at in (0, WITNESS_SLOT_BYTES):
         told, check = data[at : at + _MARK.size], data[at + _MARK.size : at + _MARK.size + 4]
         if len(check) == 4 and google_crc32c.value(told) == int.from_bytes(check, "big"):
-            marks.append(Mark(*_MARK.unpack(told)))
+            marks.append(WitnessMark(*_MARK.unpack(told)))
     return max(marks, key=lambda mark: mark.number, default=None)
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_line = msgspec.msgpack.Decoder(Line).decode
-_image = msgspec.msgpack.Decoder(Image).decode
+_line = msgspec.msgpack.Decoder(WriteRecord).decode
+_image = msgspec.msgpack.Decoder(StateImage).decode
 
 
-class StoreError(Exception):
+class ReplicaStorageError(Exception):
     """A disk that cannot be read: what is wrong, and where."""
 
 
-def apply(kept: Kept, line: Line | Write) -> None:
+def apply_write(kept: PersistentState, line: WriteRecord | DurableWrite) -> None:
     """Let a durable write hold."""
-    kept.term, kept.vote, kept.floor = line.term, line.vote, line.floor
-    if line.cut_from is not None:
-        kept.entries = [entry for entry in kept.entries if entry.index < line.cut_from]
-    if isinstance(line, Write) and line.snapshot is not None:
+    kept.term, kept.voted_for, kept.log_floor = line.term, line.voted_for, line.log_floor
+    if line.truncate_from is not None:
+        kept.entries = [entry for entry in kept.entries if entry.index < line.truncate_from]
+    if isinstance(line, DurableWrite) and line.snapshot is not None:
         kept.snapshot = line.snapshot
         kept.entries = [entry for entry in kept.entries if entry.index > line.snapshot.index]
     kept.entries += line.entries
 
 
-def together(writes: list[Write]) -> list[Write]:
+def coalesce_writes(writes: list[DurableWrite]) -> list[DurableWrite]:
     """Writes that only add entries, joined with the one before: a group that is synced together needs few lines."""
-    groups: list[list[Write]] = []
+    groups: list[list[DurableWrite]] = []
     for write in writes:
         last = groups[-1][-1] if groups else None
         if (
             last is not None
-            and write.cut_from is None
+            and write.truncate_from is None
             and write.snapshot is None
             and last.snapshot is None
-            and (write.term, write.vote, write.floor) == (last.term, last.vote, last.floor)
+            and (write.term, write.voted_for, write.log_floor) == (last.term, last.voted_for, last.log_floor)
         ):
             groups[-1].append(write)
         else:
             groups.append([write])
     return [
-        replace(group[0], ticket=group[-1].ticket, entries=tuple(entry for one in group for entry in one.entries))
+        replace(group[0], sequence=group[-1].sequence, entries=tuple(entry for one in group for entry in one.entries))
         for group in groups
     ]
 
 
-def lines_of(write: Write) -> list[bytes]:
+def encode_write(write: DurableWrite) -> list[bytes]:
     """A write as lines, none longer than the log takes."""
     made: list[bytes] = []
-    part: list[Entry] = []
-    size, cut = 0, write.cut_from
+    part: list[LogEntry] = []
+    size, cut = 0, write.truncate_from
     for entry in write.entries:
-        if part and size + len(entry.data) > LINE_BYTES:
-            made.append(_encode(Line(write.term, write.vote, write.floor, cut, tuple(part))))
+        if part and size + len(entry.data) > MAX_RECORD_BYTES:
+            made.append(_encode(WriteRecord(write.term, write.voted_for, write.log_floor, cut, tuple(part))))
             part, size, cut = [], 0, None
         part.append(entry)
         size += len(entry.data)
-    made.append(_encode(Line(write.term, write.vote, write.floor, cut, tuple(part))))
+    made.append(_encode(WriteRecord(write.term, write.voted_for, write.log_floor, cut, tuple(part))))
     return made
 
 
-class Store:
+class ReplicaStorage:
     """One copy's disk."""
 
     def __init__(
@@ -152,95 +152,100 @@
         identity follows from the settings, so a disk that was put back from before the founding would get it again, and
         with it a vote that it has given already."""
         self._files, self._witness = files, witness
-        self._marks, self._marked = 0, False  # marks so far, and whether the file is there as this process wrote it
+        self._mark_number, self._witness_written = (
+            0,
+            False,
+        )  # marks so far, and whether the file is there as this process wrote it
         try:
             opened = open_log(files)
-            self.kept = self._image(opened.snapshot)
+            self.state = self._decode_image(opened.snapshot)
             for entry in opened.entries:
                 if len(entry) > 1:  # a seal says nothing
-                    apply(self.kept, _line(entry))
+                    apply_write(self.state, _line(entry))
             self._writer = Writer(files, opened, SEGMENT_BYTES)
         except LogError as error:
-            raise StoreError(str(error)) from None
+            raise ReplicaStorageError(str(error)) from None
         except msgspec.DecodeError as error:
-            raise StoreError(f"a line that is none: {error}") from None
-        self.id, fresh = self._identity(rng, founding)
-        self.proven = (fresh and (founding is None or alone)) or (not fresh and self._proven())
-        if not self.proven:
-            self._forget()
+            raise ReplicaStorageError(f"a line that is none: {error}") from None
+        self.replica_id, fresh = self._identity(rng, founding)
+        self.disk_verified = (fresh and (founding is None or alone)) or (not fresh and self._is_disk_verified())
+        if not self.disk_verified:
+            self._remove_witness()
         elif fresh:
-            self._mark()
+            self._write_witness()
 
     @staticmethod
-    def _image(body: bytes | None) -> Kept:
+    def _decode_image(body: bytes | None) -> PersistentState:
         if body is None:
-            return Kept()
+            return PersistentState()
         image = _image(body)
-        return Kept(image.term, image.vote, list(image.entries), image.snapshot, image.floor)
+        return PersistentState(image.term, image.voted_for, list(image.entries), image.snapshot, image.log_floor)
 
     def _identity(self, rng: random.Random, founding: int | None) -> tuple[int, bool]:
         """Drawn once, before the first line; lines without it are nobody's."""
-        if IDENTITY in self._files.names():
+        if IDENTITY_FILE in self._files.names():
             try:
-                return msgspec.json.decode(self._files.read(IDENTITY), type=Identity).id, False
+                return msgspec.json.decode(self._files.read(IDENTITY_FILE), type=ReplicaIdentity).id, False
             except msgspec.DecodeError as error:
-                raise StoreError(f"{IDENTITY}: {error}") from None
-        if self.kept.term or self.kept.entries or self.kept.snapshot is not None:
-            raise StoreError(f"{IDENTITY} is missing beside a log that promises something: empty the disk to join anew")
+                raise ReplicaStorageError(f"{IDENTITY_FILE}: {error}") from None
+        if self.state.term or self.state.entries or self.state.snapshot is not None:
+            raise ReplicaStorageError(
+                f"{IDENTITY_FILE} is missing beside a log that promises something: empty the disk to join anew"
+            )
         drawn = rng.getrandbits(53) if founding is None else founding
-        self._files.write_aside(IDENTITY, msgspec.json.encode(Identity(drawn)))
+        self._files.write_aside(IDENTITY_FILE, msgspec.json.encode(ReplicaIdentity(drawn)))
         return drawn, True
 
-    def _proven(self) -> bool:
-        if self._witness is None or WITNESS not in self._witness.names():
+    def _is_disk_verified(self) -> bool:
+        if self._witness is None or WITNESS_FILE not in self._witness.names():
             return False
-        mark = mark_of(self._witness.read(WITNESS))
+        mark = read_witness_mark(self._witness.read(WITNESS_FILE))
         if mark is None:
             return False
-        self._marks = mark.number
-        return mark.id == self.id and mark.lines <= self._writer.next
+        self._mark_number = mark.number
+        return mark.replica == self.replica_id and mark.records <= self._writer.next
 
-    def _forget(self) -> None:
-        if self._witness is not None and WITNESS in self._witness.names():
-            self._witness.remove(WITNESS)
+    def _remove_witness(self) -> None:
+        if self._witness is not None and WITNESS_FILE in self._witness.names():
+            self._witness.remove(WITNESS_FILE)
 
-    def _mark(self) -> None:
+    def _write_witness(self) -> None:
         if self._witness is None:
             return
-        self._marks += 1
-        data = Mark(self._marks, self.id, self._writer.synced).packed()
-        if self._marked:
-            self._witness.patch(WITNESS, self._marks % 2 * SLOT, data)
+        self._mark_number += 1
+        data = WitnessMark(self._mark_number, self.replica_id, self._writer.synced).encode()
+        if self._witness_written:
+            self._witness.patch(WITNESS_FILE, self._mark_number % 2 * WITNESS_SLOT_BYTES, data)
         else:
-            self._witness.write_aside(WITNESS, data.ljust(SLOT, b"\0") * 2)
-            self._marked = True
+            self._witness.write_aside(WITNESS_FILE, data.ljust(WITNESS_SLOT_BYTES, b"\0") * 2)
+            self._witness_written = True
 
-    def proved(self) -> None:
+    def confirm_disk(self) -> None:
         """The core was told by all others, or a person vouched; what it made of that is durable."""
-        if not self.proven:
-            self.proven = True
-            self._mark()
+        if not self.disk_verified:
+            self.disk_verified = True
+            self._write_witness()
 
-    def write(self, writes: list[Write]) -> None:
+    def write(self, writes: list[DurableWrite]) -> None:
         """Make writes durable, in order, with one sync; then the witness knows of them.  Raises OSError: the core is to
         be told that it failed."""
         lines: list[bytes] = []
-        for write in together(writes):
-            apply(self.kept, write)
-            lines += lines_of(write)
+        for write in coalesce_writes(writes):
+            apply_write(self.state, write)
+            lines += encode_write(write)
         self._writer.write(lines, durable=True)
         if any(write.snapshot is not None for write in writes):
-            kept = self.kept
-            image = Image(kept.term, kept.vote, kept.floor, kept.snapshot, kept.entries)
+            kept = self.state
+            image = StateImage(kept.term, kept.voted_for, kept.log_floor, kept.snapshot, kept.entries)
             write_snapshot(self._files, self._writer.synced, _encode(image))
             compact(self._files, self._writer.synced)
-        if self.proven:
-            self._mark()
+        if self.disk_verified:
+            self._write_witness()
 
     def close(self) -> None:
         """Let go."""
         self._writer.close()
 
-    def image(self) -> Kept:
+    def read_state(self) -> PersistentState:
         """What holds now, as its own."""
-        return replace(self.kept, entries=list(self.kept.entries))
+        return replace(self.state, entries=list(self.state.entries))
--- a/martenstep/replication/transport.py
+++ b/martenstep/replication/transport.py
@@ -25,14 +25,14 @@
 
 from martenstep.backoff import Backoff
 from martenstep.membership.codec import MAC_BYTES, Keys
-from martenstep.replication.messages import Message, Word, encode, message_of, word_of
-
-MOST_FRAME = 8 << 20
-MOST_WAITING = 4096  # frames to one place
-MOST_WAITING_BYTES = 16 << 20
-CONNECT_S, IDLE_S = 1.0, 30.0
-LEAST_AGAIN_MS, MOST_AGAIN_MS = 50.0, 1000.0
-DRAW = 16
+from martenstep.replication.messages import NodeMessage, RaftMessage, decode_node_message, decode_raft_message, encode
+
+MAX_FRAME_BYTES = 8 << 20
+MAX_QUEUED_FRAMES = 4096  # frames to one place
+MAX_QUEUED_BYTES = 16 << 20
+CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S = 1.0, 30.0
+MIN_RECONNECT_MS, MAX_RECONNECT_MS = 50.0, 1000.0
+NONCE_BYTES = 16
 Address = tuple[str, int]
 
 
@@ -52,11 +52,11 @@
     target: int
 
 
-class LinkError(Exception):
+class TransportError(Exception):
     """A frame that is none, or not sealed: the connection ends."""
 
 
-class Sealed:
+class AuthenticatedFrames:
     """Frames of one direction of a connection."""
 
     def __init__(self, keys: Keys, server: bytes, client: bytes) -> None:
@@ -64,87 +64,87 @@
         self._context = hashlib.sha256(b"martenstep copies 2" + server + client).digest()
         self._number = 0
 
-    def _sealed(self, body: bytes) -> bytes:
+    def _bind(self, body: bytes) -> bytes:
         bound = self._context + struct.pack(">Q", self._number) + body
         self._number += 1
         return bound
 
-    def frame(self, body: bytes) -> bytes:
+    def encode(self, body: bytes) -> bytes:
         """The next frame."""
-        return struct.pack(">I", len(body) + MAC_BYTES) + body + self._keys.seal(self._sealed(body))
+        return struct.pack(">I", len(body) + MAC_BYTES) + body + self._keys.seal(self._bind(body))
 
     async def read(self, reader: asyncio.StreamReader) -> bytes:
         """The next frame's body; raises LinkError."""
         (length,) = struct.unpack(">I", await reader.readexactly(4))
-        if not MAC_BYTES <= length <= MOST_FRAME:
-            raise LinkError("length")
+        if not MAC_BYTES <= length <= MAX_FRAME_BYTES:
+            raise TransportError("length")
         data = await reader.readexactly(length)
         body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-        if not self._keys.opens(self._sealed(body), mac):
-            raise LinkError("mac")
+        if not self._keys.opens(self._bind(body), mac):
+            raise TransportError("mac")
         return body
 
 
-class _Out:
+class _OutboundQueue:
     """What goes to one place."""
 
     def __init__(self) -> None:
-        self.waiting: deque[bytes] = deque()
+        self.frames: deque[bytes] = deque()
         self.bytes = 0
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
     def put(self, frame: bytes) -> int:
         """One more; gives how many went for it."""
         gone = 0
-        self.waiting.append(frame)
+        self.frames.append(frame)
         self.bytes += len(frame)
-        while len(self.waiting) > MOST_WAITING or (self.bytes > MOST_WAITING_BYTES and len(self.waiting) > 1):
-            self.bytes -= len(self.waiting.popleft())
+        while len(self.frames) > MAX_QUEUED_FRAMES or (self.bytes > MAX_QUEUED_BYTES and len(self.frames) > 1):
+            self.bytes -= len(self.frames.popleft())
             gone += 1
-        self.news.set()
+        self.changed.set()
         return gone
 
     def take(self) -> bytes:
         """The oldest."""
-        frame = self.waiting.popleft()
+        frame = self.frames.popleft()
         self.bytes -= len(frame)
         return frame
 
     def clear(self) -> None:
         """All goes."""
-        self.waiting.clear()
+        self.frames.clear()
         self.bytes = 0
-        self.news.clear()
+        self.changed.clear()
 
 
-class Port:
+class ReplicaChannel:
     """One copy's end of the links."""
 
     def __init__(
         self,
-        links: Links,
+        links: Transport,
         group: str,
         me: int,
         place_of: Callable[[int], str | None],
-        take: Callable[[int, Message], None],
+        take: Callable[[int, RaftMessage], None],
     ) -> None:
-        self.group, self.me, self.take = group, me, take
-        self._links, self._place_of = links, place_of
-        self.heard: dict[int, str] = {}  # where copies spoke from that nothing else tells of yet
+        self.group, self.replica, self.deliver = group, me, take
+        self._transport, self._find_node = links, place_of
+        self.contacted_nodes: dict[int, str] = {}  # where copies spoke from that nothing else tells of yet
 
-    def send(self, to: int, message: Message) -> None:
+    def send(self, to: int, message: RaftMessage) -> None:
         """To another copy of the group; lost where nobody knows its place."""
-        place = self._place_of(to) or self.heard.get(to)
+        place = self._find_node(to) or self.contacted_nodes.get(to)
         if place is not None:
-            self._links.send(place, Envelope(self.group, self.me, to), encode(message))
+            self._transport.send(place, Envelope(self.group, self.replica, to), encode(message))
 
     def close(self) -> None:
         """Nothing more is taken."""
-        self._links.closed(self)
+        self._transport.remove_channel(self)
 
 
-class Links:
+class Transport:
     """One machine's connections."""
 
     def __init__(
@@ -153,16 +153,16 @@
         me: str,
         keys: Callable[[], Keys],
         address_of: Callable[[str], Address | None],
-        words: Callable[[str, str, int, Word], None] = lambda place, group, copy, word: None,
+        words: Callable[[str, str, int, NodeMessage], None] = lambda place, group, copy, word: None,
         nobody: Callable[[str, str, int, int], None] = lambda place, group, source, target: None,
     ) -> None:
         """`me` is this machine's place, `address_of` tells where a place is now.  `words` is given what places say to
         each other (place, group, copy, word); `nobody` is told of a message for a copy that is not here (place, group,
         source, target)."""
-        self._cluster, self._me, self._keys = cluster, me, keys
-        self._address_of, self._words, self._nobody = address_of, words, nobody
-        self._ports: dict[str, Port] = {}
-        self._outs: dict[str, _Out] = {}
+        self._cluster, self._node, self._keys = cluster, me, keys
+        self._find_address, self._on_node_message, self._on_unknown_replica = address_of, words, nobody
+        self._channels: dict[str, ReplicaChannel] = {}
+        self._queues: dict[str, _OutboundQueue] = {}
         self._server: asyncio.Server | None = None
         self._served: set[asyncio.Task[None]] = set()
         self.counts: Counter[str] = Counter()
@@ -176,67 +176,67 @@
         """Let go of all."""
         if self._server is not None:
             self._server.close()
-        for out in self._outs.values():
+        for out in self._queues.values():
             if out.task is not None:
                 out.task.cancel()
         for task in list(self._served):
             task.cancel()
 
     def open(
-        self, group: str, me: int, place_of: Callable[[int], str | None], take: Callable[[int, Message], None]
-    ) -> Port:
+        self, group: str, me: int, place_of: Callable[[int], str | None], take: Callable[[int, RaftMessage], None]
+    ) -> ReplicaChannel:
         """A copy's end, one a group; `take` is given what others send to it."""
-        port = self._ports[group] = Port(self, group, me, place_of, take)
+        port = self._channels[group] = ReplicaChannel(self, group, me, place_of, take)
         return port
 
-    def closed(self, port: Port) -> None:
+    def remove_channel(self, port: ReplicaChannel) -> None:
         """A copy is here no more."""
-        if self._ports.get(port.group) is port:
-            del self._ports[port.group]
+        if self._channels.get(port.group) is port:
+            del self._channels[port.group]
 
-    def say(self, place: str, group: str, word: Word, copy: int = 0) -> None:
+    def send_to_node(self, place: str, group: str, word: NodeMessage, copy: int = 0) -> None:
         """To a place, of a group or of one copy there."""
         self.send(place, Envelope(group, copy, 0), msgspec.msgpack.encode(word))
 
     def send(self, place: str, envelope: Envelope, body: bytes) -> None:
         """As soon as may be; lost where the line is full or the connection breaks."""
-        out = self._outs.get(place)
+        out = self._queues.get(place)
         if out is None:
-            out = self._outs[place] = _Out()
+            out = self._queues[place] = _OutboundQueue()
             out.task = asyncio.get_running_loop().create_task(self._run(place, out))
         head = msgspec.msgpack.encode(envelope)
         self.counts["let_go"] += out.put(len(head).to_bytes(2, "big") + head + body)
 
-    async def _run(self, place: str, out: _Out) -> None:
-        backoff = Backoff(LEAST_AGAIN_MS, MOST_AGAIN_MS)
+    async def _run(self, place: str, out: _OutboundQueue) -> None:
+        backoff = Backoff(MIN_RECONNECT_MS, MAX_RECONNECT_MS)
         while True:
-            await out.news.wait()
-            address = self._address_of(place)
+            await out.changed.wait()
+            address = self._find_address(place)
             if address is not None:
                 with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
                     await self._connected(place, address, out, backoff)
             out.clear()  # it was meant for a moment that has passed
             await asyncio.sleep(backoff.failed() / 1000)
 
-    async def _connected(self, place: str, address: Address, out: _Out, backoff: Backoff) -> None:
-        async with asyncio.timeout(CONNECT_S):
+    async def _connected(self, place: str, address: Address, out: _OutboundQueue, backoff: Backoff) -> None:
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address)
         try:
-            async with asyncio.timeout(CONNECT_S):
-                server, client = await reader.readexactly(DRAW), secrets.token_bytes(DRAW)
-            sealed = Sealed(self._keys(), server, client)
-            writer.write(client + sealed.frame(msgspec.msgpack.encode(Hello(self._cluster, self._me, place))))
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                server, client = await reader.readexactly(NONCE_BYTES), secrets.token_bytes(NONCE_BYTES)
+            sealed = AuthenticatedFrames(self._keys(), server, client)
+            writer.write(client + sealed.encode(msgspec.msgpack.encode(Hello(self._cluster, self._node, place))))
             # It says nothing more: what comes is its end.
             ended = asyncio.get_running_loop().create_task(reader.read(1))
             try:
                 while not ended.done():
-                    out.news.clear()
-                    while out.waiting:
-                        writer.write(sealed.frame(out.take()))
-                    async with asyncio.timeout(CONNECT_S):
+                    out.changed.clear()
+                    while out.frames:
+                        writer.write(sealed.encode(out.take()))
+                    async with asyncio.timeout(CONNECT_TIMEOUT_S):
                         await writer.drain()
                     backoff.succeeded()
-                    news = asyncio.get_running_loop().create_task(out.news.wait())
+                    news = asyncio.get_running_loop().create_task(out.changed.wait())
                     try:
                         await asyncio.wait({news, ended}, return_when=asyncio.FIRST_COMPLETED)
                     finally:
@@ -250,20 +250,20 @@
         task = asyncio.current_task()
         assert task is not None
         self._served.add(task)
-        mine = secrets.token_bytes(DRAW)
+        mine = secrets.token_bytes(NONCE_BYTES)
         try:
             writer.write(mine)
-            async with asyncio.timeout(CONNECT_S):
-                sealed = Sealed(self._keys(), mine, await reader.readexactly(DRAW))
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                sealed = AuthenticatedFrames(self._keys(), mine, await reader.readexactly(NONCE_BYTES))
                 hello = msgspec.msgpack.decode(await sealed.read(reader), type=Hello)
-            if (hello.cluster, hello.target) != (self._cluster, self._me):
+            if (hello.cluster, hello.target) != (self._cluster, self._node):
                 self.counts["not_for_this_place"] += 1
                 return
             while True:
-                async with asyncio.timeout(IDLE_S):
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
                     body = await sealed.read(reader)
-                self._came(hello.source, body)
-        except LinkError as error:
+                self._deliver(hello.source, body)
+        except TransportError as error:
             self.counts[f"dropped_{error}"] += 1
         except msgspec.DecodeError:
             self.counts["dropped_body"] += 1
@@ -273,17 +273,17 @@
             self._served.discard(task)
             writer.close()
 
-    def _came(self, place: str, body: bytes) -> None:
+    def _deliver(self, place: str, body: bytes) -> None:
         """One frame; raises msgspec.DecodeError."""
         size = int.from_bytes(body[:2], "big")
         envelope = msgspec.msgpack.decode(body[2 : 2 + size], type=Envelope)
         if not envelope.target:
-            self._words(place, envelope.group, envelope.source, word_of(body[2 + size :]))
+            self._on_node_message(place, envelope.group, envelope.source, decode_node_message(body[2 + size :]))
             return
-        port = self._ports.get(envelope.group)
-        if port is None or port.me != envelope.target:
+        port = self._channels.get(envelope.group)
+        if port is None or port.replica != envelope.target:
             self.counts["not_for_this_disk"] += 1
-            self._nobody(place, envelope.group, envelope.source, envelope.target)
+            self._on_unknown_replica(place, envelope.group, envelope.source, envelope.target)
             return
-        port.heard[envelope.source] = place
-        port.take(envelope.source, message_of(body[2 + size :]))
+        port.contacted_nodes[envelope.source] = place
+        port.deliver(envelope.source, decode_raft_message(body[2 + size :]))
--- a/martenstep/replication/verify.py
+++ b/martenstep/replication/verify.py
@@ -11,73 +11,73 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from martenstep.replication.raft import Kept
-from martenstep.replication.replica_manager import GROUPS
-from martenstep.replication.replica_storage import Store, StoreError
+from martenstep.replication.raft import PersistentState
+from martenstep.replication.replica_manager import GROUPS_FOLDER
+from martenstep.replication.replica_storage import ReplicaStorage, ReplicaStorageError
 from martenstep.storage.files import Disk
 
 
 @dataclass(slots=True)
-class Found:
+class StoredReplica:
     """One folder of a copy."""
 
     group: str
     folder: Path
-    copy: int = 0
-    kept: Kept = field(default_factory=Kept)
-    wrong: str = ""
+    replica: int = 0
+    state: PersistentState = field(default_factory=PersistentState)
+    error: str = ""
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry."""
-        kept = self.kept
+        kept = self.state
         return kept.entries[-1].index if kept.entries else kept.snapshot.index if kept.snapshot is not None else 0
 
     @property
-    def reach(self) -> tuple[int, int]:
+    def last_position(self) -> tuple[int, int]:
         """How far its log goes: last term, last index."""
-        return self.kept.entries[-1].term if self.kept.entries else 0, self.last
+        return self.state.entries[-1].term if self.state.entries else 0, self.last_index
 
 
-def read_folder(directory: Path) -> list[Found]:
+def read_folder(directory: Path) -> list[StoredReplica]:
     """The copies below a door's copies directory, damaged ones with what is wrong.  Raises LockedError where a door
     holds one, OSError."""
     made = []
-    for folder in sorted((directory / GROUPS).iterdir()):
-        found = Found(folder.name, folder)
+    for folder in sorted((directory / GROUPS_FOLDER).iterdir()):
+        found = StoredReplica(folder.name, folder)
         with contextlib.closing(Disk(folder)) as disk:
             try:
-                with contextlib.closing(Store(disk, None, random.Random(0))) as store:
-                    found.copy, found.kept = store.id, store.image()
-            except StoreError as error:
-                found.wrong = str(error)
+                with contextlib.closing(ReplicaStorage(disk, None, random.Random(0))) as store:
+                    found.replica, found.state = store.replica_id, store.read_state()
+            except ReplicaStorageError as error:
+                found.error = str(error)
         made.append(found)
     return made
 
 
-def furthest(found: list[Found]) -> dict[str, Found]:
+def find_most_advanced(found: list[StoredReplica]) -> dict[str, StoredReplica]:
     """Of each group the sound copy whose log goes furthest, by its last term and then its length; what was set aside
     (`SLOT.damaged.*`) is no copy."""
-    best: dict[str, Found] = {}
+    best: dict[str, StoredReplica] = {}
     for one in found:
-        if one.wrong or "." in one.group:
+        if one.error or "." in one.group:
             continue
         before = best.get(one.group)
-        if before is None or before.reach < one.reach:
+        if before is None or before.last_position < one.last_position:
             best[one.group] = one
     return best
 
 
-def differences(copies: list[Found]) -> list[str]:
+def find_differences(copies: list[StoredReplica]) -> list[str]:
     """What two copies of one group hold differently that they must hold alike, a line each."""
     told = []
-    sound = [one for one in copies if not one.wrong]
+    sound = [one for one in copies if not one.error]
     for number, first in enumerate(sound):
-        held = {entry.index: entry for entry in first.kept.entries}
+        held = {entry.index: entry for entry in first.state.entries}
         for second in sound[number + 1 :]:
             if second.group != first.group:
                 continue
-            for entry in second.kept.entries:
+            for entry in second.state.entries:
                 other = held.get(entry.index)
                 if other is not None and other.term == entry.term and other != entry:
                     told.append(
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -13,8 +13,8 @@
 
 from martenstep.counter.increment_ledger import Books, is_book
 from martenstep.counter.pending_increments import Begin, Book, Done, Entry, Put, Seal, Try, dones, entry, puts
-from martenstep.replication.replica_manager import Keeper
-from martenstep.replication.transport import Links
+from martenstep.replication.replica_manager import ReplicaManager
+from martenstep.replication.transport import Transport
 from tests.socket_rig import LONG_S, run
 from tests.test_keeper import KEYS, QUICK, Fleet
 from tests.test_replication_host import Sum
@@ -83,10 +83,14 @@
         for name in names:
 
             def owner(group: str, name: str = name) -> str | None:
-                host = self.keepers[name].host(group)
-                return (host.machine.owner or None) if host is not None and isinstance(host.machine, Book) else None
-
-            keeper = self.keepers[name] = Keeper(
+                host = self.keepers[name].replica(group)
+                return (
+                    (host.state_machine.owner or None)
+                    if host is not None and isinstance(host.state_machine, Book)
+                    else None
+                )
+
+            keeper = self.keepers[name] = ReplicaManager(
                 name,
                 self.folder / name,
                 self.folder / f"{name}-witness",
@@ -98,7 +102,9 @@
                 also=is_book,
                 first=owner,
             )
-            links = self.links[name] = Links("f", name, lambda: KEYS, self.where.get, keeper.word, keeper.nobody)
+            links = self.links[name] = Transport(
+                "f", name, lambda: KEYS, self.where.get, keeper.receive, keeper.report_unknown_replica
+            )
             host, port = self.where.get(name, ("127.0.0.1", 0))
             self.where[name] = host, await links.start(host, port)
             await keeper.start(links)
@@ -125,8 +131,8 @@
 
     def state(self, name: str, group: str) -> Any:
         keeper = self.keepers.get(name)
-        host = keeper.host(group) if keeper is not None else None
-        return host.machine if host is not None else None
+        host = keeper.replica(group) if keeper is not None else None
+        return host.state_machine if host is not None else None
 
     async def whole(self, name: str) -> str:
         """Until a place's book is at three places and led by its owner."""
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -31,8 +31,8 @@
 from martenstep.counter.state import Limits
 from martenstep.membership.codec import Keys
 from martenstep.policy.messages import CallResult
-from martenstep.replication.replica import Host, InDoubtError, NotLeaderError
-from martenstep.replication.replica_storage import Store
+from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica
+from martenstep.replication.replica_storage import ReplicaStorage
 from tests.socket_rig import LONG_S, run
 from tests.test_replication_host import KEYS, Group
 
@@ -131,10 +131,12 @@
     def address(self, group: str, copy: int | None) -> str | None:
         return f"127.0.0.1:{self.ports[copy]}" if copy in self.ports else None
 
-    async def run(self, store: Store, keys: Keys = KEYS) -> Host:
+    async def run(self, store: ReplicaStorage, keys: Keys = KEYS) -> Replica:
         host = await super().run(store, keys)
-        service = self.services[store.id] = CopiedService(lambda group: host, self.address, clock=lambda: NOW / 1000)
-        self.ports[store.id] = await service.start("127.0.0.1", self.ports.get(store.id, 0))
+        service = self.services[store.replica_id] = CopiedService(
+            lambda group: host, self.address, clock=lambda: NOW / 1000
+        )
+        self.ports[store.replica_id] = await service.start("127.0.0.1", self.ports.get(store.replica_id, 0))
         return host
 
     async def kill(self, number: int) -> None:
@@ -152,7 +154,7 @@
             try:
                 reply: Reply = await (await self.leader()).propose(asked(NOW, "door", epoch, command))
                 return reply
-            except (NotLeaderError, InDoubtError):
+            except (NotLeaderError, IndeterminateError):
                 await asyncio.sleep(0.02)
 
 
@@ -177,14 +179,14 @@
         for round_ in range(3):
             while len(replies) < 30 * (round_ + 1):
                 await asyncio.sleep(0.005)
-            lost = (await group.leader()).copy.me
+            lost = (await group.leader()).raft.replica_id
             await group.kill(lost)
             await asyncio.sleep(0.1 * draw.random())
             await group.run(group.store("abc"[group.first.voters.index(lost)]))
         await loading
         leader = await group.leader()
-        await leader.read()
-        counter = group.machines[leader.copy.me].counter
+        await leader.confirm_leadership()
+        counter = group.machines[leader.raft.replica_id].counter
         assert counter.total(7) == 60.0
         assert sum(use.tries for use in counter.uses().values()) == 60
         assert [reply.total for reply in replies if isinstance(reply, Total)] == [float(n) for n in range(1, 61)]
@@ -225,13 +227,13 @@
             client.record(NOW + number, 1.0, False, f"r{number}", "c", "p", "k")
             await asyncio.sleep(0.005)
             if number in (40, 90):
-                lost = (await group.leader()).copy.me
+                lost = (await group.leader()).raft.replica_id
                 await group.kill(lost)
                 await group.run(group.store("abc"[group.first.voters.index(lost)]))
         assert await client.flush(20_000)
         leader = await group.leader()
-        await leader.read()
-        counter = group.machines[leader.copy.me].counter
+        await leader.confirm_leadership()
+        counter = group.machines[leader.raft.replica_id].counter
         # What the door was told is certain, or in doubt until it came through; what never left it was not added.
         assert len(told) == 150 and set(told) <= {CallResult.OK, CallResult.TIMEOUT, CallResult.CONNECT_FAILED}
         assert counter.total(7) == 150 - told.count(CallResult.CONNECT_FAILED)
@@ -246,8 +248,8 @@
     async def test() -> None:
         group = CountingGroup(tmp_path)
         await group.begin("a", "b", "c")
-        leader = (await group.leader()).copy.me
-        await group.until(lambda: all(host.copy.leader == leader for host in group.hosts.values()))
+        leader = (await group.leader()).raft.replica_id
+        await group.until(lambda: all(host.raft.leader == leader for host in group.hosts.values()))
         other = next(copy for copy in group.first.voters if copy != leader)
         reader, writer = await asyncio.open_connection("127.0.0.1", group.ports[other])
         writer.write(encode(Hello("door", 1)) + encode(Add(1, 7, 1.0, 60_000.0)))
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -5,7 +5,7 @@
 import pytest
 
 from martenstep.lab.explore import BreachError, Budget, Explorer
-from martenstep.replication.raft import Copy
+from martenstep.replication.raft import RaftNode
 from tests.test_replication import AckNotDurable, AnyLog, Cuts, NoProof, VoteNotDurable
 
 ONE = Budget(timeouts=1, beats=0, commands=0, crashes=0, cuts=0)
@@ -53,6 +53,6 @@
         (NoProof, Budget(timeouts=2, beats=0, commands=1, crashes=0, old=1, cuts=0)),
     ],
 )
-def test_some_order_shows_a_flaw(flaw: type[Copy], budget: Budget) -> None:
+def test_some_order_shows_a_flaw(flaw: type[RaftNode], budget: Budget) -> None:
     with pytest.raises(BreachError, match=r"(both lead|stands as|without entry|cut off).*, after: 1 hears no leader; "):
         Explorer(budget, make=flaw).run(most=20_000)
--- a/tests/test_formats_maintenance.py
+++ b/tests/test_formats_maintenance.py
@@ -169,12 +169,12 @@
     """A keeper that holds one copy of the state."""
 
     def __init__(self, book: Book | None) -> None:
-        self.answers: dict[str, Any] = {}
+        self.leader_handlers: dict[str, Any] = {}
         self._book = book
 
-    def host(self, group: str) -> Any:
+    def replica(self, group: str) -> Any:
         assert group == "orders" == GROUP
-        return SimpleNamespace(machine=self._book) if self._book is not None else None
+        return SimpleNamespace(state_machine=self._book) if self._book is not None else None
 
 
 def test_the_admin_page_and_the_metrics_keep_their_names() -> None:
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -46,7 +46,7 @@
 
     async def leave(self) -> None: ...
 
-    def move(self, group: str, to: str) -> bool:
+    def transfer_leadership(self, group: str, to: str) -> bool:
         return (group, to) == ("g", "d1")
 
     async def tell(self, what: Any) -> Any:
--- a/tests/test_formats_replica_storage.py
+++ b/tests/test_formats_replica_storage.py
@@ -13,27 +13,36 @@
 
 from martenstep.cli.main import cli
 from martenstep.replication import replica_manager as keeper
-from martenstep.replication.messages import Config, Entry, Kind, Snapshot, config_of, encode
-from martenstep.replication.raft import Write
-from martenstep.replication.replica_manager import DiskIdentity, copy_of, disk_identity
-from martenstep.replication.replica_storage import Mark, Store, mark_of
+from martenstep.replication.messages import Configuration, EntryKind, LogEntry, Snapshot, decode_configuration, encode
+from martenstep.replication.raft import DurableWrite
+from martenstep.replication.replica_manager import DiskIdentity, derive_replica_id, load_disk_identity
+from martenstep.replication.replica_storage import ReplicaStorage, WitnessMark, read_witness_mark
 from martenstep.storage import log
 from martenstep.storage.files import Disk
 from martenstep.storage.log import Writer, compact, open_log, read_records, records_of, write_snapshot
 
 FORMATS = Path(__file__).parent / "formats" / "replication"
-CONFIG = Config((4503599627370497, 2, 3), (), ((4503599627370497, "d1"), (2, "d2"), (3, "d3")))
-GROWN = Config((4503599627370497, 2, 3), (4,), (*CONFIG.homes, (4, "d4")))
+CONFIG = Configuration((4503599627370497, 2, 3), (), ((4503599627370497, "d1"), (2, "d2"), (3, "d3")))
+GROWN = Configuration((4503599627370497, 2, 3), (4,), (*CONFIG.locations, (4, "d4")))
 WRITES = [
-    Write(1, 1, 2),
-    Write(2, 1, 2, entries=(Entry(1, 1, Kind.NOTHING), Entry(2, 1, Kind.COMMAND, b"first"))),
-    Write(3, 1, 2, entries=(Entry(3, 1, Kind.CONFIG, encode(GROWN)),)),
-    Write(4, 2, None, (1, 3)),
-    Write(5, 3, 3, (1, 3), 3, (Entry(3, 3, Kind.NOTHING), Entry(4, 3, Kind.COMMAND, b"in its place"))),
-    Write(6, 3, 3, (1, 3), snapshot=Snapshot(3, 3, GROWN, b"state of three")),
-    Write(7, 3, 3, (1, 3), entries=(Entry(5, 3, Kind.COMMAND, b"\x00\xff" * 4),)),
-    Write(8, 3, 3, (1, 3), None, (Entry(6, 3, Kind.COMMAND, b"a" * 40_000), Entry(7, 3, Kind.COMMAND, b"b" * 60_000))),
-    Write(9, 4, None, (0, 0)),
+    DurableWrite(1, 1, 2),
+    DurableWrite(2, 1, 2, entries=(LogEntry(1, 1, EntryKind.NO_OP), LogEntry(2, 1, EntryKind.COMMAND, b"first"))),
+    DurableWrite(3, 1, 2, entries=(LogEntry(3, 1, EntryKind.CONFIGURATION, encode(GROWN)),)),
+    DurableWrite(4, 2, None, (1, 3)),
+    DurableWrite(
+        5, 3, 3, (1, 3), 3, (LogEntry(3, 3, EntryKind.NO_OP), LogEntry(4, 3, EntryKind.COMMAND, b"in its place"))
+    ),
+    DurableWrite(6, 3, 3, (1, 3), snapshot=Snapshot(3, 3, GROWN, b"state of three")),
+    DurableWrite(7, 3, 3, (1, 3), entries=(LogEntry(5, 3, EntryKind.COMMAND, b"\x00\xff" * 4),)),
+    DurableWrite(
+        8,
+        3,
+        3,
+        (1, 3),
+        None,
+        (LogEntry(6, 3, EntryKind.COMMAND, b"a" * 40_000), LogEntry(7, 3, EntryKind.COMMAND, b"b" * 60_000)),
+    ),
+    DurableWrite(9, 4, None, (0, 0)),
 ]
 LOG_ENTRIES = [[b"one", b"two"], [b"three" * 10], [b"four"], [b"five" * 20, b"six"], [b"seven"]]
 
@@ -51,10 +60,10 @@
     return to
 
 
-def write_replica(folder: Path, witness: Path, seed: int = 20, alone: list[Write] = WRITES) -> None:
+def write_replica(folder: Path, witness: Path, seed: int = 20, alone: list[DurableWrite] = WRITES) -> None:
     """What a replica keeps after these writes."""
     with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Disk(witness)) as memory:
-        store = Store(disk, memory, random.Random(seed))
+        store = ReplicaStorage(disk, memory, random.Random(seed))
         for write in alone[:-3]:
             store.write([write])
         store.write(alone[-3:])
@@ -75,34 +84,41 @@
 def test_a_replicas_stored_folder_is_read(tmp_path: Path) -> None:
     folder, witness = copied("replica", tmp_path / "replica"), copied("witness", tmp_path / "witness")
     with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Disk(witness)) as memory:
-        store = Store(disk, memory, random.Random(1))
-        image = store.image()
+        store = ReplicaStorage(disk, memory, random.Random(1))
+        image = store.read_state()
         store.close()
-    assert store.id == IDENTITY and store.proven
-    assert (image.term, image.vote, image.floor) == (4, None, (0, 0))
+    assert store.replica_id == IDENTITY and store.disk_verified
+    assert (image.term, image.voted_for, image.log_floor) == (4, None, (0, 0))
     assert image.snapshot is not None
     assert (image.snapshot.index, image.snapshot.term, image.snapshot.body) == (3, 3, b"state of three")
-    assert image.snapshot.config.voters == (4503599627370497, 2, 3) and image.snapshot.config.learners == (4,)
-    assert image.snapshot.config.homes == ((4503599627370497, "d1"), (2, "d2"), (3, "d3"), (4, "d4"))
+    assert image.snapshot.configuration.voters == (
+        4503599627370497,
+        2,
+        3,
+    ) and image.snapshot.configuration.learners == (4,)
+    assert image.snapshot.configuration.locations == ((4503599627370497, "d1"), (2, "d2"), (3, "d3"), (4, "d4"))
     assert [(one.index, one.term, one.kind, one.data) for one in image.entries] == [
-        (4, 3, Kind.COMMAND, b"in its place"),
-        (5, 3, Kind.COMMAND, b"\x00\xff" * 4),
-        (6, 3, Kind.COMMAND, b"a" * 40_000),
-        (7, 3, Kind.COMMAND, b"b" * 60_000),
+        (4, 3, EntryKind.COMMAND, b"in its place"),
+        (5, 3, EntryKind.COMMAND, b"\x00\xff" * 4),
+        (6, 3, EntryKind.COMMAND, b"a" * 40_000),
+        (7, 3, EntryKind.COMMAND, b"b" * 60_000),
     ]
 
 
 def test_a_replicas_first_log_is_read_up_to_its_cut(tmp_path: Path) -> None:
     folder = copied("replica-early", tmp_path / "replica")
-    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Store(disk, None, random.Random(1))) as store:
-        image = store.image()
-    assert not store.proven
-    assert (image.term, image.vote, image.floor, image.snapshot) == (3, 3, (1, 3), None)
+    with (
+        contextlib.closing(Disk(folder)) as disk,
+        contextlib.closing(ReplicaStorage(disk, None, random.Random(1))) as store,
+    ):
+        image = store.read_state()
+    assert not store.disk_verified
+    assert (image.term, image.voted_for, image.log_floor, image.snapshot) == (3, 3, (1, 3), None)
     assert [(one.index, one.term, one.kind, one.data) for one in image.entries] == [
-        (1, 1, Kind.NOTHING, b""),
-        (2, 1, Kind.COMMAND, b"first"),
-        (3, 3, Kind.NOTHING, b""),
-        (4, 3, Kind.COMMAND, b"in its place"),
+        (1, 1, EntryKind.NO_OP, b""),
+        (2, 1, EntryKind.COMMAND, b"first"),
+        (3, 3, EntryKind.NO_OP, b""),
+        (4, 3, EntryKind.COMMAND, b"in its place"),
     ]
 
 
@@ -117,8 +133,8 @@
 def test_a_replicas_identity_and_witness_have_these_bytes() -> None:
     assert (FORMATS / "replica" / "copy.json").read_bytes() == b'{"id":6510405511282792}'
     data = (FORMATS / "witness" / "witness").read_bytes()
-    assert len(data) == 128 and mark_of(data) == Mark(8, 6510405511282792, 15)
-    assert Mark(5, 7, 12).packed().hex() == "00000000000000050000000000000007000000000000000c2b4336f6"
+    assert len(data) == 128 and read_witness_mark(data) == WitnessMark(8, 6510405511282792, 15)
+    assert WitnessMark(5, 7, 12).encode().hex() == "00000000000000050000000000000007000000000000000c2b4336f6"
 
 
 def test_a_stored_configuration_entry_is_read(tmp_path: Path) -> None:
@@ -127,10 +143,13 @@
     assert files_in(folder) == files_in(FORMATS / "replica-configured")
     shutil.rmtree(folder)
     copied("replica-configured", folder)
-    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Store(disk, None, random.Random(1))) as store:
-        config = config_of(store.image().entries[2].data)
+    with (
+        contextlib.closing(Disk(folder)) as disk,
+        contextlib.closing(ReplicaStorage(disk, None, random.Random(1))) as store,
+    ):
+        config = decode_configuration(store.read_state().entries[2].data)
     assert config.voters == (4503599627370497, 2, 3) and config.learners == (4,)
-    assert dict(config.homes)[4] == "d4"
+    assert dict(config.locations)[4] == "d4"
 
 
 # A node's disk.
@@ -141,22 +160,22 @@
     (tmp_path / "old").mkdir()
     (tmp_path / "old" / "disk.json").write_bytes(stored)
     with contextlib.closing(Disk(tmp_path / "old")) as disk:
-        identity = disk_identity(disk)
+        identity = load_disk_identity(disk)
     assert identity.id == 4503599627370497
-    assert identity.founded == ["counter-0", "counter-1"]
-    assert identity.alone == "book-7"
-    assert identity.over == ["book-5", "book-6"]
+    assert identity.bootstrapped_groups == ["counter-0", "counter-1"]
+    assert identity.latest_own_group == "book-7"
+    assert identity.dissolved_groups == ["book-5", "book-6"]
     assert msgspec.json.encode(identity) == stored
     assert msgspec.json.decode(b'{"id":5}', type=DiskIdentity) == DiskIdentity(5)
     monkeypatch.setattr("random.SystemRandom", lambda: random.Random(8))
     with contextlib.closing(Disk(tmp_path / "new")) as disk:
-        assert disk_identity(disk).id == 3336370223932723
+        assert load_disk_identity(disk).id == 3336370223932723
     assert (tmp_path / "new" / "disk.json").read_bytes() == b'{"id":3336370223932723,"founded":[],"alone":"","over":[]}'
 
 
 def test_names_of_folders_and_files() -> None:
-    assert (keeper.DISK, keeper.GROUPS) == ("disk.json", "groups")
-    assert copy_of(4503599627370497, "counter-0") == 813743150357365
+    assert (keeper.DISK_FILE, keeper.GROUPS_FOLDER) == ("disk.json", "groups")
+    assert derive_replica_id(4503599627370497, "counter-0") == 813743150357365
     assert log.segment_name(31) == "seg-000000000000001f.log"
     assert log.snapshot_name(31) == "snap-000000000000001f.snap"
 
@@ -224,7 +243,12 @@
         copied("replica", Path(node) / "groups" / "counter-0")
         copied("replica-early", Path(node) / "groups" / "counter-1")
     assert verified() == (0, SOUND)
-    other = [*WRITES[:4], Write(5, 3, 3, (1, 3), 3, (Entry(3, 3, Kind.NOTHING), Entry(4, 3, Kind.COMMAND, b"another")))]
+    other = [
+        *WRITES[:4],
+        DurableWrite(
+            5, 3, 3, (1, 3), 3, (LogEntry(3, 3, EntryKind.NO_OP), LogEntry(4, 3, EntryKind.COMMAND, b"another"))
+        ),
+    ]
     shutil.rmtree("b/groups/counter-1")
     write_replica(Path("b/groups/counter-1"), tmp_path / "w", 21, other)
     segment = Path("a/groups/counter-0") / sorted(path.name for path in Path("a/groups/counter-0").glob("seg-*"))[-1]
--- a/tests/test_formats_replica_views.py
+++ b/tests/test_formats_replica_views.py
@@ -11,39 +11,47 @@
 
 from martenstep.cli.copies import COLUMNS, table
 from martenstep.membership.codec import Keys
-from martenstep.replication.messages import Appended, GiveVote
-from martenstep.replication.raft import Role, Write
-from martenstep.replication.replica import Host
-from martenstep.replication.replica_manager import Founder, Holding, Keeper, Place, copy_of
-from martenstep.replication.transport import Links
+from martenstep.replication.messages import AppendEntriesResponse, VoteResponse
+from martenstep.replication.raft import DurableWrite, Role
+from martenstep.replication.replica import Replica
+from martenstep.replication.replica_manager import (
+    BootstrapMember,
+    ClusterNode,
+    ReplicaManager,
+    ReplicationSettings,
+    derive_replica_id,
+)
+from martenstep.replication.transport import Transport
 from tests.socket_rig import run
 from tests.test_replication_host import Sum
 
 FORMATS = Path(__file__).parent / "formats" / "replication"
-HOLDING = Holding(("g-0", "g-1"), (Founder("a", 1), Founder("b", 2), Founder("c", 3)))
-NODES = [Place("a", "z1", True), Place("b", "z2", True), Place("c", "z3", False)]
+HOLDING = ReplicationSettings(
+    ("g-0", "g-1"), (BootstrapMember("a", 1), BootstrapMember("b", 2), BootstrapMember("c", 3))
+)
+NODES = [ClusterNode("a", "z1", True), ClusterNode("b", "z2", True), ClusterNode("c", "z3", False)]
 
 
-def synced(host: Host, now: float) -> None:
-    writes = [action for action in host.copy.out if isinstance(action, Write)]
-    host.copy.out.clear()
+def synced(host: Replica, now: float) -> None:
+    writes = [action for action in host.raft.actions if isinstance(action, DurableWrite)]
+    host.raft.actions.clear()
     if writes:
-        host.copy.written(now, writes[-1].ticket)
+        host.raft.write_completed(now, writes[-1].sequence)
 
 
-def lead(host: Host) -> None:
+def lead(host: Replica) -> None:
     """Let a replica be voted for by that of `b`, which then lags by one entry."""
-    copy, other = host.copy, copy_of(2, host.group)
-    now = copy.next_at
-    copy.vouch(now)
+    copy, other = host.raft, derive_replica_id(2, host.group)
+    now = copy.next_timer_at
+    copy.confirm_disk(now)
     while copy.role.value != "trying":
-        now = copy.next_at
-        copy.wake(now)
-    copy.message(now, other, GiveVote(copy.term + 1, True, True))
+        now = copy.next_timer_at
+        copy.run_due_timers(now)
+    copy.receive(now, other, VoteResponse(copy.term + 1, True, True))
     synced(host, now)
-    copy.message(now, other, GiveVote(copy.term, False, True))
+    copy.receive(now, other, VoteResponse(copy.term, False, True))
     synced(host, now)
-    copy.message(now, other, Appended(copy.term, True, 1, 1))
+    copy.receive(now, other, AppendEntriesResponse(copy.term, True, 1, 1))
     assert copy.propose(now, b"5") == 2
     synced(host, now)
 
@@ -51,7 +59,7 @@
 async def shown(folder: Path) -> tuple[dict[str, Any], dict[str, float], Any]:
     (folder / "node").mkdir()
     (folder / "node" / "disk.json").write_bytes(b'{"id":1}')
-    keeper = Keeper(
+    keeper = ReplicaManager(
         "a",
         folder / "node",
         folder / "witness",
@@ -60,12 +68,12 @@
         lambda: NODES,
         lambda event, fields: None,
     )
-    await keeper.start(Links("fleet", "a", lambda: Keys([bytes(32)]), lambda place: None))
-    host = keeper.host("g-0")
+    await keeper.start(Transport("fleet", "a", lambda: Keys([bytes(32)]), lambda place: None))
+    host = keeper.replica("g-0")
     assert host is not None
     lead(host)
     view, gauges = keeper.view(), keeper.gauges()
-    led = json.loads(json.dumps(keeper.led()))
+    led = json.loads(json.dumps(keeper.led_groups()))
     await keeper.stop()
     return view, gauges, led
 
@@ -103,12 +111,12 @@
 
 def test_the_counts_of_a_nodes_replicas_have_these_names(tmp_path: Path) -> None:
     async def test() -> None:
-        keeper = Keeper(
+        keeper = ReplicaManager(
             "d", tmp_path / "d", tmp_path / "w", HOLDING, lambda group: Sum(), lambda: NODES, lambda event, fields: None
         )
-        await keeper.start(Links("fleet", "d", lambda: Keys([bytes(32)]), lambda place: None))
-        assert (await keeper.begin_alone("g-9")) is not None
-        keeper.abandon("g-9")
+        await keeper.start(Transport("fleet", "d", lambda: Keys([bytes(32)]), lambda place: None))
+        assert (await keeper.create_own_group("g-9")) is not None
+        keeper.abandon_group("g-9")
         assert dict(keeper.counts) == {"let_go": 1}
         identity = json.loads((tmp_path / "d" / "disk.json").read_bytes())
         assert list(identity) == ["id", "founded", "alone", "over"]
--- a/tests/test_formats_replication.py
+++ b/tests/test_formats_replication.py
@@ -13,76 +13,79 @@
 from martenstep.replication import messages
 from martenstep.replication import transport as links
 from martenstep.replication.messages import (
-    AmIIn,
-    Append,
-    Appended,
-    AskVote,
-    Config,
-    Entry,
-    GiveVote,
-    GotPiece,
-    Invite,
-    Invited,
-    Kind,
-    NotHere,
-    OfYou,
-    Piece,
-    Question,
-    Reply,
+    AppendEntries,
+    AppendEntriesResponse,
+    Configuration,
+    CreateReplica,
+    EntryKind,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    LeaderRequest,
+    LeaderResponse,
+    LogEntry,
+    MembershipQuery,
+    RecoveryQuery,
+    RecoveryResponse,
+    RemovedFromGroup,
+    ReplicaCreated,
+    ReplicaNotFound,
+    RequestVote,
     Snapshot,
-    TakeOver,
-    WhatOfMe,
-    YouAreOut,
-    config_of,
+    TimeoutNow,
+    VoteResponse,
+    decode_configuration,
+    decode_node_message,
+    decode_raft_message,
     encode,
-    message_of,
-    word_of,
 )
-from martenstep.replication.transport import Envelope, Hello, Links, Sealed
+from martenstep.replication.transport import AuthenticatedFrames, Envelope, Hello, Transport
 from tests.socket_rig import run
 
-CONFIG = Config((1, 1 << 52), (3,), ((1, "d1"), (1 << 52, "d2"), (3, "d3")))
+CONFIG = Configuration((1, 1 << 52), (3,), ((1, "d1"), (1 << 52, "d2"), (3, "d3")))
 ENTRIES = (
-    Entry(8, 2, Kind.NOTHING),
-    Entry(9, 2, Kind.COMMAND, b"add"),
-    Entry(10, 3, Kind.CONFIG, encode(Config((1, 2, 3)))),
+    LogEntry(8, 2, EntryKind.NO_OP),
+    LogEntry(9, 2, EntryKind.COMMAND, b"add"),
+    LogEntry(10, 3, EntryKind.CONFIGURATION, encode(Configuration((1, 2, 3)))),
 )
 
 MESSAGES: list[tuple[Any, str]] = [
-    (AskVote(4, 10, 3, True, False), "9601040a03c3c2"),
-    (AskVote(1 << 40, 10, 3, False, True), "9601cf00000100000000000a03c2c3"),
-    (GiveVote(5, True, False), "940205c3c2"),
-    (GiveVote(5, False, True), "940205c2c3"),
-    (Append(3, 7, 2, ENTRIES, 8, 21), "97030307029394080200c40094090201c403616464940a0302c407939301020390900815"),
-    (Append(3, 7, 2, (), 0, 0), "9703030702900000"),
-    (Appended(3, True, 10, 21), "950403c30a15"),
-    (Appended(4, False, 6, 0), "950404c20600"),
+    (RequestVote(4, 10, 3, True, False), "9601040a03c3c2"),
+    (RequestVote(1 << 40, 10, 3, False, True), "9601cf00000100000000000a03c2c3"),
+    (VoteResponse(5, True, False), "940205c3c2"),
+    (VoteResponse(5, False, True), "940205c2c3"),
     (
-        Piece(3, 100, 2, CONFIG, 32768, b"part", 40000, 22),
+        AppendEntries(3, 7, 2, ENTRIES, 8, 21),
+        "97030307029394080200c40094090201c403616464940a0302c407939301020390900815",
+    ),
+    (AppendEntries(3, 7, 2, (), 0, 0), "9703030702900000"),
+    (AppendEntriesResponse(3, True, 10, 21), "950403c30a15"),
+    (AppendEntriesResponse(4, False, 6, 0), "950404c20600"),
+    (
+        InstallSnapshot(3, 100, 2, CONFIG, 32768, b"part", 40000, 22),
         "9905036402939201cf00100000000000009103939201a2643192cf0010000000000000a264329203a26433cd8000c40470617274cd9c4016",
     ),
-    (GotPiece(3, 100, 32772, 22), "95060364cd800416"),
-    (TakeOver(7), "920707"),
-    (WhatOfMe((1 << 62) - 1), "9208cf3fffffffffffffff"),
+    (InstallSnapshotResponse(3, 100, 32772, 22), "95060364cd800416"),
+    (TimeoutNow(7), "920707"),
+    (RecoveryQuery((1 << 62) - 1), "9208cf3fffffffffffffff"),
     (
-        OfYou(99, 3, 10, 2, CONFIG, 5, True),
+        RecoveryResponse(99, 3, 10, 2, CONFIG, 5, True),
         "980963030a02939201cf00100000000000009103939201a2643192cf0010000000000000a264329203a2643305c3",
     ),
-    (OfYou(99, 0, 0, 0, Config((1, 2, 3))), "9809630000009393010203909000c2"),
+    (RecoveryResponse(99, 0, 0, 0, Configuration((1, 2, 3))), "9809630000009393010203909000c2"),
 ]
 WORDS: list[tuple[Any, str]] = [
-    (Invite(12, (1, 2, 3)), "93010c93010203"),
-    (Invited(4), "920204"),
-    (NotHere(5), "920305"),
-    (AmIIn(6), "920406"),
-    (YouAreOut(7, 12), "9305070c"),
-    (Question(1 << 59, b"ask"), "9306cf0800000000000000c40361736b"),
-    (Reply(8, b"told", None), "940708c404746f6c64c0"),
-    (Reply(8, None, "d2"), "940708c0a26432"),
+    (CreateReplica(12, (1, 2, 3)), "93010c93010203"),
+    (ReplicaCreated(4), "920204"),
+    (ReplicaNotFound(5), "920305"),
+    (MembershipQuery(6), "920406"),
+    (RemovedFromGroup(7, 12), "9305070c"),
+    (LeaderRequest(1 << 59, b"ask"), "9306cf0800000000000000c40361736b"),
+    (LeaderResponse(8, b"told", None), "940708c404746f6c64c0"),
+    (LeaderResponse(8, None, "d2"), "940708c0a26432"),
 ]
 VALUES: list[tuple[Any, str]] = [
     (CONFIG, "939201cf00100000000000009103939201a2643192cf0010000000000000a264329203a26433"),
-    (Config((1,)), "9391019090"),
+    (Configuration((1,)), "9391019090"),
     (ENTRIES[0], "94080200c400"),
     (ENTRIES[1], "94090201c403616464"),
     (ENTRIES[2], "940a0302c40793930102039090"),
@@ -98,13 +101,13 @@
 @pytest.mark.parametrize(("message", "golden"), MESSAGES)
 def test_each_message_between_replicas_has_these_bytes(message: Any, golden: str) -> None:
     assert encode(message).hex() == golden
-    assert message_of(bytes.fromhex(golden)) == message
+    assert decode_raft_message(bytes.fromhex(golden)) == message
 
 
 @pytest.mark.parametrize(("word", "golden"), WORDS)
 def test_each_message_between_nodes_has_these_bytes(word: Any, golden: str) -> None:
     assert msgspec.msgpack.encode(word).hex() == golden
-    assert word_of(bytes.fromhex(golden)) == word
+    assert decode_node_message(bytes.fromhex(golden)) == word
 
 
 @pytest.mark.parametrize(("value", "golden"), VALUES)
@@ -116,21 +119,21 @@
 def test_all_kinds_of_messages_are_among_these() -> None:
     kinds = {type(message) for message, _ in MESSAGES}
     words = {type(word) for word, _ in WORDS}
-    assert kinds == set(messages.Message.__args__) and words == set(messages.Word.__args__)
+    assert kinds == set(messages.RaftMessage.__args__) and words == set(messages.NodeMessage.__args__)
     assert len(kinds) == 9 and len(words) == 7
 
 
 def test_a_configuration_entry_is_read_field_by_field() -> None:
     data = bytes.fromhex("939201cf00100000000000009103939201a2643192cf0010000000000000a264329203a26433")
-    config = config_of(data)
+    config = decode_configuration(data)
     assert config.voters == (1, 1 << 52) and config.learners == (3,)
-    assert config.homes == ((1, "d1"), (1 << 52, "d2"), (3, "d3"))
+    assert config.locations == ((1, "d1"), (1 << 52, "d2"), (3, "d3"))
     assert encode(config) == data
 
 
 def test_the_numbers_of_entry_kinds() -> None:
-    assert [int(kind) for kind in Kind] == [0, 1, 2]
-    assert (int(Kind.NOTHING), int(Kind.COMMAND), int(Kind.CONFIG)) == (0, 1, 2)
+    assert [int(kind) for kind in EntryKind] == [0, 1, 2]
+    assert (int(EntryKind.NO_OP), int(EntryKind.COMMAND), int(EntryKind.CONFIGURATION)) == (0, 1, 2)
 
 
 # Streams.
@@ -144,19 +147,19 @@
 
 def body() -> bytes:
     envelope = msgspec.msgpack.encode(Envelope("counter-0", 11, 12))
-    return struct.pack(">H", len(envelope)) + envelope + encode(TakeOver(7))
+    return struct.pack(">H", len(envelope)) + envelope + encode(TimeoutNow(7))
 
 
 def word_body() -> bytes:
     envelope = msgspec.msgpack.encode(Envelope("counter-0", 0, 0))
-    return struct.pack(">H", len(envelope)) + envelope + msgspec.msgpack.encode(NotHere(5))
+    return struct.pack(">H", len(envelope)) + envelope + msgspec.msgpack.encode(ReplicaNotFound(5))
 
 
 def test_frames_are_sealed_in_order_with_these_bytes() -> None:
-    sealed = Sealed(Keys([KEY]), SERVER, CLIENT)
-    assert sealed.frame(msgspec.msgpack.encode(Hello("fleet", "a", "b"))).hex() == HELLO
-    assert sealed.frame(body()).hex() == FIRST
-    assert sealed.frame(word_body()).hex() == SECOND
+    sealed = AuthenticatedFrames(Keys([KEY]), SERVER, CLIENT)
+    assert sealed.encode(msgspec.msgpack.encode(Hello("fleet", "a", "b"))).hex() == HELLO
+    assert sealed.encode(body()).hex() == FIRST
+    assert sealed.encode(word_body()).hex() == SECOND
 
 
 def test_a_stream_opens_and_carries_messages_with_these_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -173,9 +176,9 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        sender = Links("fleet", "a", lambda: Keys([KEY]), lambda place: ("127.0.0.1", port))
-        sender.send("b", Envelope("counter-0", 11, 12), encode(TakeOver(7)))
-        sender.say("b", "counter-0", NotHere(5))
+        sender = Transport("fleet", "a", lambda: Keys([KEY]), lambda place: ("127.0.0.1", port))
+        sender.send("b", Envelope("counter-0", 11, 12), encode(TimeoutNow(7)))
+        sender.send_to_node("b", "counter-0", ReplicaNotFound(5))
         assert await got == golden
         sender.stop()
         server.close()
@@ -188,7 +191,7 @@
 
     async def test() -> None:
         taken: list[Any] = []
-        receiver = Links(
+        receiver = Transport(
             "fleet",
             "b",
             lambda: Keys([KEY]),
@@ -203,7 +206,7 @@
         writer.write(CLIENT + bytes.fromhex(HELLO + FIRST + SECOND))
         while len(taken) < 2:
             await asyncio.sleep(0.001)
-        assert taken == [(11, TakeOver(7)), ("a", "counter-0", 0, NotHere(5))]
+        assert taken == [(11, TimeoutNow(7)), ("a", "counter-0", 0, ReplicaNotFound(5))]
         writer.close()
         receiver.stop()
 
@@ -212,12 +215,12 @@
 
 def test_a_stream_that_is_not_as_these_bytes_is_counted_under_these_names(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("secrets.token_bytes", lambda size: SERVER[:size])
-    monkeypatch.setattr(links, "MOST_WAITING", 1)
+    monkeypatch.setattr(links, "MAX_QUEUED_FRAMES", 1)
     hello, first = bytes.fromhex(HELLO), bytes.fromhex(FIRST)
 
     async def test() -> None:
-        receiver = Links("fleet", "b", lambda: Keys([KEY]), lambda place: None)
-        other = Links("fleet", "c", lambda: Keys([KEY]), lambda place: None)
+        receiver = Transport("fleet", "b", lambda: Keys([KEY]), lambda place: None)
+        other = Transport("fleet", "c", lambda: Keys([KEY]), lambda place: None)
         ports = await receiver.start("127.0.0.1", 0), await other.start("127.0.0.1", 0)
 
         async def send(data: bytes, port: int = ports[0]) -> None:
@@ -230,8 +233,8 @@
         await send(wrong)
         await send(b"\xff" * 4)
         await send(hello, ports[1])
-        bad = Sealed(Keys([KEY]), SERVER, CLIENT)
-        await send(bad.frame(b"\xc1"))
+        bad = AuthenticatedFrames(Keys([KEY]), SERVER, CLIENT)
+        await send(bad.encode(b"\xc1"))
         stream = asyncio.create_task(send(hello + first))
         while not receiver.counts["not_for_this_disk"]:
             await asyncio.sleep(0.001)
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -11,17 +11,26 @@
 import pytest
 
 from martenstep.membership.codec import Keys
-from martenstep.replication.messages import Invite, NotHere, YouAreOut
-from martenstep.replication.raft import Role, Settings
-from martenstep.replication.replica import Host, InDoubtError, NotLeaderError, now_ms
-from martenstep.replication.replica_manager import Founder, Holding, Keeper, Place, copy_of, disk_identity
-from martenstep.replication.transport import Links
+from martenstep.replication.messages import CreateReplica, RemovedFromGroup, ReplicaNotFound
+from martenstep.replication.raft import RaftSettings, Role
+from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica, now_ms
+from martenstep.replication.replica_manager import (
+    BootstrapMember,
+    ClusterNode,
+    ReplicaManager,
+    ReplicationSettings,
+    derive_replica_id,
+    load_disk_identity,
+)
+from martenstep.replication.transport import Transport
 from martenstep.storage.files import Disk
 from tests.socket_rig import LONG_S, run
 from tests.test_replication_host import Sum
 
 KEYS = Keys([b"k" * 32])
-QUICK = Settings(election_ms=400.0, beat_ms=60.0, ask_ms=50.0)  # a loaded machine bears it
+QUICK = RaftSettings(
+    election_timeout_ms=400.0, heartbeat_interval_ms=60.0, recovery_query_interval_ms=50.0
+)  # a loaded machine bears it
 
 
 class Fleet:
@@ -37,22 +46,22 @@
     ) -> None:
         self.folder, self.names = folder, list(names)
         self.where: dict[str, tuple[str, int]] = {}
-        self.keepers: dict[str, Keeper] = {}
-        self.links: dict[str, Links] = {}
+        self.keepers: dict[str, ReplicaManager] = {}
+        self.links: dict[str, Transport] = {}
         self.notes: list[tuple[str, dict[str, Any]]] = []
         disks = []
         for name in founders:
             disk = Disk(folder / name)
-            disks.append(Founder(name, disk_identity(disk).id))
+            disks.append(BootstrapMember(name, load_disk_identity(disk).id))
             disk.close()
-        self.holding = Holding(groups, tuple(disks), 3, final_ms)
+        self.holding = ReplicationSettings(groups, tuple(disks), 3, final_ms)
 
-    def places(self) -> list[Place]:
-        return [Place(name, f"z{name}", name in self.keepers) for name in self.names]
+    def places(self) -> list[ClusterNode]:
+        return [ClusterNode(name, f"z{name}", name in self.keepers) for name in self.names]
 
     async def start(self, *names: str) -> None:
         for name in names:
-            keeper = self.keepers[name] = Keeper(
+            keeper = self.keepers[name] = ReplicaManager(
                 name,
                 self.folder / name,
                 self.folder / f"{name}-witness",
@@ -62,7 +71,9 @@
                 lambda event, fields: self.notes.append((event, fields)),
                 QUICK,
             )
-            links = self.links[name] = Links("f", name, lambda: KEYS, self.where.get, keeper.word, keeper.nobody)
+            links = self.links[name] = Transport(
+                "f", name, lambda: KEYS, self.where.get, keeper.receive, keeper.report_unknown_replica
+            )
             host, port = self.where.get(name, ("127.0.0.1", 0))
             self.where[name] = host, await links.start(host, port)
             await keeper.start(links)
@@ -70,18 +81,18 @@
     async def kill(self, name: str, wipe: bool = False) -> None:
         self.links.pop(name).stop()
         keeper = self.keepers.pop(name)
-        for held in keeper._held.values():
-            held.host.copy.role = Role.FOLLOWER  # it ends as it is: nobody is handed to
+        for held in keeper._local.values():
+            held.replica.raft.role = Role.FOLLOWER  # it ends as it is: nobody is handed to
         await keeper.stop()
         if wipe:
             shutil.rmtree(self.folder / name)
             shutil.rmtree(self.folder / f"{name}-witness")
 
-    async def leader(self, group: str) -> Host:
+    async def leader(self, group: str) -> Replica:
         while True:
             for keeper in list(self.keepers.values()):
-                host = keeper.host(group)
-                if host is not None and host.copy.may_read(now_ms()):
+                host = keeper.replica(group)
+                if host is not None and host.raft.can_serve_read(now_ms()):
                     return host
             await asyncio.sleep(0.01)
 
@@ -89,7 +100,7 @@
         while True:
             try:
                 return int(await (await self.leader(group)).propose(b"%d" % number))
-            except (NotLeaderError, InDoubtError):
+            except (NotLeaderError, IndeterminateError):
                 await asyncio.sleep(0.02)
 
     async def until(self, holds: Callable[[], Any]) -> None:
@@ -99,15 +110,15 @@
     def at(self, group: str) -> list[str]:
         """Where a group's copies that count are, as its leader has it committed; empty while nobody leads it."""
         for keeper in self.keepers.values():
-            host = keeper.host(group)
-            if host is not None and host.copy.role is Role.LEADER and host.copy.settled:
-                config = host.copy.config
-                return [] if config.learners else sorted(host.home(copy) or "?" for copy in config.voters)
+            host = keeper.replica(group)
+            if host is not None and host.raft.role is Role.LEADER and host.raft.configuration_committed:
+                config = host.raft.configuration
+                return [] if config.learners else sorted(host.find_node(copy) or "?" for copy in config.voters)
         return []
 
     def total(self, name: str, group: str) -> int:
-        host = self.keepers[name].host(group)
-        return host.machine.total if host is not None and isinstance(host.machine, Sum) else -1
+        host = self.keepers[name].replica(group)
+        return host.state_machine.total if host is not None and isinstance(host.state_machine, Sum) else -1
 
     async def stop(self) -> None:
         for name in list(self.keepers):
@@ -120,8 +131,8 @@
         await fleet.start(*"abc")
         for number in range(20):
             assert await fleet.add("g-0") == number + 1
-        old = copy_of(fleet.holding.founders[1].disk, "g-0")
-        assert fleet.keepers["b"].host("g-0").copy.me == old  # type: ignore[union-attr]
+        old = derive_replica_id(fleet.holding.bootstrap_members[1].disk_id, "g-0")
+        assert fleet.keepers["b"].replica("g-0").raft.replica_id == old  # type: ignore[union-attr]
         await fleet.kill("b", wipe=True)
         assert await fleet.add("g-0", 100) == 120
         await fleet.start("b")
@@ -133,7 +144,7 @@
             )
         )
         host = await fleet.leader("g-0")
-        assert old not in host.copy.config.everyone and len(host.copy.config.voters) == 3
+        assert old not in host.raft.configuration.members and len(host.raft.configuration.voters) == 3
         await fleet.kill("c")
         assert await fleet.add("g-0") == 121  # the new copy counts
         await fleet.stop()
@@ -157,9 +168,9 @@
         shutil.rmtree(tmp_path / "c")
         shutil.copytree(tmp_path / "old", tmp_path / "c")
         await fleet.start("c")
-        host = fleet.keepers["c"].host("g-0")
-        assert host is not None and not host.copy.proven
-        await fleet.until(lambda: host.copy.proven and fleet.total("c", "g-0") == total)
+        host = fleet.keepers["c"].replica("g-0")
+        assert host is not None and not host.raft.disk_verified
+        await fleet.until(lambda: host.raft.disk_verified and fleet.total("c", "g-0") == total)
         await fleet.stop()
 
     run(test(), LONG_S)
@@ -183,7 +194,7 @@
         fleet.names.remove(lost)  # it is there, but nobody wants it: the membership does not know it
         await fleet.start(lost)
         fleet.names = [name for name in fleet.names if name != lost]
-        await fleet.until(lambda: fleet.keepers[lost].host("g-0") is None)
+        await fleet.until(lambda: fleet.keepers[lost].replica("g-0") is None)
         await fleet.until(lambda: not (tmp_path / lost / "groups" / "g-0").exists())
         assert any(event == "copy let go" for event, _ in fleet.notes)
         assert await fleet.add("g-0") == 8
@@ -221,20 +232,20 @@
         await fleet.start("b")
         await fleet.until(lambda: fleet.total("b", "g-0") == 1 and fleet.at("g-0") == ["a", "b", "c"])
         keeper = fleet.keepers["b"]
-        host = keeper.host("g-0")
+        host = keeper.replica("g-0")
         assert host is not None
-        me, index = host.copy.me, host.copy.config_index
-        keeper.word("a", "g-0", 0, YouAreOut(me, index))
-        keeper.word("a", "g-0", 0, Invite(index, (1, 2)))
-        keeper.word("a", "g-0", 0, YouAreOut(me + 1, index + 9))
-        keeper.word("a", "strange", 0, Invite(1, ()))  # of no group of this fleet
-        assert keeper.host("g-0") is host and not keeper.counts["let_go"] and keeper.host("strange") is None
+        me, index = host.raft.replica_id, host.raft.configuration_index
+        keeper.receive("a", "g-0", 0, RemovedFromGroup(me, index))
+        keeper.receive("a", "g-0", 0, CreateReplica(index, (1, 2)))
+        keeper.receive("a", "g-0", 0, RemovedFromGroup(me + 1, index + 9))
+        keeper.receive("a", "strange", 0, CreateReplica(1, ()))  # of no group of this fleet
+        assert keeper.replica("g-0") is host and not keeper.counts["let_go"] and keeper.replica("strange") is None
         leader = await fleet.leader("g-0")
-        leading = next(one for one in fleet.keepers.values() if one.host("g-0") is leader)
-        leading.word("z", "g-0", 0, NotHere(me))  # said by a place where that copy is not
-        assert me not in leading._gone.get("g-0", ())
-        keeper.word("a", "g-0", 0, YouAreOut(me, index + 1))
-        assert keeper.host("g-0") is None
+        leading = next(one for one in fleet.keepers.values() if one.replica("g-0") is leader)
+        leading.receive("z", "g-0", 0, ReplicaNotFound(me))  # said by a place where that copy is not
+        assert me not in leading._missing_replicas.get("g-0", ())
+        keeper.receive("a", "g-0", 0, RemovedFromGroup(me, index + 1))
+        assert keeper.replica("g-0") is None
         await fleet.until(lambda: fleet.total("b", "g-0") == 1 and fleet.at("g-0") == ["a", "b", "c"])
         await fleet.stop()
 
@@ -242,14 +253,14 @@
 
 
 def test_a_place_that_holds_no_copies_is_passed_over(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("martenstep.replication.replica_manager.ANSWER_MS", 400.0)
+    monkeypatch.setattr("martenstep.replication.replica_manager.CREATE_TIMEOUT_MS", 400.0)
 
     async def test() -> None:
         fleet = Fleet(tmp_path, "abcde", groups=("g-0", "g-1", "g-2"), final_ms=100.0)
         await fleet.start(*"abcd")
         for group in fleet.holding.groups:
             await fleet.add(group)
-        deaf = Keeper(
+        deaf = ReplicaManager(
             "e",
             tmp_path / "e",
             tmp_path / "e-w",
--- a/tests/test_replication_host.py
+++ b/tests/test_replication_host.py
@@ -13,16 +13,16 @@
 import pytest
 
 from martenstep.membership.codec import Keys
-from martenstep.replication.messages import Config, TakeOver, encode
-from martenstep.replication.raft import Role, Settings
-from martenstep.replication.replica import Host, InDoubtError, NotLeaderError
-from martenstep.replication.replica_storage import Store
-from martenstep.replication.transport import Envelope, Links
+from martenstep.replication.messages import Configuration, TimeoutNow, encode
+from martenstep.replication.raft import RaftSettings, Role
+from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica
+from martenstep.replication.replica_storage import ReplicaStorage
+from martenstep.replication.transport import Envelope, Transport
 from martenstep.storage.files import FAULTS, Disk
 from tests.socket_rig import LONG_S, run
 
 KEYS = Keys([b"k" * 32])
-QUICK = Settings(election_ms=150.0, beat_ms=30.0, ask_ms=50.0)
+QUICK = RaftSettings(election_timeout_ms=150.0, heartbeat_interval_ms=30.0, recovery_query_interval_ms=50.0)
 
 
 class Sum:
@@ -52,29 +52,29 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.where: dict[str, tuple[str, int]] = {}
-        self.links: dict[int, Links] = {}
-        self.hosts: dict[int, Host] = {}
+        self.links: dict[int, Transport] = {}
+        self.hosts: dict[int, Replica] = {}
         self.machines: dict[int, Any] = {}
         self.disks: dict[int, list[Disk]] = {}
         self.notes: list[tuple[str, dict[str, Any]]] = []
-        self.first = Config((0,))
+        self.first = Configuration((0,))
 
-    def store(self, name: str) -> Store:
+    def store(self, name: str) -> ReplicaStorage:
         disk, witness = Disk(self.folder / name), Disk(self.folder / f"{name}-witness")
-        store = Store(disk, witness, random.SystemRandom())
-        self.disks[store.id] = [disk, witness]
+        store = ReplicaStorage(disk, witness, random.SystemRandom())
+        self.disks[store.replica_id] = [disk, witness]
         return store
 
     async def begin(self, *names: str) -> None:
         stores = [self.store(name) for name in names]
-        self.first = Config(tuple(store.id for store in stores))
+        self.first = Configuration(tuple(store.replica_id for store in stores))
         for store in stores:
             await self.run(store)
 
-    async def run(self, store: Store, keys: Keys = KEYS) -> Host:
-        machine = self.machines[store.id] = self.machine()
-        links = self.links[store.id] = Links("g", str(store.id), lambda: keys, self.where.get)
-        host = self.hosts[store.id] = Host(
+    async def run(self, store: ReplicaStorage, keys: Keys = KEYS) -> Replica:
+        machine = self.machines[store.replica_id] = self.machine()
+        links = self.links[store.replica_id] = Transport("g", str(store.replica_id), lambda: keys, self.where.get)
+        host = self.hosts[store.replica_id] = Replica(
             "g",
             store,
             self.first,
@@ -84,7 +84,7 @@
             QUICK,
             place_of=str,
         )
-        self.where[str(store.id)] = "127.0.0.1", await links.start("127.0.0.1", 0)
+        self.where[str(store.replica_id)] = "127.0.0.1", await links.start("127.0.0.1", 0)
         host.start()
         return host
 
@@ -94,10 +94,10 @@
         for disk in self.disks[number]:
             disk.close()
 
-    async def leader(self) -> Host:
+    async def leader(self) -> Replica:
         while True:
             for host in self.hosts.values():
-                if host.copy.role is Role.LEADER and not host.copy.halted:
+                if host.raft.role is Role.LEADER and not host.raft.halted:
                     return host
             await asyncio.sleep(0.01)
 
@@ -106,7 +106,7 @@
         while True:
             try:
                 return int(await (await self.leader()).propose(b"%d" % number))
-            except (NotLeaderError, InDoubtError):
+            except (NotLeaderError, IndeterminateError):
                 await asyncio.sleep(0.02)
 
     async def until(self, holds: Any) -> None:
@@ -124,14 +124,14 @@
         await group.begin("a", "b", "c")
         for number in range(1, 21):
             assert await group.add(1) >= number
-        lost = (await group.leader()).copy.me
+        lost = (await group.leader()).raft.replica_id
         await group.kill(lost)
         total = await group.add(100)
         assert total >= 120
-        await (await group.leader()).read()
+        await (await group.leader()).confirm_leadership()
         name = "abc"[group.first.voters.index(lost)]
         back = await group.run(group.store(name))
-        assert back.copy.me == lost and back.copy.proven
+        assert back.raft.replica_id == lost and back.raft.disk_verified
         await group.until(lambda: group.machines[lost].total == total)
         await group.stop()
 
@@ -145,23 +145,23 @@
         total = 0
         for _ in range(10):
             total = await group.add(5)
-        leading = (await group.leader()).copy.me
+        leading = (await group.leader()).raft.replica_id
         lost = next(number for number in group.first.voters if number != leading)
         await group.kill(lost)
         fresh = group.store("d")
         await group.run(fresh)
         voters = group.first.voters
         for config in (
-            Config(voters, (fresh.id,)),
-            Config((*voters, fresh.id)),
-            Config(tuple(one for one in (*voters, fresh.id) if one != lost)),
+            Configuration(voters, (fresh.replica_id,)),
+            Configuration((*voters, fresh.replica_id)),
+            Configuration(tuple(one for one in (*voters, fresh.replica_id) if one != lost)),
         ):
-            while not (await group.leader()).change(config):
+            while not (await group.leader()).change_configuration(config):
                 await asyncio.sleep(0.02)
-        await group.until(lambda: group.machines[fresh.id].total == total)
-        await group.until(lambda: group.hosts[fresh.id].copy.config.voters == config.voters)
+        await group.until(lambda: group.machines[fresh.replica_id].total == total)
+        await group.until(lambda: group.hosts[fresh.replica_id].raft.configuration.voters == config.voters)
         other = next(
-            number for number in voters if number in group.hosts and group.hosts[number].copy.role is not Role.LEADER
+            number for number in voters if number in group.hosts and group.hosts[number].raft.role is not Role.LEADER
         )
         await group.kill(other)  # the new one is needed for a majority now
         assert await group.add(1) == total + 1
@@ -175,14 +175,14 @@
         group = Group(tmp_path)
         await group.begin("a", "b", "c")
         await group.add(7)
-        follower = next(number for number, host in group.hosts.items() if host.copy.role is not Role.LEADER)
+        follower = next(number for number, host in group.hosts.items() if host.raft.role is not Role.LEADER)
         name = "abc"[group.first.voters.index(follower)]
         await group.kill(follower)
         (tmp_path / f"{name}-witness" / "witness").unlink()  # its memory is empty
         store = group.store(name)
-        assert not store.proven
+        assert not store.disk_verified
         back = await group.run(store)
-        await group.until(lambda: back.copy.proven and store.proven)
+        await group.until(lambda: back.raft.disk_verified and store.disk_verified)
         await group.until(lambda: group.machines[follower].total == 7)
         await group.stop()
 
@@ -196,7 +196,7 @@
         group = Group(tmp_path)
         await group.begin("a")
         leader = await group.leader()
-        store, begun, ended = leader.store, threading.Event(), threading.Event()
+        store, begun, ended = leader.storage, threading.Event(), threading.Event()
         plain = store.write
 
         def slow(writes: list[Any]) -> None:
@@ -208,9 +208,9 @@
         store.write = slow  # type: ignore[method-assign]
         asking = asyncio.create_task(leader.propose(b"1"))
         await group.until(begun.is_set)
-        await group.kill(store.id)
+        await group.kill(store.replica_id)
         assert ended.is_set()
-        with pytest.raises(InDoubtError):
+        with pytest.raises(IndeterminateError):
             await asking
 
     run(test(), LONG_S)
@@ -227,13 +227,13 @@
         bad = group.store("a")
         monkeypatch.delenv(FAULTS)
         good = [group.store("b"), group.store("c")]
-        group.first = Config((bad.id, *(store.id for store in good)))
+        group.first = Configuration((bad.replica_id, *(store.replica_id for store in good)))
         for store in (bad, *good):
             await group.run(store)
         await group.add(1)
         faults.write_text('{"full": 1}')
         await group.add(2)
-        await group.until(lambda: group.hosts[bad.id].copy.halted)
+        await group.until(lambda: group.hosts[bad.replica_id].raft.halted)
         assert await group.add(3) >= 6
         assert any(event == "copy halted" and "No space" in fields["error"] for event, fields in group.notes)
         await group.stop()
@@ -247,14 +247,14 @@
         await group.begin("a", "b", "c")
         await group.add(1)
         leader = await group.leader()
-        me, links = leader.copy.me, group.links[leader.copy.me]
+        me, links = leader.raft.replica_id, group.links[leader.raft.replica_id]
 
         def there(place: str) -> tuple[str, int]:
             return group.where[str(me)]
 
-        strange = Links("g", "99", lambda: Keys([b"x" * 32]), there)
-        wrong = Links("g", "99", lambda: KEYS, there)
-        body = encode(TakeOver(9))
+        strange = Transport("g", "99", lambda: Keys([b"x" * 32]), there)
+        wrong = Transport("g", "99", lambda: KEYS, there)
+        body = encode(TimeoutNow(9))
         strange.send(str(me), Envelope("g", 99, me), body)
         wrong.send(str(me), Envelope("g", 99, me + 1), body)  # another disk at that place
         wrong.send("98", Envelope("g", 99, me), body)  # another place at that address
@@ -271,7 +271,7 @@
         with pytest.raises(NotLeaderError):
             await follower.propose(b"1")
         with pytest.raises(NotLeaderError):
-            await follower.read()
+            await follower.confirm_leadership()
         await group.stop()
 
     run(test(), LONG_S)
@@ -284,8 +284,8 @@
         group = Group(tmp_path)
         await group.begin("a")
         assert [await group.add(2) for _ in range(3)] == [2, 4, 6]
-        await asyncio.sleep(3 * QUICK.election_ms / 1000)
-        await (await group.leader()).read()
+        await asyncio.sleep(3 * QUICK.election_timeout_ms / 1000)
+        await (await group.leader()).confirm_leadership()
         assert await group.add(1) == 7
         await group.stop()
 
@@ -300,7 +300,7 @@
             await group.begin("a", "b", "c")
             leader = await group.leader()
             got = await asyncio.gather(*(leader.propose(b"1") for _ in range(300)), return_exceptions=True)
-            if not any(isinstance(one, InDoubtError | NotLeaderError) for one in got):
+            if not any(isinstance(one, IndeterminateError | NotLeaderError) for one in got):
                 break
             await group.stop()
         assert got == list(range(1, 301))
@@ -320,22 +320,22 @@
 
 def test_a_snapshot_is_made_while_the_copy_goes_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Of the state at one moment, whatever is added meanwhile; a start from it and the log gives all."""
-    monkeypatch.setattr("martenstep.replication.replica.COMPACT_ENTRIES", 50)
+    monkeypatch.setattr("martenstep.replication.replica.SNAPSHOT_INTERVAL_ENTRIES", 50)
 
     async def test() -> None:
         group = Group(tmp_path)
         group.machine = Slow
         await group.begin("a")
         leader = await group.leader()
-        while leader.copy.base < 100:
+        while leader.raft.snapshot_index < 100:
             await group.add(1)
         total = await group.add(1)
-        kept = leader.copy.snapshot
+        kept = leader.raft.snapshot
         assert kept is not None and 0 < int(kept.body.split()[0]) <= kept.index < total + 2
-        held = leader.copy.base
-        await group.kill(leader.copy.me)  # perhaps in the middle of the next one
+        held = leader.raft.snapshot_index
+        await group.kill(leader.raft.replica_id)  # perhaps in the middle of the next one
         back = await group.run(group.store("a"))
-        assert back.copy.base >= held
+        assert back.raft.snapshot_index >= held
         assert await group.add(1) == total + 1
         await group.stop()
 
@@ -343,7 +343,7 @@
 
 
 def test_a_snapshot_that_fails_leaves_the_log(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("martenstep.replication.replica.COMPACT_ENTRIES", 20)
+    monkeypatch.setattr("martenstep.replication.replica.SNAPSHOT_INTERVAL_ENTRIES", 20)
 
     class Broken(Sum):
         def snapshot(self) -> bytes:
@@ -356,7 +356,7 @@
         for number in range(60):
             assert await group.add(1) == number + 1
         await group.until(lambda: any(event == "no snapshot" for event, _ in group.notes))
-        assert (await group.leader()).copy.base == 0
+        assert (await group.leader()).raft.snapshot_index == 0
         await group.stop()
 
     run(test(), LONG_S)
