--- a/martenstep/lab/explore.py
+++ b/martenstep/lab/explore.py
@@ -42,6 +42,7 @@
     DurableWrite,
     EntryCommitted,
     PersistentState,
+    RaftLog,
     RaftNode,
     RaftSettings,
     Role,
@@ -49,6 +50,8 @@
     Send,
     SnapshotInstalled,
 )
+from martenstep.replication.raft.durability import DurabilityTracker
+from martenstep.replication.raft.timers import TimerQueue
 from martenstep.replication.replica_storage import apply_write
 
 NOW = 1e9  # on every clock, always
@@ -124,7 +127,7 @@
                     name[number],
                     copy.term,
                     copy.voted_for and name[copy.voted_for],
-                    copy.log,
+                    copy.log.entries,
                     copy.commit_index,
                     copy.role.value,
                     copy.leader and name[copy.leader],
@@ -133,7 +136,7 @@
                     sorted([name[one] for one in copy._votes]),
                     sorted([name[one] for one in copy._recovery_responses]),
                     sorted([(name[to], peer.next_index, peer.match_index) for to, peer in copy._progress.items()]),
-                    copy._leader_contact_at > LONG_AGO,
+                    copy.leader_contact_at > LONG_AGO,
                 )
             )
         nodes.sort(key=_first)
@@ -156,8 +159,10 @@
 def _clone(copy: RaftNode) -> RaftNode:
     made: RaftNode = object.__new__(type(copy))
     made.__dict__.update(copy.__dict__)
-    made.log, made.actions, made._waiting_for_durability, made._timers = list(copy.log), [], [], []
-    made._last_index_by_write, made._round_sent_at, made._snapshot_chunks = {}, {}, {}
+    made.log = RaftLog(copy.log.entries, copy.log.snapshot)
+    made.actions, made._timers = [], TimerQueue()
+    made._durability = DurabilityTracker(copy.last_index)
+    made._round_sent_at, made._snapshot_chunks = {}, {}
     made._progress = {to: replace(peer) for to, peer in copy._progress.items()}
     made._votes, made._recovery_responses = set(copy._votes), dict(copy._recovery_responses)
     return made
@@ -202,7 +207,7 @@
         }
         world = World(nodes, {}, self._budget, frozenset(), {}, {}, (), frozenset())
         for node in nodes.values():
-            node.copy._leader_contact_at = LONG_AGO
+            node.copy.leader_contact_at = LONG_AGO
         return world
 
     def _copy(self, number: int, kept: PersistentState, proven: bool = True) -> RaftNode:
@@ -215,7 +220,7 @@
             NOW,
             proven,
         )
-        made._timers.clear()
+        made._timers = TimerQueue()
         return made
 
     # What can happen.
@@ -274,13 +279,13 @@
         if to not in world.nodes:
             return
         lately = [True]
-        if isinstance(message, RequestVote) and world.nodes[to].copy._leader_contact_at > LONG_AGO:
+        if isinstance(message, RequestVote) and world.nodes[to].copy.leader_contact_at > LONG_AGO:
             lately = [True, False]
         for heard in lately:
 
             def event(copy: RaftNode, heard: bool = heard) -> None:
                 if not heard:
-                    copy._leader_contact_at = LONG_AGO
+                    copy.leader_contact_at = LONG_AGO
                 copy.receive(NOW, source, message)
 
             name = f"{to} gets {type(message).__name__} of {source}" + ("" if heard else ", long after its leader")
@@ -375,12 +380,10 @@
             while to == number and queue and _over(queue[0], copy):
                 queue = world.queues[source, to] = queue[1:]
         # What only counts tickets, rounds and times.
-        copy._timers.clear()
-        copy._last_index_by_write.clear()
+        copy._timers = TimerQueue()
+        copy._durability = DurabilityTracker(copy.last_index)
         copy._round_sent_at.clear()
-        copy._last_write = copy._last_durable_write = 0
-        copy._durable_index = copy.last_index
-        copy._heartbeat_round, copy._quorum_contact_at, copy.lease_expires_at, copy._recovery_nonce = 1, NOW, 0.0, 1
+        copy._round, copy._quorum_contact_at, copy.lease_expires_at, copy._recovery_nonce = 1, NOW, 0.0, 1
         for peer in copy._progress.values():
             peer.acked_round = 0
 
@@ -393,7 +396,7 @@
             raise BreachError(f"{world.leaders[became.term]} and {number} both lead term {became.term}")
         copy = world.nodes[number].copy
         for entry in world.told:
-            if entry.term < became.term and copy.entry(entry.index) != entry:
+            if entry.term < became.term and copy.log.entry(entry.index) != entry:
                 raise BreachError(f"{number} leads term {became.term} without entry {entry.index}, which was told")
 
     @staticmethod
@@ -442,12 +445,12 @@
 
 
 def _stands(copy: RaftNode) -> None:
-    copy._leader_contact_at = LONG_AGO
+    copy.leader_contact_at = LONG_AGO
     copy._start_election(NOW)
 
 
 def _asked(copy: RaftNode) -> None:
-    copy.propose(NOW, b"%d.%d" % (copy.replica_id, copy.term))
+    copy.propose(b"%d.%d" % (copy.replica_id, copy.term))
 
 
 def _beats(copy: RaftNode) -> None:
--- a/martenstep/lab/fleet/groups.py
+++ b/martenstep/lab/fleet/groups.py
@@ -283,7 +283,7 @@
             return None
         self._number += 1
         command = b"%d" % self._number
-        index = copy.propose(node.clock(self.sim.now), command)
+        index = copy.propose(command)
         if index is not None:
             node.proposed[index] = copy.term, command
         self._after(node)
@@ -321,11 +321,9 @@
             )
             if isinstance(step, AddReplica):
                 self.counts["invited"] += 1
-                copy.change_configuration(
-                    node.clock(self.sim.now), with_learner(copy.configuration, here[step.node].id, step.node)
-                )
+                copy.change_configuration(with_learner(copy.configuration, here[step.node].id, step.node))
             elif isinstance(step, ChangeConfiguration):
-                self.counts["changes"] += copy.change_configuration(node.clock(self.sim.now), step.configuration)
+                self.counts["changes"] += copy.change_configuration(step.configuration)
             elif isinstance(step, TransferLeadership):
                 copy.transfer_leadership(node.clock(self.sim.now), step.to)
             self._after(node)
--- /dev/null
+++ b/martenstep/replication/raft/state.py
@@ -0,0 +1,202 @@
+"""What all parts of a Raft node share: its term, vote, role, log, timers and writes."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+from functools import partial
+
+from martenstep.replication.messages import (
+    Configuration,
+    EntryKind,
+    LogEntry,
+    RaftMessage,
+    RecoveryResponse,
+    Snapshot,
+    decode_configuration,
+)
+from martenstep.replication.raft.durability import DurabilityTracker
+from martenstep.replication.raft.log import IndexedConfiguration, RaftLog
+from martenstep.replication.raft.progress import Progress
+from martenstep.replication.raft.timers import TimerQueue
+from martenstep.replication.raft.types import (
+    Action,
+    DurableWrite,
+    PersistentState,
+    RaftSettings,
+    Role,
+    RoleChanged,
+    Send,
+)
+
+
+class RaftState:
+    """The state of one replica, and the steps on it that every part takes."""
+
+    def __init__(
+        self,
+        replica_id: int,
+        stored: PersistentState,
+        bootstrap: Configuration,
+        settings: RaftSettings,
+        rng: random.Random,
+        now: float,
+        disk_verified: bool = True,
+    ) -> None:
+        """`bootstrap` is the group as it began; what the log says later holds in its place.
+
+        `disk_verified` tells whether the disk is known to be as this replica left it.
+        """
+        self.replica_id = replica_id
+        self.settings = settings
+        self._rng = rng
+        self.term = stored.term
+        self.voted_for = stored.voted_for
+        self.log = RaftLog(stored.entries, stored.snapshot)
+        self._bootstrap = bootstrap
+        latest = self._configuration_at(self.log.last_index)
+        self.configuration = latest.configuration
+        self.configuration_index = latest.index
+        self.role = Role.FOLLOWER
+        self.leader: int | None = None
+        self.commit_index = self.log.snapshot_index
+        self._applied_index = self.commit_index
+        self.disk_verified = disk_verified
+        self.halted = False
+        self.actions: list[Action] = []
+        self._durability = DurabilityTracker(self.log.last_index)
+        self._timers = TimerQueue()
+        self._election_timer = 0  # number of the time-out in force
+        # Election.
+        self._votes: set[int] = set()
+        self.leader_contact_at = now  # as if a leader had been heard: it may have been, before the start
+        # Leadership.
+        self._progress: dict[int, Progress] = {}
+        self._round = 0  # of heartbeats, in this term
+        self._round_sent_at: dict[int, float] = {}
+        self._quorum_contact_at = now
+        self.lease_expires_at = 0.0
+        self._transfer_target: int | None = None
+        # Snapshots under way, by their index.
+        self._snapshot_chunks: dict[int, bytearray] = {}
+        # Recovery.
+        self._log_floor = stored.log_floor  # a candidate must reach it, this replica too
+        self._recovery_responses: dict[int, RecoveryResponse] = {}
+        self._recovery_nonce = rng.getrandbits(62)
+        self._reset_election_timer(now)
+
+    # The log.
+
+    @property
+    def last_index(self) -> int:
+        """Index of the log's last entry."""
+        return self.log.last_index
+
+    @property
+    def snapshot_index(self) -> int:
+        """All entries up to here are in the snapshot."""
+        return self.log.snapshot_index
+
+    @property
+    def configuration_committed(self) -> bool:
+        """The configuration in force is committed."""
+        return self.configuration_index <= self.commit_index
+
+    def _configuration_at(self, index: int) -> IndexedConfiguration:
+        """The configuration that holds at an index, committed or not."""
+        return self.log.configuration_at(index) or IndexedConfiguration(self._bootstrap, 0)
+
+    def _restore_configuration(self, index: int) -> None:
+        """Let the configuration hold that the log has up to an index."""
+        restored = self._configuration_at(index)
+        self.configuration, self.configuration_index = restored.configuration, restored.index
+
+    def _adopt_configuration(self, appended: Iterable[LogEntry]) -> None:
+        """Let the latest configuration among new entries hold.  The log may be long, and is not searched for it."""
+        for entry in appended:
+            if entry.kind is EntryKind.CONFIGURATION:
+                self.configuration, self.configuration_index = decode_configuration(entry.data), entry.index
+
+    # Timers.
+
+    @property
+    def next_timer_at(self) -> float:
+        """When `run_due_timers` has to be called, in ms of the caller's clock."""
+        return self._timers.next_due_at
+
+    def run_due_timers(self, now: float) -> None:
+        """Run what is due by now."""
+        while not self.halted and (timer := self._timers.pop_due(now)) is not None:
+            timer.callback(now)
+
+    def _reset_election_timer(self, now: float) -> None:
+        """Draw a new election time-out."""
+        self._election_timer += 1
+        shortest = self.settings.election_timeout_ms
+        due_at = now + self._rng.uniform(shortest, 2 * shortest)
+        self._timers.schedule(due_at, partial(self._election_timed_out, timer=self._election_timer))
+
+    def _election_timed_out(self, now: float, timer: int) -> None:
+        """No leader was heard for an election time-out; `timer` is its number."""
+        raise NotImplementedError
+
+    # Durable writes and messages.
+
+    def _persist(
+        self,
+        truncate_from: int | None = None,
+        entries: tuple[LogEntry, ...] = (),
+        snapshot: Snapshot | None = None,
+    ) -> None:
+        """Have the term, the vote and a change of the log made durable."""
+        write = self._durability.next_write(self.log.last_index)
+        self.actions.append(
+            DurableWrite(write, self.term, self.voted_for, self._log_floor, truncate_from, entries, snapshot)
+        )
+
+    def _send(self, to: int, message: RaftMessage) -> None:
+        """Send a message that promises nothing."""
+        self.actions.append(Send(to, message))
+
+    def _send_when_durable(self, to: int, message: RaftMessage) -> None:
+        """Send once all that was written so far is durable."""
+        if self._durability.all_durable:
+            self._send(to, message)
+        else:
+            self._durability.hold_back(Send(to, message))
+
+    # Roles.
+
+    def _change_role(self, role: Role, leader: int | None) -> None:
+        """Take a role, under a leader that may be unknown."""
+        changed = (role, leader) != (self.role, self.leader)
+        self.role, self.leader = role, leader
+        if role is not Role.LEADER:
+            self.lease_expires_at = 0.0
+            self._progress.clear()
+            self._transfer_target = None
+        if changed:
+            self.actions.append(RoleChanged(role, self.term, leader))
+
+    def _step_down(self, now: float) -> None:
+        """Lead no more in this term."""
+        self._change_role(Role.FOLLOWER, None)
+        self._reset_election_timer(now)
+
+    def _enter_term(self, now: float, term: int) -> None:
+        """Follow a higher term."""
+        self.term, self.voted_for = term, None
+        self._persist()
+        self._step_down(now)
+
+    @property
+    def is_below_log_floor(self) -> bool:
+        """The log ends before what this replica may have acknowledged: it waits for a leader that holds that."""
+        return self.log.last_position < self._log_floor
+
+    def _progress_for(self, replica: int) -> Progress:
+        """What is known of a replica's log, in this leader's term."""
+        progress = self._progress.get(replica)
+        if progress is None:
+            progress = self._progress[replica] = Progress(self.log.last_index + 1)
+        return progress
--- a/martenstep/replication/replica.py
+++ b/martenstep/replication/replica.py
@@ -149,7 +149,7 @@
         """The machine's result, once the entry stands, or InDoubtError.  Raises NotLeaderError, ValueError at once."""
         if len(data) > MAX_ENTRY_BYTES:
             raise ValueError(f"an entry has at most {MAX_ENTRY_BYTES} bytes, this one {len(data)}")
-        index = self.raft.propose(now_ms(), data, feed=False)
+        index = self.raft.propose(data, replicate=False)
         if index is None:
             raise NotLeaderError(self.raft.leader)
         loop = asyncio.get_running_loop()
@@ -162,7 +162,7 @@
 
     def _feed(self) -> None:
         self._feeding = False
-        self.raft.replicate(now_ms())
+        self.raft.replicate()
         self._after()
 
     async def confirm_leadership(self) -> None:
@@ -178,7 +178,7 @@
 
     def change_configuration(self, config: Configuration) -> bool:
         """Another group, one voter more or less; False where that may not be now."""
-        done = self.raft.change_configuration(now_ms(), config)
+        done = self.raft.change_configuration(config)
         self._after()
         return done
 
--- a/martenstep/replication/replica_storage.py
+++ b/martenstep/replication/replica_storage.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from martenstep.replication.messages import LogEntry, Snapshot
-from martenstep.replication.raft import DurableWrite, PersistentState
+from martenstep.replication.raft import DurableWrite, LogPosition, PersistentState
 from martenstep.storage.files import Files
 from martenstep.storage.log import LogError, Writer, compact, open_log, write_snapshot
 
@@ -38,7 +38,7 @@
 
     term: int
     voted_for: int | None
-    log_floor: tuple[int, int]
+    log_floor: LogPosition
     truncate_from: int | None
     entries: tuple[LogEntry, ...]
 
@@ -48,7 +48,7 @@
 
     term: int
     voted_for: int | None
-    log_floor: tuple[int, int]
+    log_floor: LogPosition
     snapshot: Snapshot | None
     entries: list[LogEntry]
 
--- a/tests/test_formats_replica_storage.py
+++ b/tests/test_formats_replica_storage.py
@@ -14,7 +14,7 @@
 from martenstep.cli.main import cli
 from martenstep.replication import replica_manager as keeper
 from martenstep.replication.messages import Configuration, EntryKind, LogEntry, Snapshot, decode_configuration, encode
-from martenstep.replication.raft import DurableWrite
+from martenstep.replication.raft import DurableWrite, LogPosition
 from martenstep.replication.replica_manager import DiskIdentity, derive_replica_id, load_disk_identity
 from martenstep.replication.replica_storage import ReplicaStorage, WitnessMark, read_witness_mark
 from martenstep.storage import log
@@ -28,21 +28,26 @@
     DurableWrite(1, 1, 2),
     DurableWrite(2, 1, 2, entries=(LogEntry(1, 1, EntryKind.NO_OP), LogEntry(2, 1, EntryKind.COMMAND, b"first"))),
     DurableWrite(3, 1, 2, entries=(LogEntry(3, 1, EntryKind.CONFIGURATION, encode(GROWN)),)),
-    DurableWrite(4, 2, None, (1, 3)),
+    DurableWrite(4, 2, None, LogPosition(1, 3)),
     DurableWrite(
-        5, 3, 3, (1, 3), 3, (LogEntry(3, 3, EntryKind.NO_OP), LogEntry(4, 3, EntryKind.COMMAND, b"in its place"))
+        5,
+        3,
+        3,
+        LogPosition(1, 3),
+        3,
+        (LogEntry(3, 3, EntryKind.NO_OP), LogEntry(4, 3, EntryKind.COMMAND, b"in its place")),
     ),
-    DurableWrite(6, 3, 3, (1, 3), snapshot=Snapshot(3, 3, GROWN, b"state of three")),
-    DurableWrite(7, 3, 3, (1, 3), entries=(LogEntry(5, 3, EntryKind.COMMAND, b"\x00\xff" * 4),)),
+    DurableWrite(6, 3, 3, LogPosition(1, 3), snapshot=Snapshot(3, 3, GROWN, b"state of three")),
+    DurableWrite(7, 3, 3, LogPosition(1, 3), entries=(LogEntry(5, 3, EntryKind.COMMAND, b"\x00\xff" * 4),)),
     DurableWrite(
         8,
         3,
         3,
-        (1, 3),
+        LogPosition(1, 3),
         None,
         (LogEntry(6, 3, EntryKind.COMMAND, b"a" * 40_000), LogEntry(7, 3, EntryKind.COMMAND, b"b" * 60_000)),
     ),
-    DurableWrite(9, 4, None, (0, 0)),
+    DurableWrite(9, 4, None, LogPosition(0, 0)),
 ]
 LOG_ENTRIES = [[b"one", b"two"], [b"three" * 10], [b"four"], [b"five" * 20, b"six"], [b"seven"]]
 
@@ -88,7 +93,7 @@
         image = store.read_state()
         store.close()
     assert store.replica_id == IDENTITY and store.disk_verified
-    assert (image.term, image.voted_for, image.log_floor) == (4, None, (0, 0))
+    assert (image.term, image.voted_for, image.log_floor) == (4, None, LogPosition(0, 0))
     assert image.snapshot is not None
     assert (image.snapshot.index, image.snapshot.term, image.snapshot.body) == (3, 3, b"state of three")
     assert image.snapshot.configuration.voters == (
@@ -113,7 +118,7 @@
     ):
         image = store.read_state()
     assert not store.disk_verified
-    assert (image.term, image.voted_for, image.log_floor, image.snapshot) == (3, 3, (1, 3), None)
+    assert (image.term, image.voted_for, image.log_floor, image.snapshot) == (3, 3, LogPosition(1, 3), None)
     assert [(one.index, one.term, one.kind, one.data) for one in image.entries] == [
         (1, 1, EntryKind.NO_OP, b""),
         (2, 1, EntryKind.COMMAND, b"first"),
@@ -246,7 +251,12 @@
     other = [
         *WRITES[:4],
         DurableWrite(
-            5, 3, 3, (1, 3), 3, (LogEntry(3, 3, EntryKind.NO_OP), LogEntry(4, 3, EntryKind.COMMAND, b"another"))
+            5,
+            3,
+            3,
+            LogPosition(1, 3),
+            3,
+            (LogEntry(3, 3, EntryKind.NO_OP), LogEntry(4, 3, EntryKind.COMMAND, b"another")),
         ),
     ]
     shutil.rmtree("b/groups/counter-1")
--- a/tests/test_formats_replica_views.py
+++ b/tests/test_formats_replica_views.py
@@ -52,7 +52,7 @@
     copy.receive(now, other, VoteResponse(copy.term, False, True))
     synced(host, now)
     copy.receive(now, other, AppendEntriesResponse(copy.term, True, 1, 1))
-    assert copy.propose(now, b"5") == 2
+    assert copy.propose(b"5") == 2
     synced(host, now)
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -29,6 +29,7 @@
 from martenstep.replication.raft import (
     DurableWrite,
     EntryCommitted,
+    LogPosition,
     PersistentState,
     RaftNode,
     RaftSettings,
@@ -67,7 +68,7 @@
 def follower(make: Make, kept: PersistentState | None = None) -> RaftNode:
     """Copy 2, long after its start."""
     copy = made(make, 2, kept)
-    copy._leader_contact_at = NOW - 1e6
+    copy.leader_contact_at = NOW - 1e6
     return copy
 
 
@@ -148,7 +149,7 @@
 
 def the_leaders_own_entry_counts_once_durable(make: Make) -> bool:
     copy = leader(make)
-    index = copy.propose(LATER, b"x")
+    index = copy.propose(b"x")
     assert index == 2
     copy.receive(LATER, 3, AppendEntriesResponse(copy.term, True, index, 1))
     early = copy.commit_index
@@ -159,9 +160,9 @@
 
 def a_lease_runs_from_before_it_was_asked(make: Make) -> bool:
     copy = leader(make)
-    beat = copy._round_sent_at[copy._heartbeat_round]
+    beat = copy._round_sent_at[copy._round]
     synced(copy, beat)
-    copy.receive(beat + 350, 2, AppendEntriesResponse(copy.term, True, 1, copy._heartbeat_round))
+    copy.receive(beat + 350, 2, AppendEntriesResponse(copy.term, True, 1, copy._round))
     assert copy.can_serve_read(beat + 360)
     return not copy.can_serve_read(beat + 390)
 
@@ -188,7 +189,7 @@
         now = copy.next_timer_at
         copy.run_due_timers(now)
         if copy.term == term and copy.role is Role.LEADER:
-            copy.receive(now, 2, AppendEntriesResponse(term, True, copy.last_index, copy._heartbeat_round))
+            copy.receive(now, 2, AppendEntriesResponse(term, True, copy.last_index, copy._round))
             if copy.can_serve_read(now):
                 return False
     return True
@@ -196,18 +197,18 @@
 
 def one_change_of_the_group_at_a_time(make: Make) -> bool:
     copy = leader(make)
-    early = copy.change_configuration(LATER, Configuration((1, 2)))
+    early = copy.change_configuration(Configuration((1, 2)))
     copy.receive(LATER, 2, AppendEntriesResponse(copy.term, True, 1, 1))
-    assert copy.commit_index == 1 and copy.change_configuration(LATER, Configuration((1, 2, 3), (4,)))
-    second = copy.change_configuration(LATER, Configuration((1, 2), (4,)))
-    two = copy.change_configuration(LATER, Configuration((1, 4)))
+    assert copy.commit_index == 1 and copy.change_configuration(Configuration((1, 2, 3), (4,)))
+    second = copy.change_configuration(Configuration((1, 2), (4,)))
+    two = copy.change_configuration(Configuration((1, 4)))
     return not early and not second and not two
 
 
 def doubted(make: Make) -> RaftNode:
     """Copy 2 from a disk that may be old."""
     copy = made(make, 2, PersistentState(term=4, entries=[entry(1, 1)]), proven=False)
-    copy._leader_contact_at = NOW - 1e6
+    copy.leader_contact_at = NOW - 1e6
     return copy
 
 
@@ -226,7 +227,7 @@
     copy.receive(LATER, 3, RecoveryResponse(asked.nonce, 4, 2, 2, GROUP))
     assert copy.disk_verified
     synced(copy, LATER)
-    copy._leader_contact_at = NOW - 1e6
+    copy.leader_contact_at = NOW - 1e6
 
 
 def a_proven_copy_votes_in_no_term_that_was_known(make: Make) -> bool:
@@ -247,7 +248,7 @@
     kept = PersistentState(
         copy.term,
         copy.voted_for,
-        list(copy.log),
+        list(copy.log.entries),
         None,
         next(action.log_floor for action in reversed(copy.actions) if isinstance(action, DurableWrite)),
     )
@@ -301,7 +302,7 @@
 
     def __init__(self, *words: Any) -> None:
         super().__init__(*words)
-        self._leader_contact_at = -1e18
+        self.leader_contact_at = -1e18
 
 
 class AnyLog(RaftNode):
@@ -351,7 +352,7 @@
 class HandKeeps(RaftNode):
     """Flaw: leads on, lease and all, when nobody took over in time."""
 
-    def _transfer_timed_out(self, now: float, term: int, to: int) -> None:
+    def _transfer_timed_out(self, now: float, term: int) -> None:
         if self.role is Role.LEADER and self.term == term:
             self._transfer_target = None
 
@@ -394,7 +395,7 @@
 
     def _finish_recovery(self, now: float) -> None:
         super()._finish_recovery(now)
-        self._log_floor = (0, 0)
+        self._log_floor = LogPosition(0, 0)
 
 
 @pytest.mark.parametrize(
@@ -446,7 +447,7 @@
 def test_a_copy_whose_disk_was_put_back_in_a_term_is_filled_again() -> None:
     """Seed 100183 of five copies: asked for what it had acknowledged and lost, the leader sent the same for ever."""
     copy = leader(RaftNode)
-    copy.propose(LATER, b"x")
+    copy.propose(b"x")
     copy.receive(LATER, 2, AppendEntriesResponse(copy.term, True, 2, 1))
     copy.actions.clear()
     copy.receive(LATER, 2, AppendEntriesResponse(copy.term, False, 0, 1))
@@ -460,13 +461,13 @@
     copy.actions.clear()
     copy.receive(LATER, 2, RequestVote(9, 9, 9, False))
     copy.run_due_timers(LATER)
-    assert not copy.actions and copy.propose(LATER, b"x") is None and not copy.can_serve_read(LATER)
+    assert not copy.actions and copy.propose(b"x") is None and not copy.can_serve_read(LATER)
 
 
 def test_a_copy_that_lags_too_far_is_filled_by_pieces_and_goes_on() -> None:
     ahead = leader(RaftNode)
     for number in range(40):
-        ahead.propose(LATER, b"%d" % number)
+        ahead.propose(b"%d" % number)
     synced(ahead, LATER)
     ahead.receive(LATER, 2, AppendEntriesResponse(ahead.term, True, 41, 1))
     assert [action.entry.index for action in ahead.actions if isinstance(action, EntryCommitted)] == list(range(1, 42))
@@ -485,7 +486,7 @@
             for action in back:
                 if isinstance(action, Send) and action.to == 1:
                     ahead.receive(now, 3, action.message)
-        ahead.receive(now, 2, AppendEntriesResponse(ahead.term, True, 41, ahead._heartbeat_round))
+        ahead.receive(now, 2, AppendEntriesResponse(ahead.term, True, 41, ahead._round))
     assert behind.snapshot is not None and len(behind.snapshot.body) == 100_000
     assert (behind.last_index, behind.commit_index, behind.snapshot_index) == (41, 41, 30)
 
--- a/tests/test_replication_store.py
+++ b/tests/test_replication_store.py
@@ -9,7 +9,7 @@
 import pytest
 
 from martenstep.replication.messages import Configuration, EntryKind, LogEntry, Snapshot
-from martenstep.replication.raft import DurableWrite, PersistentState
+from martenstep.replication.raft import DurableWrite, LogPosition, PersistentState
 from martenstep.replication.replica_storage import (
     IDENTITY_FILE,
     WITNESS_FILE,
@@ -58,7 +58,7 @@
     base = kept.snapshot.index if kept.snapshot is not None else 0
     term, kind = kept.term + rng.randrange(2), rng.randrange(5)
     if kind == 0:
-        return DurableWrite(ticket, term, rng.randrange(4), (rng.randrange(3), 1))
+        return DurableWrite(ticket, term, rng.randrange(4), LogPosition(rng.randrange(3), 1))
     if kind == 1 and last > base:
         cut = rng.randrange(base + 1, last + 1)
         return DurableWrite(ticket, term, kept.voted_for, kept.log_floor, cut, (entry(cut, term),))
