--- a/martenstep/backoff.py
+++ b/martenstep/backoff.py
@@ -1,27 +1,33 @@
-"""How long to wait before an attempt that failed is made again.  No I/O, no clock.
+"""Backoff: how long to wait before a failed attempt is made again.  No I/O, no clock.
 
-Drawn by chance, since all doors lose a shared thing at the same moment and would else all come back at the same moment.
+The waits are drawn at random: all gateways lose a shared service at the same moment, and would otherwise all come back
+to it at the same moment.
 """
 
 from __future__ import annotations
 
 import random
 
+MIN_JITTER = 0.5  # of a wait's nominal length
+MAX_JITTER = 1.5
+
 
 class Backoff:
-    """Waits that double from the least to the most, and begin anew once an attempt came through."""
+    """Waits that double from a minimum to a maximum, and start again after a success."""
 
-    def __init__(self, least_ms: float, most_ms: float, rng: random.Random | None = None) -> None:
-        self._least_ms, self._most_ms = least_ms, most_ms
+    def __init__(self, min_ms: float, max_ms: float, rng: random.Random | None = None) -> None:
+        """Start at the minimum; `rng` draws the jitter."""
+        self._min_ms = min_ms
+        self._max_ms = max_ms
         self._rng = rng or random.Random()
-        self.next_ms = least_ms  # of the next failure, before the draw
+        self.next_ms = min_ms  # nominal length of the next wait
 
     def failed(self) -> float:
-        """Milliseconds to wait now: half to one and a half of what its turn is."""
-        wait_ms = self.next_ms * self._rng.uniform(0.5, 1.5)
-        self.next_ms = min(self.next_ms * 2, self._most_ms)
+        """Record a failure and return the milliseconds to wait now."""
+        wait_ms = self.next_ms * self._rng.uniform(MIN_JITTER, MAX_JITTER)
+        self.next_ms = min(self.next_ms * 2, self._max_ms)
         return wait_ms
 
     def succeeded(self) -> None:
-        """An attempt came through."""
-        self.next_ms = self._least_ms
+        """Record a success: the next wait is the shortest again."""
+        self.next_ms = self._min_ms
--- a/martenstep/event_log.py
+++ b/martenstep/event_log.py
@@ -10,4 +10,5 @@
 class EventLog(Protocol):
     """Writes one log line: the name of an event, in the words that operators search for, and its fields."""
 
-    def __call__(self, event: str, fields: LogFields, /) -> None: ...
+    def __call__(self, event: str, fields: LogFields, /) -> None:
+        """Write one line."""
--- a/martenstep/lifetime.py
+++ b/martenstep/lifetime.py
@@ -1,4 +1,4 @@
-"""How long a process of the program that only serves lives: until it is told to end."""
+"""The lifetime of a process that only serves: ready line on standard output, then until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -11,8 +11,13 @@
 from typing import Any
 
 
-async def until_stopped(ready: dict[str, Any], stop: Callable[[], Awaitable[None]] | None = None, **more: Any) -> None:
-    """Tell that all is bound, with what else there is to tell, then wait for SIGTERM or SIGINT."""
+async def until_stopped(
+    ready: dict[str, Any], stop: Callable[[], Awaitable[None]] | None = None, **more: object
+) -> None:
+    """Print the ready line, wait for SIGTERM or SIGINT, then call `stop`.
+
+    `ready` names what is bound; `more` are further members of the line's JSON object.
+    """
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
