--- /dev/null
+++ b/tests/test_readability.py
@@ -0,0 +1,38 @@
+"""Modules and functions of the packages that are brought to the readable form stay small."""
+
+from __future__ import annotations
+
+import ast
+from pathlib import Path
+
+import pytest
+
+from martenstep.config.generate import ROOT
+
+MAX_MODULE_LINES = 400
+MAX_FUNCTION_LINES = 40
+FLAT_TABLE = "flat table"  # in the docstring of a module or function that is one, and may be longer
+FINISHED = ("config",)
+PACKAGE = ROOT / "martenstep"
+MODULES = sorted(
+    path
+    for part in FINISHED
+    for path in [*(PACKAGE / part).rglob("*.py"), *PACKAGE.glob("*.py")]
+    if not path.name.endswith("_pb2.py")
+)
+
+
+def is_flat_table(node: ast.Module | ast.FunctionDef | ast.AsyncFunctionDef) -> bool:
+    """Whether the docstring says that it only lists one entry after another."""
+    return FLAT_TABLE in (ast.get_docstring(node) or "")
+
+
+@pytest.mark.parametrize("path", MODULES, ids=lambda path: path.relative_to(PACKAGE).as_posix())
+def test_a_module_and_its_functions_fit_their_bounds(path: Path) -> None:
+    text = path.read_text(encoding="utf-8")
+    tree = ast.parse(text)
+    assert text.count("\n") <= MAX_MODULE_LINES or is_flat_table(tree)
+    for node in ast.walk(tree):
+        if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+            lines = (node.end_lineno or node.lineno) - node.lineno + 1
+            assert lines <= MAX_FUNCTION_LINES or is_flat_table(node), f"{node.name}: {lines} lines"
