--- a/martenstep/node/counter.py
+++ b/martenstep/node/counter.py
@@ -13,7 +13,7 @@
 
 from martenstep.backoff import Backoff
 from martenstep.policy.messages import CallResult
-from martenstep.proxy.transport import now_ms
+from martenstep.proxy.clock import now_ms
 from martenstep.tasks import standing
 
 LANES = 4  # connections; the counter takes 32 of a front door
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -36,11 +36,12 @@
 from martenstep.node.pending_signals import PendingSignals
 from martenstep.node.protocol import Requests, make_dependencies
 from martenstep.policy.messages import CallResult, EndpointListScope
+from martenstep.proxy.clock import now_ms
 from martenstep.proxy.engine import Engine
 from martenstep.proxy.engine_messages import CounterReplied
 from martenstep.proxy.loop_lag import LagSelector
-from martenstep.proxy.server import Driver
-from martenstep.proxy.transport import now_ms, polled
+from martenstep.proxy.server import ProxyServer
+from martenstep.proxy.transport import poll_descriptor
 from martenstep.tasks import standing
 
 FIRST_LIST_MS = 1500.0  # the door is ready without discovery's word after this: it has the list as last known
@@ -86,7 +87,7 @@
                 line = json.dumps({**told, "cut": line[: LINE_BYTES // 4]})
             with suppress(OSError, ValueError):  # whoever read the log has gone
                 # Or reads no more, and the pipe is full: a write would wait, and with it every request.
-                if not self._piped or polled(sys.stdout.fileno(), select.POLLOUT):
+                if not self._piped or poll_descriptor(sys.stdout.fileno(), select.POLLOUT):
                     sys.stdout.write(line + "\n")
                     sys.stdout.flush()
 
@@ -105,15 +106,15 @@
         self.drain_plan = drain_plan_of(config.settings)
         self._requests = Requests(config.settings, now_ms)
         self.engine = Engine(make_dependencies(config, self._requests), config.seed)
-        self.driver = Driver(config.listener, config.upstream, self.engine, self._event_logger.log, clock=selector)
-        self.driver.pool.rest_ms = REST_MS
+        self.driver = ProxyServer(config.listener, config.upstream, self.engine, self._event_logger.log, clock=selector)
+        self.driver.pool.reuse_delay_ms = REST_MS
         self._follower = Follower()
         self._timing = SERVICE if config.settings.must_subscribe else AGENT
         self._discovery = Discovery(
             config.discovery, self._follower, self._listed, self._event_logger.log, self._timing
         )
         self._counter = (
-            Counter(config.counter, self._counted, self.driver.failed) if config.counter is not None else None
+            Counter(config.counter, self._counted, self.driver.log_task_failure) if config.counter is not None else None
         )
         self._telling: asyncio.Task[None] | None = None
         self._started: dict[int, float] = {}  # when each listed server started, as last told
@@ -125,7 +126,7 @@
         self._stalled_at = -math.inf  # when that was noticed, by the gateway's clock
         self._behind_until = -math.inf  # attempts wait for its answer until then, at most
         if selector is not None:
-            self.driver.list_behind = self._list_behind
+            self.driver.set_staleness_check(self._list_behind)
 
     def _list_behind(self) -> bool:
         """Whether the process stood still and discovery has not answered since: what its agent told meanwhile counts.
@@ -155,7 +156,7 @@
         concerned = starts if listed.scope is EndpointListScope.DELTA else self.engine.addresses
         before = {number: self.engine.addresses[number] for number in concerned if number in self.engine.addresses}
         started_before = {number: self._started.get(number, math.inf) for number in before}
-        self.driver.act(listed)
+        self.driver.handle(listed)
         if listed.scope is not EndpointListScope.DELTA:
             self._started.clear()
         self._started.update(starts)
@@ -165,10 +166,10 @@
         for number, address in before.items():  # whoever is there from now on, it is not who was connected to
             restarted = self._started.get(number, 0.0) > started_before[number]
             if self.engine.addresses.get(number) != address or restarted:
-                self.driver.pool.forget(address)
+                self.driver.pool.retire_address(address)
 
     def _counted(self, call: int, verdict: CallResult, total: float) -> None:
-        self.driver.act(CounterReplied(call, verdict, total))
+        self.driver.handle(CounterReplied(call, verdict, total))
 
     def _known(self) -> None:
         """The list as last had, maybe old.  By the follower that goes on from it: a number that named another server
@@ -178,7 +179,7 @@
         except DiscoveryError as error:
             self._event_logger.log("known list not taken up", {"error": str(error)})
             known = None
-        self.driver.act(known if known is not None else Listed(EndpointListScope.CACHED))
+        self.driver.handle(known if known is not None else Listed(EndpointListScope.CACHED))
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
@@ -205,7 +206,7 @@
         end before it listened.  Raises ConfigError where it cannot listen."""
         self._known()
         if self._counter is not None:
-            self.driver.add = self._counter.add
+            self.driver.add_to_counter = self._counter.add
             self._counter.start()
         self._discovery.start()
         # What the agent has counts as told from the first moment, and clients of the process before come as soon as
@@ -220,7 +221,7 @@
         if not self._stop.is_set():
             self._requests.ready = True
             self._event_logger.log("ready", {"servers": len(self._follower.addresses)})
-        self._telling = standing(self._tell, self.driver.failed)
+        self._telling = standing(self._tell, self.driver.log_task_failure)
         return port
 
     async def _first_list_within(self, ms: float) -> bool:
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -24,10 +24,11 @@
 from martenstep.node.config import ConfigError, address_of
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.policy.start_times import StartTimes
-from martenstep.proxy.http1.client_connection import Asking
-from martenstep.proxy.http1.message_head import AnswerHead, Fault
-from martenstep.proxy.http1.message_reader import Data, End
-from martenstep.proxy.transport import WatchedProtocol, WatchedReader, now_ms, ready_for, wall_clock_ms
+from martenstep.proxy.clock import now_ms, wall_clock_ms
+from martenstep.proxy.http1.client_connection import Http1ClientConnection
+from martenstep.proxy.http1.message_head import ProtocolError, ResponseHead
+from martenstep.proxy.http1.message_reader import Data, EndOfMessage
+from martenstep.proxy.transport import WatchedProtocol, WatchedReader, is_ready
 from martenstep.tasks import standing
 
 PATH = "/catalog/members"
@@ -333,7 +334,7 @@
         if self._connection is None:
             return False
         reader, writer = self._connection
-        return bool(reader.unread) or ready_for(writer, select.POLLIN)
+        return bool(reader.buffered) or is_ready(writer, select.POLLIN)
 
     def ask_anew(self) -> None:
         """Ask at once, in place of the call that is out: its answer may have been given up while the process did not
@@ -369,7 +370,7 @@
                 self._gone(error, refused=True)
                 gap_ms = self._pace.refused(self._freshness.age_ms(now_ms()))
             except Exception as error:  # whatever it is: a list that is followed no more stays as it was for ever
-                if not isinstance(error, OSError | DiscoveryError | Fault):
+                if not isinstance(error, OSError | DiscoveryError | ProtocolError):
                     self._failed("discovery", error)
                     self._lost = True
                 self._gone(error)
@@ -415,13 +416,16 @@
         writer = asyncio.StreamWriter(transport, protocol, reader, loop)
         self._connection = reader, writer
         host = f"{self._address[0]}:{self._address[1]}".encode()
-        wire, pace = Asking(), self._pace
+        wire, pace = Http1ClientConnection(), self._pace
         try:
             while True:
                 watch, begun = self._follower.rev is not None, now_ms()
                 due_ms = pace.wait_ms if watch and not self._ask_at_once else 0.0
                 self._ask_at_once = False
-                writer.write(wire.head(b"GET", self._follower.target(due_ms).encode(), [(b"host", host)]) + wire.end())
+                writer.write(
+                    wire.encode_head(b"GET", self._follower.target(due_ms).encode(), [(b"host", host)])
+                    + wire.encode_end()
+                )
                 self._freshness.asked(begun, watch)
                 self._mind()
                 body = await self._answer(reader, wire, due_ms + self._timing.timeout_ms)
@@ -441,18 +445,18 @@
             self._connection = None
             writer.close()
 
-    async def _answer(self, reader: asyncio.StreamReader, wire: Asking, wait_ms: float) -> bytes:
+    async def _answer(self, reader: asyncio.StreamReader, wire: Http1ClientConnection, wait_ms: float) -> bytes:
         """One answer, whose first byte comes within `wait_ms`, which never stands still for longer than `still_ms` and
         is whole within WHOLE_MS more; raises TimeoutError."""
         body = bytearray()
         async with asyncio.timeout((wait_ms + WHOLE_MS) / 1000):
             while True:
-                event = wire.next()
+                event = wire.next_event()
                 if event is None:
                     async with asyncio.timeout(wait_ms / 1000):
                         wire.feed(await reader.read(READ_BYTES))
                     wait_ms = self._timing.still_ms
-                elif isinstance(event, AnswerHead):
+                elif isinstance(event, ResponseHead):
                     if event.status in REFUSED:
                         raise RefusedError(f"answered {event.status}")
                     if event.status != 200:
@@ -461,7 +465,7 @@
                     body += event.data
                     if len(body) > ANSWER_BYTES:
                         raise DiscoveryError(f"an answer of over {ANSWER_BYTES} bytes")
-                elif isinstance(event, End):
+                elif isinstance(event, EndOfMessage):
                     return bytes(body)
                 else:
                     raise ConnectionResetError("the connection ended")
--- a/martenstep/proxy/auth_requests.py
+++ b/martenstep/proxy/auth_requests.py
@@ -1,4 +1,4 @@
-"""Carries checks to authentication services: one GET each, the answer read whole within a bound."""
+"""Carries checks to authentication services: one GET each, the response read whole within a limit."""
 
 from __future__ import annotations
 
@@ -8,139 +8,145 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.tls import ClientContext
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.http1.message_head import AnswerHead, Fault
-from martenstep.proxy.http1.message_reader import Data, End
-from martenstep.proxy.http1.message_writer import UnwritableError
-from martenstep.proxy.transport import Pool, Upstream
+from martenstep.proxy.connection_pool import ConnectionPool
+from martenstep.proxy.http1.message_head import ProtocolError, ResponseHead
+from martenstep.proxy.http1.message_reader import Data, EndOfMessage
+from martenstep.proxy.http1.message_writer import InvalidMessageError
+from martenstep.proxy.upstream_connection import UpstreamConnection
 
-IDLE_MS = 15_000.0  # an idle connection to a service is closed
+IDLE_TIMEOUT_MS = 15_000.0  # of a connection to a service
 
 
-class Host(Protocol):
-    """Who is told."""
+class CheckObserver(Protocol):
+    """Receives what comes of checks."""
 
-    loop: asyncio.AbstractEventLoop
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The event loop that it runs in."""
 
-    def act(self, event: ev.Event) -> None:
-        """Tell the engine."""
+    def handle(self, event: ev.Event) -> None:
+        """Hand an event to the engine."""
 
-    def refused(self, address: str, reason: str) -> None:
-        """TLS refused a service."""
+    def log_rejected_server(self, address: str, reason: str) -> None:
+        """Log that TLS rejected a service."""
 
 
-class _Flying:
+class _CheckAttempt:
     """One attempt of a check."""
 
-    def __init__(self, attempt: int) -> None:
-        self.attempt = attempt
+    def __init__(self, number: int) -> None:
+        self.number = number
         self.task: asyncio.Task[None] | None = None
-        self.upstream: Upstream | None = None
+        self.upstream: UpstreamConnection | None = None
         self.status = 0
         self.headers: ev.Headers = []
         self.body = bytearray()
 
 
-class Checks:
-    """All checks that are out."""
+class AuthClient:
+    """The checks that are under way, by their ids."""
 
-    def __init__(self, host: Host, settings: pb.Auth) -> None:
-        self._host, self._bound = host, settings.body_bytes
+    def __init__(self, observer: CheckObserver, settings: pb.Auth) -> None:
+        """`observer` receives the responses; raises TlsError."""
+        self._observer, self._max_body_bytes = observer, settings.body_bytes
         self.tls = [ClientContext(settings.tls)] if settings.HasField("tls") else []
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             settings.per_service + 1,
-            IDLE_MS,
-            host.refused,
+            IDLE_TIMEOUT_MS,
+            observer.log_rejected_server,
             self.tls[0].context if self.tls else None,
             settings.tls.server_name,
         )
-        self._flying: dict[int, _Flying] = {}
+        self._attempts: dict[int, _CheckAttempt] = {}
 
-    def ask(self, action: ev.StartAuthCheck) -> None:
+    def start(self, action: ev.StartAuthCheck) -> None:
         """Start an attempt."""
-        flying = self._flying[action.check_id] = _Flying(action.attempt)
-        upstream = self.pool.take(action.address)
+        attempt = self._attempts[action.check_id] = _CheckAttempt(action.attempt)
+        upstream = self.pool.acquire_idle(action.address)
         if upstream is not None:
-            self._begin(action, flying, upstream)
-        elif self.pool.reserve(action.address):
-            flying.task = self._host.loop.create_task(self._dial(action, flying))
+            self._begin(action, attempt, upstream)
+        elif self.pool.reserve_slot(action.address):
+            attempt.task = self._observer.loop.create_task(self._connect(action, attempt))
         else:
-            self._failed(action.check_id, flying)
+            self._fail(action.check_id, attempt)
 
     def stop(self, action: ev.StopAuthCheck) -> None:
         """End an attempt and its connection; what still comes of it reaches nobody."""
-        flying = self._flying.pop(action.check_id, None)
-        if flying is not None:
-            self._drop(flying)
+        attempt = self._attempts.pop(action.check_id, None)
+        if attempt is not None:
+            self._release(attempt)
 
     def close(self) -> None:
         """End all."""
-        for flying in self._flying.values():
-            self._drop(flying)
-        self._flying.clear()
+        for attempt in self._attempts.values():
+            self._release(attempt)
+        self._attempts.clear()
         self.pool.close()
 
-    def _drop(self, flying: _Flying) -> None:
-        if flying.task is not None:
-            flying.task.cancel()
-        if flying.upstream is not None:
-            flying.upstream.reader.sink = None
-            self.pool.drop(flying.upstream)
-            flying.upstream = None
-
-    def _failed(self, check: int, flying: _Flying) -> None:
-        if self._flying.get(check) is flying:
-            del self._flying[check]
-            flying.task = None
-            self._drop(flying)
-            self._host.act(ev.AuthCheckFailed(check, flying.attempt))
-
-    async def _dial(self, action: ev.StartAuthCheck, flying: _Flying) -> None:
+    def _release(self, attempt: _CheckAttempt) -> None:
+        if attempt.task is not None:
+            attempt.task.cancel()
+        if attempt.upstream is not None:
+            attempt.upstream.reader.on_data = None
+            self.pool.discard(attempt.upstream)
+            attempt.upstream = None
+
+    def _fail(self, check_id: int, attempt: _CheckAttempt) -> None:
+        if self._attempts.get(check_id) is attempt:
+            del self._attempts[check_id]
+            attempt.task = None
+            self._release(attempt)
+            self._observer.handle(ev.AuthCheckFailed(check_id, attempt.number))
+
+    async def _connect(self, action: ev.StartAuthCheck, attempt: _CheckAttempt) -> None:
         try:
-            upstream = await self.pool.dial(action.address)
+            upstream = await self.pool.connect(action.address)
         except OSError:
-            self._failed(action.check_id, flying)
+            self._fail(action.check_id, attempt)
             return
-        flying.task = None
-        if self._flying.get(action.check_id) is not flying:
-            self.pool.drop(upstream)
+        attempt.task = None
+        if self._attempts.get(action.check_id) is not attempt:
+            self.pool.discard(upstream)
             return
-        self._begin(action, flying, upstream)
+        self._begin(action, attempt, upstream)
 
-    def _begin(self, action: ev.StartAuthCheck, flying: _Flying, upstream: Upstream) -> None:
-        flying.upstream = upstream
-        upstream.reader.sink = lambda data: self._came(action.check_id, flying, upstream, data)
+    def _begin(self, action: ev.StartAuthCheck, attempt: _CheckAttempt, upstream: UpstreamConnection) -> None:
+        attempt.upstream = upstream
+        upstream.reader.on_data = lambda data: self._data_received(action.check_id, attempt, upstream, data)
         host = f"{action.address[0]}:{action.address[1]}".encode()
         try:
-            out = upstream.wire.head(b"GET", action.target, [(b"host", host), *action.headers])
-            upstream.writer.write(out + upstream.wire.end())
-        except UnwritableError:
-            self._failed(action.check_id, flying)
+            out = upstream.http.encode_head(b"GET", action.target, [(b"host", host), *action.headers])
+            upstream.writer.write(out + upstream.http.encode_end())
+        except InvalidMessageError:
+            self._fail(action.check_id, attempt)
 
-    def _came(self, check: int, flying: _Flying, upstream: Upstream, data: bytes) -> None:
-        if flying.upstream is not upstream:
+    def _data_received(self, check_id: int, attempt: _CheckAttempt, upstream: UpstreamConnection, data: bytes) -> None:
+        if attempt.upstream is not upstream:
             return
         try:
             upstream.feed(data)
-            while flying.upstream is upstream:
-                event = upstream.wire.next()
+            while attempt.upstream is upstream:
+                event = upstream.http.next_event()
                 if event is None:
                     return
-                if isinstance(event, AnswerHead):
-                    flying.status, flying.headers = event.status, event.headers
+                if isinstance(event, ResponseHead):
+                    attempt.status, attempt.headers = event.status, event.headers
                 elif isinstance(event, Data):
-                    flying.body += event.data
-                    if len(flying.body) > self._bound:
-                        self._failed(check, flying)
-                elif isinstance(event, End):
-                    self._whole(check, flying, upstream)
+                    attempt.body += event.data
+                    if len(attempt.body) > self._max_body_bytes:
+                        self._fail(check_id, attempt)
+                elif isinstance(event, EndOfMessage):
+                    self._complete(check_id, attempt, upstream)
                 else:
-                    self._failed(check, flying)
-        except Fault:
-            self._failed(check, flying)
-
-    def _whole(self, check: int, flying: _Flying, upstream: Upstream) -> None:
-        upstream.reader.sink = None
-        flying.upstream = None
-        self._flying.pop(check, None)
-        self.pool.put(upstream)  # with bytes behind the answer it is dropped
-        self._host.act(ev.AuthCheckReplied(check, flying.attempt, flying.status, flying.headers, bytes(flying.body)))
+                    self._fail(check_id, attempt)
+        except ProtocolError:
+            self._fail(check_id, attempt)
+
+    def _complete(self, check_id: int, attempt: _CheckAttempt, upstream: UpstreamConnection) -> None:
+        upstream.reader.on_data = None
+        attempt.upstream = None
+        self._attempts.pop(check_id, None)
+        self.pool.recycle(upstream)  # discarded there where bytes stand behind the response
+        self._observer.handle(
+            ev.AuthCheckReplied(check_id, attempt.number, attempt.status, attempt.headers, bytes(attempt.body))
+        )
--- a/martenstep/proxy/clock_step_detector.py
+++ b/martenstep/proxy/clock_step_detector.py
@@ -1,4 +1,4 @@
-"""Notices when the wall clock is stepped against the monotonic one.
+"""Detects steps of the wall clock against the monotonic one.
 
 Gateways number the periods of a quota by the wall clock, since their monotonic clocks have nothing in common.  One that
 kept the wall clock as it found it at its start would number them otherwise than those that start after a step.
@@ -8,14 +8,14 @@
 
 from collections.abc import Callable
 
-from martenstep.proxy.transport import now_ms, wall_clock_ms
+from martenstep.proxy.clock import now_ms, wall_clock_ms
 
-MIN_STEP_MS = 5.0  # less is left to the bound on how far gateways' clocks part (CLOCKS_MS in quota.py)
-MAX_READING_MS = 1.0  # between two looks at the monotonic clock, the wall clock read between them
-READINGS = 5  # tries to get one within that
+MIN_STEP_MS = 5.0  # less is within the bound on how far gateways' clocks may differ (policy/quota.py)
+MAX_READING_MS = 1.0  # between two readings of the monotonic clock, the wall clock read between them
+MAX_READINGS = 5  # to get one within that
 
 
-class StepWatch:
+class ClockStepDetector:
     """What the wall clock reads beyond the gateway's own, which runs on."""
 
     def __init__(self, clock: Callable[[], float] = now_ms, wall_clock: Callable[[], float] = wall_clock_ms) -> None:
@@ -32,14 +32,14 @@
             return True
         if abs(self._wall_clock() - self._clock() - self.shift_ms) < MIN_STEP_MS:
             return False
-        measured = self._measured_shift()  # this process may have been held up between the two readings
-        if measured is None or abs(measured - self.shift_ms) < MIN_STEP_MS:
+        measured_ms = self._measure_shift()  # this process may have been held up between the two readings
+        if measured_ms is None or abs(measured_ms - self.shift_ms) < MIN_STEP_MS:
             return False
-        self.shift_ms = measured
+        self.shift_ms = measured_ms
         return True
 
-    def _measured_shift(self) -> float | None:
-        for _ in range(READINGS):
+    def _measure_shift(self) -> float | None:
+        for _ in range(MAX_READINGS):
             before = self._clock()
             wall = self._wall_clock()
             after = self._clock()
--- /dev/null
+++ b/martenstep/proxy/connection_pool.py
@@ -0,0 +1,174 @@
+"""The connections to all endpoints: idle ones by address, within limits on how many there are."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import socket
+import ssl
+import struct
+from contextlib import suppress
+
+from martenstep.proxy.clock import now_ms
+from martenstep.proxy.transport import HandshakeRejected, WatchedProtocol, WatchedReader, disable_nagle
+from martenstep.proxy.upstream_connection import UpstreamConnection
+
+Address = tuple[str, int]
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER for no time: a close that resets
+
+
+class ConnectionPool:
+    """Connections in use, idle, or being made.  Each holds a slot under the limits."""
+
+    def __init__(
+        self,
+        max_per_address: int,
+        idle_timeout_ms: float,
+        handshake_rejected: HandshakeRejected,
+        tls: ssl.SSLContext | None = None,
+        server_name: str = "",
+        max_connections: int = 0,
+    ) -> None:
+        """`max_connections` to all addresses together (0: no such limit); `handshake_rejected` is told where TLS
+        rejects the other side."""
+        self._max_per_address, self._idle_timeout_ms = max_per_address, idle_timeout_ms
+        self._max_connections = max_connections
+        self._handshake_rejected = handshake_rejected
+        # A connection is not reused so soon after its response: a second one may come some ms behind, and would be
+        # taken for the next request's.
+        self.reuse_delay_ms = 0.0
+        self._tls, self._server_name = tls, server_name
+        self._idle: dict[Address, list[UpstreamConnection]] = {}  # the one used last is the last
+        self._slots: dict[Address, int] = {}  # taken, by address
+        self._retired_at: dict[Address, float] = {}  # connections made before are not kept
+        self.opened = 0  # in all, since the start
+
+    @property
+    def connections(self) -> int:
+        """Connections in use, idle or being made."""
+        return sum(self._slots.values())
+
+    # Use ----------------------------------------------------------------------------------------------------
+
+    def acquire_idle(self, address: Address) -> UpstreamConnection | None:
+        """An idle connection, the last used first; None where there is none.  Ended ones are discarded on the way."""
+        idle = self._idle.get(address, [])
+        latest_idle_since = now_ms() - self.reuse_delay_ms
+        for index in reversed(range(len(idle))):
+            if idle[index].idle_since > latest_idle_since:
+                continue
+            upstream = idle.pop(index)
+            if upstream.is_usable:
+                return upstream
+            self.discard(upstream)
+        return None
+
+    def recycle(self, upstream: UpstreamConnection) -> None:
+        """Keep a connection whose response is complete for the next attempt, where it can be used again."""
+        has_unsent = upstream.writer.transport.get_write_buffer_size() > 0  # it was answered before it was all there
+        is_retired = upstream.connected_at <= self._retired_at.get(upstream.address, -math.inf)
+        if not upstream.http.reusable or upstream.reader.ended or has_unsent or is_retired:
+            self.discard(upstream)
+            return
+        upstream.reader.has_activity = False
+        upstream.idle_since = now_ms()
+        self._idle.setdefault(upstream.address, []).append(upstream)
+
+    def discard(self, upstream: UpstreamConnection) -> None:
+        """Close a connection and release its slot."""
+        upstream.abort()
+        self.release_slot(upstream.address)
+
+    # Slots --------------------------------------------------------------------------------------------------
+
+    def reserve_slot(self, address: Address) -> bool:
+        """Take a slot for a new connection; False where a limit is reached."""
+        if self._slots.get(address, 0) >= self._max_per_address:
+            idle = self._idle.get(address)  # it may not be reused yet: `acquire_idle` has found none
+            if not idle:
+                return False
+            self.discard(idle.pop(0))
+        elif self._max_connections and self.connections >= self._max_connections and not self._discard_longest_idle():
+            return False
+        self._slots[address] = self._slots.get(address, 0) + 1
+        return True
+
+    def _discard_longest_idle(self) -> bool:
+        """Make room under the limit of all; False where every connection is in use."""
+        oldest = (idle[0] for idle in self._idle.values() if idle)
+        found = min(oldest, key=lambda upstream: upstream.idle_since, default=None)
+        if found is None:
+            return False
+        self._idle[found.address].remove(found)
+        self.discard(found)
+        return True
+
+    def release_slot(self, address: Address) -> None:
+        """Give a slot back."""
+        remaining = self._slots.get(address, 1) - 1
+        if remaining > 0:
+            self._slots[address] = remaining
+        else:
+            self._slots.pop(address, None)
+            self._idle.pop(address, None)
+            self._retired_at.pop(address, None)
+
+    async def connect(self, address: Address) -> UpstreamConnection:
+        """Make a connection in a slot that is reserved; raises OSError, after which the slot is released.
+
+        Its close is a reset from the begin, the kernel's as well when the process is killed.  A plain close would go on
+        delivering a request that was given up, for minutes where the network lost it: after its final response, and
+        beside its next attempt."""
+        loop = asyncio.get_running_loop()
+        reader = WatchedReader()
+        try:
+            transport, protocol = await loop.create_connection(
+                lambda: WatchedProtocol(reader),
+                *address,
+                ssl=self._tls,
+                server_hostname=(self._server_name or None) if self._tls else None,
+            )
+        except BaseException as error:
+            self.release_slot(address)
+            if isinstance(error, ssl.SSLError):
+                reason = getattr(error, "verify_message", "") or str(error.reason)
+                self._handshake_rejected(f"{address[0]}:{address[1]}", reason)
+            raise
+        with suppress(OSError):  # it has ended already
+            transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+        disable_nagle(transport)
+        protocol.secure = self._tls is not None
+        self.opened += 1
+        return UpstreamConnection(address, reader, asyncio.StreamWriter(transport, protocol, reader, loop))
+
+    # Close --------------------------------------------------------------------------------------------------
+
+    def retire_address(self, address: Address) -> None:
+        """Close the idle connections to an address whose endpoint has gone, and those in use after their response:
+        another endpoint may come to it."""
+        if address in self._slots:
+            self._retired_at[address] = now_ms()
+        for upstream in self._idle.pop(address, []):
+            self.discard(upstream)
+
+    def close_expired(self) -> None:
+        """Close what has been idle for too long, or has ended."""
+        now = now_ms()
+        for address in list(self._idle):
+            usable = []
+            for upstream in self._idle[address]:
+                if upstream.is_usable and now - upstream.idle_since < self._idle_timeout_ms:
+                    usable.append(upstream)
+                else:
+                    self.discard(upstream)
+            if usable and address in self._idle:
+                self._idle[address] = usable
+            else:
+                self._idle.pop(address, None)
+
+    def close(self) -> None:
+        """Close every idle connection."""
+        for idle in list(self._idle.values()):
+            for upstream in list(idle):
+                self.discard(upstream)
+        self._idle.clear()
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -24,11 +24,11 @@
 from martenstep.hooks.runner import Limits
 from martenstep.policy.messages import CallResult, EndpointListScope
 from martenstep.proxy.admin import Admin, DoorCollector
+from martenstep.proxy.clock import now_ms
 from martenstep.proxy.engine_factory import make_dependencies, make_engine, make_server
 from martenstep.proxy.engine_messages import CounterReplied, RecordUsage
 from martenstep.proxy.event_logger import EventLogger
 from martenstep.proxy.traces import Exporter
-from martenstep.proxy.transport import now_ms
 from martenstep.redis_counter.redis_store import RedisStore
 
 if TYPE_CHECKING:
@@ -93,13 +93,13 @@
     async def start(self, sock: socket.socket | None = None, reuse_port: bool = False) -> None:
         """Bind everything; the listener last, or a socket bound already, so that the first request finds the list."""
         await self.load_hooks()
-        self.driver.listen = self._feed.listen
+        self.driver.subscribe_endpoints = self._feed.listen
         if self._store is not None:
             self._store.start()
-            self.driver.add = self._store.add
+            self.driver.add_to_counter = self._store.add
         if self.door.HasField("tracing"):
             self._exporter = Exporter(Path(self.door.tracing.file), self.door.name, lambda: time.time() * 1000, now_ms)
-            self.driver.trace = self._exporter.take
+            self.driver.export_trace = self._exporter.take
         if self.door.HasField("members"):
             self._feed.warm()
             self._feeding = asyncio.create_task(self._feed.run())
@@ -109,8 +109,8 @@
         if self.door.HasField("counter"):
             self._counter = Shards(self._counter_clients())
             self._counter.start()
-            self.driver.add, self.driver.record = self._counter.add, self._tried
-            self.driver.record_ms = self.door.copies.book.wait_ms
+            self.driver.add_to_counter = self._counter.add
+            self.driver.set_usage_recorder(self._tried, self.door.copies.book.wait_ms)
         if self.door.HasField("admin"):
             self.ports["admin"] = await self._admin.start(self.door.admin.host, self.door.admin.port)
         self.ports["listener"] = await self.driver.start(sock, reuse_port)
@@ -266,7 +266,7 @@
         return clean
 
     def _counted(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
-        self.driver.act(CounterReplied(call, verdict, total, kept_ms))
+        self.driver.handle(CounterReplied(call, verdict, total, kept_ms))
 
     def _counter_clients(self) -> dict[str, CounterClient]:
         """One client a service, each with a journal of its own."""
@@ -376,7 +376,7 @@
     def _listed(self, listed: Listed) -> None:
         if listed.scope is not EndpointListScope.DELTA:
             self.event_logger.log("members", {"scope": listed.scope.value, "servers": len(listed.servers)})
-        self.driver.act(listed)
+        self.driver.handle(listed)
 
     def _odd(self, what: str, text: str) -> None:
         self.event_logger.log(what, {"text": text})
--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -12,12 +12,12 @@
 from martenstep.event_log import EventLog
 from martenstep.hooks.releases import Shelf
 from martenstep.proxy.attempt_outcomes import StatusTable
-from martenstep.proxy.auth_requests import Checks
+from martenstep.proxy.auth_requests import AuthClient
 from martenstep.proxy.dependencies import AuthorizationSettings, EngineDependencies
 from martenstep.proxy.engine import Engine
 from martenstep.proxy.extension_points import HookExtensionPoints
 from martenstep.proxy.route_table import GatewayRouteTable
-from martenstep.proxy.server import Driver
+from martenstep.proxy.server import ProxyServer
 from martenstep.proxy.stages.upstream_request import GatewayMessageBuilder
 from martenstep.proxy.targets import TargetNormalizer
 from martenstep.proxy.traces import Sampler
@@ -119,10 +119,10 @@
     return Engine(make_dependencies(door, seed, hook_releases, epoch_ms), seed, hook_releases)
 
 
-def make_server(door: pb.Door, engine: Engine, log_event: EventLog) -> Driver:
+def make_server(door: pb.Door, engine: Engine, log_event: EventLog) -> ProxyServer:
     """A server by a gateway's settings; raises TlsError."""
     listener, upstream = door.listener, door.upstream
-    server = Driver(
+    server = ProxyServer(
         listener,
         upstream,
         engine,
@@ -132,5 +132,5 @@
         upstream.tls.server_name,
     )
     if door.HasField("auth"):
-        server.check_by(Checks(server, door.auth))
+        server.set_auth_client(AuthClient(server, door.auth))
     return server
--- a/martenstep/proxy/http1/message_body.py
+++ b/martenstep/proxy/http1/message_body.py
@@ -4,53 +4,57 @@
 
 import re
 from collections.abc import Iterator
+from enum import Enum, auto
 
-from martenstep.proxy.http1.message_head import END_OF_HEAD, Fault
+from martenstep.proxy.http1.message_head import END_OF_HEAD, ProtocolError
 
-SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
-LINE_BYTES = 1024  # of a chunk's size line: extensions are read past, not kept
-TRAILER_BYTES = 8192
+CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
+MAX_CHUNK_LINE_BYTES = 1024  # extensions are read past, not kept
+MAX_TRAILER_BYTES = 8192
 TRAILER = re.compile(rb"(?:[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[\t\x20-\x7e\x80-\xff]*\r\n)*\r\n")
 CRLF = b"\r\n"
+BAD_REQUEST, HEADERS_TOO_LARGE = 400, 431
 
 
-class Sized:
+class FixedLengthBody:
     """A body of a known length."""
 
-    __slots__ = ("left",)
+    __slots__ = ("remaining",)
 
     def __init__(self, length: int) -> None:
-        self.left = length  # bytes that are still to come
+        """`length` in bytes."""
+        self.remaining = length  # bytes that are still to come
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether its last byte has come."""
-        return self.left == 0
+        return self.remaining == 0
 
     def take(self, data: bytearray) -> Iterator[bytes]:
-        """Its bytes, taken off the front."""
-        if data and self.left:
-            part = bytes(data[: self.left])
+        """Its bytes, taken off the front of `data`."""
+        if data and self.remaining:
+            part = bytes(data[: self.remaining])
             del data[: len(part)]
-            self.left -= len(part)
+            self.remaining -= len(part)
             yield part
 
     def end(self) -> None:
-        """The connection is at its end."""
-        if self.left:
-            raise Fault(400, "body broke off")
+        """The connection is at its end; raises ProtocolError where the body is not complete."""
+        if self.remaining:
+            raise ProtocolError(BAD_REQUEST, "body broke off")
 
 
-class Unbounded:
+class BodyUntilClose:
     """A body that ends with its connection."""
 
-    __slots__ = ("whole",)
+    __slots__ = ("complete",)
 
     def __init__(self) -> None:
-        self.whole = False
+        """Of a length that nobody knows."""
+        self.complete = False
 
     def take(self, data: bytearray) -> Iterator[bytes]:
-        """All that is there."""
+        """All bytes, taken off the front of `data`."""
         if data:
             part = bytes(data)
             data.clear()
@@ -58,68 +62,100 @@
 
     def end(self) -> None:
         """The connection is at its end, and so is the body."""
-        self.whole = True
+        self.complete = True
 
 
-class Chunked:
+class _ChunkState(Enum):
+    """What comes next of a chunked body."""
+
+    SIZE = auto()
+    DATA = auto()
+    LINE_END = auto()
+    TRAILER = auto()
+
+
+class ChunkedBody:
     """A body in chunks; its trailers are read past."""
 
-    __slots__ = ("_left", "_state", "whole")
+    __slots__ = ("_remaining", "_state", "complete")
 
     def __init__(self) -> None:
-        self._left = 0
-        self._state = "size"
-        self.whole = False
+        """Starts before the first chunk."""
+        self._remaining = 0  # bytes of the present chunk
+        self._state = _ChunkState.SIZE
+        self.complete = False
 
     def take(self, data: bytearray) -> Iterator[bytes]:
-        """What the chunks hold, taken off the front; raises Fault."""
-        at = 0  # behind what is done with: deleted once, since each deletion moves the rest
+        """What the chunks hold, taken off the front of `data`; raises ProtocolError."""
+        position = 0  # behind what is done with: deleted once, since each deletion moves the rest
         try:
-            while not self.whole:
-                if self._state == "data":
-                    part = bytes(data[at : at + self._left])
+            while not self.complete:
+                if self._state is _ChunkState.DATA:
+                    part = bytes(data[position : position + self._remaining])
                     if not part:
                         return
-                    at, self._left = at + len(part), self._left - len(part)
-                    self._state = "data" if self._left else "line end"
+                    position += len(part)
+                    self._remaining -= len(part)
+                    if not self._remaining:
+                        self._state = _ChunkState.LINE_END
                     yield part
-                elif self._state == "line end":
-                    if len(data) - at < len(CRLF):
-                        if len(data) > at and data[at] != CRLF[0]:
-                            raise Fault(400, "bad body")
-                        return
-                    if data[at : at + 2] != CRLF:
-                        raise Fault(400, "bad body")
-                    at, self._state = at + 2, "size"
-                elif self._state == "size":
-                    end = data.find(CRLF, at)
-                    if end < 0 or end - at > LINE_BYTES:
-                        if len(data) - at > LINE_BYTES or data.find(b"\n", at) >= 0:
-                            raise Fault(400, "bad body")
-                        return
-                    found = SIZE_LINE.fullmatch(data, at, end)
-                    if found is None:
-                        raise Fault(400, "bad body")
-                    at, self._left = end + 2, int(found[1], 16)
-                    self._state = "data" if self._left else "trailer"
-                else:
-                    none = data[at : at + 2] == CRLF
-                    found_at = at if none else data.find(END_OF_HEAD, at)
-                    if found_at < 0:
-                        if len(data) - at > TRAILER_BYTES:
-                            raise Fault(431, "head too large")
-                        return
-                    end = found_at + (len(CRLF) if none else len(END_OF_HEAD))
-                    if TRAILER.fullmatch(data, at, end) is None:
-                        raise Fault(400, "bad body")
-                    at, self.whole = end, True
+                    continue
+                next_position = self._read_framing(data, position)
+                if next_position is None:
+                    return
+                position = next_position
         finally:
-            del data[:at]
+            del data[:position]
+
+    def _read_framing(self, data: bytearray, position: int) -> int | None:
+        """Read what stands between chunks; returns the position behind it, None where more bytes must come."""
+        if self._state is _ChunkState.LINE_END:
+            return self._read_line_end(data, position)
+        if self._state is _ChunkState.SIZE:
+            return self._read_size(data, position)
+        return self._read_trailer(data, position)
+
+    def _read_line_end(self, data: bytearray, position: int) -> int | None:
+        if len(data) - position < len(CRLF):
+            if len(data) > position and data[position] != CRLF[0]:
+                raise ProtocolError(BAD_REQUEST, "bad body")
+            return None
+        end = position + len(CRLF)
+        if data[position:end] != CRLF:
+            raise ProtocolError(BAD_REQUEST, "bad body")
+        self._state = _ChunkState.SIZE
+        return end
+
+    def _read_size(self, data: bytearray, position: int) -> int | None:
+        line_end = data.find(CRLF, position)
+        if line_end < 0 or line_end - position > MAX_CHUNK_LINE_BYTES:
+            if len(data) - position > MAX_CHUNK_LINE_BYTES or data.find(b"\n", position) >= 0:
+                raise ProtocolError(BAD_REQUEST, "bad body")
+            return None
+        match = CHUNK_SIZE_LINE.fullmatch(data, position, line_end)
+        if match is None:
+            raise ProtocolError(BAD_REQUEST, "bad body")
+        self._remaining = int(match[1], 16)
+        self._state = _ChunkState.DATA if self._remaining else _ChunkState.TRAILER
+        return line_end + len(CRLF)
+
+    def _read_trailer(self, data: bytearray, position: int) -> int | None:
+        is_empty = data[position : position + len(CRLF)] == CRLF
+        found = position if is_empty else data.find(END_OF_HEAD, position)
+        if found < 0:
+            if len(data) - position > MAX_TRAILER_BYTES:
+                raise ProtocolError(HEADERS_TOO_LARGE, "head too large")
+            return None
+        end = found + len(CRLF if is_empty else END_OF_HEAD)
+        if TRAILER.fullmatch(data, position, end) is None:
+            raise ProtocolError(BAD_REQUEST, "bad body")
+        self.complete = True
+        return end
 
     def end(self) -> None:
-        """The connection is at its end."""
-        if not self.whole:
-            raise Fault(400, "body broke off")
+        """The connection is at its end; raises ProtocolError where the body is not complete."""
+        if not self.complete:
+            raise ProtocolError(BAD_REQUEST, "body broke off")
 
 
-Body = Sized | Unbounded | Chunked
+Body = FixedLengthBody | BodyUntilClose | ChunkedBody
--- a/martenstep/proxy/http1/message_head.py
+++ b/martenstep/proxy/http1/message_head.py
@@ -1,28 +1,32 @@
-"""Heads of requests and answers: parsed by llhttp in one go once they are whole, and held to more than it asks for.
+"""Heads of requests and responses: parsed by llhttp once they are complete, and held to more than it asks for.
 
-llhttp takes 6 us for a browser's head where h11 takes 60 (one run, busy machine); what it lets pass and this does not:
-two spaces in a request line, HTTP/0.9 and other versions, an empty line in front, an HTTP/1.1 request with no Host or
-several, a target with bytes outside ASCII, Transfer-Encoding other than one `chunked` or in HTTP/1.0, and any head that
-goes on behind its end.  A method that it has no number for is read by h11, so that a server's own methods pass.
+llhttp accepts what is rejected here: two spaces in a request line, HTTP/0.9 and other versions, an empty line in front,
+an HTTP/1.1 request with no Host or several, a target with bytes outside ASCII, Transfer-Encoding other than one
+`chunked` or in HTTP/1.0, and any head that goes on behind its end.  A method that it has no number for is read by h11,
+so that an endpoint's own methods pass.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import h11
 import httptools
 
 Headers = list[tuple[bytes, bytes]]
 END_OF_HEAD = b"\r\n\r\n"
-BLANK = b" \t"
-MOST_LENGTH_DIGITS = 19  # of a content-length: more is no length that anybody means
-NO_BODY = (204, 304)
+WHITESPACE = b" \t"
+MAX_LENGTH_DIGITS = 19  # of a content-length: more is no length that anybody means
+STATUSES_WITHOUT_BODY = (204, 304)
+MIN_STATUS, MAX_STATUS = 100, 599
+MINOR_VERSIONS = {"1.1": 1, "1.0": 0}
+BAD_REQUEST, NOT_IMPLEMENTED, BAD_GATEWAY, VERSION_NOT_SUPPORTED = 400, 501, 502, 505
 
 
 @dataclass(slots=True)
-class Fault(Exception):
-    """What came is not HTTP that is taken; the status that tells a client so."""
+class ProtocolError(Exception):
+    """What came is not HTTP that is accepted; the status that tells a client so, and the reason."""
 
     status: int
     reason: str
@@ -30,40 +34,40 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """A request's line and headers, names in lower case.  A length of None with `chunked`: it is told as it comes."""
+    """A request's line and headers, names in lower case.  A length of None with `chunked`: it is stated as it comes."""
 
     method: bytes
     target: bytes
-    minor: int  # of HTTP/1
+    minor_version: int  # of HTTP/1
     headers: Headers
     length: int | None
     chunked: bool
-    keep: bool  # the connection may serve another request
-    expects: bool  # the client waits for a word before it sends the body
+    keep_alive: bool  # the connection may serve another request
+    expects_continue: bool  # the client waits for 100 Continue before it sends the body
 
 
 @dataclass(slots=True)
-class AnswerHead:
-    """An answer's line and headers.  Neither a length nor chunks: its body ends with the connection."""
+class ResponseHead:
+    """A response's line and headers.  Neither a length nor chunks: its body ends with the connection."""
 
     status: int
     reason: bytes
-    minor: int
+    minor_version: int
     headers: Headers
     length: int | None
     chunked: bool
-    keep: bool
+    keep_alive: bool
 
 
-class _Parts:
+class _HeadCallbacks:
     """What llhttp calls."""
 
-    __slots__ = ("done", "headers", "status", "target")
+    __slots__ = ("complete", "headers", "status", "target")
 
     def __init__(self) -> None:
         self.target = self.status = b""
         self.headers: Headers = []
-        self.done = False
+        self.complete = False
 
     def on_url(self, part: bytes) -> None:
         self.target += part
@@ -72,101 +76,128 @@
         self.status += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.headers.append((name.lower(), value.strip(BLANK)))
+        self.headers.append((name.lower(), value.strip(WHITESPACE)))
 
     def on_headers_complete(self) -> None:
-        self.done = True
+        self.complete = True
 
 
-def _framing(headers: Headers, minor: int) -> tuple[int | None, bool, bool, bool, int]:
-    """Length, chunked, whether the connection ends, whether a body is held back, and the number of Hosts."""
+class _Framing(NamedTuple):
+    """What the headers state of the message's body and of the connection."""
+
+    length: int | None
+    chunked: bool
+    keep_alive: bool
+    expects_continue: bool
+    host_count: int
+
+
+def _read_framing(headers: Headers, minor_version: int) -> _Framing:
+    """Raises ProtocolError where the headers contradict each other."""
     length: int | None = None
-    chunked = close = expects = kept = False
-    hosts = 0
+    chunked = close = expects_continue = keep_alive = False
+    host_count = 0
     for name, value in headers:
         match name:
             case b"content-length":
-                if length is not None or not value.isdigit() or len(value) > MOST_LENGTH_DIGITS:
-                    raise Fault(400, "bad request")
+                if length is not None or not value.isdigit() or len(value) > MAX_LENGTH_DIGITS:
+                    raise ProtocolError(BAD_REQUEST, "bad request")
                 length = int(value)
             case b"transfer-encoding":
                 if chunked or value.lower() != b"chunked":
-                    raise Fault(501, "transfer coding not known")
+                    raise ProtocolError(NOT_IMPLEMENTED, "transfer coding not known")
                 chunked = True
             case b"connection":
-                words = {word.strip(BLANK) for word in value.lower().split(b",")}
-                close, kept = close or b"close" in words, kept or b"keep-alive" in words
+                options = {option.strip(WHITESPACE) for option in value.lower().split(b",")}
+                close, keep_alive = close or b"close" in options, keep_alive or b"keep-alive" in options
             case b"expect":
-                expects = value.lower() == b"100-continue"
+                expects_continue = value.lower() == b"100-continue"
             case b"host":
-                hosts += 1
-    if chunked and (length is not None or minor == 0):
+                host_count += 1
+    if chunked and (length is not None or minor_version == 0):
         # RFC 9112 6.1 and 6.3: two lengths, or one that an old reader does not know, are how requests are smuggled.
-        raise Fault(400, "both content-length and transfer-encoding" if length is not None else "bad request")
-    return length, chunked, close or (minor == 0 and not kept), expects and minor == 1, hosts
+        reason = "both content-length and transfer-encoding" if length is not None else "bad request"
+        raise ProtocolError(BAD_REQUEST, reason)
+    keeps = not close and (minor_version == 1 or keep_alive)
+    return _Framing(length, chunked, keeps, expects_continue and minor_version == 1, host_count)
 
 
-def request_head(raw: bytes) -> RequestHead:
-    """A whole head, with its empty line; raises Fault."""
-    parts = _Parts()
-    parser = httptools.HttpRequestParser(parts)
+def parse_request_head(raw: bytes) -> RequestHead:
+    """A complete head, with its empty line; raises ProtocolError."""
+    callbacks = _HeadCallbacks()
+    parser = httptools.HttpRequestParser(callbacks)
     try:
         parser.feed_data(raw)
         method = parser.get_method()
     except httptools.HttpParserUpgrade:  # nothing here is switched to another protocol: a request like any other
         method = parser.get_method()
     except httptools.HttpParserInvalidMethodError:
-        return _read_by_h11(raw)
+        return _parse_by_h11(raw)
     except httptools.HttpParserError as error:
-        _read_by_h11(raw)  # it tells a coding that is not known from a fault
-        raise Fault(400, "bad request") from error
-    version, target = parser.get_http_version(), parts.target
-    minor = {"1.1": 1, "1.0": 0}.get(version)
-    if not parts.done or minor is None or not target.isascii():
-        raise Fault(505 if parts.done and minor is None and version != "0.9" else 400, "bad request")
+        _parse_by_h11(raw)  # it distinguishes a transfer coding that is not known from a malformed head
+        raise ProtocolError(BAD_REQUEST, "bad request") from error
+    version, target = parser.get_http_version(), callbacks.target
+    minor_version = MINOR_VERSIONS.get(version)
+    if not callbacks.complete or minor_version is None or not target.isascii():
+        other_version = callbacks.complete and minor_version is None and version != "0.9"
+        raise ProtocolError(VERSION_NOT_SUPPORTED if other_version else BAD_REQUEST, "bad request")
     if not raw.startswith(b"%b %b HTTP/%b\r\n" % (method, target, version.encode())):
-        raise Fault(400, "bad request")
-    return _request(method, target, minor, parts.headers)
-
-
-def _request(method: bytes, target: bytes, minor: int, headers: Headers) -> RequestHead:
-    length, chunked, ends, expects, hosts = _framing(headers, minor)
-    if hosts > 1 or (not hosts and minor):
-        raise Fault(400, "bad request")
-    return RequestHead(method, target, minor, headers, length, chunked, not ends, expects)
-
-
-def _read_by_h11(raw: bytes) -> RequestHead:
+        raise ProtocolError(BAD_REQUEST, "bad request")
+    return _make_request_head(method, target, minor_version, callbacks.headers)
+
+
+def _make_request_head(method: bytes, target: bytes, minor_version: int, headers: Headers) -> RequestHead:
+    framing = _read_framing(headers, minor_version)
+    if framing.host_count > 1 or (not framing.host_count and minor_version):
+        raise ProtocolError(BAD_REQUEST, "bad request")
+    return RequestHead(
+        method,
+        target,
+        minor_version,
+        headers,
+        framing.length,
+        framing.chunked,
+        framing.keep_alive,
+        framing.expects_continue,
+    )
+
+
+def _parse_by_h11(raw: bytes) -> RequestHead:
     connection = h11.Connection(h11.SERVER, max_incomplete_event_size=len(raw) + 1)
     try:
         connection.receive_data(raw)
         event = connection.next_event()
     except h11.RemoteProtocolError as error:
-        raise Fault(error.error_status_hint, "bad request") from error
+        raise ProtocolError(error.error_status_hint, "bad request") from error
     if not isinstance(event, h11.Request):
-        raise Fault(400, "bad request")
+        raise ProtocolError(BAD_REQUEST, "bad request")
     headers = [(name.lower(), value) for name, value in event.headers.raw_items()]
-    return _request(event.method, event.target, 1 if event.http_version == b"1.1" else 0, headers)
+    minor_version = 1 if event.http_version == b"1.1" else 0
+    return _make_request_head(event.method, event.target, minor_version, headers)
 
 
-def answer_head(raw: bytes) -> AnswerHead:
-    """A whole head of a server's answer; raises Fault, whose status is nobody's concern."""
-    parts = _Parts()
-    parser = httptools.HttpResponseParser(parts)
+def parse_response_head(raw: bytes) -> ResponseHead:
+    """A complete head of an endpoint's response; raises ProtocolError, whose status is nobody's concern."""
+    callbacks = _HeadCallbacks()
+    parser = httptools.HttpResponseParser(callbacks)
     try:
         parser.feed_data(raw)
     except httptools.HttpParserUpgrade:
         pass
     except httptools.HttpParserError as error:
-        raise Fault(502, "bad answer") from error
-    minor = {"1.1": 1, "1.0": 0}.get(parser.get_http_version())
+        raise ProtocolError(BAD_GATEWAY, "bad answer") from error
+    minor_version = MINOR_VERSIONS.get(parser.get_http_version())
     status = parser.get_status_code()
-    if (
-        not parts.done
-        or minor is None
-        or not 100 <= status <= 599
-        or not raw.startswith(b"HTTP/1.%d %03d" % (minor, status))
-    ):
-        raise Fault(502, "bad answer")
-    length, chunked, ends, _, _ = _framing(parts.headers, minor)
-    return AnswerHead(status, parts.status, minor, parts.headers, length, chunked, not ends)
+    is_valid = callbacks.complete and minor_version is not None and MIN_STATUS <= status <= MAX_STATUS
+    if minor_version is None or not is_valid or not raw.startswith(b"HTTP/1.%d %03d" % (minor_version, status)):
+        raise ProtocolError(BAD_GATEWAY, "bad answer")
+    framing = _read_framing(callbacks.headers, minor_version)
+    return ResponseHead(
+        status,
+        callbacks.status,
+        minor_version,
+        callbacks.headers,
+        framing.length,
+        framing.chunked,
+        framing.keep_alive,
+    )
--- a/martenstep/proxy/http1/message_reader.py
+++ b/martenstep/proxy/http1/message_reader.py
@@ -1,21 +1,29 @@
-"""One message after another off a connection's bytes.  The next head is not looked at before `again`, so that what was
-pipelined stays as it came until the message before it is done with."""
+"""Reads one message after another off a connection's bytes.
+
+The next head is not looked at before `start_next`, so that what was pipelined stays as it came until the message before
+it is done with."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from martenstep.proxy.http1.message_body import Body, Chunked, Sized, Unbounded
+from martenstep.proxy.http1.message_body import Body, BodyUntilClose, ChunkedBody, FixedLengthBody
 from martenstep.proxy.http1.message_head import (
+    BAD_GATEWAY,
+    BAD_REQUEST,
     END_OF_HEAD,
-    NO_BODY,
-    AnswerHead,
-    Fault,
+    STATUSES_WITHOUT_BODY,
+    ProtocolError,
     RequestHead,
-    answer_head,
-    request_head,
+    ResponseHead,
+    parse_request_head,
+    parse_response_head,
 )
 
+HEADERS_TOO_LARGE = 431
+SWITCHING_PROTOCOLS = 101
+MIN_FINAL_STATUS = 200
+
 
 @dataclass(slots=True)
 class Data:
@@ -25,137 +33,148 @@
 
 
 @dataclass(slots=True)
-class End:
-    """The message is whole."""
+class EndOfMessage:
+    """The message is complete."""
 
 
 @dataclass(slots=True)
-class Gone:
+class ConnectionClosed:
     """The connection ended between two messages."""
 
 
-class _Reader:
-    """What both sides share."""
+class _MessageReader:
+    """What the readers of requests and of responses share."""
 
-    def __init__(self, head_bytes: int) -> None:
-        self._bound = head_bytes
+    def __init__(self, max_head_bytes: int) -> None:
+        self._max_head_bytes = max_head_bytes
         self._data = bytearray()
-        self._direct = b""  # bytes of a sized body as they came, not copied; what is behind them is in the buffer
-        self._seen = 0  # of the head: looked through for its end
+        # Bytes of a body of known length as they came, not copied; what is behind them is in the buffer.
+        self._uncopied = b""
+        self._searched = 0  # bytes of the head that have been searched for its end
         self._ended = False
         self._body: Body | None = None
-        self._over = False  # the message is whole, and `again` has not come
+        self._complete = False  # and `start_next` has not been called
 
     def feed(self, data: bytes) -> None:
         """Bytes of the connection; none: its end."""
+        body = self._body
         if not data:
             self._ended = True
-        elif isinstance(self._body, Sized) and not self._data and not self._direct:
-            self._direct, rest = (
-                (data, b"") if len(data) <= self._body.left else (data[: self._body.left], data[self._body.left :])
-            )
-            self._data += rest
+        elif isinstance(body, FixedLengthBody) and not self._data and not self._uncopied:
+            if len(data) <= body.remaining:
+                self._uncopied = data
+            else:
+                self._uncopied = data[: body.remaining]
+                self._data += data[body.remaining :]
         else:
             self._data += data
 
     @property
-    def rest(self) -> int:
+    def buffered(self) -> int:
         """Bytes that wait behind the present message, or of one that has begun."""
         return len(self._data)
 
-    def again(self) -> None:
+    def start_next(self) -> None:
         """The next message may be read."""
-        self._over, self._body, self._seen = False, None, 0
+        self._complete, self._body, self._searched = False, None, 0
 
-    def _whole_head(self) -> bytes | None:
-        """A head with its empty line, taken off the front; raises Fault."""
+    def _take_head(self) -> bytes | None:
+        """A head with its empty line, taken off the front; None where more must come.  Raises ProtocolError."""
         data = self._data
         if data and data[0] in b"\r\n":
-            raise Fault(400, "bad request")
-        end = data.find(END_OF_HEAD, max(self._seen - 3, 0))
+            raise ProtocolError(BAD_REQUEST, "bad request")
+        end = data.find(END_OF_HEAD, max(self._searched - 3, 0))
         if end < 0:
-            # A line that ends without a carriage return ends none here, and its head would be waited for in vain.
-            bare = data.find(b"\n\n", max(self._seen - 1, 0)) >= 0 or data.find(b"\n\r\n", max(self._seen - 2, 0)) >= 0
-            if bare:
-                raise Fault(400, "bad request")
-            if len(data) > self._bound:
-                raise Fault(431, "head too large")
-            self._seen = len(data)
-            if self._ended and data:
-                raise Fault(400, "bad request")
+            self._check_partial_head()
             return None
-        if end + len(END_OF_HEAD) > self._bound:
-            raise Fault(431, "head too large")
+        if end + len(END_OF_HEAD) > self._max_head_bytes:
+            raise ProtocolError(HEADERS_TOO_LARGE, "head too large")
         raw = bytes(data[: end + len(END_OF_HEAD)])
         del data[: len(raw)]
         return raw
 
-    def _next_of_body(self) -> Data | End | None:
+    def _check_partial_head(self) -> None:
+        """Raise ProtocolError where a head that has not come to its end never will."""
+        data, searched = self._data, self._searched
+        # A line that ends without a carriage return ends none here, and its head would be waited for in vain.
+        if data.find(b"\n\n", max(searched - 1, 0)) >= 0 or data.find(b"\n\r\n", max(searched - 2, 0)) >= 0:
+            raise ProtocolError(BAD_REQUEST, "bad request")
+        if len(data) > self._max_head_bytes:
+            raise ProtocolError(HEADERS_TOO_LARGE, "head too large")
+        self._searched = len(data)
+        if self._ended and data:
+            raise ProtocolError(BAD_REQUEST, "bad request")
+
+    def _next_body_event(self) -> Data | EndOfMessage | None:
         body = self._body
         assert body is not None
-        if self._direct:
-            part, self._direct = self._direct, b""
-            assert isinstance(body, Sized)
-            body.left -= len(part)
+        if self._uncopied:
+            part, self._uncopied = self._uncopied, b""
+            assert isinstance(body, FixedLengthBody)
+            body.remaining -= len(part)
             return Data(part)
         for part in body.take(self._data):
             return Data(part)
-        if not body.whole and self._ended:
+        if not body.complete and self._ended:
             body.end()
-        if body.whole:
-            self._over = True
-            return End()
+        if body.complete:
+            self._complete = True
+            return EndOfMessage()
         return None
 
 
-class RequestReader(_Reader):
-    """Requests, at the side that is asked."""
+class RequestReader(_MessageReader):
+    """Reads requests, at the server's side."""
 
-    def next(self) -> RequestHead | Data | End | Gone | None:
-        """What has come next; None where more bytes are needed, or `again`.  Raises Fault: nothing may follow."""
-        if self._over:
+    def next_event(self) -> RequestHead | Data | EndOfMessage | ConnectionClosed | None:
+        """What has come next; None where more bytes are needed, or `start_next`.  Raises ProtocolError, after which
+        nothing may follow."""
+        if self._complete:
             return None
         if self._body is not None:
-            return self._next_of_body()
-        raw = self._whole_head()
+            return self._next_body_event()
+        raw = self._take_head()
         if raw is None:
-            return Gone() if self._ended else None
-        head = request_head(raw)
-        self._body = Chunked() if head.chunked else Sized(head.length or 0)
+            return ConnectionClosed() if self._ended else None
+        head = parse_request_head(raw)
+        self._body = ChunkedBody() if head.chunked else FixedLengthBody(head.length or 0)
         return head
 
 
-class AnswerReader(_Reader):
-    """Answers, at the side that asked: `asked` before each."""
+class ResponseReader(_MessageReader):
+    """Reads responses, at the client's side: `request_sent` before each."""
 
-    def __init__(self, head_bytes: int) -> None:
-        super().__init__(head_bytes)
+    def __init__(self, max_head_bytes: int) -> None:
+        """`max_head_bytes` of one response's head."""
+        super().__init__(max_head_bytes)
         self._method = b""
 
-    def asked(self, method: bytes) -> None:
-        """A request of this method was written: its answer is the next."""
+    def request_sent(self, method: bytes) -> None:
+        """A request of this method was written: its response is the next."""
         self._method = method
 
-    def next(self) -> AnswerHead | Data | End | Gone | None:
-        """What has come next; provisional answers (1xx) are read past.  Raises Fault."""
-        if self._over:
+    def next_event(self) -> ResponseHead | Data | EndOfMessage | ConnectionClosed | None:
+        """What has come next; interim responses (1xx) are read past.  Raises ProtocolError."""
+        if self._complete:
             return None
         if self._body is not None:
-            return self._next_of_body()
+            return self._next_body_event()
         while True:
-            raw = self._whole_head()
+            raw = self._take_head()
             if raw is None:
-                return Gone() if self._ended else None
-            head = answer_head(raw)
-            if head.status >= 200:
+                return ConnectionClosed() if self._ended else None
+            head = parse_response_head(raw)
+            if head.status >= MIN_FINAL_STATUS:
                 break
-            if head.status == 101:  # to a protocol that nobody asked for
-                raise Fault(502, "bad answer")
-            self._seen = 0
-        if self._method == b"HEAD" or head.status in NO_BODY:
-            self._body = Sized(0)
-        elif head.chunked:
-            self._body = Chunked()
-        else:
-            self._body = Sized(head.length) if head.length is not None else Unbounded()
+            if head.status == SWITCHING_PROTOCOLS:  # which nobody asked for
+                raise ProtocolError(BAD_GATEWAY, "bad answer")
+            self._searched = 0
+        self._body = self._make_body(head)
         return head
+
+    def _make_body(self, head: ResponseHead) -> Body:
+        if self._method == b"HEAD" or head.status in STATUSES_WITHOUT_BODY:
+            return FixedLengthBody(0)
+        if head.chunked:
+            return ChunkedBody()
+        return FixedLengthBody(head.length) if head.length is not None else BodyUntilClose()
--- a/martenstep/proxy/http1/message_writer.py
+++ b/martenstep/proxy/http1/message_writer.py
@@ -1,4 +1,4 @@
-"""Heads as they are written."""
+"""Heads and chunks as they are written."""
 
 from __future__ import annotations
 
@@ -6,28 +6,26 @@
 
 from martenstep.proxy.http1.message_head import Headers
 
-PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+LAST_CHUNK = b"0\r\n\r\n"
 
 
-class UnwritableError(Exception):
-    """A message that would be read as another one, or that nobody takes."""
+class InvalidMessageError(Exception):
+    """A message that would be read as another one, or that nobody accepts."""
 
 
-def head_of(first: bytes, headers: Headers) -> bytes:
-    """A head of this first line; raises UnwritableError.
+def encode_head(first_line: bytes, headers: Headers) -> bytes:
+    """A head with this first line; raises InvalidMessageError.
 
-    Names and values came through a parser, the settings or a hook's border; that none of them opens a line of its own
+    Names and values came through a parser, the settings or a hook's checks; that none of them opens a line of its own
     is checked once more for the head as a whole, which costs next to nothing."""
-    out = b"%b\r\n%b\r\n" % (first, b"".join([b"%b: %b\r\n" % pair for pair in headers]))
-    lines = len(headers) + 2
-    if out.count(b"\n") != lines or out.count(b"\r") != lines or out.count(b"\0"):
-        raise UnwritableError("a head with a line of its own in it")
+    out = b"%b\r\n%b\r\n" % (first_line, b"".join([b"%b: %b\r\n" % pair for pair in headers]))
+    line_count = len(headers) + 2
+    if out.count(b"\n") != line_count or out.count(b"\r") != line_count or out.count(b"\0"):
+        raise InvalidMessageError("a head with a line of its own in it")
     return out
 
 
-def chunk(part: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """A chunk; none for no bytes, which would be the last one."""
-    return b"%x\r\n%b\r\n" % (len(part), part) if part else b""
-
-
-LAST_CHUNK = b"0\r\n\r\n"
+    return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
--- a/martenstep/proxy/http1/server_connection.py
+++ b/martenstep/proxy/http1/server_connection.py
@@ -1,115 +1,137 @@
-"""One connection's answering side: requests read, answers written under the framing that the request allows."""
+"""The server's side of one connection: requests read, responses written under the framing that the request allows."""
 
 from __future__ import annotations
 
-from martenstep.proxy.http1.message_head import NO_BODY, Headers, RequestHead
-from martenstep.proxy.http1.message_reader import Data, End, Gone, RequestReader
-from martenstep.proxy.http1.message_writer import LAST_CHUNK, PHRASES, UnwritableError, chunk, head_of
-
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+from martenstep.proxy.http1.message_head import STATUSES_WITHOUT_BODY, Headers, RequestHead
+from martenstep.proxy.http1.message_reader import ConnectionClosed, Data, EndOfMessage, RequestReader
+from martenstep.proxy.http1.message_writer import (
+    LAST_CHUNK,
+    REASON_PHRASES,
+    InvalidMessageError,
+    encode_chunk,
+    encode_head,
+)
+
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 CLOSE = (b"connection", b"close")
-KEEP = (b"connection", b"keep-alive")  # HTTP/1.0 takes silence for an end
+KEEP_ALIVE = (b"connection", b"keep-alive")  # HTTP/1.0 takes silence for an end
 CHUNKED = (b"transfer-encoding", b"chunked")
 
 
-class Answering:
+class Http1ServerConnection:
     """The requests of one connection, one at a time."""
 
-    __slots__ = ("_begun", "_chunked", "_done", "_expects", "_head", "_left", "_reader", "_silent", "ends", "read")
-
-    def __init__(self, head_bytes: int) -> None:
-        self._reader = RequestReader(head_bytes)
-        self.ends = False  # the connection closes once the answer is whole
-        self._begin()
-
-    def _begin(self) -> None:
-        self._head: RequestHead | None = None
-        self._begun = self._done = self._chunked = self._silent = self._expects = False
-        self._left: int | None = None  # bytes that the answer's length still asks for; none: it has no length
-        self.read = False  # the request is whole
-
-    # The request ----------------------------------------------------------------------------------------
+    __slots__ = (
+        "_chunked",
+        "_expects_continue",
+        "_has_no_body",
+        "_reader",
+        "_remaining",
+        "_request",
+        "_response_begun",
+        "_response_complete",
+        "closes",
+        "request_complete",
+    )
+
+    def __init__(self, max_head_bytes: int) -> None:
+        """`max_head_bytes` of one request's head."""
+        self._reader = RequestReader(max_head_bytes)
+        self.closes = False  # the connection closes once the response is complete
+        self._start()
+
+    def _start(self) -> None:
+        self._request: RequestHead | None = None
+        self._response_begun = self._response_complete = self._chunked = self._has_no_body = False
+        self._expects_continue = False
+        self._remaining: int | None = None  # bytes that the response's length still asks for; None: it has no length
+        self.request_complete = False
+
+    # The request --------------------------------------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
         """Bytes that have come; none: the connection's end."""
         self._reader.feed(data)
 
-    def next(self) -> RequestHead | Data | End | Gone | None:
-        """What has come of the request; raises Fault, after which only an answer may follow."""
-        event = self._reader.next()
+    def next_event(self) -> RequestHead | Data | EndOfMessage | ConnectionClosed | None:
+        """What has come of the request; raises ProtocolError, after which only a response may follow."""
+        event = self._reader.next_event()
         if isinstance(event, RequestHead):
-            self._head, self._expects = event, event.expects
-            self.ends = self.ends or not event.keep
+            self._request, self._expects_continue = event, event.expects_continue
+            self.closes = self.closes or not event.keep_alive
         elif isinstance(event, Data):
-            self._expects = False
-        elif isinstance(event, End):
-            self.read = True
+            self._expects_continue = False
+        elif isinstance(event, EndOfMessage):
+            self.request_complete = True
         return event
 
     @property
-    def waiting(self) -> int:
+    def buffered(self) -> int:
         """Bytes that have come and were not read yet."""
-        return self._reader.rest
+        return self._reader.buffered
 
-    def proceed(self) -> bytes:
-        """The word that a client waits for before it sends its body, where it does."""
-        wanted, self._expects = self._expects and not self._begun, False
-        return CONTINUE if wanted else b""
+    def continue_response(self) -> bytes:
+        """The interim response that a client waits for before it sends the body, where it does."""
+        wanted, self._expects_continue = self._expects_continue and not self._response_begun, False
+        return CONTINUE_RESPONSE if wanted else b""
 
-    # The answer -----------------------------------------------------------------------------------------
+    # The response -------------------------------------------------------------------------------------------
 
     @property
-    def owed(self) -> bool:
-        """Whether an answer may begin: also to what was no request."""
-        return not self._begun
-
-    def head(self, status: int, headers: Headers) -> bytes:
-        """The head of the answer; raises UnwritableError."""
-        asked = self._head
-        old = asked is not None and asked.minor == 0
-        self._silent = status in NO_BODY or (asked is not None and asked.method == b"HEAD")
+    def can_respond(self) -> bool:
+        """Whether a response may begin: also to what was no request."""
+        return not self._response_begun
+
+    def encode_head(self, status: int, headers: Headers) -> bytes:
+        """The head of the response; raises InvalidMessageError."""
+        request = self._request
+        is_http_1_0 = request is not None and request.minor_version == 0
+        has_no_body = status in STATUSES_WITHOUT_BODY
+        self._has_no_body = has_no_body or (request is not None and request.method == b"HEAD")
         length = next((value for name, value in headers if name == b"content-length"), None)
-        more: Headers = []
+        added: Headers = []
         if length is not None:
-            self._left = int(length)
-        elif status not in NO_BODY:
-            if old:
-                self.ends = True
+            self._remaining = int(length)
+        elif not has_no_body:
+            if is_http_1_0:
+                self.closes = True
             else:
                 self._chunked = True
-                more.append(CHUNKED)
+                added.append(CHUNKED)
         if any(name == b"connection" and value == b"close" for name, value in headers):
-            self.ends = True
-        elif self.ends:
-            more.append(CLOSE)
-        elif old:
-            more.append(KEEP)
-        out = head_of(b"HTTP/1.1 %d %b" % (status, PHRASES.get(status, b"")), headers + more if more else headers)
-        self._begun = True
+            self.closes = True
+        elif self.closes:
+            added.append(CLOSE)
+        elif is_http_1_0:
+            added.append(KEEP_ALIVE)
+        status_line = b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, b""))
+        out = encode_head(status_line, headers + added if added else headers)
+        self._response_begun = True
         return out
 
-    def data(self, part: bytes) -> bytes:
-        """Bytes of its body, none where the request or the status allows none; raises UnwritableError where they are
-        more than its length says."""
-        if self._silent:
+    def encode_data(self, data: bytes) -> bytes:
+        """Bytes of its body, none where the request or the status allows none; raises InvalidMessageError where they
+        are more than its length says."""
+        if self._has_no_body:
             return b""
-        if self._left is not None:
-            self._left -= len(part)
-            if self._left < 0:
-                raise UnwritableError("more than its length")
-        return chunk(part) if self._chunked else part
-
-    def end(self) -> bytes:
-        """The answer is whole; raises UnwritableError where bytes are missing, since it must not be taken for whole."""
-        if self._left and not self._silent:
-            raise UnwritableError("less than its length")
-        self._done = True
-        return LAST_CHUNK if self._chunked and not self._silent else b""
-
-    def again(self) -> bool:
+        if self._remaining is not None:
+            self._remaining -= len(data)
+            if self._remaining < 0:
+                raise InvalidMessageError("more than its length")
+        return encode_chunk(data) if self._chunked else data
+
+    def encode_end(self) -> bytes:
+        """The end of the response; raises InvalidMessageError where bytes are missing, since it must not pass for
+        complete."""
+        if self._remaining and not self._has_no_body:
+            raise InvalidMessageError("less than its length")
+        self._response_complete = True
+        return LAST_CHUNK if self._chunked and not self._has_no_body else b""
+
+    def start_next_request(self) -> bool:
         """Whether another request may follow: then the next one is read."""
-        if not (self._done and self.read) or self.ends:
+        if not (self._response_complete and self.request_complete) or self.closes:
             return False
-        self._begin()
-        self._reader.again()
+        self._start()
+        self._reader.start_next()
         return True
--- a/martenstep/proxy/listener.py
+++ b/martenstep/proxy/listener.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from martenstep.proxy.loop_lag import LoopClock
-from martenstep.proxy.transport import pending
+from martenstep.proxy.transport import has_pending_connections
 
 BACKLOG = 1024  # connections that wait to be accepted
 MAX_ACCEPTS = 4  # in one turn of the loop: up to five go by before the first is counted, or is closed
@@ -86,7 +86,7 @@
             task = self._loop.create_task(self._connect(accepted, since))
             self._connecting.add(task)
             task.add_done_callback(self._connecting.discard)
-        if not pending(self._sock):  # who comes from now on has not waited
+        if not has_pending_connections(self._sock):  # who comes from now on has not waited
             self._queued_since = None
 
     def _pause(self) -> None:
@@ -111,7 +111,7 @@
         if not self.accepting:
             return
         until = self._loop.time() + within_s
-        while pending(self._sock) and self._loop.time() < until:
+        while has_pending_connections(self._sock) and self._loop.time() < until:
             await asyncio.sleep(0)
         self.accepting = False
         if self._retry is not None:
--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -15,7 +15,7 @@
 from martenstep.discovery.endpoint_list import Listed
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine_factory import make_engine, make_server
-from martenstep.proxy.server import Driver
+from martenstep.proxy.server import ProxyServer
 from tests.door_rig import settings
 
 BOUND_S = 15.0
@@ -117,7 +117,7 @@
 class House:
     """A door and its servers."""
 
-    def __init__(self, driver: Driver, port: int, notes: list[tuple[str, dict[str, Any]]]) -> None:
+    def __init__(self, driver: ProxyServer, port: int, notes: list[tuple[str, dict[str, Any]]]) -> None:
         self.driver, self.port, self.notes = driver, port, notes
 
     async def client(self) -> Peer:
@@ -157,7 +157,7 @@
     driver = make_server(door, make_engine(door, 1), lambda event, fields: notes.append((event, fields)))
     numbers = [await back.start() for back in backs] + list(ports)
     servers = tuple(Endpoint(n, "a", "std", 0, EndpointState.UP) for n in range(1, len(numbers) + 1))
-    driver.act(
+    driver.handle(
         Listed(EndpointListScope.CACHED, servers, {n + 1: ("127.0.0.1", port) for n, port in enumerate(numbers)})
     )
     port = await driver.start()
--- a/tests/test_auth_door.py
+++ b/tests/test_auth_door.py
@@ -340,6 +340,6 @@
             await peer.write(get("/safe/1"))
             status, _, body = await peer.response()
             assert status == 503 and json.loads(body)["reason"] == "check failed"
-            assert door.driver._checks is not None and not door.driver._checks.pool.connections
+            assert door.driver.auth_client is not None and not door.driver.auth_client.pool.connections
 
     run(test())
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -7,7 +7,7 @@
 import pytest
 
 from martenstep.proxy.loop_lag import STALL_S, LagSelector
-from martenstep.proxy.transport import SAME_ARRIVAL_MS, WatchedReader
+from martenstep.proxy.transport import ARRIVAL_MERGE_MS, WatchedReader
 from tests.socket_rig import run
 
 FOUND: list[tuple[selectors.SelectorKey, int]] = [(selectors.SelectorKey(0, 0, 0, None), 1)]
@@ -70,7 +70,7 @@
         reader = reader_at([100.0, 200.0, 300.0])
         for data in (b"abcd", b"efgh", b"ijkl"):
             reader.feed_data(data)
-        assert [reader.arrival(count) for count in (3, 4, 5, 8, 12)] == [100.0, 100.0, 200.0, 200.0, 300.0]
+        assert [reader.arrival_time(count) for count in (3, 4, 5, 8, 12)] == [100.0, 100.0, 200.0, 200.0, 300.0]
 
     run(test())
 
@@ -80,7 +80,7 @@
         reader = reader_at([number * 0.1 for number in range(2000)])
         for _ in range(2000):
             reader.feed_data(b"x")
-        assert len(reader._arrivals) <= 2000 * 0.1 / SAME_ARRIVAL_MS + 1
-        assert reader.arrival(2000) == pytest.approx(199.9, abs=SAME_ARRIVAL_MS)
+        assert len(reader._arrivals) <= 2000 * 0.1 / ARRIVAL_MERGE_MS + 1
+        assert reader.arrival_time(2000) == pytest.approx(199.9, abs=ARRIVAL_MERGE_MS)
 
     run(test())
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -19,11 +19,14 @@
 
 from martenstep.node.config import REST_MS, DrainPlan
 from martenstep.node.discovery import Discovery, Follower
-from martenstep.proxy import server as driver
+from martenstep.proxy import graceful_shutdown
+from martenstep.proxy.acceptor import MAX_REJECTING, MIN_AGE_TO_CLOSE_MS
+from martenstep.proxy.client_connection import ClientConnection
+from martenstep.proxy.clock import now_ms
+from martenstep.proxy.connection_pool import ConnectionPool
 from martenstep.proxy.engine_messages import AttemptFailure
 from martenstep.proxy.listener import MAX_ACCEPTS
-from martenstep.proxy.server import TURNED_AWAY, YOUNG_MS, Client
-from martenstep.proxy.transport import GONE, READ_BYTES, Pool, now_ms
+from martenstep.proxy.transport import DISCONNECTED_EVENTS, READ_BYTES
 from tests.node_rig import SETTINGS, request, target
 from tests.socket_rig import Back, Peer, Script, run
 from tests.test_node_door import Place, place, serves
@@ -65,7 +68,7 @@
         await asyncio.sleep(0.001)
 
 
-async def only(door: Place) -> Client:
+async def only(door: Place) -> ClientConnection:
     """The one client that the door has."""
     await until(lambda: len(door.node.driver.clients) == 1)
     return next(iter(door.node.driver.clients))
@@ -147,8 +150,8 @@
 
     async def test() -> None:
         async with place(tmp_path, twice) as door:
-            assert door.node.driver.pool.rest_ms == REST_MS
-            door.node.driver.pool.rest_ms = LONG_MS if rests else 0.0
+            assert door.node.driver.pool.reuse_delay_ms == REST_MS
+            door.node.driver.pool.reuse_delay_ms = LONG_MS if rests else 0.0
             peer = await door.client()
             for number in (1, 2):
                 await peer.write(request(number))
@@ -163,7 +166,7 @@
 def test_connections_that_rest_leave_room_for_a_new_one(tmp_path: Path) -> None:
     async def test() -> None:
         async with place(tmp_path, serves, limits={"sockets": 64}) as door:
-            door.node.driver.pool.rest_ms = LONG_MS
+            door.node.driver.pool.reuse_delay_ms = LONG_MS
             for number in range(3 * door.node.config.upstream.all_connections):
                 assert (await door.ask(request(number)))[0] == 200
             assert door.node.driver.pool.connections <= door.node.config.upstream.connections
@@ -179,13 +182,13 @@
             await asyncio.Event().wait()
 
         back = Back(silent)
-        pool = Pool(2, LONG_MS, lambda where, why: None)
+        pool = ConnectionPool(2, LONG_MS, lambda where, why: None)
         address = ("127.0.0.1", await back.start())
-        assert pool.reserve(address)
-        upstream = await pool.dial(address)
+        assert pool.reserve_slot(address)
+        upstream = await pool.connect(address)
         upstream.writer.write(b"x" * (32 << 20))
-        pool.put(upstream)
-        assert pool.connections == 0 and pool.take(address) is None
+        pool.recycle(upstream)
+        assert pool.connections == 0 and pool.acquire_idle(address) is None
         back.stop()
 
     run(test())
@@ -202,15 +205,15 @@
             await asyncio.Event().wait()
 
         back = Back(holds)
-        pool = Pool(2, LONG_MS, lambda where, why: None)
+        pool = ConnectionPool(2, LONG_MS, lambda where, why: None)
         address = ("127.0.0.1", await back.start())
-        assert pool.reserve(address)
-        upstream = await pool.dial(address)
+        assert pool.reserve_slot(address)
+        upstream = await pool.connect(address)
         await until(lambda: ends)
         poll = select.poll()
-        poll.register(ends[0].fileno(), GONE)
+        poll.register(ends[0].fileno(), DISCONNECTED_EVENTS)
         assert not poll.poll(0)
-        pool.drop(upstream)
+        pool.discard(upstream)
         assert poll.poll(0), "in the same turn of the loop"
         back.stop()
 
@@ -247,14 +250,14 @@
         async with place(tmp_path, holds) as door:
             driver = door.node.driver
             raw = Raw(door.port, request(1))
-            await until(lambda: [flight for flight in driver.flights.values() if flight.upstream])
-            [flight] = driver.flights.values()
+            await until(lambda: [flight for flight in driver.requests.values() if flight.upstream])
+            [flight] = driver.requests.values()
             if how == "reset":
                 raw.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             raw.socket.close()
-            driver._failed(flight, AttemptFailure.CLOSED)
+            driver._relay.fail(flight, AttemptFailure.CLOSED)
             assert driver.counts["attempts"] == 1 and door.node.engine.answers == {"client left": 1}
-            await until(lambda: not driver.flights)
+            await until(lambda: not driver.requests)
 
     run(test())
 
@@ -272,7 +275,7 @@
             await peer.write(request(1) + "x" * (8 * READ_BYTES))
             await until(lambda: door.node.driver.counts["attempts"])
             client = await only(door)
-            assert client.reader.unread <= READ_BYTES
+            assert client.reader.buffered <= READ_BYTES
             peer.close()
             await until(lambda: door.node.engine.answers == {"client left": 1})
             await until(lambda: not door.node.driver.clients)
@@ -302,19 +305,19 @@
     async def test() -> None:
         async with place(tmp_path, notes, settings=settings(cancelling=False, dial_timeout_ms=LONG_MS)) as door:
             pool, gate, ended = door.node.driver.pool, asyncio.Event(), asyncio.Event()
-            real = pool.dial
+            real = pool.connect
 
             async def late(address: tuple[str, int]) -> Any:
                 try:
                     await gate.wait()
                 except asyncio.CancelledError:
-                    pool.release(address)
+                    pool.release_slot(address)
                     raise
                 finally:
                     ended.set()
                 return await real(address)
 
-            pool.dial = late  # type: ignore[method-assign]
+            pool.connect = late  # type: ignore[method-assign]
             peer = await door.client()
             await peer.write(request(1))
             await until(lambda: door.node.driver.counts["attempts"])
@@ -322,7 +325,7 @@
             await until(lambda: door.node.engine.answers == {"client left": 1})
             gate.set()
             await ended.wait()
-            await until(lambda: not door.node.driver.flights)
+            await until(lambda: not door.node.driver.requests)
             assert heads == [] and pool.connections == 0
 
     run(test())
@@ -334,14 +337,14 @@
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             driver = door.node.driver
-            raw, real = Raw(door.port), driver.pool.dial
+            raw, real = Raw(door.port), driver.pool.connect
 
             async def crossed(address: tuple[str, int]) -> Any:
                 upstream = await real(address)
                 raw.socket.close()
                 return upstream
 
-            driver.pool.dial = crossed  # type: ignore[method-assign]
+            driver.pool.connect = crossed  # type: ignore[method-assign]
             raw.send(request(1))
             await until(lambda: door.node.engine.answers == {"client left": 1})
             assert door.node.engine.verdicts == {"moot": 1}, "nothing was written, and nothing is held against it"
@@ -364,14 +367,14 @@
             "classes": [{**one, "deadline_ms": LONG_MS} for one in SETTINGS["classes"]],
         }
         async with place(tmp_path, notes, settings=patient) as door:
-            driver, real, came = door.node.driver, door.node.driver.pool.dial, list[float]()
+            driver, real, came = door.node.driver, door.node.driver.pool.connect, list[float]()
 
             async def late(address: tuple[str, int]) -> Any:
                 came.append(now_ms())  # the request is the door's by now
                 await until(lambda: now_ms() > came[0] + 300.0)
                 return await real(address)
 
-            driver.pool.dial = late  # type: ignore[method-assign]
+            driver.pool.connect = late  # type: ignore[method-assign]
             assert (await door.ask(request(1, X_Expires_In_Ms=f"{LONG_MS:.0f}")))[0] == 200
             [told] = [line for line in heads[0].splitlines() if line.startswith("x-expires-in-ms: ")]
             assert 0 < int(told.partition(": ")[2]) <= LONG_MS - 300
@@ -396,7 +399,7 @@
     async def test() -> None:
         async with place(tmp_path, backend("s-0"), backend("s-1"), settings=settings(dial_timeout_ms=LONG_MS)) as door:
             node, gate, dialled = door.node, asyncio.Event(), list[tuple[str, int]]()
-            real = node.driver.pool.dial
+            real = node.driver.pool.connect
 
             async def late(address: tuple[str, int]) -> Any:
                 dialled.append(address)
@@ -404,11 +407,11 @@
                     try:
                         await gate.wait()
                     except asyncio.CancelledError:
-                        node.driver.pool.release(address)
+                        node.driver.pool.release_slot(address)
                         raise
                 return await real(address)
 
-            node.driver.pool.dial = late  # type: ignore[method-assign]
+            node.driver.pool.connect = late  # type: ignore[method-assign]
             peer = await door.client()
             await peer.write(request(1))
             await until(lambda: dialled)
@@ -447,7 +450,7 @@
 
         async with place(tmp_path, holds) as door:
             driver = door.node.driver
-            driver.upstream = _Impatient(driver.upstream)
+            driver.state.upstream = _Impatient(driver.state.upstream)
             peer = await door.client()
             await peer.write(request(1))
             client = await only(door)
@@ -476,14 +479,14 @@
 # Closes -------------------------------------------------------------------------------------------------
 
 
-async def known(door: Place) -> tuple[Raw, Client]:
+async def known(door: Place) -> tuple[Raw, ClientConnection]:
     """A client that has been served and rests."""
     raw = Raw(door.port, request(1))
     answer = b""
     while not answer.endswith(b"|"):
         answer += await asyncio.get_running_loop().run_in_executor(None, raw.socket.recv, 65536)
     client = await only(door)
-    await until(lambda: client in door.node.driver.idle)
+    await until(lambda: client in door.node.driver.state.idle_clients)
     return raw, client
 
 
@@ -499,7 +502,7 @@
             if way == "idle":
                 assert not client.close_idle()
             elif way == "room":
-                assert not driver._make_room()
+                assert not driver._acceptor.make_room()
             else:
                 door.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
                 stopping = asyncio.create_task(door.node.stop())
@@ -519,9 +522,9 @@
         async with place(tmp_path, serves) as door:
             raw = Raw(door.port)
             client = await only(door)
-            client.since -= 2 * YOUNG_MS
+            client.waiting_since -= 2 * MIN_AGE_TO_CLOSE_MS
             raw.send(request(1))
-            assert not door.node.driver._make_room()
+            assert not door.node.driver._acceptor.make_room()
             peer = await raw.peer()
             assert (await peer.response())[0] == 200
             peer.close()
@@ -537,9 +540,9 @@
         async with place(tmp_path, serves) as door:
             raw = Raw(door.port, request(1)[:-4])
             client = await only(door)
-            await until(lambda: client.partial)
+            await until(lambda: client.has_partial_request)
             raw.send(rest)  # and in this turn of the loop its time is over
-            client.expire()
+            client.time_out_request()
             peer = await raw.peer()
             status, head, _ = await peer.response()
             assert status == 408 and "connection: close" in head
@@ -552,7 +555,7 @@
 
 
 def test_half_a_request_is_waited_for_by_a_door_that_leaves(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(driver, "END_MS", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "CLOSE_MS", 0.0)
 
     async def test() -> None:
         async with place(tmp_path, serves) as door:
@@ -560,10 +563,10 @@
             whole = request(1, "book", method="POST", body="room 5")
             await peer.write(whole[:-3])
             client = await only(door)
-            await until(lambda: client.partial)
+            await until(lambda: client.has_partial_request)
             door.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
             stopping = asyncio.create_task(door.node.stop())
-            await until(lambda: door.node.driver.stopping)
+            await until(lambda: door.node.driver.state.stopping)
             done, _ = await asyncio.wait({stopping}, timeout=0.2)
             assert not done, "it is owed an answer once it is whole"
             await peer.write(whole[-3:])
@@ -621,7 +624,7 @@
 
             client.writer.write = crossed  # type: ignore[method-assign]
             raw.send(request(1, Connection="close"))
-            await until(lambda: client.wire.owed is False)
+            await until(lambda: client.http.can_respond is False)
             peer = await raw.peer()
             assert (await peer.response())[0] == 200
             assert await peer.reader.read() == b"", "an end, and no reset"
@@ -638,8 +641,8 @@
             most = door.node.config.listener.max_connections
             young = [await door.client() for _ in range(most)]
             await until(lambda: len(door.node.driver.clients) == most)
-            for client in door.node.driver.strangers:
-                client.since += LONG_MS
+            for client in door.node.driver.state.new_clients:
+                client.waiting_since += LONG_MS
             peer = await Raw(door.port, request(1)).peer()
             assert (await peer.response())[0] == 503
             assert await peer.reader.read() == b"", "an end, and no reset"
@@ -665,13 +668,13 @@
             await keyed.write(request(2, "book", method="POST", body="x"))
             await until(lambda: len(heads) == 2)
             pool, gate = driver.pool, asyncio.Event()
-            real = pool.dial
+            real = pool.connect
 
             async def late(address: tuple[str, int]) -> Any:
                 await gate.wait()
                 return await real(address)
 
-            pool.dial = late  # type: ignore[method-assign]
+            pool.connect = late  # type: ignore[method-assign]
             dialled = await door.client()
             await dialled.write(request(3, "book", method="POST", body="x"))
             await until(lambda: driver.counts["attempts"] == 3)
@@ -692,19 +695,19 @@
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             driver, lines = door.node.driver, list[tuple[str, dict[str, Any]]]()
-            driver._log_event = lambda event, fields: lines.append((event, fields))
-            real, swept = driver.pool.sweep, list[int]()
+            driver.state.log_event = lambda event, fields: lines.append((event, fields))
+            real, swept = driver.pool.close_expired, list[int]()
 
             def fails() -> None:
                 swept.append(1)
-                driver.pool.sweep = real  # type: ignore[method-assign]
+                driver.pool.close_expired = real  # type: ignore[method-assign]
                 raise KeyError("nobody expected it")
 
-            driver.pool.sweep = fails  # type: ignore[method-assign]
+            driver.pool.close_expired = fails  # type: ignore[method-assign]
             peer = await door.client()
             client = await only(door)
             await until(lambda: swept)
-            client.since -= LONG_MS
+            client.waiting_since -= LONG_MS
             assert await peer.rest() == b"", "who idles is still found"
             assert [event for event, _ in lines] == ["fault"] and "nobody expected it" in lines[0][1]["error"]
 
@@ -717,10 +720,10 @@
             pool = door.node.driver.pool
 
             async def fails(address: tuple[str, int]) -> Any:
-                pool.release(address)
+                pool.release_slot(address)
                 raise UnicodeError("no such name")
 
-            pool.dial = fails  # type: ignore[method-assign]
+            pool.connect = fails  # type: ignore[method-assign]
             assert (await door.ask(request(1)))[0] == 503
             assert door.node.engine.verdicts == {"connect failed": 3}
 
@@ -742,7 +745,7 @@
                 while driver.counts["connections_turned_away"] < 2 * most:
                     await asyncio.sleep(0)
                     peak = max(peak, len(os.listdir("/proc/self/fd")))
-                assert peak - before <= most + TURNED_AWAY + 5 * MAX_ACCEPTS, "and no more of those that are reserved"
+                assert peak - before <= most + MAX_REJECTING + 5 * MAX_ACCEPTS, "and no more of those that are reserved"
 
     run(test())
 
@@ -792,7 +795,7 @@
             node, pool = door.node, door.node.driver.pool
             peer = await door.client()
             await peer.write(request(1))
-            await until(lambda: [flight for flight in node.driver.flights.values() if flight.upstream])
+            await until(lambda: [flight for flight in node.driver.requests.values() if flight.upstream])
             [(_, port)] = node.engine.addresses.values()
             told = [target("s-0", port, state="gone"), target("s-new", port)]
             listed = node._follower.told({"rev": 2, "all": False, "targets": told})
@@ -800,7 +803,7 @@
             node._listed(listed)
             gate.set()
             assert (await peer.response())[0] == 200
-            assert pool.connections == 0 and not pool._forgotten
+            assert pool.connections == 0 and not pool._retired_at
             await peer.write(request(2))
             assert (await peer.response())[0] == 200 and pool.opened == 2 and pool.connections == 1
             peer.close()
@@ -844,7 +847,7 @@
                 assert (await peer.response())[0] in (200, 503), "served or refused, and not reset"
                 peer.close()
             stopping.cancel()
-            door.node.driver.stopping = False
+            door.node.driver.state.stopping = False
 
     run(test())
 
@@ -859,7 +862,7 @@
             node = door.node
             peer = await door.client()
             await peer.write(request(1))
-            await until(lambda: [flight for flight in node.driver.flights.values() if flight.upstream])
+            await until(lambda: [flight for flight in node.driver.requests.values() if flight.upstream])
             node._listed(node._follower.doubted())
             status, head, _ = await door.ask(request(2))
             assert status == 503 and "retry-after" in head and node.driver.counts["attempts"] == 1
@@ -908,7 +911,7 @@
 
     async def test() -> None:
         async with place(tmp_path, cuts, settings={**settings(dial_timeout_ms=LONG_MS), "classes": classes}) as door:
-            driver, real, dials = door.node.driver, door.node.driver.pool.dial, list[float]()
+            driver, real, dials = door.node.driver, door.node.driver.pool.connect, list[float]()
 
             async def late(address: tuple[str, int]) -> Any:
                 dials.append(now_ms())
@@ -916,7 +919,7 @@
                     await until(lambda: now_ms() > dials[0] + 2 * window_ms)
                 return await real(address)
 
-            driver.pool.dial = late  # type: ignore[method-assign]
+            driver.pool.connect = late  # type: ignore[method-assign]
             status, _, _ = await door.ask(request(1, "book", method="POST", body="x"))
             assert status == 503 and len(heads) == 1 and len(dials) == 2
             assert door.node.engine.verdicts == {"reset": 1, "connect failed": 1}
@@ -932,12 +935,12 @@
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             driver = door.node.driver
-            driver.upstream = _Impatient(driver.upstream)
+            driver.state.upstream = _Impatient(driver.state.upstream)
             raw = Raw(door.port)
             client = await only(door)
             client.writer.write(b"x" * size)
             client.writer.close()
-            client._cut(math.inf)
+            client._abort_stalled(math.inf)
             left = client.writer.transport.get_write_buffer_size()
             assert left, "more than the kernel takes"
             if takes:
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -12,7 +12,7 @@
 
 from martenstep.node.config import DrainPlan, load_config
 from martenstep.node.daemon import Node
-from martenstep.proxy.server import YOUNG_MS
+from martenstep.proxy.acceptor import MIN_AGE_TO_CLOSE_MS
 from tests.node_rig import raw, request, target
 from tests.socket_rig import Back, Peer, Script, run
 
@@ -118,7 +118,7 @@
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             lines: list[tuple[str, dict[str, Any]]] = []
-            door.node.driver._log_event = lambda event, fields: lines.append((event, fields))
+            door.node.driver.state.log_event = lambda event, fields: lines.append((event, fields))
             assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
             assert (await door.ask("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 400
             assert [fields["status"] for event, fields in lines if event == "turned away"] == [400]
@@ -247,7 +247,7 @@
             await asyncio.sleep(0)
             status, head, _ = await door.ask(request(2))
             assert status == 200 and "connection: close" in head, "new connections still come"
-            listener = door.node.driver._listener
+            listener = door.node.driver._acceptor.listener
             assert listener is not None
             while listener.accepting:
                 await asyncio.sleep(0.001)
@@ -270,8 +270,8 @@
             silent = [await door.client() for _ in range(most - 1)]
             while len(driver.clients) < most:
                 await asyncio.sleep(0.001)
-            for client in driver.strangers:
-                client.since -= YOUNG_MS
+            for client in driver.state.new_clients:
+                client.waiting_since -= MIN_AGE_TO_CLOSE_MS
             late = [await door.client() for _ in range(most - 1)]
             for number, peer in enumerate(late):
                 await peer.write(request(10 + number))
@@ -298,8 +298,8 @@
             young = [await door.client() for _ in range(most)]
             while len(door.node.driver.clients) < most:
                 await asyncio.sleep(0.001)
-            for client in door.node.driver.strangers:
-                client.since += 60_000.0
+            for client in door.node.driver.state.new_clients:
+                client.waiting_since += 60_000.0
             assert (await (await door.client()).rest()).startswith(b"HTTP/1.1 503")
             await young[0].write(request(1))
             assert (await young[0].response())[0] == 200
--- a/tests/test_node_protocol.py
+++ b/tests/test_node_protocol.py
@@ -9,7 +9,7 @@
 from martenstep.node.protocol import IDS_SPARE_MS, MOST_IDS, NodeMessageBuilder, NodeStatusClassifier, Requests
 from martenstep.policy.messages import CallResult
 from martenstep.proxy.dependencies import RoutedRequest, RouteRejection, UpstreamRequest
-from martenstep.proxy.http1.message_head import request_head
+from martenstep.proxy.http1.message_head import parse_request_head
 from martenstep.proxy.targets import NormalizedTarget, TargetRejection
 from tests.node_rig import config, request
 
@@ -26,7 +26,7 @@
 
 def routed(text: str, requests: Requests | None = None) -> Any:
     """What a request's head is taken for."""
-    head = request_head(text.partition("\r\n\r\n")[0].encode() + b"\r\n\r\n")
+    head = parse_request_head(text.partition("\r\n\r\n")[0].encode() + b"\r\n\r\n")
     return (requests or Requests(config().settings, Clock())).route(head.method, head.target, head.headers)
 
 
@@ -151,7 +151,9 @@
 
 
 def test_an_attempt_carries_id_and_key_and_what_is_left() -> None:
-    head = request_head(request(7, "book", method="POST", body="abc").partition("\r\n\r\n")[0].encode() + b"\r\n\r\n")
+    head = parse_request_head(
+        request(7, "book", method="POST", body="abc").partition("\r\n\r\n")[0].encode() + b"\r\n\r\n"
+    )
     made = NodeMessageBuilder().request_headers(
         UpstreamRequest(head.headers, [], [], "label", "rid", 0, 812.7, "", b"", True)
     )
--- a/tests/test_promised.py
+++ b/tests/test_promised.py
@@ -27,12 +27,12 @@
     async def test() -> None:
         async with house(good) as door:
             book = Promising()
-            door.driver.record, door.driver.record_ms = book, 60_000.0
+            door.driver.set_usage_recorder(book, 60_000.0)
             door.driver.engine._state.dependencies.records_usage = True
             peer = await door.client()
             await peer.write(get("/read/7"))
             await door.until(
-                lambda: bool(book.made) and any(flight.withheld for flight in door.driver.flights.values())
+                lambda: bool(book.made) and any(flight.withheld_data for flight in door.driver.requests.values())
             )  # the server has answered
             answer = asyncio.create_task(peer.response())
             await asyncio.sleep(0.02)
@@ -50,12 +50,12 @@
 
     async def test() -> None:
         async with house(good) as door:
-            door.driver.record, door.driver.record_ms = Promising(), 30.0
+            door.driver.set_usage_recorder(Promising(), 30.0)
             door.driver.engine._state.dependencies.records_usage = True
             assert (await door.ask())[0] == 200
             assert door.driver.counts["answers_not_waited_for"] == 1
         async with house(silent) as door:
-            door.driver.record, door.driver.record_ms = Promising(), 60_000.0
+            door.driver.set_usage_recorder(Promising(), 60_000.0)
             door.driver.engine._state.dependencies.records_usage = True
             assert (await door.ask())[0] == 503  # the door's own words wait for nothing
 
@@ -71,7 +71,7 @@
 
     async def test() -> None:
         async with house(long, text="" if whole else "upstream { hold_answer_bytes: 50000 }") as door:
-            door.driver.record, door.driver.record_ms = Promising(), 60_000.0 if not whole else 50.0
+            door.driver.set_usage_recorder(Promising(), 60_000.0 if not whole else 50.0)
             door.driver.engine._state.dependencies.records_usage = True
             status, _, body = await door.ask()
             assert status == 200 and len(body) == 200_000
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from martenstep.proxy.transport import Pool
+from martenstep.proxy.connection_pool import ConnectionPool
 from tests.socket_rig import Peer, get, house, run
 
 
@@ -138,9 +138,9 @@
             sending = asyncio.create_task(peer.write(head + body))
             # Nothing is read yet: the door may hold no more than its bounds.
             while not sending.done():
-                for flight in door.driver.flights.values():
-                    assert flight.body is None or len(flight.body.kept) <= 3 * 65536
-                    assert flight.held_bytes <= 3 * 65536
+                for flight in door.driver.requests.values():
+                    assert flight.body is None or len(flight.body.buffer) <= 3 * 65536
+                    assert flight.buffered_bytes <= 3 * 65536
                 await asyncio.sleep(0.001)
             status, _, got = await peer.response()
             assert status == 200 and got == body
@@ -255,10 +255,10 @@
             peer = await door.client()
             await peer.write(get())
             await got.wait()  # a client that goes before leaves the server with nothing
-            assert door.driver.flights and door.driver.engine.open == 1
+            assert door.driver.requests and door.driver.engine.open == 1
             peer.reset()
             await ended.wait()  # the server sees its connection end
-            assert door.answers()[0]["reason"] == "client left" and not door.driver.flights
+            assert door.answers()[0]["reason"] == "client left" and not door.driver.requests
 
     run(test())
 
@@ -481,7 +481,7 @@
         async with house(silent) as door:
             peer = await door.client()
             await peer.write(get("/pay/1"))
-            await door.until(lambda: any(flight.upstream for flight in door.driver.flights.values()))  # it may run
+            await door.until(lambda: any(flight.upstream for flight in door.driver.requests.values()))  # it may run
             assert await door.driver.stop(20.0) is False
             assert (await peer.response())[0] == 504
 
@@ -578,15 +578,17 @@
                 with server:
                     await door.until(
                         lambda: (
-                            bool(door.driver.flights)
+                            bool(door.driver.requests)
                             and all(
-                                flight.body is not None and flight.body.complete and flight.body.pos == flight.body.size
-                                for flight in door.driver.flights.values()
+                                flight.body is not None
+                                and flight.body.complete
+                                and flight.body.written == flight.body.size
+                                for flight in door.driver.requests.values()
                             )
                         )
                     )
                     peer.reset()
-                    await door.until(lambda: not door.driver.flights and not door.driver.pool.connections)
+                    await door.until(lambda: not door.driver.requests and not door.driver.pool.connections)
                     with pytest.raises(ConnectionResetError):
                         while await loop.sock_recv(server, 65536):
                             pass
@@ -613,9 +615,9 @@
             [client] = door.driver.clients
             assert not closed or client.close_idle()
             client.reader.feed_data(get("/read/2").encode())  # read from the socket, and its reader not run yet
-            assert client.asking is not closed and not client.close_idle()
+            assert client.reader.buffered and client.closing is closed and not client.close_idle()
             assert await door.driver.stop(1000.0)
-            assert len(heads) == (1 if closed else 2) and not door.driver.flights
+            assert len(heads) == (1 if closed else 2) and not door.driver.requests
             if not closed:
                 assert (await peer.response())[0] == 200, "and with an answer, not only an effect"
             assert await peer.rest() == b""
@@ -657,14 +659,14 @@
         loop = asyncio.get_running_loop()
         server = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
         address = ("127.0.0.1", int(server.sockets[0].getsockname()[1]))
-        pool = Pool(1, 1000.0, lambda where, why: None)
-        assert pool.reserve(address)
-        upstream = await pool.dial(address)
+        pool = ConnectionPool(1, 1000.0, lambda where, why: None)
+        assert pool.reserve_slot(address)
+        upstream = await pool.connect(address)
         sock = upstream.writer.get_extra_info("socket")
         for within, told in ((250.4, 250), (0.2, 1), (None, 0)):
-            upstream.deliver_within(within)
+            upstream.set_delivery_timeout(within)
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == told
-        pool.drop(upstream)
+        pool.discard(upstream)
         server.close()
 
     run(test())
@@ -672,12 +674,12 @@
 
 KILLED = """
 import asyncio, sys
-from martenstep.proxy.transport import Pool
+from martenstep.proxy.connection_pool import ConnectionPool
 
 async def main():
-    pool = Pool(1, 1000.0, lambda where, why: None)
-    assert pool.reserve(("127.0.0.1", int(sys.argv[1])))
-    upstream = await pool.dial(("127.0.0.1", int(sys.argv[1])))
+    pool = ConnectionPool(1, 1000.0, lambda where, why: None)
+    assert pool.reserve_slot(("127.0.0.1", int(sys.argv[1])))
+    upstream = await pool.connect(("127.0.0.1", int(sys.argv[1])))
     upstream.writer.write(b"b" * 60_000)
     print("written", flush=True)
     await asyncio.sleep(60)
--- a/tests/test_step_watch.py
+++ b/tests/test_step_watch.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from martenstep.proxy.clock_step_detector import MAX_READING_MS, MIN_STEP_MS, READINGS, StepWatch
+from martenstep.proxy.clock_step_detector import MAX_READING_MS, MAX_READINGS, MIN_STEP_MS, ClockStepDetector
 
 
 class Clocks:
@@ -21,10 +21,10 @@
         return self.now + self.shift
 
 
-def watch() -> tuple[Clocks, StepWatch]:
+def watch() -> tuple[Clocks, ClockStepDetector]:
     """One that was asked before."""
     clocks = Clocks()
-    made = StepWatch(clocks.monotonic, clocks.wall)
+    made = ClockStepDetector(clocks.monotonic, clocks.wall)
     assert made.stepped() and made.shift_ms == 0.0, "before the first look it may have been stepped"
     return clocks, made
 
@@ -44,6 +44,6 @@
     clocks, made = watch()
     clocks.delays = [150.0]
     assert not made.stepped(), "between the wall clock and the other"
-    clocks.shift, clocks.delays = 900.0, [0.0] + [MAX_READING_MS + 1] * 2 * READINGS
+    clocks.shift, clocks.delays = 900.0, [0.0] + [MAX_READING_MS + 1] * 2 * MAX_READINGS
     assert not made.stepped(), "no reading to be trusted"
     assert made.stepped() and made.shift_ms == 900.0
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from martenstep.proxy.engine_messages import Headers
-from martenstep.proxy.http1.client_connection import Asking
+from martenstep.proxy.http1.client_connection import Http1ClientConnection
 from martenstep.proxy.targets import NormalizedTarget, TargetNormalizer, TargetRejection, split_authority
 
 HOST: Headers = [(b"host", b"a.example"), (b"accept", b"*/*")]
@@ -120,8 +120,8 @@
         return
     assert isinstance(found, NormalizedTarget) and found.target.startswith(b"/")
     server = h11.Connection(h11.SERVER)
-    asking = Asking()
-    server.receive_data(asking.head(method, found.target, found.headers) + asking.end())
+    asking = Http1ClientConnection()
+    server.receive_data(asking.encode_head(method, found.target, found.headers) + asking.encode_end())
     read = server.next_event()
     assert isinstance(read, h11.Request) and (read.method, read.target) == (method, found.target)
     assert sorted(read.headers) == sorted(found.headers)
--- a/tests/test_wire_readers.py
+++ b/tests/test_wire_readers.py
@@ -11,10 +11,10 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.proxy.http1.client_connection import Asking
-from martenstep.proxy.http1.message_head import AnswerHead, Fault, Headers, RequestHead
-from martenstep.proxy.http1.message_reader import AnswerReader, Data, End, Gone, RequestReader
-from martenstep.proxy.http1.message_writer import UnwritableError
+from martenstep.proxy.http1.client_connection import Http1ClientConnection
+from martenstep.proxy.http1.message_head import Headers, ProtocolError, RequestHead, ResponseHead
+from martenstep.proxy.http1.message_reader import ConnectionClosed, Data, EndOfMessage, RequestReader, ResponseReader
+from martenstep.proxy.http1.message_writer import InvalidMessageError
 
 BOUND = 2000
 HOST = b"Host: h\r\n"
@@ -29,21 +29,21 @@
     for part in [*_cut(raw, cuts or []), *([b""] if ends else [])]:
         reader.feed(part)
         try:
-            while (event := reader.next()) is not None:
+            while (event := reader.next_event()) is not None:
                 match event:
                     case RequestHead():
                         head, body = event, b""
                     case Data(data=data):
                         body += data
-                    case End():
+                    case EndOfMessage():
                         assert head is not None
                         made.append((head.method, head.target, body))
-                        if not head.keep:
+                        if not head.keep_alive:
                             return made, 0
-                        reader.again()
-                    case Gone():
+                        reader.start_next()
+                    case ConnectionClosed():
                         return made, 0
-        except Fault as fault:
+        except ProtocolError as fault:
             return made, fault.status
     return made, 0
 
@@ -238,11 +238,11 @@
 def test_the_next_request_is_not_looked_at_before_its_turn() -> None:
     reader = RequestReader(BOUND)
     reader.feed(OK[0] + b"nonsense\r\n\r\n")
-    assert isinstance(reader.next(), RequestHead) and isinstance(reader.next(), End)
-    assert reader.next() is None and reader.rest == len(b"nonsense\r\n\r\n")
-    reader.again()
-    with pytest.raises(Fault):
-        reader.next()
+    assert isinstance(reader.next_event(), RequestHead) and isinstance(reader.next_event(), EndOfMessage)
+    assert reader.next_event() is None and reader.buffered == len(b"nonsense\r\n\r\n")
+    reader.start_next()
+    with pytest.raises(ProtocolError):
+        reader.next_event()
 
 
 def test_a_hundred_thousand_chunks_of_one_byte_are_read() -> None:
@@ -254,10 +254,10 @@
 def test_a_head_without_end_is_refused_at_the_bound_and_not_before() -> None:
     reader = RequestReader(BOUND)
     reader.feed(b"GET / HTTP/1.1\r\nX-A: " + b"a" * (BOUND - 21))
-    assert reader.next() is None
+    assert reader.next_event() is None
     reader.feed(b"a")
-    with pytest.raises(Fault, match="431"):
-        reader.next()
+    with pytest.raises(ProtocolError, match="431"):
+        reader.next_event()
 
 
 # Answers ------------------------------------------------------------------------------------------------
@@ -265,25 +265,25 @@
 
 def answers(raw: bytes, method: bytes = b"GET", ends: bool = True) -> tuple[list[tuple[int, bytes]], bool, bool]:
     """Status and body of each answer; whether they were refused; whether the connection may go on."""
-    reader, made, body, keep = AnswerReader(BOUND), [], b"", True
+    reader, made, body, keep = ResponseReader(BOUND), [], b"", True
     reader.feed(raw)
     if ends:
         reader.feed(b"")
-    reader.asked(method)
-    head: AnswerHead | None = None
+    reader.request_sent(method)
+    head: ResponseHead | None = None
     try:
-        while (event := reader.next()) is not None:
-            if isinstance(event, AnswerHead):
-                head, body, keep = event, b"", event.keep
+        while (event := reader.next_event()) is not None:
+            if isinstance(event, ResponseHead):
+                head, body, keep = event, b"", event.keep_alive
             elif isinstance(event, Data):
                 body += event.data
-            elif isinstance(event, End):
+            elif isinstance(event, EndOfMessage):
                 assert head is not None
                 made.append((head.status, body))
-                reader.again()
+                reader.start_next()
             else:
                 break
-    except Fault:
+    except ProtocolError:
         return made, True, False
     return made, False, keep
 
@@ -360,33 +360,33 @@
 @hypo(max_examples=300, deadline=None, derandomize=True)
 def test_no_header_or_target_opens_a_line_of_its_own(more: Headers, target: bytes, host: bool) -> None:
     headers = [*([(b"host", b"h")] if host else []), *more]
-    asking = Asking()
+    asking = Http1ClientConnection()
     try:
-        raw = asking.head(b"GET", target, headers) + asking.end()
-    except UnwritableError:
+        raw = asking.encode_head(b"GET", target, headers) + asking.encode_end()
+    except InvalidMessageError:
         assert not host or any(byte in b"".join((target, *(value for _, value in more))) for byte in b"\r\n\0 ")
         return
     reader = RequestReader(BOUND)
     reader.feed(raw)
     try:
-        head = reader.next()
-    except Fault:
+        head = reader.next_event()
+    except ProtocolError:
         assert not target.startswith(b"/")  # which no request that is routed has
         return
     assert isinstance(head, RequestHead) and (head.target, len(head.headers)) == (target, len(headers))
-    assert isinstance(reader.next(), End) and not reader.rest
+    assert isinstance(reader.next_event(), EndOfMessage) and not reader.buffered
 
 
 def test_a_connection_is_asked_again_only_when_all_of_the_last_is_whole() -> None:
     def asked(answer: bytes, *, whole: bool = True, chunked: bool = False) -> bool:
-        asking = Asking()
+        asking = Http1ClientConnection()
         coding = [(b"transfer-encoding", b"chunked")] if chunked else [(b"content-length", b"2")]
-        asking.head(b"POST", b"/", [(b"host", b"h"), *coding])
-        assert asking.data(b"ab") == (b"2\r\nab\r\n" if chunked else b"ab")
+        asking.encode_head(b"POST", b"/", [(b"host", b"h"), *coding])
+        assert asking.encode_data(b"ab") == (b"2\r\nab\r\n" if chunked else b"ab")
         if whole:
-            assert asking.end() == (b"0\r\n\r\n" if chunked else b"")
+            assert asking.encode_end() == (b"0\r\n\r\n" if chunked else b"")
         asking.feed(answer)
-        while isinstance(asking.next(), AnswerHead | Data):
+        while isinstance(asking.next_event(), ResponseHead | Data):
             pass
         return asking.reusable
 
