--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -7,7 +7,7 @@
 from martenstep.auth import core as auth
 from martenstep.auth.answerer import Answerer
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import ERROR_STATUS, module_settings
+from martenstep.config.policy_settings import DEFAULT_ERROR_STATUSES, build_policy_settings
 from martenstep.config.tls import ClientContext, ServerContext
 from martenstep.event_log import EventLog
 from martenstep.hooks.releases import Shelf
@@ -92,10 +92,10 @@
     extension_points = None
     if hook_releases is not None:
         extension_points = _extension_points(door, route_table, authorization, message_builder, epoch_ms)
-    error_statuses = frozenset(upstream.error_status or ERROR_STATUS)
+    error_statuses = frozenset(upstream.error_status or DEFAULT_ERROR_STATUSES)
     return EngineDependencies(
         name=door.name,
-        settings=module_settings(door),
+        settings=build_policy_settings(door),
         route_table=route_table,
         targets=TargetNormalizer(listener.HasField("tls"), list(listener.host_name)),
         status_classifier=StatusTable(upstream.refusal_status, upstream.refusal_header, error_statuses),
--- a/martenstep/proxy/route_table.py
+++ b/martenstep/proxy/route_table.py
@@ -9,7 +9,7 @@
 from urllib.parse import unquote
 
 from martenstep.config import door_pb2 as pb
-from martenstep.config.settings import class_of, customer_id, plan_of
+from martenstep.config.policy_settings import build_plan, build_request_class, customer_id
 from martenstep.policy import messages as api
 from martenstep.proxy.dependencies import RoutedRequest, RouteRejection, UnauthenticatedRequest
 from martenstep.proxy.engine_messages import Headers
@@ -46,8 +46,10 @@
 
     def __init__(self, door: pb.Door) -> None:
         """The settings name every class and plan that they refer to."""
-        self.classes: Mapping[str, api.RequestClass] = {entry.name: class_of(entry) for entry in getattr(door, "class")}
-        self._plans = {entry.name: plan_of(entry) for entry in door.plan}
+        self.classes: Mapping[str, api.RequestClass] = {
+            entry.name: build_request_class(entry) for entry in getattr(door, "class")
+        }
+        self._plans = {entry.name: build_plan(entry) for entry in door.plan}
         self._instances = door.instances
         self._default_plan = self._plans.get(door.default_plan)
         self._customers = {
