--- a/martenstep/lab/fleet/baseline.py
+++ b/martenstep/lab/fleet/baseline.py
@@ -10,7 +10,15 @@
 from collections import Counter
 
 from martenstep.membership.actions import Action, EventKind, MemberEvent, SendDatagram
-from martenstep.membership.codec import Gossip, Sender, cluster_hash, decode_message, open_datagram, seal_datagram
+from martenstep.membership.codec import (
+    DatagramHeader,
+    Gossip,
+    Sender,
+    cluster_hash,
+    decode_message,
+    open_datagram,
+    seal_datagram,
+)
 from martenstep.membership.errors import DropReason, ProtocolError
 from martenstep.membership.keyring import Keyring
 from martenstep.membership.member import MemberRecord, MemberState
@@ -50,7 +58,9 @@
         self._number += 1
         for to in self.settings.seeds:
             if to != self.record.address:
-                data = seal_datagram(self.keys, self._cluster, self.record.boot_id, 0, self._number, message)
+                data = seal_datagram(
+                    self.keys, self._cluster, DatagramHeader(self.record.boot_id, 0, self._number), message
+                )
                 self.counters["sent"] += 1
                 self.counters["sent_bytes"] += len(data)
                 self._actions.append(SendDatagram(to, data))
@@ -76,9 +86,8 @@
         except ProtocolError as error:
             self.counters[f"dropped_{error.reason}"] += 1
             return
-        if not self._windows.setdefault(opened.source_boot_id, ReplayWindow()).accept(opened.number) or not isinstance(
-            message, Gossip
-        ):
+        window = self._windows.setdefault(opened.header.source_boot_id, ReplayWindow())
+        if not window.accept(opened.header.number) or not isinstance(message, Gossip):
             return
         for fact in message.records:
             if fact.name == self.record.name:
--- a/martenstep/membership/codec.py
+++ b/martenstep/membership/codec.py
@@ -16,7 +16,7 @@
 
 import hashlib
 import struct
-from typing import Annotated, cast
+from typing import Annotated, NamedTuple, cast
 
 import msgspec
 import xxhash
@@ -160,21 +160,24 @@
     message.records = cast(list[MemberRecord], [msgspec.Raw(data) for data in encoded_records])
 
 
-class OpenedDatagram(msgspec.Struct):
-    """A datagram whose MAC holds."""
+class DatagramHeader(NamedTuple):
+    """Which process sends to which, and the number that the sender gave the datagram."""
 
     source_boot_id: int
     target_boot_id: int
     number: int
+
+
+class OpenedDatagram(NamedTuple):
+    """A datagram whose MAC holds."""
+
+    header: DatagramHeader
     body: bytes
 
 
-def seal_datagram(
-    keyring: Keyring, cluster: int, source_boot_id: int, target_boot_id: int, number: int, message: Message
-) -> bytes:
+def seal_datagram(keyring: Keyring, cluster: int, header: DatagramHeader, message: Message) -> bytes:
     """A message as it is sent."""
-    header = HEADER.pack(MAGIC, VERSION, 0, cluster, source_boot_id, target_boot_id, number)
-    data = header + _encoder.encode(message)
+    data = HEADER.pack(MAGIC, VERSION, 0, cluster, *header) + _encoder.encode(message)
     return data + keyring.sign(data)
 
 
@@ -182,7 +185,7 @@
     """Check all but the body; raises ProtocolError."""
     if not HEADER.size + MAC_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
         raise ProtocolError(DropReason.LENGTH)
-    magic, version, _, of_cluster, source_boot_id, target_boot_id, number = HEADER.unpack_from(data)
+    magic, version, _, of_cluster, *header = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise ProtocolError(DropReason.MAGIC)
     if version != VERSION:
@@ -191,7 +194,7 @@
         raise ProtocolError(DropReason.CLUSTER)
     if not keyring.verify(data[:-MAC_BYTES], data[-MAC_BYTES:]):
         raise ProtocolError(DropReason.MAC)
-    return OpenedDatagram(source_boot_id, target_boot_id, number, data[HEADER.size : -MAC_BYTES])
+    return OpenedDatagram(DatagramHeader(*header), data[HEADER.size : -MAC_BYTES])
 
 
 def decode_message(body: bytes) -> Message:
--- a/martenstep/membership/core.py
+++ b/martenstep/membership/core.py
@@ -20,6 +20,7 @@
 
 from martenstep.membership.actions import Action, EventKind
 from martenstep.membership.codec import Ack, Gossip, IndirectPing, IndirectPingResponse, Message, Ping, WrongBootId
+from martenstep.membership.core_parts import CoreParts
 from martenstep.membership.datagram_channel import DatagramChannel
 from martenstep.membership.dissemination import Disseminator
 from martenstep.membership.errors import ProtocolError
@@ -60,19 +61,13 @@
         self.partitions = PartitionDetector(node, self.suspicions, self.dialer)
         self.probe_round = ProbeRound(node)
         self.joiner = ClusterJoiner(node, self.dialer, self._probe_reachability)
-        self.merger = RecordMerger(node, self.channel, self.suspicions, self.partitions, self.probe_round, self.joiner)
-        self.failure_detector = FailureDetector(
-            node,
-            self.channel,
-            self.merger,
-            self.suspicions,
-            self.partitions,
-            self.probe_round,
-            self.joiner,
-            self.dialer,
+        parts = CoreParts(
+            node, self.channel, self.dialer, self.suspicions, self.partitions, self.probe_round, self.joiner
         )
+        self.merger = RecordMerger(parts)
+        self.failure_detector = FailureDetector(parts, self.merger)
         self.disseminator = Disseminator(node, self.channel, self.merger, self.dialer)
-        self.exchange = StateExchange(node, self.merger, self.suspicions, self.partitions, self.joiner, self.dialer)
+        self.exchange = StateExchange(parts, self.merger)
         self.reconnector = Reconnector(node, self.dialer, self._probe_reachability)
         self._next_forget_ms = now
         self._start(now)
@@ -160,7 +155,7 @@
         self.node.timers.run_due(now)
 
     def _detect_pause(self, now: float) -> None:
-        """Before anything else: was this process paused since it last ran?"""
+        """Find out, before anything else, whether this process was paused since it last ran."""
         node = self.node
         paused_ms = node.timers.lateness_ms(now)
         if paused_ms <= PAUSE_THRESHOLD_MS:
@@ -225,7 +220,7 @@
         if not self._may_answer() and not isinstance(message, Ack):
             return
         self.partitions.message_received(now)
-        self._dispatch(now, opened.source_boot_id, message)
+        self._dispatch(now, opened.header.source_boot_id, message)
 
     def _may_answer(self) -> bool:
         """Before it has joined, what a node answers could be taken for the node whose name it wants."""
--- a/martenstep/membership/datagram_channel.py
+++ b/martenstep/membership/datagram_channel.py
@@ -7,6 +7,7 @@
 from martenstep.membership.actions import SendDatagram
 from martenstep.membership.codec import (
     MAX_BODY_BYTES,
+    DatagramHeader,
     GossipCarrier,
     Message,
     OpenedDatagram,
@@ -54,9 +55,8 @@
         node = self._node
         self._sent_number += 1
         target_boot_id = self.boot_id_at(to, boot_id)
-        data = seal_datagram(
-            self.keyring, self._cluster, node.record.boot_id, target_boot_id, self._sent_number, message
-        )
+        header = DatagramHeader(node.record.boot_id, target_boot_id, self._sent_number)
+        data = seal_datagram(self.keyring, self._cluster, header, message)
         node.counters["sent"] += 1
         node.counters["sent_bytes"] += len(data)
         node.actions.append(SendDatagram(to, data))
@@ -83,13 +83,13 @@
         """Open a datagram for this process; raises ProtocolError.  One for another process is answered."""
         own_boot_id = self._node.record.boot_id
         opened = open_datagram(self.keyring, self._cluster, data)
-        if opened.source_boot_id == own_boot_id:
+        if opened.header.source_boot_id == own_boot_id:
             raise ProtocolError(DropReason.OWN)
         message = decode_message(opened.body)
-        if opened.target_boot_id != own_boot_id:
-            self._answer_wrong_boot_id(now, opened.source_boot_id, message)
+        if opened.header.target_boot_id != own_boot_id:
+            self._answer_wrong_boot_id(now, opened.header.source_boot_id, message)
             raise ProtocolError(DropReason.BOOT_ID)
-        if not self._replay_window(opened.source_boot_id).accept(opened.number):
+        if not self._replay_window(opened.header.source_boot_id).accept(opened.header.number):
             raise ProtocolError(DropReason.REPLAY)
         self._node.counters["received"] += 1
         self._node.counters["received_bytes"] += len(data)
--- a/martenstep/membership/failure_detector.py
+++ b/martenstep/membership/failure_detector.py
@@ -10,16 +10,11 @@
 from functools import partial
 
 from martenstep.membership.codec import Ack, IndirectPing, IndirectPingResponse, Ping, WrongBootId
-from martenstep.membership.datagram_channel import DatagramChannel
-from martenstep.membership.exchange_dialer import ExchangeDialer, ExchangePurpose
-from martenstep.membership.joining import ClusterJoiner
-from martenstep.membership.local_node import LocalNode
+from martenstep.membership.core_parts import CoreParts
+from martenstep.membership.exchange_dialer import ExchangePurpose
 from martenstep.membership.member import Address, MemberRecord, MemberState, SelfReport
-from martenstep.membership.partition_detector import PartitionDetector
-from martenstep.membership.probe_round import ProbeRound
 from martenstep.membership.record_merger import RecordMerger
 from martenstep.membership.settings import Stage
-from martenstep.membership.suspicion import SuspicionTracker
 
 INDIRECT_PROBES = 3  # SWIM's k; at 5% loss one probe in 1,600 fails through all of them
 PROBE_TIMEOUT_SHARE = 0.95  # of the probe interval, so that a probe is decided before the next one
@@ -46,26 +41,16 @@
 class FailureDetector:
     """Probes members in turn, and answers their probes."""
 
-    def __init__(
-        self,
-        node: LocalNode,
-        channel: DatagramChannel,
-        merger: RecordMerger,
-        suspicions: SuspicionTracker,
-        partitions: PartitionDetector,
-        probe_round: ProbeRound,
-        joiner: ClusterJoiner,
-        dialer: ExchangeDialer,
-    ) -> None:
-        """The parts of the core that a probe's result concerns."""
-        self._node = node
-        self._channel = channel
+    def __init__(self, parts: CoreParts, merger: RecordMerger) -> None:
+        """No probe is under way."""
+        self._node = parts.node
+        self._channel = parts.channel
         self._merger = merger
-        self._suspicions = suspicions
-        self._partitions = partitions
-        self._probe_round = probe_round
-        self._joiner = joiner
-        self._dialer = dialer
+        self._suspicions = parts.suspicions
+        self._partitions = parts.partitions
+        self._probe_round = parts.probe_round
+        self._joiner = parts.joiner
+        self._dialer = parts.dialer
         self._probes: dict[int, _Probe] = {}  # by nonce
         self._relayed_probes: dict[int, _RelayedProbe] = {}  # by nonce
 
--- a/martenstep/membership/record_merger.py
+++ b/martenstep/membership/record_merger.py
@@ -8,14 +8,9 @@
 
 from martenstep.membership.actions import EventKind
 from martenstep.membership.codec import ReceiverView
-from martenstep.membership.datagram_channel import DatagramChannel
-from martenstep.membership.joining import ClusterJoiner
-from martenstep.membership.local_node import LocalNode
+from martenstep.membership.core_parts import CoreParts
 from martenstep.membership.member import MemberRecord, MemberState
-from martenstep.membership.partition_detector import PartitionDetector
-from martenstep.membership.probe_round import ProbeRound
 from martenstep.membership.settings import Stage
-from martenstep.membership.suspicion import SuspicionTracker
 
 STATE_EVENTS = {
     MemberState.SUSPECT: EventKind.MEMBER_SUSPECT,
@@ -35,22 +30,14 @@
 class RecordMerger:
     """Takes in records of other members, and refutes those of this node."""
 
-    def __init__(
-        self,
-        node: LocalNode,
-        channel: DatagramChannel,
-        suspicions: SuspicionTracker,
-        partitions: PartitionDetector,
-        probe_round: ProbeRound,
-        joiner: ClusterJoiner,
-    ) -> None:
-        """The parts of the core that follow the member table."""
-        self._node = node
-        self._channel = channel
-        self._suspicions = suspicions
-        self._partitions = partitions
-        self._probe_round = probe_round
-        self._joiner = joiner
+    def __init__(self, parts: CoreParts) -> None:
+        """Merges into the member table of the parts' node."""
+        self._node = parts.node
+        self._channel = parts.channel
+        self._suspicions = parts.suspicions
+        self._partitions = parts.partitions
+        self._probe_round = parts.probe_round
+        self._joiner = parts.joiner
 
     def apply_all(self, now: float, records: Iterable[MemberRecord]) -> None:
         """Take in records in their order."""
--- a/martenstep/membership/state_exchange.py
+++ b/martenstep/membership/state_exchange.py
@@ -11,16 +11,13 @@
     decode_frame,
     encode,
 )
+from martenstep.membership.core_parts import CoreParts
 from martenstep.membership.errors import DropReason, ProtocolError
-from martenstep.membership.exchange_dialer import ExchangeDialer, ExchangePurpose
-from martenstep.membership.joining import ClusterJoiner
-from martenstep.membership.local_node import LocalNode
+from martenstep.membership.exchange_dialer import ExchangePurpose
 from martenstep.membership.member import MemberRecord, MemberState, SelfReport
 from martenstep.membership.member_table import BUCKET_COUNT, bucket_index
-from martenstep.membership.partition_detector import PartitionDetector
 from martenstep.membership.record_merger import RecordMerger
 from martenstep.membership.settings import Stage
-from martenstep.membership.suspicion import SuspicionTracker
 
 SILENCE_SHARE = 0.5  # of the time until members are forgotten: after a longer silence a table may be outdated
 UNKNOWN_PRECEDENCE = (-1, 0, 0, 0)  # below that of every record
@@ -29,22 +26,14 @@
 class StateExchange:
     """Both sides of the exchange."""
 
-    def __init__(
-        self,
-        node: LocalNode,
-        merger: RecordMerger,
-        suspicions: SuspicionTracker,
-        partitions: PartitionDetector,
-        joiner: ClusterJoiner,
-        dialer: ExchangeDialer,
-    ) -> None:
-        """The parts of the core that an exchange concerns."""
-        self._node = node
+    def __init__(self, parts: CoreParts, merger: RecordMerger) -> None:
+        """No exchange is under way."""
+        self._node = parts.node
         self._merger = merger
-        self._suspicions = suspicions
-        self._partitions = partitions
-        self._joiner = joiner
-        self._dialer = dialer
+        self._suspicions = parts.suspicions
+        self._partitions = parts.partitions
+        self._joiner = parts.joiner
+        self._dialer = parts.dialer
 
     # The side that is asked.
 
--- a/martenstep/membership/transport.py
+++ b/martenstep/membership/transport.py
@@ -6,7 +6,6 @@
 import contextlib
 import socket
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 from martenstep.membership.member import Address
 
@@ -22,7 +21,7 @@
         """`receive` is called with each datagram."""
         self._receive = receive
 
-    def datagram_received(self, data: bytes, addr: Any) -> None:
+    def datagram_received(self, data: bytes, addr: object) -> None:
         """Called by the event loop."""
         self._receive(data)
 
--- a/tests/test_formats_membership.py
+++ b/tests/test_formats_membership.py
@@ -50,6 +50,7 @@
 CLUSTER = "formats"
 KEYS = [b"first key " * 3, b"second key" * 3]
 SOURCE, TARGET, NUMBER = 0x1122334455667788, 0x99AABBCCDDEEFF00, 77
+HEADER = wire.DatagramHeader(SOURCE, TARGET, NUMBER)
 SERVER_DRAW, CLIENT_DRAW = bytes(range(16)), bytes(range(100, 116))
 
 ME = MemberRecord("d001", 2, 1001, 7, MemberState.ALIVE, 2001, "10.0.0.1", 7946, "a", 3)
@@ -86,15 +87,12 @@
     cluster = wire.cluster_hash(CLUSTER)
     assert wire.encode(DATAGRAMS[kind]) == expected["body"]
     for place, key in enumerate(KEYS):
-        sealed = wire.seal_datagram(Keyring([key]), cluster, SOURCE, TARGET, NUMBER, DATAGRAMS[kind])
+        sealed = wire.seal_datagram(Keyring([key]), cluster, HEADER, DATAGRAMS[kind])
         assert sealed == expected[f"sealed by key {place}"]
         opened = wire.open_datagram(Keyring(KEYS), cluster, sealed)
-        assert (opened.source_boot_id, opened.target_boot_id, opened.number) == (SOURCE, TARGET, NUMBER)
+        assert tuple(opened.header) == (SOURCE, TARGET, NUMBER)
         assert wire.decode_message(opened.body) == DATAGRAMS[kind]
-    assert (
-        wire.seal_datagram(Keyring(KEYS), cluster, SOURCE, TARGET, NUMBER, DATAGRAMS[kind])
-        == expected["sealed by key 0"]
-    )
+    assert wire.seal_datagram(Keyring(KEYS), cluster, HEADER, DATAGRAMS[kind]) == expected["sealed by key 0"]
 
 
 @pytest.mark.parametrize("kind", FRAMES)
@@ -272,7 +270,10 @@
     for data in (b"", b"x" * 60, b"MG\x02" + b"x" * 60, b"MG\x01" + b"x" * 60):
         net.cores["10.0.0.1", 1].receive(net.now, data)
     net.cores["10.0.0.5", 1].receive(
-        net.now, wire.seal_datagram(Keyring([KEYS[0]]), wire.cluster_hash(CLUSTER), 1, 2, 3, DATAGRAMS["ping"])
+        net.now,
+        wire.seal_datagram(
+            Keyring([KEYS[0]]), wire.cluster_hash(CLUSTER), wire.DatagramHeader(1, 2, 3), DATAGRAMS["ping"]
+        ),
     )
     net.run(40_000.0)
     expected = stored("run.json")
