--- a/martenstep/interface.py
+++ b/martenstep/interface.py
@@ -1,3 +1,3 @@
-"""The former import path of the decisions' messages, kept for those who embed the gateway."""
+"""The former import path of `martenstep.policy.messages`, kept for programs that embed the gateway."""
 
 from martenstep.policy.messages import *  # noqa: F403
--- a/martenstep/policy/messages.py
+++ b/martenstep/policy/messages.py
@@ -1,7 +1,8 @@
-"""What the decision module takes in and gives out: settings, events and actions.
+"""What the decisions take in and give out: settings, events and actions.
 
-Everything is plain data in the field's own words, so a host can embed the module whatever its wire looks
-like.  Times are milliseconds on the host's clock; ids are opaque and go back as they came.
+Everything is plain data, so that a host can embed the decisions whatever its protocol looks like.  Times are
+milliseconds on the host's clock; ids are opaque and go back as they came.  The values of the enums are the names that
+logs, metrics and admin pages give.
 """
 
 from __future__ import annotations
@@ -13,23 +14,23 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request may do."""
+    """What a repetition of a request may do."""
 
-    IDEMPOTENT = "safe"
-    KEYED = "keyed"
+    IDEMPOTENT = "safe"  # no harm
+    KEYED = "keyed"  # no harm within the deduplication scope and window: it has an idempotency key
     AT_MOST_ONCE = "unsafe"
 
 
 class DeduplicationScope(Enum):
-    """Which servers drop a repeat of a keyed request."""
+    """Which endpoints recognise a repetition of a request with an idempotency key."""
 
     ALL = "all"
-    ZONE = "zone"
+    ZONE = "zone"  # those in the zone of the endpoint that had the first attempt
     CELL = "cell"
 
 
 class CallResult(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a health check or a counter call ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -42,25 +43,25 @@
 
     @property
     def never_executed(self) -> bool:
-        """True where the outcome proves that the attempt had no effect."""
+        """Whether the result proves that the attempt had no effect."""
         return self in (CallResult.OVERLOADED, CallResult.CONNECT_FAILED, CallResult.NOT_SENT)
 
 
 class RejectionReason(Enum):
-    """Why a request is turned away, for the client and the operators; decides nothing."""
-
-    OVER_QUOTA = "quota"  # the customer's use, as far as it is known, leaves no room in its plan
-    UNCONFIRMED = "unheard"  # the counter has not told of the customer and the own part of its quota is used
-    CEILING = "ceiling"  # the own part of the ceiling's headroom is used
-    CONCURRENCY_LIMIT = "open limit"  # the plan's limit of attempts out is reached
-    OVERLOAD = "overload"  # the servers have no room for it in time
-    NO_ENDPOINT = "no server"  # no server is listed that it may go to
-    RETRIES_EXHAUSTED = "spent"  # no further attempt is allowed: their number, the retry budget or the class's window
+    """Why a request is rejected, for the client and the operators; decides nothing."""
+
+    OVER_QUOTA = "quota"  # the customer's use, as far as it is known, leaves nothing of its quota
+    UNCONFIRMED = "unheard"  # the counter has not confirmed the quota, and the own share of it is used
+    CEILING = "ceiling"  # the own share of the ceiling's headroom is used
+    CONCURRENCY_LIMIT = "open limit"  # the plan's limit of attempts in flight is reached
+    OVERLOAD = "overload"  # the endpoints have no capacity for it in time
+    NO_ENDPOINT = "no server"  # no endpoint is listed that it may go to
+    RETRIES_EXHAUSTED = "spent"  # by the number of attempts, the retry budget or the class's window
     DEADLINE = "late"  # too little of the client's deadline is left
 
 
 class EndpointState(Enum):
-    """What discovery says of a server."""
+    """What discovery says of an endpoint."""
 
     UP = "up"
     DRAINING = "draining"
@@ -68,22 +69,25 @@
 
 
 class EndpointListScope(Enum):
-    """What a member list covers."""
+    """What an endpoint list covers."""
 
     DELTA = "changes"
     FULL = "full"
-    CACHED = "warm copy"
-    LOST = "lost"
+    CACHED = "warm copy"  # a full list that may be out of date
+    LOST = "lost"  # no list: discovery is not reachable
 
 
-def _at_least(key: str, value: float, least: float) -> None:
-    if not value >= least:
-        raise ValueError(f"setting {key}: expected at least {least:g}, got {value!r}")
+def _require_at_least(key: str, value: float, minimum: float) -> None:
+    if not value >= minimum:
+        raise ValueError(f"setting {key}: expected at least {minimum:g}, got {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: when an answer counts, and what a repeat may do."""
+    """A class of requests: when a response counts, and what a repetition may do.
+
+    Raises ValueError that names a bad key.
+    """
 
     name: str
     latency_objective_ms: float
@@ -95,6 +99,7 @@
     late_value_share: float = 0.0
 
     def __post_init__(self) -> None:
+        """Check the bounds."""
         for key in (
             "latency_objective_ms",
             "deadline_ms",
@@ -102,12 +107,15 @@
             "priority_weight",
             "late_value_share",
         ):
-            _at_least(f"classes.{self.name}.{key}", getattr(self, key), 0.0)
+            _require_at_least(f"classes.{self.name}.{key}", getattr(self, key), 0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quota and ceiling, for each customer over all gateways together."""
+    """A plan's quota and ceiling, for each customer over all instances together.
+
+    Rates are in units per second, bursts in units.  Raises ValueError that names a bad key.
+    """
 
     name: str
     rate: float = 0.0
@@ -121,6 +129,7 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
+        """Check the bounds."""
         for key in (
             "rate",
             "burst",
@@ -132,14 +141,17 @@
             "ceiling_burst",
             "ceiling_slack",
         ):
-            _at_least(f"plans.{self.name}.{key}", getattr(self, key), 0.0)
+            _require_at_least(f"plans.{self.name}.{key}", getattr(self, key), 0.0)
         if self.rate > 0 and not self.burst > 0:
             raise ValueError(f"setting plans.{self.name}.burst: expected above 0 where there is a rate")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a gateway is told at its start; see the protocol page for the meaning of each figure."""
+    """What an instance is configured with at its start; see the protocol page for the meaning of each figure.
+
+    Raises ValueError that names a bad key.
+    """
 
     instance: int
     instances: int
@@ -168,9 +180,10 @@
     has_capacity_weights: bool = False
 
     def __post_init__(self) -> None:
-        _at_least("instances", self.instances, 1)
-        _at_least("instance", self.instance, 0)
-        _at_least("max_attempts", self.max_attempts, 1)
+        """Check the bounds."""
+        _require_at_least("instances", self.instances, 1)
+        _require_at_least("instance", self.instance, 0)
+        _require_at_least("max_attempts", self.max_attempts, 1)
         for key in (
             "tick_ms",
             "counter_timeout_ms",
@@ -183,12 +196,12 @@
             "overload_multiple",
             "overload_window_ms",
         ):
-            _at_least(key, getattr(self, key), 0.0)
+            _require_at_least(key, getattr(self, key), 0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One line of a member list; started_ms is 0 where the start lies long ago."""
+    """One entry of an endpoint list; `started_ms` is 0 where the start lies long ago."""
 
     id: int
     zone: str
@@ -204,7 +217,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A member list, whole or as changes to the last one."""
+    """An endpoint list, whole or as a delta to the last one."""
 
     scope: EndpointListScope
     endpoints: tuple[Endpoint, ...] = ()
@@ -212,7 +225,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's try has arrived; it is owed exactly one final answer."""
+    """A client's request has arrived; it is owed exactly one final answer.
+
+    The customer's requests are spread over `instances` instances, from `first_instance` on.
+    """
 
     id: str
     request_class: str
@@ -227,14 +243,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The answer of a streamed class has begun; the attempt is the client's now."""
+    """The response of a streamed class has begun; the attempt can not be retried any more."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How one attempt ended; ended says that the request has its final answer."""
+    """How one attempt ended; `request_complete` says that the request has its final answer."""
 
     id: str
     attempt: int
@@ -248,14 +264,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone; nothing more is owed."""
+    """The client disconnected; nothing more is owed."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """The counter's answer to one Count."""
+    """The counter's reply to one IncrementCounter, or how the call failed."""
 
     key: int
     result: CallResult
@@ -266,7 +282,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """The answer to one Probe."""
+    """The result of one HealthCheck."""
 
     endpoint: int
     result: CallResult
@@ -276,17 +292,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A Wake has come due."""
+    """A timer that was set with SetTimer has fired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClockStepped:
-    """The wall clock, which all gateways read, was stepped against the clock of the events, or may have been shortly
-    before this gateway started.
+    """The wall clock, which all instances read, was stepped against the clock of the events.
 
-    `shift_ms` is what it now reads beyond that clock; 0 until the first such event."""
+    Or it may have been shortly before this instance started.  `shift_ms` is what it now reads beyond that clock; 0
+    until the first such event.
+    """
 
     shift_ms: float
 
@@ -308,17 +325,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt of a request at a server; attempts are numbered 0, 1, 2 ... as sent."""
+    """Start an attempt of a request at an endpoint; attempts are numbered 0, 1, 2 ... as started."""
 
     id: str
     endpoint: int
     timeout_ms: float
-    over_quota: bool = False  # the request is sent on beyond its quota, as far as this gateway knows
+    over_quota: bool = False  # as far as this instance knows
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     id: str
     attempt: int
@@ -326,7 +343,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: turned away, and a retry does no harm."""
+    """Final answer: rejected, and a retry by the client does no harm."""
 
     id: str
     retry_after_ms: float = 0.0
@@ -342,7 +359,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add units to a named number of the counter service and learn the total."""
+    """Add units to a key of the counter service and learn its total."""
 
     key: int
     units: float
@@ -352,14 +369,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Look at a server."""
+    """Check the health of an endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a Due event at a time."""
+    """Ask for a TimerFired event at a time."""
 
     at_ms: float
     token: int
@@ -377,6 +394,7 @@
     text: str
 
 
-EndpointFilter = Callable[[Endpoint], bool] | None  # which servers may be used; None: all
+AttemptId = tuple[str, int]  # request id and number of the attempt
+EndpointFilter = Callable[[Endpoint], bool] | None  # which endpoints may be used; None: all
 Action = StartAttempt | CancelAttempt | Reject | Fail | IncrementCounter | HealthCheck | SetTimer | Subscribe | Log
 Actions = list[Action]
