--- /dev/null
+++ b/martenstep/policy/endpoint_set.py
@@ -0,0 +1,134 @@
+"""The endpoints that discovery has listed, and the order in which this instance uses them."""
+
+from __future__ import annotations
+
+import math
+import random
+from bisect import bisect_left, insort
+from dataclasses import replace
+
+from martenstep.policy.endpoint_stats import (
+    BASE_LATENCY_WEIGHT_DOWN,
+    BASE_LATENCY_WEIGHT_UP,
+    MIN_CAPACITY,
+    EndpointStats,
+)
+from martenstep.policy.gcra import MS_PER_S
+from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointListUpdate, EndpointState, Settings
+
+INITIAL_LATENCY_SHARE = 0.12  # of the shortest latency objective that an endpoint without a response is taken to need
+BOUNDS_REFRESH_RESPONSES = 500  # after so many the least latency, which may have risen, is searched anew
+
+
+def by_rank(stats: EndpointStats) -> float:
+    """The key of the order in which this instance uses endpoints."""
+    return stats.rank
+
+
+class EndpointSet:
+    """The endpoints by id, and those that are up by rank, with bounds on their latency and warm-up."""
+
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
+        """Begin empty; `rng` draws the rank of each new endpoint."""
+        self._rng = rng
+        self._slow_start_window_ms = settings.slow_start_window_ms
+        self.min_objective_ms = min((cls.latency_objective_ms for cls in settings.classes), default=MS_PER_S)
+        self.default_latency_ms = INITIAL_LATENCY_SHARE * self.min_objective_ms  # of an endpoint without a response
+        self.by_id: dict[int, EndpointStats] = {}
+        self.up: list[EndpointStats] = []  # by rank
+        self.all_warm_at = -math.inf  # none is warming up after it
+        self._min_base_latency_ms = math.inf  # none is known to be below it
+        self._max_capacity = 1.0
+        self._responses_since_refresh = 0
+
+    def update(self, event: EndpointListUpdate) -> None:
+        """Take in an endpoint list: a whole one replaces, a delta applies to what is held."""
+        if event.scope is EndpointListScope.DELTA:
+            for endpoint in event.endpoints:
+                self._apply_change(endpoint)
+            return
+        listed = {endpoint.id: endpoint for endpoint in event.endpoints}
+        if event.scope in (EndpointListScope.FULL, EndpointListScope.CACHED):
+            for endpoint_id, stats in self.by_id.items():
+                if endpoint_id not in listed:
+                    stats.endpoint = replace(stats.endpoint, state=EndpointState.REMOVED)
+        for endpoint_id, endpoint in listed.items():
+            self._put(endpoint_id, endpoint)
+        self.by_id = {
+            endpoint_id: stats
+            for endpoint_id, stats in self.by_id.items()
+            if stats.endpoint.state is not EndpointState.REMOVED or stats.in_flight
+        }
+        self.up = [stats for stats in self.by_id.values() if stats.endpoint.state is EndpointState.UP]
+        self.up.sort(key=by_rank)
+        self._refresh_bounds()
+
+    def _put(self, endpoint_id: int, endpoint: Endpoint) -> None:
+        stats = self.by_id.get(endpoint_id)
+        if stats is None:
+            self.by_id[endpoint_id] = EndpointStats(endpoint, self._rng.random())
+        elif endpoint.started_ms > stats.endpoint.started_ms:
+            self.by_id[endpoint_id] = stats.restarted(endpoint)
+        else:
+            stats.endpoint = endpoint
+
+    def _apply_change(self, endpoint: Endpoint) -> None:
+        """Take in one entry of a delta, at a cost that does not grow with the number of endpoints."""
+        old = self.by_id.get(endpoint.id)
+        if old is not None:
+            self._take_out(old)
+        self._put(endpoint.id, endpoint)
+        stats = self.by_id[endpoint.id]
+        if endpoint.state is EndpointState.REMOVED and not stats.in_flight:
+            del self.by_id[endpoint.id]
+        elif endpoint.state is EndpointState.UP:
+            insort(self.up, stats, key=by_rank)
+            self._widen_bounds(stats)
+
+    def _take_out(self, stats: EndpointStats) -> None:
+        """Take an endpoint out of the order, if it is in it."""
+        place = bisect_left(self.up, stats.rank, key=by_rank)
+        while place < len(self.up) and self.up[place].rank == stats.rank:
+            if self.up[place] is stats:
+                del self.up[place]
+                return
+            place += 1
+
+    def move(self, stats: EndpointStats, rank: float) -> None:
+        """Give an endpoint another place in the order."""
+        self._take_out(stats)
+        stats.rank = rank
+        if stats.endpoint.state is EndpointState.UP:
+            insort(self.up, stats, key=by_rank)
+
+    def min_latency_ms(self) -> float:
+        """A lower bound on what an attempt at any endpoint is expected to take."""
+        return min(self._min_base_latency_ms, self.default_latency_ms / max(self._max_capacity, MIN_CAPACITY))
+
+    def record_latency(self, base_latency_ms: float, rtt_ms: float) -> None:
+        """Learn from a response the bounds, and what is expected of endpoints without one."""
+        self._min_base_latency_ms = min(self._min_base_latency_ms, base_latency_ms)
+        self._responses_since_refresh += 1
+        if self._responses_since_refresh >= BOUNDS_REFRESH_RESPONSES:
+            self._refresh_bounds()
+        weight = BASE_LATENCY_WEIGHT_DOWN if rtt_ms < self.default_latency_ms else BASE_LATENCY_WEIGHT_UP
+        self.default_latency_ms += weight / 2 * (rtt_ms - self.default_latency_ms)
+
+    def _widen_bounds(self, stats: EndpointStats) -> None:
+        """Let the bounds hold for one more endpoint.
+
+        Bounds that are too wide only evaluate more endpoints than needed; a refresh narrows them again.
+        """
+        self._min_base_latency_ms = min(self._min_base_latency_ms, stats.base_latency_ms or math.inf)
+        self._max_capacity = max(self._max_capacity, stats.endpoint.capacity)
+        if stats.endpoint.started_ms > 0:
+            self.all_warm_at = max(self.all_warm_at, stats.endpoint.started_ms + self._slow_start_window_ms)
+
+    def _refresh_bounds(self) -> None:
+        self._min_base_latency_ms = min(
+            (stats.base_latency_ms for stats in self.up if stats.base_latency_ms), default=math.inf
+        )
+        self._max_capacity = max((stats.endpoint.capacity for stats in self.up), default=1.0)
+        last_start = max((stats.endpoint.started_ms for stats in self.up), default=0.0)
+        self.all_warm_at = last_start + self._slow_start_window_ms if last_start > 0 else -math.inf
+        self._responses_since_refresh = 0
--- a/martenstep/policy/gateway.py
+++ b/martenstep/policy/gateway.py
@@ -8,14 +8,11 @@
 
 import math
 import random
-from bisect import bisect_left, insort
-from dataclasses import replace
 from typing import Literal
 
 from martenstep.policy.messages import (
     Action,
     AttemptEnded,
-    CallResult,
     CancelAttempt,
     ClientDisconnected,
     ClockStepped,
@@ -25,7 +22,6 @@
     EndpointFilter,
     EndpointListScope,
     EndpointListUpdate,
-    EndpointState,
     Event,
     Fail,
     Idempotency,
@@ -40,44 +36,8 @@
     TimerFired,
 )
 from martenstep.policy.quota import FLUSH_SHARE, HOLD_TIMES, Ledger, Quota
+from martenstep.policy.upstream_cluster import UpstreamCluster
 
-SECOND_MS = 1000.0  # quotas are told per second, the clock runs in milliseconds
-# Servers
-EWMA_GAIN = 0.15  # weight of a new latency or failure: about the last six answers count
-BASE_GAIN_DOWN = 0.1  # an answer below the base latency pulls it down by this, ...
-BASE_GAIN_UP = 0.02  # ... one above it lifts it by this: it settles where few answers come sooner
-BASE_PRIOR = 3.0  # answers that the first guess of a base latency weighs as much as
-QUEUE_TAU_MS = 1000.0  # how fast news of a queue fades, and ...
-QUEUE_TIMES = 1.5  # ... in this many times its length: a long one is worked off while others still add to it
-RATE_TAU_MS = 3000.0  # memory of the own send rate, long against a tick and short against a ramp
-GUESS_OF_AIM = 0.12  # an unseen server is taken to answer in this part of the shortest aim
-OTHER_ZONE = 1.06  # a server elsewhere must be this much quicker to be worth the crossing
-BLUR_LEAST = 0.05  # the choice is by chance at least so much, so that gateways do not move in step
-INFORMED = 1.0  # own sends to a server in QUEUE_TAU_MS that tell of its queue; with fewer, chance decides
-NEAR_MS = 1500.0  # a gateway keeps to as many servers as it sends to in this time: it hears of each so often
-NEAR_LEAST = 3.0  # and to no fewer: with two, one that jams leaves no choice
-WIN_MOST = 1e6  # times the least latency: a cost above it proves nothing about the others
-ROUNDING = 1e-9  # a draw so near to the proof is reckoned in full
-LOW_EVERY = 500  # answers after which the least latency, which may have risen, is looked for anew
-TURN_CHANCE = 0.05  # of a choice, that the dearest of them gives way to one not met lately
-CONNECTED_MS = 10_000.0  # a server that answered within this is taken to hold a connection still
-FAIL_GAIN = 0.4  # weight of one answer, or of none, in a server's failures: two in a row tell
-FAIL_TAU_MS = 5000.0  # how fast failures are forgotten, so that a server is tried again
-FAIL_COST = 6.0  # a server that always fails costs this many times more than a sound one
-SILENT_TIMES = 4.0  # no answer for this many expected latencies is silence
-SILENT_OF_POOL = 0.75  # of the latency over all servers is expected at least: few answers tell of each
-SILENT_OF_AIM = 0.35  # and no less than this part of the aim, so that one long request is not silence
-COLD_SAFETY = 0.5  # part of a cold server's budget that is used: its size and the others' use are guesses
-COLD_LEAST = 1.0  # sends of all gateways per fall window to a cold server while no usual load is known
-# Requests
-POOL_GAIN = 0.2  # weight of one answer in the latency of all servers together
-LIMIT_START = 6.0  # attempts out at a server, of all gateways together, before answers tell what it bears
-LIMIT_SPARE = 1.0  # and at a gateway above its share: arrivals are uneven; hundreds of them fill a fleet
-LIMIT_DOWN = 0.5  # taken off for each answer while the latency is over the target
-CALM_OF_AIM = 0.42  # latency over all servers, in parts of each class's aim, up to which they count as quick
-BLUR_CALM = 0.65  # of it is taken off where servers are chosen by chance alone
-HALF_OPEN_PART = 0.25  # of the attempts that may be out: left to unconfirmed tries while answers are slow
-HALF_OPEN_MS = 2000.0  # without a send, one goes though answers were slow: else a recovery is never seen
 FIT_OF_AIM = 0.75  # a send must be expected to end within this part of the aim that is left
 OPEN_WAIT_MS = 100.0  # retry-after where the plan's limit of attempts out is reached: about one answer
 BEYOND_FIT = 0.25  # and a send beyond the quota within this one: only an idle back end has room for it
@@ -86,333 +46,6 @@
 RETRY_SAVED = 40.0  # further attempts all gateways may save up for the loss of a server, besides one each
 
 
-# Servers ----------------------------------------------------------------------------------------------
-
-
-class Peer:
-    """What this gateway knows of one server."""
-
-    def __init__(self, info: Endpoint, rank: float) -> None:
-        self.info = info
-        self.rank = rank  # place in the order in which servers come into the aperture
-        self.out: dict[tuple[str, int], float] = {}  # attempts out, and since when
-        self.base = 0.0  # latency with no queue: follows low answers fast and high ones slowly; 0: unknown
-        self.latency, self.timed = 0.0, -math.inf  # EWMA, and when it was last measured
-        self.guessed = False  # the latency is what was waited in vain, not what an answer took
-        self.proven = -math.inf  # when the attempt was sent that was sent last of all that were answered
-        self.failing, self.failed = 0.0, -math.inf  # EWMA of failures, and when it last moved
-        self.answered, self.answers = -math.inf, 0  # when last, and how many good ones
-        self.cold_tat: float | None = None  # no send before this while cold; None: not thought of yet
-
-    def failures(self, now: float) -> float:
-        """Share of attempts that fail, as far as it is not forgotten."""
-        return self.failing * math.exp((self.failed - now) / FAIL_TAU_MS)
-
-    def judge(self, now: float, bad: bool) -> None:
-        """Learn from one answer, or from none."""
-        self.failing = (1 - FAIL_GAIN) * self.failures(now) + FAIL_GAIN * bad
-        self.failed = now
-
-
-def by_rank(peer: Peer) -> float:
-    """The key of the order in which servers come into the aperture."""
-    return peer.rank
-
-
-class Fleet:
-    """Membership, load and health of the servers, and the choice among them."""
-
-    def __init__(self, settings: Settings, rng: random.Random) -> None:
-        self._settings, self._rng = settings, rng
-        self._peers: dict[int, Peer] = {}
-        self._up: list[Peer] = []
-        self._aim = min((c.latency_objective_ms for c in settings.classes), default=SECOND_MS)
-        self._mean = GUESS_OF_AIM * self._aim
-        self._sent, self._sent_at = 0.0, 0.0
-        self._began = math.inf  # time of the first send
-        self._latency = GUESS_OF_AIM  # EWMA over the answers of all servers, in parts of the class's aim
-        self._out = 0  # attempts out at all servers, and ...
-        self._unmet = 0.0  # EWMA share of attempts that got no connection
-        self._low, self._largest, self._heard = math.inf, 1.0, 0  # see _bounds; answers since
-        self._warm_at = -math.inf
-        self._more = LIMIT_SPARE  # ... how many more than its part this gateway may have
-
-    def members(self, event: EndpointListUpdate) -> None:
-        """Take in a list: whole ones replace, changes apply to what is held."""
-        if event.scope is EndpointListScope.DELTA:
-            for server in event.endpoints:
-                self._change(server)
-            return
-        listed = {server.id: server for server in event.endpoints}
-        if event.scope in (EndpointListScope.FULL, EndpointListScope.CACHED):
-            for key in self._peers:
-                if key not in listed:
-                    self._peers[key].info = replace(self._peers[key].info, state=EndpointState.REMOVED)
-        for key, server in listed.items():
-            peer = self._peers.get(key)
-            if peer is None:
-                self._peers[key] = Peer(server, self._rng.random())
-                continue
-            if server.started_ms > peer.info.started_ms:
-                fresh = self._peers[key] = Peer(server, peer.rank)
-                fresh.out, fresh.base = peer.out, peer.base
-            self._peers[key].info = server
-        self._peers = {k: p for k, p in self._peers.items() if p.info.state is not EndpointState.REMOVED or p.out}
-        self._up = [p for p in self._peers.values() if p.info.state is EndpointState.UP]
-        self._up.sort(key=lambda p: p.rank)
-        self._bounds()
-
-    def _change(self, server: Endpoint) -> None:
-        """Take in one entry, at a cost that does not grow with the fleet."""
-        peer = self._peers.get(server.id)
-        if peer is None:
-            peer = Peer(server, self._rng.random())
-        else:
-            self._take_out(peer)
-            if server.started_ms > peer.info.started_ms:
-                fresh = Peer(server, peer.rank)
-                fresh.out, fresh.base = peer.out, peer.base
-                peer = fresh
-            peer.info = server
-        if server.state is EndpointState.REMOVED and not peer.out:
-            self._peers.pop(server.id, None)
-            return
-        self._peers[server.id] = peer
-        if server.state is EndpointState.UP:
-            insort(self._up, peer, key=by_rank)
-            # Bounds that are too wide only look at more than is needed; _bounds narrows them again.
-            self._low, self._largest = min(self._low, peer.base or math.inf), max(self._largest, server.capacity)
-            if server.started_ms > 0:
-                self._warm_at = max(self._warm_at, server.started_ms + self._settings.slow_start_window_ms)
-
-    def _take_out(self, peer: Peer) -> None:
-        """Take a server out of the order of the aperture, if it is in it."""
-        place = bisect_left(self._up, peer.rank, key=by_rank)
-        while place < len(self._up) and self._up[place].rank == peer.rank:
-            if self._up[place] is peer:
-                del self._up[place]
-                return
-            place += 1
-
-    def _bounds(self) -> None:
-        """No server's base is known to be below the one, none is larger, none cold after the third."""
-        self._low = min((p.base for p in self._up if p.base), default=math.inf)
-        self._largest, self._heard = max((p.info.capacity for p in self._up), default=1.0), 0
-        started = max((p.info.started_ms for p in self._up), default=0.0)
-        self._warm_at = started + self._settings.slow_start_window_ms if started > 0 else -math.inf
-
-    def _step_back(self, now: float, peer: Peer) -> None:
-        """To any place behind the aperture: memory of a bad server by what was tried since, not by time.  Not
-        to the end, where all gateways would leave it until all others had failed them too."""
-        if self._up:
-            edge = self._up[min(int(self._width(now)), len(self._up) - 1)].rank
-            farthest = self._up[-1].rank + 1 / len(self._up)
-            listed = peer.info.state is EndpointState.UP
-            self._take_out(peer)
-            peer.rank = edge + (farthest - edge) * self._rng.random()
-            if listed:
-                insort(self._up, peer, key=by_rank)
-
-    def _part(self) -> float:
-        """This gateway's part of what the servers bear of all gateways' attempts."""
-        return LIMIT_START * len(self._up) / self._settings.instances
-
-    def _pace(self, now: float) -> float:
-        """Own sends per millisecond, without the lag of a fresh start: a restarted gateway of few would else
-        act for its first seconds as one of hundreds."""
-        return self.send_rate(now) / (1 - math.exp(-max(now - self._began, SECOND_MS) / RATE_TAU_MS))
-
-    def _width(self, now: float) -> float:
-        """How many servers this gateway keeps to."""
-        return max(self._pace(now) * NEAR_MS, NEAR_LEAST)
-
-    def _blur(self, now: float) -> float:
-        """Part of the choice that is by chance: 1 where nothing is known of the servers' queues."""
-        seen = self._pace(now) * QUEUE_TAU_MS / max(1, min(self._width(now), len(self._up)))
-        return max(1 - seen / INFORMED, BLUR_LEAST)
-
-    def calm(self, now: float) -> bool:
-        """Whether what answers at all does so quickly: what is lost then is lost for another reason.
-
-        Where the choice is by chance, queues differ much, and the same mean hides servers that are jammed: it
-        must then be lower.  Covers slow, jammed and uneven servers; harms where all are slow but not full.
-        """
-        return self._latency <= CALM_OF_AIM * (1 - BLUR_CALM * self._blur(now))
-
-    def idle(self, now: float) -> bool:
-        """Whether so little is out that nothing can be learnt without one more: the breaker is half open.  By
-        time alone it stayed so: one answer in 2 s is chance, and calm asks more of it the fewer are sent."""
-        few = self._rng.random() < HALF_OPEN_PART * (self._part() + self._more) - self._out
-        return few or now - self._sent_at > HALF_OPEN_MS
-
-    def crowded(self) -> bool:
-        """Whether all is out that may be, over all servers: one at each is hundreds over all gateways."""
-        return self._rng.random() >= self._part() + self._more - self._out
-
-    def _expect(self, now: float, peer: Peer) -> tuple[float, float]:
-        """Latency without a queue, and the queue's delay; news of a queue fades, lest a server be shunned for
-        a queue that is long gone."""
-        if not peer.base:
-            return self._mean / max(peer.info.capacity, 0.1), 0.0
-        queue = max(peer.latency - peer.base, 0.0)
-        if queue:
-            queue *= math.exp((peer.timed - now) / max(QUEUE_TAU_MS, QUEUE_TIMES * queue))
-        for since in peer.out.values():  # what is out there tells before it is answered, the oldest most,
-            if since >= peer.proven:  # but for those that later ones overtook
-                return peer.base, max(queue, now - since - peer.base)
-        return peer.base, queue
-
-    def _cost(self, now: float, peer: Peer) -> float:
-        """What one more attempt there would take, dearer where attempts fail; never below its base."""
-        base, queue = self._expect(now, peer)
-        cost = base * (1 + len(peer.out)) + queue
-        return cost * (1 + FAIL_COST * peer.failures(now)) if peer.failing else cost
-
-    def patience(self, now: float, peer_id: int, aim: float) -> float:
-        """How long without an answer is silence."""
-        usual = max(sum(self._expect(now, self._peers[peer_id])), SILENT_OF_POOL * self._latency * aim)
-        return max(SILENT_TIMES * usual, SILENT_OF_AIM * aim)
-
-    def _cold_gap(self, now: float, peer: Peer) -> float:
-        """The least time between sends to a server that is cold; 0 for a warm one."""
-        s = self._settings
-        age = now - peer.info.started_ms
-        if peer.info.started_ms <= 0 or age >= s.slow_start_window_ms:
-            return 0.0
-        part = s.slow_start_initial_share + (1 - s.slow_start_initial_share) * max(age, 0.0) / s.slow_start_window_ms
-        usual = self.send_rate(now) / max(1, len(self._up))
-        least = COLD_LEAST / max(s.overload_window_ms, SECOND_MS) / s.instances
-        return 1 / max(COLD_SAFETY * s.overload_multiple * part * usual, least)
-
-    def _may_warm(self, now: float, peer: Peer) -> bool:
-        """Whether a cold server's turn has come.  The first turn is spread over the gap by chance: every
-        gateway hears of a new server at about the same moment, and each would send its first at once."""
-        gap = self._cold_gap(now, peer)
-        if gap and peer.cold_tat is None:
-            peer.cold_tat = now + gap * self._rng.random()
-        return not gap or peer.cold_tat is None or now >= peer.cold_tat
-
-    def send_rate(self, now: float) -> float:
-        """Own sends per millisecond."""
-        return self._sent * math.exp(-(now - self._sent_at) / RATE_TAU_MS) / RATE_TAU_MS
-
-    def pick(self, now: float, allowed: EndpointFilter, tried: list[int]) -> tuple[Endpoint, float] | None:
-        """The server with the least expected delay, and that delay; None where none may be used."""
-        best: tuple[float, Peer] | None = None
-        home, draw = self._settings.zone, self._rng.random
-        # Aperture: of hundreds of gateways that each meet all servers none knows any, and all go on filling
-        # what is slow, jammed or lost.  So each keeps to few, in an order of its own; one that fails it goes
-        # to the back.  Covers servers slow, jammed, silent or lost and full tables; harms where the few that
-        # look sound to many are too few, which chance and turns even out.  One that sends much meets all.
-        # What it has few answers of, it chooses by chance, with odds as 1/cost where it knows nothing.
-        # A draw so high that not even the quickest server could win with it settles a server at once.
-        width, blur, win = self._width(now), self._blur(now), math.inf
-        low = min(self._low, self._mean / max(self._largest, 0.1))
-        if allowed or now < self._warm_at:
-            met, chances = list[Peer](), list[float]()
-            for peer in self._up:
-                if allowed and not allowed(peer.info):
-                    continue
-                if peer.info.started_ms > 0 and not self._may_warm(now, peer):
-                    continue
-                if width <= len(met):
-                    break
-                met.append(peer)
-                chances.append(draw())
-        else:
-            met = self._up[: math.ceil(width)]
-            chances = [draw() for _ in met]
-        for peer, chance in zip(met, chances, strict=True):
-            if chance >= win:
-                continue
-            cost = self._cost(now, peer) * (-math.log(1 - chance)) ** blur
-            if peer.info.zone != home:
-                cost *= OTHER_ZONE
-            if peer.info.id in tried:
-                cost *= FAIL_COST
-            # Where tables of connections are full, all gateways keep to servers that they are connected to.
-            if now - peer.answered >= CONNECTED_MS:
-                cost *= 1 + self._unmet * len(self._up)
-            if best is None or cost < best[0]:
-                best = cost, peer
-                least = (cost / low) ** (1 / blur) if low > 0 and cost < low * WIN_MOST else math.inf
-                win = 1 - math.exp(-least * (1 + ROUNDING)) + ROUNDING
-        if met and width <= len(met) and draw() < TURN_CHANCE:
-            self._step_back(now, max(met, key=lambda peer: self._cost(now, peer)))
-        return None if best is None else (best[1].info, sum(self._expect(now, best[1])))
-
-    def sent(self, now: float, server: int, key: tuple[str, int]) -> None:
-        """Book a send."""
-        peer = self._peers[server]
-        peer.out[key] = now
-        self._out += 1
-        self._sent = self._sent * math.exp(-(now - self._sent_at) / RATE_TAU_MS) + 1
-        self._sent_at, self._began = now, min(self._began, now)
-        peer.cold_tat = now + self._cold_gap(now, peer)
-
-    def outcome(self, now: float, event: AttemptEnded, aim: float) -> None:
-        """Learn from how an attempt ended."""
-        peer = self._peers.get(event.endpoint)
-        self._out -= 1
-        if peer is None:
-            return
-        since = peer.out.pop((event.id, event.attempt), now)
-        bad = event.result not in (CallResult.OK, CallResult.NOT_SENT, CallResult.CANCELLED)
-        self._unmet += POOL_GAIN * ((event.result is CallResult.CONNECT_FAILED) - self._unmet)
-        if event.result in (CallResult.OK, CallResult.ERROR, CallResult.OVERLOADED):
-            peer.answered = now
-        if event.result is CallResult.OK:
-            rtt = event.rtt_ms
-            if not peer.base:
-                peer.base = peer.latency = self._mean / max(peer.info.capacity, 0.1)
-            gain = BASE_GAIN_DOWN if rtt < peer.base else BASE_GAIN_UP
-            peer.base += max(gain, 1 / (peer.answers + BASE_PRIOR)) * (rtt - peer.base)
-            self._low, self._heard = min(self._low, peer.base), self._heard + 1
-            if self._heard >= LOW_EVERY:
-                self._bounds()
-            peer.answers += 1
-            # An answer to what was sent after a guess measures what was guessed: one refutes a wait in vain.
-            refuted = peer.guessed and since >= peer.timed
-            peer.latency += (1.0 if refuted else EWMA_GAIN) * (rtt - peer.latency)
-            peer.timed, peer.proven = now, max(peer.proven, since)
-            peer.guessed = peer.guessed and not refuted
-            self._latency += POOL_GAIN * (min(rtt / aim, 1.0) - self._latency)
-            limit = self._part() + self._more
-            if not self.calm(now):
-                self._more = max(self._more - LIMIT_DOWN, -self._part() / 2)
-            elif self._out + 1 >= limit:  # only a limit that was reached is known to be borne
-                self._more += 1 / max(limit, 1.0)
-            self._mean += (BASE_GAIN_DOWN if rtt < self._mean else BASE_GAIN_UP) / 2 * (rtt - self._mean)
-        elif event.result is CallResult.OVERLOADED:
-            # Its answer comes at once: without this a full server would look idle and draw all traffic.
-            self._jammed(now, peer, self._aim)
-        elif event.result is CallResult.TIMEOUT and since >= peer.proven:  # else of its connection only
-            if not self.calm(now):
-                self._latency += POOL_GAIN * (min(event.rtt_ms / aim, 1.0) - self._latency)
-                self._more = max((self._more - self._part()) / 2, -self._part() / 2)
-            self._jammed(now, peer, event.rtt_ms)
-        if event.result not in (CallResult.NOT_SENT, CallResult.CANCELLED):
-            peer.judge(now, bad)
-            if bad:
-                self._step_back(now, peer)
-
-    def silent(self, now: float, server: int, key: tuple[str, int], patience: float) -> bool:
-        """Whether nothing has come from a server for so long that an attempt there is given up."""
-        peer = self._peers.get(server)
-        if peer is None or key not in peer.out or now - peer.answered < patience:
-            return False
-        self._jammed(now, peer, now - peer.out[key])  # else only the quick answers would be counted
-        peer.judge(now, True)
-        self._step_back(now, peer)
-        return self.calm(now)
-
-    def _jammed(self, now: float, peer: Peer, waited: float) -> None:
-        """No answer in time: the queue is this long at least, and work given up may still be in it."""
-        if waited > peer.latency:
-            peer.latency, peer.guessed = waited, True
-        peer.timed = now
-
-
 # Requests ---------------------------------------------------------------------------------------------
 
 
@@ -436,7 +69,7 @@
         self._classes = {cls.name: cls for cls in settings.classes}
         rng = random.Random(seed)
         self._quota = Quota(settings, rng)
-        self._fleet = Fleet(settings, rng)
+        self._cluster = UpstreamCluster(settings, rng)
         self._jobs: dict[str, Job] = {}
         self._wakes: dict[int, Ledger | tuple[str, int, float]] = {}
         self._token = 0
@@ -458,7 +91,7 @@
             case ClockStepped():
                 self._quota.clock_stepped(now, event.shift_ms)
             case EndpointListUpdate():
-                self._fleet.members(event)
+                self._cluster.update_endpoints(event)
                 if event.scope in (EndpointListScope.CACHED, EndpointListScope.LOST) and self._settings.must_subscribe:
                     return [Subscribe()]
         return []
@@ -511,7 +144,7 @@
         """Decide without the counter: the own part of the quota, and of the ceiling's headroom."""
         led, units = job.ledger, job.request.units
         wait, reason = 0.0 if spare else self._quota.unheard_wait(now, led, units), RejectionReason.UNCONFIRMED
-        if not spare and not self._fleet.calm(now) and not self._fleet.idle(now):
+        if not spare and not self._cluster.responds_quickly(now) and not self._cluster.is_half_open(now):
             # What the counter has not confirmed goes first when room gets short: one in four lies beyond its
             # quota, and they fill the servers for those inside.  Covers every overload; harms, mildly, where
             # the counter is down and the servers are slow for a reason that fewer sends do not mend.
@@ -605,19 +238,19 @@
         if allowed is False or spent or left <= self._settings.tick_ms:
             late = left <= self._settings.tick_ms
             return self._give_up(now, job, RejectionReason.DEADLINE if late else RejectionReason.RETRIES_EXHAUSTED)
-        crowded = self._fleet.crowded()
-        choice = None if crowded else self._fleet.pick(now, allowed, job.attempts)
+        crowded = self._cluster.is_at_limit()
+        choice = None if crowded else self._cluster.pick(now, allowed, job.attempts)
         if choice is None or choice[1] > fit * aim_left:
             full = crowded or choice is not None
             return self._give_up(now, job, RejectionReason.OVERLOAD if full else RejectionReason.NO_ENDPOINT)
         server, attempt = choice[0].id, len(job.attempts)
         if attempt == 0:
-            share = RETRY_CALM if self._fleet.calm(now) else RETRY_SHARE
+            share = RETRY_CALM if self._cluster.responds_quickly(now) else RETRY_SHARE
             self._retries = min(self._retries + share, self._saved)
         job.attempts.append(server)
         self._book(job, choice[0])
-        patience = self._fleet.patience(now, server, job.cls.latency_objective_ms)
-        self._fleet.sent(now, server, (job.request.id, attempt))
+        patience = self._cluster.silence_timeout_ms(now, server, job.cls.latency_objective_ms)
+        self._cluster.attempt_started(now, server, (job.request.id, attempt))
         actions: list[Action] = [StartAttempt(job.request.id, server, left, job.beyond)]
         if self._settings.can_cancel and patience < left:
             actions.append(self._wake(now + patience, (job.request.id, attempt, patience)))
@@ -637,7 +270,7 @@
 
     def _outcome(self, now: float, event: AttemptEnded) -> list[Action]:
         job = self._jobs.get(event.id)
-        self._fleet.outcome(now, event, job.cls.latency_objective_ms if job else math.inf)
+        self._cluster.attempt_ended(now, event, job.cls.latency_objective_ms if job else math.inf)
         if job is None or event.request_complete:
             self._drop(event.id)
             return []
@@ -658,7 +291,7 @@
         job = self._jobs.get(rid)
         if job is None or not job.server or len(job.attempts) != attempt + 1:
             return []
-        silent = self._fleet.silent(now, job.attempts[-1], (rid, attempt), patience)
+        silent = self._cluster.abandons_silent(now, job.attempts[-1], (rid, attempt), patience)
         # Only where another attempt can follow: else the work done is wasted for nothing, and an unsafe
         # request, which may have run, fails long before its deadline.
         more = job.cls.idempotency is not Idempotency.AT_MOST_ONCE and len(job.attempts) < self._settings.max_attempts
--- /dev/null
+++ b/martenstep/policy/upstream_cluster.py
@@ -0,0 +1,116 @@
+"""All endpoints as one instance sees them: which are there, how loaded and healthy they are, and which to use."""
+
+from __future__ import annotations
+
+import random
+
+from martenstep.policy.concurrency_limit import ConcurrencyLimit
+from martenstep.policy.endpoint_set import EndpointSet
+from martenstep.policy.endpoint_stats import EndpointStats
+from martenstep.policy.load_balancing import LoadBalancer
+from martenstep.policy.messages import (
+    AttemptEnded,
+    AttemptId,
+    CallResult,
+    Endpoint,
+    EndpointFilter,
+    EndpointListUpdate,
+    Settings,
+)
+from martenstep.policy.send_rate import SendRate
+from martenstep.policy.slow_start import SlowStart
+
+SILENCE_LATENCIES = 4.0  # no response for so many expected latencies is silence
+MIN_SILENCE_LATENCY_SHARE = 0.75  # of the latency of all endpoints is expected at least: few responses tell of each
+MIN_SILENCE_OBJECTIVE_SHARE = 0.35  # no less than this part of the objective, so that one long request is not silence
+
+
+class UpstreamCluster:
+    """Takes in what happens at the endpoints, and picks one for each attempt."""
+
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
+        """Begin without endpoints; `rng` is the one source of chance of the instance."""
+        self.endpoints = EndpointSet(settings, rng)
+        self.limit = ConcurrencyLimit(settings.instances, rng)
+        self._send_rate = SendRate()
+        self._slow_start = SlowStart(settings, rng, self.endpoints, self._send_rate)
+        self._balancer = LoadBalancer(settings, rng, self.endpoints, self._send_rate, self._slow_start)
+
+    def update_endpoints(self, event: EndpointListUpdate) -> None:
+        """Take in an endpoint list."""
+        self.endpoints.update(event)
+
+    def responds_quickly(self, now: float) -> bool:
+        """Whether what responds at all does so quickly."""
+        return self.limit.responds_quickly(self._balancer.randomness(now))
+
+    def is_half_open(self, now: float) -> bool:
+        """Whether an unconfirmed request is admitted though responses are slow."""
+        return self.limit.is_half_open(len(self.endpoints.up), now - self._send_rate.last_at)
+
+    def is_at_limit(self) -> bool:
+        """Whether as many attempts are in flight as may be."""
+        return self.limit.is_reached(len(self.endpoints.up))
+
+    def pick(self, now: float, eligible: EndpointFilter, tried: list[int]) -> tuple[Endpoint, float] | None:
+        """See `LoadBalancer.pick`."""
+        return self._balancer.pick(now, eligible, tried)
+
+    def silence_timeout_ms(self, now: float, endpoint_id: int, objective_ms: float) -> float:
+        """How long without a response of an endpoint is silence."""
+        stats = self.endpoints.by_id[endpoint_id]
+        expected_ms = sum(stats.expected_latency(now, self.endpoints.default_latency_ms))
+        usual_ms = max(expected_ms, MIN_SILENCE_LATENCY_SHARE * self.limit.latency_share * objective_ms)
+        return max(SILENCE_LATENCIES * usual_ms, MIN_SILENCE_OBJECTIVE_SHARE * objective_ms)
+
+    def attempt_started(self, now: float, endpoint_id: int, attempt: AttemptId) -> None:
+        """Take in that an attempt was started."""
+        stats = self.endpoints.by_id[endpoint_id]
+        stats.in_flight[attempt] = now
+        self.limit.in_flight += 1
+        self._send_rate.record(now)
+        self._slow_start.record_start(now, stats)
+
+    def attempt_ended(self, now: float, event: AttemptEnded, objective_ms: float) -> None:
+        """Learn from how an attempt ended; `objective_ms` is infinite for a request that is forgotten."""
+        self.limit.in_flight -= 1
+        stats = self.endpoints.by_id.get(event.endpoint)
+        if stats is None:
+            return
+        started_at = stats.in_flight.pop((event.id, event.attempt), now)
+        result = event.result
+        self._balancer.record_connect_result(result is CallResult.CONNECT_FAILED)
+        if result in (CallResult.OK, CallResult.ERROR, CallResult.OVERLOADED):
+            stats.last_response_at = now
+        if result is CallResult.OK:
+            self._record_response(now, stats, event.rtt_ms, started_at, objective_ms)
+        elif result is CallResult.OVERLOADED:
+            # Its response comes at once: without this an overloaded endpoint would look idle and draw all traffic.
+            stats.record_latency_bound(now, self.endpoints.min_objective_ms)
+        elif result is CallResult.TIMEOUT and started_at >= stats.latest_answered_start:  # else of its connection only
+            randomness = self._balancer.randomness(now)
+            self.limit.record_timeout(len(self.endpoints.up), event.rtt_ms, objective_ms, randomness)
+            stats.record_latency_bound(now, event.rtt_ms)
+        if result not in (CallResult.NOT_SENT, CallResult.CANCELLED):
+            failed = result is not CallResult.OK
+            stats.record_result(now, failed)
+            if failed:
+                self._balancer.demote(now, stats)
+
+    def _record_response(
+        self, now: float, stats: EndpointStats, rtt_ms: float, started_at: float, objective_ms: float
+    ) -> None:
+        stats.record_response(now, rtt_ms, started_at, self.endpoints.default_latency_ms)
+        self.endpoints.record_latency(stats.base_latency_ms, rtt_ms)
+        randomness = self._balancer.randomness(now)
+        self.limit.record_response(len(self.endpoints.up), rtt_ms, objective_ms, randomness)
+
+    def abandons_silent(self, now: float, endpoint_id: int, attempt: AttemptId, silence_timeout_ms: float) -> bool:
+        """Whether nothing has come from an endpoint for so long that an attempt there is abandoned."""
+        stats = self.endpoints.by_id.get(endpoint_id)
+        if stats is None or attempt not in stats.in_flight or now - stats.last_response_at < silence_timeout_ms:
+            return False
+        stats.record_latency_bound(now, now - stats.in_flight[attempt])  # else only quick responses would count
+        stats.record_result(now, True)
+        self._balancer.demote(now, stats)
+        return self.responds_quickly(now)
--- a/tests/test_auth_answerer.py
+++ b/tests/test_auth_answerer.py
@@ -76,7 +76,7 @@
     rig = Asked()
     tickets = [rig.sub() for _ in range(500)]
     assert all(rig.reply(ticket).status == 200 for ticket in tickets) and rig.quiet() == QUIET
-    assert rig.engine._gateway._fleet._out == 0
+    assert rig.engine._gateway._cluster.limit.in_flight == 0
 
 
 def test_a_sub_request_is_routed_by_what_it_asks_about() -> None:
--- a/tests/test_decide_pick.py
+++ b/tests/test_decide_pick.py
@@ -13,7 +13,14 @@
 
 from martenstep.config.settings import module_settings
 from martenstep.policy import messages as api
-from martenstep.policy.gateway import CONNECTED_MS, FAIL_COST, OTHER_ZONE, TURN_CHANCE, Fleet, Gateway, Peer
+from martenstep.policy.endpoint_stats import FAILURE_COST_FACTOR, EndpointStats
+from martenstep.policy.gateway import Gateway
+from martenstep.policy.load_balancing import (
+    CONNECTION_IDLE_MS,
+    OTHER_ZONE_COST_FACTOR,
+    ROTATION_PROBABILITY,
+    LoadBalancer,
+)
 from tests.door_rig import settings
 
 VERDICTS = (
@@ -25,40 +32,41 @@
 )
 
 
-class PlainFleet(Fleet):
-    """Reckons every server in full."""
+class ExhaustiveBalancer(LoadBalancer):
+    """Evaluates every endpoint in full."""
 
-    def pick(self, now: float, allowed: api.EndpointFilter, tried: list[int]) -> tuple[api.Endpoint, float] | None:
-        """As the module's, one server after the other."""
-        best: tuple[float, Peer] | None = None
-        worst: tuple[float, Peer] | None = None
-        width, blur, draw = self._width(now), self._blur(now), self._rng.random
-        for peer in self._up:
-            if allowed and not allowed(peer.info):
+    def pick(self, now: float, eligible: api.EndpointFilter, tried: list[int]) -> tuple[api.Endpoint, float] | None:
+        """As the module's, one endpoint after the other."""
+        best: tuple[float, EndpointStats] | None = None
+        worst: tuple[float, EndpointStats] | None = None
+        size, randomness, draw = self.aperture_size(now), self.randomness(now), self._rng.random
+        default_ms = self._endpoints.default_latency_ms
+        for stats in self._endpoints.up:
+            if eligible and not eligible(stats.endpoint):
                 continue
-            if peer.info.started_ms > 0 and not self._may_warm(now, peer):
+            if stats.endpoint.started_ms > 0 and not self._slow_start.admits(now, stats):
                 continue
-            if width <= 0:
+            if size <= 0:
                 break
-            width -= 1
-            base, queue = self._expect(now, peer)
-            cost = base * (1 + len(peer.out)) + queue
-            if peer.failing:
-                cost *= 1 + FAIL_COST * peer.failures(now)
+            size -= 1
+            base, queue = stats.expected_latency(now, default_ms)
+            cost = base * (1 + len(stats.in_flight)) + queue
+            if stats.failure_share:
+                cost *= 1 + FAILURE_COST_FACTOR * stats.current_failure_share(now)
             if worst is None or cost > worst[0]:
-                worst = cost, peer
-            cost *= (-math.log(1 - draw())) ** blur
-            if peer.info.zone != self._settings.zone:
-                cost *= OTHER_ZONE
-            if peer.info.id in tried:
-                cost *= FAIL_COST
-            if now - peer.answered >= CONNECTED_MS:
-                cost *= 1 + self._unmet * len(self._up)
+                worst = cost, stats
+            cost *= (-math.log(1 - draw())) ** randomness
+            if stats.endpoint.zone != self._zone:
+                cost *= OTHER_ZONE_COST_FACTOR
+            if stats.endpoint.id in tried:
+                cost *= FAILURE_COST_FACTOR
+            if now - stats.last_response_at >= CONNECTION_IDLE_MS:
+                cost *= 1 + self._connect_failure_share * len(self._endpoints.up)
             if best is None or cost < best[0]:
-                best = cost, peer
-        if worst and width <= 0 and draw() < TURN_CHANCE:
-            self._step_back(now, worst[1])
-        return None if best is None else (best[1].info, sum(self._expect(now, best[1])))
+                best = cost, stats
+        if worst and size <= 0 and draw() < ROTATION_PROBABILITY:
+            self.demote(now, worst[1])
+        return None if best is None else (best[1].endpoint, sum(best[1].expected_latency(now, default_ms)))
 
 
 def play(seed: int, servers: int, gateways: int, rate: float, warm_ms: float) -> int:
@@ -70,7 +78,7 @@
     rules.warm_within_ms, rules.cold_from, rules.fall_multiple, rules.fall_window_ms = warm_ms, 0.25, 4, 1000
     told = module_settings(door)
     ours, plain = Gateway(told, seed), Gateway(told, seed)
-    plain._fleet.__class__ = PlainFleet
+    plain._cluster._balancer.__class__ = ExhaustiveBalancer
     now, order, sends = 1e5, 0, 0
     heap: list[tuple[float, int, api.Event]] = []
     attempts: dict[str, int] = {}
@@ -130,7 +138,7 @@
                 0,
             )
         )
-    assert ours._fleet._rng.getstate() == plain._fleet._rng.getstate()
+    assert ours._cluster._balancer._rng.getstate() == plain._cluster._balancer._rng.getstate()
     return sends
 
 
--- a/tests/test_decide_silence.py
+++ b/tests/test_decide_silence.py
@@ -67,9 +67,9 @@
     lost = sent(made, BEGIN, "lost")
     made.handle(BEGIN + 600.0, outcome(lost, api.CallResult.TIMEOUT, rtt=600.0, ended=True))
     later = sent(made, BEGIN + 601.0, "later")
-    assert made._fleet._peers[1].latency == 600.0
+    assert made._cluster.endpoints.by_id[1].latency_ms == 600.0
     made.handle(BEGIN + 611.0, outcome(later, api.CallResult.OK, rtt=10.0))
-    assert made._fleet._peers[1].latency == 10.0
+    assert made._cluster.endpoints.by_id[1].latency_ms == 10.0
 
 
 def test_an_answer_to_what_was_sent_before_refutes_nothing() -> None:
@@ -78,4 +78,4 @@
     earlier, refused = sent(made, BEGIN, "earlier"), sent(made, BEGIN + 1.0, "refused")
     made.handle(BEGIN + 2.0, outcome(refused, api.CallResult.OVERLOADED, rtt=1.0))
     made.handle(BEGIN + 10.0, outcome(earlier, api.CallResult.OK, rtt=10.0))
-    assert made._fleet._peers[1].latency > 500.0
+    assert made._cluster.endpoints.by_id[1].latency_ms > 500.0
