--- a/martenstep/policy/__init__.py
+++ b/martenstep/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a gateway on quotas, endpoints and attempts: pure, with no I/O and no clock."""
+"""The decisions of a gateway instance, as pure modules: events in, actions out.  `gateway` is the entry point."""
--- a/martenstep/proxy/engine.py
+++ b/martenstep/proxy/engine.py
@@ -471,7 +471,7 @@
         plan = routed.plan
         if plan.rate <= 0 or not self._wording.tells_limits:
             return []
-        room = self._gateway.room(self._now, routed.customer)
+        room = self._gateway.available_units(self._now, routed.customer)
         full = 0.0 if room is None else max(plan.burst - room, 0.0) / plan.rate * 1000.0
         return rate_limit(plan, room, full)
 
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -239,7 +239,9 @@
                 self.carry_out(action)
             self.renew(event)
             if number % 10 == 9:
-                self.lines.append(f"room {self.gateway.room(self.now, number // 10 % self.scenario.customers)!r}")
+                self.lines.append(
+                    f"room {self.gateway.available_units(self.now, number // 10 % self.scenario.customers)!r}"
+                )
             if number % BLOCK == BLOCK - 1:
                 digests.append(hashlib.sha256("\n".join(self.lines).encode()).hexdigest()[:16])
                 self.lines.clear()
--- a/tests/test_ceiling_schedules.py
+++ b/tests/test_ceiling_schedules.py
@@ -13,7 +13,8 @@
 from hypothesis import strategies as st
 
 from martenstep.policy import messages as api
-from martenstep.policy import quota
+from martenstep.policy.ceiling import CeilingLimiter
+from martenstep.policy.gcra import Gcra
 from tests.test_store_ceiling import STEP_MS, Doors, most_beyond
 
 LATE_STEPS = 14  # of 2 ms: nearly the time-out, so that answers come late and not too late
@@ -144,12 +145,12 @@
 def test_without_the_cap_the_schedules_find_a_breach(monkeypatch: pytest.MonkeyPatch) -> None:
     """The bound on confirmed sends is what keeps it: without it the same check fails."""
 
-    def unbound(self: quota.Ledger, now: float, units: float) -> quota.Meter | None:
-        return quota.Meter(1.0, 1.0, now)
+    def unbound(self: CeilingLimiter, now: float, units: float) -> Gcra | None:
+        return Gcra(1.0, 1.0, now)
 
     emptied = [Spell("none", "well", 700.0, 60.0, 1), *[Spell("emptied", "well", 700.0, 60.0, 1)] * 2]
     assert most_beyond(played(emptied, 4, PLANS[0], 0).sent[0], PLANS[0]) <= PLANS[0].ceiling_slack
-    monkeypatch.setattr(quota.Ledger, "book", unbound)
+    monkeypatch.setattr(CeilingLimiter, "limiter_for", unbound)
     assert most_beyond(played(emptied, 4, PLANS[0], 0).sent[0], PLANS[0]) > PLANS[0].ceiling_slack
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -7,40 +7,41 @@
 import pytest
 
 from martenstep.policy import messages as api
+from martenstep.policy.counter_period import MAX_KEY, counter_key
 from martenstep.policy.gateway import Gateway
-from martenstep.policy.quota import MASK, Meter, name_of
+from martenstep.policy.gcra import Gcra
 from tests.helpers import CAPPED, PLAIN, SETTINGS, START, admit, answer, gateway, only, outcome, request
 
 
 def test_conforms_exactly_when_the_wait_is_over() -> None:
-    meter = Meter(1.0, 4.0, 0.0)
+    limiter = Gcra(1.0, 4.0, 0.0)
     for _ in range(4):
-        assert meter.wait(0.0, 1.0) <= 0
-        meter.take(1.0, 0.0)
-    assert meter.wait(0.0, 1.0) == pytest.approx(1000.0)
-    assert meter.wait(999.0, 1.0) > 0
-    assert meter.wait(1000.0, 1.0) <= 0
+        assert limiter.wait_ms(0.0, 1.0) <= 0
+        limiter.consume(1.0, 0.0)
+    assert limiter.wait_ms(0.0, 1.0) == pytest.approx(1000.0)
+    assert limiter.wait_ms(999.0, 1.0) > 0
+    assert limiter.wait_ms(1000.0, 1.0) <= 0
 
 
 def test_several_units_wait_until_the_burst_holds_them() -> None:
-    meter = Meter(2.0, 4.0, 0.0)
-    meter.take(2.0, 0.0)
-    assert meter.wait(0.0, 2.0) <= 0
-    assert meter.wait(0.0, 3.0) == pytest.approx(500.0)
+    limiter = Gcra(2.0, 4.0, 0.0)
+    limiter.consume(2.0, 0.0)
+    assert limiter.wait_ms(0.0, 2.0) <= 0
+    assert limiter.wait_ms(0.0, 3.0) == pytest.approx(500.0)
 
 
 def test_a_request_larger_than_the_burst_goes_when_all_is_paid() -> None:
-    meter = Meter(1.0, 2.0, 0.0)
-    assert meter.wait(0.0, 5.0) <= 0
-    meter.take(5.0, 0.0)
-    assert meter.wait(0.0, 5.0) == pytest.approx(5000.0)
+    limiter = Gcra(1.0, 2.0, 0.0)
+    assert limiter.wait_ms(0.0, 5.0) <= 0
+    limiter.consume(5.0, 0.0)
+    assert limiter.wait_ms(0.0, 5.0) == pytest.approx(5000.0)
 
 
 def test_long_idle_saves_no_more_than_the_burst() -> None:
-    meter = Meter(1.0, 4.0, 0.0)
-    assert meter.room(1e9) == pytest.approx(4.0)
-    meter.take(1.0, 1e9)
-    assert meter.tat == pytest.approx(1e9 + 1000.0)
+    limiter = Gcra(1.0, 4.0, 0.0)
+    assert limiter.available_units(1e9) == pytest.approx(4.0)
+    limiter.consume(1.0, 1e9)
+    assert limiter.tat == pytest.approx(1e9 + 1000.0)
 
 
 def test_beyond_the_burst_is_refused_at_once_with_the_wait() -> None:
@@ -65,8 +66,8 @@
 
 def names(customer: int, period_ms: float = 4000.0) -> tuple[int, int]:
     """The counter names of the period at START and of the one before."""
-    period = math.floor(START / period_ms + name_of(customer, -1) / MASK)
-    return name_of(customer, period), name_of(customer, period - 1)
+    period = math.floor(START / period_ms + counter_key(customer, -1) / MAX_KEY)
+    return counter_key(customer, period), counter_key(customer, period - 1)
 
 
 def test_one_call_is_enough_while_there_is_ample_room() -> None:
--- a/tests/test_store_ceiling.py
+++ b/tests/test_store_ceiling.py
@@ -16,8 +16,8 @@
 from hypothesis import strategies as st
 
 from martenstep.policy import messages as api
+from martenstep.policy.counter_period import KEY_LIFETIME_PERIODS
 from martenstep.policy.gateway import Gateway
-from martenstep.policy.quota import NAME_LIVES
 from martenstep.redis_counter import core
 from martenstep.redis_counter.core import Action, Told
 from tests.helpers import CAPPED, SETTINGS, server
@@ -205,7 +205,7 @@
     begun: dict[int, float] = {}
     for _, name, _, at in world.calls.values():
         begun.setdefault(name, at)
-    judged = [name for name, at in begun.items() if at + NAME_LIVES * 1000.0 > world.now + 100.0]
+    judged = [name for name, at in begun.items() if at + KEY_LIFETIME_PERIODS * 1000.0 > world.now + 100.0]
     for name in judged:  # others have expired, or were begun anew by a late statement that nobody reads
         wanted = world.counted(name, api.CallResult.OK, api.CallResult.TIMEOUT)
         assert world.total(name) == pytest.approx(wanted, abs=1e-6)
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -21,8 +21,9 @@
 from martenstep.lab.emulate.doors import Connection, EmuDoor
 from martenstep.lab.experiment import sweep
 from martenstep.lab.rules import ANSWERED, CEILINGS, CHECKED, COLD, DOUBLE, DRAINS, INVENTED
-from martenstep.policy import gateway as decide
-from martenstep.policy import quota
+from martenstep.policy import request_lifecycle
+from martenstep.policy.ceiling import CeilingLimiter
+from martenstep.policy.gcra import Gcra
 from martenstep.standins.photo import Fall
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -84,11 +85,12 @@
 def _flawed(rule: str, patch: pytest.MonkeyPatch) -> str:
     """Break a rule in the program or the models on purpose; gives the troubles that may show it."""
     if rule == CEILINGS:
-        patch.setattr(quota.Ledger, "book", lambda self, now, units: quota.Meter(1.0, 1.0, now))
-        patch.setattr(quota.Meter, "wait", lambda self, now, units: 0.0)
+        patch.setattr(CeilingLimiter, "limiter_for", lambda self, now, units: Gcra(1.0, 1.0, now))
+        patch.setattr(Gcra, "wait_ms", lambda self, now, units: 0.0)
         return "troubles_most: 0"
     if rule == DOUBLE:
-        patch.setattr(decide.Gateway, "_allowed", lambda self, now, job: None)
+        patch.setattr(request_lifecycle, "may_execute_again", lambda request_class, execution, now: True)
+        patch.setattr(request_lifecycle, "retry_filter", lambda request_class, execution: None)
         return "trouble: SERVER_RESETS"
     if rule == DRAINS:
         told = EmuDoor.told
