--- a/martenstep/node/config.py
+++ b/martenstep/node/config.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from martenstep.policy import messages as api
-from martenstep.simulator.host import settings_of
+from martenstep.simulator.settings_codec import decode_settings
 
 BODY_BYTES = 65_536  # of a request: the protocol allows no more
 ANSWER_BYTES = 8 << 20  # of an answer: backends send some of hundreds of KB, and what says it has GB is spoilt
@@ -211,7 +211,7 @@
     told = _table(raw.get("settings"), "settings")
     _finite(told, "settings")
     try:
-        settings = settings_of(told)
+        settings = decode_settings(told)
     except (ValueError, AttributeError, OverflowError) as error:  # a table or a list where there should be a figure
         raise ConfigError(f"settings: {error}") from None
     _within(settings)
--- a/martenstep/simulator/__init__.py
+++ b/martenstep/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that hosts the decisions on the simulator's text protocol."""
+"""The adapter between the decisions and the simulator's text protocol; the protocol's names are mapped here, once."""
--- a/tests/test_formats_decisions.py
+++ b/tests/test_formats_decisions.py
@@ -10,15 +10,10 @@
 import pytest
 
 from martenstep.policy import messages as api
-from martenstep.simulator.host import (
-    WireError,
-    read_event,
-    read_server,
-    read_settings,
-    serve,
-    split_line,
-    write_action,
-)
+from martenstep.simulator.codec import decode_endpoint, decode_event, encode_action
+from martenstep.simulator.host import serve
+from martenstep.simulator.line_format import ProtocolError, parse_line
+from martenstep.simulator.settings_codec import parse_settings
 
 FORMATS = Path(__file__).parent / "formats" / "decisions"
 EVERY_KEY: dict[str, Any] = {
@@ -76,8 +71,8 @@
 
 
 def read_line(text: str) -> api.Event | None:
-    name, fields = split_line(text)
-    return read_event(name, fields)
+    name, fields = parse_line(text)
+    return decode_event(name, fields)
 
 
 def test_the_whole_output_of_a_script_is_as_it_was() -> None:
@@ -110,7 +105,7 @@
         ceiling_burst=12.0,
         ceiling_slack=2.0,
     )
-    assert read_settings(json.dumps(EVERY_KEY)) == api.Settings(
+    assert parse_settings(json.dumps(EVERY_KEY)) == api.Settings(
         instance=3,
         instances=7,
         zone="b",
@@ -151,13 +146,13 @@
     }
     read = api.RequestClass("r", 1.0, 2.0, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0, 1.0, 0.0)
     free = api.Plan("free", 0.0, 0.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0)
-    assert read_settings(json.dumps(least)) == api.Settings(0, 1, "", 2.0, (read,), (free,))
+    assert parse_settings(json.dumps(least)) == api.Settings(0, 1, "", 2.0, (read,), (free,))
 
 
 @pytest.mark.parametrize("key", ["me", "instances", "tick_ms", "classes", "policy_limits", "rules"])
 def test_a_missing_key_is_named(key: str) -> None:
     with pytest.raises(ValueError, match=f"^setting {key}: missing$"):
-        read_settings(json.dumps({name: value for name, value in EVERY_KEY.items() if name != key}))
+        parse_settings(json.dumps({name: value for name, value in EVERY_KEY.items() if name != key}))
 
 
 @pytest.mark.parametrize(
@@ -170,7 +165,7 @@
 )
 def test_words_of_idempotency(word: str, meaning: api.Idempotency) -> None:
     raw = {**EVERY_KEY, "classes": [{**EVERY_KEY["classes"][0], "idempotency": word}]}
-    assert read_settings(json.dumps(raw)).classes[0].idempotency is meaning
+    assert parse_settings(json.dumps(raw)).classes[0].idempotency is meaning
 
 
 @pytest.mark.parametrize(
@@ -179,7 +174,7 @@
 )
 def test_words_of_deduplication(word: str, meaning: api.DeduplicationScope) -> None:
     raw = {**EVERY_KEY, "classes": [{**EVERY_KEY["classes"][0], "group": word}]}
-    assert read_settings(json.dumps(raw)).classes[0].deduplication_scope is meaning
+    assert parse_settings(json.dumps(raw)).classes[0].deduplication_scope is meaning
 
 
 @pytest.mark.parametrize(
@@ -209,8 +204,8 @@
     [("U", api.EndpointState.UP), ("L", api.EndpointState.DRAINING), ("D", api.EndpointState.REMOVED)],
 )
 def test_an_endpoint_is_read(word: str, meaning: api.EndpointState) -> None:
-    _, fields = split_line(f"BACKEND backend=7 zone=b kind=big cohort=3 condition={word} size=1.5 born_ms=20")
-    assert read_server(fields) == api.Endpoint(7, "b", "big", 3, meaning, 1.5, 20.0)
+    _, fields = parse_line(f"BACKEND backend=7 zone=b kind=big cohort=3 condition={word} size=1.5 born_ms=20")
+    assert decode_endpoint(fields) == api.Endpoint(7, "b", "big", 3, meaning, 1.5, 20.0)
 
 
 @pytest.mark.parametrize(
@@ -256,7 +251,7 @@
     ],
 )
 def test_an_action_is_written(action: api.Action, line: str) -> None:
-    assert write_action("d", action) == line
+    assert encode_action("d", action) == line
 
 
 @pytest.mark.parametrize(
@@ -300,6 +295,6 @@
     ],
 )
 def test_an_error_line_is_as_it_was(line: str, error: str) -> None:
-    with pytest.raises(WireError) as caught:
+    with pytest.raises(ProtocolError) as caught:
         serve(io.StringIO(f"BATCH t_ms=1\n{line}\n"), io.StringIO())
     assert str(caught.value) == error
--- a/tests/test_wire.py
+++ b/tests/test_simulator_host.py
@@ -1,4 +1,4 @@
-"""The adapter, by hand-written wire text."""
+"""The simulator's host, by hand-written lines of its protocol."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 import pytest
 
-from martenstep.simulator.host import WireError, serve
+from martenstep.simulator.host import serve
+from martenstep.simulator.line_format import ProtocolError
 
 ROOT = Path(__file__).resolve().parent.parent
 PARAMS = {
@@ -86,7 +87,7 @@
     ],
 )
 def test_a_malformed_line_is_named(line: str, told: str) -> None:
-    with pytest.raises(WireError, match="line 7: ") as caught:
+    with pytest.raises(ProtocolError, match="line 7: ") as caught:
         play([*up("door/0"), line])
     assert told in str(caught.value)
 
@@ -109,7 +110,7 @@
 
 def test_the_process_ends_plainly() -> None:
     good = subprocess.run(
-        [sys.executable, "-m", "martenstep.simulator.host"],
+        [sys.executable, "-m", "martenstep.simulator"],
         input="BATCH t_ms=1\nYOUR_TURN\n",
         capture_output=True,
         text=True,
@@ -118,7 +119,7 @@
     )
     assert (good.returncode, good.stdout, good.stderr) == (0, "READY\n", "")
     bad = subprocess.run(
-        [sys.executable, "-m", "martenstep.simulator.host"],
+        [sys.executable, "-m", "martenstep.simulator"],
         input="BATCH t_ms=soon\n",
         capture_output=True,
         text=True,
