--- a/martenstep/cli/copies.py
+++ b/martenstep/cli/copies.py
@@ -76,7 +76,8 @@
     """Tell the number of the copies' disk DIRECTORY, for `founder` in the settings; an empty one gets one."""
     import contextlib
 
-    from martenstep.replication.replica_manager import ReplicaManagerError, load_disk_identity
+    from martenstep.replication.errors import ReplicaManagerError
+    from martenstep.replication.node_disk import load_disk_identity
     from martenstep.storage.files import Disk, LockedError
 
     try:
--- a/martenstep/counter/increment_ledger.py
+++ b/martenstep/counter/increment_ledger.py
@@ -21,7 +21,8 @@
 
 from martenstep.counter.pending_increments import Begin, Book, Done, Seal, Try, dones, entry, puts
 from martenstep.event_log import EventLog
-from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica, now_ms
+from martenstep.replication.errors import IndeterminateError, NotLeaderError
+from martenstep.replication.replica import Replica, now_ms
 from martenstep.replication.replica_manager import ReplicaManager
 from martenstep.tasks import Tasks
 
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -48,17 +48,19 @@
 from martenstep.event_log import EventLog
 from martenstep.lifetime import until_stopped
 from martenstep.membership.keys import KeyFileError, read_keys
+from martenstep.replication.errors import IndeterminateError, NotLeaderError, ReplicaStorageError
 from martenstep.replication.messages import Configuration
 from martenstep.replication.placement import (
     AddReplica,
     ChangeConfiguration,
+    GroupView,
     TransferLeadership,
     next_step,
     with_learner,
 )
 from martenstep.replication.raft import Role
-from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica
-from martenstep.replication.replica_storage import ReplicaStorage, ReplicaStorageError
+from martenstep.replication.replica import Replica
+from martenstep.replication.replica_storage import ReplicaStorage
 from martenstep.replication.transport import Transport
 from martenstep.storage.files import Disk
 
@@ -287,9 +289,8 @@
         """The next thing to do on the way to the list, for who leads."""
         places = [str(copy) for copy in self.copies]
         homes = tuple((copy, str(copy)) for copy in config.members)
-        told = next_step(
-            Configuration(config.voters, config.learners, homes), me, places, (), places, len(places), True
-        )
+        located = Configuration(config.voters, config.learners, homes)
+        told = next_step(located, GroupView(me, places, (), places, len(places)))
         if isinstance(told, AddReplica):
             return with_learner(config, int(told.node), told.node)
         return told.configuration if isinstance(told, ChangeConfiguration) else told
@@ -327,7 +328,7 @@
             )
         machine = CopiedCounter(limits_of(settings))
         links = Transport(told.group, str(store.replica_id), lambda: keys, listed.address)
-        host = Replica(told.group, store, listed.first, machine, links, _log_event, place_of=str)
+        host = Replica(told.group, store, listed.first, machine, links, _log_event, find_node=str)
         service = CopiedService(
             lambda group: host,
             lambda group, copy: listed.doors(copy),
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -21,7 +21,8 @@
 from martenstep.maintenance.queue import Book as OrderBook
 from martenstep.membership.transport import Membership
 from martenstep.replication.replica import Replica
-from martenstep.replication.replica_manager import BootstrapMember, ClusterNode, ReplicaManager, ReplicationSettings
+from martenstep.replication.replica_manager import ReplicaManager
+from martenstep.replication.settings import BootstrapMember, ClusterNode, ReplicationSettings
 from martenstep.replication.transport import Transport
 
 Address = tuple[str, int]
@@ -65,8 +66,8 @@
             self._machine,
             self._places,
             log_event,
-            also=is_book,
-            first=self._owner,
+            is_own_group=is_book,
+            preferred_node=self._owner,
         )
         self.books = Books(door.name, self.keeper, deliver, log_event) if door.copies.HasField("book") else None
         self.links = Transport(
--- a/martenstep/lab/fleet/groups.py
+++ b/martenstep/lab/fleet/groups.py
@@ -22,6 +22,7 @@
 from martenstep.replication.placement import (
     AddReplica,
     ChangeConfiguration,
+    GroupView,
     TransferLeadership,
     next_step,
     with_learner,
@@ -316,9 +317,8 @@
             copy = node.copy
             if copy is None or node.paused or copy.role is not Role.LEADER:
                 continue
-            step = next_step(
-                copy.configuration, copy.replica_id, sorted(self._names), self._gone, here, self.plan.copies, True
-            )
+            view = GroupView(copy.replica_id, sorted(self._names), self._gone, here, self.plan.copies)
+            step = next_step(copy.configuration, view)
             if isinstance(step, AddReplica):
                 self.counts["invited"] += 1
                 copy.change_configuration(with_learner(copy.configuration, here[step.node].id, step.node))
--- a/martenstep/lab/fleet/rig.py
+++ b/martenstep/lab/fleet/rig.py
@@ -31,7 +31,7 @@
 from martenstep.lab.play import PlayError, Process
 from martenstep.lab.ports import held_ports
 from martenstep.membership.core import Address
-from martenstep.replication.replica_manager import load_disk_identity
+from martenstep.replication.node_disk import load_disk_identity
 from martenstep.standins.base import now_ms
 from martenstep.storage.files import FAULTS, Disk
 
--- a/martenstep/lab/held.py
+++ b/martenstep/lab/held.py
@@ -13,7 +13,7 @@
 from martenstep.counter.replicated_counter import CopiedCounter, command_of
 from martenstep.lab import day_pb2 as pb
 from martenstep.replication.messages import EntryKind
-from martenstep.replication.replica_manager import GROUPS_FOLDER, load_disk_identity
+from martenstep.replication.node_disk import GROUPS_FOLDER, load_disk_identity
 from martenstep.replication.verify import StoredReplica, find_most_advanced, read_folder
 from martenstep.storage.files import Disk
 
--- a/martenstep/maintenance/coordinator.py
+++ b/martenstep/maintenance/coordinator.py
@@ -30,8 +30,9 @@
     What,
     entry,
 )
-from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica, now_ms
-from martenstep.replication.replica_manager import LeaderUnreachableError, ReplicaManager
+from martenstep.replication.errors import IndeterminateError, LeaderUnreachableError, NotLeaderError
+from martenstep.replication.replica import Replica, now_ms
+from martenstep.replication.replica_manager import ReplicaManager
 
 GROUP = "orders"
 TEND_S = 0.5
@@ -213,9 +214,9 @@
 
     def _report(self) -> Report:
         led = []
-        for group, places, whole in self._keeper.led_groups():
-            if group != GROUP:
-                led.append(Group(group, tuple(sorted(places)), whole))
+        for one in self._keeper.led_groups():
+            if one.group != GROUP:
+                led.append(Group(one.group, tuple(sorted(one.nodes)), one.healthy))
         return Report(self.me, self._zone, self._capacity, self._ready(), tuple(led))
 
     async def _own(self, view: View) -> None:
--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -148,7 +148,7 @@
         if self._orders is None:
             return 404, "text/plain", b"the settings have no maintenance\n"
         from martenstep.maintenance.queue import What
-        from martenstep.replication.replica_manager import LeaderUnreachableError
+        from martenstep.replication.errors import LeaderUnreachableError
 
         if path != "/maintenance":
             return 404, "text/plain", b"there is: /maintenance\n"
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -138,7 +138,7 @@
     async def _hold_copies(self, fleet: Membership) -> None:
         """Hold what others rely on.  What is wrong with it keeps nobody from serving: the copies elsewhere go on."""
         from martenstep.counter.sharded_counter import HeldByDoors
-        from martenstep.replication.replica_manager import ReplicaManagerError
+        from martenstep.replication.errors import ReplicaManagerError
         from martenstep.storage.files import LockedError
 
         self.copies = HeldByDoors(self.door, fleet, self.event_logger.log, self._deliver)
--- /dev/null
+++ b/martenstep/replication/frames.py
@@ -0,0 +1,83 @@
+"""Frames of the streams between nodes: `u32 length, body, HMAC`.
+
+The HMAC covers the connection's context (both ends' nonces), the frame's number and the body, so that no frame passes
+twice or on another connection.  A body is an envelope (`u16 length`, MessagePack) and a message.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import hashlib
+import struct
+
+import msgspec
+
+from martenstep.membership.codec import MAC_BYTES, Keys
+from martenstep.replication.errors import FrameError
+
+MAX_FRAME_BYTES = 8 << 20
+NONCE_BYTES = 16
+CONTEXT_LABEL = b"martenstep copies 2"
+_FRAME_LENGTH = struct.Struct(">I")
+_FRAME_NUMBER = struct.Struct(">Q")
+_ENVELOPE_LENGTH = struct.Struct(">H")
+
+
+class Hello(msgspec.Struct, array_like=True):
+    """Which node opens a connection, and to which; `cluster` keeps fleets apart that share a key."""
+
+    cluster: str
+    source: str
+    target: str
+
+
+class Envelope(msgspec.Struct, array_like=True):
+    """The group and the replicas that a message is from and to; between nodes, where no replica is meant, 0."""
+
+    group: str
+    source: int
+    target: int
+
+
+class AuthenticatedFrames:
+    """Frames of one direction of a connection."""
+
+    def __init__(self, keys: Keys, server_nonce: bytes, client_nonce: bytes) -> None:
+        """The nonces are those that both ends drew for the connection."""
+        self._keys = keys
+        self._context = hashlib.sha256(CONTEXT_LABEL + server_nonce + client_nonce).digest()
+        self._number = 0
+
+    def _bind(self, body: bytes) -> bytes:
+        """What the next frame's HMAC covers."""
+        bound = self._context + _FRAME_NUMBER.pack(self._number) + body
+        self._number += 1
+        return bound
+
+    def encode(self, body: bytes) -> bytes:
+        """The next frame to be sent."""
+        return _FRAME_LENGTH.pack(len(body) + MAC_BYTES) + body + self._keys.seal(self._bind(body))
+
+    async def read(self, reader: asyncio.StreamReader) -> bytes:
+        """The body of the next frame; raises FrameError, OSError, asyncio.IncompleteReadError."""
+        (length,) = _FRAME_LENGTH.unpack(await reader.readexactly(_FRAME_LENGTH.size))
+        if not MAC_BYTES <= length <= MAX_FRAME_BYTES:
+            raise FrameError("length")
+        data = await reader.readexactly(length)
+        body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
+        if not self._keys.opens(self._bind(body), mac):
+            raise FrameError("mac")
+        return body
+
+
+def encode_body(envelope: Envelope, message: bytes) -> bytes:
+    """An envelope and an encoded message as one body."""
+    head = msgspec.msgpack.encode(envelope)
+    return _ENVELOPE_LENGTH.pack(len(head)) + head + message
+
+
+def decode_body(body: bytes) -> tuple[Envelope, bytes]:
+    """The envelope and the encoded message of a body; raises msgspec.DecodeError."""
+    start = _ENVELOPE_LENGTH.size
+    end = start + int.from_bytes(body[:start], "big")
+    return msgspec.msgpack.decode(body[start:end], type=Envelope), body[end:]
--- /dev/null
+++ b/martenstep/replication/local_replicas.py
@@ -0,0 +1,227 @@
+"""The replicas that run on one node: opened from their folders, bootstrapped, created, removed with their disk."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import random
+import shutil
+import time
+from collections import Counter
+from collections.abc import Callable, Iterator
+
+from martenstep.event_log import EventLog
+from martenstep.replication.errors import ReplicaStorageError
+from martenstep.replication.messages import Configuration
+from martenstep.replication.node_disk import NodeDisk, derive_replica_id
+from martenstep.replication.raft import RaftSettings
+from martenstep.replication.replica import Replica, StateMachine
+from martenstep.replication.replica_storage import ReplicaStorage
+from martenstep.replication.settings import ReplicationSettings
+from martenstep.replication.transport import Transport
+from martenstep.storage.files import Disk, LockedError
+from martenstep.tasks import Tasks
+
+STOP_TASKS_TIMEOUT_S = 2.0  # for replicas that are being created or removed
+STOP_TRANSFER_S = 0.3  # for other nodes to lead
+NOBODY = Configuration((0,))  # the first configuration of a replica that is not in any yet
+
+
+class LocalReplica:
+    """One replica, with the folders that it holds."""
+
+    def __init__(self, replica: Replica, disk: Disk, witness: Disk) -> None:
+        """Both folders are let go when the replica stops."""
+        self.replica = replica
+        self._disk = disk
+        self._witness = witness
+        self.without_leader_since: float | None = None
+
+    async def stop(self) -> None:
+        """End the replica and let its folders go."""
+        await self.replica.stop()
+        self.replica.storage.close()
+        self._disk.close()
+        self._witness.close()
+
+
+class LocalReplicas:
+    """All replicas of one node, by group."""
+
+    def __init__(
+        self,
+        node: str,
+        disk: NodeDisk,
+        settings: ReplicationSettings,
+        make_state_machine: Callable[[str], StateMachine],
+        log_event: EventLog,
+        raft_settings: RaftSettings,
+        tasks: Tasks,
+    ) -> None:
+        """`make_state_machine` makes the state of a group from its name; `tasks` runs what is done beside."""
+        self.disk = disk
+        self._node = node
+        self._settings = settings
+        self._make_state_machine = make_state_machine
+        self._log_event = log_event
+        self._raft_settings = raft_settings
+        self._tasks = tasks
+        self._transport: Transport | None = None
+        self._by_group: dict[str, LocalReplica] = {}
+        self._busy_groups: set[str] = set()  # whose replica is being created or removed
+        self.is_open = False  # before that nobody is told that a replica is not here
+        self.counts: Counter[str] = Counter()  # shown as metrics under these names
+
+    # Begin and end.
+
+    async def start(self, transport: Transport) -> None:
+        """Open what is stored here, and bootstrap what is to be.  Raises ReplicaManagerError, LockedError, OSError."""
+        self._transport = transport
+        self.disk.open()
+        for group in self.disk.stored_groups():
+            await self.open(group)
+        await self._bootstrap()
+        self.is_open = True
+
+    async def stop(self) -> None:
+        """Let other nodes lead, then end all replicas."""
+        if any([local.replica.transfer_leadership() for local in self]):
+            await asyncio.sleep(STOP_TRANSFER_S)
+        # Danger: a replica that is being removed, cut off in the middle, would keep its folders' locks.
+        await self._tasks.finish(STOP_TASKS_TIMEOUT_S)
+        self.is_open = False
+        stopping = list(self)
+        self._by_group = {}
+        await asyncio.gather(*(local.stop() for local in stopping))
+        self.disk.close()
+
+    async def _bootstrap(self) -> None:
+        """Begin the groups of the settings, once, where they name this disk."""
+        member = next((one for one in self._settings.bootstrap_members if one.node == self._node), None)
+        if member is None:
+            return
+        if member.disk_id != self.disk.id:
+            self._log_event("not a bootstrap member", {"disk": self.disk.id, "settings": member.disk_id})
+            return
+        missing = [group for group in self._settings.groups if group not in self.disk.bootstrapped_groups]
+        for group in missing:
+            await self.open(group, derive_replica_id(self.disk.id, group))
+        if missing:
+            # Danger: written before the folders, a crash between would leave a bootstrap member without its replica;
+            # after, it is begun twice with the same identity, which an unverified replica bears.
+            self.disk.add_bootstrapped(missing)
+
+    # The replicas.
+
+    def __iter__(self) -> Iterator[LocalReplica]:
+        """All of them, as they are now."""
+        return iter(list(self._by_group.values()))
+
+    def groups(self) -> list[str]:
+        """The groups of which a replica is here."""
+        return list(self._by_group)
+
+    def replica(self, group: str) -> Replica | None:
+        """The replica of a group that is here."""
+        local = self._by_group.get(group)
+        return local.replica if local is not None else None
+
+    def is_busy(self, group: str) -> bool:
+        """Whether a replica of a group is being created or removed."""
+        return group in self._busy_groups
+
+    async def open(self, group: str, bootstrap_id: int | None = None) -> Replica | None:
+        """Run a replica from its folder, made where there is none; None where it cannot be opened, and is set aside."""
+        disks: list[Disk] = []
+        try:
+            state_machine = self._make_state_machine(group)
+            disks.append(Disk(self.disk.group_folder(group)))
+            disks.append(Disk(self.disk.witness_folder(group)))
+            alone = group not in self._settings.groups
+            storage = await asyncio.to_thread(
+                ReplicaStorage, disks[0], disks[1], random.SystemRandom(), bootstrap_id, alone
+            )
+            replica = self._make_replica(group, storage, state_machine)
+        except (ReplicaStorageError, LockedError, OSError, ValueError) as error:
+            for disk in disks:
+                disk.close()
+            self._open_failed(group, error)
+            return None
+        self._by_group[group] = LocalReplica(replica, disks[0], disks[1])
+        replica.start()
+        fields = {
+            "group": group,
+            "copy": storage.replica_id,
+            "proven": storage.disk_verified,
+            "entries": replica.raft.last_index,
+        }
+        self._log_event("replica opened", fields)
+        return replica
+
+    def _make_replica(self, group: str, storage: ReplicaStorage, state_machine: StateMachine) -> Replica:
+        assert self._transport is not None
+        bootstrap = self._bootstrap_configuration(group, storage.replica_id)
+        if storage.replica_id not in bootstrap.voters:
+            bootstrap = NOBODY
+        return Replica(group, storage, bootstrap, state_machine, self._transport, self._log_event, self._raft_settings)
+
+    def _bootstrap_configuration(self, group: str, replica_id: int) -> Configuration:
+        """A group's first configuration; a replica that is created later is not in it."""
+        if group not in self._settings.groups:
+            # Danger: only the replica that began the group may take itself for all of it.
+            if replica_id != derive_replica_id(self.disk.id, group):
+                return NOBODY
+            return Configuration((replica_id,), (), ((replica_id, self._node),))
+        members = self._settings.bootstrap_members
+        locations = tuple((derive_replica_id(member.disk_id, group), member.node) for member in members)
+        return Configuration(tuple(replica for replica, _ in locations), (), locations)
+
+    def _open_failed(self, group: str, error: Exception) -> None:
+        """Keep what is damaged for operators; another replica is created here, and filled by the others."""
+        self._log_event("replica not opened", {"group": group, "error": str(error)})
+        if isinstance(error, ReplicaStorageError):
+            folder = self.disk.group_folder(group)
+            folder.rename(folder.with_name(f"{group}.damaged.{time.time_ns()}"))
+
+    def create(self, group: str, on_created: Callable[[Replica], None]) -> None:
+        """Begin a replica that is to be taken into its group, in the background; `on_created` is given it."""
+        self._busy_groups.add(group)
+        self._tasks.spawn(self._create(group, on_created))
+
+    async def _create(self, group: str, on_created: Callable[[Replica], None]) -> None:
+        try:
+            replica = await self.open(group)
+        finally:
+            self._busy_groups.discard(group)
+        if replica is not None:
+            self.counts["begun"] += 1
+            on_created(replica)
+
+    async def create_own_group(self, group: str) -> Replica | None:
+        """Begin a group whose name was never used, of this node's replica alone."""
+        # The name first: a crash between leaves a name without a folder, and another name is drawn at the next start.
+        self.disk.set_latest_own_group(group)
+        await asyncio.to_thread(self.disk.save)
+        return await self.open(group, derive_replica_id(self.disk.id, group))
+
+    def remove(self, group: str, reason: str) -> None:
+        """End a replica and delete its folders, in the background."""
+        local = self._by_group.pop(group)
+        self.counts["let_go"] += 1
+        fields = {"group": group, "copy": local.replica.raft.replica_id, "why": reason}
+        self._log_event("replica removed", fields)
+        self._busy_groups.add(group)
+        self._tasks.spawn(self._stop_and_delete(group, local))
+
+    async def _stop_and_delete(self, group: str, local: LocalReplica) -> None:
+        try:
+            await local.stop()
+            folder = self.disk.group_folder(group)
+            removed = folder.with_name(f"{group}.out")
+            with contextlib.suppress(FileNotFoundError):
+                await asyncio.to_thread(shutil.rmtree, removed)
+            folder.rename(removed)
+            await asyncio.to_thread(shutil.rmtree, removed)
+            await asyncio.to_thread(shutil.rmtree, self.disk.witness_folder(group))
+        finally:
+            self._busy_groups.discard(group)
--- a/martenstep/replication/messages.py
+++ b/martenstep/replication/messages.py
@@ -1,7 +1,8 @@
-"""What the copies of a group say to each other, and what the places that hold them do (`Word`).
+"""Messages between the replicas of a group, and the parts that they and the stored log are made of.
 
-A copy is known by the identity of its disk (`Id`), never by the name of its machine: a machine that comes back with an
-empty disk is another copy.
+A replica is known by the identity of its disk, never by the name of its machine: a machine that comes back with an
+empty disk is another replica.  On the wire and on disks all of these are MessagePack arrays: the order of fields and
+the tags are the format, names are not.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class EntryKind(IntEnum):
-    """Of an entry."""
+    """What an entry is; the values are stored and sent."""
 
     NO_OP = 0  # a leader's first: what stands before it is committed with it
     COMMAND = 1
@@ -24,7 +25,7 @@
 
 
 class LogEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One line of the log."""
+    """One entry of the replicated log."""
 
     index: Unsigned
     term: Unsigned
@@ -33,8 +34,11 @@
 
 
 class Configuration(msgspec.Struct, array_like=True, frozen=True):
-    """Who is in the group: copies that count, and copies that learn first.  `homes` tells at which place each is, where
-    places are what the group is chosen by; who counts follows from the copies alone."""
+    """Who is in the group: voters, and learners that are sent the log first.
+
+    `locations` tells which node each replica is on, where the group is placed by nodes; who votes follows from the
+    replicas alone.
+    """
 
     voters: tuple[ReplicaId, ...]
     learners: tuple[ReplicaId, ...] = ()
@@ -42,7 +46,7 @@
 
     @property
     def members(self) -> tuple[int, ...]:
-        """All copies."""
+        """All replicas."""
         return self.voters + self.learners
 
     @property
@@ -61,17 +65,17 @@
 
 
 class RequestVote(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Would you (`trial`), or do you, take me for the leader of a term?"""
+    """A candidate asks for a vote, or, before it stands (`pre_vote`), whether it would get one."""
 
     term: Unsigned
     last_index: Unsigned
     last_term: Unsigned
     pre_vote: bool
-    leadership_transfer: bool = False  # the leader itself asked for it: who still hears that one may agree
+    leadership_transfer: bool = False  # the leader asked for it: who still hears that one may agree
 
 
 class VoteResponse(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """Yes or no."""
+    """A vote, or a refusal."""
 
     term: Unsigned
     pre_vote: bool
@@ -79,18 +83,18 @@
 
 
 class AppendEntries(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """The leader's entries after one that both should have."""
+    """The leader's entries after one that both should have; without entries a heartbeat."""
 
     term: Unsigned
     prev_log_index: Unsigned
     prev_log_term: Unsigned
     entries: tuple[LogEntry, ...]
     leader_commit: Unsigned
-    round: Unsigned  # of asking: what an answer to it proves of the lease
+    round: Unsigned  # of heartbeats: what an answer to it proves of the lease
 
 
 class AppendEntriesResponse(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """All up to `match` is durable here and the same as the leader's; or not, and where to begin again."""
+    """All up to `match_index` is durable and the same as the leader's; without success, where to begin again."""
 
     term: Unsigned
     success: bool
@@ -99,7 +103,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """A part of a snapshot, for one who lags too far."""
+    """A chunk of a snapshot, for a replica that lags behind the leader's log."""
 
     term: Unsigned
     last_included_index: Unsigned
@@ -112,7 +116,7 @@
 
 
 class InstallSnapshotResponse(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """How much of it is here; durable once `size` is reached."""
+    """How many bytes of a snapshot were received; the last chunk is answered by an AppendEntriesResponse."""
 
     term: Unsigned
     last_included_index: Unsigned
@@ -121,19 +125,22 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """Become the leader now: I hand over."""
+    """The leader asks a replica to stand for election at once."""
 
     term: Unsigned
 
 
 class RecoveryQuery(msgspec.Struct, array_like=True, tag=8, frozen=True):
-    """I came back and cannot prove that my disk is as I left it."""
+    """A replica started whose disk is not known to be as it left it."""
 
     nonce: Unsigned
 
 
 class RecoveryResponse(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """My term, the end of my log, and who I hold for the group: what you promised me cannot be beyond these."""
+    """The term, the end of the log and the configuration of a replica.
+
+    What the asking replica promised to it cannot be beyond these.
+    """
 
     nonce: Unsigned
     term: Unsigned
@@ -141,67 +148,9 @@
     last_term: Unsigned
     configuration: Configuration
     configuration_index: Unsigned = 0
-    configuration_committed: bool = False  # that configuration is committed
-
-
-class CreateReplica(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Hold a copy of this group: begin one where there is none.  One that has learned and is not among `everyone`, as
-    committed at `index`, is out."""
-
-    configuration_index: Unsigned
-    members: tuple[ReplicaId, ...]
-
-
-class ReplicaCreated(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """This is the copy that I hold of it."""
-
-    replica: ReplicaId
-
-
-class ReplicaNotFound(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """I do not hold that copy: its disk is lost, or it was let go."""
-
-    replica: ReplicaId
-
-
-class MembershipQuery(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """My copy hears no leader: is it in the group still?"""
-
-    replica: ReplicaId
+    configuration_committed: bool = False
 
 
-class RemovedFromGroup(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """The group's configuration, committed at `index`, does not have that copy: unless it knows a later one, it is to
-    be let go."""
-
-    replica: ReplicaId
-    configuration_index: Unsigned
-
-
-class LeaderRequest(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """Something asked of whoever leads the group."""
-
-    nonce: Unsigned
-    data: bytes
-
-
-class LeaderResponse(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """The answer to a question; without data, whoever was asked does not lead, `leader` may."""
-
-    nonce: Unsigned
-    data: bytes | None = None
-    leader: str | None = None
-
-
-NodeMessage = (
-    CreateReplica
-    | ReplicaCreated
-    | ReplicaNotFound
-    | MembershipQuery
-    | RemovedFromGroup
-    | LeaderRequest
-    | LeaderResponse
-)
 RaftMessage = (
     RequestVote
     | VoteResponse
@@ -214,26 +163,20 @@
     | RecoveryResponse
 )
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(RaftMessage)
-_words = msgspec.msgpack.Decoder(NodeMessage)
-_configs = msgspec.msgpack.Decoder(Configuration)
+_raft_message_decoder = msgspec.msgpack.Decoder(RaftMessage)
+_configuration_decoder = msgspec.msgpack.Decoder(Configuration)
 
 
 def encode(value: RaftMessage | Configuration) -> bytes:
-    """As bytes."""
+    """Encode a message, or the data of a configuration entry."""
     return _encoder.encode(value)
 
 
 def decode_raft_message(data: bytes) -> RaftMessage:
-    """From bytes; raises msgspec.DecodeError."""
-    return _decoder.decode(data)
-
-
-def decode_node_message(data: bytes) -> NodeMessage:
-    """What a place says, from bytes; raises msgspec.DecodeError."""
-    return _words.decode(data)
+    """Decode a message between replicas; raises msgspec.DecodeError."""
+    return _raft_message_decoder.decode(data)
 
 
 def decode_configuration(data: bytes) -> Configuration:
-    """From an entry's bytes; raises msgspec.DecodeError."""
-    return _configs.decode(data)
+    """Decode the data of a configuration entry; raises msgspec.DecodeError."""
+    return _configuration_decoder.decode(data)
--- a/martenstep/replication/placement.py
+++ b/martenstep/replication/placement.py
@@ -1,13 +1,15 @@
-"""Where a group's copies should be, and the next step towards it.  Pure: the same at every machine that knows the same.
+"""Replica placement: on which nodes a group should be, and the next step towards that.
 
-A group is at the places that rendezvous hashing gives its name, spread over zones (`members.gossip.holders`), among
-those that may hold it: all that are present, and those that hold a copy already and are not lost for good.  A place is
-lost for good once it has been away for a stated time, longer than a restart.  That is why a machine that has just
-started, and knows few others yet, moves nothing: who holds a copy counts as there until that time is over.
+Pure: the same at every node that knows the same.
 
-Whoever leads the group takes the steps, one after another, each by the group's own log (single-step changes).  So no
-agreement on where copies should be is needed for safety: machines that hold different views take different steps, each
-of them safe.
+A group is on the nodes that rendezvous hashing gives its name, spread over zones (`membership.ownership`), among those
+that may hold it: all that are present, and those that hold a replica already and are not lost.  A node counts as lost
+once it has been absent for a stated time, longer than a restart.  That is why a node that has just started, and knows
+few others yet, moves nothing: who holds a replica counts as there until that time is over.
+
+The leader of a group takes the steps, one after another, each by the group's own log (single-server changes).  So no
+agreement on the placement is needed for safety: nodes that hold different views take different steps, each of them
+safe.
 """
 
 from __future__ import annotations
@@ -18,17 +20,19 @@
 from martenstep.membership.ownership import holders
 from martenstep.replication.messages import Configuration
 
+UNKNOWN_ZONE_PREFIX = "?"
+
 
 @dataclass(frozen=True, slots=True)
 class AddReplica:
-    """Ask a place to begin a copy."""
+    """Have a node create a replica."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeConfiguration:
-    """Put another configuration in place; the core refuses it until it may be, and a learner until it is near."""
+    """Put another configuration in place; Raft refuses it until it may be, and a learner until it has caught up."""
 
     configuration: Configuration
     reason: str
@@ -36,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Let another copy lead: this one is to go."""
+    """Let another replica lead."""
 
     to: int
 
@@ -45,105 +49,162 @@
 
 
 class AbsenceTracker:
-    """Since when places have not been there, as far as this machine knows."""
+    """Since when nodes have been absent, as far as this node knows."""
 
-    def __init__(self, final_ms: float) -> None:
-        """After `final_ms` a place that is away counts as lost."""
-        self._final = final_ms
-        self._since: dict[str, float] = {}
+    def __init__(self, lost_after_ms: float) -> None:
+        """After `lost_after_ms` an absent node counts as lost."""
+        self._lost_after_ms = lost_after_ms
+        self._absent_since: dict[str, float] = {}
 
-    def observe(self, now: float, present: Collection[str], held: Iterable[str]) -> None:
-        """Who is there now, and which places hold copies."""
-        held = set(held)
-        self._since = {place: self._since.get(place, now) for place in held if place not in present}
+    def observe(self, now: float, present: Collection[str], owners: Iterable[str]) -> None:
+        """Note who is present now, among the nodes that hold replicas."""
+        self._absent_since = {node: self._absent_since.get(node, now) for node in set(owners) if node not in present}
 
     def lost(self, now: float) -> set[str]:
-        """The places that are lost for good."""
-        return {place for place, since in self._since.items() if now - since >= self._final}
+        """The nodes that count as lost."""
+        return {node for node, since in self._absent_since.items() if now - since >= self._lost_after_ms}
 
 
 def desired_nodes(
     group: str,
-    config: Configuration,
+    configuration: Configuration,
     zones: Mapping[str, str],
     present: Collection[str],
     lost: Collection[str],
-    count: int,
-    first: str | None = None,
+    replication_factor: int,
+    preferred: str | None = None,
 ) -> list[str]:
-    """The places that should hold a group, fewer than `count` where there are fewer.
-
-    `zones` tells the zone of every place that is known; a holder that is not known counts as a zone of its own.
-    `first` is a place that should hold it in any case, as long as it is not lost: the others are then in other zones if
-    they can be."""
-    held = {place for copy, place in config.locations if copy in config.voters}
-    able = {place: zones.get(place, f"?{place}") for place in (set(present) | held) - set(lost)}
-    if first is None or first not in able:
-        return holders(group, able.items(), count)
-    zone = able.pop(first)
-    line = holders(group, able.items(), len(able))
-    line.sort(key=lambda place: able[place] == zone)  # stable: the order among the others stays
-    return [first, *line[: count - 1]]
-
-
-def without_replica(config: Configuration, copy: int) -> Configuration:
-    """The same without one copy."""
+    """The nodes that should hold a group, fewer than `replication_factor` where there are fewer.
+
+    `zones` tells the zone of every known node; an owner that is not known counts as a zone of its own.  `preferred` is
+    a node that should hold the group in any case, as long as it is not lost: the others are then in other zones if they
+    can be.
+    """
+    owners = {node for replica, node in configuration.locations if replica in configuration.voters}
+    candidates = {node: zones.get(node, f"{UNKNOWN_ZONE_PREFIX}{node}") for node in (set(present) | owners) - set(lost)}
+    if preferred is None or preferred not in candidates:
+        return holders(group, candidates.items(), replication_factor)
+    preferred_zone = candidates.pop(preferred)
+    ranked = holders(group, candidates.items(), len(candidates))
+    ranked.sort(key=lambda node: candidates[node] == preferred_zone)  # stable: the order among the others stays
+    return [preferred, *ranked[: replication_factor - 1]]
+
+
+def without_replica(configuration: Configuration, replica: int) -> Configuration:
+    """The configuration without one replica."""
     return Configuration(
-        tuple(one for one in config.voters if one != copy),
-        tuple(one for one in config.learners if one != copy),
-        tuple(home for home in config.locations if home[0] != copy),
+        tuple(voter for voter in configuration.voters if voter != replica),
+        tuple(learner for learner in configuration.learners if learner != replica),
+        tuple(location for location in configuration.locations if location[0] != replica),
     )
 
 
-def with_learner(config: Configuration, copy: int, place: str) -> Configuration:
-    """The same with one more copy that learns."""
-    return Configuration(config.voters, (*config.learners, copy), (*config.locations, (copy, place)))
+def with_learner(configuration: Configuration, replica: int, node: str) -> Configuration:
+    """The configuration with one more learner."""
+    return Configuration(
+        configuration.voters,
+        (*configuration.learners, replica),
+        (*configuration.locations, (replica, node)),
+    )
 
 
-def with_promoted_learner(config: Configuration, copy: int) -> Configuration:
-    """The same with a learner that counts from now on."""
-    return Configuration((*config.voters, copy), tuple(one for one in config.learners if one != copy), config.locations)
+def with_promoted_learner(configuration: Configuration, replica: int) -> Configuration:
+    """The configuration with a learner as a voter."""
+    return Configuration(
+        (*configuration.voters, replica),
+        tuple(learner for learner in configuration.learners if learner != replica),
+        configuration.locations,
+    )
 
 
-def next_step(
-    config: Configuration,
-    me: int,
-    places: list[str],
-    gone: Collection[int],
-    present: Collection[str],
-    count: int,
-    may_fill: bool,
-    first: str | None = None,
-) -> Step | None:
-    """What a group's leader, copy `me`, should do next; None where all is as it should be, or must wait.
-
-    `places` should hold the group (`wanted`); `gone` are copies that their place says it does not hold; `present` are
-    places that can be asked.  Of `count` copies, none is taken out before another counts in its stead, so that a
-    majority stays what it was.  `may_fill` is False while other groups are being filled from here.  `first` is the
-    place that should lead.
+@dataclass(frozen=True, slots=True)
+class GroupView:
+    """What a group's leader knows when it chooses the next step."""
+
+    leader: int  # the replica that leads
+    nodes: list[str]  # that should hold the group (`desired_nodes`)
+    missing: Collection[int]  # replicas that their node says it does not hold
+    present: Collection[str]  # nodes that can be asked
+    replication_factor: int
+    may_add: bool = True  # False while other groups are being filled from here
+    preferred_leader: str | None = None  # node
+
+
+def next_step(configuration: Configuration, view: GroupView) -> Step | None:
+    """What a group's leader should do next; None where all is as it should be, or must wait.
+
+    Of as many replicas as there should be, none is removed before another votes in its stead, so that the quorum stays
+    what it was.
     """
-    home = dict(config.locations)
+    sound = _sound_voters(configuration, view)
+    unwanted = _unwanted_learner(configuration, view, sound)
+    if unwanted is not None:
+        return ChangeConfiguration(without_replica(configuration, unwanted), "a learner that is not wanted any more")
+    if len(configuration.voters) > view.replication_factor:
+        return _remove_voter(configuration, view, sound)
+    if configuration.learners:
+        promoted = with_promoted_learner(configuration, configuration.learners[0])
+        return ChangeConfiguration(promoted, "a learner that has caught up")
+    return _add_replica(view, sound) or _transfer_to_preferred(view, sound)
+
+
+def _sound_voters(configuration: Configuration, view: GroupView) -> dict[str, int]:
+    """One voter for each desired node that holds one, the leader before others."""
+    node_by_replica = dict(configuration.locations)
     sound: dict[str, int] = {}
-    for copy in config.voters:
-        place = home.get(copy, "")
-        if copy not in gone and place in places and (place not in sound or copy == me):
-            sound[place] = copy
-    for copy in config.learners:
-        if copy in gone or home.get(copy) not in places or home[copy] in sound:
-            return ChangeConfiguration(without_replica(config, copy), "a learner that is not wanted any more")
-    spare = [copy for copy in config.voters if copy not in sound.values()]
-    if len(config.voters) > count:  # then there are spare ones, as `places` are no more than `count`
-        # Lost ones first, this copy last: a copy that leads its own leaving costs an election.
-        out = min(spare, key=lambda copy: (copy == me, copy not in gone and home.get(copy) in present))
-        if out == me:
-            heirs = [copy for place, copy in sound.items() if place in present]
-            return TransferLeadership(heirs[0]) if heirs else None
-        return ChangeConfiguration(without_replica(config, out), "a copy that is lost, or not wanted here")
-    if config.learners:
-        return ChangeConfiguration(with_promoted_learner(config, config.learners[0]), "it has learned")
-    for place in places:
-        if place not in sound and place in present and may_fill:
-            return AddReplica(place)
-    if first in sound and first in present and sound[first] != me:
-        return TransferLeadership(sound[first])
+    for replica in configuration.voters:
+        node = node_by_replica.get(replica, "")
+        if replica in view.missing or node not in view.nodes:
+            continue
+        if node not in sound or replica == view.leader:
+            sound[node] = replica
+    return sound
+
+
+def _unwanted_learner(configuration: Configuration, view: GroupView, sound: Mapping[str, int]) -> int | None:
+    """A learner that is lost, on a node that should not hold the group, or on one that has a voter."""
+    node_by_replica = dict(configuration.locations)
+    for replica in configuration.learners:
+        node = node_by_replica.get(replica)
+        if replica in view.missing or node not in view.nodes or node in sound:
+            return replica
     return None
+
+
+def _remove_voter(configuration: Configuration, view: GroupView, sound: Mapping[str, int]) -> Step | None:
+    """Remove one of the voters that are too many: lost ones first, the leader last.
+
+    The leader hands over before: one that leads its own removal costs an election.
+    """
+    node_by_replica = dict(configuration.locations)
+
+    def removal_order(replica: int) -> tuple[bool, bool]:
+        reachable = replica not in view.missing and node_by_replica.get(replica) in view.present
+        return replica == view.leader, reachable
+
+    spare = [replica for replica in configuration.voters if replica not in sound.values()]
+    removed = min(spare, key=removal_order)  # there is one, as the desired nodes are no more than the factor
+    if removed != view.leader:
+        return ChangeConfiguration(
+            without_replica(configuration, removed), "a replica that is lost, or not wanted on its node"
+        )
+    successors = [replica for node, replica in sound.items() if node in view.present]
+    return TransferLeadership(successors[0]) if successors else None
+
+
+def _add_replica(view: GroupView, sound: Mapping[str, int]) -> AddReplica | None:
+    """Have the first desired node without a replica create one."""
+    if not view.may_add:
+        return None
+    lacking = (node for node in view.nodes if node not in sound and node in view.present)
+    node = next(lacking, None)
+    return AddReplica(node) if node is not None else None
+
+
+def _transfer_to_preferred(view: GroupView, sound: Mapping[str, int]) -> TransferLeadership | None:
+    """Let the replica on the preferred node lead."""
+    preferred = view.preferred_leader
+    if preferred is None or preferred not in sound or preferred not in view.present:
+        return None
+    successor = sound[preferred]
+    return TransferLeadership(successor) if successor != view.leader else None
--- a/martenstep/replication/replica_storage.py
+++ b/martenstep/replication/replica_storage.py
@@ -1,36 +1,32 @@
-"""What a copy keeps on its disk, and how it knows that the disk is as it left it.
+"""What a replica keeps on its disk, and how it knows that the disk is as it left it.
 
-On the log of `storage`: each durable write of the core is one or more lines, read back in order; a snapshot of all that
-holds bounds the log.  Lines of one write that a crash cuts apart promise nothing: what answers a write leaves only once
-all of it is durable.
+On the log of `storage`: each durable write of the Raft node is one or more records, read back in order; a snapshot of
+the whole state bounds the log.  Records of one write that a crash cuts apart promise nothing: what answers a write
+leaves only once all of it is durable.
 
-The **witness** is a small file in another place that a copied disk does not bring along: memory that a restart of the
-machine clears (`/run`, `/dev/shm`), or better another disk.  It tells how many lines this copy had made durable when it
-last promised something, in two slots written in turn, so that a torn one leaves the other.  A start whose log holds
-fewer, or that finds no witness, cannot prove its disk; it takes the witness away, so that neither can the next, until
-the core has proven itself (`proved`).
+A start whose log holds fewer records than the witness knows of, or that finds no witness, cannot verify its disk; it
+removes the witness, so that neither can the next start, until the Raft node has recovered (`confirm_disk`).
 """
 
 from __future__ import annotations
 
 import random
-import struct
-from dataclasses import dataclass, replace
+from dataclasses import replace
 
-import google_crc32c
 import msgspec
 
+from martenstep.replication.errors import ReplicaStorageError
 from martenstep.replication.messages import LogEntry, Snapshot
 from martenstep.replication.raft import DurableWrite, LogPosition, PersistentState
+from martenstep.replication.witness import Witness
 from martenstep.storage.files import Files
 from martenstep.storage.log import LogError, Writer, compact, open_log, write_snapshot
 
-IDENTITY_FILE, WITNESS_FILE = "copy.json", "witness"
+IDENTITY_FILE = "copy.json"
 SEGMENT_BYTES = 4 << 20
-MAX_RECORD_BYTES = 96 << 10  # of the entries of one line: below what the log takes for damage
-WITNESS_SLOT_BYTES = 64  # bytes of a witness's mark, far within a sector
-_MARK = struct.Struct(">QQQ")
-MAX_ENTRY_BYTES = 64 << 10  # of one entry's data: more is refused where it is proposed
+MAX_RECORD_BYTES = 96 << 10  # of the entries of one record: below what the log takes for damage
+MAX_ENTRY_BYTES = 64 << 10  # of one entry's data: more is rejected where it is proposed
+IDENTITY_BITS = 53  # whole numbers that every JSON reader keeps
 
 
 class WriteRecord(msgspec.Struct, array_like=True, frozen=True):
@@ -44,7 +40,7 @@
 
 
 class StateImage(msgspec.Struct, array_like=True, frozen=True):
-    """All that holds, as a snapshot of the log has it."""
+    """The whole state, as a snapshot of the log of records has it."""
 
     term: int
     voted_for: int | None
@@ -54,67 +50,32 @@
 
 
 class ReplicaIdentity(msgspec.Struct):
-    """Whose disk this is."""
+    """Which replica's disk this is."""
 
     id: int
 
 
-@dataclass(frozen=True, slots=True)
-class WitnessMark:
-    """What the witness knows: of `number` marks the latest."""
-
-    number: int
-    replica: int
-    records: int
-
-    def encode(self) -> bytes:
-        """One slot's bytes."""
-        told = _MARK.pack(self.number, self.replica, self.records)
-        return told + int(google_crc32c.value(told)).to_bytes(4, "big")
-
-
-def read_witness_mark(data: bytes) -> WitnessMark | None:
-    """The latest of a witness's slots that are whole."""
-    marks = []
-    for at in (0, WITNESS_SLOT_BYTES):
-        told, check = data[at : at + _MARK.size], data[at + _MARK.size : at + _MARK.size + 4]
-        if len(check) == 4 and google_crc32c.value(told) == int.from_bytes(check, "big"):
-            marks.append(WitnessMark(*_MARK.unpack(told)))
-    return max(marks, key=lambda mark: mark.number, default=None)
-
-
 _encode = msgspec.msgpack.Encoder().encode
-_line = msgspec.msgpack.Decoder(WriteRecord).decode
-_image = msgspec.msgpack.Decoder(StateImage).decode
+_decode_record = msgspec.msgpack.Decoder(WriteRecord).decode
+_decode_image = msgspec.msgpack.Decoder(StateImage).decode
 
 
-class ReplicaStorageError(Exception):
-    """A disk that cannot be read: what is wrong, and where."""
-
-
-def apply_write(kept: PersistentState, line: WriteRecord | DurableWrite) -> None:
-    """Let a durable write hold."""
-    kept.term, kept.voted_for, kept.log_floor = line.term, line.voted_for, line.log_floor
-    if line.truncate_from is not None:
-        kept.entries = [entry for entry in kept.entries if entry.index < line.truncate_from]
-    if isinstance(line, DurableWrite) and line.snapshot is not None:
-        kept.snapshot = line.snapshot
-        kept.entries = [entry for entry in kept.entries if entry.index > line.snapshot.index]
-    kept.entries += line.entries
+def apply_write(state: PersistentState, write: WriteRecord | DurableWrite) -> None:
+    """Change a state as a durable write says."""
+    state.term, state.voted_for, state.log_floor = write.term, write.voted_for, write.log_floor
+    if write.truncate_from is not None:
+        state.entries = [entry for entry in state.entries if entry.index < write.truncate_from]
+    if isinstance(write, DurableWrite) and write.snapshot is not None:
+        state.snapshot = write.snapshot
+        state.entries = [entry for entry in state.entries if entry.index > write.snapshot.index]
+    state.entries += write.entries
 
 
 def coalesce_writes(writes: list[DurableWrite]) -> list[DurableWrite]:
-    """Writes that only add entries, joined with the one before: a group that is synced together needs few lines."""
+    """Writes that only add entries, joined with the one before: those that are synced together need few records."""
     groups: list[list[DurableWrite]] = []
     for write in writes:
-        last = groups[-1][-1] if groups else None
-        if (
-            last is not None
-            and write.truncate_from is None
-            and write.snapshot is None
-            and last.snapshot is None
-            and (write.term, write.voted_for, write.log_floor) == (last.term, last.voted_for, last.log_floor)
-        ):
+        if groups and _can_join(groups[-1][-1], write):
             groups[-1].append(write)
         else:
             groups.append([write])
@@ -124,128 +85,141 @@
     ]
 
 
+def _can_join(before: DurableWrite, write: DurableWrite) -> bool:
+    return (
+        write.truncate_from is None
+        and write.snapshot is None
+        and before.snapshot is None
+        and (write.term, write.voted_for, write.log_floor) == (before.term, before.voted_for, before.log_floor)
+    )
+
+
 def encode_write(write: DurableWrite) -> list[bytes]:
-    """A write as lines, none longer than the log takes."""
-    made: list[bytes] = []
+    """A write as records, none longer than the log takes."""
+    records: list[bytes] = []
     part: list[LogEntry] = []
-    size, cut = 0, write.truncate_from
+    part_bytes, truncate_from = 0, write.truncate_from
+
+    def end_part() -> None:
+        records.append(_encode(WriteRecord(write.term, write.voted_for, write.log_floor, truncate_from, tuple(part))))
+
     for entry in write.entries:
-        if part and size + len(entry.data) > MAX_RECORD_BYTES:
-            made.append(_encode(WriteRecord(write.term, write.voted_for, write.log_floor, cut, tuple(part))))
-            part, size, cut = [], 0, None
+        if part and part_bytes + len(entry.data) > MAX_RECORD_BYTES:
+            end_part()
+            part, part_bytes, truncate_from = [], 0, None
         part.append(entry)
-        size += len(entry.data)
-    made.append(_encode(WriteRecord(write.term, write.voted_for, write.log_floor, cut, tuple(part))))
-    return made
+        part_bytes += len(entry.data)
+    end_part()
+    return records
 
 
 class ReplicaStorage:
-    """One copy's disk."""
+    """One replica's disk."""
 
     def __init__(
-        self, files: Files, witness: Files | None, rng: random.Random, founding: int | None = None, alone: bool = False
+        self,
+        files: Files,
+        witness: Files | None,
+        rng: random.Random,
+        bootstrap_id: int | None = None,
+        alone: bool = False,
     ) -> None:
-        """Read all that is there; raises StoreError where it is damaged.  An empty disk becomes a new identity: a drawn
-        one, or the one that is given to a copy that founds its group.
-
-        A founding copy is not proven, but where it is `alone` in a group whose name was drawn just now.  Danger: its
-        identity follows from the settings, so a disk that was put back from before the founding would get it again, and
-        with it a vote that it has given already."""
-        self._files, self._witness = files, witness
-        self._mark_number, self._witness_written = (
-            0,
-            False,
-        )  # marks so far, and whether the file is there as this process wrote it
+        """Read all that is there; raises ReplicaStorageError where it is damaged.
+
+        An empty disk becomes a new replica: with a drawn identity, or with `bootstrap_id` where it bootstraps its
+        group.
+
+        The disk of a replica that bootstraps is not verified, unless it is `alone` in a group whose name was drawn just
+        now.  Danger: its identity follows from the settings, so a disk that was put back from before the bootstrap
+        would get it again, and with it a vote that it has given already.
+        """
+        self._files = files
+        self._witness = Witness(witness)
         try:
             opened = open_log(files)
-            self.state = self._decode_image(opened.snapshot)
-            for entry in opened.entries:
-                if len(entry) > 1:  # a seal says nothing
-                    apply_write(self.state, _line(entry))
+            self.state = _decode_state(opened.snapshot)
+            for record in opened.entries:
+                if len(record) > 1:  # the marker behind a sync says nothing
+                    apply_write(self.state, _decode_record(record))
             self._writer = Writer(files, opened, SEGMENT_BYTES)
         except LogError as error:
             raise ReplicaStorageError(str(error)) from None
         except msgspec.DecodeError as error:
-            raise ReplicaStorageError(f"a line that is none: {error}") from None
-        self.replica_id, fresh = self._identity(rng, founding)
-        self.disk_verified = (fresh and (founding is None or alone)) or (not fresh and self._is_disk_verified())
+            raise ReplicaStorageError(f"a record that cannot be decoded: {error}") from None
+        stored_id = self._read_identity()
+        if stored_id is None:
+            self.replica_id = self._write_identity(
+                rng.getrandbits(IDENTITY_BITS) if bootstrap_id is None else bootstrap_id
+            )
+            self.disk_verified = bootstrap_id is None or alone
+            if self.disk_verified:
+                self._write_witness()
+        else:
+            self.replica_id = stored_id
+            self.disk_verified = self._witness.confirms(stored_id, self._writer.next)
         if not self.disk_verified:
-            self._remove_witness()
-        elif fresh:
-            self._write_witness()
-
-    @staticmethod
-    def _decode_image(body: bytes | None) -> PersistentState:
-        if body is None:
-            return PersistentState()
-        image = _image(body)
-        return PersistentState(image.term, image.voted_for, list(image.entries), image.snapshot, image.log_floor)
+            self._witness.remove()
 
-    def _identity(self, rng: random.Random, founding: int | None) -> tuple[int, bool]:
-        """Drawn once, before the first line; lines without it are nobody's."""
+    def _read_identity(self) -> int | None:
+        """The identity of the disk; None where it is empty."""
         if IDENTITY_FILE in self._files.names():
             try:
-                return msgspec.json.decode(self._files.read(IDENTITY_FILE), type=ReplicaIdentity).id, False
+                return msgspec.json.decode(self._files.read(IDENTITY_FILE), type=ReplicaIdentity).id
             except msgspec.DecodeError as error:
                 raise ReplicaStorageError(f"{IDENTITY_FILE}: {error}") from None
         if self.state.term or self.state.entries or self.state.snapshot is not None:
             raise ReplicaStorageError(
                 f"{IDENTITY_FILE} is missing beside a log that promises something: empty the disk to join anew"
             )
-        drawn = rng.getrandbits(53) if founding is None else founding
-        self._files.write_aside(IDENTITY_FILE, msgspec.json.encode(ReplicaIdentity(drawn)))
-        return drawn, True
-
-    def _is_disk_verified(self) -> bool:
-        if self._witness is None or WITNESS_FILE not in self._witness.names():
-            return False
-        mark = read_witness_mark(self._witness.read(WITNESS_FILE))
-        if mark is None:
-            return False
-        self._mark_number = mark.number
-        return mark.replica == self.replica_id and mark.records <= self._writer.next
-
-    def _remove_witness(self) -> None:
-        if self._witness is not None and WITNESS_FILE in self._witness.names():
-            self._witness.remove(WITNESS_FILE)
+        return None
+
+    def _write_identity(self, replica_id: int) -> int:
+        """Write the identity of a new replica, once, before its first record."""
+        self._files.write_aside(IDENTITY_FILE, msgspec.json.encode(ReplicaIdentity(replica_id)))
+        return replica_id
 
     def _write_witness(self) -> None:
-        if self._witness is None:
-            return
-        self._mark_number += 1
-        data = WitnessMark(self._mark_number, self.replica_id, self._writer.synced).encode()
-        if self._witness_written:
-            self._witness.patch(WITNESS_FILE, self._mark_number % 2 * WITNESS_SLOT_BYTES, data)
-        else:
-            self._witness.write_aside(WITNESS_FILE, data.ljust(WITNESS_SLOT_BYTES, b"\0") * 2)
-            self._witness_written = True
+        self._witness.write(self.replica_id, self._writer.synced)
 
     def confirm_disk(self) -> None:
-        """The core was told by all others, or a person vouched; what it made of that is durable."""
+        """The Raft node has recovered, or an operator confirmed the disk, and what came of that is durable."""
         if not self.disk_verified:
             self.disk_verified = True
             self._write_witness()
 
     def write(self, writes: list[DurableWrite]) -> None:
-        """Make writes durable, in order, with one sync; then the witness knows of them.  Raises OSError: the core is to
-        be told that it failed."""
-        lines: list[bytes] = []
+        """Make writes durable, in order, with one sync, and then mark the witness.
+
+        Raises OSError: the Raft node is then to be told that the write failed.
+        """
+        records: list[bytes] = []
         for write in coalesce_writes(writes):
             apply_write(self.state, write)
-            lines += encode_write(write)
-        self._writer.write(lines, durable=True)
+            records += encode_write(write)
+        self._writer.write(records, durable=True)
         if any(write.snapshot is not None for write in writes):
-            kept = self.state
-            image = StateImage(kept.term, kept.voted_for, kept.log_floor, kept.snapshot, kept.entries)
-            write_snapshot(self._files, self._writer.synced, _encode(image))
-            compact(self._files, self._writer.synced)
+            self._write_snapshot()
         if self.disk_verified:
             self._write_witness()
 
+    def _write_snapshot(self) -> None:
+        """Put an image of the state in place of the records so far."""
+        state = self.state
+        image = StateImage(state.term, state.voted_for, state.log_floor, state.snapshot, state.entries)
+        write_snapshot(self._files, self._writer.synced, _encode(image))
+        compact(self._files, self._writer.synced)
+
     def close(self) -> None:
-        """Let go."""
+        """Close the log."""
         self._writer.close()
 
     def read_state(self) -> PersistentState:
-        """What holds now, as its own."""
+        """The stored state, as a copy."""
         return replace(self.state, entries=list(self.state.entries))
+
+
+def _decode_state(body: bytes | None) -> PersistentState:
+    if body is None:
+        return PersistentState()
+    image = _decode_image(body)
+    return PersistentState(image.term, image.voted_for, list(image.entries), image.snapshot, image.log_floor)
--- /dev/null
+++ b/martenstep/replication/settings.py
@@ -0,0 +1,32 @@
+"""What the settings and the membership tell a node of the replicas that it should hold."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class ClusterNode:
+    """A machine of the fleet, as the membership holds it."""
+
+    name: str
+    zone: str
+    present: bool
+
+
+@dataclass(frozen=True, slots=True)
+class BootstrapMember:
+    """A node that holds the groups first, and the disk that it must have."""
+
+    node: str
+    disk_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicationSettings:
+    """Which groups there are, and how they are replicated."""
+
+    groups: tuple[str, ...]
+    bootstrap_members: tuple[BootstrapMember, ...]
+    replication_factor: int = 3
+    node_lost_after_ms: float = 600_000.0  # a node that is absent for so long counts as lost
--- a/martenstep/replication/transport.py
+++ b/martenstep/replication/transport.py
@@ -1,171 +1,102 @@
-"""Streams between machines that hold copies: one connection for each direction of a pair, for all groups, opened by who
-sends, opened again when it breaks.
+"""Streams between nodes that hold replicas.
 
-The server greets with 16 bytes drawn for the connection; the client answers with 16 of its own and a hello that names
-its place and the one that it means.  Who is not at that place closes.  Frames: `u32 length, body, HMAC` over the
-connection's context, the frame's number and the body, so that none passes twice or elsewhere.  A body is an envelope
-(`u16 length`, MessagePack: group, source, target) and a message.  A copy is its disk: what is meant for a copy that is
-not here goes no further, and whoever sent it is told so.
+There is one connection for each direction of a pair of nodes, for all groups, opened by the sender, and opened again
+when it breaks.
 
-What cannot be sent at once waits in a bounded line; past its bound the oldest goes.  That loses messages, as a network
-may: the core sends again what matters.
+The server greets with a nonce; the client answers with its own and a Hello.  A node that is not the one that is meant
+closes.  A replica is its disk: a message for a replica that is not here goes no further, and the sending node is told.
+
+What cannot be sent at once waits in a bounded queue.  Messages may be lost, as on any network: Raft sends again what
+matters.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import hashlib
 import secrets
-import struct
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Callable
 
 import msgspec
 
 from martenstep.backoff import Backoff
-from martenstep.membership.codec import MAC_BYTES, Keys
-from martenstep.replication.messages import NodeMessage, RaftMessage, decode_node_message, decode_raft_message, encode
-
-MAX_FRAME_BYTES = 8 << 20
-MAX_QUEUED_FRAMES = 4096  # frames to one place
-MAX_QUEUED_BYTES = 16 << 20
-CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S = 1.0, 30.0
-MIN_RECONNECT_MS, MAX_RECONNECT_MS = 50.0, 1000.0
-NONCE_BYTES = 16
+from martenstep.membership.codec import Keys
+from martenstep.replication.errors import FrameError
+from martenstep.replication.frames import (
+    NONCE_BYTES,
+    AuthenticatedFrames,
+    Envelope,
+    Hello,
+    decode_body,
+    encode_body,
+)
+from martenstep.replication.messages import RaftMessage, decode_raft_message, encode
+from martenstep.replication.node_messages import NodeMessage, decode_node_message, encode_node_message
+from martenstep.replication.outbound_queue import OutboundQueue
+
+CONNECT_TIMEOUT_S = 1.0
+IDLE_TIMEOUT_S = 30.0
+MIN_RECONNECT_MS = 50.0
+MAX_RECONNECT_MS = 1000.0
 Address = tuple[str, int]
-
-
-class Hello(msgspec.Struct, array_like=True):
-    """Who opens a connection, and whom it means; `cluster` keeps fleets apart that share a key."""
-
-    cluster: str
-    source: str
-    target: str
-
-
-class Envelope(msgspec.Struct, array_like=True):
-    """Of one message: the group, and the copies; between places, where no copy is meant, both are 0."""
-
-    group: str
-    source: int
-    target: int
-
-
-class TransportError(Exception):
-    """A frame that is none, or not sealed: the connection ends."""
-
-
-class AuthenticatedFrames:
-    """Frames of one direction of a connection."""
-
-    def __init__(self, keys: Keys, server: bytes, client: bytes) -> None:
-        self._keys = keys
-        self._context = hashlib.sha256(b"martenstep copies 2" + server + client).digest()
-        self._number = 0
-
-    def _bind(self, body: bytes) -> bytes:
-        bound = self._context + struct.pack(">Q", self._number) + body
-        self._number += 1
-        return bound
-
-    def encode(self, body: bytes) -> bytes:
-        """The next frame."""
-        return struct.pack(">I", len(body) + MAC_BYTES) + body + self._keys.seal(self._bind(body))
-
-    async def read(self, reader: asyncio.StreamReader) -> bytes:
-        """The next frame's body; raises LinkError."""
-        (length,) = struct.unpack(">I", await reader.readexactly(4))
-        if not MAC_BYTES <= length <= MAX_FRAME_BYTES:
-            raise TransportError("length")
-        data = await reader.readexactly(length)
-        body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-        if not self._keys.opens(self._bind(body), mac):
-            raise TransportError("mac")
-        return body
-
-
-class _OutboundQueue:
-    """What goes to one place."""
-
-    def __init__(self) -> None:
-        self.frames: deque[bytes] = deque()
-        self.bytes = 0
-        self.changed = asyncio.Event()
-        self.task: asyncio.Task[None] | None = None
-
-    def put(self, frame: bytes) -> int:
-        """One more; gives how many went for it."""
-        gone = 0
-        self.frames.append(frame)
-        self.bytes += len(frame)
-        while len(self.frames) > MAX_QUEUED_FRAMES or (self.bytes > MAX_QUEUED_BYTES and len(self.frames) > 1):
-            self.bytes -= len(self.frames.popleft())
-            gone += 1
-        self.changed.set()
-        return gone
-
-    def take(self) -> bytes:
-        """The oldest."""
-        frame = self.frames.popleft()
-        self.bytes -= len(frame)
-        return frame
-
-    def clear(self) -> None:
-        """All goes."""
-        self.frames.clear()
-        self.bytes = 0
-        self.changed.clear()
+FindNode = Callable[[int], str | None]  # the node that a replica is on
+DeliverMessage = Callable[[int, RaftMessage], None]  # is given the sending replica and its message
 
 
 class ReplicaChannel:
-    """One copy's end of the links."""
+    """One replica's end of the transport."""
 
     def __init__(
-        self,
-        links: Transport,
-        group: str,
-        me: int,
-        place_of: Callable[[int], str | None],
-        take: Callable[[int, RaftMessage], None],
+        self, transport: Transport, group: str, replica: int, find_node: FindNode, deliver: DeliverMessage
     ) -> None:
-        self.group, self.replica, self.deliver = group, me, take
-        self._transport, self._find_node = links, place_of
-        self.contacted_nodes: dict[int, str] = {}  # where copies spoke from that nothing else tells of yet
+        """`deliver` is given the messages to this replica."""
+        self.group = group
+        self.replica = replica
+        self.deliver = deliver
+        self.contacted_nodes: dict[int, str] = {}  # where replicas were heard from that no configuration tells of yet
+        self._transport = transport
+        self._find_node = find_node
 
     def send(self, to: int, message: RaftMessage) -> None:
-        """To another copy of the group; lost where nobody knows its place."""
-        place = self._find_node(to) or self.contacted_nodes.get(to)
-        if place is not None:
-            self._transport.send(place, Envelope(self.group, self.replica, to), encode(message))
+        """Send to another replica of the group; lost where its node is not known."""
+        node = self._find_node(to) or self.contacted_nodes.get(to)
+        if node is not None:
+            self._transport.send(node, Envelope(self.group, self.replica, to), encode(message))
 
     def close(self) -> None:
-        """Nothing more is taken."""
+        """Deliver nothing more."""
         self._transport.remove_channel(self)
 
 
 class Transport:
-    """One machine's connections."""
+    """One node's connections."""
 
     def __init__(
         self,
         cluster: str,
-        me: str,
+        node: str,
         keys: Callable[[], Keys],
-        address_of: Callable[[str], Address | None],
-        words: Callable[[str, str, int, NodeMessage], None] = lambda place, group, copy, word: None,
-        nobody: Callable[[str, str, int, int], None] = lambda place, group, source, target: None,
+        find_address: Callable[[str], Address | None],
+        on_node_message: Callable[[str, str, int, NodeMessage], None] = lambda node, group, replica, message: None,
+        on_unknown_replica: Callable[[str, str, int, int], None] = lambda node, group, source, target: None,
     ) -> None:
-        """`me` is this machine's place, `address_of` tells where a place is now.  `words` is given what places say to
-        each other (place, group, copy, word); `nobody` is told of a message for a copy that is not here (place, group,
-        source, target)."""
-        self._cluster, self._node, self._keys = cluster, me, keys
-        self._find_address, self._on_node_message, self._on_unknown_replica = address_of, words, nobody
+        """`find_address` tells where a node is now.
+
+        `on_node_message` is given what nodes send to each other (node, group, replica, message); `on_unknown_replica`
+        is told of a message for a replica that is not here (node, group, source, target).
+        """
+        self._cluster = cluster
+        self._node = node
+        self._keys = keys
+        self._find_address = find_address
+        self._on_node_message = on_node_message
+        self._on_unknown_replica = on_unknown_replica
         self._channels: dict[str, ReplicaChannel] = {}
-        self._queues: dict[str, _OutboundQueue] = {}
+        self._queues: dict[str, OutboundQueue] = {}
         self._server: asyncio.Server | None = None
         self._served: set[asyncio.Task[None]] = set()
-        self.counts: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()  # shown as metrics under these names
 
     async def start(self, host: str, port: int) -> int:
         """Bind; gives the port."""
@@ -173,98 +104,102 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
-        """Let go of all."""
+        """Close all connections."""
         if self._server is not None:
             self._server.close()
-        for out in self._queues.values():
-            if out.task is not None:
-                out.task.cancel()
+        for queue in self._queues.values():
+            if queue.sender is not None:
+                queue.sender.cancel()
         for task in list(self._served):
             task.cancel()
 
-    def open(
-        self, group: str, me: int, place_of: Callable[[int], str | None], take: Callable[[int, RaftMessage], None]
-    ) -> ReplicaChannel:
-        """A copy's end, one a group; `take` is given what others send to it."""
-        port = self._channels[group] = ReplicaChannel(self, group, me, place_of, take)
-        return port
+    def open(self, group: str, replica: int, find_node: FindNode, deliver: DeliverMessage) -> ReplicaChannel:
+        """Open the channel of a replica, one for each group; `deliver` is given what others send to it."""
+        channel = self._channels[group] = ReplicaChannel(self, group, replica, find_node, deliver)
+        return channel
 
-    def remove_channel(self, port: ReplicaChannel) -> None:
-        """A copy is here no more."""
-        if self._channels.get(port.group) is port:
-            del self._channels[port.group]
+    def remove_channel(self, channel: ReplicaChannel) -> None:
+        """A replica is here no more."""
+        if self._channels.get(channel.group) is channel:
+            del self._channels[channel.group]
 
-    def send_to_node(self, place: str, group: str, word: NodeMessage, copy: int = 0) -> None:
-        """To a place, of a group or of one copy there."""
-        self.send(place, Envelope(group, copy, 0), msgspec.msgpack.encode(word))
+    # Sending.
 
-    def send(self, place: str, envelope: Envelope, body: bytes) -> None:
-        """As soon as may be; lost where the line is full or the connection breaks."""
-        out = self._queues.get(place)
-        if out is None:
-            out = self._queues[place] = _OutboundQueue()
-            out.task = asyncio.get_running_loop().create_task(self._run(place, out))
-        head = msgspec.msgpack.encode(envelope)
-        self.counts["let_go"] += out.put(len(head).to_bytes(2, "big") + head + body)
+    def send_to_node(self, node: str, group: str, message: NodeMessage, replica: int = 0) -> None:
+        """Send to a node, about a group or one replica there."""
+        self.send(node, Envelope(group, replica, 0), encode_node_message(message))
 
-    async def _run(self, place: str, out: _OutboundQueue) -> None:
+    def send(self, node: str, envelope: Envelope, message: bytes) -> None:
+        """Send as soon as may be; lost where the queue is full or the connection breaks."""
+        queue = self._queues.get(node)
+        if queue is None:
+            queue = self._queues[node] = OutboundQueue()
+            queue.sender = asyncio.get_running_loop().create_task(self._send_forever(node, queue))
+        self.counts["let_go"] += queue.put(encode_body(envelope, message))
+
+    async def _send_forever(self, node: str, queue: OutboundQueue) -> None:
         backoff = Backoff(MIN_RECONNECT_MS, MAX_RECONNECT_MS)
         while True:
-            await out.changed.wait()
-            address = self._find_address(place)
+            await queue.changed.wait()
+            address = self._find_address(node)
             if address is not None:
                 with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
-                    await self._connected(place, address, out, backoff)
-            out.clear()  # it was meant for a moment that has passed
+                    await self._connect_and_send(node, address, queue, backoff)
+            queue.clear()  # it was meant for a moment that has passed
             await asyncio.sleep(backoff.failed() / 1000)
 
-    async def _connected(self, place: str, address: Address, out: _OutboundQueue, backoff: Backoff) -> None:
+    async def _connect_and_send(self, node: str, address: Address, queue: OutboundQueue, backoff: Backoff) -> None:
+        """Send over one connection until it ends."""
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                server, client = await reader.readexactly(NONCE_BYTES), secrets.token_bytes(NONCE_BYTES)
-            sealed = AuthenticatedFrames(self._keys(), server, client)
-            writer.write(client + sealed.encode(msgspec.msgpack.encode(Hello(self._cluster, self._node, place))))
-            # It says nothing more: what comes is its end.
-            ended = asyncio.get_running_loop().create_task(reader.read(1))
-            try:
-                while not ended.done():
-                    out.changed.clear()
-                    while out.frames:
-                        writer.write(sealed.encode(out.take()))
-                    async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                        await writer.drain()
-                    backoff.succeeded()
-                    news = asyncio.get_running_loop().create_task(out.changed.wait())
-                    try:
-                        await asyncio.wait({news, ended}, return_when=asyncio.FIRST_COMPLETED)
-                    finally:
-                        news.cancel()
-            finally:
-                ended.cancel()
+                server_nonce = await reader.readexactly(NONCE_BYTES)
+            client_nonce = secrets.token_bytes(NONCE_BYTES)
+            frames = AuthenticatedFrames(self._keys(), server_nonce, client_nonce)
+            hello = Hello(self._cluster, self._node, node)
+            writer.write(client_nonce + frames.encode(msgspec.msgpack.encode(hello)))
+            await self._send_queued(reader, writer, frames, queue, backoff)
         finally:
             writer.close()
 
+    @staticmethod
+    async def _send_queued(
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        frames: AuthenticatedFrames,
+        queue: OutboundQueue,
+        backoff: Backoff,
+    ) -> None:
+        """Send what is queued, and what is added, until the other end closes: it says nothing else."""
+        loop = asyncio.get_running_loop()
+        ended = loop.create_task(reader.read(1))
+        try:
+            while not ended.done():
+                queue.changed.clear()
+                while queue:
+                    writer.write(frames.encode(queue.pop()))
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    await writer.drain()
+                backoff.succeeded()
+                changed = loop.create_task(queue.changed.wait())
+                try:
+                    await asyncio.wait({changed, ended}, return_when=asyncio.FIRST_COMPLETED)
+                finally:
+                    changed.cancel()
+        finally:
+            ended.cancel()
+
+    # Receiving.
+
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._served.add(task)
-        mine = secrets.token_bytes(NONCE_BYTES)
         try:
-            writer.write(mine)
-            async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                sealed = AuthenticatedFrames(self._keys(), mine, await reader.readexactly(NONCE_BYTES))
-                hello = msgspec.msgpack.decode(await sealed.read(reader), type=Hello)
-            if (hello.cluster, hello.target) != (self._cluster, self._node):
-                self.counts["not_for_this_place"] += 1
-                return
-            while True:
-                async with asyncio.timeout(IDLE_TIMEOUT_S):
-                    body = await sealed.read(reader)
-                self._deliver(hello.source, body)
-        except TransportError as error:
-            self.counts[f"dropped_{error}"] += 1
+            await self._receive(reader, writer)
+        except FrameError as error:
+            self.counts[f"dropped_{error.reason}"] += 1
         except msgspec.DecodeError:
             self.counts["dropped_body"] += 1
         except (OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -273,17 +208,31 @@
             self._served.discard(task)
             writer.close()
 
-    def _deliver(self, place: str, body: bytes) -> None:
-        """One frame; raises msgspec.DecodeError."""
-        size = int.from_bytes(body[:2], "big")
-        envelope = msgspec.msgpack.decode(body[2 : 2 + size], type=Envelope)
+    async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Deliver what comes over one connection until it ends."""
+        server_nonce = secrets.token_bytes(NONCE_BYTES)
+        writer.write(server_nonce)
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            frames = AuthenticatedFrames(self._keys(), server_nonce, await reader.readexactly(NONCE_BYTES))
+            hello = msgspec.msgpack.decode(await frames.read(reader), type=Hello)
+        if (hello.cluster, hello.target) != (self._cluster, self._node):
+            self.counts["not_for_this_place"] += 1
+            return
+        while True:
+            async with asyncio.timeout(IDLE_TIMEOUT_S):
+                body = await frames.read(reader)
+            self._deliver(hello.source, body)
+
+    def _deliver(self, node: str, body: bytes) -> None:
+        """Deliver one frame's message; raises msgspec.DecodeError."""
+        envelope, message = decode_body(body)
         if not envelope.target:
-            self._on_node_message(place, envelope.group, envelope.source, decode_node_message(body[2 + size :]))
+            self._on_node_message(node, envelope.group, envelope.source, decode_node_message(message))
             return
-        port = self._channels.get(envelope.group)
-        if port is None or port.replica != envelope.target:
+        channel = self._channels.get(envelope.group)
+        if channel is None or channel.replica != envelope.target:
             self.counts["not_for_this_disk"] += 1
-            self._on_unknown_replica(place, envelope.group, envelope.source, envelope.target)
+            self._on_unknown_replica(node, envelope.group, envelope.source, envelope.target)
             return
-        port.contacted_nodes[envelope.source] = place
-        port.deliver(envelope.source, decode_raft_message(body[2 + size :]))
+        channel.contacted_nodes[envelope.source] = node
+        channel.deliver(envelope.source, decode_raft_message(message))
--- a/martenstep/replication/verify.py
+++ b/martenstep/replication/verify.py
@@ -1,7 +1,7 @@
-"""Reads the folders of copies that do not run, and holds them against each other.
+"""Verification of the stored replicas of nodes that do not run.
 
-What agreement promises can be seen on the disks: two copies of a group that hold an entry of the same index and term
-hold the same entry, and the same before it (the log matching property, thesis 3.5).
+What Raft promises can be seen on the disks: two replicas of a group that hold an entry of the same index and term hold
+the same entry, and the same before it (the log matching property, thesis 3.5).
 """
 
 from __future__ import annotations
@@ -9,80 +9,91 @@
 import contextlib
 import random
 from dataclasses import dataclass, field
+from itertools import combinations
 from pathlib import Path
 
-from martenstep.replication.raft import PersistentState
-from martenstep.replication.replica_manager import GROUPS_FOLDER
-from martenstep.replication.replica_storage import ReplicaStorage, ReplicaStorageError
+from martenstep.replication.errors import ReplicaStorageError
+from martenstep.replication.messages import LogEntry
+from martenstep.replication.node_disk import GROUPS_FOLDER
+from martenstep.replication.raft import LogPosition, PersistentState
+from martenstep.replication.replica_storage import ReplicaStorage
 from martenstep.storage.files import Disk
 
 
 @dataclass(slots=True)
 class StoredReplica:
-    """One folder of a copy."""
+    """One replica's folder."""
 
     group: str
     folder: Path
     replica: int = 0
     state: PersistentState = field(default_factory=PersistentState)
-    error: str = ""
+    error: str = ""  # what is damaged
 
     @property
     def last_index(self) -> int:
         """Index of the last entry."""
-        kept = self.state
-        return kept.entries[-1].index if kept.entries else kept.snapshot.index if kept.snapshot is not None else 0
+        if self.state.entries:
+            return self.state.entries[-1].index
+        return self.state.snapshot.index if self.state.snapshot is not None else 0
 
     @property
-    def last_position(self) -> tuple[int, int]:
-        """How far its log goes: last term, last index."""
-        return self.state.entries[-1].term if self.state.entries else 0, self.last_index
+    def last_position(self) -> LogPosition:
+        """How far its log goes."""
+        return LogPosition(self.state.entries[-1].term if self.state.entries else 0, self.last_index)
 
 
 def read_folder(directory: Path) -> list[StoredReplica]:
-    """The copies below a door's copies directory, damaged ones with what is wrong.  Raises LockedError where a door
-    holds one, OSError."""
-    made = []
+    """The replicas below a node's folder, damaged ones with their error.
+
+    Raises LockedError where a process holds one, OSError.
+    """
+    replicas = []
     for folder in sorted((directory / GROUPS_FOLDER).iterdir()):
-        found = StoredReplica(folder.name, folder)
+        stored = StoredReplica(folder.name, folder)
         with contextlib.closing(Disk(folder)) as disk:
             try:
-                with contextlib.closing(ReplicaStorage(disk, None, random.Random(0))) as store:
-                    found.replica, found.state = store.replica_id, store.read_state()
+                with contextlib.closing(ReplicaStorage(disk, None, random.Random(0))) as storage:
+                    stored.replica, stored.state = storage.replica_id, storage.read_state()
             except ReplicaStorageError as error:
-                found.error = str(error)
-        made.append(found)
-    return made
+                stored.error = str(error)
+        replicas.append(stored)
+    return replicas
+
 
+def find_most_advanced(replicas: list[StoredReplica]) -> dict[str, StoredReplica]:
+    """The sound replica of each group whose log goes furthest, by its last term and then its length.
 
-def find_most_advanced(found: list[StoredReplica]) -> dict[str, StoredReplica]:
-    """Of each group the sound copy whose log goes furthest, by its last term and then its length; what was set aside
-    (`SLOT.damaged.*`) is no copy."""
+    A folder that was set aside (`GROUP.damaged.*`) is no replica.
+    """
     best: dict[str, StoredReplica] = {}
-    for one in found:
-        if one.error or "." in one.group:
+    for stored in replicas:
+        if stored.error or "." in stored.group:
             continue
-        before = best.get(one.group)
-        if before is None or before.last_position < one.last_position:
-            best[one.group] = one
+        before = best.get(stored.group)
+        if before is None or before.last_position < stored.last_position:
+            best[stored.group] = stored
     return best
 
 
-def find_differences(copies: list[StoredReplica]) -> list[str]:
-    """What two copies of one group hold differently that they must hold alike, a line each."""
-    told = []
-    sound = [one for one in copies if not one.error]
-    for number, first in enumerate(sound):
-        held = {entry.index: entry for entry in first.state.entries}
-        for second in sound[number + 1 :]:
-            if second.group != first.group:
-                continue
-            for entry in second.state.entries:
-                other = held.get(entry.index)
-                if other is not None and other.term == entry.term and other != entry:
-                    told.append(
-                        f"{first.group}: entry {entry.index} of term {entry.term} is not the same in "
-                        f"{first.folder} and {second.folder}"
-                    )
-                    break
-    return told
+def find_differences(replicas: list[StoredReplica]) -> list[str]:
+    """A line for each two replicas of a group that hold different entries where they must hold the same."""
+    sound = [stored for stored in replicas if not stored.error]
+    differences = []
+    for first, second in combinations(sound, 2):
+        entry = _first_difference(first, second) if first.group == second.group else None
+        if entry is not None:
+            differences.append(
+                f"{first.group}: entry {entry.index} of term {entry.term} is not the same in "
+                f"{first.folder} and {second.folder}"
+            )
+    return differences
+
+
+def _first_difference(first: StoredReplica, second: StoredReplica) -> LogEntry | None:
+    entries = {entry.index: entry for entry in first.state.entries}
+    for entry in second.state.entries:
+        other = entries.get(entry.index)
+        if other is not None and other.term == entry.term and other != entry:
+            return entry
+    return None
--- /dev/null
+++ b/martenstep/replication/witness.py
@@ -0,0 +1,82 @@
+"""The witness of a replica's disk: how much of its log was durable when it last promised something.
+
+It is a small file in another place that a copied disk does not bring along: memory that a restart of the machine clears
+(`/run`, `/dev/shm`), or better another disk.  Marks are written in turn to two slots, so that a torn one leaves the
+other.
+"""
+
+from __future__ import annotations
+
+import struct
+from dataclasses import dataclass
+
+import google_crc32c
+
+from martenstep.storage.files import Files
+
+WITNESS_FILE = "witness"
+WITNESS_SLOT_BYTES = 64  # far within a sector
+_MARK = struct.Struct(">QQQ")
+_CHECKSUM_BYTES = 4
+
+
+@dataclass(frozen=True, slots=True)
+class WitnessMark:
+    """The content of one slot; of all marks, the one with the greatest number holds."""
+
+    number: int
+    replica: int
+    records: int  # of the replica's log that were durable
+
+    def encode(self) -> bytes:
+        """The mark and its CRC32C."""
+        fields = _MARK.pack(self.number, self.replica, self.records)
+        return fields + int(google_crc32c.value(fields)).to_bytes(_CHECKSUM_BYTES, "big")
+
+
+def read_witness_mark(data: bytes) -> WitnessMark | None:
+    """The latest mark of a witness's slots that is whole."""
+    marks = []
+    for start in (0, WITNESS_SLOT_BYTES):
+        end = start + _MARK.size
+        fields, checksum = data[start:end], data[end : end + _CHECKSUM_BYTES]
+        if len(checksum) == _CHECKSUM_BYTES and google_crc32c.value(fields) == int.from_bytes(checksum, "big"):
+            marks.append(WitnessMark(*_MARK.unpack(fields)))
+    return max(marks, key=lambda mark: mark.number, default=None)
+
+
+class Witness:
+    """The witness file of one replica, which a replica may lack."""
+
+    def __init__(self, files: Files | None) -> None:
+        """`files` is the directory of the witness; None: nothing is ever known."""
+        self._files = files
+        self._mark_number = 0
+        self._written = False  # the file is there as this process wrote it
+
+    def confirms(self, replica: int, records: int) -> bool:
+        """Whether a log of so many records holds all that the replica had made durable."""
+        if self._files is None or WITNESS_FILE not in self._files.names():
+            return False
+        mark = read_witness_mark(self._files.read(WITNESS_FILE))
+        if mark is None:
+            return False
+        self._mark_number = mark.number
+        return mark.replica == replica and mark.records <= records
+
+    def remove(self) -> None:
+        """Forget all marks: the next start cannot rest on them either."""
+        if self._files is not None and WITNESS_FILE in self._files.names():
+            self._files.remove(WITNESS_FILE)
+
+    def write(self, replica: int, records: int) -> None:
+        """Write the next mark; raises OSError."""
+        if self._files is None:
+            return
+        self._mark_number += 1
+        data = WitnessMark(self._mark_number, replica, records).encode()
+        if self._written:
+            self._files.patch(WITNESS_FILE, self._mark_number % 2 * WITNESS_SLOT_BYTES, data)
+        else:
+            self._files.write_aside(WITNESS_FILE, data.ljust(WITNESS_SLOT_BYTES, b"\0") * 2)
+            self._written = True
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -99,8 +99,8 @@
                 self.places,
                 lambda event, fields: self.notes.append((event, fields)),
                 QUICK,
-                also=is_book,
-                first=owner,
+                is_own_group=is_book,
+                preferred_node=owner,
             )
             links = self.links[name] = Transport(
                 "f", name, lambda: KEYS, self.where.get, keeper.receive, keeper.report_unknown_replica
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -31,7 +31,8 @@
 from martenstep.counter.state import Limits
 from martenstep.membership.codec import Keys
 from martenstep.policy.messages import CallResult
-from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica
+from martenstep.replication.errors import IndeterminateError, NotLeaderError
+from martenstep.replication.replica import Replica
 from martenstep.replication.replica_storage import ReplicaStorage
 from tests.socket_rig import LONG_S, run
 from tests.test_replication_host import KEYS, Group
--- a/tests/test_formats_replica_storage.py
+++ b/tests/test_formats_replica_storage.py
@@ -12,11 +12,12 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.replication import replica_manager as keeper
+from martenstep.replication import node_disk
 from martenstep.replication.messages import Configuration, EntryKind, LogEntry, Snapshot, decode_configuration, encode
+from martenstep.replication.node_disk import DiskIdentity, derive_replica_id, load_disk_identity
 from martenstep.replication.raft import DurableWrite, LogPosition
-from martenstep.replication.replica_manager import DiskIdentity, derive_replica_id, load_disk_identity
-from martenstep.replication.replica_storage import ReplicaStorage, WitnessMark, read_witness_mark
+from martenstep.replication.replica_storage import ReplicaStorage
+from martenstep.replication.witness import WitnessMark, read_witness_mark
 from martenstep.storage import log
 from martenstep.storage.files import Disk
 from martenstep.storage.log import Writer, compact, open_log, read_records, records_of, write_snapshot
@@ -179,7 +180,7 @@
 
 
 def test_names_of_folders_and_files() -> None:
-    assert (keeper.DISK_FILE, keeper.GROUPS_FOLDER) == ("disk.json", "groups")
+    assert (node_disk.DISK_FILE, node_disk.GROUPS_FOLDER) == ("disk.json", "groups")
     assert derive_replica_id(4503599627370497, "counter-0") == 813743150357365
     assert log.segment_name(31) == "seg-000000000000001f.log"
     assert log.snapshot_name(31) == "snap-000000000000001f.snap"
--- a/tests/test_formats_replica_views.py
+++ b/tests/test_formats_replica_views.py
@@ -12,15 +12,11 @@
 from martenstep.cli.copies import COLUMNS, table
 from martenstep.membership.codec import Keys
 from martenstep.replication.messages import AppendEntriesResponse, VoteResponse
+from martenstep.replication.node_disk import derive_replica_id
 from martenstep.replication.raft import DurableWrite, Role
 from martenstep.replication.replica import Replica
-from martenstep.replication.replica_manager import (
-    BootstrapMember,
-    ClusterNode,
-    ReplicaManager,
-    ReplicationSettings,
-    derive_replica_id,
-)
+from martenstep.replication.replica_manager import ReplicaManager
+from martenstep.replication.settings import BootstrapMember, ClusterNode, ReplicationSettings
 from martenstep.replication.transport import Transport
 from tests.socket_rig import run
 from tests.test_replication_host import Sum
@@ -73,7 +69,7 @@
     assert host is not None
     lead(host)
     view, gauges = keeper.view(), keeper.gauges()
-    led = json.loads(json.dumps(keeper.led_groups()))
+    led = [[one.group, one.nodes, one.healthy] for one in keeper.led_groups()]
     await keeper.stop()
     return view, gauges, led
 
--- a/tests/test_formats_replication.py
+++ b/tests/test_formats_replication.py
@@ -10,35 +10,37 @@
 import pytest
 
 from martenstep.membership.codec import Keys
-from martenstep.replication import messages
-from martenstep.replication import transport as links
+from martenstep.replication import messages, node_messages, outbound_queue
+from martenstep.replication.frames import AuthenticatedFrames, Envelope, Hello
 from martenstep.replication.messages import (
     AppendEntries,
     AppendEntriesResponse,
     Configuration,
-    CreateReplica,
     EntryKind,
     InstallSnapshot,
     InstallSnapshotResponse,
-    LeaderRequest,
-    LeaderResponse,
     LogEntry,
-    MembershipQuery,
     RecoveryQuery,
     RecoveryResponse,
-    RemovedFromGroup,
-    ReplicaCreated,
-    ReplicaNotFound,
     RequestVote,
     Snapshot,
     TimeoutNow,
     VoteResponse,
     decode_configuration,
-    decode_node_message,
     decode_raft_message,
     encode,
 )
-from martenstep.replication.transport import AuthenticatedFrames, Envelope, Hello, Transport
+from martenstep.replication.node_messages import (
+    CreateReplica,
+    LeaderRequest,
+    LeaderResponse,
+    MembershipQuery,
+    RemovedFromGroup,
+    ReplicaCreated,
+    ReplicaNotFound,
+    decode_node_message,
+)
+from martenstep.replication.transport import Transport
 from tests.socket_rig import run
 
 CONFIG = Configuration((1, 1 << 52), (3,), ((1, "d1"), (1 << 52, "d2"), (3, "d3")))
@@ -119,7 +121,7 @@
 def test_all_kinds_of_messages_are_among_these() -> None:
     kinds = {type(message) for message, _ in MESSAGES}
     words = {type(word) for word, _ in WORDS}
-    assert kinds == set(messages.RaftMessage.__args__) and words == set(messages.NodeMessage.__args__)
+    assert kinds == set(messages.RaftMessage.__args__) and words == set(node_messages.NodeMessage.__args__)
     assert len(kinds) == 9 and len(words) == 7
 
 
@@ -215,7 +217,7 @@
 
 def test_a_stream_that_is_not_as_these_bytes_is_counted_under_these_names(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("secrets.token_bytes", lambda size: SERVER[:size])
-    monkeypatch.setattr(links, "MAX_QUEUED_FRAMES", 1)
+    monkeypatch.setattr(outbound_queue, "MAX_QUEUED_FRAMES", 1)
     hello, first = bytes.fromhex(HELLO), bytes.fromhex(FIRST)
 
     async def test() -> None:
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -11,17 +11,13 @@
 import pytest
 
 from martenstep.membership.codec import Keys
-from martenstep.replication.messages import CreateReplica, RemovedFromGroup, ReplicaNotFound
+from martenstep.replication.errors import IndeterminateError, NotLeaderError
+from martenstep.replication.node_disk import derive_replica_id, load_disk_identity
+from martenstep.replication.node_messages import CreateReplica, RemovedFromGroup, ReplicaNotFound
 from martenstep.replication.raft import RaftSettings, Role
-from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica, now_ms
-from martenstep.replication.replica_manager import (
-    BootstrapMember,
-    ClusterNode,
-    ReplicaManager,
-    ReplicationSettings,
-    derive_replica_id,
-    load_disk_identity,
-)
+from martenstep.replication.replica import Replica, now_ms
+from martenstep.replication.replica_manager import ReplicaManager
+from martenstep.replication.settings import BootstrapMember, ClusterNode, ReplicationSettings
 from martenstep.replication.transport import Transport
 from martenstep.storage.files import Disk
 from tests.socket_rig import LONG_S, run
@@ -81,7 +77,7 @@
     async def kill(self, name: str, wipe: bool = False) -> None:
         self.links.pop(name).stop()
         keeper = self.keepers.pop(name)
-        for held in keeper._local.values():
+        for held in keeper.local:
             held.replica.raft.role = Role.FOLLOWER  # it ends as it is: nobody is handed to
         await keeper.stop()
         if wipe:
@@ -136,7 +132,7 @@
         await fleet.kill("b", wipe=True)
         assert await fleet.add("g-0", 100) == 120
         await fleet.start("b")
-        assert any(event == "not a founder" for event, _ in fleet.notes)
+        assert any(event == "not a bootstrap member" for event, _ in fleet.notes)
         await fleet.until(
             lambda: (
                 fleet.total("b", "g-0") == 120
@@ -196,7 +192,7 @@
         fleet.names = [name for name in fleet.names if name != lost]
         await fleet.until(lambda: fleet.keepers[lost].replica("g-0") is None)
         await fleet.until(lambda: not (tmp_path / lost / "groups" / "g-0").exists())
-        assert any(event == "copy let go" for event, _ in fleet.notes)
+        assert any(event == "replica removed" for event, _ in fleet.notes)
         assert await fleet.add("g-0") == 8
         await fleet.stop()
 
@@ -215,7 +211,7 @@
         data[len(data) // 2] ^= 0x40
         segment.write_bytes(data)
         await fleet.start("a")
-        assert any(event == "copy not opened" for event, _ in fleet.notes)
+        assert any(event == "replica not opened" for event, _ in fleet.notes)
         await fleet.until(lambda: fleet.total("a", "g-0") == 10 and fleet.at("g-0") == ["a", "b", "c"])
         assert list((tmp_path / "a" / "groups").glob("g-0.damaged.*"))
         await fleet.stop()
@@ -243,7 +239,7 @@
         leader = await fleet.leader("g-0")
         leading = next(one for one in fleet.keepers.values() if one.replica("g-0") is leader)
         leading.receive("z", "g-0", 0, ReplicaNotFound(me))  # said by a place where that copy is not
-        assert me not in leading._missing_replicas.get("g-0", ())
+        assert me not in leading.repair.missing_replicas("g-0")
         keeper.receive("a", "g-0", 0, RemovedFromGroup(me, index + 1))
         assert keeper.replica("g-0") is None
         await fleet.until(lambda: fleet.total("b", "g-0") == 1 and fleet.at("g-0") == ["a", "b", "c"])
@@ -253,7 +249,7 @@
 
 
 def test_a_place_that_holds_no_copies_is_passed_over(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("martenstep.replication.replica_manager.CREATE_TIMEOUT_MS", 400.0)
+    monkeypatch.setattr("martenstep.replication.repair.CREATE_TIMEOUT_MS", 400.0)
 
     async def test() -> None:
         fleet = Fleet(tmp_path, "abcde", groups=("g-0", "g-1", "g-2"), final_ms=100.0)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -12,6 +12,7 @@
     AbsenceTracker,
     AddReplica,
     ChangeConfiguration,
+    GroupView,
     TransferLeadership,
     desired_nodes,
     next_step,
@@ -50,7 +51,7 @@
         me = self.leads()
         assert me is not None
         self.leader = me
-        step = next_step(self.config, me, places, self.gone, self.present, self.count, True)
+        step = next_step(self.config, GroupView(me, places, self.gone, self.present, self.count))
         self.steps.append(step)
         if isinstance(step, AddReplica):
             assert step.node in self.present
@@ -102,7 +103,7 @@
     zones = dict.fromkeys(PLACES, "a")
     known = desired_nodes("g", config, {}, {"d1"}, set(), 3)
     assert sorted(known) == ["d1", "d2", "d3"]
-    assert next_step(config, 1, known, (), {"d1"}, 3, True) is None
+    assert next_step(config, GroupView(1, known, (), {"d1"}, 3)) is None
     away = AbsenceTracker(1000.0)
     away.observe(0.0, {"d1"}, ["d1", "d2", "d3"])
     assert away.lost(999.0) == set()
@@ -127,11 +128,11 @@
 def test_filling_waits_while_others_are_filled_and_a_place_away_is_not_invited() -> None:
     config = Configuration((1, 2, 3), (), ((1, "d1"), (2, "d2"), (3, "d3")))
     places = ["d1", "d2", "d4"]
-    assert next_step(config, 1, places, (), PLACES, 3, True) == AddReplica("d4")
-    assert next_step(config, 1, places, (), PLACES, 3, False) is None
-    assert next_step(config, 1, places, (), ["d1", "d2", "d3"], 3, True) is None
+    assert next_step(config, GroupView(1, places, (), PLACES, 3)) == AddReplica("d4")
+    assert next_step(config, GroupView(1, places, (), PLACES, 3, may_add=False)) is None
+    assert next_step(config, GroupView(1, places, (), ["d1", "d2", "d3"], 3)) is None
     full = Configuration((1, 2, 3, 4), (), (*config.locations, (4, "d4")))
-    step = next_step(full, 3, places, (), PLACES, 3, True)
+    step = next_step(full, GroupView(3, places, (), PLACES, 3))
     assert step == TransferLeadership(1) or step == TransferLeadership(2) or step == TransferLeadership(4)
-    step = next_step(full, 1, places, (), PLACES, 3, True)
+    step = next_step(full, GroupView(1, places, (), PLACES, 3))
     assert isinstance(step, ChangeConfiguration) and step.configuration.voters == (1, 2, 4)
--- a/tests/test_replication_host.py
+++ b/tests/test_replication_host.py
@@ -13,11 +13,13 @@
 import pytest
 
 from martenstep.membership.codec import Keys
+from martenstep.replication.errors import IndeterminateError, NotLeaderError
+from martenstep.replication.frames import Envelope
 from martenstep.replication.messages import Configuration, TimeoutNow, encode
 from martenstep.replication.raft import RaftSettings, Role
-from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica
+from martenstep.replication.replica import Replica
 from martenstep.replication.replica_storage import ReplicaStorage
-from martenstep.replication.transport import Envelope, Transport
+from martenstep.replication.transport import Transport
 from martenstep.storage.files import FAULTS, Disk
 from tests.socket_rig import LONG_S, run
 
@@ -82,7 +84,7 @@
             links,
             lambda event, fields: self.notes.append((event, fields)),
             QUICK,
-            place_of=str,
+            find_node=str,
         )
         self.where[str(store.replica_id)] = "127.0.0.1", await links.start("127.0.0.1", 0)
         host.start()
@@ -235,7 +237,7 @@
         await group.add(2)
         await group.until(lambda: group.hosts[bad.replica_id].raft.halted)
         assert await group.add(3) >= 6
-        assert any(event == "copy halted" and "No space" in fields["error"] for event, fields in group.notes)
+        assert any(event == "replica halted" and "No space" in fields["error"] for event, fields in group.notes)
         await group.stop()
 
     run(test(), LONG_S)
@@ -355,7 +357,7 @@
         await group.begin("a")
         for number in range(60):
             assert await group.add(1) == number + 1
-        await group.until(lambda: any(event == "no snapshot" for event, _ in group.notes))
+        await group.until(lambda: any(event == "replica snapshot failed" for event, _ in group.notes))
         assert (await group.leader()).raft.snapshot_index == 0
         await group.stop()
 
--- a/tests/test_replication_store.py
+++ b/tests/test_replication_store.py
@@ -8,21 +8,18 @@
 import msgspec
 import pytest
 
+from martenstep.replication.errors import ReplicaStorageError
 from martenstep.replication.messages import Configuration, EntryKind, LogEntry, Snapshot
 from martenstep.replication.raft import DurableWrite, LogPosition, PersistentState
 from martenstep.replication.replica_storage import (
     IDENTITY_FILE,
-    WITNESS_FILE,
-    WITNESS_SLOT_BYTES,
     ReplicaStorage,
-    ReplicaStorageError,
-    WitnessMark,
     WriteRecord,
     apply_write,
     coalesce_writes,
     encode_write,
-    read_witness_mark,
 )
+from martenstep.replication.witness import WITNESS_FILE, WITNESS_SLOT_BYTES, WitnessMark, read_witness_mark
 from tests.counter_rig import Crash, FaultFiles
 
 
