--- a/martenstep/lab/fleet/groups.py
+++ b/martenstep/lab/fleet/groups.py
@@ -328,7 +328,7 @@
                 copy.transfer_leadership(node.clock(self.sim.now), step.to)
             self._after(node)
 
-    # Faults.
+    # SettingsError.
 
     def _fault(self) -> None:
         rng = self.rng
--- a/martenstep/proxy/dependencies.py
+++ b/martenstep/proxy/dependencies.py
@@ -1,165 +1,232 @@
-"""What an engine is put together from: the seams behind which one protocol differs from another.
+"""What an engine and a server are put together from: the interfaces behind which one protocol differs from another.
 
-An engine is the same whatever the requests look like.  How a request tells of its class and customer, how an attempt
-and an answer are worded, what an answer's status proves and which forms of a target are taken is given to it here;
-`fitting` makes these from a door's settings, `martenstep.node` from a platform's configuration.
+An engine is the same whatever the requests look like.  How a request states its class and customer, how attempts and
+responses are written, what the status of a response proves and which forms of a target are accepted is given to it
+here: `engine_factory` makes these from a gateway's settings, `martenstep.node` from a platform's configuration.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 from martenstep.policy import messages as api
 from martenstep.policy.messages import CallResult
-from martenstep.proxy.engine_messages import Headers
-from martenstep.proxy.targets import Declined, Taken
+from martenstep.proxy.engine_messages import Headers, RequestReceived
+from martenstep.proxy.targets import NormalizedTarget, TargetRejection
 
-if TYPE_CHECKING:
+if TYPE_CHECKING:  # loaded only where the settings ask for them
     from martenstep.auth import core as auth
     from martenstep.auth.answerer import Answerer
-    from martenstep.proxy.extension_points import Points
+    from martenstep.hooks import border
+    from martenstep.hooks.runner import Runner
     from martenstep.proxy.traces import Sampler
 
 
+# Requests -----------------------------------------------------------------------------------------------
+
+
 @dataclass(slots=True)
-class Routed:
+class RoutedRequest:
     """Where a request belongs."""
 
-    cls: api.RequestClass
+    request_class: api.RequestClass
     plan: api.Plan
     customer: int
-    key: str
+    customer_key: str
     units: float
-    spread: int
-    first: int
-    retry: bool = False
+    instances: int  # through so many gateways the customer's requests come,
+    first_instance: int  # from this one on
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Guarded:
-    """A request whose customer an authentication service must tell first."""
+class UnauthenticatedRequest:
+    """A request whose customer an authentication service must name first."""
 
-    cls: api.RequestClass
+    request_class: api.RequestClass
     units: float
     fail_open: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Unroutable:
-    """Why it belongs nowhere: a status and a reason."""
+class RouteRejection:
+    """Why a request belongs nowhere: the status and the reason of its response."""
 
     status: int
     reason: str
 
 
 class RouteTable(Protocol):
-    """From a request's head to what the module is told of it."""
+    """From a request's head to what the policy learns of it."""
 
-    def route(self, method: bytes, target: bytes, headers: Headers) -> Routed | Guarded | Unroutable:
+    def route(
+        self, method: bytes, target: bytes, headers: Headers
+    ) -> RoutedRequest | UnauthenticatedRequest | RouteRejection:
         """Where a request belongs."""
 
-    def deadline_ms(self, cls: api.RequestClass, headers: Headers) -> float | None:
-        """How long its client waits; None where that is told and is no figure."""
+    def deadline_ms(self, request_class: api.RequestClass, headers: Headers) -> float | None:
+        """How long its client waits; None where that is stated and is no number."""
+
+    def identify(
+        self, unauthenticated: UnauthenticatedRequest, customer_key: str, plan: str
+    ) -> RoutedRequest | RouteRejection:
+        """Where a request belongs, once its customer is known."""
+
+    def anonymous(self, unauthenticated: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
+        """Where a request belongs that passes without a verdict."""
+
+
+class TargetPolicy(Protocol):
+    """Which forms of a target are accepted."""
+
+    def normalize(self, method: bytes, target: bytes, headers: Headers) -> NormalizedTarget | TargetRejection:
+        """What is forwarded, or the gateway's own response."""
+
+
+# Messages -----------------------------------------------------------------------------------------------
+
+
+class StatusClassifier(Protocol):
+    """What the status of an endpoint's response proves."""
+
+    def classify(self, status: int, headers: Headers) -> CallResult:
+        """The result of the attempt."""
 
-    def identify(self, guarded: Guarded, key: str, plan: str) -> Routed | Unroutable:
-        """A guarded request, once its customer is told."""
 
-    def anonymous(self, guarded: Guarded) -> Routed | Unroutable:
-        """A guarded request that passes without a verdict."""
+@dataclass(slots=True)
+class UpstreamRequest:
+    """What the headers of an attempt are made from."""
+
+    client_headers: Headers
+    auth_headers: Headers  # of an authentication service's response
+    hook_headers: Headers
+    correlation_id: str
+    policy_id: str
+    attempt: int
+    remaining_ms: float
+    client_address: str
+    traceparent: bytes
+    uses_idempotency_key: bool
+
+
+class MessageBuilder(Protocol):
+    """Builds the headers of attempts and the responses."""
+
+    sends_rate_limits: bool  # responses state what is left of the plan
+
+    def identity_headers(self, correlation_id: str) -> Headers:
+        """What every message of the gateway carries."""
 
+    def copied_auth_headers(self, headers: Headers) -> Headers:
+        """Of an authentication service's response what endpoints are sent."""
 
-class TargetForms(Protocol):
-    """Which forms of a target are taken."""
+    def request_headers(self, request: UpstreamRequest) -> Headers:
+        """An attempt's headers."""
+
+    def deadline_header(self, remaining_ms: float) -> tuple[bytes, bytes]:
+        """The header among an attempt's that tells its endpoint how long the gateway waits."""
+
+    def response_headers(self, headers: Headers) -> Headers:
+        """Of an endpoint's response what its client is sent."""
 
-    def take(self, method: bytes, target: bytes, headers: Headers) -> Taken | Declined:
-        """What goes on, or the door's own answer."""
+    def local_reply(self, reason: str, correlation_id: str, retry_after_ms: float | None) -> tuple[Headers, bytes]:
+        """Headers and body of a response of the gateway's own."""
 
 
-class StatusReader(Protocol):
-    """What the status of a server's answer proves."""
+# Hooks --------------------------------------------------------------------------------------------------
 
-    def verdict(self, status: int, headers: Headers) -> CallResult:
-        """How the attempt ended."""
 
+class HookSubject(Protocol):
+    """A request, as far as hooks have to do with it."""
 
-class Wording(Protocol):
-    """How attempts and answers are worded."""
+    received: RequestReceived
+    route: RoutedRequest
+    arrived_at: float
+    hook_record: tuple[Any, ...] | None  # the record that hooks were given last,
+    hook_record_route: RoutedRequest | None  # and the route that it was made for
 
-    tells_limits: bool  # answers tell what is left of the plan
 
-    def signed(self, label: str) -> Headers:
-        """What every message of the door carries."""
+class ExtensionPoints(Protocol):
+    """Where hooks act on a request.  Times are milliseconds."""
 
-    def copied(self, headers: Headers) -> Headers:
-        """Of an authentication service's answer what servers are told."""
+    def classify(self, now: float, runner: Runner, subject: HookSubject) -> RoutedRequest:
+        """Class, customer, plan and units."""
 
-    def headers(
+    def sending(self, now: float, runner: Runner, subject: HookSubject) -> tuple[bytes, Headers]:
+        """Target and additional headers of what goes to an endpoint."""
+
+    def refusal(
+        self, now: float, runner: Runner, subject: HookSubject, status: int, reason: str, retry_after_ms: float
+    ) -> border.Words | None:
+        """The response to a rejected request; None: the gateway's own."""
+
+    def answer(
         self,
-        client: Headers,
-        more: Headers,
-        given: Headers,
-        label: str,
-        rid: str,
-        attempt: int,
-        left_ms: float,
-        peer: str,
-        traceparent: bytes,
-        keyed: bool,
+        now: float,
+        runner: Runner,
+        subject: HookSubject,
+        status: int,
+        attempts: int,
+        took_ms: float,
+        headers: Headers,
     ) -> Headers:
-        """An attempt's headers."""
+        """Additional headers of a relayed response."""
 
-    def expiry(self, left_ms: float) -> tuple[bytes, bytes]:
-        """The header among an attempt's that tells its server how long the door waits."""
+    def fields(
+        self, now: float, runner: Runner, subject: HookSubject, status: int, attempts: int, took_ms: float
+    ) -> dict[str, str]:
+        """Additional fields of the log line of a response."""
 
-    def passed(self, headers: Headers) -> Headers:
-        """Of a server's answer what its client is told."""
 
-    def own(self, reason: str, label: str, wait_ms: float | None) -> tuple[Headers, bytes]:
-        """Headers and body of an answer of the door's own."""
+# All of it ----------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class AuthParts:
-    """How authentication services are asked, and what of their answers counts.  Names are in lower case."""
+class AuthorizationSettings:
+    """How authentication services are asked, and what of their responses counts.  Names are in lower case."""
 
     rules: auth.Rules
     services: Sequence[tuple[str, int]]
     path: bytes
-    by_target: bool
-    credentials: Sequence[bytes]
+    includes_target: bool  # checks of different targets are told apart
+    credential_headers: Sequence[bytes]
     customer_header: bytes
     plan_header: bytes
 
 
 @dataclass(slots=True)
-class Parts:
-    """All of it.  Times are milliseconds."""
+class EngineDependencies:
+    """What an engine is made from.  Times are milliseconds."""
 
     name: str
     settings: api.Settings
-    routes: RouteTable
-    targets: TargetForms
-    status: StatusReader
-    wording: Wording
-    id_header: bytes  # names a request in logs and to servers
-    margin_ms: float  # a request ends so much before its client's deadline
-    max_open: int  # requests held at once
-    connect_ms: float
-    cancel: bool  # an attempt may be called off before its end
-    max_wait_ms: float  # of a retry-after
-    streams: bool = True  # an answer that has begun may go on beyond its request's deadline
-    records: bool = False  # the counter service keeps tries
-    noted: bool = True  # each final answer is told to the log
-    auth: AuthParts | None = None
-    answerer: Answerer | None = None
-    sampler: Sampler | None = None
-    points: Points | None = None
-
-
-class ListenerBounds(Protocol):
-    """What a driver holds its clients to.  Sizes are bytes, times milliseconds."""
+    route_table: RouteTable
+    targets: TargetPolicy
+    status_classifier: StatusClassifier
+    message_builder: MessageBuilder
+    request_id_header: bytes  # names a request in logs and to endpoints
+    deadline_margin_ms: float  # a request ends so much before its client's deadline
+    max_in_flight: int
+    connect_timeout_ms: float
+    can_cancel: bool  # an attempt may be cancelled before its end
+    max_retry_after_ms: float
+    streams_past_deadline: bool = True  # a response that has begun may go on beyond its request's deadline
+    records_usage: bool = False  # the counter service keeps forwarded requests
+    logs_responses: bool = True
+    authorization: AuthorizationSettings | None = None
+    forward_auth_reader: Answerer | None = None
+    trace_sampler: Sampler | None = None
+    extension_points: ExtensionPoints | None = None
+
+
+# Limits -------------------------------------------------------------------------------------------------
+# Named as the settings (door.proto) and the platform's configuration have them, which satisfy these.
+
+
+class ListenerLimits(Protocol):
+    """What a server holds its clients to.  Sizes are bytes, times milliseconds."""
 
     @property
     def host(self) -> str:
@@ -171,7 +238,7 @@
 
     @property
     def max_connections(self) -> int:
-        """Connections held at once."""
+        """Connections at once."""
 
     @property
     def head_bytes(self) -> int:
@@ -187,23 +254,23 @@
 
     @property
     def head_ms(self) -> float:
-        """A head, and with `whole_body` the body too, must be whole within this."""
+        """A head, and with `whole_body` the body too, must be complete within this."""
 
     @property
     def leave_on_half_close(self) -> bool:
-        """A client that closed its side is taken for gone."""
+        """A client that closed its half is taken for disconnected."""
 
     @property
     def whole_body(self) -> bool:
-        """A request is taken once its body is whole."""
+        """A request is accepted once its body is complete."""
 
 
-class UpstreamBounds(Protocol):
-    """What a driver holds its connections to servers to."""
+class UpstreamLimits(Protocol):
+    """What a server holds its connections to endpoints to.  Sizes are bytes, times milliseconds."""
 
     @property
     def connections(self) -> int:
-        """To one server, in use and idle."""
+        """To one endpoint, in use and idle."""
 
     @property
     def idle_ms(self) -> float:
@@ -211,20 +278,20 @@
 
     @property
     def answer_idle_ms(self) -> float:
-        """Between two parts of an answer that has begun."""
+        """Between two parts of a response that has begun."""
 
     @property
     def keep_body_bytes(self) -> int:
-        """Of a request's body, for a further attempt."""
+        """Of a request's body, for another attempt."""
 
     @property
     def hold_answer_bytes(self) -> int:
-        """Of an answer, before it belongs to the client."""
+        """Of a response, before it belongs to the client."""
 
     @property
     def answer_bytes(self) -> int:
-        """Of an answer: a longer one is a failed attempt; 0: no bound."""
+        """Of a response: a longer one is a failed attempt; 0: no limit."""
 
     @property
     def all_connections(self) -> int:
-        """To all servers together; 0: no bound."""
+        """To all endpoints together; 0: no limit."""
