--- a/tests/test_formats_membership.py
+++ b/tests/test_formats_membership.py
@@ -40,7 +40,7 @@
 from martenstep.membership.keyring import Keyring
 from martenstep.membership.member import Address, MemberRecord, MemberState
 from martenstep.membership.member_table import BUCKET_COUNT
-from martenstep.membership.ownership import owners
+from martenstep.membership.ownership import select_owners
 from martenstep.membership.service import MembershipService
 from martenstep.membership.settings import MembershipSettings
 from martenstep.proxy.admin import Admin, DoorCollector
@@ -304,4 +304,4 @@
 
 def test_who_holds_what_is_the_same() -> None:
     members = [(f"d{number:03}", "abc"[number % 3]) for number in range(12)]
-    assert {key: owners(key, members, 4) for key in ("orders", "counter-0", "")} == stored("holders.json")
+    assert {key: select_owners(key, members, 4) for key in ("orders", "counter-0", "")} == stored("holders.json")
--- a/tests/test_gossip_core.py
+++ b/tests/test_gossip_core.py
@@ -20,7 +20,7 @@
 from martenstep.membership.keyring import Keyring
 from martenstep.membership.member import Address, MemberRecord, MemberState
 from martenstep.membership.member_table import BUCKET_COUNT, MemberTable
-from martenstep.membership.ownership import owners
+from martenstep.membership.ownership import select_owners
 from martenstep.membership.settings import MembershipSettings, Stage
 from martenstep.membership.suspicion import suspicion_timeout_ms
 
@@ -392,8 +392,8 @@
 def test_a_member_lost_moves_only_its_own_share(zones: dict[str, str], count: int, data: st.DataObject) -> None:
     lost = data.draw(st.sampled_from(sorted(zones)))
     for key in map(str, range(20)):
-        before = owners(key, zones.items(), count)
-        after = owners(key, [item for item in zones.items() if item[0] != lost], count)
+        before = select_owners(key, zones.items(), count)
+        after = select_owners(key, [item for item in zones.items() if item[0] != lost], count)
         assert len(set(before)) == min(count, len(zones))
         if lost not in before:
             assert after == before
@@ -404,7 +404,7 @@
 
 def test_holders_are_spread_evenly() -> None:
     names = [(f"d{number}", f"z{number % 3}") for number in range(9)]
-    held = [owners(str(key), names, 3)[0] for key in range(3000)]
+    held = [select_owners(str(key), names, 3)[0] for key in range(3000)]
     assert all(200 < held.count(name) < 470 for name, _ in names)
 
 
