--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -1,11 +1,12 @@
-"""The admin listener: health, readiness, metrics, the fleet.  For operators only: bind it to a host that clients don't
-reach."""
+"""The admin listener: health, readiness, metrics, membership, replicas and maintenance.
+
+For operators only: bind it to a host that clients don't reach."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 from urllib.parse import parse_qs
 
 import h11
@@ -14,89 +15,102 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-ANSWER_MS = 5000.0
-MOST_WAIT_MS = 60_000.0  # that a view is waited for
-Answer = tuple[int, str, bytes]
+if TYPE_CHECKING:  # a gateway without maintenance does not load it
+    from martenstep.maintenance.queue import What
+
+REQUEST_TIMEOUT_MS = 5000.0
+MAX_VIEW_WAIT_MS = 60_000.0
+READ_BYTES = 4096
+MS_PER_S = 1000.0
+TEXT, JSON, METRICS = "text/plain", "application/json", "text/plain; version=0.0.4"
+OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED, CONFLICT, UNAVAILABLE = 200, 400, 404, 405, 409, 503
+
 
+class AdminResponse(NamedTuple):
+    """One response."""
 
-class Fleet(Protocol):
+    status: int
+    content_type: str
+    body: bytes
+
+
+class MembershipAdmin(Protocol):
     """What the listener asks of the membership."""
 
     def view(self) -> dict[str, Any]:
-        """What this door holds of the others."""
+        """What this gateway knows of the others."""
 
     async def newer(self, version: int, wait_s: float) -> None:
         """Wait until the view is newer."""
 
     async def leave(self) -> None:
-        """Say that this door goes."""
+        """Announce that this gateway leaves."""
 
 
-class Copies(Protocol):
-    """What the listener asks of the copies that are here."""
+class ReplicationAdmin(Protocol):
+    """What the listener asks of the replicas that are here."""
 
     def view(self) -> dict[str, Any]:
-        """The groups and their copies."""
+        """The groups and their replicas."""
 
     def transfer_leadership(self, group: str, to: str) -> bool:
-        """Let the copy at another place lead."""
+        """Transfer a group's leadership; False where this gateway can't."""
+
 
+class MaintenanceAdmin(Protocol):
+    """What the listener asks of the maintenance queue."""
 
-class Orders(Protocol):
-    """What the listener asks of the order book."""
+    async def tell(self, what: What) -> object:
+        """Submit a change."""
 
-    async def tell(self, what: Any) -> Any:
-        """Put something in."""
+    async def look(self) -> object:
+        """All of the queue."""
 
-    async def look(self) -> Any:
-        """All of it."""
 
+def _text(status: int, text: str) -> AdminResponse:
+    return AdminResponse(status, TEXT, f"{text}\n".encode())
 
-class DoorCollector(Collector):
-    """The door's counts as Prometheus metrics, read when they are asked for."""
+
+def _json(content: object) -> AdminResponse:
+    return AdminResponse(OK, JSON, msgspec.json.encode(content))
+
+
+class GatewayCollector(Collector):
+    """The gateway's counts as Prometheus metrics, read when they are asked for."""
 
     def __init__(self, counts: Callable[[], dict[str, float]], gauges: Callable[[], dict[str, float]]) -> None:
+        """Both return values by metric name, without the prefix."""
         self._counts, self._gauges = counts, gauges
 
     def collect(self) -> list[Metric]:
         """All of them."""
-        made: list[Metric] = [
+        counters: list[Metric] = [
             CounterMetricFamily(f"martenstep_{name}", name.replace("_", " "), value=value)
             for name, value in self._counts().items()
         ]
-        made += [
+        gauges = [
             GaugeMetricFamily(f"martenstep_{name}", name.replace("_", " "), value=value)
             for name, value in self._gauges().items()
         ]
-        return made
+        return [*counters, *gauges]
 
 
-class Admin:
-    """Answers GETs of a few paths."""
+class AdminListener:
+    """Answers requests for a few paths."""
 
-    def __init__(self, collector: Collector, ready: Callable[[], bool]) -> None:
+    def __init__(self, collector: Collector, is_ready: Callable[[], bool]) -> None:
+        """`collector` has the metrics."""
         self._registry = prometheus_client.CollectorRegistry()
         self._registry.register(collector)
-        self._ready = ready
+        self._is_ready = is_ready
         self._server: asyncio.Server | None = None
-        self._fleet: Fleet | None = None
-        self._copies: Copies | None = None
-        self._orders: Orders | None = None
-
-    def fleet(self, fleet: Fleet) -> None:
-        """There is a fleet to tell of."""
-        self._fleet = fleet
-
-    def copies(self, copies: Copies) -> None:
-        """There are copies to tell of."""
-        self._copies = copies
-
-    def orders(self, orders: Orders) -> None:
-        """There is an order book to ask."""
-        self._orders = orders
+        # Each where the settings have it.
+        self.membership: MembershipAdmin | None = None
+        self.replication: ReplicationAdmin | None = None
+        self.maintenance: MaintenanceAdmin | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Bind; gives the port."""
+        """Bind; returns the port.  Raises OSError."""
         self._server = await asyncio.start_server(self._serve, host, port)
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -105,98 +119,111 @@
         if self._server is not None:
             self._server.close()
 
-    async def members(self, method: str, path: str, query: str) -> Answer:
-        """The fleet: `GET /members?after=VERSION&wait_ms=MS` waits for a newer view, `POST /members/leave` leaves."""
-        if self._fleet is None:
-            return 404, "text/plain", b"the settings have no fleet\n"
+    # Pages --------------------------------------------------------------------------------------------------
+
+    async def respond(self, method: str, path: str, query: str) -> AdminResponse:
+        """The response to a request."""
+        page = path.split("/")[1] if path.startswith("/") else ""
+        if page == "members":
+            return await self._respond_membership(method, path, query)
+        if page == "copies":
+            return self._respond_replication(method, path, query)
+        if page == "maintenance":
+            return await self._respond_maintenance(method, path, query)
+        return self.respond_status(path)
+
+    def respond_status(self, path: str) -> AdminResponse:
+        """Health, readiness and metrics."""
+        if path == "/healthz":
+            return _text(OK, "ok")
+        if path == "/readyz":
+            return _text(OK, "ready") if self._is_ready() else _text(UNAVAILABLE, "not ready")
+        if path == "/metrics":
+            return AdminResponse(OK, METRICS, prometheus_client.generate_latest(self._registry))
+        return _text(NOT_FOUND, "there are: /healthz /readyz /metrics /members /copies /maintenance")
+
+    async def _respond_membership(self, method: str, path: str, query: str) -> AdminResponse:
+        """`GET /members?after=VERSION&wait_ms=MS` waits for a newer view, `POST /members/leave` leaves."""
+        if self.membership is None:
+            return _text(NOT_FOUND, "the settings have no fleet")
         if path == "/members/leave":
             if method != "POST":
-                return 405, "text/plain", b"POST leaves\n"
-            await self._fleet.leave()
+                return _text(METHOD_NOT_ALLOWED, "POST leaves")
+            await self.membership.leave()
         elif path != "/members":
-            return 404, "text/plain", b"there are: /members /members/leave\n"
+            return _text(NOT_FOUND, "there are: /members /members/leave")
         elif query:
-            asked = parse_qs(query, keep_blank_values=True)
+            parameters = parse_qs(query, keep_blank_values=True)
             try:
-                after = int(asked.get("after", ["-1"])[-1])
-                wait_ms = float(asked.get("wait_ms", ["0"])[-1])
+                after = int(parameters.get("after", ["-1"])[-1])
+                wait_ms = float(parameters.get("wait_ms", ["0"])[-1])
             except ValueError:
-                return 400, "text/plain", b"after and wait_ms are numbers\n"
-            if not 0 <= wait_ms <= MOST_WAIT_MS:
-                return 400, "text/plain", f"wait_ms: expected 0 to {MOST_WAIT_MS:.0f}\n".encode()
-            await self._fleet.newer(after, wait_ms / 1000)
-        return 200, "application/json", msgspec.json.encode(self._fleet.view())
-
-    def held(self, method: str, path: str, query: str) -> Answer:
-        """The copies: `GET /copies`; `POST /copies/move?group=GROUP&to=DOOR` lets another door lead a group that is led
+                return _text(BAD_REQUEST, "after and wait_ms are numbers")
+            if not 0 <= wait_ms <= MAX_VIEW_WAIT_MS:
+                return _text(BAD_REQUEST, f"wait_ms: expected 0 to {MAX_VIEW_WAIT_MS:.0f}")
+            await self.membership.newer(after, wait_ms / MS_PER_S)
+        return _json(self.membership.view())
+
+    def _respond_replication(self, method: str, path: str, query: str) -> AdminResponse:
+        """`GET /copies`; `POST /copies/move?group=GROUP&to=GATEWAY` transfers the leadership of a group that is led
         here."""
-        if self._copies is None:
-            return 404, "text/plain", b"the settings have no copies\n"
+        if self.replication is None:
+            return _text(NOT_FOUND, "the settings have no copies")
         if path == "/copies/move":
             if method != "POST":
-                return 405, "text/plain", b"POST moves\n"
-            asked = parse_qs(query)
-            group, to = asked.get("group", [""])[-1], asked.get("to", [""])[-1]
-            if not self._copies.transfer_leadership(group, to):
-                return 409, "text/plain", b"this door does not lead that group, or the other does not hold it\n"
+                return _text(METHOD_NOT_ALLOWED, "POST moves")
+            parameters = parse_qs(query)
+            group, to = parameters.get("group", [""])[-1], parameters.get("to", [""])[-1]
+            if not self.replication.transfer_leadership(group, to):
+                return _text(CONFLICT, "this door does not lead that group, or the other does not hold it")
         elif path != "/copies":
-            return 404, "text/plain", b"there are: /copies /copies/move\n"
-        return 200, "application/json", msgspec.json.encode(self._copies.view())
+            return _text(NOT_FOUND, "there are: /copies /copies/move")
+        return _json(self.replication.view())
 
-    async def maintenance(self, method: str, path: str, query: str) -> Answer:
-        """The order book: `GET /maintenance` tells it, `POST /maintenance?what=JSON` puts something in."""
-        if self._orders is None:
-            return 404, "text/plain", b"the settings have no maintenance\n"
+    async def _respond_maintenance(self, method: str, path: str, query: str) -> AdminResponse:
+        """`GET /maintenance` returns the queue, `POST /maintenance?what=JSON` submits a change."""
+        if self.maintenance is None:
+            return _text(NOT_FOUND, "the settings have no maintenance")
+        if path != "/maintenance":
+            return _text(NOT_FOUND, "there is: /maintenance")
         from martenstep.maintenance.queue import What
         from martenstep.replication.replica_manager import LeaderUnreachableError
 
-        if path != "/maintenance":
-            return 404, "text/plain", b"there is: /maintenance\n"
         try:
             if method != "POST":
-                return 200, "application/json", msgspec.json.encode(await self._orders.look())
+                return _json(await self.maintenance.look())
             what = msgspec.json.decode(parse_qs(query).get("what", [""])[-1], type=What)
-            return 200, "application/json", msgspec.json.encode(await self._orders.tell(what))
+            return _json(await self.maintenance.tell(what))
         except msgspec.DecodeError as error:
-            return 400, "text/plain", f"what: {error}\n".encode()
+            return _text(BAD_REQUEST, f"what: {error}")
         except LeaderUnreachableError as error:
-            return 503, "text/plain", f"{error}\n".encode()
+            return _text(UNAVAILABLE, str(error))
 
-    def answer(self, path: str) -> Answer:
-        """Status, content type and body for a path."""
-        if path == "/healthz":
-            return 200, "text/plain", b"ok\n"
-        if path == "/readyz":
-            return (200, "text/plain", b"ready\n") if self._ready() else (503, "text/plain", b"not ready\n")
-        if path == "/metrics":
-            return 200, "text/plain; version=0.0.4", prometheus_client.generate_latest(self._registry)
-        return 404, "text/plain", b"there are: /healthz /readyz /metrics /members /copies /maintenance\n"
+    # Connections --------------------------------------------------------------------------------------------
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = h11.Connection(h11.SERVER)
         try:
-            async with asyncio.timeout(ANSWER_MS / 1000):
+            async with asyncio.timeout(REQUEST_TIMEOUT_MS / MS_PER_S):
                 while (event := connection.next_event()) is h11.NEED_DATA:
-                    connection.receive_data(await reader.read(4096))
+                    connection.receive_data(await reader.read(READ_BYTES))
             if isinstance(event, h11.Request):
                 path, _, query = event.target.decode("latin-1").partition("?")
-                if path == "/members" or path.startswith("/members/"):
-                    status, kind, body = await self.members(event.method.decode(), path, query)
-                elif path == "/copies" or path.startswith("/copies/"):
-                    status, kind, body = self.held(event.method.decode(), path, query)
-                elif path == "/maintenance" or path.startswith("/maintenance/"):
-                    status, kind, body = await self.maintenance(event.method.decode(), path, query)
-                else:
-                    status, kind, body = self.answer(path)
-                head = h11.Response(
-                    status_code=status,
-                    headers=[("content-type", kind), ("content-length", str(len(body))), ("connection", "close")],
-                )
-                writer.write(connection.send(head) or b"")
-                writer.write(connection.send(h11.Data(data=body)) or b"")
-                writer.write(connection.send(h11.EndOfMessage()) or b"")
+                response = await self.respond(event.method.decode(), path, query)
+                self._write(connection, writer, response)
                 await writer.drain()
         except (TimeoutError, OSError, h11.ProtocolError):
             pass
         finally:
             writer.close()
+
+    @staticmethod
+    def _write(connection: h11.Connection, writer: asyncio.StreamWriter, response: AdminResponse) -> None:
+        headers = [
+            ("content-type", response.content_type),
+            ("content-length", str(len(response.body))),
+            ("connection", "close"),
+        ]
+        writer.write(connection.send(h11.Response(status_code=response.status, headers=headers)) or b"")
+        writer.write(connection.send(h11.Data(data=response.body)) or b"")
+        writer.write(connection.send(h11.EndOfMessage()) or b"")
--- /dev/null
+++ b/martenstep/proxy/cluster.py
@@ -0,0 +1,126 @@
+"""What a gateway does together with the others: membership, replicas, and turns of maintenance.
+
+What is wrong with any of it keeps no gateway from serving: the others go on."""
+
+from __future__ import annotations
+
+import os
+import signal
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from martenstep.config import door_pb2 as pb
+from martenstep.event_log import EventLog
+from martenstep.proxy.admin import AdminListener
+
+if TYPE_CHECKING:  # a gateway without them loads none of it
+    from martenstep.counter.pending_increments import Try
+    from martenstep.counter.sharded_counter import HeldByDoors
+    from martenstep.maintenance.coordinator import Orders
+    from martenstep.membership.transport import Membership
+
+
+class Cluster:
+    """This gateway's part in the cluster, as far as the settings have one."""
+
+    def __init__(self, door: pb.Door, admin: AdminListener, is_ready: Callable[[], bool], log_event: EventLog) -> None:
+        """`admin` shows what is started here; `is_ready` tells whether this gateway serves."""
+        self._door, self._admin, self._is_ready, self._log_event = door, admin, is_ready, log_event
+        self.membership: Membership | None = None
+        self.replicas: HeldByDoors | None = None
+        self.maintenance: Orders | None = None
+
+    async def start(self, deliver: Callable[[Try], bool]) -> dict[str, int]:
+        """Join the others; returns the ports by name.  `deliver` takes what a ledger that this gateway leads has."""
+        from martenstep.membership.keys import KeyFileError
+        from martenstep.membership.transport import Membership
+
+        ports: dict[str, int] = {}
+        try:
+            self.membership = Membership(self._door.fleet, self._door.name, self._door.zone, self._log_event)
+            ports["fleet"] = await self.membership.start()
+        except (KeyFileError, OSError) as error:
+            self._log_event("fleet not joined", {"error": str(error)})
+            self.membership = None
+            return ports
+        self._admin.membership = self.membership
+        if self._door.HasField("copies"):
+            ports.update(await self._start_replicas(self.membership, deliver))
+        return ports
+
+    async def _start_replicas(self, membership: Membership, deliver: Callable[[Try], bool]) -> dict[str, int]:
+        from martenstep.counter.sharded_counter import HeldByDoors
+        from martenstep.replication.replica_manager import ReplicaManagerError
+        from martenstep.storage.files import LockedError
+
+        ports: dict[str, int] = {}
+        self.replicas = HeldByDoors(self._door, membership, self._log_event, deliver)
+        try:
+            ports.update(await self.replicas.start())
+        except (ReplicaManagerError, LockedError, OSError) as error:
+            self._log_event("copies not held", {"error": str(error)})
+            await self.replicas.stop()
+        self._admin.replication = self.replicas.keeper
+        if self._door.HasField("maintenance"):
+            self._start_maintenance(self.replicas)
+        return ports
+
+    def _start_maintenance(self, replicas: HeldByDoors) -> None:
+        from martenstep.maintenance.coordinator import Orders
+
+        self.maintenance = Orders(
+            self._door.name,
+            self._door.zone,
+            self._door.maintenance.capacity,
+            replicas.keeper,
+            self._is_ready,
+            self._known_gateways,
+            self._leave_for_maintenance,
+            self._log_event,
+        )
+        self.maintenance.start()
+        self._admin.maintenance = self.maintenance
+
+    def _known_gateways(self) -> list[tuple[str, str]]:
+        """Names and zones of the gateways that the membership knows."""
+        core = self.membership.core if self.membership is not None else None
+        return [(member.name, member.zone) for member in core.table] if core is not None else []
+
+    def _leave_for_maintenance(self, request: str) -> None:
+        """This machine's turn: the gateway stops as on SIGTERM, answers what is in flight, hands over, and ends."""
+        self._log_event("maintenance leaves", {"request": request})
+        os.kill(os.getpid(), signal.SIGTERM)
+
+    async def stop(self) -> None:
+        """End all but the membership."""
+        if self.maintenance is not None:
+            self.maintenance.stop()
+        if self.replicas is not None:
+            await self.replicas.stop()
+
+    def counts(self) -> dict[str, float]:
+        """Totals by metric name."""
+        counts: dict[str, float] = {}
+        if self.membership is not None:
+            counts.update(self.membership.counts())
+        replicas = self.replicas
+        if replicas is not None:
+            counts.update({f"copies_{name}": count for name, count in replicas.keeper.counts.items()})
+            if replicas.books is not None:
+                counts.update({f"books_{name}": count for name, count in replicas.books.counts.items()})
+            counts.update({f"copies_links_{name}": count for name, count in replicas.links.counts.items()})
+        return counts
+
+    def gauges(self) -> dict[str, float]:
+        """Present values by metric name."""
+        gauges: dict[str, float] = {}
+        if self.membership is not None:
+            gauges.update(self.membership.gauges())
+        replicas = self.replicas
+        if replicas is not None:
+            gauges.update(replicas.keeper.gauges())
+            if replicas.books is not None:
+                gauges.update(replicas.books.gauges())
+            if self.maintenance is not None:
+                gauges.update(self.maintenance.gauges())
+        return gauges
--- /dev/null
+++ b/martenstep/proxy/usage_recorder.py
@@ -0,0 +1,180 @@
+"""The gateway's side of the counter service: counter calls, and the record of each forwarded request."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from functools import partial
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from martenstep.config import door_pb2 as pb
+from martenstep.config.tls import ClientContext
+from martenstep.counter.client import CounterClient, Journal
+from martenstep.counter.shards import Shards
+from martenstep.event_log import EventLog
+from martenstep.policy.messages import CallResult
+from martenstep.proxy.cluster import Cluster
+from martenstep.proxy.engine_messages import RecordUsage
+
+if TYPE_CHECKING:  # a gateway that holds no replicas does not load them
+    from martenstep.counter.pending_increments import Try
+
+FLUSH_TIMEOUT_MS = 2000.0  # at a stop: what is not acknowledged by then stays in the journal
+MS_PER_S = 1000.0
+CounterReplied = Callable[[int, CallResult, float, float], None]
+Address = tuple[str, int]
+
+
+class UsageRecorder:
+    """The clients of the counter service, one a shard."""
+
+    def __init__(self, door: pb.Door, cluster: Cluster, replied: CounterReplied, log_event: EventLog) -> None:
+        """`replied` is called with the outcome of each counter call: its id, result, total and time retained."""
+        self._door, self._settings, self._cluster = door, door.counter, cluster
+        self._replied, self._log_event = replied, log_event
+        self.client_tls: list[ClientContext] = []
+        self._shards: Shards | None = None
+
+    def start(self) -> None:
+        """Connect; raises TlsError."""
+        clients = self._replica_clients() if self._settings.held_by_doors else self._service_clients()
+        self._shards = Shards(clients)
+        self._shards.start()
+
+    async def stop(self) -> None:
+        """Write what is left, for a bounded time, and end."""
+        if self._shards is not None:
+            await self._shards.flush(FLUSH_TIMEOUT_MS)
+            await self._shards.stop()
+
+    def add(self, call_id: int, key: int, units: float, expire_ms: float, bounds_ceiling: bool) -> None:
+        """Make a counter call."""
+        assert self._shards is not None
+        self._shards.add(call_id, key, units, expire_ms, bounds_ceiling)
+
+    # Clients ------------------------------------------------------------------------------------------------
+
+    def _journal(self, name: str) -> Journal:
+        return Journal(Path(self._settings.journal) / name, self._settings.journal_tries, self._log_event)
+
+    def _service_clients(self) -> dict[str, CounterClient]:
+        """One client a service, each with a journal of its own."""
+        settings = self._settings
+        tls = None
+        if settings.HasField("tls"):
+            client_tls = ClientContext(settings.tls)
+            self.client_tls.append(client_tls)
+            tls = client_tls.context
+        addresses: dict[str, list[Address]] = {
+            service.name: [(replica.host, replica.port) for replica in service.copy] or [(service.host, service.port)]
+            for service in settings.service
+        }
+        return {
+            name: CounterClient(
+                service_addresses,
+                self._door.name,
+                self._journal(name),
+                self._replied,
+                self._log_event,
+                timeout_ms=settings.timeout_ms,
+                waiting=settings.waiting,
+                map_version=settings.map_version,
+                tls=tls,
+                server_name=settings.tls.server_name,
+            )
+            for name, service_addresses in (addresses or {"": [(settings.host, settings.port)]}).items()
+        }
+
+    def _replica_clients(self) -> dict[str, CounterClient]:
+        """One client a slot.  A gateway that knows of no other asks nobody, and decides without: as with a counter that
+        is away."""
+        from martenstep.counter.sharded_counter import slots
+
+        settings, membership = self._settings, self._cluster.membership
+        return {
+            slot: CounterClient(
+                partial(self._replica_addresses, slot),
+                self._door.name,
+                self._journal(slot),
+                self._replied,
+                self._log_event,
+                timeout_ms=settings.timeout_ms,
+                waiting=settings.waiting,
+                map_version=self._door.copies.slots,
+                group=slot,
+                way=membership.way if membership is not None else lambda address: address,
+                recorded=self._recorded,
+            )
+            for slot in slots(self._door.copies)
+        }
+
+    def _replica_addresses(self, slot: str) -> list[Address]:
+        replicas = self._cluster.replicas
+        return replicas.addresses(slot) if replicas is not None else []
+
+    # Records ------------------------------------------------------------------------------------------------
+
+    def record(self, usage: RecordUsage) -> asyncio.Future[bool] | None:
+        """Record a forwarded request; returns a future where its response has to wait for the record."""
+        assert self._shards is not None
+        recorded = self._record_pending(usage)
+        written = self._shards.record(
+            time.time() * MS_PER_S,
+            usage.units,
+            usage.over_quota,
+            usage.correlation_id,
+            usage.customer,
+            usage.plan,
+            usage.request_class,
+        )
+        if not written:
+            self._log_event(
+                "try not recorded",
+                {
+                    "request": usage.correlation_id,
+                    "customer": usage.customer,
+                    "plan": usage.plan,
+                    "units": usage.units,
+                    "beyond": usage.over_quota,
+                },
+            )
+        return recorded
+
+    def _record_pending(self, usage: RecordUsage) -> asyncio.Future[bool] | None:
+        """Have the ledger of this gateway's replicas keep the request until the counter has it."""
+        replicas = self._cluster.replicas
+        if replicas is None or replicas.books is None:
+            return None
+        from martenstep.counter.pending_increments import Try
+
+        recorded = replicas.books.promise(
+            Try(
+                usage.correlation_id,
+                time.time() * MS_PER_S,
+                usage.units,
+                usage.over_quota,
+                usage.customer,
+                usage.plan,
+                usage.request_class,
+            )
+        )
+        return recorded if self._door.copies.book.before_answer else None
+
+    def deliver(self, pending: Try) -> bool:
+        """Record a request out of a ledger that this gateway leads; False where it can't be taken now."""
+        return self._shards is not None and self._shards.record(
+            pending.time_ms,
+            pending.units,
+            pending.beyond,
+            pending.request,
+            pending.customer,
+            pending.plan,
+            pending.cls,
+        )
+
+    def _recorded(self, correlation_id: str) -> None:
+        replicas = self._cluster.replicas
+        if replicas is not None and replicas.books is not None:
+            replicas.books.recorded(correlation_id)
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -20,7 +20,7 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.config.tls import TlsError
 from martenstep.event_log import EventLog
-from martenstep.proxy.daemon import Daemon, loop_fault
+from martenstep.proxy.daemon import Daemon, log_loop_error
 from martenstep.proxy.event_logger import EventLogger, configure
 from martenstep.supervise import early, resources
 from martenstep.supervise.lock import LockedError, PidFile
@@ -157,7 +157,7 @@
     """One process."""
     notifier, stop = Notifier(), asyncio.Event()
     daemon = Daemon(door, seed)
-    asyncio.get_running_loop().set_exception_handler(lambda _, context: loop_fault(daemon, context))
+    asyncio.get_running_loop().set_exception_handler(lambda _, context: log_loop_error(daemon, context))
 
     async def take_up(made: pb.Door) -> str:
         daemon.reconfigure(made)
--- a/martenstep/supervise/worker.py
+++ b/martenstep/supervise/worker.py
@@ -14,7 +14,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.changes import differences
 from martenstep.config.tls import TlsError
-from martenstep.proxy.daemon import Daemon, loop_fault
+from martenstep.proxy.daemon import Daemon, log_loop_error
 from martenstep.proxy.event_logger import EventLogger, configure
 from martenstep.supervise import frames
 from martenstep.supervise.frames import Begin, Commit, Prepare, Renew, Said
@@ -77,7 +77,7 @@
     configure(door.log.form)
     try:
         daemon = Daemon(door, begin.seed)
-        loop.set_exception_handler(lambda _, context: loop_fault(daemon, context))
+        loop.set_exception_handler(lambda _, context: log_loop_error(daemon, context))
         sock = socket.socket(fileno=begin.socket) if begin.socket >= 0 else None
         await daemon.start(sock, begin.reuse_port)
     except (TlsError, OSError) as error:
--- a/tests/test_formats_maintenance.py
+++ b/tests/test_formats_maintenance.py
@@ -40,7 +40,7 @@
     What,
     entry,
 )
-from martenstep.proxy.admin import Admin, DoorCollector
+from martenstep.proxy.admin import AdminListener, GatewayCollector
 
 FORMATS = Path(__file__).parent / "formats" / "membership"
 LIMITS = Limits(3, 2, 0.75, True, False, 1000.0, 2000.0, 3000.0)
@@ -194,15 +194,15 @@
         return Orders("m0", "a", 1.0, keeper, lambda: True, lambda: [], lambda name: None, lambda event, more: None)
 
     assert orders(None).gauges() == {}
-    admin = Admin(DoorCollector(dict, orders(book).gauges), lambda: True)
-    admin.orders(Told())
-    status, kind, body = asyncio.run(admin.maintenance("GET", "/maintenance", ""))
+    admin = AdminListener(GatewayCollector(dict, orders(book).gauges), lambda: True)
+    admin.maintenance = Told()
+    status, kind, body = asyncio.run(admin.respond("GET", "/maintenance", ""))
     assert (status, kind) == (200, "application/json") and body == (FORMATS / "maintenance-page.json").read_bytes()
     assert msgspec.json.decode(body, type=View) == view
     asked = "what=" + stored("entries.json")["start"]["json"]
-    status, kind, body = asyncio.run(admin.maintenance("POST", "/maintenance", asked))
+    status, kind, body = asyncio.run(admin.respond("POST", "/maintenance", asked))
     assert (status, kind) == (200, "application/json") and body.decode() == stored("answers.json")["whole"]["json"]
-    assert admin.answer("/metrics")[2] == (FORMATS / "maintenance-metrics.txt").read_bytes()
+    assert admin.respond_status("/metrics")[2] == (FORMATS / "maintenance-metrics.txt").read_bytes()
 
 
 def test_what_the_command_line_prints_is_as_before(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_formats_membership.py
+++ b/tests/test_formats_membership.py
@@ -40,7 +40,7 @@
 from martenstep.membership.member_table import BUCKETS, Fact, State
 from martenstep.membership.ownership import holders
 from martenstep.membership.transport import Membership
-from martenstep.proxy.admin import Admin, DoorCollector
+from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.storage.files import Disk
 
 FORMATS = Path(__file__).parent / "formats" / "membership"
@@ -167,11 +167,11 @@
     for number, fact in enumerate((OTHER, LEFT, DEAD)):
         made.core.table.put(45_000.0 + number * 1000.0, fact)
     made.core.counts["sent"] = 5
-    admin = Admin(DoorCollector(made.counts, made.gauges), lambda: True)
-    admin.fleet(made)
-    status, kind, body = asyncio.run(admin.members("GET", "/members", ""))
+    admin = AdminListener(GatewayCollector(made.counts, made.gauges), lambda: True)
+    admin.membership = made
+    status, kind, body = asyncio.run(admin.respond("GET", "/members", ""))
     assert (status, kind) == (200, "application/json") and body == (FORMATS / "members-page.json").read_bytes()
-    metrics = admin.answer("/metrics")[2]
+    metrics = admin.respond_status("/metrics")[2]
     assert metrics == (FORMATS / "members-metrics.txt").read_bytes()
 
 
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -16,7 +16,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.admin import Admin, DoorCollector
+from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.proxy.daemon import Daemon
 from martenstep.proxy.headers import REASON_TEXTS, REJECTION_STATUS, local_reply
 from tests.door_rig import Rig, settings
@@ -81,7 +81,7 @@
     ready: list[bool] = []
 
     async def test() -> None:
-        admin, view = Admin(DoorCollector(dict, dict), lambda: bool(ready)), View()
+        admin, view = AdminListener(GatewayCollector(dict, dict), lambda: bool(ready)), View()
         port = await admin.start("127.0.0.1", 0)
 
         async def ask(line: str) -> None:
@@ -93,9 +93,9 @@
         for line in ("GET /readyz", "GET /members", "GET /copies", "GET /maintenance"):
             await ask(line)
         ready.append(True)
-        admin.fleet(view)
-        admin.copies(view)
-        admin.orders(view)
+        admin.membership = view
+        admin.replication = view
+        admin.maintenance = view
         for line in REQUESTS.splitlines():
             await ask(line)
         admin.stop()
@@ -117,8 +117,8 @@
     async def test() -> None:
         text = 'auth { service { port: 1 } } hooks { directory: "none" } forward_auth { } listener { max_open: 10 }'
         daemon = Daemon(settings(text), 1)
-        admin = Admin(DoorCollector(daemon._counts, daemon._gauges), lambda: True)
-        status, kind, body = admin.answer("/metrics")
+        admin = AdminListener(GatewayCollector(daemon.counts, daemon.gauges), lambda: True)
+        status, kind, body = admin.respond_status("/metrics")
         assert (status, kind) == (200, "text/plain; version=0.0.4")
         assert "\n".join(described(body.decode())) + "\n" == stored("metrics.txt")
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,7 +20,7 @@
 from martenstep.membership.keys import KeyFileError, read_keys
 from martenstep.membership.member_table import State
 from martenstep.membership.transport import Membership
-from martenstep.proxy.admin import Admin, DoorCollector
+from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.storage.files import FAULTS, Disk
 from tests.door_rig import DOOR
 from tests.socket_rig import run
@@ -168,12 +168,12 @@
         for name in ("d0", "d1"):
             await fleet.start(name)
         await fleet.until(lambda: all(fleet.all_hold(State.ALIVE, name) for name in fleet.doors))
-        admin = Admin(DoorCollector(dict, fleet.doors["d0"].gauges), lambda: True)
+        admin = AdminListener(GatewayCollector(dict, fleet.doors["d0"].gauges), lambda: True)
         port = await admin.start("127.0.0.1", 0)
         at = f"127.0.0.1:{port}"
         told = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", at])
         assert told.exit_code == 1 and "no fleet" in told.output
-        admin.fleet(fleet.doors["d0"])
+        admin.membership = fleet.doors["d0"]
         told = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", at])
         assert told.exit_code == 0 and "d0 is joined; 2 of 2 present" in told.output and "d1    alive" in told.output
         view = await ask(port, "/members")
@@ -183,7 +183,7 @@
         assert (await waiting)["version"] > view["version"]
         watched = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "watch", "--admin", at, "--times", "1"])
         assert "d0 is gone" in watched.output
-        assert b"martenstep_fleet_members_left 1" in admin.answer("/metrics")[2]
+        assert b"martenstep_fleet_members_left 1" in admin.respond_status("/metrics")[2]
         for path, status in (
             ("/members?after=x", 400),
             ("/members?wait_ms=1e9", 400),
