--- a/martenstep/policy/admission.py
+++ b/martenstep/policy/admission.py
@@ -110,8 +110,8 @@
         to spare and the own headroom holds it: no other instance counts it."""
         customer = request.customer
         units = request.request.units
-        is_worth_sending = customer.plan.over_quota_value > customer.plan.over_quota_cost
-        if not is_worth_sending or not customer.headroom_holds(now, units):
+        gains_over_quota = customer.plan.over_quota_value > customer.plan.over_quota_cost
+        if not gains_over_quota or not customer.headroom_holds(now, units):
             return self._requests.reject(request, wait_ms, reason)
         request.is_over_quota = True
         actions = self._requests.start_attempt(now, request, MAX_OVER_QUOTA_LATENCY_SHARE)
--- a/martenstep/policy/ceiling.py
+++ b/martenstep/policy/ceiling.py
@@ -15,7 +15,7 @@
 MAX_CLOCK_SKEW_MS = 10.0  # between instances: so close to a period's end its total is not relied on
 
 
-def instances_of(request: Request, settings: Settings) -> int:
+def instance_count(request: Request, settings: Settings) -> int:
     """Over how many instances the customer's requests are spread."""
     return max(1, min(request.instances, settings.instances))
 
@@ -26,7 +26,7 @@
     Where an even part is less than one request, the first so many of the customer's instances hold one each: else all
     would admit one, or none would.
     """
-    holders = min(instances_of(request, settings), int(headroom_units / max(settings.max_units, 1.0)))
+    holders = min(instance_count(request, settings), int(headroom_units / max(settings.max_units, 1.0)))
     position = (settings.instance - request.first_instance) % settings.instances
     return (position < holders) / max(holders, 1)
 
--- a/martenstep/policy/customer_state.py
+++ b/martenstep/policy/customer_state.py
@@ -4,7 +4,7 @@
 
 import math
 
-from martenstep.policy.ceiling import CeilingLimiter, instances_of
+from martenstep.policy.ceiling import CeilingLimiter, instance_count
 from martenstep.policy.counter_period import CounterPeriod, InstanceContext
 from martenstep.policy.gcra import MS_PER_S, Gcra
 from martenstep.policy.messages import CounterReply, Plan, Request
@@ -52,7 +52,7 @@
     def __init__(self, plan: Plan, request: Request, instance: InstanceContext, now: float) -> None:
         """Begin with an even share of the burst: nothing was read from the counter yet."""
         self.plan = plan
-        self.instances = instances_of(request, instance.settings)
+        self.instances = instance_count(request, instance.settings)
         self.quota = Gcra(plan.rate, plan.burst, now)
         self.quota.tat = now + self.quota.tolerance_ms * (1 - 1 / self.instances)
         self.unconfirmed_share = Gcra(plan.rate, plan.burst, now)  # its rate is set to the own share before each use
--- a/martenstep/policy/messages.py
+++ b/martenstep/policy/messages.py
@@ -77,7 +77,7 @@
     LOST = "lost"  # no list: discovery is not reachable
 
 
-def _require_at_least(key: str, value: float, minimum: float) -> None:
+def _require_minimum(key: str, value: float, minimum: float) -> None:
     if not value >= minimum:
         raise ValueError(f"setting {key}: expected at least {minimum:g}, got {value!r}")
 
@@ -107,7 +107,7 @@
             "priority_weight",
             "late_value_share",
         ):
-            _require_at_least(f"classes.{self.name}.{key}", getattr(self, key), 0.0)
+            _require_minimum(f"classes.{self.name}.{key}", getattr(self, key), 0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +141,7 @@
             "ceiling_burst",
             "ceiling_slack",
         ):
-            _require_at_least(f"plans.{self.name}.{key}", getattr(self, key), 0.0)
+            _require_minimum(f"plans.{self.name}.{key}", getattr(self, key), 0.0)
         if self.rate > 0 and not self.burst > 0:
             raise ValueError(f"setting plans.{self.name}.burst: expected above 0 where there is a rate")
 
@@ -181,9 +181,9 @@
 
     def __post_init__(self) -> None:
         """Check the bounds."""
-        _require_at_least("instances", self.instances, 1)
-        _require_at_least("instance", self.instance, 0)
-        _require_at_least("max_attempts", self.max_attempts, 1)
+        _require_minimum("instances", self.instances, 1)
+        _require_minimum("instance", self.instance, 0)
+        _require_minimum("max_attempts", self.max_attempts, 1)
         for key in (
             "tick_ms",
             "counter_timeout_ms",
@@ -196,7 +196,7 @@
             "overload_multiple",
             "overload_window_ms",
         ):
-            _require_at_least(key, getattr(self, key), 0.0)
+            _require_minimum(key, getattr(self, key), 0.0)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -147,16 +147,16 @@
         number = self.attempts[send.id] = self.attempts.get(send.id, -1) + 1
         self.running[send.id, number] = self.now, send.endpoint
         rtt = self.scenario.latency_ms * self.spread[send.endpoint - 1] * self.rng.uniform(0.6, 1.8)
-        verdict = api.CallResult.OK
+        result = api.CallResult.OK
         if self.rng.random() < self.scenario.error_share:
-            verdict = self.rng.choice(
+            result = self.rng.choice(
                 [v for v in api.CallResult if v not in (api.CallResult.OK, api.CallResult.CANCELLED)]
             )
-            rtt *= {api.CallResult.TIMEOUT: 8.0, api.CallResult.ERROR: 1.0}.get(verdict, 0.1)
+            rtt *= {api.CallResult.TIMEOUT: 8.0, api.CallResult.ERROR: 1.0}.get(result, 0.1)
         if rtt >= send.timeout_ms:
-            verdict, rtt = api.CallResult.TIMEOUT, send.timeout_ms
-        ended = verdict is api.CallResult.OK or rtt >= send.timeout_ms
-        self.later(rtt, api.AttemptEnded(send.id, number, send.endpoint, verdict, rtt, ended, 1.5, (1.0, 2.0)))
+            result, rtt = api.CallResult.TIMEOUT, send.timeout_ms
+        ended = result is api.CallResult.OK or rtt >= send.timeout_ms
+        self.later(rtt, api.AttemptEnded(send.id, number, send.endpoint, result, rtt, ended, 1.5, (1.0, 2.0)))
         if self.rng.random() < 0.05:
             self.later(rtt * 0.5, api.ResponseStarted(send.id))
 
@@ -169,8 +169,8 @@
             elsewhere = self.rng.choice((0.0, 0.0, 1.0, 3.0))
             self.totals[call.key] = self.totals.get(call.key, 0.0) + call.units + elsewhere
         if fault:
-            verdict = self.rng.choice((api.CallResult.TIMEOUT, api.CallResult.ERROR, api.CallResult.CONNECT_FAILED))
-            self.later(self.scenario.settings.counter_timeout_ms, api.CounterReply(call.key, verdict, delay))
+            result = self.rng.choice((api.CallResult.TIMEOUT, api.CallResult.ERROR, api.CallResult.CONNECT_FAILED))
+            self.later(self.scenario.settings.counter_timeout_ms, api.CounterReply(call.key, result, delay))
             return
         kept = self.rng.choice((math.inf, math.inf, math.inf, self.rng.uniform(0.0, 8000.0)))
         self.later(delay, api.CounterReply(call.key, api.CallResult.OK, delay, self.totals[call.key], kept))
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -11,7 +11,16 @@
 from martenstep.policy.ceiling import MAX_CLOCK_SKEW_MS, CeilingLimiter
 from martenstep.policy.counter_period import InstanceContext
 from martenstep.policy.customer_state import CustomerState
-from tests.helpers import CAPPED, SETTINGS, START, admit, answer, gateway, only, request
+from tests.policy_events import (
+    CAPPED,
+    SETTINGS,
+    START,
+    actions_of,
+    admit_with_counter,
+    gateway,
+    reply_to_calls,
+    request,
+)
 
 ONE_UNIT = replace(SETTINGS, max_units=1.0)
 NEVER = -math.inf  # when the counter's contents were last indeterminate
@@ -118,17 +127,17 @@
     """The state had counted as confirmed through failing calls, and the others' use was refilled at once."""
     made = gateway(max_units=1.0)
     totals: dict[int, float] = {}
-    assert only(admit(made, START, request("a", plan="capped"), totals), api.StartAttempt)
+    assert actions_of(admit_with_counter(made, START, request("a", plan="capped"), totals), api.StartAttempt)
     for number in range(40):  # 4 s of a store that is away
         now = START + 100.0 * (number + 1)
-        for count in only(made.handle(now, request(f"b{number}", plan="capped")), api.IncrementCounter):
+        for count in actions_of(made.handle(now, request(f"b{number}", plan="capped")), api.IncrementCounter):
             made.handle(now, api.CounterReply(count.key, api.CallResult.CONNECT_FAILED, 0.0))
     now = START + 4200.0
     counts: list[api.IncrementCounter] = []
     for number in range(200):
-        counts = only(made.handle(now + number, request(f"c{number}", plan="capped")), api.IncrementCounter)
+        counts = actions_of(made.handle(now + number, request(f"c{number}", plan="capped")), api.IncrementCounter)
         if counts:
             break
     assert counts and counts[0].bounds_ceiling
     totals[counts[0].key] = 30.0  # of others, a moment ago
-    assert not only(answer(made, now + 200.0, counts, totals), api.StartAttempt)
+    assert not actions_of(reply_to_calls(made, now + 200.0, counts, totals), api.StartAttempt)
--- a/tests/test_decide_pick.py
+++ b/tests/test_load_balancing.py
@@ -23,7 +23,7 @@
 )
 from tests.door_rig import settings
 
-VERDICTS = (
+FAILURES = (
     api.CallResult.ERROR,
     api.CallResult.OVERLOADED,
     api.CallResult.CONNECT_FAILED,
@@ -69,7 +69,7 @@
         return None if best is None else (best[1].endpoint, sum(best[1].expected_latency(now, default_ms)))
 
 
-def play(seed: int, servers: int, gateways: int, rate: float, warm_ms: float) -> int:
+def play(seed: int, endpoints: int, gateways: int, rate: float, warm_ms: float) -> int:
     """A stream of events for both; gives how many sends there were."""
     rng = random.Random(seed)
     door = settings("store { timeout_ms: 50 }")
@@ -82,7 +82,7 @@
     now, order, sends = 1e5, 0, 0
     heap: list[tuple[float, int, api.Event]] = []
     attempts: dict[str, int] = {}
-    slow, bad = ({number for number in range(1, servers + 1) if rng.random() < share} for share in (0.15, 0.1))
+    slow, bad = ({number for number in range(1, endpoints + 1) if rng.random() < share} for share in (0.15, 0.1))
 
     def server(number: int, state: api.EndpointState = api.EndpointState.UP, started: float = 0.0) -> api.Endpoint:
         return api.Endpoint(
@@ -99,22 +99,24 @@
                 sends += 1
                 number = attempts[action.id] = attempts.get(action.id, -1) + 1
                 fails = action.endpoint in bad and rng.random() < 0.6
-                verdict = rng.choice(VERDICTS) if fails else api.CallResult.OK
+                result = rng.choice(FAILURES) if fails else api.CallResult.OK
                 rtt = rng.expovariate(1 / 30) * (8 if action.endpoint in slow else 1) + rng.choice((0.0, 1.0, 20.0))
-                ended = verdict is api.CallResult.OK
+                ended = result is api.CallResult.OK
                 heapq.heappush(
-                    heap, (now + rtt, order, api.AttemptEnded(action.id, number, action.endpoint, verdict, rtt, ended))
+                    heap, (now + rtt, order, api.AttemptEnded(action.id, number, action.endpoint, result, rtt, ended))
                 )
             elif isinstance(action, api.SetTimer):
                 heapq.heappush(heap, (max(action.at_ms, now), order, api.TimerFired(action.token)))
             elif isinstance(action, api.IncrementCounter):
-                verdict = rng.choice((api.CallResult.OK, api.CallResult.OK, api.CallResult.TIMEOUT))
+                result = rng.choice((api.CallResult.OK, api.CallResult.OK, api.CallResult.TIMEOUT))
                 heapq.heappush(
                     heap,
-                    (now + rng.choice((1, 5, 60)), order, api.CounterReply(action.key, verdict, 3.0, action.units)),
+                    (now + rng.choice((1, 5, 60)), order, api.CounterReply(action.key, result, 3.0, action.units)),
                 )
 
-    tell(api.EndpointListUpdate(api.EndpointListScope.FULL, tuple(server(number) for number in range(1, servers + 1))))
+    tell(
+        api.EndpointListUpdate(api.EndpointListScope.FULL, tuple(server(number) for number in range(1, endpoints + 1)))
+    )
     for number in range(250):
         until = now + rng.expovariate(rate)
         while heap and heap[0][0] <= until:
@@ -124,7 +126,7 @@
         now = until
         if rng.random() < 0.02:
             state = rng.choice((api.EndpointState.UP, api.EndpointState.UP, api.EndpointState.DRAINING))
-            changed = server(rng.randrange(1, servers + 3), state, rng.choice((0.0, now - rng.random() * 3000)))
+            changed = server(rng.randrange(1, endpoints + 3), state, rng.choice((0.0, now - rng.random() * 3000)))
             tell(api.EndpointListUpdate(api.EndpointListScope.DELTA, (changed,)))
         tell(
             api.Request(
@@ -142,8 +144,10 @@
     return sends
 
 
-@pytest.mark.parametrize("servers", [1, 5, 14, 140, 400])
+@pytest.mark.parametrize("endpoints", [1, 5, 14, 140, 400])
 @pytest.mark.parametrize(("gateways", "rate"), [(1, 1.0), (2, 0.05), (30, 3.0), (380, 0.2)])
 @pytest.mark.parametrize("warm_ms", [0.0, 3000.0])
-def test_the_choice_is_that_of_a_look_at_each_server(servers: int, gateways: int, rate: float, warm_ms: float) -> None:
-    assert play(servers * 1000 + gateways, servers, gateways, rate, warm_ms) > 0
+def test_the_choice_is_that_of_a_look_at_each_endpoint(
+    endpoints: int, gateways: int, rate: float, warm_ms: float
+) -> None:
+    assert play(endpoints * 1000 + gateways, endpoints, gateways, rate, warm_ms) > 0
--- a/tests/test_decide_cold.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Cold servers under the sum of what all gateways send: a zone comes back cold, gateways start anew with it, and some
+"""Cold endpoints under the sum of what all gateways send: a zone comes back cold, gateways start anew with it, and some
 of them carry several times what others do.
 
 Beyond a cold server's budget of N calls in a fall window no more than twice the root of N, and two, is chance.
@@ -17,27 +17,27 @@
 
 from martenstep.policy import messages as api
 from martenstep.policy.gateway import Gateway
-from tests.helpers import SETTINGS
+from tests.policy_events import SETTINGS
 
-GATEWAYS, SERVERS, ZONES = 25, 24, "abc"
+INSTANCES, ENDPOINTS, ZONES = 25, 24, "abc"
 LOST_MS, BACK_MS, WARM_MS, WINDOW_MS, MULTIPLE = 8000.0, 12_000.0, 8000.0, 1000.0, 2.0
 SHARES = (1, 1, 1, 2, 3, 6)  # of the traffic, drawn for each gateway
 RESTARTED = 0.4  # of the gateways go with the zone and come back with it
 
 
 class World:
-    """All gateways and servers in virtual time; every attempt is answered well."""
+    """All gateways and endpoints in virtual time; every attempt is answered well."""
 
     def __init__(self, seed: int, cold_from: float, warm_rate: float, use: float) -> None:
         """`warm_rate`: calls a second that a warm server bears; `use`: the part of it that is asked for."""
         self.rng = random.Random(seed)
-        self.cold_from, self.warm_rate, self.per_ms = cold_from, warm_rate, use * SERVERS * warm_rate / 1000.0
+        self.cold_from, self.warm_rate, self.per_ms = cold_from, warm_rate, use * ENDPOINTS * warm_rate / 1000.0
         self.now = 0.0
         self.members = {
-            n: api.Endpoint(n, ZONES[n % len(ZONES)], "std", 0, api.EndpointState.UP) for n in range(SERVERS)
+            n: api.Endpoint(n, ZONES[n % len(ZONES)], "std", 0, api.EndpointState.UP) for n in range(ENDPOINTS)
         }
-        self.gateways: list[Gateway | None] = [self.fresh(number, seed) for number in range(GATEWAYS)]
-        self.shares = [self.rng.choice(SHARES) for _ in range(GATEWAYS)]
+        self.gateways: list[Gateway | None] = [self.fresh(number, seed) for number in range(INSTANCES)]
+        self.shares = [self.rng.choice(SHARES) for _ in range(INSTANCES)]
         self.cold: dict[int, list[float]] = {}  # sends to each server that came back
         self.heap: list[tuple[float, int, int, Gateway, api.Event]] = []
         self.serial = 0
@@ -48,7 +48,7 @@
             replace(
                 SETTINGS,
                 instance=number,
-                instances=GATEWAYS,
+                instances=INSTANCES,
                 zone=ZONES[number % len(ZONES)],
                 slow_start_initial_share=self.cold_from,
                 slow_start_window_ms=WARM_MS,
@@ -57,7 +57,7 @@
                 has_counter=False,
                 plans=(api.Plan("free"),),
             ),
-            seed * GATEWAYS + number,
+            seed * INSTANCES + number,
         )
         made.handle(self.now, api.EndpointListUpdate(api.EndpointListScope.CACHED, tuple(self.members.values())))
         return made
@@ -87,8 +87,8 @@
 
     def give_back(self, seed: int) -> None:
         """It comes back, all of it cold and at one moment; whoever went starts from nothing."""
-        for number in range(SERVERS // len(ZONES)):
-            key = SERVERS + number
+        for number in range(ENDPOINTS // len(ZONES)):
+            key = ENDPOINTS + number
             self.members[key] = api.Endpoint(key, ZONES[0], "std", 0, api.EndpointState.UP, 1.0, self.now)
             self.cold[key] = []
         for number, made in enumerate(self.gateways):
@@ -115,7 +115,7 @@
                 mark()
             elif due == asked:
                 asked += self.rng.expovariate(self.per_ms)
-                [number] = self.rng.choices(range(GATEWAYS), self.shares)
+                [number] = self.rng.choices(range(INSTANCES), self.shares)
                 made = self.gateways[number]
                 self.serial += 1
                 if made is not None:
--- a/tests/test_store_ceiling.py
+++ b/tests/test_store_ceiling.py
@@ -20,7 +20,7 @@
 from martenstep.policy.gateway import Gateway
 from martenstep.redis_counter import core
 from martenstep.redis_counter.core import Action, Told
-from tests.helpers import CAPPED, SETTINGS, server
+from tests.policy_events import CAPPED, SETTINGS, endpoint
 from tests.store_world import World
 
 DOORS, CUSTOMERS, STEP_MS = 3, 2, 2.0
@@ -52,7 +52,7 @@
             replace(SETTINGS, instance=number, instances=len(self.cores), max_units=1.0, plans=(self.plan,)), seed
         )
         made.handle(
-            self.now, api.EndpointListUpdate(api.EndpointListScope.CACHED, tuple(server(n) for n in range(1, 13)))
+            self.now, api.EndpointListUpdate(api.EndpointListScope.CACHED, tuple(endpoint(n) for n in range(1, 13)))
         )
         made.handle(self.now, api.ClockStepped(self.shift_ms))
         return made
