--- a/martenstep/replication/messages.py
+++ b/martenstep/replication/messages.py
@@ -1,7 +1,8 @@
-"""What the copies of a group say to each other, and what the places that hold them do (`Word`).
+"""Messages between the replicas of a group, and the parts that they and the stored log are made of.
 
-A copy is known by the identity of its disk (`Id`), never by the name of its machine: a machine that comes back with an
-empty disk is another copy.
+A replica is known by the identity of its disk, never by the name of its machine: a machine that comes back with an
+empty disk is another replica.  On the wire and on disks all of these are MessagePack arrays: the order of fields and
+the tags are the format, names are not.
 """
 
 from __future__ import annotations
@@ -11,42 +12,45 @@
 
 import msgspec
 
-Id = Annotated[int, msgspec.Meta(ge=0)]
-Number = Annotated[int, msgspec.Meta(ge=0)]
+ReplicaId = Annotated[int, msgspec.Meta(ge=0)]
+Unsigned = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class Kind(IntEnum):
-    """Of an entry."""
+class EntryKind(IntEnum):
+    """What an entry is; the values are stored and sent."""
 
-    NOTHING = 0  # a leader's first: what stands before it is committed with it
+    NO_OP = 0  # a leader's first: what stands before it is committed with it
     COMMAND = 1
-    CONFIG = 2
+    CONFIGURATION = 2
 
 
-class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One line of the log."""
+class LogEntry(msgspec.Struct, array_like=True, frozen=True):
+    """One entry of the replicated log."""
 
-    index: Number
-    term: Number
-    kind: Kind
+    index: Unsigned
+    term: Unsigned
+    kind: EntryKind
     data: bytes = b""
 
 
-class Config(msgspec.Struct, array_like=True, frozen=True):
-    """Who is in the group: copies that count, and copies that learn first.  `homes` tells at which place each is, where
-    places are what the group is chosen by; who counts follows from the copies alone."""
+class Configuration(msgspec.Struct, array_like=True, frozen=True):
+    """Who is in the group: voters, and learners that are sent the log first.
 
-    voters: tuple[Id, ...]
-    learners: tuple[Id, ...] = ()
-    homes: tuple[tuple[Id, str], ...] = ()
+    `locations` tells which node each replica is on, where the group is placed by nodes; who votes follows from the
+    replicas alone.
+    """
+
+    voters: tuple[ReplicaId, ...]
+    learners: tuple[ReplicaId, ...] = ()
+    locations: tuple[tuple[ReplicaId, str], ...] = ()
 
     @property
-    def everyone(self) -> tuple[int, ...]:
-        """All copies."""
+    def members(self) -> tuple[int, ...]:
+        """All replicas."""
         return self.voters + self.learners
 
     @property
-    def majority(self) -> int:
+    def quorum(self) -> int:
         """How many of the voters are enough."""
         return len(self.voters) // 2 + 1
 
@@ -54,168 +58,125 @@
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
     """All entries up to one, as the state that they made."""
 
-    index: Number
-    term: Number
-    config: Config
+    index: Unsigned
+    term: Unsigned
+    configuration: Configuration
     body: bytes
 
 
-class AskVote(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Would you (`trial`), or do you, take me for the leader of a term?"""
+class RequestVote(msgspec.Struct, array_like=True, tag=1, frozen=True):
+    """A candidate asks for a vote, or, before it stands (`pre_vote`), whether it would get one."""
 
-    term: Number
-    last_index: Number
-    last_term: Number
-    trial: bool
-    handed: bool = False  # the leader itself asked for it: who still hears that one may agree
+    term: Unsigned
+    last_index: Unsigned
+    last_term: Unsigned
+    pre_vote: bool
+    leadership_transfer: bool = False  # the leader asked for it: who still hears that one may agree
 
 
-class GiveVote(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """Yes or no."""
+class VoteResponse(msgspec.Struct, array_like=True, tag=2, frozen=True):
+    """A vote, or a refusal."""
 
-    term: Number
-    trial: bool
+    term: Unsigned
+    pre_vote: bool
     granted: bool
 
 
-class Append(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """The leader's entries after one that both should have."""
+class AppendEntries(msgspec.Struct, array_like=True, tag=3, frozen=True):
+    """The leader's entries after one that both should have; without entries a heartbeat."""
 
-    term: Number
-    before_index: Number
-    before_term: Number
-    entries: tuple[Entry, ...]
-    commit: Number
-    round: Number  # of asking: what an answer to it proves of the lease
+    term: Unsigned
+    prev_log_index: Unsigned
+    prev_log_term: Unsigned
+    entries: tuple[LogEntry, ...]
+    leader_commit: Unsigned
+    round: Unsigned  # of heartbeats: what an answer to it proves of the lease
 
 
-class Appended(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """All up to `match` is durable here and the same as the leader's; or not, and where to begin again."""
+class AppendEntriesResponse(msgspec.Struct, array_like=True, tag=4, frozen=True):
+    """All up to `match_index` is durable and the same as the leader's; without success, where to begin again."""
 
-    term: Number
-    ok: bool
-    match: Number
-    round: Number
+    term: Unsigned
+    success: bool
+    match_index: Unsigned
+    round: Unsigned
 
 
-class Piece(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """A part of a snapshot, for one who lags too far."""
+class InstallSnapshot(msgspec.Struct, array_like=True, tag=5, frozen=True):
+    """A chunk of a snapshot, for a replica that lags behind the leader's log."""
 
-    term: Number
-    index: Number
-    last_term: Number
-    config: Config
-    offset: Number
+    term: Unsigned
+    last_included_index: Unsigned
+    last_included_term: Unsigned
+    configuration: Configuration
+    offset: Unsigned
     data: bytes
-    size: Number
-    round: Number
-
-
-class GotPiece(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """How much of it is here; durable once `size` is reached."""
-
-    term: Number
-    index: Number
-    offset: Number
-    round: Number
-
-
-class TakeOver(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """Become the leader now: I hand over."""
-
-    term: Number
-
-
-class WhatOfMe(msgspec.Struct, array_like=True, tag=8, frozen=True):
-    """I came back and cannot prove that my disk is as I left it."""
-
-    nonce: Number
-
-
-class OfYou(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """My term, the end of my log, and who I hold for the group: what you promised me cannot be beyond these."""
+    total_bytes: Unsigned
+    round: Unsigned
 
-    nonce: Number
-    term: Number
-    last_index: Number
-    last_term: Number
-    config: Config
-    config_index: Number = 0
-    settled: bool = False  # that configuration is committed
 
+class InstallSnapshotResponse(msgspec.Struct, array_like=True, tag=6, frozen=True):
+    """How many bytes of a snapshot were received; the last chunk is answered by an AppendEntriesResponse."""
 
-class Invite(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Hold a copy of this group: begin one where there is none.  One that has learned and is not among `everyone`, as
-    committed at `index`, is out."""
+    term: Unsigned
+    last_included_index: Unsigned
+    next_offset: Unsigned
+    round: Unsigned
 
-    index: Number
-    everyone: tuple[Id, ...]
 
+class TimeoutNow(msgspec.Struct, array_like=True, tag=7, frozen=True):
+    """The leader asks a replica to stand for election at once."""
 
-class Invited(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """This is the copy that I hold of it."""
+    term: Unsigned
 
-    copy: Id
 
+class RecoveryQuery(msgspec.Struct, array_like=True, tag=8, frozen=True):
+    """A replica started whose disk is not known to be as it left it."""
 
-class NotHere(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """I do not hold that copy: its disk is lost, or it was let go."""
+    nonce: Unsigned
 
-    copy: Id
 
+class RecoveryResponse(msgspec.Struct, array_like=True, tag=9, frozen=True):
+    """The term, the end of the log and the configuration of a replica.
 
-class AmIIn(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """My copy hears no leader: is it in the group still?"""
+    What the asking replica promised to it cannot be beyond these.
+    """
 
-    copy: Id
+    nonce: Unsigned
+    term: Unsigned
+    last_index: Unsigned
+    last_term: Unsigned
+    configuration: Configuration
+    configuration_index: Unsigned = 0
+    configuration_committed: bool = False
 
 
-class YouAreOut(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """The group's configuration, committed at `index`, does not have that copy: unless it knows a later one, it is to
-    be let go."""
-
-    copy: Id
-    index: Number
-
-
-class Question(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """Something asked of whoever leads the group."""
-
-    nonce: Number
-    data: bytes
-
-
-class Reply(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """The answer to a question; without data, whoever was asked does not lead, `leader` may."""
-
-    nonce: Number
-    data: bytes | None = None
-    leader: str | None = None
-
-
-Word = Invite | Invited | NotHere | AmIIn | YouAreOut | Question | Reply
-Message = AskVote | GiveVote | Append | Appended | Piece | GotPiece | TakeOver | WhatOfMe | OfYou
+RaftMessage = (
+    RequestVote
+    | VoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
+    | RecoveryQuery
+    | RecoveryResponse
+)
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Message)
-_words = msgspec.msgpack.Decoder(Word)
-_configs = msgspec.msgpack.Decoder(Config)
+_raft_message_decoder = msgspec.msgpack.Decoder(RaftMessage)
+_configuration_decoder = msgspec.msgpack.Decoder(Configuration)
 
 
-def encode(value: Message | Config) -> bytes:
-    """As bytes."""
+def encode(value: RaftMessage | Configuration) -> bytes:
+    """Encode a message, or the data of a configuration entry."""
     return _encoder.encode(value)
 
 
-def message_of(data: bytes) -> Message:
-    """From bytes; raises msgspec.DecodeError."""
-    return _decoder.decode(data)
-
-
-def word_of(data: bytes) -> Word:
-    """What a place says, from bytes; raises msgspec.DecodeError."""
-    return _words.decode(data)
+def decode_raft_message(data: bytes) -> RaftMessage:
+    """Decode a message between replicas; raises msgspec.DecodeError."""
+    return _raft_message_decoder.decode(data)
 
 
-def config_of(data: bytes) -> Config:
-    """From an entry's bytes; raises msgspec.DecodeError."""
-    return _configs.decode(data)
+def decode_configuration(data: bytes) -> Configuration:
+    """Decode the data of a configuration entry; raises msgspec.DecodeError."""
+    return _configuration_decoder.decode(data)
--- a/martenstep/replication/transport.py
+++ b/martenstep/replication/transport.py
@@ -1,171 +1,102 @@
-"""Streams between machines that hold copies: one connection for each direction of a pair, for all groups, opened by who
-sends, opened again when it breaks.
+"""Streams between nodes that hold replicas.
 
-The server greets with 16 bytes drawn for the connection; the client answers with 16 of its own and a hello that names
-its place and the one that it means.  Who is not at that place closes.  Frames: `u32 length, body, HMAC` over the
-connection's context, the frame's number and the body, so that none passes twice or elsewhere.  A body is an envelope
-(`u16 length`, MessagePack: group, source, target) and a message.  A copy is its disk: what is meant for a copy that is
-not here goes no further, and whoever sent it is told so.
+There is one connection for each direction of a pair of nodes, for all groups, opened by the sender, and opened again
+when it breaks.
 
-What cannot be sent at once waits in a bounded line; past its bound the oldest goes.  That loses messages, as a network
-may: the core sends again what matters.
+The server greets with a nonce; the client answers with its own and a Hello.  A node that is not the one that is meant
+closes.  A replica is its disk: a message for a replica that is not here goes no further, and the sending node is told.
+
+What cannot be sent at once waits in a bounded queue.  Messages may be lost, as on any network: Raft sends again what
+matters.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import hashlib
 import secrets
-import struct
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Callable
 
 import msgspec
 
 from martenstep.backoff import Backoff
-from martenstep.membership.codec import MAC_BYTES, Keys
-from martenstep.replication.messages import Message, Word, encode, message_of, word_of
-
-MOST_FRAME = 8 << 20
-MOST_WAITING = 4096  # frames to one place
-MOST_WAITING_BYTES = 16 << 20
-CONNECT_S, IDLE_S = 1.0, 30.0
-LEAST_AGAIN_MS, MOST_AGAIN_MS = 50.0, 1000.0
-DRAW = 16
+from martenstep.membership.codec import Keys
+from martenstep.replication.errors import FrameError
+from martenstep.replication.frames import (
+    NONCE_BYTES,
+    AuthenticatedFrames,
+    Envelope,
+    Hello,
+    decode_body,
+    encode_body,
+)
+from martenstep.replication.messages import RaftMessage, decode_raft_message, encode
+from martenstep.replication.node_messages import NodeMessage, decode_node_message, encode_node_message
+from martenstep.replication.outbound_queue import OutboundQueue
+
+CONNECT_TIMEOUT_S = 1.0
+IDLE_TIMEOUT_S = 30.0
+MIN_RECONNECT_MS = 50.0
+MAX_RECONNECT_MS = 1000.0
 Address = tuple[str, int]
+FindNode = Callable[[int], str | None]  # the node that a replica is on
+DeliverMessage = Callable[[int, RaftMessage], None]  # is given the sending replica and its message
 
 
-class Hello(msgspec.Struct, array_like=True):
-    """Who opens a connection, and whom it means; `cluster` keeps fleets apart that share a key."""
-
-    cluster: str
-    source: str
-    target: str
-
-
-class Envelope(msgspec.Struct, array_like=True):
-    """Of one message: the group, and the copies; between places, where no copy is meant, both are 0."""
-
-    group: str
-    source: int
-    target: int
-
-
-class LinkError(Exception):
-    """A frame that is none, or not sealed: the connection ends."""
-
-
-class Sealed:
-    """Frames of one direction of a connection."""
-
-    def __init__(self, keys: Keys, server: bytes, client: bytes) -> None:
-        self._keys = keys
-        self._context = hashlib.sha256(b"martenstep copies 2" + server + client).digest()
-        self._number = 0
-
-    def _sealed(self, body: bytes) -> bytes:
-        bound = self._context + struct.pack(">Q", self._number) + body
-        self._number += 1
-        return bound
-
-    def frame(self, body: bytes) -> bytes:
-        """The next frame."""
-        return struct.pack(">I", len(body) + MAC_BYTES) + body + self._keys.seal(self._sealed(body))
-
-    async def read(self, reader: asyncio.StreamReader) -> bytes:
-        """The next frame's body; raises LinkError."""
-        (length,) = struct.unpack(">I", await reader.readexactly(4))
-        if not MAC_BYTES <= length <= MOST_FRAME:
-            raise LinkError("length")
-        data = await reader.readexactly(length)
-        body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-        if not self._keys.opens(self._sealed(body), mac):
-            raise LinkError("mac")
-        return body
-
-
-class _Out:
-    """What goes to one place."""
-
-    def __init__(self) -> None:
-        self.waiting: deque[bytes] = deque()
-        self.bytes = 0
-        self.news = asyncio.Event()
-        self.task: asyncio.Task[None] | None = None
-
-    def put(self, frame: bytes) -> int:
-        """One more; gives how many went for it."""
-        gone = 0
-        self.waiting.append(frame)
-        self.bytes += len(frame)
-        while len(self.waiting) > MOST_WAITING or (self.bytes > MOST_WAITING_BYTES and len(self.waiting) > 1):
-            self.bytes -= len(self.waiting.popleft())
-            gone += 1
-        self.news.set()
-        return gone
-
-    def take(self) -> bytes:
-        """The oldest."""
-        frame = self.waiting.popleft()
-        self.bytes -= len(frame)
-        return frame
-
-    def clear(self) -> None:
-        """All goes."""
-        self.waiting.clear()
-        self.bytes = 0
-        self.news.clear()
-
-
-class Port:
-    """One copy's end of the links."""
+class ReplicaChannel:
+    """One replica's end of the transport."""
 
     def __init__(
-        self,
-        links: Links,
-        group: str,
-        me: int,
-        place_of: Callable[[int], str | None],
-        take: Callable[[int, Message], None],
+        self, transport: Transport, group: str, replica: int, find_node: FindNode, deliver: DeliverMessage
     ) -> None:
-        self.group, self.me, self.take = group, me, take
-        self._links, self._place_of = links, place_of
-        self.heard: dict[int, str] = {}  # where copies spoke from that nothing else tells of yet
-
-    def send(self, to: int, message: Message) -> None:
-        """To another copy of the group; lost where nobody knows its place."""
-        place = self._place_of(to) or self.heard.get(to)
-        if place is not None:
-            self._links.send(place, Envelope(self.group, self.me, to), encode(message))
+        """`deliver` is given the messages to this replica."""
+        self.group = group
+        self.replica = replica
+        self.deliver = deliver
+        self.contacted_nodes: dict[int, str] = {}  # where replicas were heard from that no configuration tells of yet
+        self._transport = transport
+        self._find_node = find_node
+
+    def send(self, to: int, message: RaftMessage) -> None:
+        """Send to another replica of the group; lost where its node is not known."""
+        node = self._find_node(to) or self.contacted_nodes.get(to)
+        if node is not None:
+            self._transport.send(node, Envelope(self.group, self.replica, to), encode(message))
 
     def close(self) -> None:
-        """Nothing more is taken."""
-        self._links.closed(self)
+        """Deliver nothing more."""
+        self._transport.remove_channel(self)
 
 
-class Links:
-    """One machine's connections."""
+class Transport:
+    """One node's connections."""
 
     def __init__(
         self,
         cluster: str,
-        me: str,
+        node: str,
         keys: Callable[[], Keys],
-        address_of: Callable[[str], Address | None],
-        words: Callable[[str, str, int, Word], None] = lambda place, group, copy, word: None,
-        nobody: Callable[[str, str, int, int], None] = lambda place, group, source, target: None,
+        find_address: Callable[[str], Address | None],
+        on_node_message: Callable[[str, str, int, NodeMessage], None] = lambda node, group, replica, message: None,
+        on_unknown_replica: Callable[[str, str, int, int], None] = lambda node, group, source, target: None,
     ) -> None:
-        """`me` is this machine's place, `address_of` tells where a place is now.  `words` is given what places say to
-        each other (place, group, copy, word); `nobody` is told of a message for a copy that is not here (place, group,
-        source, target)."""
-        self._cluster, self._me, self._keys = cluster, me, keys
-        self._address_of, self._words, self._nobody = address_of, words, nobody
-        self._ports: dict[str, Port] = {}
-        self._outs: dict[str, _Out] = {}
+        """`find_address` tells where a node is now.
+
+        `on_node_message` is given what nodes send to each other (node, group, replica, message); `on_unknown_replica`
+        is told of a message for a replica that is not here (node, group, source, target).
+        """
+        self._cluster = cluster
+        self._node = node
+        self._keys = keys
+        self._find_address = find_address
+        self._on_node_message = on_node_message
+        self._on_unknown_replica = on_unknown_replica
+        self._channels: dict[str, ReplicaChannel] = {}
+        self._queues: dict[str, OutboundQueue] = {}
         self._server: asyncio.Server | None = None
         self._served: set[asyncio.Task[None]] = set()
-        self.counts: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()  # shown as metrics under these names
 
     async def start(self, host: str, port: int) -> int:
         """Bind; gives the port."""
@@ -173,98 +104,102 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
-        """Let go of all."""
+        """Close all connections."""
         if self._server is not None:
             self._server.close()
-        for out in self._outs.values():
-            if out.task is not None:
-                out.task.cancel()
+        for queue in self._queues.values():
+            if queue.sender is not None:
+                queue.sender.cancel()
         for task in list(self._served):
             task.cancel()
 
-    def open(
-        self, group: str, me: int, place_of: Callable[[int], str | None], take: Callable[[int, Message], None]
-    ) -> Port:
-        """A copy's end, one a group; `take` is given what others send to it."""
-        port = self._ports[group] = Port(self, group, me, place_of, take)
-        return port
+    def open(self, group: str, replica: int, find_node: FindNode, deliver: DeliverMessage) -> ReplicaChannel:
+        """Open the channel of a replica, one for each group; `deliver` is given what others send to it."""
+        channel = self._channels[group] = ReplicaChannel(self, group, replica, find_node, deliver)
+        return channel
 
-    def closed(self, port: Port) -> None:
-        """A copy is here no more."""
-        if self._ports.get(port.group) is port:
-            del self._ports[port.group]
+    def remove_channel(self, channel: ReplicaChannel) -> None:
+        """A replica is here no more."""
+        if self._channels.get(channel.group) is channel:
+            del self._channels[channel.group]
 
-    def say(self, place: str, group: str, word: Word, copy: int = 0) -> None:
-        """To a place, of a group or of one copy there."""
-        self.send(place, Envelope(group, copy, 0), msgspec.msgpack.encode(word))
+    # Sending.
 
-    def send(self, place: str, envelope: Envelope, body: bytes) -> None:
-        """As soon as may be; lost where the line is full or the connection breaks."""
-        out = self._outs.get(place)
-        if out is None:
-            out = self._outs[place] = _Out()
-            out.task = asyncio.get_running_loop().create_task(self._run(place, out))
-        head = msgspec.msgpack.encode(envelope)
-        self.counts["let_go"] += out.put(len(head).to_bytes(2, "big") + head + body)
+    def send_to_node(self, node: str, group: str, message: NodeMessage, replica: int = 0) -> None:
+        """Send to a node, about a group or one replica there."""
+        self.send(node, Envelope(group, replica, 0), encode_node_message(message))
 
-    async def _run(self, place: str, out: _Out) -> None:
-        backoff = Backoff(LEAST_AGAIN_MS, MOST_AGAIN_MS)
+    def send(self, node: str, envelope: Envelope, message: bytes) -> None:
+        """Send as soon as may be; lost where the queue is full or the connection breaks."""
+        queue = self._queues.get(node)
+        if queue is None:
+            queue = self._queues[node] = OutboundQueue()
+            queue.sender = asyncio.get_running_loop().create_task(self._send_forever(node, queue))
+        self.counts["let_go"] += queue.put(encode_body(envelope, message))
+
+    async def _send_forever(self, node: str, queue: OutboundQueue) -> None:
+        backoff = Backoff(MIN_RECONNECT_MS, MAX_RECONNECT_MS)
         while True:
-            await out.news.wait()
-            address = self._address_of(place)
+            await queue.changed.wait()
+            address = self._find_address(node)
             if address is not None:
                 with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
-                    await self._connected(place, address, out, backoff)
-            out.clear()  # it was meant for a moment that has passed
+                    await self._connect_and_send(node, address, queue, backoff)
+            queue.clear()  # it was meant for a moment that has passed
             await asyncio.sleep(backoff.failed() / 1000)
 
-    async def _connected(self, place: str, address: Address, out: _Out, backoff: Backoff) -> None:
-        async with asyncio.timeout(CONNECT_S):
+    async def _connect_and_send(self, node: str, address: Address, queue: OutboundQueue, backoff: Backoff) -> None:
+        """Send over one connection until it ends."""
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address)
         try:
-            async with asyncio.timeout(CONNECT_S):
-                server, client = await reader.readexactly(DRAW), secrets.token_bytes(DRAW)
-            sealed = Sealed(self._keys(), server, client)
-            writer.write(client + sealed.frame(msgspec.msgpack.encode(Hello(self._cluster, self._me, place))))
-            # It says nothing more: what comes is its end.
-            ended = asyncio.get_running_loop().create_task(reader.read(1))
-            try:
-                while not ended.done():
-                    out.news.clear()
-                    while out.waiting:
-                        writer.write(sealed.frame(out.take()))
-                    async with asyncio.timeout(CONNECT_S):
-                        await writer.drain()
-                    backoff.succeeded()
-                    news = asyncio.get_running_loop().create_task(out.news.wait())
-                    try:
-                        await asyncio.wait({news, ended}, return_when=asyncio.FIRST_COMPLETED)
-                    finally:
-                        news.cancel()
-            finally:
-                ended.cancel()
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                server_nonce = await reader.readexactly(NONCE_BYTES)
+            client_nonce = secrets.token_bytes(NONCE_BYTES)
+            frames = AuthenticatedFrames(self._keys(), server_nonce, client_nonce)
+            hello = Hello(self._cluster, self._node, node)
+            writer.write(client_nonce + frames.encode(msgspec.msgpack.encode(hello)))
+            await self._send_queued(reader, writer, frames, queue, backoff)
         finally:
             writer.close()
 
+    @staticmethod
+    async def _send_queued(
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        frames: AuthenticatedFrames,
+        queue: OutboundQueue,
+        backoff: Backoff,
+    ) -> None:
+        """Send what is queued, and what is added, until the other end closes: it says nothing else."""
+        loop = asyncio.get_running_loop()
+        ended = loop.create_task(reader.read(1))
+        try:
+            while not ended.done():
+                queue.changed.clear()
+                while queue:
+                    writer.write(frames.encode(queue.pop()))
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    await writer.drain()
+                backoff.succeeded()
+                changed = loop.create_task(queue.changed.wait())
+                try:
+                    await asyncio.wait({changed, ended}, return_when=asyncio.FIRST_COMPLETED)
+                finally:
+                    changed.cancel()
+        finally:
+            ended.cancel()
+
+    # Receiving.
+
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._served.add(task)
-        mine = secrets.token_bytes(DRAW)
         try:
-            writer.write(mine)
-            async with asyncio.timeout(CONNECT_S):
-                sealed = Sealed(self._keys(), mine, await reader.readexactly(DRAW))
-                hello = msgspec.msgpack.decode(await sealed.read(reader), type=Hello)
-            if (hello.cluster, hello.target) != (self._cluster, self._me):
-                self.counts["not_for_this_place"] += 1
-                return
-            while True:
-                async with asyncio.timeout(IDLE_S):
-                    body = await sealed.read(reader)
-                self._came(hello.source, body)
-        except LinkError as error:
-            self.counts[f"dropped_{error}"] += 1
+            await self._receive(reader, writer)
+        except FrameError as error:
+            self.counts[f"dropped_{error.reason}"] += 1
         except msgspec.DecodeError:
             self.counts["dropped_body"] += 1
         except (OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -273,17 +208,31 @@
             self._served.discard(task)
             writer.close()
 
-    def _came(self, place: str, body: bytes) -> None:
-        """One frame; raises msgspec.DecodeError."""
-        size = int.from_bytes(body[:2], "big")
-        envelope = msgspec.msgpack.decode(body[2 : 2 + size], type=Envelope)
+    async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Deliver what comes over one connection until it ends."""
+        server_nonce = secrets.token_bytes(NONCE_BYTES)
+        writer.write(server_nonce)
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            frames = AuthenticatedFrames(self._keys(), server_nonce, await reader.readexactly(NONCE_BYTES))
+            hello = msgspec.msgpack.decode(await frames.read(reader), type=Hello)
+        if (hello.cluster, hello.target) != (self._cluster, self._node):
+            self.counts["not_for_this_place"] += 1
+            return
+        while True:
+            async with asyncio.timeout(IDLE_TIMEOUT_S):
+                body = await frames.read(reader)
+            self._deliver(hello.source, body)
+
+    def _deliver(self, node: str, body: bytes) -> None:
+        """Deliver one frame's message; raises msgspec.DecodeError."""
+        envelope, message = decode_body(body)
         if not envelope.target:
-            self._words(place, envelope.group, envelope.source, word_of(body[2 + size :]))
+            self._on_node_message(node, envelope.group, envelope.source, decode_node_message(message))
             return
-        port = self._ports.get(envelope.group)
-        if port is None or port.me != envelope.target:
+        channel = self._channels.get(envelope.group)
+        if channel is None or channel.replica != envelope.target:
             self.counts["not_for_this_disk"] += 1
-            self._nobody(place, envelope.group, envelope.source, envelope.target)
+            self._on_unknown_replica(node, envelope.group, envelope.source, envelope.target)
             return
-        port.heard[envelope.source] = place
-        port.take(envelope.source, message_of(body[2 + size :]))
+        channel.contacted_nodes[envelope.source] = node
+        channel.deliver(envelope.source, decode_raft_message(message))
