--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,8 +1,8 @@
-"""The concurrency limit on requests that the counter did not confirm, in virtual time: it recovers where nothing holds it.
+"""The concurrency limit on requests that the counter did not confirm, in virtual time: it recovers where it can.
 
-Seen on a site of our own whose requests take a quarter of their objective: after some slow responses each instance sent
-one request in 2 s and rejected the rest, for good, though every attempt was answered well and the endpoints were used by
-3 to 15%.
+Seen on a site of our own whose requests take a quarter of their objective: after some slow responses each instance
+sent one request in 2 s and rejected the rest, for good, though every attempt was answered well and the endpoints were
+used by 3 to 15%.
 """
 
 from __future__ import annotations
