--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -23,7 +23,7 @@
 from martenstep.counter.replicated_counter import CopiedCounter
 from martenstep.counter.shards import Shards, owner
 from martenstep.policy.messages import CallResult
-from martenstep.replication.verify import StoredReplica, find_differences, find_most_advanced, read_folder
+from martenstep.replication.verify import StoredReplica, find_differences, find_latest, read_folder
 
 EXPIRE_MS = 3_600_000.0
 TIMEOUT_MS = 1000.0
@@ -181,7 +181,7 @@
     """Totals by name and the number of tries, from the furthest copy of each group."""
     totals: Counter[int] = Counter()
     tries = 0
-    for one in find_most_advanced(found).values():
+    for one in find_latest(found).values():
         machine = CopiedCounter.of(one.state)
         totals.update({name: int(machine.total(name)) for name in range(names)})
         tries += sum(use.tries for use in machine.counter.uses().values())
--- a/martenstep/lab/held.py
+++ b/martenstep/lab/held.py
@@ -14,7 +14,7 @@
 from martenstep.lab import day_pb2 as pb
 from martenstep.replication.messages import EntryKind
 from martenstep.replication.node_disk import GROUPS_FOLDER, load_disk_identity
-from martenstep.replication.verify import StoredReplica, find_most_advanced, read_folder
+from martenstep.replication.verify import StoredReplica, find_latest, read_folder
 from martenstep.storage.files import Disk
 
 SEEDS = 3  # doors that are told to all
@@ -78,7 +78,7 @@
         for one in read_folder(folder)
         if one.group.startswith("counter-")
     ]
-    return [told for one in find_most_advanced(found).values() for told in _tries(one)]
+    return [told for one in find_latest(found).values() for told in _tries(one)]
 
 
 def _tries(found: StoredReplica) -> Iterable[tuple[str, str, float]]:
--- a/martenstep/replication/local_replicas.py
+++ b/martenstep/replication/local_replicas.py
@@ -48,7 +48,7 @@
 class LocalReplicas:
     """All replicas of one node, by group."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 (puts the parts together)
         self,
         node: str,
         disk: NodeDisk,
--- a/martenstep/replication/node_disk.py
+++ b/martenstep/replication/node_disk.py
@@ -107,8 +107,8 @@
 
     def add_dissolved(self, group: str) -> None:
         """Remember a group that is dissolved; raises OSError."""
-        kept = self._identity.dissolved_groups[1 - MAX_DISSOLVED_GROUPS :]
-        self._identity.dissolved_groups = [*kept, group]
+        latest = self._identity.dissolved_groups[1 - MAX_DISSOLVED_GROUPS :]
+        self._identity.dissolved_groups = [*latest, group]
         self.save()
 
     def save(self) -> None:
--- a/martenstep/replication/placement.py
+++ b/martenstep/replication/placement.py
@@ -65,7 +65,7 @@
         return {node for node, since in self._absent_since.items() if now - since >= self._lost_after_ms}
 
 
-def desired_nodes(
+def desired_nodes(  # noqa: PLR0913 (what the placement follows from)
     group: str,
     configuration: Configuration,
     zones: Mapping[str, str],
--- a/martenstep/replication/raft/append.py
+++ b/martenstep/replication/raft/append.py
@@ -19,7 +19,7 @@
 MAX_APPEND_BYTES = 128 << 10
 MAX_INFLIGHT_ENTRIES = 256  # sent to one replica and not acknowledged: a slow one is not sent more
 RETRANSMIT_AFTER_ROUNDS = 3
-KEPT_ROUNDS = 50  # whose sending time is remembered
+MAX_REMEMBERED_ROUNDS = 50  # whose sending time is remembered
 
 
 class LogReplication(SnapshotTransfer):
@@ -78,7 +78,7 @@
         self._round_sent_at[self._round] = now
         if self.configuration.voters == (self.replica_id,):
             self._renew_lease(now)  # there is nobody whose response would
-        for old in [old for old in self._round_sent_at if old < self._round - KEPT_ROUNDS]:
+        for old in [old for old in self._round_sent_at if old < self._round - MAX_REMEMBERED_ROUNDS]:
             del self._round_sent_at[old]
         for replica in self.configuration.members:
             if replica != self.replica_id:
--- a/martenstep/replication/raft/election.py
+++ b/martenstep/replication/raft/election.py
@@ -65,9 +65,7 @@
     def _become_leader(self, now: float) -> None:
         """Lead the present term; its first entry commits what stands before it."""
         self._change_role(Role.LEADER, self.replica_id)
-        self._progress = {}
-        self._quorum_contact_at = now
-        self._round, self._round_sent_at = 0, {}
+        self._reset_leadership(now)
         self._append_entry(EntryKind.NO_OP, b"")
         self._heartbeat(now, self.term)
 
--- a/martenstep/replication/raft/node.py
+++ b/martenstep/replication/raft/node.py
@@ -27,7 +27,7 @@
 class RaftNode(Election, Reconfiguration, DiskRecovery):
     """One replica of a group."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 (as RaftState)
         self,
         replica_id: int,
         stored: PersistentState,
--- a/martenstep/replication/raft/state.py
+++ b/martenstep/replication/raft/state.py
@@ -31,9 +31,13 @@
 
 
 class RaftState:
-    """The state of one replica, and the steps on it that every part takes."""
+    """The state of one replica, and the steps on it that every part takes.
 
-    def __init__(
+    `bootstrap` is the group as it began; what the log says later holds in its place.  `disk_verified` tells whether the
+    disk is known to be as this replica left it.
+    """
+
+    def __init__(  # noqa: PLR0913 (what a replica begins with, each of another owner)
         self,
         replica_id: int,
         stored: PersistentState,
@@ -43,10 +47,7 @@
         now: float,
         disk_verified: bool = True,
     ) -> None:
-        """`bootstrap` is the group as it began; what the log says later holds in its place.
-
-        `disk_verified` tells whether the disk is known to be as this replica left it.
-        """
+        """Begin as a follower, with what is stored."""
         self.replica_id = replica_id
         self.settings = settings
         self._rng = rng
@@ -54,9 +55,7 @@
         self.voted_for = stored.voted_for
         self.log = RaftLog(stored.entries, stored.snapshot)
         self._bootstrap = bootstrap
-        latest = self._configuration_at(self.log.last_index)
-        self.configuration = latest.configuration
-        self.configuration_index = latest.index
+        self._restore_configuration(self.log.last_index)
         self.role = Role.FOLLOWER
         self.leader: int | None = None
         self.commit_index = self.log.snapshot_index
@@ -67,24 +66,24 @@
         self._durability = DurabilityTracker(self.log.last_index)
         self._timers = TimerQueue()
         self._election_timer = 0  # number of the time-out in force
-        # Election.
         self._votes: set[int] = set()
         self.leader_contact_at = now  # as if a leader had been heard: it may have been, before the start
-        # Leadership.
-        self._progress: dict[int, Progress] = {}
-        self._round = 0  # of heartbeats, in this term
-        self._round_sent_at: dict[int, float] = {}
-        self._quorum_contact_at = now
+        self._reset_leadership(now)
         self.lease_expires_at = 0.0
         self._transfer_target: int | None = None
-        # Snapshots under way, by their index.
-        self._snapshot_chunks: dict[int, bytearray] = {}
-        # Recovery.
+        self._snapshot_chunks: dict[int, bytearray] = {}  # received so far, by the snapshot's index
         self._log_floor = stored.log_floor  # a candidate must reach it, this replica too
         self._recovery_responses: dict[int, RecoveryResponse] = {}
         self._recovery_nonce = rng.getrandbits(62)
         self._reset_election_timer(now)
 
+    def _reset_leadership(self, now: float) -> None:
+        """Forget what was known as a leader."""
+        self._progress: dict[int, Progress] = {}
+        self._round = 0  # of heartbeats, in this term
+        self._round_sent_at: dict[int, float] = {}
+        self._quorum_contact_at = now
+
     # The log.
 
     @property
--- a/martenstep/replication/repair.py
+++ b/martenstep/replication/repair.py
@@ -54,7 +54,7 @@
 class GroupRepair:
     """What one node does to have the groups that it leads where they should be."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 (puts the parts together)
         self,
         node: str,
         settings: ReplicationSettings,
--- a/martenstep/replication/replica.py
+++ b/martenstep/replication/replica.py
@@ -70,9 +70,13 @@
 
 
 class Replica:
-    """One replica."""
+    """One replica.
 
-    def __init__(
+    `bootstrap` is the group as it began; `find_node` tells which node a replica is on, without it the group's own
+    configuration does.
+    """
+
+    def __init__(  # noqa: PLR0913 (puts the parts together)
         self,
         group: str,
         storage: ReplicaStorage,
@@ -83,46 +87,36 @@
         settings: RaftSettings | None = None,
         find_node: Callable[[int], str | None] | None = None,
     ) -> None:
-        """Read what the storage holds.
-
-        `bootstrap` is the group as it began; `find_node` tells which node a replica is on, without it the group's own
-        configuration does.
-        """
+        """Restore the state machine from what the storage holds."""
         self.group = group
         self.storage = storage
         self.state_machine = state_machine
         self._log_event = log_event
         self._transport = transport
         self._find_node = find_node or self.find_node
-        stored = storage.read_state()
-        if stored.snapshot is not None:
-            state_machine.restore(stored.snapshot.body)
-        self.raft = RaftNode(
-            storage.replica_id,
-            stored,
-            bootstrap,
-            settings or RaftSettings(),
-            random.Random(random.SystemRandom().random()),
-            now_ms(),
-            storage.disk_verified,
-        )
+        self.raft = self._restore(bootstrap, settings or RaftSettings())
         self._channel: ReplicaChannel | None = None
         self._stopping = False
-        # Proposals, by index.
-        self._proposals: dict[int, _Proposal] = {}
+        self._proposals: dict[int, _Proposal] = {}  # by index
         self._replication_scheduled = False
-        # Writes.
         self._queued_writes: list[DurableWrite] = []
         self._writes_queued = asyncio.Event()
         self._writer: asyncio.Task[None] | None = None
         self._disk_verified_by: int | None = None  # the write that makes the end of a recovery durable
-        # The Raft node's time, and who waits for a change of it.
-        self._timer: asyncio.TimerHandle | None = None
-        self._changed = asyncio.Event()
-        # A snapshot that is being made.
-        self._snapshot: BackgroundSnapshot | None = None
+        self._timer: asyncio.TimerHandle | None = None  # of the Raft node
+        self._changed = asyncio.Event()  # of the Raft node's state
+        self._snapshot: BackgroundSnapshot | None = None  # that is being made
         self._compacting: asyncio.Task[None] | None = None
 
+    def _restore(self, bootstrap: Configuration, settings: RaftSettings) -> RaftNode:
+        """The Raft node and the state machine's state, as they are stored."""
+        storage = self.storage
+        stored = storage.read_state()
+        if stored.snapshot is not None:
+            self.state_machine.restore(stored.snapshot.body)
+        rng = random.Random(random.SystemRandom().random())
+        return RaftNode(storage.replica_id, stored, bootstrap, settings, rng, now_ms(), storage.disk_verified)
+
     def start(self) -> None:
         """Take part in the group."""
         self._channel = self._transport.open(self.group, self.raft.replica_id, self._find_node, self._receive)
--- a/martenstep/replication/replica_manager.py
+++ b/martenstep/replication/replica_manager.py
@@ -49,9 +49,14 @@
 
 
 class ReplicaManager:
-    """One node's replicas."""
+    """One node's replicas.
 
-    def __init__(
+    `make_state_machine` makes the state of a group from its name; `cluster_nodes` are those that the membership knows.
+    `is_own_group` tells which groups are held beside those of the settings, each begun by one node alone;
+    `preferred_node` tells which node should hold a group in any case, and lead it.
+    """
+
+    def __init__(  # noqa: PLR0913 (puts the parts together)
         self,
         node: str,
         folder: Path,
@@ -64,12 +69,7 @@
         is_own_group: Callable[[str], bool] = lambda group: False,
         preferred_node: Callable[[str], str | None] = lambda group: None,
     ) -> None:
-        """Put the parts together; nothing is read before `start`.
-
-        `make_state_machine` makes the state of a group from its name; `cluster_nodes` are those that the membership
-        knows.  `is_own_group` tells which groups are held beside those of the settings, each begun by one node alone;
-        `preferred_node` tells which node should hold a group in any case, and lead it.
-        """
+        """Put the parts together; nothing is read before `start`."""
         self.node = node
         self.replication = replication
         self._is_own_group = is_own_group
@@ -225,18 +225,18 @@
         replica = self.replica(group)
         if replica is None:
             if self.local.is_open and self._may_hold(group) and not self.local.is_busy(group):
-                self.local.create(group, lambda created: self._tell_created(node, created))
+                self.local.create(group, lambda created: self._send_created(node, created))
             return
         raft = replica.raft
         if raft.replica_id in message.members or not raft.last_index:
-            self._tell_created(node, replica)
+            self._send_created(node, replica)
         elif raft.configuration_index < message.configuration_index:
             self.local.remove(group, f"{node} leads the group without it, and asks for another")
 
     def _may_hold(self, group: str) -> bool:
         return group in self.replication.groups or self._is_own_group(group)
 
-    def _tell_created(self, node: str, replica: Replica) -> None:
+    def _send_created(self, node: str, replica: Replica) -> None:
         message = ReplicaCreated(replica.raft.replica_id)
         self._running_transport().send_to_node(node, replica.group, message)
 
@@ -253,14 +253,14 @@
         replica = self.replica(group)
         if replica is None:
             if group in self.local.disk.dissolved_groups:
-                self._tell_removed(node, group, RemovedFromGroup(message.replica, MAX_INDEX))
+                self._send_removed(node, group, RemovedFromGroup(message.replica, MAX_INDEX))
             return
         raft = replica.raft
         is_authority = raft.can_serve_read(now_ms()) and raft.configuration_committed
         if is_authority and message.replica not in raft.configuration.members:
-            self._tell_removed(node, group, RemovedFromGroup(message.replica, raft.configuration_index))
+            self._send_removed(node, group, RemovedFromGroup(message.replica, raft.configuration_index))
 
-    def _tell_removed(self, node: str, group: str, message: RemovedFromGroup) -> None:
+    def _send_removed(self, node: str, group: str, message: RemovedFromGroup) -> None:
         self._running_transport().send_to_node(node, group, message)
 
     def report_unknown_replica(self, node: str, group: str, source: int, target: int) -> None:
--- a/martenstep/replication/replica_storage.py
+++ b/martenstep/replication/replica_storage.py
@@ -135,17 +135,7 @@
         """
         self._files = files
         self._witness = Witness(witness)
-        try:
-            opened = open_log(files)
-            self.state = _decode_state(opened.snapshot)
-            for record in opened.entries:
-                if len(record) > 1:  # the marker behind a sync says nothing
-                    apply_write(self.state, _decode_record(record))
-            self._writer = Writer(files, opened, SEGMENT_BYTES)
-        except LogError as error:
-            raise ReplicaStorageError(str(error)) from None
-        except msgspec.DecodeError as error:
-            raise ReplicaStorageError(f"a record that cannot be decoded: {error}") from None
+        self._read_log()
         stored_id = self._read_identity()
         if stored_id is None:
             self.replica_id = self._write_identity(
@@ -160,6 +150,20 @@
         if not self.disk_verified:
             self._witness.remove()
 
+    def _read_log(self) -> None:
+        """Read the state, and go on writing behind it; raises ReplicaStorageError."""
+        try:
+            opened = open_log(self._files)
+            self.state = _decode_state(opened.snapshot)
+            for record in opened.entries:
+                if len(record) > 1:  # the marker behind a sync says nothing
+                    apply_write(self.state, _decode_record(record))
+            self._writer = Writer(self._files, opened, SEGMENT_BYTES)
+        except LogError as error:
+            raise ReplicaStorageError(str(error)) from None
+        except msgspec.DecodeError as error:
+            raise ReplicaStorageError(f"a record that cannot be decoded: {error}") from None
+
     def _read_identity(self) -> int | None:
         """The identity of the disk; None where it is empty."""
         if IDENTITY_FILE in self._files.names():
--- a/martenstep/replication/transport.py
+++ b/martenstep/replication/transport.py
@@ -72,7 +72,7 @@
 class Transport:
     """One node's connections."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 (puts the parts together)
         self,
         cluster: str,
         node: str,
--- a/martenstep/replication/verify.py
+++ b/martenstep/replication/verify.py
@@ -61,7 +61,7 @@
     return replicas
 
 
-def find_most_advanced(replicas: list[StoredReplica]) -> dict[str, StoredReplica]:
+def find_latest(replicas: list[StoredReplica]) -> dict[str, StoredReplica]:
     """The sound replica of each group whose log goes furthest, by its last term and then its length.
 
     A folder that was set aside (`GROUP.damaged.*`) is no replica.
