--- a/bench/stores.py
+++ b/bench/stores.py
@@ -15,7 +15,7 @@
 from martenstep.counter.protocol import Add
 from martenstep.counter.state import _ADD, ENTRY_ADD, Limits
 from martenstep.storage.files import Disk
-from martenstep.storage.log import Writer, open_log
+from martenstep.storage.log import LogWriter, open_log
 
 GROUP, NAMES, SECONDS = 500, 10_000, 3.0
 Commit = Callable[[int], None]
@@ -39,7 +39,7 @@
 def by_entries(folder: Path) -> Commit:
     """The log alone: entries made and written, nothing kept in memory; what the stores below do, without totals."""
     files = Disk(folder)
-    writer = Writer(files, open_log(files), 64 << 20)
+    writer = LogWriter(files, open_log(files), 64 << 20)
 
     def commit(first: int) -> None:
         writer.write(
--- a/martenstep/counter/commit_pipeline.py
+++ b/martenstep/counter/commit_pipeline.py
@@ -16,7 +16,7 @@
 from martenstep.counter.protocol import Add, Read, Record, Reply, Status, Stored, Total, without
 from martenstep.counter.state import ENTRY_ADD, Counter, Door, Limits, read_add, term_entry
 from martenstep.storage.files import Files
-from martenstep.storage.log import LogError, Opened, Writer, compact, open_log, write_snapshot
+from martenstep.storage.log import LogError, LogWriter, OpenedLog, compact, open_log, write_snapshot
 
 
 @dataclass(slots=True)
@@ -42,11 +42,11 @@
     """A log that was read anew after a failure, and can be written."""
 
     counter: Counter
-    writer: Writer
+    writer: LogWriter
     records: int
 
 
-def rebuild(opened: Opened, limits: Limits) -> Counter:
+def rebuild(opened: OpenedLog, limits: Limits) -> Counter:
     """The state that a log tells; raises LogError where a snapshot's body cannot be read."""
     counter = Counter(limits)
     if opened.snapshot is not None:
@@ -74,9 +74,9 @@
         self._files, self._durable = files, durable
         self._snapshot_records, self._keep_ms = snapshot_records, keep_ms
         opened = open_log(files)
-        self.cut = opened.cut
+        self.cut = opened.torn_bytes
         self.counter = rebuild(opened, limits)
-        self._writer = Writer(files, opened, segment_bytes)
+        self._writer = LogWriter(files, opened, segment_bytes)
         self._last_snapshot = opened.start
         self._marks: list[tuple[float, int]] = []  # time and records at each snapshot, for retention
         self.group = Group()
@@ -184,8 +184,8 @@
                 self._files.remove(segment.name)
             else:
                 self._files.append(segment.name, end).close()  # it is no longer the last, which alone may be torn
-        fresh = Opened(None, records, iter(()), 0, None, 0)
-        return Recovered(counter, Writer(self._files, fresh, self._segment_bytes), records)
+        fresh = OpenedLog(None, records, iter(()), 0, None, 0)
+        return Recovered(counter, LogWriter(self._files, fresh, self._segment_bytes), records)
 
     def resume(self, recovered: Recovered) -> None:
         """Go on with what was recovered; every session has to begin anew."""
--- a/martenstep/counter/follower.py
+++ b/martenstep/counter/follower.py
@@ -20,7 +20,7 @@
 from martenstep.counter.protocol import Ack, Entries, Follow, FrameError, Frames, Refused, Status, decode, encode
 from martenstep.counter.state import ENTRY_TERM, Limits, term_of
 from martenstep.storage.files import Disk
-from martenstep.storage.log import Writer, likeness, open_log, read_records, records_of
+from martenstep.storage.log import LogWriter, decode_records, fingerprint_entry, open_log, read_records
 
 READ_BYTES = 1 << 20
 AGAIN_LEAST_MS, AGAIN_MOST_MS = 50.0, 2000.0
@@ -38,15 +38,15 @@
         try:
             opened = open_log(self._disk)
             self.term = rebuild(opened, Limits()).term
-            self._writer = Writer(self._disk, opened, segment_bytes)
+            self._writer = LogWriter(self._disk, opened, segment_bytes)
         except BaseException:
             self._disk.close()
             raise
         self._last = 0  # likeness of the last record
         if self._writer.next:
             data, _ = read_records(self._disk, self._writer.next - 1, self._writer.next)
-            [entry] = records_of(data, self._writer.next - 1)
-            self._last = likeness(self._writer.next - 1, entry)
+            [entry] = decode_records(data, self._writer.next - 1)
+            self._last = fingerprint_entry(self._writer.next - 1, entry)
 
     @property
     def records(self) -> int:
@@ -57,9 +57,9 @@
         """Make records durable; raises LogError where they are not whole, FrameError where they do not follow."""
         if entries.first != self._writer.next:
             raise FrameError(f"record {entries.first} after {self._writer.next - 1}")
-        found = records_of(entries.data, entries.first)
-        self._writer.copy(found)
-        self._last = likeness(self._writer.next - 1, found[-1])
+        found = decode_records(entries.data, entries.first)
+        self._writer.append_copied(found)
+        self._last = fingerprint_entry(self._writer.next - 1, found[-1])
         for entry in found:
             if entry[0] == ENTRY_TERM:
                 self.term = max(self.term, term_of(entry))
--- a/martenstep/counter/service.py
+++ b/martenstep/counter/service.py
@@ -42,7 +42,7 @@
 from martenstep.counter.steady_clock import SteadyClock
 from martenstep.lifetime import until_stopped
 from martenstep.storage.files import Disk
-from martenstep.storage.log import RECORD, LogError, likeness, read_records, records_of
+from martenstep.storage.log import RECORD, LogError, decode_records, fingerprint_entry, read_records
 
 RECOVER_S = 0.2  # between two tries to write a log that could not be written
 PART_BYTES = 60_000  # of records in one frame: below the bound of a frame
@@ -170,12 +170,12 @@
         if follow.next:
             try:
                 data, _ = await self._old(follow.next - 1, follow.next)
-                [entry] = records_of(data, follow.next - 1)
+                [entry] = decode_records(data, follow.next - 1)
             except (LogError, ValueError) as error:
                 return Status.BAD, f"{error}: copy the directory first"
             except OSError as error:
                 return Status.UNWRITTEN, f"the log cannot be read: {error}"
-            if likeness(follow.next - 1, entry) != follow.check:
+            if fingerprint_entry(follow.next - 1, entry) != follow.check:
                 return Status.BAD, f"the logs part before record {follow.next}"
         return None
 
--- a/martenstep/lab/fleet/rig.py
+++ b/martenstep/lab/fleet/rig.py
@@ -33,7 +33,7 @@
 from martenstep.membership.core import Address
 from martenstep.replication.node_disk import load_disk_identity
 from martenstep.standins.base import now_ms
-from martenstep.storage.files import FAULTS, Disk
+from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
 
 MOST_DOORS = 24
 JOIN_S = 30.0  # all must have joined within this of the last being started
@@ -235,7 +235,9 @@
         settings.write_text(text_format.MessageToString(door), encoding="utf-8")
         if place.log is None:
             place.log = (place.folder / "door.log").open("ab")
-        place.process = Process(place.name, ["serve", str(settings)], place.log, {FAULTS: str(place.faults)})
+        place.process = Process(
+            place.name, ["serve", str(settings)], place.log, {DISK_FAULTS_VARIABLE: str(place.faults)}
+        )
         place.paused = place.ended = False
         try:
             await place.process.start()
--- a/martenstep/membership/identity.py
+++ b/martenstep/membership/identity.py
@@ -48,7 +48,7 @@
 def keep(files: Files, identity: Identity) -> str:
     """Write it; gives what was wrong."""
     try:
-        files.write_aside(FILE, msgspec.json.encode(identity))
+        files.write_atomically(FILE, msgspec.json.encode(identity))
     except OSError as error:
         return f"{FILE} is not written: {error}"
     return ""
--- a/martenstep/replication/node_disk.py
+++ b/martenstep/replication/node_disk.py
@@ -50,7 +50,7 @@
 
 
 def _save(disk: Disk, identity: DiskIdentity) -> None:
-    disk.write_aside(DISK_FILE, msgspec.json.encode(identity))
+    disk.write_atomically(DISK_FILE, msgspec.json.encode(identity))
 
 
 class NodeDisk:
--- a/martenstep/replication/replica_storage.py
+++ b/martenstep/replication/replica_storage.py
@@ -20,7 +20,7 @@
 from martenstep.replication.raft import DurableWrite, LogPosition, PersistentState
 from martenstep.replication.witness import Witness
 from martenstep.storage.files import Files
-from martenstep.storage.log import LogError, Writer, compact, open_log, write_snapshot
+from martenstep.storage.log import LogError, LogWriter, compact, open_log, write_snapshot
 
 IDENTITY_FILE = "copy.json"
 SEGMENT_BYTES = 4 << 20
@@ -158,7 +158,7 @@
             for record in opened.entries:
                 if len(record) > 1:  # the marker behind a sync says nothing
                     apply_write(self.state, _decode_record(record))
-            self._writer = Writer(self._files, opened, SEGMENT_BYTES)
+            self._writer = LogWriter(self._files, opened, SEGMENT_BYTES)
         except LogError as error:
             raise ReplicaStorageError(str(error)) from None
         except msgspec.DecodeError as error:
@@ -179,7 +179,7 @@
 
     def _write_identity(self, replica_id: int) -> int:
         """Write the identity of a new replica, once, before its first record."""
-        self._files.write_aside(IDENTITY_FILE, msgspec.json.encode(ReplicaIdentity(replica_id)))
+        self._files.write_atomically(IDENTITY_FILE, msgspec.json.encode(ReplicaIdentity(replica_id)))
         return replica_id
 
     def _write_witness(self) -> None:
--- a/martenstep/replication/witness.py
+++ b/martenstep/replication/witness.py
@@ -76,7 +76,7 @@
         self._mark_number += 1
         data = WitnessMark(self._mark_number, replica, records).encode()
         if self._written:
-            self._files.patch(WITNESS_FILE, self._mark_number % 2 * WITNESS_SLOT_BYTES, data)
+            self._files.overwrite(WITNESS_FILE, self._mark_number % 2 * WITNESS_SLOT_BYTES, data)
         else:
-            self._files.write_aside(WITNESS_FILE, data.ljust(WITNESS_SLOT_BYTES, b"\0") * 2)
+            self._files.write_atomically(WITNESS_FILE, data.ljust(WITNESS_SLOT_BYTES, b"\0") * 2)
             self._written = True
--- a/martenstep/storage/files.py
+++ b/martenstep/storage/files.py
@@ -43,10 +43,10 @@
     def append(self, name: str, size: int) -> Appender:
         """An old file, cut to a size."""
 
-    def write_aside(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         """A whole file, durable under its name or not there at all."""
 
-    def patch(self, name: str, at: int, data: bytes) -> None:
+    def overwrite(self, name: str, at: int, data: bytes) -> None:
         """Put bytes over those at an offset of an old file, all within one sector; durable on return.  A crash leaves
         there the old, the new, or neither."""
 
@@ -54,7 +54,9 @@
         """Remove a file."""
 
 
-FAULTS = "MARTENSTEP_DISK_FAULTS"  # the lab's: a file that tells what is wrong with the disk, read at each operation
+DISK_FAULTS_VARIABLE = (
+    "MARTENSTEP_DISK_FAULTS"  # the lab's: a file that tells what is wrong with the disk, read at each operation
+)
 
 
 class SettingsError:
@@ -112,7 +114,9 @@
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._faults = SettingsError(Path(os.environ[FAULTS])) if os.environ.get(FAULTS) else None
+        self._faults = (
+            SettingsError(Path(os.environ[DISK_FAULTS_VARIABLE])) if os.environ.get(DISK_FAULTS_VARIABLE) else None
+        )
         path.mkdir(parents=True, exist_ok=True)
         self._patched: dict[str, int] = {}  # open files
         self._lock = os.open(path / "lock", os.O_RDWR | os.O_CREAT, 0o644)
@@ -158,7 +162,7 @@
         os.fsync(number)
         return _DiskAppender(number, self._faults)
 
-    def write_aside(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         if name in self._patched:
             os.close(self._patched.pop(name))
         aside = self._path / f"{name}.aside"
@@ -173,7 +177,7 @@
         os.replace(aside, self._path / name)
         self._sync_directory()
 
-    def patch(self, name: str, at: int, data: bytes) -> None:
+    def overwrite(self, name: str, at: int, data: bytes) -> None:
         number = self._patched.get(name)
         if number is None:
             number = self._patched[name] = os.open(self._path / name, os.O_WRONLY)
--- a/martenstep/storage/log.py
+++ b/martenstep/storage/log.py
@@ -31,8 +31,8 @@
 HEADER = struct.Struct(">8sIQ8sI")
 SNAP_HEADER = struct.Struct(">8sIQI")
 RECORD = struct.Struct(">IIQI")
-MOST_ENTRY = 1 << 17  # of one record: a length above it is damage
-SEAL = b"\x04"
+MAX_ENTRY_BYTES = 1 << 17  # of one record: a length above it is damage
+SYNC_MARKER = b"\x04"
 _PLACE = struct.Struct(">QI")
 _CHECKED = struct.Struct(">II")
 
@@ -45,13 +45,13 @@
         super().__init__(f"{file} at byte {offset}: {text}")
 
 
-def record(number: int, back: int, entry: bytes) -> bytes:
+def encode_record(number: int, back: int, entry: bytes) -> bytes:
     """One record as it stands in a segment; the checksum is of all that follows it."""
     placed = _PLACE.pack(number, back) + entry
     return _CHECKED.pack(len(entry), crc32c(placed)) + placed
 
 
-def header(first: int) -> bytes:
+def encode_segment_header(first: int) -> bytes:
     """A segment's header."""
     head = HEADER.pack(MAGIC, VERSION, first, b"\0" * 8, 0)[:-4]
     return head + struct.pack(">I", crc32c(head))
@@ -108,7 +108,7 @@
 
 def write_snapshot(files: Files, records: int, body: bytes) -> None:
     """Keep a snapshot, whole or not at all."""
-    files.write_aside(snapshot_name(records), SNAP_HEADER.pack(SNAP_MAGIC, VERSION, records, crc32c(body)) + body)
+    files.write_atomically(snapshot_name(records), SNAP_HEADER.pack(SNAP_MAGIC, VERSION, records, crc32c(body)) + body)
 
 
 def _whole_at(data: bytes, at: int) -> tuple[int, int, bytes] | None:
@@ -117,7 +117,7 @@
         return None
     length, check, number, back = RECORD.unpack_from(data, at)
     end = at + RECORD.size + length
-    if not 1 <= length <= MOST_ENTRY or end > len(data):
+    if not 1 <= length <= MAX_ENTRY_BYTES or end > len(data):
         return None
     if crc32c(data[at + _CHECKED.size : end]) != check:
         return None
@@ -129,7 +129,7 @@
     size = len(data)
     for place in range(at + 1, size - RECORD.size):
         length = int.from_bytes(data[place : place + 4], "big")
-        if 1 <= length <= MOST_ENTRY and place + RECORD.size + length <= size:
+        if 1 <= length <= MAX_ENTRY_BYTES and place + RECORD.size + length <= size:
             found = _whole_at(data, place)
             if found is not None and found[0] - found[1] > number:
                 return place
@@ -149,14 +149,14 @@
 def scan(files: Files, segment: Segment, last: bool) -> Scan:
     """Read a segment; raises LogError on damage."""
     data = files.read(segment.name)
-    if len(data) < HEADER.size or data[: HEADER.size] != header(segment.first):
+    if len(data) < HEADER.size or data[: HEADER.size] != encode_segment_header(segment.first):
         if last and len(data) <= HEADER.size:
             return Scan(segment, [], 0, True)  # the crash came while it was being begun
         raise LogError(segment.name, 0, "the header does not fit")
     entries: list[bytes] = []
     at, number, size = HEADER.size, segment.first, len(data)
     # The same test as _whole_at's, in line: a restart reads millions of them.
-    unpack, most, begin, body = RECORD.unpack_from, MOST_ENTRY, _CHECKED.size, RECORD.size
+    unpack, most, begin, body = RECORD.unpack_from, MAX_ENTRY_BYTES, _CHECKED.size, RECORD.size
     while at + body <= size:
         length, check, told, _ = unpack(data, at)
         end = at + body + length
@@ -174,12 +174,12 @@
     return Scan(segment, entries, at, True)
 
 
-def likeness(number: int, entry: bytes) -> int:
+def fingerprint_entry(number: int, entry: bytes) -> int:
     """Tells whether two logs hold the same entry under a number, whenever each synced it."""
     return int(crc32c(number.to_bytes(8, "big") + entry))
 
 
-def records_of(data: bytes, first: int) -> list[bytes]:
+def decode_records(data: bytes, first: int) -> list[bytes]:
     """The entries of records that stand one behind the other, numbered from the first; raises LogError."""
     entries: list[bytes] = []
     at = 0
@@ -213,7 +213,7 @@
 
 
 @dataclass(slots=True)
-class Opened:
+class OpenedLog:
     """What a log holds: a snapshot's body, the records after it, and where to go on writing."""
 
     snapshot: bytes | None
@@ -221,10 +221,10 @@
     entries: Iterator[bytes]
     count: int
     tail: tuple[Segment, int] | None  # the last segment and its size up to the last whole record
-    cut: int  # bytes of a torn tail
+    torn_bytes: int  # bytes of a torn tail
 
 
-def open_log(files: Files) -> Opened:
+def open_log(files: Files) -> OpenedLog:
     """Read what a log holds; raises LogError on damage or a gap."""
     body, start = None, 0
     for name, records in snapshots(files):
@@ -267,13 +267,13 @@
             raise LogError(final.segment.name, final.end, f"ends before the snapshot's {start} records")
         tail = final.segment, final.end
         cut = len(files.read(final.segment.name)) - final.end if final.torn else 0
-    return Opened(body, start, entries(), count, tail, cut)
+    return OpenedLog(body, start, entries(), count, tail, cut)
 
 
-class Writer:
+class LogWriter:
     """Adds records and makes them durable together."""
 
-    def __init__(self, files: Files, opened: Opened, segment_bytes: int) -> None:
+    def __init__(self, files: Files, opened: OpenedLog, segment_bytes: int) -> None:
         self._files, self._segment_bytes = files, segment_bytes
         self.next = opened.start + opened.count
         self.synced = self.next  # records that are durable: a seal behind them may still be lost
@@ -293,7 +293,7 @@
         if self._file is not None:
             self._file.close()
         self._file = self._files.create(segment_name(self.next))
-        data = header(self.next)
+        data = encode_segment_header(self.next)
         self._file.write(data)
         self._file.sync()
         self._size = len(data)
@@ -303,7 +303,7 @@
         number of their first.  Raises OSError: then nothing more may be written."""
         assert self._file is not None
         first, back = self.next, self.next - self.synced
-        data = b"".join([record(first + index, back + index, entry) for index, entry in enumerate(entries)])
+        data = b"".join([encode_record(first + index, back + index, entry) for index, entry in enumerate(entries)])
         self._file.write(data)
         self.next += len(entries)
         self._size += len(data)
@@ -316,17 +316,17 @@
         if full:
             self._begin()
         elif durable:
-            self._seal = record(self.next, 0, SEAL)
+            self._seal = encode_record(self.next, 0, SYNC_MARKER)
             self._file.write(self._seal)
             self.next += 1
             self._size += len(self._seal)
         return shipped
 
-    def copy(self, entries: list[bytes]) -> None:
+    def append_copied(self, entries: list[bytes]) -> None:
         """Add entries of another log, seals included, under the same numbers; durable once this returns.  Their place
         since the last sync is this log's own.  Raises OSError."""
         assert self._file is not None
-        data = b"".join([record(self.next + index, index, entry) for index, entry in enumerate(entries)])
+        data = b"".join([encode_record(self.next + index, index, entry) for index, entry in enumerate(entries)])
         self._file.write(data)
         self._file.sync()
         self.next += len(entries)
--- a/tests/counter_rig.py
+++ b/tests/counter_rig.py
@@ -94,7 +94,7 @@
         file.durable, file.pending = (file.durable + file.pending)[:size], b""
         return _Appender(self, file)
 
-    def write_aside(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         for part in ("write", "sync", "rename"):
             if self._step():
                 if part == "rename" and self._rng.random() < 0.5:
@@ -110,7 +110,7 @@
         self._files[name] = _File()
         self._files[name].durable = data
 
-    def patch(self, name: str, at: int, data: bytes) -> None:
+    def overwrite(self, name: str, at: int, data: bytes) -> None:
         file = self._files[name]
         old = file.durable[at : at + len(data)]
         assert len(old) == len(data) and at // SECTOR == (at + len(data) - 1) // SECTOR
--- a/tests/test_counter_follow.py
+++ b/tests/test_counter_follow.py
@@ -17,7 +17,7 @@
 from martenstep.counter.settings import parse_service
 from martenstep.counter.state import Limits
 from martenstep.policy.messages import CallResult
-from martenstep.storage.log import read_records, records_of
+from martenstep.storage.log import decode_records, read_records
 from tests.socket_rig import run
 from tests.test_counter_service import Desk, Wire, served
 
@@ -112,7 +112,7 @@
             while held < service.keeper.synced:
                 frame = await slow.next()
                 assert isinstance(frame, fr.Entries) and frame.first == held
-                held += len(records_of(frame.data, held))
+                held += len(decode_records(frame.data, held))
             assert held > 4000
 
     run(test())
--- a/tests/test_fault_counter.py
+++ b/tests/test_fault_counter.py
@@ -11,7 +11,7 @@
 
 from martenstep.counter.journal import Journal
 from martenstep.counter.log_inspection import each_try
-from martenstep.storage.files import FAULTS
+from martenstep.storage.files import DISK_FAULTS_VARIABLE
 from tests.socket_rig import run
 from tests.test_counter_service import Desk, served
 
@@ -82,7 +82,7 @@
 
     async def test(fault: str, folder: Path) -> None:
         faults = tmp_path / f"faults-{fault}"
-        monkeypatch.setenv(FAULTS, str(faults))
+        monkeypatch.setenv(DISK_FAULTS_VARIABLE, str(faults))
         async with served(folder / "log") as (_, port):
             desk = Desk(port, folder / "door", timeout_ms=200.0)
             first = desk.add(5, 3.0)
@@ -101,7 +101,7 @@
             await desk.quiet()
             assert desk.answers[last][1] == 5.0, "3, and one that was written in time or sent again, and one"
             await desk.client.stop()
-        monkeypatch.delenv(FAULTS)
+        monkeypatch.delenv(DISK_FAULTS_VARIABLE)
         async with served(folder / "log") as (service, _):
             assert service.keeper.counter.total(5) == 5.0
         assert [told.request for _, told in each_try(folder / "log")] == ["r1"]
--- a/tests/test_formats_replica_storage.py
+++ b/tests/test_formats_replica_storage.py
@@ -20,7 +20,7 @@
 from martenstep.replication.witness import WitnessMark, read_witness_mark
 from martenstep.storage import log
 from martenstep.storage.files import Disk
-from martenstep.storage.log import Writer, compact, open_log, read_records, records_of, write_snapshot
+from martenstep.storage.log import LogWriter, compact, decode_records, open_log, read_records, write_snapshot
 
 FORMATS = Path(__file__).parent / "formats" / "replication"
 CONFIG = Configuration((4503599627370497, 2, 3), (), ((4503599627370497, "d1"), (2, "d2"), (3, "d3")))
@@ -79,7 +79,7 @@
 def write_log(folder: Path) -> None:
     """Two segments, a snapshot, and a group that was not synced."""
     with contextlib.closing(Disk(folder)) as disk:
-        writer = Writer(disk, open_log(disk), 200)
+        writer = LogWriter(disk, open_log(disk), 200)
         for number, entries in enumerate(LOG_ENTRIES):
             writer.write(entries, durable=number != 2)
             if number == 1:
@@ -192,7 +192,12 @@
 def test_a_stored_log_is_read(tmp_path: Path) -> None:
     with contextlib.closing(Disk(copied("log", tmp_path / "log"))) as disk:
         opened = open_log(disk)
-        assert (opened.snapshot, opened.start, opened.count, opened.cut) == (b"snapshot of three records", 4, 6, 0)
+        assert (opened.snapshot, opened.start, opened.count, opened.torn_bytes) == (
+            b"snapshot of three records",
+            4,
+            6,
+            0,
+        )
         assert list(opened.entries) == [
             b"\x04",
             b"four",
@@ -210,7 +215,7 @@
         ]
         assert log.snapshots(disk) == [("snap-0000000000000004.snap", 4)]
         data, after = read_records(disk, 1, 3)
-        assert (records_of(data, 1), after) == ([b"two", b"\x04"], 3)
+        assert (decode_records(data, 1), after) == ([b"two", b"\x04"], 3)
 
 
 def test_the_same_entries_make_the_same_log(tmp_path: Path) -> None:
@@ -220,8 +225,8 @@
 
 def test_a_stored_log_is_carried_on_with_these_bytes(tmp_path: Path) -> None:
     with contextlib.closing(Disk(copied("log", tmp_path / "log"))) as disk:
-        writer = Writer(disk, open_log(disk), 200)
-        writer.copy([b"copied", b"\x04"])
+        writer = LogWriter(disk, open_log(disk), 200)
+        writer.append_copied([b"copied", b"\x04"])
         writer.write([b"more"], durable=True)
         write_snapshot(disk, writer.synced, b"second snapshot")
         assert compact(disk, writer.synced) == []
@@ -234,10 +239,13 @@
 
 
 def test_parts_of_a_log_have_these_bytes() -> None:
-    assert log.header(31).hex() == "4d535445504c4f4700000001000000000000001f0000000000000000f0bafeb8"
-    assert log.record(7, 2, b"entry").hex() == "00000005995e715b000000000000000700000002656e747279"
-    assert log.SEAL == b"\x04" and log.record(8, 0, log.SEAL).hex() == "000000011bc72ae400000000000000080000000004"
-    assert log.likeness(7, b"entry") == 3646334113
+    assert log.encode_segment_header(31).hex() == "4d535445504c4f4700000001000000000000001f0000000000000000f0bafeb8"
+    assert log.encode_record(7, 2, b"entry").hex() == "00000005995e715b000000000000000700000002656e747279"
+    assert (
+        log.SYNC_MARKER == b"\x04"
+        and log.encode_record(8, 0, log.SYNC_MARKER).hex() == "000000011bc72ae400000000000000080000000004"
+    )
+    assert log.fingerprint_entry(7, b"entry") == 3646334113
 
 
 # What staff read of a folder.
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,7 +21,7 @@
 from martenstep.membership.member_table import State
 from martenstep.membership.transport import Membership
 from martenstep.proxy.admin import Admin, DoorCollector
-from martenstep.storage.files import FAULTS, Disk
+from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
 from tests.door_rig import DOOR
 from tests.socket_rig import run
 
@@ -230,11 +230,11 @@
         first, wrong = identity.take_up(disk, rng)
         second, _ = identity.take_up(disk, rng)
         assert not wrong and (first.identity, first.starts, second.starts) == (second.identity, 1, 2)
-        disk.write_aside(identity.FILE, b"{")
+        disk.write_atomically(identity.FILE, b"{")
         third, wrong = identity.take_up(disk, rng)
         assert third.identity != first.identity and third.starts == 1 and "is not read" in wrong
     faults = tmp_path / "faults"
-    monkeypatch.setenv(FAULTS, str(faults))
+    monkeypatch.setenv(DISK_FAULTS_VARIABLE, str(faults))
     for number, (fault, told) in enumerate((('{"full": 1}', "No space left"), ('{"sync_fails": 1}', "Input/output"))):
         faults.write_text(fault)
         with Disk(tmp_path / "a") as broken:
--- a/tests/test_replication_host.py
+++ b/tests/test_replication_host.py
@@ -20,7 +20,7 @@
 from martenstep.replication.replica import Replica
 from martenstep.replication.replica_storage import ReplicaStorage
 from martenstep.replication.transport import Transport
-from martenstep.storage.files import FAULTS, Disk
+from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
 from tests.socket_rig import LONG_S, run
 
 KEYS = Keys([b"k" * 32])
@@ -222,12 +222,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     faults = tmp_path / "faults"
-    monkeypatch.setenv(FAULTS, str(faults))
+    monkeypatch.setenv(DISK_FAULTS_VARIABLE, str(faults))
 
     async def test() -> None:
         group = Group(tmp_path)
         bad = group.store("a")
-        monkeypatch.delenv(FAULTS)
+        monkeypatch.delenv(DISK_FAULTS_VARIABLE)
         good = [group.store("b"), group.store("c")]
         group.first = Configuration((bad.replica_id, *(store.replica_id for store in good)))
         for store in (bad, *good):
