--- a/martenstep/membership/identity.py
+++ b/martenstep/membership/identity.py
@@ -63,7 +63,7 @@
 def store_identity(files: Files, identity: NodeIdentity) -> str:
     """Write the file; returns what was wrong, empty where nothing was."""
     try:
-        files.write_aside(IDENTITY_FILE, msgspec.json.encode(identity))
+        files.write_atomically(IDENTITY_FILE, msgspec.json.encode(identity))
     except OSError as error:
         return f"{IDENTITY_FILE} is not written: {error}"
     return ""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
 from martenstep.membership.member import MemberState
 from martenstep.membership.service import MembershipService
 from martenstep.proxy.admin import AdminListener, GatewayCollector
-from martenstep.storage.files import FAULTS, Disk
+from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
 from tests.door_rig import DOOR
 from tests.socket_rig import run
 
@@ -231,11 +231,11 @@
         first, wrong = identity.load_identity(disk, rng)
         second, _ = identity.load_identity(disk, rng)
         assert not wrong and (first.node_id, first.start_count, second.start_count) == (second.node_id, 1, 2)
-        disk.write_aside(identity.IDENTITY_FILE, b"{")
+        disk.write_atomically(identity.IDENTITY_FILE, b"{")
         third, wrong = identity.load_identity(disk, rng)
         assert third.node_id != first.node_id and third.start_count == 1 and "is not read" in wrong
     faults = tmp_path / "faults"
-    monkeypatch.setenv(FAULTS, str(faults))
+    monkeypatch.setenv(DISK_FAULTS_VARIABLE, str(faults))
     for number, (fault, told) in enumerate((('{"full": 1}', "No space left"), ('{"sync_fails": 1}', "Input/output"))):
         faults.write_text(fault)
         with Disk(tmp_path / "a") as broken:
