--- a/martenstep/cli/maintenance.py
+++ b/martenstep/cli/maintenance.py
@@ -14,20 +14,19 @@
 from martenstep.cli.asking import ask as asked
 from martenstep.cli.asking import failed
 from martenstep.cli.words import example
-from martenstep.maintenance.coordinator import View
-from martenstep.maintenance.queue import (
-    Answer,
-    Ask,
-    Cancel,
-    Done,
-    Extend,
-    GiveUp,
-    Limits,
-    Pause,
+from martenstep.maintenance.commands import (
+    AbandonRequest,
+    CancelRequest,
+    Command,
+    CommandResult,
+    ExtendMaintenance,
+    FinishMaintenance,
     SetLimits,
-    State,
-    What,
+    SetPaused,
+    SubmitRequest,
 )
+from martenstep.maintenance.model import MaintenanceLimits, RequestState
+from martenstep.maintenance.protocol import QueueView
 
 ADMIN = click.option("--admin", required=True, help="HOST:PORT of any door's admin listener.")
 UNITS = {"s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
@@ -47,53 +46,55 @@
         return float(found[1]) * UNITS[found[2]]
 
 
-def tell(admin: str, what: What) -> Answer:
+def tell(admin: str, what: Command) -> CommandResult:
     """Put something into the book; what it refuses ends the program with exit 1."""
     told = asked(admin, "POST", "/maintenance?what=" + quote(msgspec.json.encode(what)))
-    answer = msgspec.convert(told, Answer)
+    answer = msgspec.convert(told, CommandResult)
     if not answer.ok:
-        failed(answer.text)
+        failed(answer.message)
     return answer
 
 
-def look(admin: str) -> View:
+def look(admin: str) -> QueueView:
     """The book."""
-    return msgspec.convert(asked(admin, "GET", "/maintenance"), View)
+    return msgspec.convert(asked(admin, "GET", "/maintenance"), QueueView)
 
 
-def _token(view: View, request: str) -> int:
-    held = next((one for one in view.requests if one.id == request), None)
+def _token(view: QueueView, request: str) -> int:
+    held = next((one for one in view.requests if one.request_id == request), None)
     if held is None:
         failed(f"no request {request}")
     return held.token
 
 
-def table(view: View, ended: bool) -> str:
+def table(view: QueueView, ended: bool) -> str:
     """The book as staff read it."""
     rows = [COLUMNS]
-    place = {request: number for number, request in enumerate(view.order)}
-    held = [one for one in view.requests if ended or one.state is not State.ENDED]
-    for one in sorted(held, key=lambda one: (one.state is State.WAITING, place.get(one.id, -1), one.number)):
+    place = {request: number for number, request in enumerate(view.waiting_order)}
+    held = [one for one in view.requests if ended or one.state is not RequestState.ENDED]
+    for one in sorted(
+        held, key=lambda one: (one.state is RequestState.WAITING, place.get(one.request_id, -1), one.number)
+    ):
         rows.append(
             (
-                one.id,
+                one.request_id,
                 one.machine,
                 one.state.value,
                 str(one.token or "-"),
-                f"{one.for_ms / 60_000:g}m",
+                f"{one.duration_ms / 60_000:g}m",
                 one.plan or "-",
                 one.reason or "-",
-                one.end or view.waits.get(one.id, "-"),
+                one.outcome or view.waiting_reasons.get(one.request_id, "-"),
             )
         )
     widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     limits = view.limits
     head = (
-        f"{view.leader} leads the book; {limits.most_out} may be out, {limits.most_out_zone} in a zone, "
-        f"{limits.most_share:.0%} of the capacity" + (", zone by zone" if limits.by_zone else "")
+        f"{view.leader} leads the book; {limits.max_out} may be out, {limits.max_out_per_zone} in a zone, "
+        f"{limits.max_capacity_share:.0%} of the capacity" + (", zone by zone" if limits.zone_by_zone else "")
     )
     notes = [f"paused: {view.paused}"] if view.paused is not None else []
-    notes += [f"plan {plan} stands: {why}" for plan, why in sorted(view.plans.items())]
+    notes += [f"plan {plan} stands: {why}" for plan, why in sorted(view.paused_plans.items())]
     away = [one.name for one in view.machines if not one.healthy]
     notes += [f"not healthy: {', '.join(away)}"] if away else []
     return "\n".join(
@@ -142,10 +143,12 @@
     for name in names:
         answer = tell(
             admin,
-            Ask(f"{base}-{name}" if several else base, name, for_ms, reason, urgent, before, base if several else ""),
+            SubmitRequest(
+                f"{base}-{name}" if several else base, name, for_ms, reason, urgent, before, base if several else ""
+            ),
         )
         if answer.request is not None:
-            click.echo(f"{answer.request.id}: {answer.request.state.value}")
+            click.echo(f"{answer.request.request_id}: {answer.request.state.value}")
 
 
 @maintenance.command("list", epilog=example("martenstep maintenance list --admin 127.0.0.1:9080"))
@@ -164,10 +167,10 @@
 def show(request: str, admin: str) -> None:
     """Print one request, with what it waits for."""
     view = look(admin)
-    held = next((one for one in view.requests if one.id == request), None)
+    held = next((one for one in view.requests if one.request_id == request), None)
     if held is None:
         failed(f"no request {request}")
-    told = {**msgspec.to_builtins(held), "waits_for": view.waits.get(request, "")}
+    told = {**msgspec.to_builtins(held), "waits_for": view.waiting_reasons.get(request, "")}
     click.echo(msgspec.json.format(msgspec.json.encode(told)))
 
 
@@ -177,12 +180,12 @@
 def ready(machine: str, admin: str) -> None:
     """Exit 0 where MACHINE may be touched: it started to leave by the book, and has left; else exit 1, and why."""
     view = look(admin)
-    held = next((one for one in view.requests if one.machine == machine and one.state is not State.ENDED), None)
-    if held is None or held.state is not State.OUT:
+    held = next((one for one in view.requests if one.machine == machine and one.state is not RequestState.ENDED), None)
+    if held is None or held.state is not RequestState.OUT:
         failed(f"{machine} is not out: " + (held.state.value if held is not None else "no request"))
     if any(one.name == machine and one.healthy for one in view.machines):
         failed(f"{machine} is on its way out")
-    click.echo(f"{machine} may be touched, by {held.id}, token {held.token}")
+    click.echo(f"{machine} may be touched, by {held.request_id}, token {held.token}")
 
 
 @maintenance.command("cancel", epilog=example("martenstep maintenance cancel kernel-d004 --admin 127.0.0.1:9080"))
@@ -190,7 +193,7 @@
 @ADMIN
 def cancel(request: str, admin: str) -> None:
     """Cancel a request that has not started."""
-    tell(admin, Cancel(request))
+    tell(admin, CancelRequest(request))
 
 
 @maintenance.command("done", epilog=example("martenstep maintenance done kernel-d004 --admin 127.0.0.1:9080"))
@@ -199,7 +202,7 @@
 @ADMIN
 def done(request: str, why: str | None, admin: str) -> None:
     """Tell that the work is done.  A door that is started again tells it by itself."""
-    tell(admin, Done(request, _token(look(admin), request), why is None, why or ""))
+    tell(admin, FinishMaintenance(request, _token(look(admin), request), why is None, why or ""))
 
 
 @maintenance.command(
@@ -210,7 +213,7 @@
 @ADMIN
 def extend(request: str, for_ms: float, admin: str) -> None:
     """Let a machine stay out longer."""
-    tell(admin, Extend(request, _token(look(admin), request), for_ms))
+    tell(admin, ExtendMaintenance(request, _token(look(admin), request), for_ms))
 
 
 @maintenance.command("give-up", epilog=example("martenstep maintenance give-up kernel-d004 --admin 127.0.0.1:9080"))
@@ -218,7 +221,7 @@
 @ADMIN
 def give_up(request: str, admin: str) -> None:
     """End a request whose machine will not come back."""
-    tell(admin, GiveUp(request))
+    tell(admin, AbandonRequest(request))
 
 
 @maintenance.command("pause", epilog=example("martenstep maintenance pause --why night --admin 127.0.0.1:9080"))
@@ -227,7 +230,7 @@
 @ADMIN
 def pause(plan: str, why: str, admin: str) -> None:
     """Grant nobody, or nobody of a plan; who is out stays out."""
-    tell(admin, Pause(True, why, plan))
+    tell(admin, SetPaused(True, why, plan))
 
 
 @maintenance.command("resume", epilog=example("martenstep maintenance resume --admin 127.0.0.1:9080"))
@@ -235,22 +238,22 @@
 @ADMIN
 def resume(plan: str, admin: str) -> None:
     """Grant again."""
-    tell(admin, Pause(False, "", plan))
+    tell(admin, SetPaused(False, "", plan))
 
 
 @maintenance.command("limits", epilog=example("martenstep maintenance limits --most-out 2 --admin 127.0.0.1:9080"))
-@click.option("--most-out", type=click.IntRange(min=0))
-@click.option("--most-out-zone", type=click.IntRange(min=0))
-@click.option("--most-share", type=click.FloatRange(0, 1))
-@click.option("--by-zone/--spread", default=None)
-@click.option("--overdue-holds/--overdue-goes-on", default=None)
+@click.option("--most-out", "max_out", type=click.IntRange(min=0))
+@click.option("--most-out-zone", "max_out_per_zone", type=click.IntRange(min=0))
+@click.option("--most-share", "max_capacity_share", type=click.FloatRange(0, 1))
+@click.option("--by-zone/--spread", "zone_by_zone", default=None)
+@click.option("--overdue-holds/--overdue-goes-on", "overdue_blocks", default=None)
 @click.option("--lease", "lease_ms", type=Span())
 @click.option("--grace", "grace_ms", type=Span())
-@click.option("--starve", "starve_ms", type=Span())
+@click.option("--starve", "starvation_ms", type=Span())
 @ADMIN
 def limits(admin: str, **given: Any) -> None:
     """Change limits; those that are not given stay."""
-    held: Limits = look(admin).limits
+    held: MaintenanceLimits = look(admin).limits
     tell(
         admin,
         SetLimits(msgspec.structs.replace(held, **{name: value for name, value in given.items() if value is not None})),
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -17,8 +17,8 @@
 from martenstep.counter.replicated_counter import CopiedCounter
 from martenstep.counter.replicated_service import Bounds, CopiedService
 from martenstep.event_log import EventLog
-from martenstep.maintenance.coordinator import GROUP as ORDERS
-from martenstep.maintenance.queue import Book as OrderBook
+from martenstep.maintenance.coordinator import QUEUE_GROUP
+from martenstep.maintenance.queue import MaintenanceQueue
 from martenstep.membership.service import MembershipService
 from martenstep.replication.replica import Replica
 from martenstep.replication.replica_manager import ReplicaManager
@@ -36,7 +36,7 @@
 def holding(door: pb.Door) -> ReplicationSettings:
     """What the settings ask of each door."""
     copies = door.copies
-    more = (ORDERS,) if door.HasField("maintenance") else ()
+    more = (QUEUE_GROUP,) if door.HasField("maintenance") else ()
     return ReplicationSettings(
         slots(copies) + more,
         tuple(BootstrapMember(one.door, one.disk) for one in copies.founder),
@@ -97,9 +97,9 @@
         self.links.stop()
 
     @staticmethod
-    def _machine(group: str) -> CopiedCounter | Book | OrderBook:
-        if group == ORDERS:
-            return OrderBook()
+    def _machine(group: str) -> CopiedCounter | Book | MaintenanceQueue:
+        if group == QUEUE_GROUP:
+            return MaintenanceQueue()
         return Book() if is_book(group) else CopiedCounter()
 
     def _counter(self, group: str) -> Replica | None:
--- a/martenstep/lab/explore_orders.py
+++ b/martenstep/lab/explore_orders.py
@@ -22,28 +22,26 @@
 import msgspec
 import xxhash
 
-from martenstep.maintenance.lease_holder import Agent, AskDone, AskStart, Leave, Step, Touchable
-from martenstep.maintenance.queue import (
-    Answer,
-    Ask,
-    Book,
-    Done,
-    GiveUp,
-    Group,
-    Limits,
-    Machine,
+from martenstep.maintenance.commands import (
+    AbandonRequest,
+    Command,
+    CommandResult,
+    FinishMaintenance,
     SetLimits,
-    Sight,
-    Start,
-    State,
+    StartMaintenance,
+    SubmitRequest,
     Tick,
-    What,
-    entry,
+    encode_entry,
 )
+from martenstep.maintenance.lease_holder import Drain, LeaseHolder, Phase, ReadyForWork, SendFinish, SendStart
+from martenstep.maintenance.model import Machine, MaintenanceLimits, Observation, ReplicaGroup, RequestState
+from martenstep.maintenance.queue import MaintenanceQueue
 
 LEASE = 100.0
 NAMES = ("m0", "m1", "m2")
-On = tuple[str, int, What | Answer, float, int]  # machine, which of its processes, what is on its way, asked at, kind
+On = tuple[
+    str, int, Command | CommandResult, float, int
+]  # machine, which of its processes, what is on its way, asked at, kind
 
 
 class BreachError(Exception):
@@ -93,7 +91,10 @@
     """Of one small world."""
 
     def __init__(
-        self, budget: Budget, book: Callable[[], Book] = Book, agent: Callable[[str, float], Agent] = Agent
+        self,
+        budget: Budget,
+        book: Callable[[], MaintenanceQueue] = MaintenanceQueue,
+        agent: Callable[[str, float], LeaseHolder] = LeaseHolder,
     ) -> None:
         self._budget, self._book, self._agent = budget, book, agent
         self.states = self.events = self.left = 0
@@ -101,9 +102,16 @@
     def begin(self) -> World:
         """Two have been asked for; the third holds a copy beside one of them."""
         book = self._book()
-        limits = Limits(self._budget.most_out, 3, 1.0, lease_ms=LEASE, grace_ms=1e9, starve_ms=1e9, overdue_holds=False)
-        for what in (SetLimits(limits), self._sight(frozenset()), Ask("r0", "m0", 5.0), Ask("r1", "m1", 5.0)):
-            book.apply(entry(0.0, what))
+        limits = MaintenanceLimits(
+            self._budget.most_out, 3, 1.0, lease_ms=LEASE, grace_ms=1e9, starvation_ms=1e9, overdue_blocks=False
+        )
+        for what in (
+            SetLimits(limits),
+            self._sight(frozenset()),
+            SubmitRequest("r0", "m0", 5.0),
+            SubmitRequest("r1", "m1", 5.0),
+        ):
+            book.apply(encode_entry(0.0, what))
         return World(
             book.snapshot(),
             dict.fromkeys(NAMES, ("here", "", 0)),
@@ -116,12 +124,14 @@
         )
 
     @staticmethod
-    def _sight(ill: frozenset[str]) -> Sight:
-        return Sight(tuple(Machine(name, "a", 1.0, name not in ill) for name in NAMES), (Group("g", ("m0", "m1")),))
+    def _sight(ill: frozenset[str]) -> Observation:
+        return Observation(
+            tuple(Machine(name, "a", 1.0, name not in ill) for name in NAMES), (ReplicaGroup("g", ("m0", "m1")),)
+        )
 
     # The parts.
 
-    def _held(self, world: World) -> Book:
+    def _held(self, world: World) -> MaintenanceQueue:
         book = self._book()
         book.restore(world.book)
         return book
@@ -130,45 +140,47 @@
     def _now(world: World) -> float:
         return world.lap * (LEASE + 1.0)
 
-    def _put(self, world: World, what: What) -> tuple[World, Answer]:
+    def _put(self, world: World, what: Command) -> tuple[World, CommandResult]:
         book = self._held(world)
-        answer = book.apply(entry(self._now(world), what))
+        answer = book.apply(encode_entry(self._now(world), what))
         after = replace(world, book=book.snapshot())
         self._judge(after, book)
         return after, answer
 
-    def _run(self, world: World, name: str, event: Callable[[Agent], None]) -> World:
+    def _run(self, world: World, name: str, event: Callable[[LeaseHolder], None]) -> World:
         """One event at a machine, and what it wants then."""
         agent = self._agent(name, LEASE)
-        step, agent.request, agent.token = world.agents[name]
-        agent.step = Step(step)
-        agent._again = 1e18
+        step, agent.request_id, agent.token = world.agents[name]
+        agent.phase = Phase(step)
+        agent._retry_ms = 1e18
         event(agent)
-        after = replace(world, agents={**world.agents, name: (agent.step.value, agent.request, agent.token)})
-        for action in agent.out:
-            if isinstance(action, AskStart | AskDone):
-                what: What = action.start if isinstance(action, AskStart) else action.done
+        after = replace(world, agents={**world.agents, name: (agent.phase.value, agent.request_id, agent.token)})
+        for action in agent.actions:
+            if isinstance(action, SendStart | SendFinish):
+                what: Command = action.command
                 told: On = (name, world.lives[name], what, self._now(world), 0)
                 if told not in after.on:
                     after = replace(after, on=tuple(sorted((*after.on, told), key=repr)))
-            elif isinstance(action, Leave):
+            elif isinstance(action, Drain):
                 self.left += 1
-                held = self._held(after).requests.get(action.request)
-                if held is None or held.state not in (State.OUT, State.COMING):
+                held = self._held(after).requests.get(action.request_id)
+                if held is None or held.state not in (RequestState.OUT, RequestState.RECOVERING):
                     raise BreachError(
-                        f"{name} leaves by {action.request}, which is "
+                        f"{name} leaves by {action.request_id}, which is "
                         f"{held.state.value if held is not None else 'unknown'}"
                     )
                 # From now on it says of itself that it does not serve.
-                after = replace(after, gone={**after.gone, name: action.request}, ill=after.ill | {name})
+                after = replace(after, gone={**after.gone, name: action.request_id}, ill=after.ill | {name})
                 self._judge(after, self._held(after))
             else:
-                assert isinstance(action, Touchable)
+                assert isinstance(action, ReadyForWork)
         return after
 
-    def _judge(self, world: World, book: Book) -> None:
+    def _judge(self, world: World, book: MaintenanceQueue) -> None:
         may = {
-            held.machine for held in book.requests.values() if held.state in (State.GRANTED, State.OUT, State.COMING)
+            held.machine
+            for held in book.requests.values()
+            if held.state in (RequestState.GRANTED, RequestState.OUT, RequestState.RECOVERING)
         }
         away = may | set(world.gone)
         if len(away) > self._budget.most_out:
@@ -185,14 +197,14 @@
             step = world.agents[name][0]
             if world.lives[name] > 0:
 
-                def look(agent: Agent) -> None:
-                    agent.seen(now, list(self._held(world).requests.values()))
+                def look(agent: LeaseHolder) -> None:
+                    agent.observe(now, list(self._held(world).requests.values()))
 
                 yield f"{name} looks into the book", self._run(world, name, look)
                 if step == "asking":
-                    yield f"{name} asks again", self._run(world, name, lambda agent: agent._ask(now))
+                    yield f"{name} asks again", self._run(world, name, lambda agent: agent._ask_start(now))
                 if step == "going":
-                    yield f"{name} has drained", self._run(world, name, lambda agent: agent.left(now))
+                    yield f"{name} has drained", self._run(world, name, lambda agent: agent.drained())
                 if budget.crashes:
                     after = replace(
                         world,
@@ -226,30 +238,35 @@
         if budget.people:
             spent = replace(world, budget=replace(budget, people=budget.people - 1))
             for held in self._held(world).requests.values():
-                if held.state in (State.OUT, State.COMING):
-                    yield f"{held.id} is given up", self._put(spent, GiveUp(held.id))[0]
-                    yield f"a person says that {held.id} is done", self._put(spent, Done(held.id, held.token))[0]
+                if held.state in (RequestState.OUT, RequestState.RECOVERING):
+                    yield f"{held.request_id} is given up", self._put(spent, AbandonRequest(held.request_id))[0]
+                    yield (
+                        f"a person says that {held.request_id} is done",
+                        self._put(spent, FinishMaintenance(held.request_id, held.token))[0],
+                    )
 
     def _arrives(self, world: World, told: On) -> Iterator[tuple[str, World]]:
         name, life, what, asked, _ = told
-        if isinstance(what, Answer):
+        if isinstance(what, CommandResult):
             if world.lives[name] == life and what.request is not None:
-                start = Start(what.request.id, what.request.token)
+                start = StartMaintenance(what.request.request_id, what.request.token)
                 now = self._now(world)
                 yield (
                     f"{name} gets its answer",
-                    self._run(world, name, lambda agent: agent.started(now, start, asked, what)),
+                    self._run(world, name, lambda agent: agent.start_answered(now, start, asked, what)),
                 )
             else:
                 yield f"{name} is not there for its answer", world
             return
         after, answer = self._put(world, what)
-        if isinstance(what, Start):
+        if isinstance(what, StartMaintenance):
             # Only what the machine reads of it: its request and token, and whether it may go.
             request = answer.request or None
             if request is not None:
-                request = msgspec.structs.replace(request, since=0.0, lease_until=0.0, due=0.0, token=what.token)
-            reply: On = (name, life, Answer(answer.ok, "", request), asked, 1)
+                request = msgspec.structs.replace(
+                    request, state_since_ms=0.0, lease_expires_ms=0.0, due_ms=0.0, token=what.token
+                )
+            reply: On = (name, life, CommandResult(answer.ok, "", request), asked, 1)
             if reply not in after.on:
                 after = replace(after, on=tuple(sorted((*after.on, reply), key=repr)))
         yield f"the book gets {type(what).__name__} of {name}", after
--- a/martenstep/lab/fleet/orders.py
+++ b/martenstep/lab/fleet/orders.py
@@ -20,29 +20,30 @@
 import msgspec
 
 from martenstep.lab.emulate.core import Sim
-from martenstep.maintenance.lease_holder import Agent, AskDone, AskStart, Leave, Step, Touchable
-from martenstep.maintenance.queue import (
-    DRIFT,
-    Answer,
-    Ask,
-    Book,
-    Cancel,
-    Clock,
-    Done,
-    Extend,
-    GiveUp,
-    Group,
-    Limits,
-    Machine,
-    Request,
+from martenstep.maintenance.commands import (
+    AbandonRequest,
+    CancelRequest,
+    Command,
+    CommandResult,
+    ExtendMaintenance,
+    FinishMaintenance,
     SetLimits,
-    Sight,
-    Start,
-    State,
+    StartMaintenance,
+    SubmitRequest,
     Tick,
-    What,
-    entry,
+    encode_entry,
+)
+from martenstep.maintenance.lease_holder import Drain, LeaseHolder, Phase, ReadyForWork, SendFinish, SendStart
+from martenstep.maintenance.model import (
+    Machine,
+    MaintenanceLimits,
+    MaintenanceRequest,
+    Observation,
+    ReplicaGroup,
+    RequestState,
 )
+from martenstep.maintenance.queue import MaintenanceQueue
+from martenstep.maintenance.queue_clock import MAX_CLOCK_DRIFT, QueueClock
 
 TELL_MS = 500.0  # between two looks of an agent into the book
 SIGHT_MS = 1000.0
@@ -59,7 +60,7 @@
 
     name: str
     zone: str
-    agent: Agent
+    agent: LeaseHolder
     rate: float
     offset: float
     up: bool = True  # its process runs
@@ -82,13 +83,13 @@
         seed: int,
         machines: int = 6,
         length_ms: float = 300_000.0,
-        book: Callable[[], Book] = Book,
-        agent: Callable[[str, float], Agent] = Agent,
+        book: Callable[[], MaintenanceQueue] = MaintenanceQueue,
+        agent: Callable[[str, float], LeaseHolder] = LeaseHolder,
     ) -> None:
         self.sim, self.rng = Sim(), random.Random(seed)
         self.counts: Counter[str] = Counter()
         self.book, self._agent, self._length = book(), agent, length_ms
-        self.limits = Limits(
+        self.limits = MaintenanceLimits(
             self.rng.choice((1, 2, 3)),
             self.rng.choice((1, 2)),
             self.rng.choice((0.34, 0.5)),
@@ -105,12 +106,12 @@
                 name,
                 ZONES[number % 3],
                 agent(name, self.limits.lease_ms),
-                1 + self.rng.uniform(-DRIFT, DRIFT) / 2,
+                1 + self.rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2,
                 self.rng.uniform(0, 1e6),
             )
         names = list(self.places)
-        self.groups = tuple(Group(f"g{number}", tuple(self.rng.sample(names, 3))) for number in range(2))
-        self._clock: Clock | None = Clock(0.0, 0.0)
+        self.groups = tuple(ReplicaGroup(f"g{number}", tuple(self.rng.sample(names, 3))) for number in range(2))
+        self._clock: QueueClock | None = QueueClock(0.0, 0.0)
         self._faults = True
         self._number = 0
         self._asked: dict[str, str] = {}  # id: machine
@@ -119,19 +120,22 @@
 
     # The book.
 
-    def _apply(self, what: What) -> Answer | None:
+    def _apply(self, what: Command) -> CommandResult | None:
         """As whoever leads now; None while nobody does."""
         if self._clock is None:
             return None
-        before = {held.id: held.state for held in self.book.requests.values()}
-        answer = self.book.apply(entry(self._clock.at(self.sim.now), what))
+        before = {held.request_id: held.state for held in self.book.requests.values()}
+        answer = self.book.apply(encode_entry(self._clock.read(self.sim.now), what))
         for held in sorted(self.book.requests.values(), key=lambda one: one.token):
-            if held.state is State.GRANTED and before.get(held.id) is not State.GRANTED:
-                self._granted(held.id, held.machine, held.token)
-            if held.state is State.ENDED and self._ends.setdefault(held.id, held.end) != held.end:
-                raise BrokenError(f"{held.id} ended as {self._ends[held.id]}, and as {held.end}")
-            if before.get(held.id) is State.ENDED and held.state is not State.ENDED:
-                raise BrokenError(f"{held.id} had ended, and is {held.state}")
+            if held.state is RequestState.GRANTED and before.get(held.request_id) is not RequestState.GRANTED:
+                self._granted(held.request_id, held.machine, held.token)
+            if (
+                held.state is RequestState.ENDED
+                and self._ends.setdefault(held.request_id, held.outcome) != held.outcome
+            ):
+                raise BrokenError(f"{held.request_id} ended as {self._ends[held.request_id]}, and as {held.outcome}")
+            if before.get(held.request_id) is RequestState.ENDED and held.state is not RequestState.ENDED:
+                raise BrokenError(f"{held.request_id} had ended, and is {held.state}")
         return answer
 
     def _away(self) -> set[str]:
@@ -139,7 +143,7 @@
         mine = {
             held.machine
             for held in self.book.requests.values()
-            if held.state in (State.GRANTED, State.OUT, State.COMING)
+            if held.state in (RequestState.GRANTED, RequestState.OUT, RequestState.RECOVERING)
         }
         return mine | {place.name for place in self.places.values() if place.gone_by}
 
@@ -149,15 +153,15 @@
             raise BrokenError(f"{request}: token {token} after {self._last_token}")
         self._last_token = token
         limits, away = self.book.limits, self._away()
-        seen = {one.name: one for one in self.book.sight.machines}
+        seen = {one.name: one for one in self.book.observation.machines}
         by_itself = {name for name, one in seen.items() if not one.healthy}
-        if len(away | by_itself | {machine}) > limits.most_out:
-            raise BrokenError(f"{request}: {sorted(away | by_itself)} are away, and {limits.most_out} may be")
+        if len(away | by_itself | {machine}) > limits.max_out:
+            raise BrokenError(f"{request}: {sorted(away | by_itself)} are away, and {limits.max_out} may be")
         zone = {name for name in away | by_itself | {machine} if self.places[name].zone == self.places[machine].zone}
-        if len(zone) > limits.most_out_zone:
-            raise BrokenError(f"{request}: {sorted(zone)} of one zone are away, {limits.most_out_zone} may be")
-        if len(away | by_itself | {machine}) > limits.most_share * len(self.places):
-            raise BrokenError(f"{request}: {sorted(away | by_itself)} are away: beyond {limits.most_share:.0%}")
+        if len(zone) > limits.max_out_per_zone:
+            raise BrokenError(f"{request}: {sorted(zone)} of one zone are away, {limits.max_out_per_zone} may be")
+        if len(away | by_itself | {machine}) > limits.max_capacity_share * len(self.places):
+            raise BrokenError(f"{request}: {sorted(away | by_itself)} are away: beyond {limits.max_capacity_share:.0%}")
         for group in self.groups:
             if machine in group.machines and (away | by_itself) - {machine} & set(group.machines):
                 raise BrokenError(f"{request}: {group.name} has {sorted(away & set(group.machines))} away")
@@ -172,7 +176,7 @@
             late = self.rng.uniform(1000, 15_000) if self._faults and self.rng.random() < 0.05 else 0.0
             self.sim.after(self.rng.uniform(1, 20) + late, call)
 
-    def _to(self, place: Place, agent: Agent, call: Callable[[], None]) -> None:
+    def _to(self, place: Place, agent: LeaseHolder, call: Callable[[], None]) -> None:
         """To a machine's process as it was: another one does not know of it."""
 
         def arrive() -> None:
@@ -200,28 +204,28 @@
         agent.wake(place.clock(self.sim.now))
         self._after(place)
 
-    def _seen(self, place: Place, agent: Agent, held: list[Request]) -> None:
-        agent.seen(place.clock(self.sim.now), held)
+    def _seen(self, place: Place, agent: LeaseHolder, held: list[MaintenanceRequest]) -> None:
+        agent.observe(place.clock(self.sim.now), held)
         self._after(place)
 
     def _after(self, place: Place) -> None:
         agent = place.agent
-        actions, agent.out = agent.out, []
+        actions, agent.actions = agent.actions, []
         for action in actions:
-            if isinstance(action, AskStart):
-                self._start(place, agent, action.start, place.clock(self.sim.now))
-            elif isinstance(action, AskDone):
-                self._sends(partial(self._told, action.done))
-            elif isinstance(action, Leave):
-                self._leave(place, agent, action.request)
-            elif isinstance(action, Touchable):
+            if isinstance(action, SendStart):
+                self._start(place, agent, action.command, place.clock(self.sim.now))
+            elif isinstance(action, SendFinish):
+                self._sends(partial(self._told, action.command))
+            elif isinstance(action, Drain):
+                self._leave(place, agent, action.request_id)
+            elif isinstance(action, ReadyForWork):
                 self.counts["touched"] += 1
                 self.sim.after(self.rng.uniform(1000, 20_000), self._back, place)
 
-    def _told(self, done: Done) -> None:
+    def _told(self, done: FinishMaintenance) -> None:
         self._apply(done)
 
-    def _start(self, place: Place, agent: Agent, start: Start, asked: float) -> None:
+    def _start(self, place: Place, agent: LeaseHolder, start: StartMaintenance, asked: float) -> None:
         def arrive() -> None:
             answer = self._apply(start)
             if answer is not None:
@@ -231,24 +235,26 @@
         if self._faults and not place.paused and self.rng.random() < 0.2:
             self._pause(place)  # the answer comes into its buffer
 
-    def _started(self, place: Place, agent: Agent, start: Start, asked: float, answer: Answer) -> None:
-        agent.started(place.clock(self.sim.now), start, asked, answer)
+    def _started(
+        self, place: Place, agent: LeaseHolder, start: StartMaintenance, asked: float, answer: CommandResult
+    ) -> None:
+        agent.start_answered(place.clock(self.sim.now), start, asked, answer)
         self._after(place)
 
-    def _leave(self, place: Place, agent: Agent, request: str) -> None:
+    def _leave(self, place: Place, agent: LeaseHolder, request: str) -> None:
         held = self.book.requests.get(request)
-        if held is None or held.state is State.ENDED:
-            raise BrokenError(f"{place.name} leaves by {request}, which {held.end if held else 'is unknown'}")
-        if held.state not in (State.OUT, State.COMING) or held.machine != place.name:
+        if held is None or held.state is RequestState.ENDED:
+            raise BrokenError(f"{place.name} leaves by {request}, which {held.outcome if held else 'is unknown'}")
+        if held.state not in (RequestState.OUT, RequestState.RECOVERING) or held.machine != place.name:
             raise BrokenError(f"{place.name} leaves by {request}, which is {held.state}")
         self.counts["left"] += 1
         place.gone_by = request
         place.healthy = False
         self.sim.after(self.rng.uniform(500, 3000), self._drained, place, agent)
 
-    def _drained(self, place: Place, agent: Agent) -> None:
+    def _drained(self, place: Place, agent: LeaseHolder) -> None:
         if place.agent is agent and place.up:
-            agent.left(place.clock(self.sim.now))
+            agent.drained()
             self._after(place)
 
     def _back(self, place: Place) -> None:
@@ -268,7 +274,7 @@
     def _sight(self) -> None:
         self.sim.after(SIGHT_MS * self.rng.uniform(0.8, 1.2), self._sight)
         self._apply(
-            Sight(
+            Observation(
                 tuple(
                     Machine(place.name, place.zone, 1.0, place.healthy, place.name == "m0")
                     for place in self.places.values()
@@ -288,12 +294,12 @@
         if roll < 0.6:
             self._number += 1
             name = self.rng.choice(list(self.places))
-            what: What = Ask(
+            what: Command = SubmitRequest(
                 f"r{self._number}",
                 name,
                 self.rng.uniform(2000, 30_000),
                 urgent=self.rng.random() < 0.2,
-                before=self.rng.choice((0.0, 1e12 + self._number)),
+                deadline_unix_ms=self.rng.choice((0.0, 1e12 + self._number)),
             )
             for _ in range(self.rng.choice((1, 1, 3))):  # a tool that asks again and again
                 answer = self._apply(what)
@@ -301,18 +307,18 @@
                     self._asked[f"r{self._number}"] = name
         elif roll < 0.75:
             for one in held:
-                if one.state is State.OUT:
-                    self._apply(GiveUp(one.id))  # again and again: granted once it may be
+                if one.state is RequestState.OUT:
+                    self._apply(AbandonRequest(one.request_id))  # again and again: granted once it may be
         elif held:
-            one = self.rng.choice([one for one in held if one.state is State.OUT] or held)
+            one = self.rng.choice([one for one in held if one.state is RequestState.OUT] or held)
             what = self.rng.choice(
                 (
-                    Cancel(one.id),
-                    GiveUp(one.id),
-                    Extend(one.id, one.token, 5000.0),
-                    Done(one.id, one.token),
-                    Done(one.id, one.token - 1, back=True),
-                    Start(one.id, one.token + 1),
+                    CancelRequest(one.request_id),
+                    AbandonRequest(one.request_id),
+                    ExtendMaintenance(one.request_id, one.token, 5000.0),
+                    FinishMaintenance(one.request_id, one.token),
+                    FinishMaintenance(one.request_id, one.token - 1, by_machine=True),
+                    StartMaintenance(one.request_id, one.token + 1),
                 )
             )
             self._apply(what)
@@ -333,12 +339,12 @@
             self._clock = None
             self.sim.after(self.rng.uniform(100, 15_000), self._led)
         elif kind == "limits":
-            self.limits = Limits(
+            self.limits = MaintenanceLimits(
                 self.rng.choice((1, 2, 3)),
                 self.rng.choice((1, 2)),
                 self.rng.choice((0.34, 0.5)),
-                self.limits.by_zone,
-                self.limits.overdue_holds,
+                self.limits.zone_by_zone,
+                self.limits.overdue_blocks,
                 8000.0,
                 4000.0,
                 120_000.0,
@@ -352,9 +358,9 @@
         self.sim.after(self.rng.choice((500.0, 12_000.0, 40_000.0)), self._resume, place, place.agent)
 
     def _led(self) -> None:
-        self._clock = Clock(self.book.now, self.sim.now)
+        self._clock = QueueClock(self.book.now_ms, self.sim.now)
 
-    def _resume(self, place: Place, agent: Agent) -> None:
+    def _resume(self, place: Place, agent: LeaseHolder) -> None:
         if place.agent is not agent or not place.paused:
             return
         place.paused = False
@@ -379,24 +385,24 @@
             self._resume(place, place.agent)
         if self._clock is None:
             self._led()
-        self.limits = Limits(1, 1, 0.5, self.limits.by_zone, False, 8000.0, 4000.0, 120_000.0)
+        self.limits = MaintenanceLimits(1, 1, 0.5, self.limits.zone_by_zone, False, 8000.0, 4000.0, 120_000.0)
         self._apply(SetLimits(self.limits))
         self.sim.run(self.sim.now + 60_000.0)
         for _ in range(200):
-            waiting = [held for held in self.book.requests.values() if held.state is not State.ENDED]
+            waiting = [held for held in self.book.requests.values() if held.state is not RequestState.ENDED]
             if not waiting:
                 break
             self.sim.run(self.sim.now + 10_000.0)
         else:
             raise BrokenError(
                 "not all came to an end: "
-                + ", ".join(f"{held.id} of {held.machine} is {held.state}" for held in waiting)
+                + ", ".join(f"{held.request_id} of {held.machine} is {held.state}" for held in waiting)
             )
         self._apply(Tick())
-        ended = {held.id for held in self.book.requests.values()}
+        ended = {held.request_id for held in self.book.requests.values()}
         lost = set(self._asked) - ended
         if lost:
             raise BrokenError(f"requests without an end: {sorted(lost)}")
-        if any(place.agent.step is not Step.HERE for place in self.places.values()):
+        if any(place.agent.phase is not Phase.IN_SERVICE for place in self.places.values()):
             raise BrokenError("a machine is not back")
         return self.counts
--- a/martenstep/maintenance/admission_rules.py
+++ b/martenstep/maintenance/admission_rules.py
@@ -1,132 +1,191 @@
-"""Who may go, and who goes next: pure, and the same at every copy of the book.
+"""Which machine may be taken out, and which request is next: pure, and the same at every replica of the queue.
 
 A request waits for the first of these that holds; each is told in words to who asks why:
 
-1. it is paused, or its plan is;
-2. the fleet is short (machines down, refusals, copies being filled, a cut in sight), or one is not back in time;
+1. the queue is paused, or its plan is;
+2. the cluster is short (machines down, rejections, replicas that catch up, a partition), or a machine is overdue;
 3. as many are out as may be: in all, in its zone, or by capacity.  Out are those that were granted or started, and
    those that are not healthy by themselves;
-4. a copy of a group that it holds too is out, or that group is not whole;
-5. by zone: another zone is not done yet;
-6. it leads the book and others wait (by zone: of its zone): it goes last.
+4. another machine of a replica group that it belongs to is out, or that group is not complete;
+5. zone by zone: another zone is not done yet;
+6. it leads the queue and others wait (zone by zone: of its zone): it goes last.
 
-Order: urgent ones, then by the time before which they must be done, then by age.  One that cannot go is passed by those
-that can.  Once it has waited for `starve_ms`, nobody passes it while it waits for machines that are out by grant; for
-its zone, its place at the end, or a group that is not whole, it would wait for ever if the others waited for it.
+Order: urgent ones, then by deadline, then by age.  A request that cannot be granted is passed by those that can.  Once
+it has waited for the time of starvation, none passes it while it waits for machines that are out by grant; for its
+zone, its place at the end, or a group that is not complete, it would wait for ever if the others waited for it.
 """
 
 from __future__ import annotations
 
 import math
-from typing import TYPE_CHECKING
-
-if TYPE_CHECKING:
-    from martenstep.maintenance.queue import Book, Request
-
-BY_GRANT = ("granted", "out", "coming")
-
-
-def granted(book: Book) -> set[str]:
-    """Machines that are out by grant, or may go at any moment."""
-    return {held.machine for held in book.requests.values() if held.state in BY_GRANT}
-
-
-def out(book: Book) -> set[str]:
-    """Machines that are out, or may go at any moment, by grant or by themselves."""
-    return granted(book) | {one.name for one in book.sight.machines if not one.healthy}
-
-
-def overdue(book: Book) -> list[str]:
-    """Requests whose machine is not back in time."""
-    return [held.id for held in book.requests.values() if held.state in ("out", "coming") and book.now > held.due]
-
-
-def against(book: Book, held: Request) -> str:
-    """What speaks against a machine's going, the limits alone and what is out beside it; empty where nothing does."""
-    machine, limits = held.machine, book.limits
-    seen = {one.name: one for one in book.sight.machines}
-    if machine not in seen:
-        return f"{machine} is not seen"
-    others = out(book) - {machine}
-    mine = seen[machine]
-    if len(others) + 1 > limits.most_out:
-        return f"{limits.most_out} may be out, and {_names(others)} are" if others else "no machine may be out"
-    beside = {name for name in others if name in seen and seen[name].zone == mine.zone}
-    if len(beside) + 1 > limits.most_out_zone:
-        return f"{limits.most_out_zone} may be out in zone {mine.zone or '-'}, and {_names(beside)} are"
-    total = sum(one.capacity for one in seen.values())
-    going = mine.capacity + sum(seen[name].capacity for name in others if name in seen)
-    if total and going > limits.most_share * total:
-        return f"{limits.most_share:.0%} of the capacity may be out, this would be {going / total:.0%}"
-    for group in book.sight.groups:
-        if machine in group.machines:
-            beside = others & set(group.machines)
-            if beside:
-                return f"{_names(beside)} of {group.name} are out, a copy of which it holds"
-            if not group.whole and mine.healthy:
-                return f"{group.name}, a copy of which it holds, is not whole"
+
+from martenstep.maintenance.model import MaintenanceRequest, Observation, QueueState, RequestState
+
+GRANTED_STATES = (RequestState.GRANTED, RequestState.OUT, RequestState.RECOVERING)
+OVERDUE_STATES = (RequestState.OUT, RequestState.RECOVERING)
+
+
+def granted_machines(state: QueueState) -> set[str]:
+    """Machines that are out by grant, or may drain at any moment."""
+    return {request.machine for request in state.requests.values() if request.state in GRANTED_STATES}
+
+
+def out_machines(state: QueueState) -> set[str]:
+    """Machines that are out, or may drain at any moment, by grant or by themselves."""
+    return granted_machines(state) | state.observation.unhealthy_names()
+
+
+def overdue_requests(state: QueueState) -> list[str]:
+    """Ids of requests whose machine is not back in time."""
+    return [
+        request.request_id
+        for request in state.requests.values()
+        if request.state in OVERDUE_STATES and state.now_ms > request.due_ms
+    ]
+
+
+def permanent_violation(state: QueueState, machine: str) -> str:
+    """Why the limits forbid a machine for good; empty where they do not."""
+    limits = state.limits
+    machines = state.observation.by_name()
+    if limits.max_out < 1 or limits.max_out_per_zone < 1:
+        return "the limits let no machine out"
+    if machines and machine not in machines:
+        return f"no machine {machine} is known"
+    total = state.observation.total_capacity()
+    if machine in machines and total and machines[machine].capacity > limits.max_capacity_share * total:
+        return (
+            f"{machine} alone is {machines[machine].capacity / total:.0%} of the capacity, and "
+            f"{limits.max_capacity_share:.0%} may be out"
+        )
+    return ""
+
+
+def limit_violation(state: QueueState, request: MaintenanceRequest) -> str:
+    """Which limit the machine's leaving would violate, given what is out beside it; empty where none."""
+    if request.machine not in state.observation.by_name():
+        return f"{request.machine} is not seen"
+    others = out_machines(state) - {request.machine}
+    return (
+        _count_violation(state, request.machine, others)
+        or _capacity_violation(state, request.machine, others)
+        or _group_violation(state.observation, request.machine, others)
+    )
+
+
+def _count_violation(state: QueueState, machine: str, others: set[str]) -> str:
+    limits = state.limits
+    zones = state.observation.zones()
+    if len(others) + 1 > limits.max_out:
+        return f"{limits.max_out} may be out, and {_join(others)} are" if others else "no machine may be out"
+    same_zone = {name for name in others if name in zones and zones[name] == zones[machine]}
+    if len(same_zone) + 1 > limits.max_out_per_zone:
+        return f"{limits.max_out_per_zone} may be out in zone {zones[machine] or '-'}, and {_join(same_zone)} are"
     return ""
 
 
-def waits_for(book: Book, held: Request) -> str:
+def _capacity_violation(state: QueueState, machine: str, others: set[str]) -> str:
+    limits = state.limits
+    machines = state.observation.by_name()
+    total = state.observation.total_capacity()
+    leaving = machines[machine].capacity + sum(machines[name].capacity for name in others if name in machines)
+    if total and leaving > limits.max_capacity_share * total:
+        return f"{limits.max_capacity_share:.0%} of the capacity may be out, this would be {leaving / total:.0%}"
+    return ""
+
+
+def _group_violation(observation: Observation, machine: str, others: set[str]) -> str:
+    healthy = observation.by_name()[machine].healthy
+    for group in observation.groups:
+        if machine not in group.machines:
+            continue
+        members_out = others & set(group.machines)
+        if members_out:
+            return f"{_join(members_out)} of {group.name} are out, a copy of which it holds"
+        if not group.complete and healthy:
+            return f"{group.name}, a copy of which it holds, is not whole"
+    return ""
+
+
+def waiting_reason(state: QueueState, request: MaintenanceRequest) -> str:
     """Why a waiting request is not granted; empty where it may be, but for its place in the order."""
-    if book.paused is not None:
-        return f"paused: {book.paused}"
-    if held.plan in book.plans:
-        return f"plan {held.plan} stands: {book.plans[held.plan]}"
-    if book.sight.short:
-        return f"the fleet is short: {', '.join(book.sight.short)}"
-    late = overdue(book)
-    if late and book.limits.overdue_holds:
-        return f"not back in time: {', '.join(late)}"
-    told = against(book, held)
-    if told:
-        return told
-    zones = {one.name: one.zone for one in book.sight.machines}
-    if book.limits.by_zone:
-        begun = zone_under_way(book, zones)
-        if begun is not None and zones[held.machine] != begun:
-            return f"zone {begun or '-'} is not done"
-    leads = {one.name for one in book.sight.machines if one.leads}
-    others = [
-        other
-        for other in book.requests.values()
-        if other.state == "waiting"
-        and other.machine not in leads
-        # Danger: of all zones, the others would wait for its zone, and it for them.
-        and (not book.limits.by_zone or zones.get(other.machine) == zones[held.machine])
-    ]
-    if held.machine in leads and others:
+    return (
+        _paused_reason(state, request)
+        or _shortage_reason(state)
+        or limit_violation(state, request)
+        or _turn_reason(state, request)
+    )
+
+
+def _paused_reason(state: QueueState, request: MaintenanceRequest) -> str:
+    if state.paused is not None:
+        return f"paused: {state.paused}"
+    if request.plan in state.paused_plans:
+        return f"plan {request.plan} stands: {state.paused_plans[request.plan]}"
+    return ""
+
+
+def _shortage_reason(state: QueueState) -> str:
+    if state.observation.shortages:
+        return f"the fleet is short: {', '.join(state.observation.shortages)}"
+    overdue = overdue_requests(state)
+    if overdue and state.limits.overdue_blocks:
+        return f"not back in time: {', '.join(overdue)}"
+    return ""
+
+
+def _turn_reason(state: QueueState, request: MaintenanceRequest) -> str:
+    zones = state.observation.zones()
+    if state.limits.zone_by_zone:
+        zone = zone_in_progress(state, zones)
+        if zone is not None and zones[request.machine] != zone:
+            return f"zone {zone or '-'} is not done"
+    leaders = {machine.name for machine in state.observation.machines if machine.is_leader}
+    if request.machine in leaders and _others_wait(state, request, leaders, zones):
         return "it leads the book, and goes last"
     return ""
 
 
-def order(book: Book) -> list[Request]:
-    """Those that wait, the first first."""
+def _others_wait(state: QueueState, request: MaintenanceRequest, leaders: set[str], zones: dict[str, str]) -> bool:
+    """Whether requests of machines that do not lead the queue wait too."""
+    return any(
+        other.state is RequestState.WAITING
+        and other.machine not in leaders
+        # Danger: of all zones, the others would wait for its zone, and it for them.
+        and (not state.limits.zone_by_zone or zones.get(other.machine) == zones[request.machine])
+        for other in state.requests.values()
+    )
+
+
+def waiting_order(state: QueueState) -> list[MaintenanceRequest]:
+    """The requests that wait, the first first."""
 
-    def key(held: Request) -> tuple[bool, float, int]:
-        return not held.urgent, held.before or math.inf, held.number
+    def order_key(request: MaintenanceRequest) -> tuple[bool, float, int]:
+        return not request.urgent, request.deadline_unix_ms or math.inf, request.number
 
-    return sorted((held for held in book.requests.values() if held.state == "waiting"), key=key)
+    waiting = (request for request in state.requests.values() if request.state is RequestState.WAITING)
+    return sorted(waiting, key=order_key)
 
 
-def zone_under_way(book: Book, zones: dict[str, str]) -> str | None:
-    """Of the last one that was granted, as long as any of that zone is out or waits; None where no zone is."""
-    last = max((held for held in book.requests.values() if held.token), key=lambda held: held.token, default=None)
-    zone = zones.get(last.machine) if last is not None else None
-    busy = {zones.get(held.machine) for held in book.requests.values() if held.state != "ended"}
-    return zone if zone in busy else None
+def zone_in_progress(state: QueueState, zones: dict[str, str]) -> str | None:
+    """The zone of the last grant, as long as a request of that zone is active; None where no zone is."""
+    granted = (request for request in state.requests.values() if request.token)
+    latest = max(granted, key=lambda request: request.token, default=None)
+    zone = zones.get(latest.machine) if latest is not None else None
+    active_zones = {zones.get(request.machine) for request in state.requests.values() if request.active}
+    return zone if zone in active_zones else None
 
 
-def next_up(book: Book) -> Request | None:
-    """Who is granted now; None where nobody may go."""
-    for held in order(book):
-        if not waits_for(book, held):
-            return held
-        if book.now - held.asked > book.limits.starve_ms and against(book, held) and granted(book):
+def next_to_grant(state: QueueState) -> MaintenanceRequest | None:
+    """The request that is granted now; None where none may be."""
+    for request in waiting_order(state):
+        if not waiting_reason(state, request):
+            return request
+        starved = state.now_ms - request.requested_ms > state.limits.starvation_ms
+        if starved and limit_violation(state, request) and granted_machines(state):
             return None  # it has waited too long to be passed, and what it waits for comes to an end
     return None
 
 
-def _names(machines: set[str]) -> str:
+def _join(machines: set[str]) -> str:
     return ", ".join(sorted(machines))
--- a/martenstep/maintenance/coordinator.py
+++ b/martenstep/maintenance/coordinator.py
@@ -1,256 +1,218 @@
-"""The order book at one door: asks and answers over the copies' links, what the leader sees, and the door's own part.
+"""The maintenance queue at one instance: commands and answers, what the leader observes, and the machine's own lease.
 
-Every door tells whoever leads the book how it is (`Report`): that it serves, and of the groups that it leads, where
-their copies are and whether they are whole.  The leader makes its `Sight` of the reports that are no older than a
-stated time and of the membership; it is put into the book when it changes.  A door that reports nothing counts as not
-healthy.
+Every instance reports its state to the queue's leader: whether it is ready, and of the replica groups that it leads,
+where their replicas are and whether they are complete.  The leader makes its `Observation` of recent reports and of the
+membership, and appends it to the queue when it changes.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 
 from martenstep.event_log import EventLog
-from martenstep.maintenance import admission_rules as rule
-from martenstep.maintenance.lease_holder import Agent, AskDone, AskStart, Leave
-from martenstep.maintenance.queue import (
-    Answer,
-    Book,
-    Clock,
-    Group,
-    Limits,
-    Machine,
-    Request,
-    Sight,
-    Start,
-    State,
-    What,
-    entry,
+from martenstep.maintenance.commands import Command, CommandResult, StartMaintenance, encode_entry
+from martenstep.maintenance.lease_holder import Drain, LeaseHolder, Phase, SendFinish, SendStart
+from martenstep.maintenance.model import ReplicaGroup, RequestState
+from martenstep.maintenance.protocol import (
+    GetQueue,
+    MachineReport,
+    QueueView,
+    build_view,
+    decode_question,
+    decode_result,
+    decode_view,
+    encode,
 )
+from martenstep.maintenance.queue import MaintenanceQueue
+from martenstep.maintenance.queue_clock import QueueClock
+from martenstep.maintenance.reports import MachineReports
 from martenstep.replication.errors import IndeterminateError, LeaderUnreachableError, NotLeaderError
 from martenstep.replication.replica import Replica, now_ms
 from martenstep.replication.replica_manager import ReplicaManager
 
-GROUP = "orders"
-TEND_S = 0.5
-SIGHT_MS = 2000.0  # between two entries of a leader that sees nothing new
-REPORT_MS = 4000.0  # an older report says nothing
-WITHIN_S = 5.0  # a question is given up after this
+QUEUE_GROUP = "orders"  # the name of the replication group
+ROUND_INTERVAL_S = 0.5
+OBSERVATION_INTERVAL_MS = 2000.0  # between two entries of a leader that observes nothing new
+REQUEST_TIMEOUT_S = 5.0
 
 
-class Report(msgspec.Struct, tag=50, frozen=True):
-    """How a door is."""
-
-    machine: str
-    zone: str
-    capacity: float
-    ready: bool
-    groups: tuple[Group, ...] = ()
-
-
-class Look(msgspec.Struct, tag=51, frozen=True):
-    """Tell the whole book."""
+class _TermClock(NamedTuple):
+    """The queue's clock in one term of this instance's leadership."""
 
+    term: int
+    clock: QueueClock
 
-class View(msgspec.Struct, frozen=True):
-    """The book as its leader has it, with what each waiting request waits for."""
 
-    leader: str
-    limits: Limits
-    paused: str | None
-    plans: dict[str, str]
-    requests: list[Request]
-    waits: dict[str, str]
-    order: list[str]
-    machines: list[Machine]
-    short: list[str]
+@dataclass(frozen=True, slots=True)
+class LocalInstance:
+    """This instance, as the coordinator asks it and acts on it."""
 
-
-Question = What | Report | Look
-_question = msgspec.msgpack.Decoder(Question).decode
-_answer = msgspec.msgpack.Decoder(Answer).decode
-_view = msgspec.msgpack.Decoder(View).decode
-_encode = msgspec.msgpack.Encoder().encode
-
-
-def view_of(book: Book, leader: str) -> View:
-    """What is told of a book."""
-    order = rule.order(book)
-    return View(
-        leader,
-        book.limits,
-        book.paused,
-        book.plans,
-        list(book.requests.values()),
-        {held.id: rule.waits_for(book, held) or "its turn" for held in order},
-        [held.id for held in order],
-        list(book.sight.machines),
-        list(book.sight.short),
-    )
+    name: str
+    zone: str
+    capacity: float
+    is_ready: Callable[[], bool]
+    drain: Callable[[str], None]  # begins to stop the instance, given the request's id
 
 
-class Orders:
-    """One door's part."""
+class MaintenanceCoordinator:
+    """One instance's part."""
 
     def __init__(
         self,
-        me: str,
-        zone: str,
-        capacity: float,
-        keeper: ReplicaManager,
-        ready: Callable[[], bool],
-        known: Callable[[], Iterable[tuple[str, str]]],
-        leave: Callable[[str], None],
+        instance: LocalInstance,
+        replicas: ReplicaManager,
+        members: Callable[[], Iterable[tuple[str, str]]],
         log_event: EventLog,
     ) -> None:
-        """`known` are all machines that the membership has heard of, with their zones; `leave` begins to stop this
-        door, given the request."""
-        self.me, self._zone, self._capacity, self._keeper = me, zone, capacity, keeper
-        self._ready, self._known, self._leave, self._log_event = ready, known, leave, log_event
-        self.agent: Agent | None = None
-        self._clock: tuple[int, Clock] | None = None  # of the term in which this door leads
-        self._reports: dict[str, tuple[float, Report]] = {}
-        self._told_at = 0.0
-        self._tending: asyncio.Task[None] | None = None
-        keeper.leader_handlers[GROUP] = self._asked
+        """`members` gives all machines that the membership has heard of, with their zones."""
+        self._instance = instance
+        self._replicas = replicas
+        self._members = members
+        self._log_event = log_event
+        self.lease_holder: LeaseHolder | None = None
+        self._term_clock: _TermClock | None = None
+        self._reports = MachineReports()
+        self._observed_ms = 0.0
+        self._rounds: asyncio.Task[None] | None = None
+        replicas.leader_handlers[QUEUE_GROUP] = self._answer
 
     def start(self) -> None:
         """Take part."""
-        self._tending = asyncio.get_running_loop().create_task(self._tend())
+        self._rounds = asyncio.get_running_loop().create_task(self._run_rounds())
 
     def stop(self) -> None:
         """End."""
-        if self._tending is not None:
-            self._tending.cancel()
+        if self._rounds is not None:
+            self._rounds.cancel()
 
     # Asking.
 
-    async def tell(self, what: What) -> Answer:
-        """Put something into the book; raises UnansweredError where nobody leads it within some seconds.  It is then in
-        doubt: the same again is one."""
-        return _answer(await self._keeper.request_leader(GROUP, _encode(what), WITHIN_S))
+    async def submit(self, command: Command) -> CommandResult:
+        """Append a command to the queue.
 
-    async def look(self) -> View:
-        """The book; raises UnansweredError."""
-        return _view(await self._keeper.request_leader(GROUP, _encode(Look()), WITHIN_S))
+        Raises LeaderUnreachableError where nobody leads the queue within some seconds.  Whether it stands is then
+        indeterminate: the same command again is one.
+        """
+        return decode_result(await self._replicas.request_leader(QUEUE_GROUP, encode(command), REQUEST_TIMEOUT_S))
 
-    # Answering, where this door leads the book.
+    async def fetch(self) -> QueueView:
+        """The queue; raises LeaderUnreachableError."""
+        return decode_view(await self._replicas.request_leader(QUEUE_GROUP, encode(GetQueue()), REQUEST_TIMEOUT_S))
 
-    async def _asked(self, host: Replica, data: bytes) -> bytes:
-        """Raises NotLeaderError, InDoubtError."""
+    # Answering, where this instance leads the queue.
+
+    async def _answer(self, replica: Replica, data: bytes) -> bytes:
+        """Raises NotLeaderError, IndeterminateError."""
         try:
-            question = _question(data)
+            question = decode_question(data)
         except msgspec.MsgspecError as error:
-            return _encode(Answer(False, f"a question that cannot be read: {error}"))
-        if isinstance(question, Report):
-            if host.raft.leader != host.raft.replica_id:
-                raise NotLeaderError(host.raft.leader)
-            self._reports[question.machine] = now_ms(), question
-            return _encode(Answer(True))
-        assert isinstance(host.state_machine, Book)
-        if isinstance(question, Look):
-            await host.confirm_leadership()
-            return _encode(view_of(host.state_machine, self.me))
-        return _encode(await self._put(host, question))
-
-    async def _put(self, host: Replica, what: What) -> Answer:
-        answer: Answer = await host.propose(entry(self._time(host), what))
-        return answer
-
-    def _time(self, host: Replica) -> float:
-        """The book's time now; only a leader's entries stand, so a clock of a term that is over does no harm."""
-        assert isinstance(host.state_machine, Book)
-        term = host.raft.term
-        if self._clock is None or self._clock[0] != term:
-            self._clock = term, Clock(host.state_machine.now, now_ms())
-            self._reports = {name: told for name, told in self._reports.items() if told[0] > now_ms() - REPORT_MS}
-        return self._clock[1].at(now_ms())
-
-    def _sight(self, book: Book) -> Sight:
-        """What this door, leading, sees."""
-        fresh = {name: told for name, (at, told) in self._reports.items() if at > now_ms() - REPORT_MS}
-        zones = {one.name: one.zone for one in book.sight.machines} | dict(self._known())
-        zones |= {name: told.zone for name, told in fresh.items()}
-        capacity = {one.name: one.capacity for one in book.sight.machines}
-        machines = tuple(
-            Machine(
-                name,
-                zones[name],
-                fresh[name].capacity if name in fresh else capacity.get(name, 1.0),
-                name in fresh and fresh[name].ready,
-                name == self.me,
-            )
-            for name in sorted(zones)
-        )
-        groups = {group.name: group for told in fresh.values() for group in told.groups}
-        for group in book.sight.groups:
-            groups.setdefault(group.name, msgspec.structs.replace(group, whole=False))  # nobody tells that it leads it
-        return Sight(machines, tuple(groups[name] for name in sorted(groups)))
-
-    # Each turn.
-
-    async def _tend(self) -> None:
+            return encode(CommandResult(False, f"a question that cannot be read: {error}"))
+        if isinstance(question, MachineReport):
+            if replica.raft.leader != replica.raft.replica_id:
+                raise NotLeaderError(replica.raft.leader)
+            self._reports.add(now_ms(), question)
+            return encode(CommandResult(True))
+        if isinstance(question, GetQueue):
+            await replica.confirm_leadership()
+            return encode(build_view(_queue(replica), self._instance.name))
+        return encode(await self._append(replica, question))
+
+    async def _append(self, replica: Replica, command: Command) -> CommandResult:
+        result: CommandResult = await replica.propose(encode_entry(self._queue_time_ms(replica), command))
+        return result
+
+    def _queue_time_ms(self, replica: Replica) -> float:
+        """The queue's time; only a leader's entries stand, so a clock of a term that is over does no harm."""
+        now, term = now_ms(), replica.raft.term
+        if self._term_clock is None or self._term_clock.term != term:
+            self._term_clock = _TermClock(term, QueueClock(_queue(replica).now_ms, now))
+            self._reports.drop_outdated(now)
+        return self._term_clock.clock.read(now_ms())
+
+    # Each round.
+
+    async def _run_rounds(self) -> None:
         while True:
-            await asyncio.sleep(TEND_S)
+            await asyncio.sleep(ROUND_INTERVAL_S)
             try:
-                await self._turn()
+                await self._run_round()
             except (NotLeaderError, IndeterminateError, LeaderUnreachableError):
                 pass  # nobody leads just now
-            except Exception as error:  # a door goes on serving whatever is wrong with its orders
-                self._log_event("fault", {"where": "orders", "error": repr(error)})
-
-    async def _turn(self) -> None:
-        await self._keeper.request_leader(GROUP, _encode(self._report()), WITHIN_S)
-        host = self._keeper.replica(GROUP)
-        if host is not None and host.raft.can_serve_read(now_ms()) and isinstance(host.state_machine, Book):
-            sight, now = self._sight(host.state_machine), now_ms()
-            if sight != host.state_machine.sight or now - self._told_at > SIGHT_MS:
-                await self._put(host, sight)
-                self._told_at = now
-        await self._own(await self.look())
-
-    def _report(self) -> Report:
-        led = []
-        for one in self._keeper.led_groups():
-            if one.group != GROUP:
-                led.append(Group(one.group, tuple(sorted(one.nodes)), one.healthy))
-        return Report(self.me, self._zone, self._capacity, self._ready(), tuple(led))
-
-    async def _own(self, view: View) -> None:
-        """This door's own request."""
-        if self.agent is None:
-            self.agent = Agent(self.me, view.limits.lease_ms)
-        agent = self.agent
-        agent.lease_ms = view.limits.lease_ms
+            except Exception as error:  # an instance goes on serving whatever is wrong with its maintenance
+                self._log_event("fault", {"where": "maintenance", "error": repr(error)})
+
+    async def _run_round(self) -> None:
+        await self._replicas.request_leader(QUEUE_GROUP, encode(self._build_report()), REQUEST_TIMEOUT_S)
+        await self._observe()
+        await self._follow_own_request(await self.fetch())
+
+    def _build_report(self) -> MachineReport:
+        groups = tuple(
+            ReplicaGroup(led.group, tuple(sorted(led.nodes)), led.healthy)
+            for led in self._replicas.led_groups()
+            if led.group != QUEUE_GROUP
+        )
+        return MachineReport(
+            self._instance.name, self._instance.zone, self._instance.capacity, self._instance.is_ready(), groups
+        )
+
+    async def _observe(self) -> None:
+        """Append what this instance observes, where it leads the queue."""
+        replica, now = self._replicas.replica(QUEUE_GROUP), now_ms()
+        if (
+            replica is None
+            or not replica.raft.can_serve_read(now)
+            or not isinstance(replica.state_machine, MaintenanceQueue)
+        ):
+            return
+        previous = replica.state_machine.observation
+        observation = self._reports.observe(now, self._instance.name, previous, self._members())
+        if observation != previous or now - self._observed_ms > OBSERVATION_INTERVAL_MS:
+            await self._append(replica, observation)
+            self._observed_ms = now
+
+    async def _follow_own_request(self, view: QueueView) -> None:
+        """Act on this instance's own request."""
+        if self.lease_holder is None:
+            self.lease_holder = LeaseHolder(self._instance.name, view.limits.lease_ms)
+        holder = self.lease_holder
+        holder.lease_ms = view.limits.lease_ms
         now = now_ms()
-        if self._ready() or agent.step.value != "here":
-            agent.seen(now, view.requests)
-        agent.wake(now)
-        actions, agent.out = agent.out, []
-        for action in actions:
-            if isinstance(action, AskStart):
-                await self._start(agent, action.start)
-            elif isinstance(action, AskDone):
-                await self.tell(action.done)
-
-    async def _start(self, agent: Agent, start: Start) -> None:
-        asked = now_ms()
-        answer = await self.tell(start)
-        agent.started(now_ms(), start, asked, answer)
+        if self._instance.is_ready() or holder.phase is not Phase.IN_SERVICE:
+            holder.observe(now, view.requests)
+        holder.wake(now)
+        for action in holder.take_actions():
+            if isinstance(action, SendStart):
+                await self._start(holder, action.command)
+            elif isinstance(action, SendFinish):
+                await self.submit(action.command)
+
+    async def _start(self, holder: LeaseHolder, command: StartMaintenance) -> None:
+        asked_ms = now_ms()
+        result = await self.submit(command)
+        holder.start_answered(now_ms(), command, asked_ms, result)
         self._log_event(
-            "maintenance start", {"request": start.id, "token": start.token, "ok": answer.ok, "why": answer.text}
+            "maintenance start",
+            {"request": command.request_id, "token": command.token, "ok": result.ok, "error": result.message},
         )
-        for action in agent.out:
-            if isinstance(action, Leave):
-                self._leave(action.request)
+        for action in holder.actions:
+            if isinstance(action, Drain):
+                self._instance.drain(action.request_id)
 
     def gauges(self) -> dict[str, float]:
-        """For metrics, of the copy that is here."""
-        host = self._keeper.replica(GROUP)
-        if host is None or not isinstance(host.state_machine, Book):
+        """For metrics, of the replica that is here."""
+        replica = self._replicas.replica(QUEUE_GROUP)
+        if replica is None or not isinstance(replica.state_machine, MaintenanceQueue):
             return {}
-        states = [held.state for held in host.state_machine.requests.values()]
-        return {f"maintenance_{state.value}": states.count(state) for state in State}
+        states = [request.state for request in replica.state_machine.requests.values()]
+        return {f"maintenance_{state.value}": states.count(state) for state in RequestState}
+
+
+def _queue(replica: Replica) -> MaintenanceQueue:
+    assert isinstance(replica.state_machine, MaintenanceQueue)
+    return replica.state_machine
--- a/martenstep/maintenance/lease_holder.py
+++ b/martenstep/maintenance/lease_holder.py
@@ -1,11 +1,10 @@
-"""A machine's own part: it goes only by a start that stands in the book, within its lease by its own clock.
+"""A machine's own part: it drains only by a start that stands in the queue, within its lease by its own clock.
 
-Sans-I/O.  In: answers of the book, the time on this machine's monotonic clock (ms), and how far its own leaving is.
-Out: what to ask of the book, and what to do.  A question that got no answer is asked again; every one of them is the
-same when it is told twice.
+Without I/O.  In: answers of the queue, the time on this machine's monotonic clock (ms), and how far its draining is.
+Out: what to ask of the queue, and what to do.  A command that got no answer is asked again; each of them is idempotent.
 
-The lease is counted from before the start was asked.  Danger: from when the answer came, a machine that stood with the
-answer in its buffer would leave after somebody gave it up and another went.
+The lease is counted from before the start was asked.  Danger: from when the answer came, a machine that was paused with
+the answer in its buffer would drain after somebody abandoned it and another was granted.
 """
 
 from __future__ import annotations
@@ -13,118 +12,145 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from martenstep.maintenance.queue import DRIFT, Answer, Done, Request, Start, State
+from martenstep.maintenance.commands import CommandResult, FinishMaintenance, StartMaintenance
+from martenstep.maintenance.model import MaintenanceRequest, RequestState
+from martenstep.maintenance.queue_clock import MAX_CLOCK_DRIFT
 
-AGAIN_MS = 1000.0  # between two questions
+RETRY_MS = 1000.0  # between two commands
 
 
-class Step(StrEnum):
-    """Where a machine is on its way."""
+class Phase(StrEnum):
+    """How far a machine is."""
 
-    HERE = "here"  # it serves
-    ASKING = "asking"  # it has a token and has asked to start
-    GOING = "going"  # it drains: no new requests, health answers no
-    GONE = "gone"  # all is answered and handed over: the machine may be touched
-    BACK = "back"  # it tells that the work is done, and serves
+    IN_SERVICE = "here"
+    STARTING = "asking"  # it has a token and has asked to start
+    DRAINING = "going"  # no new requests, health checks fail
+    DRAINED = "gone"  # all is answered and handed over: the machine may be worked on
+    RETURNING = "back"  # it reports that the work is done, and serves
 
 
 @dataclass(frozen=True, slots=True)
-class AskStart:
-    """Put a start into the book."""
+class SendStart:
+    """Append a start to the queue."""
 
-    start: Start
+    command: StartMaintenance
 
 
 @dataclass(frozen=True, slots=True)
-class AskDone:
-    """Put an end into the book."""
+class SendFinish:
+    """Append an end to the queue."""
 
-    done: Done
+    command: FinishMaintenance
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
-    """Take no new requests from now on, hand over what is led here, and tell when nothing is left (`left`)."""
+class Drain:
+    """Take no new requests from now on, hand over what is led here, and tell when nothing is left (`drained`)."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Touchable:
+class ReadyForWork:
     """The machine may be worked on."""
 
-    request: str
+    request_id: str
 
 
-Action = AskStart | AskDone | Leave | Touchable
+LeaseAction = SendStart | SendFinish | Drain | ReadyForWork
 
 
-class Agent:
-    """One machine's."""
+class LeaseHolder:
+    """One machine's part."""
 
     def __init__(self, machine: str, lease_ms: float) -> None:
-        """`lease_ms` as the book's limits have it when it asks."""
-        self.machine, self.lease_ms = machine, lease_ms
-        self.step = Step.HERE
-        self.request, self.token = "", 0
-        self.out: list[Action] = []
-        self._asked = 0.0  # when the start that may stand was first asked
-        self._again = 0.0
-        self.leave_by = 0.0  # own clock
-
-    def seen(self, now: float, requests: list[Request]) -> None:
-        """The book as somebody who leads it told it: this machine's request, if any."""
-        mine = next((one for one in requests if one.machine == self.machine and one.state is not State.ENDED), None)
-        if self.step is Step.HERE and mine is not None and mine.state is State.GRANTED:
-            self.request, self.token, self.step = mine.id, mine.token, Step.ASKING
-            self._ask(now)
-        elif self.step is Step.HERE and mine is not None and mine.state is State.OUT:
+        """`lease_ms` as the queue's limits have it when it asks."""
+        self.machine = machine
+        self.lease_ms = lease_ms
+        self.phase = Phase.IN_SERVICE
+        self.request_id = ""
+        self.token = 0
+        self.actions: list[LeaseAction] = []
+        self.drain_until_ms = 0.0  # by its own clock
+        self._retry_ms = 0.0
+
+    def take_actions(self) -> list[LeaseAction]:
+        """What is to be done since this was last called."""
+        actions, self.actions = self.actions, []
+        return actions
+
+    def observe(self, now: float, requests: list[MaintenanceRequest]) -> None:
+        """The queue as its leader told it: this machine's request, if any."""
+        own = next((request for request in requests if request.machine == self.machine and request.active), None)
+        if self.phase is Phase.IN_SERVICE and own is not None:
+            self._observe_in_service(now, own)
+        elif (self.phase is Phase.STARTING and not self._is_current(own)) or (
+            self.phase is Phase.RETURNING and self._has_returned(own)
+        ):
+            self._stay()
+
+    def _observe_in_service(self, now: float, own: MaintenanceRequest) -> None:
+        if own.state is RequestState.GRANTED:
+            self._adopt(own, Phase.STARTING)
+            self._ask_start(now)
+        elif own.state is RequestState.OUT:
             # This process began while its machine is out: it was started again, so the work is done, or nearly.
-            self.request, self.token, self.step = mine.id, mine.token, Step.BACK
+            self._adopt(own, Phase.RETURNING)
             self.wake(now)
-        elif self.step is Step.ASKING:
-            if mine is None or (mine.id, mine.token) != (self.request, self.token) or mine.state is State.WAITING:
-                self._stay()
-        elif self.step is Step.BACK and (mine is None or mine.id != self.request or mine.state is State.COMING):
-            self._stay()
 
-    def _ask(self, now: float) -> None:
-        self._asked, self._again = now, now + AGAIN_MS
-        self.out.append(AskStart(Start(self.request, self.token)))
+    def _adopt(self, own: MaintenanceRequest, phase: Phase) -> None:
+        self.request_id, self.token, self.phase = own.request_id, own.token, phase
+
+    def _is_current(self, own: MaintenanceRequest | None) -> bool:
+        """Whether the grant that this machine acts on still stands."""
+        return (
+            own is not None
+            and (own.request_id, own.token) == (self.request_id, self.token)
+            and own.state is not RequestState.WAITING
+        )
+
+    def _has_returned(self, own: MaintenanceRequest | None) -> bool:
+        return own is None or own.request_id != self.request_id or own.state is RequestState.RECOVERING
+
+    def _ask_start(self, now: float) -> None:
+        self._retry_ms = now + RETRY_MS
+        self.actions.append(SendStart(StartMaintenance(self.request_id, self.token)))
 
     def _stay(self) -> None:
-        self.step, self.request, self.token = Step.HERE, "", 0
+        self.phase, self.request_id, self.token = Phase.IN_SERVICE, "", 0
 
     def wake(self, now: float) -> None:
         """Let time pass: ask again what got no answer."""
-        if self.step is Step.ASKING and now >= self._again:
-            self._ask(now)
-        elif self.step is Step.BACK and now >= self._again:
-            self._again = now + AGAIN_MS
-            self.out.append(AskDone(Done(self.request, self.token, back=True)))
-
-    def started(self, now: float, start: Start, asked: float, answer: Answer) -> None:
-        """The book's answer to a start that was asked at `asked` by this machine's clock."""
-        if self.step is not Step.ASKING or (start.id, start.token) != (self.request, self.token):
+        if now < self._retry_ms:
+            return
+        if self.phase is Phase.STARTING:
+            self._ask_start(now)
+        elif self.phase is Phase.RETURNING:
+            self._retry_ms = now + RETRY_MS
+            self.actions.append(SendFinish(FinishMaintenance(self.request_id, self.token, by_machine=True)))
+
+    def start_answered(self, now: float, command: StartMaintenance, asked_ms: float, result: CommandResult) -> None:
+        """The queue's answer to a start that was asked at `asked_ms` by this machine's clock."""
+        if self.phase is not Phase.STARTING or (command.request_id, command.token) != (self.request_id, self.token):
             return
-        if not answer.ok:
+        if not result.ok:
             self._stay()
             return
-        self.leave_by = asked + self.lease_ms * (1 - DRIFT) / (1 + DRIFT)
-        if now >= self.leave_by:
-            self._ask(now)  # it stands in the book, and this machine counts as out; it is asked for another lease
+        self.drain_until_ms = asked_ms + self.lease_ms * (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)
+        if now >= self.drain_until_ms:
+            self._ask_start(now)  # it stands in the queue, and this machine counts as out; it asks for another lease
             return
-        self.step = Step.GOING
-        self.out.append(Leave(self.request))
+        self.phase = Phase.DRAINING
+        self.actions.append(Drain(self.request_id))
 
-    def left(self, now: float) -> None:
+    def drained(self) -> None:
         """Nothing is left here."""
-        if self.step is Step.GOING:
-            self.step = Step.GONE
-            self.out.append(Touchable(self.request))
+        if self.phase is Phase.DRAINING:
+            self.phase = Phase.DRAINED
+            self.actions.append(ReadyForWork(self.request_id))
 
-    def back(self, now: float) -> None:
+    def work_done(self, now: float) -> None:
         """The work is done, and this process serves again."""
-        if self.step in (Step.GOING, Step.GONE):
-            self.step, self._again = Step.BACK, now
+        if self.phase in (Phase.DRAINING, Phase.DRAINED):
+            self.phase, self._retry_ms = Phase.RETURNING, now
             self.wake(now)
--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -16,7 +16,7 @@
 from prometheus_client.registry import Collector
 
 if TYPE_CHECKING:  # a gateway without maintenance does not load it
-    from martenstep.maintenance.queue import What
+    from martenstep.maintenance.commands import Command
 
 REQUEST_TIMEOUT_MS = 5000.0
 MAX_VIEW_WAIT_MS = 60_000.0
@@ -60,10 +60,10 @@
 class MaintenanceAdmin(Protocol):
     """What the listener asks of the maintenance queue."""
 
-    async def tell(self, what: What) -> object:
+    async def submit(self, what: Command) -> object:
         """Submit a change."""
 
-    async def look(self) -> object:
+    async def fetch(self) -> object:
         """All of the queue."""
 
 
@@ -186,14 +186,14 @@
             return _text(NOT_FOUND, "the settings have no maintenance")
         if path != "/maintenance":
             return _text(NOT_FOUND, "there is: /maintenance")
-        from martenstep.maintenance.queue import What
+        from martenstep.maintenance.commands import Command
         from martenstep.replication.errors import LeaderUnreachableError
 
         try:
             if method != "POST":
-                return _json(await self.maintenance.look())
-            what = msgspec.json.decode(parse_qs(query).get("what", [""])[-1], type=What)
-            return _json(await self.maintenance.tell(what))
+                return _json(await self.maintenance.fetch())
+            what = msgspec.json.decode(parse_qs(query).get("what", [""])[-1], type=Command)
+            return _json(await self.maintenance.submit(what))
         except msgspec.DecodeError as error:
             return _text(BAD_REQUEST, f"what: {error}")
         except LeaderUnreachableError as error:
--- a/martenstep/proxy/cluster.py
+++ b/martenstep/proxy/cluster.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:  # a gateway without them loads none of it
     from martenstep.counter.pending_increments import Try
     from martenstep.counter.sharded_counter import HeldByDoors
-    from martenstep.maintenance.coordinator import Orders
+    from martenstep.maintenance.coordinator import MaintenanceCoordinator
     from martenstep.membership.service import MembershipService
 
 
@@ -28,7 +28,7 @@
         self._door, self._admin, self._is_ready, self._log_event = door, admin, is_ready, log_event
         self.membership: MembershipService | None = None
         self.replicas: HeldByDoors | None = None
-        self.maintenance: Orders | None = None
+        self.maintenance: MaintenanceCoordinator | None = None
 
     async def start(self, deliver: Callable[[Try], bool]) -> dict[str, int]:
         """Join the others; returns the ports by name.  `deliver` takes what a ledger that this gateway leads has."""
@@ -66,18 +66,16 @@
         return ports
 
     def _start_maintenance(self, replicas: HeldByDoors) -> None:
-        from martenstep.maintenance.coordinator import Orders
+        from martenstep.maintenance.coordinator import LocalInstance, MaintenanceCoordinator
 
-        self.maintenance = Orders(
+        instance = LocalInstance(
             self._door.name,
             self._door.zone,
             self._door.maintenance.capacity,
-            replicas.keeper,
             self._is_ready,
-            self._known_gateways,
             self._leave_for_maintenance,
-            self._log_event,
         )
+        self.maintenance = MaintenanceCoordinator(instance, replicas.keeper, self._known_gateways, self._log_event)
         self.maintenance.start()
         self._admin.maintenance = self.maintenance
 
--- a/tests/test_explore_orders.py
+++ b/tests/test_explore_orders.py
@@ -7,18 +7,20 @@
 import pytest
 
 from martenstep.lab.explore_orders import BreachError, Budget, Explorer
-from martenstep.maintenance.queue import Answer, Book, Request, State
+from martenstep.maintenance.commands import CommandResult
+from martenstep.maintenance.model import MaintenanceRequest, RequestState
+from martenstep.maintenance.queue import MaintenanceQueue
 from tests.test_maintenance import DoneByAnybody, GivenUpAtOnce, LeaseFromAnswer, LeavesUnheard
 
 
-class GivenUpUnseen(Book):
+class GivenUpUnseen(MaintenanceQueue):
     """Flaw: who was given up counts as there, whoever looked."""
 
-    def _give_up(self, held: Request) -> Answer:
-        if held.state in (State.OUT, State.COMING) and self.now > held.lease_until:
+    def _abandon(self, held: MaintenanceRequest) -> CommandResult:
+        if held.state in (RequestState.OUT, RequestState.RECOVERING) and self.now_ms > held.lease_expires_ms:
             self._end(held, "given up")
-            return Answer(True, "", held)
-        return Answer(False, "", held)
+            return CommandResult(True, "", held)
+        return CommandResult(False, "", held)
 
 
 @pytest.mark.parametrize(
@@ -40,6 +42,6 @@
     ],
 )
 def test_some_order_shows_a_flaw(flaw: Any, budget: Budget) -> None:
-    explorer = Explorer(budget, book=flaw) if issubclass(flaw, Book) else Explorer(budget, agent=flaw)
+    explorer = Explorer(budget, book=flaw) if issubclass(flaw, MaintenanceQueue) else Explorer(budget, agent=flaw)
     with pytest.raises(BreachError, match=r"(away|leaves by).*, after: "):
         explorer.run(most=30_000)
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -49,10 +49,10 @@
     def transfer_leadership(self, group: str, to: str) -> bool:
         return (group, to) == ("g", "d1")
 
-    async def tell(self, what: Any) -> Any:
+    async def submit(self, what: Any) -> Any:
         return what
 
-    async def look(self) -> Any:
+    async def fetch(self) -> Any:
         return self.view()
 
 
