--- a/bench/decision.py
+++ b/bench/decision.py
@@ -46,6 +46,8 @@
     finally:
         sys.path.pop(0)
         _forget_modules()
+    if path not in Path(str(messages.__file__)).parents:  # an installed copy was found in its place
+        raise FileNotFoundError(f"{path} has no martenstep.policy.messages")
     return Checkout(package.Gateway, messages)
 
 
