--- a/tests/test_auth_core.py
+++ b/tests/test_auth_core.py
@@ -14,7 +14,6 @@
     Allow,
     Answer,
     Core,
-    Crowd,
     Deny,
     Reason,
     Rules,
@@ -23,6 +22,7 @@
     Unsure,
     keep_of,
 )
+from martenstep.auth.wait_queue import GroupedWaitQueue
 
 YES, NO = Answer(200, keep_ms=10_000.0), Answer(403, keep_ms=10_000.0)
 ONCE = Answer(200)
@@ -197,21 +197,21 @@
     for ticket in range(20, 24):
         bench.ask(ticket, f"k{ticket}", group="other")
     bench.fail(bench.starts()[0])
-    assert bench.core._crowd.total <= 4
+    assert bench.core._queued_requests.total <= 4
 
 
 def test_shedding_costs_the_same_however_many_wait_and_from_however_many_groups() -> None:
-    """Counted in steps, not in time: the crowd's books are touched a fixed number of times an ask."""
+    """Counted in steps, not in time: the queue's groups are touched a fixed number of times an ask."""
     steps = []
 
-    class Counted(Crowd):
-        def _move(self, group: str, old: int, new: int) -> None:
+    class Counted(GroupedWaitQueue):
+        def _resize(self, group: str, old: int, new: int) -> None:
             steps.append(self._largest)
-            super()._move(group, old, new)
+            super()._resize(group, old, new)
             steps[-1] = abs(steps[-1] - self._largest)
 
     bench = Bench(per_service=1, total=1, waiting=3000)
-    bench.core._crowd = Counted()
+    bench.core._queued_requests = Counted()
     for ticket in range(9000):
         bench.ask(ticket, f"k{ticket}", group=f"g{ticket % 4000}")
     assert bench.core.held["queued"] == 3000 and len(steps) < 3 * 9000 and max(steps) <= 1
@@ -307,8 +307,8 @@
     def bounds_are_kept(self) -> None:
         held = self.bench.core.held
         assert held["out"] == len(self.out) <= 3 and held["asks"] == len(self.waiting)
-        queued = sum(len(check.asks) for check in self.bench.core._queue.values())
-        assert self.bench.core._crowd.total == queued <= 4
+        queued = sum(len(check.requests) for check in self.bench.core._queue.values())
+        assert self.bench.core._queued_requests.total == queued <= 4
         assert all(until >= self.bench.now for until in self.waiting.values()), "an ask past its time"
 
     def teardown(self) -> None:
