--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,8 +20,8 @@
 from martenstep.membership.keys import KeyFileError, read_keys
 from martenstep.membership.member_table import State
 from martenstep.membership.transport import Membership
-from martenstep.proxy.admin import Admin, DoorCollector
-from martenstep.storage.files import FAULTS, Disk
+from martenstep.proxy.admin import AdminListener, GatewayCollector
+from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
 from tests.door_rig import DOOR
 from tests.socket_rig import run
 
@@ -168,12 +168,12 @@
         for name in ("d0", "d1"):
             await fleet.start(name)
         await fleet.until(lambda: all(fleet.all_hold(State.ALIVE, name) for name in fleet.doors))
-        admin = Admin(DoorCollector(dict, fleet.doors["d0"].gauges), lambda: True)
+        admin = AdminListener(GatewayCollector(dict, fleet.doors["d0"].gauges), lambda: True)
         port = await admin.start("127.0.0.1", 0)
         at = f"127.0.0.1:{port}"
         told = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", at])
         assert told.exit_code == 1 and "no fleet" in told.output
-        admin.fleet(fleet.doors["d0"])
+        admin.membership = fleet.doors["d0"]
         told = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", at])
         assert told.exit_code == 0 and "d0 is joined; 2 of 2 present" in told.output and "d1    alive" in told.output
         view = await ask(port, "/members")
@@ -183,7 +183,7 @@
         assert (await waiting)["version"] > view["version"]
         watched = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "watch", "--admin", at, "--times", "1"])
         assert "d0 is gone" in watched.output
-        assert b"martenstep_fleet_members_left 1" in admin.answer("/metrics")[2]
+        assert b"martenstep_fleet_members_left 1" in admin.respond_status("/metrics")[2]
         for path, status in (
             ("/members?after=x", 400),
             ("/members?wait_ms=1e9", 400),
@@ -230,11 +230,11 @@
         first, wrong = identity.take_up(disk, rng)
         second, _ = identity.take_up(disk, rng)
         assert not wrong and (first.identity, first.starts, second.starts) == (second.identity, 1, 2)
-        disk.write_aside(identity.FILE, b"{")
+        disk.write_atomically(identity.FILE, b"{")
         third, wrong = identity.take_up(disk, rng)
         assert third.identity != first.identity and third.starts == 1 and "is not read" in wrong
     faults = tmp_path / "faults"
-    monkeypatch.setenv(FAULTS, str(faults))
+    monkeypatch.setenv(DISK_FAULTS_VARIABLE, str(faults))
     for number, (fault, told) in enumerate((('{"full": 1}', "No space left"), ('{"sync_fails": 1}', "Input/output"))):
         faults.write_text(fault)
         with Disk(tmp_path / "a") as broken:
