--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -187,7 +187,7 @@
         if path != "/maintenance":
             return _text(NOT_FOUND, "there is: /maintenance")
         from martenstep.maintenance.queue import What
-        from martenstep.replication.replica_manager import LeaderUnreachableError
+        from martenstep.replication.errors import LeaderUnreachableError
 
         try:
             if method != "POST":
--- a/martenstep/proxy/cluster.py
+++ b/martenstep/proxy/cluster.py
@@ -50,7 +50,7 @@
 
     async def _start_replicas(self, membership: Membership, deliver: Callable[[Try], bool]) -> dict[str, int]:
         from martenstep.counter.sharded_counter import HeldByDoors
-        from martenstep.replication.replica_manager import ReplicaManagerError
+        from martenstep.replication.errors import ReplicaManagerError
         from martenstep.storage.files import LockedError
 
         ports: dict[str, int] = {}
--- a/martenstep/proxy/engine/responses.py
+++ b/martenstep/proxy/engine/responses.py
@@ -120,7 +120,7 @@
         plan = route.plan
         if plan.rate <= 0 or not self._messages.sends_rate_limits:
             return []
-        remaining = self._policy.gateway.room(self._state.now, route.customer)
+        remaining = self._policy.gateway.available_units(self._state.now, route.customer)
         full_in_ms = 0.0 if remaining is None else max(plan.burst - remaining, 0.0) / plan.rate * MS_PER_S
         return rate_limit_headers(plan, remaining, full_in_ms)
 
