--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -130,7 +130,9 @@
 
     def _list_behind(self) -> bool:
         """Whether the process stood still and discovery has not answered since: what its agent told meanwhile counts.
-        An agent that does not answer is silent, and has told nothing."""
+
+        An agent that does not answer is silent, and has told nothing.
+        """
         assert self._selector is not None
         if self._selector.stalled_at > self._asked_anew_at:
             self._asked_anew_at, now = self._selector.stalled_at, now_ms()
@@ -172,8 +174,11 @@
         self.driver.handle(CounterReplied(call, verdict, total))
 
     def _known(self) -> None:
-        """The list as last had, maybe old.  By the follower that goes on from it: a number that named another server
-        once discovery's list comes would have its attempts, its latency and its place in the books."""
+        """The list as last had, maybe old.
+
+        By the follower that goes on from it: a number that named another server once discovery's list comes would have
+        its attempts, its latency and its place in the books.
+        """
         try:
             known = self._follower.told(self.config.known, EndpointListScope.CACHED)
         except DiscoveryError as error:
@@ -202,8 +207,11 @@
         self._first_list.set()  # who waits for it waits no more: the time until SIGKILL runs
 
     async def start(self) -> int:
-        """Bind everything, and be ready once there is a list; gives the listener's port, 0 where the door was told to
-        end before it listened.  Raises ConfigError where it cannot listen."""
+        """Bind everything, and be ready once there is a list.
+
+        Gives the listener's port, 0 where the door was told to end before it listened.  Raises ConfigError where it
+        cannot listen.
+        """
         self._known()
         if self._counter is not None:
             self.driver.add_to_counter = self._counter.add
@@ -291,9 +299,11 @@
         )
 
     def reload(self) -> None:
-        """SIGHUP: discovery and the counter may be elsewhere.  A file that cannot be read leaves all as it is, and is
-        read again for some seconds, since whoever writes it may not be done; whatever else has changed in it waits for
-        a restart."""
+        """SIGHUP: discovery and the counter may be elsewhere.
+
+        A file that cannot be read leaves all as it is, and is read again for some seconds, since whoever writes it may
+        not be done; whatever else has changed in it waits for a restart.
+        """
         if self._rereading is not None:
             self._rereading.cancel()
             self._rereading = None
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -1,8 +1,9 @@
-"""The platform's discovery: the whole list, then a watch that continues while each call follows the last answer at
-once.
+"""The platform's discovery.
 
-`Follower` is the protocol without sockets; `Discovery` keeps a connection to the agent, which answers from what it
-has been told and is silent while discovery is down.
+The whole list, then a watch that continues while each call follows the last answer at once.
+
+`Follower` is the protocol without sockets; `Discovery` keeps a connection to the agent, which answers from what it has
+been told and is silent while discovery is down.
 """
 
 from __future__ import annotations
@@ -77,7 +78,8 @@
 
     Each call is work for a service that all front doors share.  Where calls are refused or answers come late, watches
     are held for longer, and of those that are refused who has a new list comes again later: the next turn is for those
-    whose list is old.  After an answer the next call follows at once, since what it would have told counts as told."""
+    whose list is old.  After an answer the next call follows at once, since what it would have told counts as told.
+    """
 
     def __init__(self, timing: Timing, rng: random.Random | None = None) -> None:
         self._timing, self._rng = timing, rng or random.Random()
@@ -114,7 +116,8 @@
 
     What it refuses to tell counts as told TOLD_MS after it had it.  Whoever is refused for longer knows of no server
     that it may still be sent to, nor does who starts with a list whose age nobody knows.  A watch that was taken and
-    not answered while the queue is long has nothing new to tell."""
+    not answered while the queue is long has nothing new to tell.
+    """
 
     def __init__(self) -> None:
         self._fresh = -math.inf  # when the last answer came
@@ -226,7 +229,9 @@
 
     def told(self, told: Any, scope: EndpointListScope | None = None) -> Listed | None:
         """Take in a list that is read already; `scope` in place of its own, and then no watch goes on from it.
-        Nothing of one that cannot be read to its end is taken in."""
+
+        Nothing of one that cannot be read to its end is taken in.
+        """
         now = self._clock()
         reading = _Reading(now, self._wall_clock(), now - self._complete_at)
         try:
@@ -337,8 +342,10 @@
         return bool(reader.buffered) or is_ready(writer, select.POLLIN)
 
     def ask_anew(self) -> None:
-        """Ask at once, in place of the call that is out: its answer may have been given up while the process did not
-        run, and what it told counts as told."""
+        """Ask at once, in place of the call that is out.
+
+        Its answer may have been given up while the process did not run, and what it told counts as told.
+        """
         if self._task is not None:
             self._task.cancel()
             self._ask_at_once = True
@@ -446,8 +453,10 @@
             writer.close()
 
     async def _answer(self, reader: asyncio.StreamReader, wire: Http1ClientConnection, wait_ms: float) -> bytes:
-        """One answer, whose first byte comes within `wait_ms`, which never stands still for longer than `still_ms` and
-        is whole within WHOLE_MS more; raises TimeoutError."""
+        """One answer, whose first byte comes within `wait_ms`.
+
+        Which never stands still for longer than `still_ms` and is whole within WHOLE_MS more; raises TimeoutError.
+        """
         body = bytearray()
         async with asyncio.timeout((wait_ms + WHOLE_MS) / 1000):
             while True:
--- a/martenstep/node/protocol.py
+++ b/martenstep/node/protocol.py
@@ -57,8 +57,10 @@
 
 
 class Ids:
-    """Ids met lately: a request under one that is open is not the client's own, and two attempts under one id would
-    count as two copies of it."""
+    """Ids met lately: a request under one that is open is not the client's own.
+
+    Two attempts under one id would count as two copies of it.
+    """
 
     def __init__(self, clock: Callable[[], float], keep_ms: float) -> None:
         self._clock, self._keep_ms = clock, keep_ms
@@ -172,8 +174,10 @@
 
 
 class NodeMessageBuilder:
-    """How attempts and answers are worded (door.parts.Wording): no more than the protocol asks for, since every header
-    is work at both ends."""
+    """How attempts and answers are worded (door.parts.Wording).
+
+    No more than the protocol asks for, since every header is work at both ends.
+    """
 
     sends_rate_limits = False
 
@@ -200,8 +204,10 @@
         return [pair for pair in headers if pair[0] == LENGTH]
 
     def local_reply(self, reason: str, label: str, wait_ms: float | None) -> tuple[Headers, bytes]:
-        """The reason as text, and when to come back.  A fault of the client's ends its connection: strays ask once and
-        stay, by hundreds, and nobody else has faults."""
+        """The reason as text, and when to come back.
+
+        A fault of the client's ends its connection: strays ask once and stay, by hundreds, and nobody else has faults.
+        """
         body = reason.encode()
         headers = [(LENGTH, b"%d" % len(body))]
         if wait_ms is not None:
--- a/martenstep/proxy/__init__.py
+++ b/martenstep/proxy/__init__.py
@@ -1,6 +1,5 @@
-"""The front door.
+"""The proxy: carries requests from clients to endpoints as the policy decides.
 
-May live here: the engine around the module's Gateway, free of I/O (events and a time in, actions out); the HTTP
-rules that it follows; the asyncio driver that binds it to sockets; the daemon.  Decisions on quota, servers and
-attempts are the module's alone.
+`engine` drives the policy, free of I/O (events and the time in, actions out); `server` binds it to sockets; `http1`
+reads and writes HTTP/1.1; `daemon` is the process.  Decisions on quota, endpoints and attempts are the policy's alone.
 """
--- a/martenstep/proxy/acceptor.py
+++ b/martenstep/proxy/acceptor.py
@@ -77,7 +77,7 @@
         state = self._state
         client = ClientConnection(state, reader, writer, protocol)
         at_limit = len(state.clients) >= state.listener.max_connections
-        if state.stopping or (at_limit and not self.make_room()):
+        if state.stopping or (at_limit and not self.free_slot()):
             self._reject(client)
             return
         state.clients.add(client)
@@ -107,12 +107,15 @@
         self._state.new_clients.pop(client, None)
         self._state.idle_clients.pop(client, None)
 
-    # Room ---------------------------------------------------------------------------------------------------
+    # Limit ---------------------------------------------------------------------------------------------------
 
-    def make_room(self) -> bool:
-        """Close a connection without a request: the oldest that never had one which could be accepted, else the one
-        that has been idle for longest.  Whoever opens hundreds, and says nothing or asks once and stays, must not keep
-        out those who ask.  False where a request is open on every one."""
+    def free_slot(self) -> bool:
+        """Close a connection without a request.
+
+        The oldest that never had one which could be accepted, else the one that has been idle for longest.  Whoever
+        opens hundreds, and says nothing or asks once and stays, must not keep out those who ask.  False where a request
+        is open on every one.
+        """
         state = self._state
         min_waiting_since = now_ms() - MIN_AGE_TO_CLOSE_MS
         for client in [*state.new_clients, *state.idle_clients]:
--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -1,6 +1,7 @@
 """The admin listener: health, readiness, metrics, membership, replicas and maintenance.
 
-For operators only: bind it to a host that clients don't reach."""
+For operators only: bind it to a host that clients don't reach.
+"""
 
 from __future__ import annotations
 
@@ -165,8 +166,7 @@
         return _json(self.membership.view())
 
     def _respond_replication(self, method: str, path: str, query: str) -> AdminResponse:
-        """`GET /copies`; `POST /copies/move?group=GROUP&to=GATEWAY` transfers the leadership of a group that is led
-        here."""
+        """`GET /copies`; `POST /copies/move?group=GROUP&to=GATEWAY` transfers the leadership of a group."""
         if self.replication is None:
             return _text(NOT_FOUND, "the settings have no copies")
         if path == "/copies/move":
--- a/martenstep/proxy/attempt_outcomes.py
+++ b/martenstep/proxy/attempt_outcomes.py
@@ -46,7 +46,8 @@
     """What the status of a response means.
 
     A rejection is a status together with a header, so that a response of some part between, with the same status,
-    proves nothing."""
+    proves nothing.
+    """
 
     __slots__ = ("_error_statuses", "_rejection_header", "_rejection_status")
 
--- a/martenstep/proxy/attempt_sender.py
+++ b/martenstep/proxy/attempt_sender.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.client_connection import ClientRequest
+from martenstep.proxy.client_request import ClientRequest
 from martenstep.proxy.clock import MS_PER_S, now_ms
 from martenstep.proxy.connection_pool import ConnectionPool
 from martenstep.proxy.engine_messages import AttemptFailure
@@ -41,8 +41,10 @@
             self._connect(request, action)
 
     async def _open_later(self, request: ClientRequest, action: ev.OpenAttempt) -> None:
-        """Begin an attempt once the endpoint list is up to date: its endpoint may be draining.  Cancelled when the
-        attempt is given up."""
+        """Begin an attempt once the endpoint list is up to date: its endpoint may be draining.
+
+        Cancelled when the attempt is given up.
+        """
         while self.endpoint_list_is_stale():
             await asyncio.sleep(STALE_LIST_CHECK_MS / MS_PER_S)
         if request.attempt_task is not asyncio.current_task():
@@ -117,8 +119,10 @@
             request.attempt_task = loop.create_task(self._write_rest(request, upstream))
 
     def _write(self, request: ClientRequest, action: ev.OpenAttempt, upstream: UpstreamConnection) -> bool:
-        """Write the head, and the body as far as it has been read; True where more of it is to come.  Raises
-        InvalidMessageError before anything is written."""
+        """Write the head, and the body as far as it has been read; True where more of it is to come.
+
+        Raises InvalidMessageError before anything is written.
+        """
         body, headers = request.body, action.headers
         if body is not None and body.length is None:
             headers.append(CHUNKED_HEADER)
--- a/martenstep/proxy/client_connection.py
+++ b/martenstep/proxy/client_connection.py
@@ -6,17 +6,17 @@
 import math
 import select
 from contextlib import suppress
-from typing import Any, Protocol
+from typing import Protocol
 
 from martenstep.proxy import engine_messages as ev
+from martenstep.proxy.client_request import ClientRequest, RequestBody
 from martenstep.proxy.clock import MS_PER_S, now_ms
 from martenstep.proxy.dependencies import ListenerLimits, UpstreamLimits
 from martenstep.proxy.http1.message_head import ProtocolError, RequestHead
-from martenstep.proxy.http1.message_reader import Data, EndOfMessage
+from martenstep.proxy.http1.message_reader import ConnectionClosed, Data, EndOfMessage
 from martenstep.proxy.http1.message_writer import InvalidMessageError
 from martenstep.proxy.http1.server_connection import Http1ServerConnection
 from martenstep.proxy.permission import may_close
-from martenstep.proxy.request_body import RequestBody
 from martenstep.proxy.transport import (
     DISCONNECTED_EVENTS,
     LOST_EVENTS,
@@ -25,7 +25,6 @@
     WatchedReader,
     is_ready,
 )
-from martenstep.proxy.upstream_connection import UpstreamConnection
 
 MAX_LINGER_BYTES = 262_144  # of an unread body that are read and discarded, so that a reset does not eat the response
 LINGER_MS = 1000.0
@@ -56,55 +55,6 @@
         """Headers and body of a response to what is no request of the engine's."""
 
 
-class ClientRequest:
-    """One client request on its way, as its sockets have it."""
-
-    __slots__ = (
-        "attempt",
-        "attempt_task",
-        "body",
-        "body_reader",
-        "buffered",
-        "buffered_bytes",
-        "client",
-        "finished",
-        "progress_at",
-        "request_id",
-        "response_bytes",
-        "streaming",
-        "upstream",
-        "usage_recorded",
-        "withheld_data",
-    )
-
-    def __init__(
-        self, request_id: int, client: ClientConnection, body: RequestBody | None, finished: asyncio.Future[None]
-    ) -> None:
-        """`finished` is done once the client has its response, or can get none any more."""
-        self.request_id, self.client, self.body, self.finished = request_id, client, body, finished
-        self.attempt = 0  # number of the present attempt
-        self.attempt_task: asyncio.Task[None] | None = None  # that connects or writes for it
-        self.body_reader: asyncio.Task[None] | None = None  # that reads the client's body
-        self.upstream: UpstreamConnection | None = None
-        self.buffered: list[bytes] = []  # of the response, not passed on yet
-        self.buffered_bytes = 0
-        self.response_bytes = 0  # received so far of the present attempt's response
-        self.streaming = False  # the response has begun to go to the client
-        self.progress_at = 0.0  # when a response that has begun last moved
-        self.usage_recorded: asyncio.Future[bool] | None = None  # its usage is not recorded yet
-        self.withheld_data: list[tuple[UpstreamConnection, bytes]] = []  # received of responses meanwhile
-
-    def begin_attempt(self, number: int) -> None:
-        """Forget what was received for the attempt before."""
-        self.attempt = number
-        self.buffered, self.buffered_bytes, self.response_bytes = [], 0, 0
-
-    def finish(self) -> None:
-        """The client has its response, or can get none any more."""
-        if not self.finished.done():
-            self.finished.set_result(None)
-
-
 class ClientConnection:
     """The connection of one client."""
 
@@ -144,7 +94,8 @@
         """Whether the client has disconnected, by the kernel's word; its request ends then.
 
         Of a client that sent so much that reading is paused the event loop never learns, and of any other a busy loop
-        learns late."""
+        learns late.
+        """
         events = DISCONNECTED_EVENTS if self._server.listener.leave_on_half_close else LOST_EVENTS
         disconnected = self.writer.transport.is_closing() or is_ready(self.writer, events)
         if disconnected:
@@ -192,8 +143,10 @@
             self._abort_stalled(math.inf)
 
     def _abort_stalled(self, unsent_before: float) -> None:
-        """Cut off a closed connection whose client has stopped taking what is still to be written: it would hold its
-        descriptor for ever."""
+        """Cut off a closed connection whose client has stopped taking what is still to be written.
+
+        It would hold its descriptor for ever.
+        """
         transport = self.writer.transport
         unsent = transport.get_write_buffer_size()
         if unsent >= unsent_before:
@@ -202,7 +155,7 @@
             delay_s = self._server.upstream.answer_idle_ms / MS_PER_S
             self._server.loop.call_later(delay_s, self._abort_stalled, unsent)
 
-    async def _next_event(self) -> Any:
+    async def _next_event(self) -> RequestHead | Data | EndOfMessage | ConnectionClosed:
         """The next event of the client's bytes; raises ProtocolError."""
         while True:
             event = self.http.next_event()
@@ -236,7 +189,7 @@
         else:
             self.http.next_event()  # the end of a message without a body
         if server.listener.whole_body:
-            if body is not None and not await self._read_whole_body(body):
+            if body is not None and not await self._read_complete_body(body):
                 return
             self.reader.discard_excess()  # elsewhere what stands behind may be long, and waits
         request_id = server.next_request_id()
@@ -264,8 +217,11 @@
                 await task
 
     async def _drain(self) -> None:
-        """Wait until the client has taken its response.  A client that stops taking it is cut off: its connection would
-        hold a place, and the end of the gateway, for ever."""
+        """Wait until the client has taken its response.
+
+        A client that stops taking it is cut off: its connection would hold a place, and the end of the gateway, for
+        ever.
+        """
         transport = self.writer.transport
         while not transport.is_closing():
             unsent = transport.get_write_buffer_size()
@@ -290,9 +246,11 @@
         self.send_local_reply(CONTENT_TOO_LARGE, "body too large")
         await self._linger()
 
-    async def _read_whole_body(self, body: RequestBody) -> bool:
-        """Read a body to its end before the engine learns of its request; False where nothing is to be served.  The
-        sweep limits how long it takes."""
+    async def _read_complete_body(self, body: RequestBody) -> bool:
+        """Read a body to its end before the engine learns of its request; False where nothing is to be served.
+
+        The sweep limits how long it takes.
+        """
         self.has_partial_request = True
         if not await self._read_to_end(body, unlimited=True):
             await self._reject_body()
@@ -300,8 +258,10 @@
         return not self.closing
 
     async def _read_to_end(self, body: RequestBody, unlimited: bool) -> bool:
-        """Read a body to its end, no further ahead of its attempt than may be buffered unless `unlimited`; False where
-        it is too large.  Raises ProtocolError."""
+        """Read a body to its end, no further ahead of its attempt than may be buffered unless `unlimited`.
+
+        False where it is too large.  Raises ProtocolError.
+        """
         interim_response = self.http.continue_response()
         if interim_response:
             self.writer.write(interim_response)
@@ -359,8 +319,10 @@
         self.send_response(status, [*headers, CLOSE_HEADER], [body])
 
     def time_out_request(self) -> None:
-        """Answer a client that takes too long over its request.  What still comes of it is read: a close over it would
-        reset the connection, and the response with it."""
+        """Answer a client that takes too long over its request.
+
+        What still comes of it is read: a close over it would reset the connection, and the response with it.
+        """
         self._server.counts["requests_too_slow"] += 1
         self.send_local_reply(REQUEST_TIMEOUT, "head too slow")
         self._close_half()  # `run` still reads, and lingers
@@ -380,8 +342,10 @@
         self.writer.transport.abort()
 
     async def _linger(self, timeout_ms: float = LINGER_MS) -> None:
-        """Close the gateway's half, and read on for a while what the client still writes: closing over what is unread,
-        or on its way, would reset the connection, and the response with it."""
+        """Close the gateway's half, and read on for a while what the client still writes.
+
+        Closing over what is unread, or on its way, would reset the connection, and the response with it.
+        """
         if self.lingering or self.writer.transport.is_closing():
             return
         self.closing = self.lingering = True
--- a/martenstep/proxy/clock.py
+++ b/martenstep/proxy/clock.py
@@ -13,7 +13,8 @@
     """The gateway's clock: monotonic, and in Unix time as it was at the start.
 
     Gateways number the periods of a quota by it, so that two machines whose monotonic clocks differ still share their
-    keys at the counter."""
+    keys at the counter.
+    """
     return time.monotonic() * MS_PER_S + EPOCH_MS
 
 
--- a/martenstep/proxy/clock_step_detector.py
+++ b/martenstep/proxy/clock_step_detector.py
@@ -25,8 +25,10 @@
         self._asked = False
 
     def stepped(self) -> bool:
-        """Whether the wall clock was stepped since this was last asked, or may have been before it was first asked;
-        `shift_ms` has the difference now."""
+        """Whether the wall clock was stepped since this was last asked, or may have been before it was first asked.
+
+        `shift_ms` has the difference now.
+        """
         if not self._asked:
             self._asked = True
             return True
--- a/martenstep/proxy/cluster.py
+++ b/martenstep/proxy/cluster.py
@@ -1,6 +1,7 @@
 """What a gateway does together with the others: membership, replicas, and turns of maintenance.
 
-What is wrong with any of it keeps no gateway from serving: the others go on."""
+What is wrong with any of it keeps no gateway from serving: the others go on.
+"""
 
 from __future__ import annotations
 
@@ -23,9 +24,11 @@
 class Cluster:
     """This gateway's part in the cluster, as far as the settings have one."""
 
-    def __init__(self, door: pb.Door, admin: AdminListener, is_ready: Callable[[], bool], log_event: EventLog) -> None:
+    def __init__(
+        self, gateway_settings: pb.Door, admin: AdminListener, is_ready: Callable[[], bool], log_event: EventLog
+    ) -> None:
         """`admin` shows what is started here; `is_ready` tells whether this gateway serves."""
-        self._door, self._admin, self._is_ready, self._log_event = door, admin, is_ready, log_event
+        self._settings, self._admin, self._is_ready, self._log_event = gateway_settings, admin, is_ready, log_event
         self.membership: Membership | None = None
         self.replicas: HeldByDoors | None = None
         self.maintenance: Orders | None = None
@@ -37,14 +40,16 @@
 
         ports: dict[str, int] = {}
         try:
-            self.membership = Membership(self._door.fleet, self._door.name, self._door.zone, self._log_event)
+            self.membership = Membership(
+                self._settings.fleet, self._settings.name, self._settings.zone, self._log_event
+            )
             ports["fleet"] = await self.membership.start()
         except (KeyFileError, OSError) as error:
             self._log_event("fleet not joined", {"error": str(error)})
             self.membership = None
             return ports
         self._admin.membership = self.membership
-        if self._door.HasField("copies"):
+        if self._settings.HasField("copies"):
             ports.update(await self._start_replicas(self.membership, deliver))
         return ports
 
@@ -54,14 +59,14 @@
         from martenstep.storage.files import LockedError
 
         ports: dict[str, int] = {}
-        self.replicas = HeldByDoors(self._door, membership, self._log_event, deliver)
+        self.replicas = HeldByDoors(self._settings, membership, self._log_event, deliver)
         try:
             ports.update(await self.replicas.start())
         except (ReplicaManagerError, LockedError, OSError) as error:
             self._log_event("copies not held", {"error": str(error)})
             await self.replicas.stop()
         self._admin.replication = self.replicas.keeper
-        if self._door.HasField("maintenance"):
+        if self._settings.HasField("maintenance"):
             self._start_maintenance(self.replicas)
         return ports
 
@@ -69,9 +74,9 @@
         from martenstep.maintenance.coordinator import Orders
 
         self.maintenance = Orders(
-            self._door.name,
-            self._door.zone,
-            self._door.maintenance.capacity,
+            self._settings.name,
+            self._settings.zone,
+            self._settings.maintenance.capacity,
             replicas.keeper,
             self._is_ready,
             self._known_gateways,
--- a/martenstep/proxy/connection_pool.py
+++ b/martenstep/proxy/connection_pool.py
@@ -20,7 +20,7 @@
 class ConnectionPool:
     """Connections in use, idle, or being made.  Each holds a slot under the limits."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  # limits and TLS, each a setting
         self,
         max_per_address: int,
         idle_timeout_ms: float,
@@ -29,8 +29,10 @@
         server_name: str = "",
         max_connections: int = 0,
     ) -> None:
-        """`max_connections` to all addresses together (0: no such limit); `handshake_rejected` is told where TLS
-        rejects the other side."""
+        """`max_connections` to all addresses together (0: no such limit).
+
+        `handshake_rejected` is told where TLS rejects the other side.
+        """
         self._max_per_address, self._idle_timeout_ms = max_per_address, idle_timeout_ms
         self._max_connections = max_connections
         self._handshake_rejected = handshake_rejected
@@ -118,7 +120,8 @@
 
         Its close is a reset from the begin, the kernel's as well when the process is killed.  A plain close would go on
         delivering a request that was given up, for minutes where the network lost it: after its final response, and
-        beside its next attempt."""
+        beside its next attempt.
+        """
         loop = asyncio.get_running_loop()
         reader = WatchedReader()
         try:
@@ -144,8 +147,10 @@
     # Close --------------------------------------------------------------------------------------------------
 
     def retire_address(self, address: Address) -> None:
-        """Close the idle connections to an address whose endpoint has gone, and those in use after their response:
-        another endpoint may come to it."""
+        """Close the idle connections to an address whose endpoint has gone, and those in use after their response.
+
+        Another endpoint may come to it.
+        """
         if address in self._slots:
             self._retired_at[address] = now_ms()
         for upstream in self._idle.pop(address, []):
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -6,7 +6,7 @@
 import random
 import socket
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from martenstep.config import door_pb2 as pb
 from martenstep.discovery.endpoint_list import Listed
@@ -25,33 +25,38 @@
 from martenstep.proxy.usage_recorder import UsageRecorder
 from martenstep.redis_counter.redis_store import RedisStore
 
+if TYPE_CHECKING:  # loaded where the settings have replicas
+    from martenstep.counter.pending_increments import Try
+
 SEED_BITS = 63
 
 
 class Daemon:
     """One gateway with its counter, its discovery and its admin listener."""
 
-    def __init__(self, door: pb.Door, seed: int | None = None) -> None:
+    def __init__(self, settings: pb.Door, seed: int | None = None) -> None:
         """To be made in a running event loop; raises TlsError.  `seed` in place of a random one."""
-        self.door = door
-        self.event_logger = EventLogger(door.log, door.name)
+        self.settings = settings
+        self.event_logger = EventLogger(settings.log, settings.name)
         self._log_event = self.event_logger.log
-        self._hooks = HookService(door.hooks, door.name, self._log_event) if door.HasField("hooks") else None
+        self._hooks = (
+            HookService(settings.hooks, settings.name, self._log_event) if settings.HasField("hooks") else None
+        )
         self._seed = random.SystemRandom().getrandbits(SEED_BITS) if seed is None else seed
-        self.engine = make_engine(door, self._seed, self._hook_releases, self._epoch_ms())
-        self.server = make_server(door, self.engine, self._log_event)
+        self.engine = make_engine(settings, self._seed, self._hook_releases, self._epoch_ms())
+        self.server = make_server(settings, self.engine, self._log_event)
         self._certificates = Certificates(self.server, self._log_event)
         self.ready = False
         self._redis: RedisStore | None = None
-        if door.HasField("store"):
-            self._redis = RedisStore(door.store, self._counter_replied, door.name, self._log_event)
-        self._feed = Feed(door.members, door.name, self._endpoints_listed, self._feed_problem, now_ms)
+        if settings.HasField("store"):
+            self._redis = RedisStore(settings.store, self._counter_replied, settings.name, self._log_event)
+        self._feed = Feed(settings.members, settings.name, self._endpoints_updated, self._feed_problem, now_ms)
         self._feed_task: asyncio.Task[None] | None = None
         self._admin = AdminListener(GatewayCollector(self.counts, self.gauges), lambda: self.ready)
-        self.cluster = Cluster(door, self._admin, lambda: self.ready, self._log_event)
+        self.cluster = Cluster(settings, self._admin, lambda: self.ready, self._log_event)
         self._usage_recorder: UsageRecorder | None = None
-        if door.HasField("counter"):
-            self._usage_recorder = UsageRecorder(door, self.cluster, self._counter_replied, self._log_event)
+        if settings.HasField("counter"):
+            self._usage_recorder = UsageRecorder(settings, self.cluster, self._counter_replied, self._log_event)
         self._trace_exporter: Exporter | None = None
         self._reload_task: asyncio.Task[None] | None = None
         self.ports: dict[str, int] = {}
@@ -68,26 +73,28 @@
     # Life ---------------------------------------------------------------------------------------------------
 
     async def start(self, sock: socket.socket | None = None, reuse_port: bool = False) -> None:
-        """Bind everything; the listener last, or a socket bound already, so that the first request finds the endpoint
-        list.  Raises OSError."""
+        """Bind everything; raises OSError.
+
+        The listener comes last, or a socket that is bound already, so that the first request finds the endpoint list.
+        """
         await self._load_hooks()
         self.server.subscribe_endpoints = self._feed.listen
         if self._redis is not None:
             self._redis.start()
             self.server.add_to_counter = self._redis.add
-        if self.door.HasField("tracing"):
-            self._trace_exporter = Exporter(Path(self.door.tracing.file), self.door.name, wall_clock_ms, now_ms)
+        if self.settings.HasField("tracing"):
+            self._trace_exporter = Exporter(Path(self.settings.tracing.file), self.settings.name, wall_clock_ms, now_ms)
             self.server.export_trace = self._trace_exporter.take
-        if self.door.HasField("members"):
+        if self.settings.HasField("members"):
             self._feed.warm()
             self._feed_task = asyncio.create_task(self._feed.run())
             self._feed_task.add_done_callback(self._feed_ended)
-        if self.door.HasField("fleet"):
+        if self.settings.HasField("fleet"):
             self.ports.update(await self.cluster.start(self._deliver))
         if self._usage_recorder is not None:
             self._start_usage_recorder(self._usage_recorder)
-        if self.door.HasField("admin"):
-            self.ports["admin"] = await self._admin.start(self.door.admin.host, self.door.admin.port)
+        if self.settings.HasField("admin"):
+            self.ports["admin"] = await self._admin.start(self.settings.admin.host, self.settings.admin.port)
         self.ports["listener"] = await self.server.start(sock, reuse_port)
         self.ready = True
         self._certificates.warn_of_expiry()
@@ -97,20 +104,20 @@
         usage_recorder.start()
         self.server.client_tls += usage_recorder.client_tls
         self.server.add_to_counter = usage_recorder.add
-        self.server.set_usage_recorder(usage_recorder.record, self.door.copies.book.wait_ms)
+        self.server.set_usage_recorder(usage_recorder.record, self.settings.copies.book.wait_ms)
 
     async def _load_hooks(self) -> None:
         if self._hooks is not None:
             await self._hooks.load()
 
-    def reconfigure(self, door: pb.Door) -> None:
+    def reconfigure(self, settings: pb.Door) -> None:
         """Take over settings that differ only in what may change in service (config.changes)."""
-        self.door = door
-        self.event_logger.reconfigure(door.log)
+        self.settings = settings
+        self.event_logger.reconfigure(settings.log)
         if self._hooks is not None:
-            self._hooks.reconfigure(door.hooks)
-        self.server.reconfigure(door.listener, door.upstream)
-        dependencies = make_dependencies(door, self._seed, self._hook_releases, self._epoch_ms())
+            self._hooks.reconfigure(settings.hooks)
+        self.server.reconfigure(settings.listener, settings.upstream)
+        dependencies = make_dependencies(settings, self._seed, self._hook_releases, self._epoch_ms())
         self.engine.reconfigure(dependencies)
 
     def renew(self) -> None:
@@ -126,7 +133,7 @@
         self._log_event("stopping", {"open": self.engine.open})
         membership = self.cluster.membership
         leaving = asyncio.create_task(membership.leave()) if membership is not None else None
-        clean = await self.server.stop(self.door.stop_ms)
+        clean = await self.server.stop(self.settings.stop_ms)
         if self._feed_task is not None:
             self._feed_task.cancel()
         if self._redis is not None:
@@ -148,10 +155,10 @@
     def _counter_replied(self, call_id: int, result: CallResult, total: float, retained_ms: float) -> None:
         self.server.handle(CounterReplied(call_id, result, total, retained_ms))
 
-    def _deliver(self, pending: Any) -> bool:
+    def _deliver(self, pending: Try) -> bool:
         return self._usage_recorder is not None and self._usage_recorder.deliver(pending)
 
-    def _endpoints_listed(self, update: Listed) -> None:
+    def _endpoints_updated(self, update: Listed) -> None:
         if update.scope is not EndpointListScope.DELTA:
             self._log_event("members", {"scope": update.scope.value, "servers": len(update.servers)})
         self.server.handle(update)
--- a/martenstep/proxy/dependencies.py
+++ b/martenstep/proxy/dependencies.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 
 from martenstep.policy import messages as api
 from martenstep.policy.messages import CallResult
@@ -148,6 +148,22 @@
     hook_record_route: RoutedRequest | None  # and the route that it was made for
 
 
+class RejectionSummary(NamedTuple):
+    """What hooks learn of a rejection."""
+
+    status: int
+    reason: str
+    retry_after_ms: float
+
+
+class ResponseSummary(NamedTuple):
+    """What hooks learn of a response."""
+
+    status: int
+    attempts: int
+    took_ms: float
+
+
 class ExtensionPoints(Protocol):
     """Where hooks act on a request.  Times are milliseconds."""
 
@@ -158,25 +174,16 @@
         """Target and additional headers of what goes to an endpoint."""
 
     def refusal(
-        self, now: float, runner: Runner, subject: HookSubject, status: int, reason: str, retry_after_ms: float
+        self, now: float, runner: Runner, subject: HookSubject, rejection: RejectionSummary
     ) -> border.Words | None:
         """The response to a rejected request; None: the gateway's own."""
 
     def answer(
-        self,
-        now: float,
-        runner: Runner,
-        subject: HookSubject,
-        status: int,
-        attempts: int,
-        took_ms: float,
-        headers: Headers,
+        self, now: float, runner: Runner, subject: HookSubject, response: ResponseSummary, headers: Headers
     ) -> Headers:
         """Additional headers of a relayed response."""
 
-    def fields(
-        self, now: float, runner: Runner, subject: HookSubject, status: int, attempts: int, took_ms: float
-    ) -> dict[str, str]:
+    def fields(self, now: float, runner: Runner, subject: HookSubject, response: ResponseSummary) -> dict[str, str]:
         """Additional fields of the log line of a response."""
 
 
--- a/martenstep/proxy/engine/admission.py
+++ b/martenstep/proxy/engine/admission.py
@@ -8,8 +8,8 @@
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.dependencies import RoutedRequest, RouteRejection, UnauthenticatedRequest
 from martenstep.proxy.engine.policy_driver import PolicyDriver
-from martenstep.proxy.engine.request import InFlightRequest, RequestLine
-from martenstep.proxy.engine.responses import UNAVAILABLE, Responses
+from martenstep.proxy.engine.request import InFlightRequest, RequestIds, RequestLine
+from martenstep.proxy.engine.responses import UNAVAILABLE, Rejection, Responses
 from martenstep.proxy.engine.state import EngineState
 from martenstep.proxy.engine.timers import RequestDeadline
 from martenstep.proxy.headers import get_header
@@ -42,27 +42,27 @@
     def request_received(self, event: ev.RequestReceived) -> None:
         """A client's request head is complete."""
         policy_id = f"{self._state.next_serial():x}"
-        correlation_id = self._correlation_id(event, policy_id)
-        line = self._request_line(event, correlation_id)
+        ids = RequestIds(policy_id, self._correlation_id(event, policy_id))
+        line = self._request_line(event, ids.correlation_id)
         if line is None:
             return
-        reject = self._responses.reject_unaccepted
         route_table = self._state.route_table
         route = route_table.route(line.method, line.target, event.headers)
         if isinstance(route, RouteRejection):
-            reject(event, route.status, route.reason, correlation_id)
+            self._reject(event, ids, Rejection(route.status, route.reason))
             return
         remaining_ms = route_table.deadline_ms(route.request_class, event.headers)
         if remaining_ms is None:
-            reject(event, BAD_REQUEST, "bad deadline", correlation_id)
-            return
-        if self._state.stopped:
-            reject(event, UNAVAILABLE, "stopping", correlation_id, OVERLOAD_RETRY_AFTER_MS)
-            return
-        if self._state.unanswered >= self._state.max_in_flight:
-            reject(event, UNAVAILABLE, "full house", correlation_id, OVERLOAD_RETRY_AFTER_MS)
-            return
-        self._accept(event, line, route, policy_id, correlation_id, remaining_ms)
+            self._reject(event, ids, Rejection(BAD_REQUEST, "bad deadline"))
+        elif self._state.stopped:
+            self._reject(event, ids, Rejection(UNAVAILABLE, "stopping", OVERLOAD_RETRY_AFTER_MS))
+        elif self._state.unanswered >= self._state.max_in_flight:
+            self._reject(event, ids, Rejection(UNAVAILABLE, "full house", OVERLOAD_RETRY_AFTER_MS))
+        else:
+            self._accept(event, line, route, ids, remaining_ms)
+
+    def _reject(self, event: ev.RequestReceived, ids: RequestIds, rejection: Rejection) -> None:
+        self._responses.reject_unaccepted(event, ids.correlation_id, rejection)
 
     def _correlation_id(self, event: ev.RequestReceived, policy_id: str) -> str:
         """The id that the client gave the request, or one that no other gateway gives."""
@@ -77,9 +77,8 @@
             return self.forward_auth.read_request_line(event, correlation_id)
         normalized = self._state.targets.normalize(event.method, event.target, event.headers)
         if isinstance(normalized, TargetRejection):
-            self._responses.reject_unaccepted(
-                event, normalized.status, normalized.reason, correlation_id, headers=normalized.headers
-            )
+            rejection = Rejection(normalized.status, normalized.reason, headers=normalized.headers)
+            self._responses.reject_unaccepted(event, correlation_id, rejection)
             return None
         event.target, event.headers = normalized.target, normalized.headers
         return RequestLine(event.method, normalized.target)
@@ -89,8 +88,7 @@
         event: ev.RequestReceived,
         line: RequestLine,
         route: RoutedRequest | UnauthenticatedRequest,
-        policy_id: str,
-        correlation_id: str,
+        ids: RequestIds,
         remaining_ms: float,
     ) -> None:
         """Take a request in flight."""
@@ -101,7 +99,7 @@
             route = RoutedRequest(route.request_class, UNKNOWN_CUSTOMER_PLAN, 0, "", route.units, 1, 0)
         arrived_at = now if event.received_at is None else min(event.received_at, now)
         remaining_ms = max(arrived_at + remaining_ms - state.deadline_margin_ms - now, 0.0)
-        request = InFlightRequest(event, route, policy_id, correlation_id, arrived_at, now + remaining_ms)
+        request = InFlightRequest(event, route, ids, arrived_at, now + remaining_ms)
         if self._dependencies.trace_sampler is not None:
             self._sample(request, line)
         if self._hook_releases is not None:
--- a/martenstep/proxy/engine/attempts.py
+++ b/martenstep/proxy/engine/attempts.py
@@ -133,16 +133,20 @@
 
     @staticmethod
     def _deliver_by(request: InFlightRequest) -> float | None:
-        """A retry with an idempotency key must reach its endpoint while endpoints still know the key: what the network
-        holds for longer must not be delivered any more."""
+        """A retry with an idempotency key must reach its endpoint while endpoints still know the key.
+
+        What the network holds for longer must not be delivered any more.
+        """
         request_class, since = request.route.request_class, request.may_have_run_since
         if since is None or request_class.idempotency is not Idempotency.KEYED:
             return None
         return since + request_class.deduplication_window_ms
 
     def update_deadline_header(self, now: float, action: ev.OpenAttempt) -> None:
-        """Have an attempt that had to wait state what is left of its time by now: an endpoint that believes in more
-        works for nobody."""
+        """Have an attempt that had to wait state what is left of its time by now.
+
+        An endpoint that believes in more works for nobody.
+        """
         name, value = self._messages.deadline_header(max(action.deadline - now, 0.0))
         action.headers = [(name, value) if pair[0] == name else pair for pair in action.headers]
 
--- a/martenstep/proxy/engine/authorization.py
+++ b/martenstep/proxy/engine/authorization.py
@@ -59,7 +59,7 @@
 
     def tick(self) -> None:
         """Time has passed."""
-        self._carry_out(self._checks.tick(self._state.now))
+        self._perform(self._checks.tick(self._state.now))
 
     def first_attempt_started(self, request_id: int) -> None:
         """A request is being forwarded: its permission needs no longer be kept."""
@@ -67,7 +67,7 @@
 
     def request_finished(self, request_id: int) -> None:
         """A request has its final response, or its client has disconnected."""
-        self._carry_out(self._checks.left(self._state.now, request_id))
+        self._perform(self._checks.left(self._state.now, request_id))
 
     # Checks -------------------------------------------------------------------------------------------------
 
@@ -86,7 +86,7 @@
             unauthenticated.fail_open,
             self._check_headers(request),
         )
-        self._carry_out(actions)
+        self._perform(actions)
 
     def _credential_digest(self, received: ev.RequestReceived) -> bytes:
         """Tells checks apart: requests of one digest share one check."""
@@ -111,8 +111,11 @@
         ]
 
     def _shedding_group(self, request: InFlightRequest) -> str:
-        """The group of requests that share load shedding where too many wait: those of a plan, as the credential's last
-        check named it, and those that no service has vouched for yet by their host."""
+        """The group of requests that share load shedding where too many wait.
+
+        Those of a plan, as the credential's last check named it, and those that no service has vouched for yet by their
+        host.
+        """
         plan = self._plan_by_credential.get(request.credential_digest)
         if plan:
             return plan
@@ -123,16 +126,16 @@
         """A service answered a check."""
         if event.status >= MIN_SERVER_ERROR_STATUS or event.status < MIN_SUCCESS_STATUS:
             # A fault of the service says nothing about the credential.
-            self._carry_out(self._checks.failed(self._state.now, event.check_id, event.attempt))
+            self._perform(self._checks.failed(self._state.now, event.check_id, event.attempt))
             return
         answer = auth.Answer(event.status, tuple(event.headers), event.body, auth.keep_of(event.headers))
-        self._carry_out(self._checks.answered(self._state.now, event.check_id, event.attempt, answer))
+        self._perform(self._checks.answered(self._state.now, event.check_id, event.attempt, answer))
 
     def check_failed(self, event: ev.AuthCheckFailed) -> None:
         """An attempt of a check gave no response that can be read."""
-        self._carry_out(self._checks.failed(self._state.now, event.check_id, event.attempt))
+        self._perform(self._checks.failed(self._state.now, event.check_id, event.attempt))
 
-    def _carry_out(self, actions: list[auth.Action]) -> None:
+    def _perform(self, actions: list[auth.Action]) -> None:
         requests, settings = self._state.requests, self._settings
         for action in actions:
             match action:
--- a/martenstep/proxy/engine/engine.py
+++ b/martenstep/proxy/engine/engine.py
@@ -240,8 +240,10 @@
         self._withdraw_attempts(update)
 
     def _withdraw_attempts(self, update: Listed) -> None:
-        """Withdraw attempts that are not written yet to endpoints that no longer accept requests: connecting may take
-        longer than the grace period of an endpoint that drains."""
+        """Withdraw attempts that are not written yet to endpoints that no longer accept requests.
+
+        Connecting may take longer than the grace period of an endpoint that drains.
+        """
         accepting = accepting_endpoints(update)
         is_full = update.scope is api.EndpointListScope.FULL
         changed = {endpoint.id for endpoint in update.servers}
--- a/martenstep/proxy/engine/forward_auth.py
+++ b/martenstep/proxy/engine/forward_auth.py
@@ -10,7 +10,7 @@
 from martenstep.proxy.engine.attempts import Attempts
 from martenstep.proxy.engine.policy_driver import PolicyDriver
 from martenstep.proxy.engine.request import RequestLine
-from martenstep.proxy.engine.responses import Responses
+from martenstep.proxy.engine.responses import Rejection, Responses
 from martenstep.proxy.engine.state import EngineState
 
 EDGE_PROXY = 0  # the number of the edge proxy as an endpoint, the only one there is
@@ -39,7 +39,8 @@
         """The request line that a sub-request asks about; None where there is none, and it has been rejected."""
         subject = self._reader.read(event.method, event.target, event.headers, event.client_address)
         if isinstance(subject, auth.Unasked):
-            self._responses.reject_unaccepted(event, subject.status, subject.reason, correlation_id)
+            rejection = Rejection(subject.status, subject.reason)
+            self._responses.reject_unaccepted(event, correlation_id, rejection)
             return None
         return RequestLine(subject.method, subject.target)
 
@@ -47,7 +48,8 @@
         """The edge proxy may forward a request: that is the sub-request's response, and its attempt has ended.
 
         How the request itself ends is never reported here.  So the policy learns of no latency and no failure: its
-        concurrency limit stays open, and what it enforces are quota and ceiling."""
+        concurrency limit stays open, and what it enforces are quota and ceiling.
+        """
         state = self._state
         request = state.requests.of_policy(action.id)
         number = len(request.endpoints)
--- a/martenstep/proxy/engine/policy_driver.py
+++ b/martenstep/proxy/engine/policy_driver.py
@@ -30,7 +30,8 @@
     def submit(self, event: api.Event) -> None:
         """Hand an event to the policy, and carry out what it decides.
 
-        An event that is submitted while an action is carried out follows after it, in order."""
+        An event that is submitted while an action is carried out follows after it, in order.
+        """
         events = self._events
         events.append(event)
         if len(events) > 1:
--- a/martenstep/proxy/engine/request.py
+++ b/martenstep/proxy/engine/request.py
@@ -23,6 +23,13 @@
     target: bytes
 
 
+class RequestIds(NamedTuple):
+    """What names a request to the policy, and what names it in logs and to endpoints."""
+
+    policy_id: str
+    correlation_id: str
+
+
 class Attempt:
     """One attempt of a request, from the policy's StartAttempt to its AttemptEnded."""
 
@@ -44,8 +51,10 @@
 
 
 class InFlightRequest:
-    """One client request, from its head to the end of its last attempt.  Times are milliseconds on the driver's
-    clock."""
+    """One client request, from its head to the end of its last attempt.
+
+    Times are milliseconds on the driver's clock.
+    """
 
     __slots__ = (
         "arrived_at",
@@ -77,13 +86,13 @@
         self,
         received: ev.RequestReceived,
         route: RoutedRequest,
-        policy_id: str,
-        correlation_id: str,
+        ids: RequestIds,
         arrived_at: float,
         deadline: float,
     ) -> None:
-        """`policy_id` names the request to the policy, `correlation_id` in logs and to endpoints."""
-        self.request_id, self.policy_id, self.correlation_id = received.request_id, policy_id, correlation_id
+        """Without an attempt, and not known to the policy yet."""
+        self.request_id = received.request_id
+        self.policy_id, self.correlation_id = ids
         self.received, self.route = received, route
         self.arrived_at, self.deadline = arrived_at, deadline
         self.attempt: Attempt | None = None  # the last one
--- a/martenstep/proxy/engine/responses.py
+++ b/martenstep/proxy/engine/responses.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from martenstep.policy import messages as api
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.dependencies import RoutedRequest
+from martenstep.proxy.dependencies import RejectionSummary, ResponseSummary, RoutedRequest
 from martenstep.proxy.engine.policy_driver import PolicyDriver
 from martenstep.proxy.engine.request import Attempt, InFlightRequest
 from martenstep.proxy.engine.state import EngineState
@@ -20,6 +20,9 @@
     retry_after_headers,
 )
 
+if TYPE_CHECKING:  # a gateway without hooks does not load them
+    from martenstep.hooks import border
+
 GATEWAY_ERROR, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 NO_CONTENT = 204
 FIRST_ERROR_STATUS = 400
@@ -28,6 +31,15 @@
 NO_HEADERS: ev.Headers = []
 
 
+class Rejection(NamedTuple):
+    """Why a request is not accepted, and what its response says."""
+
+    status: int
+    reason: str
+    retry_after_ms: float | None = None
+    headers: ev.Headers = NO_HEADERS
+
+
 class Responses:
     """Gives requests their final responses."""
 
@@ -69,7 +81,7 @@
         """Send a final response of the gateway's own.  A wait in `retry_after_ms` says that a retry does no harm."""
         headers, body = self._messages.local_reply(reason, request.correlation_id, retry_after_ms)
         if retry_after_ms is not None:
-            custom = self._custom_rejection(request, status, reason, retry_after_ms)
+            custom = self._custom_rejection(request, RejectionSummary(status, reason, retry_after_ms))
             if custom is not None:
                 retry_after_ms = min(custom.retry_after_ms, max(self._max_retry_after_ms, retry_after_ms))
                 body = custom.body
@@ -85,7 +97,7 @@
         self._state.actions.append(ev.SendLocalReply(request.request_id, status, headers, body))
         self.release(request)
 
-    def _custom_rejection(self, request: InFlightRequest, status: int, reason: str, retry_after_ms: float) -> Any:
+    def _custom_rejection(self, request: InFlightRequest, rejection: RejectionSummary) -> border.Words | None:
         """The response that a hook gives in place of the gateway's own; None where none does."""
         runner = request.hook_runner
         if runner is None and request.hook_edition is not None:
@@ -94,18 +106,11 @@
             return None
         points = self._state.extension_points
         assert points is not None
-        return points.refusal(self._state.now, runner, request, status, reason, retry_after_ms)
-
-    def reject_unaccepted(
-        self,
-        received: ev.RequestReceived,
-        status: int,
-        reason: str,
-        correlation_id: str,
-        retry_after_ms: float | None = None,
-        headers: ev.Headers = NO_HEADERS,
-    ) -> None:
+        return points.refusal(self._state.now, runner, request, rejection)
+
+    def reject_unaccepted(self, received: ev.RequestReceived, correlation_id: str, rejection: Rejection) -> None:
         """Answer a request that is not accepted: the policy never learns of it."""
+        status, reason, retry_after_ms, headers = rejection
         own_headers, body = NO_HEADERS, b""
         if status != NO_CONTENT:
             own_headers, body = self._messages.local_reply(reason, correlation_id, retry_after_ms)
@@ -140,14 +145,16 @@
     def _hook_headers(self, request: InFlightRequest, attempt: Attempt, headers: ev.Headers) -> ev.Headers:
         points, runner, now = self._state.extension_points, request.hook_runner, self._state.now
         assert points is not None and runner is not None
-        took_ms = now - request.arrived_at
-        return points.answer(now, runner, request, attempt.status, len(request.endpoints), took_ms, headers)
+        response = ResponseSummary(attempt.status, len(request.endpoints), now - request.arrived_at)
+        return points.answer(now, runner, request, response, headers)
 
     # The end of a request -----------------------------------------------------------------------------------
 
     def finish(self, request: InFlightRequest, status: int, reason: str, retry_after_ms: float | None = None) -> None:
-        """Record the final response: the one place where a request stops being owed one.  Status 0 is of a client that
-        gets none."""
+        """Record the final response: the one place where a request stops being owed one.
+
+        Status 0 is of a client that gets none.
+        """
         request.finished = True
         if self.on_finished is not None:
             self.on_finished(request.request_id)
@@ -190,8 +197,8 @@
             if runner.has("log"):
                 points = self._state.extension_points
                 assert points is not None
-                attempts = len(request.endpoints)
-                fields.update(points.fields(self._state.now, runner, request, status, attempts, took_ms))
+                response = ResponseSummary(status, len(request.endpoints), took_ms)
+                fields.update(points.fields(self._state.now, runner, request, response))
         self._state.actions.append(ev.LogEvent("answer", fields))
 
     def release(self, request: InFlightRequest) -> None:
--- a/martenstep/proxy/engine/timers.py
+++ b/martenstep/proxy/engine/timers.py
@@ -53,8 +53,10 @@
         return len(self._heap)
 
     def skip_obsolete(self, predicates: Mapping[type, Callable[[Any], bool]]) -> None:
-        """Set, by the type of a timer, the predicate that is true once the timer has no effect any more: most have none
-        by their time, and each would wake the process for nothing."""
+        """Set, by the type of a timer, the predicate that is true once the timer has no effect any more.
+
+        Most have none by their time, and each would wake the process for nothing.
+        """
         self._obsolete = predicates
 
     def schedule(self, at: float, timer: Timer) -> None:
--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -1,4 +1,4 @@
-"""Makes an engine and a server from a gateway's settings (door.proto)."""
+"""Makes an engine and a server from a gateway's settings (gateway.proto)."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
     return name.lower().encode()
 
 
-def _authorization_settings(door: pb.Door) -> AuthorizationSettings | None:
-    if not door.HasField("auth"):
+def _authorization_settings(gateway: pb.Door) -> AuthorizationSettings | None:
+    if not gateway.HasField("auth"):
         return None
-    settings = door.auth
+    settings = gateway.auth
     rules = auth.Rules(
         settings.share,
         settings.attempt_ms,
@@ -57,45 +57,47 @@
     )
 
 
-def _message_builder(door: pb.Door, authorization: AuthorizationSettings | None) -> GatewayMessageBuilder:
+def _message_builder(gateway: pb.Door, authorization: AuthorizationSettings | None) -> GatewayMessageBuilder:
     if authorization is None:
-        return GatewayMessageBuilder(door, frozenset(), frozenset())
-    copies = frozenset(_header_name(name) for name in door.auth.copy_header)
+        return GatewayMessageBuilder(gateway, frozenset(), frozenset())
+    copies = frozenset(_header_name(name) for name in gateway.auth.copy_header)
     # What only the service may set: a client that sets it itself is ignored.
     auth_only = copies | {authorization.customer_header, authorization.plan_header}
-    return GatewayMessageBuilder(door, auth_only, copies)
+    return GatewayMessageBuilder(gateway, auth_only, copies)
 
 
 def _extension_points(
-    door: pb.Door,
+    gateway: pb.Door,
     route_table: GatewayRouteTable,
     authorization: AuthorizationSettings | None,
     message_builder: GatewayMessageBuilder,
     epoch_ms: float,
 ) -> HookExtensionPoints:
-    customer_headers = {_header_name(route.customer_header) for route in door.route if route.customer_header}
+    customer_headers = {_header_name(route.customer_header) for route in gateway.route if route.customer_header}
     credential_headers = set(authorization.credential_headers) if authorization is not None else set()
-    if door.HasField("forward_auth"):
-        credential_headers.add(_header_name(door.forward_auth.secret_header))
+    if gateway.HasField("forward_auth"):
+        credential_headers.add(_header_name(gateway.forward_auth.secret_header))
     protected = {*message_builder.own_names, *customer_headers, *message_builder.auth_only}
-    return HookExtensionPoints(door, route_table, credential_headers - {b""}, protected, epoch_ms)
+    return HookExtensionPoints(gateway, route_table, credential_headers - {b""}, protected, epoch_ms)
 
 
 def make_dependencies(
-    door: pb.Door, seed: int, hook_releases: Shelf | None = None, epoch_ms: float = 0.0
+    gateway: pb.Door, seed: int, hook_releases: Shelf | None = None, epoch_ms: float = 0.0
 ) -> EngineDependencies:
-    """All that an engine needs of the settings.  `hook_releases` has the hooks, where there are any; `epoch_ms` turns
-    the engine's clock into Unix time, for them."""
-    upstream, listener = door.upstream, door.listener
-    route_table, authorization = GatewayRouteTable(door), _authorization_settings(door)
-    message_builder = _message_builder(door, authorization)
+    """All that an engine needs of the settings.
+
+    `hook_releases` has the hooks, where there are any; `epoch_ms` turns the engine's clock into Unix time, for them.
+    """
+    upstream, listener = gateway.upstream, gateway.listener
+    route_table, authorization = GatewayRouteTable(gateway), _authorization_settings(gateway)
+    message_builder = _message_builder(gateway, authorization)
     extension_points = None
     if hook_releases is not None:
-        extension_points = _extension_points(door, route_table, authorization, message_builder, epoch_ms)
+        extension_points = _extension_points(gateway, route_table, authorization, message_builder, epoch_ms)
     error_statuses = frozenset(upstream.error_status or DEFAULT_ERROR_STATUSES)
     return EngineDependencies(
-        name=door.name,
-        settings=build_policy_settings(door),
+        name=gateway.name,
+        settings=build_policy_settings(gateway),
         route_table=route_table,
         targets=TargetNormalizer(listener.HasField("tls"), list(listener.host_name)),
         status_classifier=StatusTable(upstream.refusal_status, upstream.refusal_header, error_statuses),
@@ -105,23 +107,23 @@
         max_in_flight=listener.max_open,
         connect_timeout_ms=upstream.connect_ms,
         can_cancel=upstream.cancel,
-        max_retry_after_ms=door.max_retry_after_ms,
-        records_usage=door.HasField("counter"),  # the counter service keeps them, Redis only counts
+        max_retry_after_ms=gateway.max_retry_after_ms,
+        records_usage=gateway.HasField("counter"),  # the counter service keeps them, Redis only counts
         authorization=authorization,
-        forward_auth_reader=Answerer(door.forward_auth) if door.HasField("forward_auth") else None,
-        trace_sampler=Sampler(door.tracing.share, random.Random(~seed)) if door.HasField("tracing") else None,
+        forward_auth_reader=Answerer(gateway.forward_auth) if gateway.HasField("forward_auth") else None,
+        trace_sampler=Sampler(gateway.tracing.share, random.Random(~seed)) if gateway.HasField("tracing") else None,
         extension_points=extension_points,
     )
 
 
-def make_engine(door: pb.Door, seed: int, hook_releases: Shelf | None = None, epoch_ms: float = 0.0) -> Engine:
+def make_engine(gateway: pb.Door, seed: int, hook_releases: Shelf | None = None, epoch_ms: float = 0.0) -> Engine:
     """An engine by a gateway's settings (see `make_dependencies`)."""
-    return Engine(make_dependencies(door, seed, hook_releases, epoch_ms), seed, hook_releases)
+    return Engine(make_dependencies(gateway, seed, hook_releases, epoch_ms), seed, hook_releases)
 
 
-def make_server(door: pb.Door, engine: Engine, log_event: EventLog) -> ProxyServer:
+def make_server(gateway: pb.Door, engine: Engine, log_event: EventLog) -> ProxyServer:
     """A server by a gateway's settings; raises TlsError."""
-    listener, upstream = door.listener, door.upstream
+    listener, upstream = gateway.listener, gateway.upstream
     server = ProxyServer(
         listener,
         upstream,
@@ -131,6 +133,6 @@
         ClientContext(upstream.tls) if upstream.HasField("tls") else None,
         upstream.tls.server_name,
     )
-    if door.HasField("auth"):
-        server.set_auth_client(AuthClient(server, door.auth))
+    if gateway.HasField("auth"):
+        server.set_auth_client(AuthClient(server, gateway.auth))
     return server
--- a/martenstep/proxy/event_logger.py
+++ b/martenstep/proxy/event_logger.py
@@ -9,13 +9,24 @@
 import sys
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 import structlog
 
 from martenstep.config import door_pb2 as pb
 from martenstep.event_log import LogFields
 
+
+class LineLogger(Protocol):
+    """What of structlog's loggers is used here."""
+
+    def info(self, event: str, **fields: object) -> object:
+        """Write a line."""
+
+    def warning(self, event: str, **fields: object) -> object:
+        """Write a line that needs attention."""
+
+
 LIMITED_EVENTS = ("answer", "turned away", "module")
 
 
@@ -41,11 +52,15 @@
     """Writes the event log of one gateway."""
 
     def __init__(
-        self, settings: pb.Log, gateway: str, clock: Callable[[], float] = time.monotonic, logger: Any = None
+        self,
+        settings: pb.Log,
+        gateway: str,
+        clock: Callable[[], float] = time.monotonic,
+        logger: LineLogger | None = None,
     ) -> None:
         """`clock` in seconds; `logger` in place of structlog's."""
         self._max_lines_per_s, self._clock = settings.lines_per_s, clock
-        self._logger = logger if logger is not None else structlog.get_logger().bind(door=gateway)
+        self._logger: LineLogger = logger if logger is not None else structlog.get_logger().bind(door=gateway)
         self._second, self._written, self._left_out = 0, 0, 0
 
     def reconfigure(self, settings: pb.Log) -> None:
--- a/martenstep/proxy/extension_points.py
+++ b/martenstep/proxy/extension_points.py
@@ -11,14 +11,14 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.hooks import border
 from martenstep.hooks.runner import Runner
-from martenstep.proxy.dependencies import HookSubject, RoutedRequest
+from martenstep.proxy.dependencies import HookSubject, RejectionSummary, ResponseSummary, RoutedRequest
 from martenstep.proxy.engine_messages import Headers
 from martenstep.proxy.headers import encode_headers, parse_path
 from martenstep.proxy.route_table import GatewayRouteTable
 
 # Hooks read no credential; the settings name more of them.
 CREDENTIAL_HEADERS = frozenset((b"authorization", b"cookie", b"proxy-authorization"))
-MAX_SHOWN_HEADERS = 100
+MAX_HOOK_HEADERS = 100
 DEFAULT_CONTENT_TYPE = "text/plain"
 MS_PER_S = 1000.0
 HookResult = TypeVar("HookResult")
@@ -36,32 +36,39 @@
     return str(value.partition(b",")[0].partition(b";")[0].strip(), "latin-1") if value else ""
 
 
-def _shown_headers(headers: Headers) -> list[tuple[str, str]]:
+def _visible_headers(headers: Headers) -> list[tuple[str, str]]:
     """Of a response's headers those that hooks are shown."""
     return [
         (str(name, "latin-1"), str(value, "latin-1"))
-        for name, value in headers[:MAX_SHOWN_HEADERS]
+        for name, value in headers[:MAX_HOOK_HEADERS]
         if name != b"set-cookie"
     ]
 
 
+def _response_record(response: ResponseSummary, headers: list[tuple[str, str]]) -> tuple[Any, ...]:
+    """The Answer record (see hooks.types)."""
+    return float(response.status), float(response.attempts), response.took_ms, headers
+
+
 class HookExtensionPoints:
     """The five points of one gateway where hooks act."""
 
     def __init__(
         self,
-        door: pb.Door,
+        gateway_settings: pb.Door,
         route_table: GatewayRouteTable,
         credential_headers: set[bytes],
         protected_headers: set[bytes],
         epoch_ms: float,
     ) -> None:
-        """`credential_headers` are neither shown to hooks nor set by them, `protected_headers` not set; `epoch_ms`
-        turns the engine's clock into Unix time."""
-        settings = door.hooks
+        """`credential_headers` are neither shown to hooks nor set by them, `protected_headers` not set.
+
+        `epoch_ms` turns the engine's clock into Unix time.
+        """
+        settings = gateway_settings.hooks
         self._route_table, self._epoch_ms = route_table, epoch_ms
         self._hidden_headers = CREDENTIAL_HEADERS | credential_headers
-        self._min_units, self._max_units = settings.least_units, settings.most_units or door.max_units
+        self._min_units, self._max_units = settings.least_units, settings.most_units or gateway_settings.max_units
         self._has_min_units = settings.HasField("least_units")
         self._plans, self._customers = frozenset(settings.plan), frozenset(settings.customer)
         self._path_prefixes = tuple(settings.path_prefix)
@@ -102,7 +109,7 @@
         received, route = subject.received, subject.route
         bounds, before = self._bounds(route), origin_form(received.target)
 
-        def accept(returned: Any) -> tuple[bytes, Headers]:
+        def accept(returned: object) -> tuple[bytes, Headers]:
             path, headers = border.sending(returned, before, bounds)
             if path == before:
                 return received.target, encode_headers(headers)
@@ -121,12 +128,13 @@
         return self._route_table.class_of_target(method, target) == route.request_class.name
 
     def refusal(
-        self, now: float, runner: Runner, subject: HookSubject, status: int, reason: str, retry_after_ms: float
+        self, now: float, runner: Runner, subject: HookSubject, rejection: RejectionSummary
     ) -> border.Words | None:
         """The response to a rejected request; None: the gateway's own."""
         bounds = self._bounds(subject.route)
+        status, reason, retry_after_ms = rejection
 
-        def accept(returned: Any) -> border.Words | None:
+        def accept(returned: Any) -> border.Words | None:  # noqa: ANN401  # what a hook returned  # what a hook returned
             body, content_type, retry_after, headers = returned
             words = (body, content_type or DEFAULT_CONTENT_TYPE, retry_after, headers)
             return border.words(words, retry_after_ms, bounds)
@@ -142,14 +150,7 @@
         )
 
     def answer(
-        self,
-        now: float,
-        runner: Runner,
-        subject: HookSubject,
-        status: int,
-        attempts: int,
-        took_ms: float,
-        headers: Headers,
+        self, now: float, runner: Runner, subject: HookSubject, response: ResponseSummary, headers: Headers
     ) -> Headers:
         """Additional headers of a relayed response."""
         bounds = self._bounds(subject.route)
@@ -158,24 +159,19 @@
             runner,
             subject,
             "answer",
-            lambda: (
-                self._request_record(subject),
-                (float(status), float(attempts), took_ms, _shown_headers(headers)),
-            ),
+            lambda: (self._request_record(subject), _response_record(response, _visible_headers(headers))),
             lambda returned: encode_headers(border.headers(returned, bounds)),
             [],
         )
 
-    def fields(
-        self, now: float, runner: Runner, subject: HookSubject, status: int, attempts: int, took_ms: float
-    ) -> dict[str, str]:
+    def fields(self, now: float, runner: Runner, subject: HookSubject, response: ResponseSummary) -> dict[str, str]:
         """Additional fields of the log line of a response."""
         return self._call(
             now,
             runner,
             subject,
             "log",
-            lambda: (self._request_record(subject), (float(status), float(attempts), took_ms, [])),
+            lambda: (self._request_record(subject), _response_record(response, [])),
             border.log_fields,
             {},
         )
@@ -183,7 +179,7 @@
     # What hooks are given, and held to ----------------------------------------------------------------------
 
     @staticmethod
-    def _call(
+    def _call(  # noqa: PLR0913  # what Runner.call takes
         now: float,
         runner: Runner,
         subject: HookSubject,
@@ -224,7 +220,7 @@
     def _make_request_record(self, subject: HookSubject) -> tuple[Any, ...]:
         received, route = subject.received, subject.route
         host = language = accept = b""
-        shown = []
+        visible = []
         for name, value in received.headers:
             if name == b"host":
                 host = host or value
@@ -234,7 +230,7 @@
                 accept = accept or value
             elif name in self._hidden_headers:
                 continue
-            shown.append((str(name, "latin-1"), str(value, "latin-1")))
+            visible.append((str(name, "latin-1"), str(value, "latin-1")))
         return (
             str(received.method, "latin-1"),
             origin_form(received.target),
@@ -245,6 +241,6 @@
             float(route.units),
             _first_entry(language),
             _first_entry(accept),
-            shown[:MAX_SHOWN_HEADERS],
+            visible[:MAX_HOOK_HEADERS],
             (subject.arrived_at + self._epoch_ms) / MS_PER_S,
         )
--- a/martenstep/proxy/graceful_shutdown.py
+++ b/martenstep/proxy/graceful_shutdown.py
@@ -21,8 +21,11 @@
         self._state, self._acceptor = state, acceptor
 
     async def drain(self, accept_ms: float, serve_ms: float) -> None:
-        """Serve on, for clients that need time to notice: accept connections for `accept_ms`, serve those that stand
-        for `serve_ms` in all, and close each with a response.  Returns with no connection being accepted any more."""
+        """Serve on, for clients that need time to notice.
+
+        Accept connections for `accept_ms`, serve those that stand for `serve_ms` in all, and close each with a
+        response.  Returns with no connection being accepted any more.
+        """
         began_at = now_ms()
         self._state.draining = True
         if accept_ms:
@@ -43,7 +46,7 @@
                 break
             await asyncio.sleep(POLL_S)
         all_answered = not state.engine.open
-        state.carry_out(state.engine.stop(now_ms()))
+        state.perform(state.engine.stop(now_ms()))
         return all_answered
 
     async def close_clients(self) -> None:
--- a/martenstep/proxy/headers.py
+++ b/martenstep/proxy/headers.py
@@ -71,10 +71,10 @@
 
 def connection_header_names(headers: Headers, names: frozenset[bytes]) -> frozenset[bytes]:
     """`names` together with those that a message itself names as of its connection."""
-    listed = [value for name, value in headers if name == b"connection"]
-    if not listed:
+    connection_options = [value for name, value in headers if name == b"connection"]
+    if not connection_options:
         return names
-    return names | {part.strip().lower() for value in listed for part in value.split(b",")}
+    return names | {part.strip().lower() for value in connection_options for part in value.split(b",")}
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
@@ -95,7 +95,8 @@
     """The path of a request's target; None where it is not one that is routed.
 
     Dot segments are rejected, plain or encoded: an endpoint may remove them, and the request would then be another than
-    the one that was routed."""
+    the one that was routed.
+    """
     if target[:1] != b"/":
         scheme, found, rest = target.partition(b"://")
         if not found or scheme.lower() not in (b"http", b"https"):
--- a/martenstep/proxy/hook_service.py
+++ b/martenstep/proxy/hook_service.py
@@ -36,8 +36,11 @@
 
 
 class HookService:
-    """Takes up releases of hooks.  Hooks never keep a gateway from its service: what cannot be read is logged and left
-    out, and what is in service goes on."""
+    """Takes up releases of hooks.
+
+    Hooks never keep a gateway from its service: what cannot be read is logged and left out, and what is in service goes
+    on.
+    """
 
     def __init__(self, settings: pb.Hooks, gateway: str, log_event: EventLog) -> None:
         """Reads the history, where the settings name one."""
--- a/martenstep/proxy/http1/client_connection.py
+++ b/martenstep/proxy/http1/client_connection.py
@@ -60,6 +60,9 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be written: the last one and its response are complete, nothing stands behind it,
-        which would be taken for the next one's response, and the endpoint has not said that it closes."""
+        """Whether another request may be written.
+
+        The last one and its response are complete, nothing stands behind it, which would be taken for the next one's
+        response, and the endpoint has not said that it closes.
+        """
         return self.request_complete and self._response_complete and self._keep_alive and not self._reader.buffered
--- a/martenstep/proxy/http1/message_reader.py
+++ b/martenstep/proxy/http1/message_reader.py
@@ -1,7 +1,8 @@
 """Reads one message after another off a connection's bytes.
 
 The next head is not looked at before `start_next`, so that what was pipelined stays as it came until the message before
-it is done with."""
+it is done with.
+"""
 
 from __future__ import annotations
 
@@ -127,8 +128,10 @@
     """Reads requests, at the server's side."""
 
     def next_event(self) -> RequestHead | Data | EndOfMessage | ConnectionClosed | None:
-        """What has come next; None where more bytes are needed, or `start_next`.  Raises ProtocolError, after which
-        nothing may follow."""
+        """What has come next; None where more bytes are needed, or `start_next`.
+
+        Raises ProtocolError, after which nothing may follow.
+        """
         if self._complete:
             return None
         if self._body is not None:
--- a/martenstep/proxy/http1/message_writer.py
+++ b/martenstep/proxy/http1/message_writer.py
@@ -18,7 +18,8 @@
     """A head with this first line; raises InvalidMessageError.
 
     Names and values came through a parser, the settings or a hook's checks; that none of them opens a line of its own
-    is checked once more for the head as a whole, which costs next to nothing."""
+    is checked once more for the head as a whole, which costs next to nothing.
+    """
     out = b"%b\r\n%b\r\n" % (first_line, b"".join([b"%b: %b\r\n" % pair for pair in headers]))
     line_count = len(headers) + 2
     if out.count(b"\n") != line_count or out.count(b"\r") != line_count or out.count(b"\0"):
--- a/martenstep/proxy/http1/server_connection.py
+++ b/martenstep/proxy/http1/server_connection.py
@@ -110,8 +110,10 @@
         return out
 
     def encode_data(self, data: bytes) -> bytes:
-        """Bytes of its body, none where the request or the status allows none; raises InvalidMessageError where they
-        are more than its length says."""
+        """Bytes of its body, none where the request or the status allows none.
+
+        Raises InvalidMessageError where they are more than its length says.
+        """
         if self._has_no_body:
             return b""
         if self._remaining is not None:
@@ -121,8 +123,10 @@
         return encode_chunk(data) if self._chunked else data
 
     def encode_end(self) -> bytes:
-        """The end of the response; raises InvalidMessageError where bytes are missing, since it must not pass for
-        complete."""
+        """The end of the response.
+
+        Raises InvalidMessageError where bytes are missing, since it must not pass for complete.
+        """
         if self._remaining and not self._has_no_body:
             raise InvalidMessageError("less than its length")
         self._response_complete = True
--- a/martenstep/proxy/loop_lag.py
+++ b/martenstep/proxy/loop_lag.py
@@ -20,8 +20,11 @@
 
 
 class LoopClock(Protocol):
-    """When the loop last looked for what is ready, and when what it found came at the earliest, in milliseconds of the
-    gateway's clock.  Kept by the loop, since a reading for each event would cost more than many events."""
+    """When the loop last looked for what is ready, and when what it found came at the earliest.
+
+    Both in milliseconds of the gateway's clock.  Kept by the loop, since a reading for each event would cost more than
+    many events.
+    """
 
     @property
     def looked_ms(self) -> float:
--- a/martenstep/proxy/permission.py
+++ b/martenstep/proxy/permission.py
@@ -1,9 +1,9 @@
-"""The one place that says whether an attempt may be begun now, and whether a connection may be closed now.  No I/O.
+"""Whether an attempt may be begun now, and whether a connection may be closed now: the one place that says so.  No I/O.
 
-The decision module has chosen the server and the driver has made the connection by then, and time has passed: what was
-allowed when it was decided need not be when the first byte is written.  The driver asks here at that moment, and does
-nothing that is denied; each denial is counted by its reason and told in the log.  A denial that no crossing of events
-explains (`UNEXPECTED`) is a fault of the program's own: the soak holds their count to zero.
+By then the policy has chosen the endpoint and the connection has been made, and time has passed: what was allowed when
+it was decided need not be when the first byte is written.  The server asks here at that moment, and does nothing that
+is denied; each denial is counted by its name and logged.  A denial that no crossing of events explains (`UNEXPECTED`)
+is a fault of the program's own: the soak test holds their count to zero.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Denial(Enum):
-    """Why something may not be done now."""
+    """Why something may not be done now.  Operators read names and values in the log."""
 
     ANSWERED = "the request has its final answer, or its client is gone"
     ENDED = "the gateway has answered all that it held"
@@ -37,17 +37,17 @@
 
     now: float
     deadline: float
-    request_finished: bool  # the request has its final answer, or its client is gone
-    gateway_stopped: bool  # the gateway has answered all that it held
-    is_current: bool  # it is the request's last attempt, and was not given up
-    endpoint_accepts: bool  # as one that takes requests
+    request_finished: bool  # the request has its final response, or its client has disconnected
+    gateway_stopped: bool  # the gateway has answered all that was in flight
+    is_current: bool  # it is the request's last attempt, and has not been given up
+    endpoint_accepts: bool  # the endpoint accepts new requests
     idempotency: Idempotency
-    may_have_run_since: float | None  # when the first attempt was sent that may have run; none: there is none
-    deduplication_window_ms: float  # of the key
+    may_have_run_since: float | None  # start of the first attempt that may have been executed
+    deduplication_window_ms: float  # how long endpoints know an idempotency key
 
 
 def may_begin(facts: AttemptFacts) -> Denial | None:
-    """Why an attempt may not be begun now; none where it may."""
+    """Why an attempt may not be begun now; None where it may."""
     if facts.request_finished:
         return Denial.ANSWERED
     if facts.gateway_stopped:
@@ -70,10 +70,11 @@
 
 
 def may_close(request_open: bool, bytes_read: bool, bytes_waiting: bool) -> Denial | None:
-    """Why a client's connection may not be closed between two requests; none where it may.
+    """Why a client's connection may not be closed between two requests; None where it may.
 
-    `bytes_read` by the loop and looked at by nobody; `bytes_waiting` in the kernel: a close over them resets the
-    connection."""
+    `bytes_read` by the loop and taken by nobody; `bytes_waiting` in the kernel: a close over them resets the
+    connection.
+    """
     if request_open:
         return Denial.REQUEST_OPEN
     if bytes_read or bytes_waiting:
--- a/martenstep/proxy/response_relay.py
+++ b/martenstep/proxy/response_relay.py
@@ -11,7 +11,8 @@
 from contextlib import suppress
 
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.client_connection import CLOSE_HEADER, ClientRequest
+from martenstep.proxy.client_connection import CLOSE_HEADER
+from martenstep.proxy.client_request import ClientRequest
 from martenstep.proxy.clock import MS_PER_S, now_ms
 from martenstep.proxy.connection_pool import ConnectionPool
 from martenstep.proxy.engine_messages import AttemptFailure
--- a/martenstep/proxy/route_table.py
+++ b/martenstep/proxy/route_table.py
@@ -44,25 +44,25 @@
 class GatewayRouteTable:
     """The routes and the customers, as the settings have them."""
 
-    def __init__(self, door: pb.Door) -> None:
+    def __init__(self, gateway_settings: pb.Door) -> None:
         """The settings name every class and plan that they refer to."""
         self.classes: Mapping[str, api.RequestClass] = {
-            entry.name: build_request_class(entry) for entry in getattr(door, "class")
+            entry.name: build_request_class(entry) for entry in getattr(gateway_settings, "class")
         }
-        self._plans = {entry.name: build_plan(entry) for entry in door.plan}
-        self._instances = door.instances
-        self._default_plan = self._plans.get(door.default_plan)
+        self._plans = {entry.name: build_plan(entry) for entry in gateway_settings.plan}
+        self._instances = gateway_settings.instances
+        self._default_plan = self._plans.get(gateway_settings.default_plan)
         self._customers = {
             entry.key: _Customer(
                 customer_id(entry.key),
                 self._plans[entry.plan],
-                entry.doors or door.instances,
+                entry.doors or gateway_settings.instances,
                 entry.first_door,
             )
-            for entry in door.customer
+            for entry in gateway_settings.customer
         }
-        self._routes = [self._make_route(entry) for entry in door.route]
-        self._deadline_header = door.listener.deadline_header.lower().encode()
+        self._routes = [self._make_route(entry) for entry in gateway_settings.route]
+        self._deadline_header = gateway_settings.listener.deadline_header.lower().encode()
 
     def _make_route(self, entry: pb.Route) -> _Route:
         return _Route(
@@ -152,8 +152,10 @@
     def identify(
         self, unauthenticated: UnauthenticatedRequest, customer_key: str, plan: str
     ) -> RoutedRequest | RouteRejection:
-        """Where a request belongs, once a service has named its customer.  A plan that is not known is the service's
-        fault, and the request fails rather than pass under another."""
+        """Where a request belongs, once a service has named its customer.
+
+        A plan that is not known is the service's fault, and the request fails rather than pass under another.
+        """
         named_plan = self._plans.get(plan) if plan else None
         if plan and named_plan is None:
             return RouteRejection(502, "unknown plan")
--- a/martenstep/proxy/server.py
+++ b/martenstep/proxy/server.py
@@ -16,7 +16,8 @@
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.acceptor import Acceptor
 from martenstep.proxy.attempt_sender import AttemptSender
-from martenstep.proxy.client_connection import ClientConnection, ClientRequest
+from martenstep.proxy.client_connection import ClientConnection
+from martenstep.proxy.client_request import ClientRequest
 from martenstep.proxy.clock import MS_PER_S, now_ms
 from martenstep.proxy.connection_pool import ConnectionPool
 from martenstep.proxy.dependencies import ListenerLimits, UpstreamLimits
@@ -39,7 +40,7 @@
 class ProxyServer:
     """One gateway on sockets."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  # puts the parts together
         self,
         listener: ListenerLimits,
         upstream: UpstreamLimits,
@@ -104,7 +105,8 @@
     async def stop(self, timeout_ms: float, accept_ms: float = 0.0, serve_ms: float = 0.0) -> bool:
         """Drain, answer what is in flight within `timeout_ms`, and close; True where all was answered by itself.
 
-        Connections are accepted for `accept_ms`, and those that stand are served for `serve_ms` in all."""
+        Connections are accepted for `accept_ms`, and those that stand are served for `serve_ms` in all.
+        """
         await self._shutdown.drain(accept_ms, serve_ms)
         all_answered = await self._shutdown.finish_requests(timeout_ms)
         await self._shutdown.close_clients()
@@ -141,8 +143,10 @@
         self.client_tls += auth_client.tls
 
     def set_usage_recorder(self, record_usage: RecordUsage, timeout_ms: float = 0.0) -> None:
-        """Set what records the usage of requests.  Where it returns a future, the response waits for that, and no
-        longer than `timeout_ms`."""
+        """Set what records the usage of requests.
+
+        Where it returns a future, the response waits for that, and no longer than `timeout_ms`.
+        """
         self._relay.record_usage, self._relay.record_timeout_ms = record_usage, timeout_ms
 
     def set_staleness_check(self, endpoint_list_is_stale: Callable[[], bool]) -> None:
--- a/martenstep/proxy/server_state.py
+++ b/martenstep/proxy/server_state.py
@@ -14,7 +14,8 @@
 
 from martenstep.event_log import EventLog
 from martenstep.proxy import engine_messages as ev
-from martenstep.proxy.client_connection import ClientConnection, ClientRequest
+from martenstep.proxy.client_connection import ClientConnection
+from martenstep.proxy.client_request import ClientRequest
 from martenstep.proxy.clock import MS_PER_S, now_ms
 from martenstep.proxy.clock_step_detector import ClockStepDetector
 from martenstep.proxy.dependencies import ListenerLimits, UpstreamLimits
@@ -91,10 +92,10 @@
         if now >= self._clock_checked_at + CLOCK_STEP_CHECK_MS:
             self._clock_checked_at = now
             if self._clock_steps.stepped():
-                self.carry_out(self.engine.handle(now, ev.ClockStepped(self._clock_steps.shift_ms)))
-        self.carry_out(self.engine.handle(now, event))
+                self.perform(self.engine.handle(now, ev.ClockStepped(self._clock_steps.shift_ms)))
+        self.perform(self.engine.handle(now, event))
 
-    def carry_out(self, actions: list[ev.Action]) -> None:
+    def perform(self, actions: list[ev.Action]) -> None:
         """Carry out actions of the engine, in order."""
         self._actions.extend(actions)
         if self._carrying_out:
--- a/martenstep/proxy/stages/upstream_request.py
+++ b/martenstep/proxy/stages/upstream_request.py
@@ -22,12 +22,14 @@
 
     sends_rate_limits = True
 
-    def __init__(self, door: pb.Door, auth_only: Collection[bytes], auth_copies: Collection[bytes]) -> None:
-        """`auth_only`: headers that only an authentication service may set; `auth_copies`: of its response, those that
-        endpoints are sent."""
-        upstream, listener = door.upstream, door.listener
-        self._via = f"1.1 {door.name}".encode()
-        self._name = door.name
+    def __init__(self, gateway_settings: pb.Door, auth_only: Collection[bytes], auth_copies: Collection[bytes]) -> None:
+        """`auth_only`: headers that only an authentication service may set.
+
+        `auth_copies`: of its response, those that endpoints are sent.
+        """
+        upstream, listener = gateway_settings.upstream, gateway_settings.listener
+        self._via = f"1.1 {gateway_settings.name}".encode()
+        self._name = gateway_settings.name
         self._id_header = listener.request_id_header.lower().encode()
         self._attempt_header = upstream.attempt_header.lower().encode()
         self._key_header = upstream.key_header.lower().encode()
@@ -42,8 +44,10 @@
         return [(self._id_header, correlation_id.encode("latin-1", "replace")), (b"via", self._via)]
 
     def forwarded_headers(self, headers: Headers) -> Headers:
-        """Of the client's headers those that are forwarded: end to end, and none that the gateway or an authentication
-        service sets itself."""
+        """Of the client's headers those that are forwarded.
+
+        They are end to end, and none that the gateway or an authentication service sets itself.
+        """
         excluded = connection_header_names(headers, self._not_forwarded)
         if not self.auth_only:
             return [pair for pair in headers if pair[0] not in excluded]
--- a/martenstep/proxy/targets.py
+++ b/martenstep/proxy/targets.py
@@ -48,8 +48,10 @@
 
 
 def split_authority(authority: bytes) -> Authority | None:
-    """Host and port; None where it is no authority.  User information, which RFC 9110 4.2.4 has recipients take for a
-    fault, is none."""
+    """Host and port; None where it is no authority.
+
+    User information, which RFC 9110 4.2.4 has recipients take for a fault, is none.
+    """
     match = AUTHORITY.fullmatch(authority)
     if match is None:
         return None
--- a/martenstep/proxy/traces.py
+++ b/martenstep/proxy/traces.py
@@ -1,8 +1,8 @@
-"""What became of one request, as spans.  The engine gathers them, with its own times and ids and without I/O;
-`Exporter` hands them to the OpenTelemetry SDK when the request is over.
+"""What became of a request, as spans.
 
-Context comes and goes in `traceparent` (W3C Trace Context, level 1).  Neither credentials nor bodies nor query strings
-are in a span.
+The engine gathers them, with its own times and ids and without I/O; `Exporter` hands them to the OpenTelemetry SDK when
+the request is over.  Context comes and goes in `traceparent` (W3C Trace Context, level 1).  Neither credentials nor
+bodies nor query strings are in a span.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
+from typing import NamedTuple
 
 from opentelemetry.sdk.resources import Resource
 from opentelemetry.sdk.trace import ReadableSpan, TracerProvider
@@ -19,9 +20,12 @@
 from opentelemetry.sdk.trace.id_generator import IdGenerator
 from opentelemetry.trace import NonRecordingSpan, SpanContext, TraceFlags, set_span_in_context
 
-PARENT = re.compile(rb"^00-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})$")
-Value = str | int | float | bool
-NS_OF_US = 1000
+TRACEPARENT = re.compile(rb"^00-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})$")
+TRACE_ID_BITS, SPAN_ID_BITS = 128, 64
+SAMPLED_FLAG = 1
+AttributeValue = str | int | float | bool
+NS_PER_US = 1000
+US_PER_MS = 1000.0
 
 
 @dataclass(slots=True)
@@ -32,7 +36,7 @@
     id: int
     start: float
     end: float = 0.0
-    attributes: dict[str, Value] = field(default_factory=dict)
+    attributes: dict[str, AttributeValue] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -45,17 +49,17 @@
     parts: list[Span] = field(default_factory=list)
     ids: random.Random = field(default_factory=random.Random)
 
-    def begin(self, name: str, now: float, **attributes: Value) -> Span:
+    def begin(self, name: str, now: float, **attributes: AttributeValue) -> Span:
         """A part begins."""
-        made = Span(name, self.ids.getrandbits(64) or 1, now, attributes=attributes)
-        self.parts.append(made)
-        return made
+        span = Span(name, self.ids.getrandbits(SPAN_ID_BITS) or 1, now, attributes=attributes)
+        self.parts.append(span)
+        return span
 
     def last(self, name: str) -> Span | None:
         """The last part of a name that has not ended."""
         return next((span for span in reversed(self.parts) if span.name == name and not span.end), None)
 
-    def end(self, name: str, now: float, **attributes: Value) -> None:
+    def end(self, name: str, now: float, **attributes: AttributeValue) -> None:
         """A part ends, where one has begun."""
         span = self.last(name)
         if span is not None:
@@ -67,39 +71,56 @@
         return b"00-%032x-%016x-01" % (self.id, span.id)
 
 
+class _TraceContext(NamedTuple):
+    """What a `traceparent` states."""
+
+    trace_id: int
+    span_id: int
+    sampled: bool
+
+
+def _parse_traceparent(header: bytes | None) -> _TraceContext | None:
+    """None where there is none, or none that can be read: the specification has them treated alike."""
+    match = TRACEPARENT.match(header) if header else None
+    if match is None:
+        return None
+    context = _TraceContext(int(match[1], 16), int(match[2], 16), bool(int(match[3], 16) & SAMPLED_FLAG))
+    return context if context.trace_id and context.span_id else None
+
+
 class Sampler:
     """Decides which requests are traced: those that come sampled, and a share of the others by their id alone."""
 
     def __init__(self, share: float, rng: random.Random) -> None:
+        """`share` from 0 to 1; `rng` makes the ids."""
         self._share, self._rng = share, rng
 
-    def trace(self, parent: bytes | None, now: float, **attributes: Value) -> Trace | None:
-        """A trace for a request with this `traceparent`; None where it is not traced.  One that cannot be read is
-        taken for none, as the specification asks."""
-        match = PARENT.match(parent) if parent else None
-        number, sender, sampled = (int(match[1], 16), int(match[2], 16), int(match[3], 16) & 1) if match else (0, 0, 0)
-        if not number or not sender:
-            number, sender, sampled = self._rng.getrandbits(128) or 1, 0, 0
-        if not sampled and (number & (2**64 - 1)) >= self._share * 2**64:
+    def trace(self, traceparent: bytes | None, now: float, **attributes: AttributeValue) -> Trace | None:
+        """A trace for a request with this `traceparent`; None where it is not traced."""
+        context = _parse_traceparent(traceparent)
+        if context is None:
+            context = _TraceContext(self._rng.getrandbits(TRACE_ID_BITS) or 1, 0, False)
+        span_range = 2**SPAN_ID_BITS
+        if not context.sampled and context.trace_id % span_range >= self._share * span_range:
             return None
-        root = Span("request", self._rng.getrandbits(64) or 1, now, attributes=attributes)
-        return Trace(number, sender, root, ids=self._rng)
+        root = Span("request", self._rng.getrandbits(SPAN_ID_BITS) or 1, now, attributes=attributes)
+        return Trace(context.trace_id, context.span_id, root, ids=self._rng)
 
 
-class _Given(IdGenerator):
+class _ChosenIds(IdGenerator):
     """Gives the ids that the engine has chosen: they are in what was sent already."""
 
     def __init__(self) -> None:
-        self.trace = self.span = 1
+        self.trace_id = self.span_id = 1
 
     def generate_trace_id(self) -> int:
-        return self.trace
+        return self.trace_id
 
     def generate_span_id(self) -> int:
-        return self.span
+        return self.span_id
 
 
-class _Lines(SpanExporter):
+class _JsonLinesExporter(SpanExporter):
     """JSON lines in a file."""
 
     def __init__(self, path: Path) -> None:
@@ -118,32 +139,33 @@
 class Exporter:
     """Hands finished traces to the SDK; a thread of its own writes them, and what it cannot keep up with is dropped."""
 
-    def __init__(self, path: Path, door: str, wall_ms: Callable[[], float], clock_ms: Callable[[], float]) -> None:
-        self._ids = _Given()
+    def __init__(self, path: Path, gateway: str, wall_ms: Callable[[], float], clock_ms: Callable[[], float]) -> None:
+        """`path` of the file that is appended to; raises OSError."""
+        self._ids = _ChosenIds()
         self._provider = TracerProvider(
-            resource=Resource({"service.name": "martenstep", "door": door}),
+            resource=Resource({"service.name": "martenstep", "door": gateway}),
             id_generator=self._ids,
             shutdown_on_exit=False,
         )
-        self._provider.add_span_processor(BatchSpanProcessor(_Lines(path)))
-        self._tracer = self._provider.get_tracer("martenstep.proxy")
-        self._offset = wall_ms() - clock_ms()
+        self._provider.add_span_processor(BatchSpanProcessor(_JsonLinesExporter(path)))
+        self._tracer = self._provider.get_tracer("martenstep.door")
+        self._epoch_ms = wall_ms() - clock_ms()
 
-    def _ns(self, at: float) -> int:
-        return round((at + self._offset) * 1000.0) * NS_OF_US  # what a double still holds of a wall time
+    def _unix_ns(self, at: float) -> int:
+        return round((at + self._epoch_ms) * US_PER_MS) * NS_PER_US  # what a double still holds of a wall time
 
     def take(self, trace: Trace) -> None:
-        """One finished request."""
-        self._ids.trace = trace.id
+        """Export one finished request."""
+        self._ids.trace_id = trace.id
         sampled = TraceFlags(TraceFlags.SAMPLED)
         parent = NonRecordingSpan(SpanContext(trace.id, trace.parent or trace.root.id, True, sampled))
         context = set_span_in_context(parent) if trace.parent else None
         for span in (trace.root, *trace.parts):
-            self._ids.span = span.id
-            made = self._tracer.start_span(
-                span.name, context, start_time=self._ns(span.start), attributes=span.attributes
+            self._ids.span_id = span.id
+            started = self._tracer.start_span(
+                span.name, context, start_time=self._unix_ns(span.start), attributes=span.attributes
             )
-            made.end(self._ns(span.end or trace.root.end))
+            started.end(self._unix_ns(span.end or trace.root.end))
             if span is trace.root:
                 context = set_span_in_context(NonRecordingSpan(SpanContext(trace.id, span.id, False, sampled)))
 
--- a/martenstep/proxy/transport.py
+++ b/martenstep/proxy/transport.py
@@ -37,8 +37,10 @@
 
 
 class WatchedReader(asyncio.StreamReader):
-    """A stream reader that remembers whether anything came since it was last asked, and can hand on what comes at once:
-    a task that waits for it costs more than all that is done with a short response."""
+    """A stream reader that remembers whether anything came since it was last asked.
+
+    It can hand on what comes at once: a task that waits for it costs more than all that is done with a short response.
+    """
 
     def __init__(self, clock: LoopClock | None = None) -> None:
         """`clock` tells when bytes that the loop hands on now came at the earliest; None: nobody asks."""
@@ -59,7 +61,7 @@
         """Bytes that the loop has read and nobody has taken yet."""
         return len(self._buffer)  # type: ignore[attr-defined]  # the standard library tells it nowhere
 
-    def feed_data(self, data: Any) -> None:
+    def feed_data(self, data: Any) -> None:  # noqa: ANN401  # as the standard library has it  # as the standard library has it
         """Bytes from the transport."""
         self.has_activity = True
         if self._clock is not None:
@@ -73,8 +75,11 @@
                 self.discard_excess()
 
     def _record_arrival(self, clock: LoopClock) -> None:
-        """Keep when the bytes up to here came.  Those that came soon after others count as having come with them: a
-        client that writes byte by byte must not fill the memory."""
+        """Keep when the bytes up to here came.
+
+        Those that came soon after others count as having come with them: a client that writes byte by byte must not
+        fill the memory.
+        """
         at, arrivals = clock.arrived_ms, self._arrivals
         if self.connect_times is not None:
             connected_at, accepted_at = self.connect_times
@@ -86,8 +91,10 @@
         arrivals.append(_Arrival(self._received, at))
 
     def arrival_time(self, byte_count: int) -> float | None:
-        """When the last of the first `byte_count` bytes came, at the earliest; None where that is not kept.  To be
-        asked for in rising order."""
+        """When the last of the first `byte_count` bytes came, at the earliest; None where that is not kept.
+
+        To be asked for in rising order.
+        """
         arrivals = self._arrivals
         while len(arrivals) > 1 and arrivals[0].byte_count < byte_count:
             arrivals.popleft()
@@ -97,7 +104,8 @@
         """From now on, until `discards_excess` is cleared, discard what is more than the buffer holds.
 
         While a client's request is in flight nobody takes what stands behind it; where reading stopped for that, the
-        end of the client's connection would not be noticed, and attempts would be begun for nobody."""
+        end of the client's connection would not be noticed, and attempts would be begun for nobody.
+        """
         self.discards_excess = True
         if self.buffered > READ_BYTES:
             self.has_discarded = True
@@ -166,8 +174,10 @@
 
 
 class TlsHandshakeProtocol(asyncio.Protocol):
-    """Of a connection that a client made and that TLS must secure first: the outcome of the handshake is known here, so
-    that a failed one can be reported."""
+    """Of a connection that a client made and that TLS must secure first.
+
+    The outcome of the handshake is known here, so that a failed one can be reported.
+    """
 
     def __init__(
         self, protocol: ClientProtocol, context: ssl.SSLContext, timeout_s: float, failed: HandshakeRejected
@@ -207,7 +217,8 @@
     """Send small writes at once: what the kernel held back would be lost with a close that resets.
 
     The loop does so only for sockets that were made with the protocol's number, which accepted ones have from their
-    listener."""
+    listener.
+    """
     with suppress(OSError):  # it has ended already
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
--- a/martenstep/proxy/upstream_connection.py
+++ b/martenstep/proxy/upstream_connection.py
@@ -58,8 +58,10 @@
         self.http.feed(data)
 
     def set_delivery_timeout(self, timeout_ms: float | None) -> None:
-        """Have the kernel break the connection where what is written next is not acknowledged in this time (RFC 5482);
-        None: as usual."""
+        """Have the kernel break the connection where what is written next is not acknowledged in this time (RFC 5482).
+
+        None: as usual.
+        """
         if timeout_ms is None and not self._has_delivery_timeout:
             return
         self._has_delivery_timeout = timeout_ms is not None
@@ -71,7 +73,8 @@
         """Close at once, with a reset: what is still buffered, here or in the kernel, reaches nobody.
 
         The transport closes in the next turn of the loop.  Sending is ended here and now: the request's next attempt
-        may be written within this turn, and two would be open."""
+        may be written within this turn, and two would be open.
+        """
         transport = self.writer.transport
         if not transport.is_closing() and transport.can_write_eof():
             with suppress(OSError):  # the other side was sooner
--- a/martenstep/proxy/usage_recorder.py
+++ b/martenstep/proxy/usage_recorder.py
@@ -30,9 +30,11 @@
 class UsageRecorder:
     """The clients of the counter service, one a shard."""
 
-    def __init__(self, door: pb.Door, cluster: Cluster, replied: CounterReplied, log_event: EventLog) -> None:
+    def __init__(
+        self, gateway_settings: pb.Door, cluster: Cluster, replied: CounterReplied, log_event: EventLog
+    ) -> None:
         """`replied` is called with the outcome of each counter call: its id, result, total and time retained."""
-        self._door, self._settings, self._cluster = door, door.counter, cluster
+        self._gateway_settings, self._settings, self._cluster = gateway_settings, gateway_settings.counter, cluster
         self._replied, self._log_event = replied, log_event
         self.client_tls: list[ClientContext] = []
         self._shards: Shards | None = None
@@ -74,7 +76,7 @@
         return {
             name: CounterClient(
                 service_addresses,
-                self._door.name,
+                self._gateway_settings.name,
                 self._journal(name),
                 self._replied,
                 self._log_event,
@@ -88,26 +90,28 @@
         }
 
     def _replica_clients(self) -> dict[str, CounterClient]:
-        """One client a slot.  A gateway that knows of no other asks nobody, and decides without: as with a counter that
-        is away."""
+        """One client a slot.
+
+        A gateway that knows of no other asks nobody, and decides without: as with a counter that is away.
+        """
         from martenstep.counter.sharded_counter import slots
 
         settings, membership = self._settings, self._cluster.membership
         return {
             slot: CounterClient(
                 partial(self._replica_addresses, slot),
-                self._door.name,
+                self._gateway_settings.name,
                 self._journal(slot),
                 self._replied,
                 self._log_event,
                 timeout_ms=settings.timeout_ms,
                 waiting=settings.waiting,
-                map_version=self._door.copies.slots,
+                map_version=self._gateway_settings.copies.slots,
                 group=slot,
                 way=membership.way if membership is not None else lambda address: address,
                 recorded=self._recorded,
             )
-            for slot in slots(self._door.copies)
+            for slot in slots(self._gateway_settings.copies)
         }
 
     def _replica_addresses(self, slot: str) -> list[Address]:
@@ -160,7 +164,7 @@
                 usage.request_class,
             )
         )
-        return recorded if self._door.copies.book.before_answer else None
+        return recorded if self._gateway_settings.copies.book.before_answer else None
 
     def deliver(self, pending: Try) -> bool:
         """Record a request out of a ledger that this gateway leads; False where it can't be taken now."""
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -163,7 +163,7 @@
         daemon.reconfigure(made)
         return ""
 
-    reloader = Reloader(load, daemon.event_logger.log, notifier, lambda: daemon.door, take_up, daemon.renew)
+    reloader = Reloader(load, daemon.event_logger.log, notifier, lambda: daemon.settings, take_up, daemon.renew)
     await daemon.start()
     _ready(daemon.ports)
     notifier.tell(READY=1, STATUS=f"serves at port {daemon.ports['listener']}")
--- a/martenstep/supervise/worker.py
+++ b/martenstep/supervise/worker.py
@@ -44,7 +44,7 @@
             door = _door(frame.door)
         except DecodeError as error:
             return Said(prepared=frame.number, error=str(error))
-        stuck = [change.path for change in differences(self._daemon.door, door) if not change.live]
+        stuck = [change.path for change in differences(self._daemon.settings, door) if not change.live]
         if stuck:
             return Said(prepared=frame.number, error=f"needs a restart: {', '.join(stuck)}")
         self._prepared = frame.number, door
--- a/tests/test_fault_pauses.py
+++ b/tests/test_fault_pauses.py
@@ -8,6 +8,9 @@
 import json
 import signal
 import time
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -17,7 +20,7 @@
 from tests.node_rig import SETTINGS, request
 from tests.socket_rig import Peer
 from tests.test_fault_clocks import Agent
-from tests.test_node_processes import doors, play
+from tests.test_node_processes import Process, doors, play
 
 HELD_UP_S = 0.15  # a door may be held up so long between its clock and its write, ...
 BUSY_S = 0.3  # ... and this process on a busy machine between the arrival of a head and its own clock
@@ -44,22 +47,41 @@
     return script
 
 
-def listed(path: Path) -> list[dict[str, Any]]:
-    """The backends of a door's configuration."""
+def known_targets(path: Path) -> list[dict[str, Any]]:
+    """The endpoints of a gateway's configuration."""
     targets: list[dict[str, Any]] = json.loads(path.read_text(encoding="utf-8"))["known"]["targets"]
     return targets
 
 
+@dataclass
+class Running:
+    """A gateway that serves, its agent, and the heads that its backend has received."""
+
+    gateway: Process
+    agent: Agent
+    seen: list[tuple[float, str]]
+
+
+@asynccontextmanager
+async def running_gateway(
+    tmp_path: Path, delay_s: float = 0.0, settings: dict[str, Any] = SETTINGS
+) -> AsyncIterator[Running]:
+    """A gateway that is ready, in front of one backend that answers after a while."""
+    seen: list[tuple[float, str]] = []
+    agent = Agent()
+    async with doors(tmp_path, 1, agent.script, shows(seen, delay_s), settings=settings) as [gateway]:
+        agent.targets = known_targets(gateway.path)
+        await gateway.start()
+        await gateway.until("ready")
+        yield Running(gateway, agent, seen)
+
+
 def test_a_request_behind_another_has_the_time_left_that_its_client_has(tmp_path: Path) -> None:
     """Four at once on one connection: the fourth was sent on with all of its time after three others' answers."""
 
     async def test() -> None:
-        seen: list[tuple[float, str]] = []
-        agent = Agent()
-        async with doors(tmp_path, 1, agent.script, shows(seen, 0.3), settings=SETTINGS) as [door]:
-            agent.targets = listed(door.path)
-            await door.start()
-            await door.until("ready")
+        async with running_gateway(tmp_path, 0.3) as running:
+            door, seen = running.gateway, running.seen
             peer = await door.client()
             sent = time.monotonic()
             await peer.write("".join(request(n, X_Expires_In_Ms=str(DEADLINE_MS)) for n in range(4)))
@@ -76,12 +98,8 @@
     """On a connection that it had, and on new ones that stood in its queue."""
 
     async def test() -> None:
-        seen: list[tuple[float, str]] = []
-        agent = Agent()
-        async with doors(tmp_path, 1, agent.script, shows(seen), settings=SETTINGS) as [door]:
-            agent.targets = listed(door.path)
-            await door.start()
-            await door.until("ready")
+        async with running_gateway(tmp_path) as running:
+            door, seen = running.gateway, running.seen
             standing = await door.client()
             await standing.write(request(1))
             await standing.response()
@@ -107,15 +125,10 @@
     """Discovery had told it while it stood: it sent on by the list of before."""
 
     async def test() -> None:
-        seen: list[tuple[float, str]] = []
-        agent = Agent()
         rules = {**SETTINGS["rules"], "drain_grace_ms": DRAIN_GRACE_S * 1000}
-        async with doors(
-            tmp_path, 1, agent.script, shows(seen), settings={**SETTINGS, "rules": rules, "discovery": mode}
-        ) as [door]:
-            agent.targets = listed(door.path)
-            await door.start()
-            await door.until("ready")
+        settings = {**SETTINGS, "rules": rules, "discovery": mode}
+        async with running_gateway(tmp_path, settings=settings) as running:
+            door, agent, seen = running.gateway, running.agent, running.seen
             standing = await door.client()
             await standing.write(request(1))
             await standing.response()
@@ -138,12 +151,8 @@
     """Its last byte comes after all was answered: it was forwarded, and its connection closed."""
 
     async def test() -> None:
-        seen: list[tuple[float, str]] = []
-        agent = Agent()
-        async with doors(tmp_path, 1, agent.script, shows(seen, 5.0), settings=SETTINGS) as [door]:
-            agent.targets = listed(door.path)
-            await door.start()
-            await door.until("ready")
+        async with running_gateway(tmp_path, 5.0) as running:
+            door, seen = running.gateway, running.seen
             out, half = await door.client(), await door.client()
             await out.write(request(1, X_Expires_In_Ms="3000"))
             door.signal(signal.SIGTERM)
@@ -167,12 +176,8 @@
     """The queue counted as not emptied since then, and the request as that old."""
 
     async def test() -> None:
-        seen: list[tuple[float, str]] = []
-        agent = Agent()
-        async with doors(tmp_path, 1, agent.script, shows(seen), settings=SETTINGS) as [door]:
-            agent.targets = listed(door.path)
-            await door.start()
-            await door.until("ready")
+        async with running_gateway(tmp_path) as running:
+            door, seen = running.gateway, running.seen
             door.signal(signal.SIGSTOP)
             crowd = [await door.client() for _ in range(MAX_ACCEPTS)]
             door.signal(signal.SIGCONT)
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -502,7 +502,7 @@
             if way == "idle":
                 assert not client.close_idle()
             elif way == "room":
-                assert not driver._acceptor.make_room()
+                assert not driver._acceptor.free_slot()
             else:
                 door.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
                 stopping = asyncio.create_task(door.node.stop())
@@ -524,7 +524,7 @@
             client = await only(door)
             client.waiting_since -= 2 * MIN_AGE_TO_CLOSE_MS
             raw.send(request(1))
-            assert not door.node.driver._acceptor.make_room()
+            assert not door.node.driver._acceptor.free_slot()
             peer = await raw.peer()
             assert (await peer.response())[0] == 200
             peer.close()
--- a/tests/test_node_imports.py
+++ b/tests/test_node_imports.py
@@ -49,7 +49,7 @@
     "martenstep.proxy.clock",
     "martenstep.proxy.connection_pool",
     "martenstep.proxy.graceful_shutdown",
-    "martenstep.proxy.request_body",
+    "martenstep.proxy.client_request",
     "martenstep.proxy.response_relay",
     "martenstep.proxy.server_state",
     "martenstep.proxy.upstream_connection",
