--- a/martenstep/replication/node_disk.py
+++ b/martenstep/replication/node_disk.py
@@ -50,7 +50,7 @@
 
 
 def _save(disk: Disk, identity: DiskIdentity) -> None:
-    disk.write_aside(DISK_FILE, msgspec.json.encode(identity))
+    disk.write_atomically(DISK_FILE, msgspec.json.encode(identity))
 
 
 class NodeDisk:
@@ -107,8 +107,8 @@
 
     def add_dissolved(self, group: str) -> None:
         """Remember a group that is dissolved; raises OSError."""
-        kept = self._identity.dissolved_groups[1 - MAX_DISSOLVED_GROUPS :]
-        self._identity.dissolved_groups = [*kept, group]
+        latest = self._identity.dissolved_groups[1 - MAX_DISSOLVED_GROUPS :]
+        self._identity.dissolved_groups = [*latest, group]
         self.save()
 
     def save(self) -> None:
