--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -124,7 +124,7 @@
         """Take over new hooks, keys and certificates; requests and connections that stand keep theirs."""
         self._reload_task = asyncio.create_task(self._load_hooks())
         if self.cluster.membership is not None:
-            self.cluster.membership.renew()
+            self.cluster.membership.reload_keys()
         self._certificates.reload()
 
     async def stop(self) -> bool:
--- a/martenstep/proxy/usage_recorder.py
+++ b/martenstep/proxy/usage_recorder.py
@@ -108,7 +108,7 @@
                 waiting=settings.waiting,
                 map_version=self._gateway_settings.copies.slots,
                 group=slot,
-                way=membership.way if membership is not None else lambda address: address,
+                way=membership.route if membership is not None else lambda address: address,
                 recorded=self._recorded,
             )
             for slot in slots(self._gateway_settings.copies)
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -29,7 +29,7 @@
 from martenstep.counter.replicated_counter import CopiedCounter, asked
 from martenstep.counter.replicated_service import CopiedService
 from martenstep.counter.state import Limits
-from martenstep.membership.codec import Keys
+from martenstep.membership.keyring import Keyring
 from martenstep.policy.messages import CallResult
 from martenstep.replication.errors import IndeterminateError, NotLeaderError
 from martenstep.replication.replica import Replica
@@ -132,7 +132,7 @@
     def address(self, group: str, copy: int | None) -> str | None:
         return f"127.0.0.1:{self.ports[copy]}" if copy in self.ports else None
 
-    async def run(self, store: ReplicaStorage, keys: Keys = KEYS) -> Replica:
+    async def run(self, store: ReplicaStorage, keys: Keyring = KEYS) -> Replica:
         host = await super().run(store, keys)
         service = self.services[store.replica_id] = CopiedService(
             lambda group: host, self.address, clock=lambda: NOW / 1000
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from martenstep.membership.codec import Keys
+from martenstep.membership.keyring import Keyring
 from martenstep.replication.errors import IndeterminateError, NotLeaderError
 from martenstep.replication.node_disk import derive_replica_id, load_disk_identity
 from martenstep.replication.node_messages import CreateReplica, RemovedFromGroup, ReplicaNotFound
@@ -23,7 +23,7 @@
 from tests.socket_rig import LONG_S, run
 from tests.test_replication_host import Sum
 
-KEYS = Keys([b"k" * 32])
+KEYS = Keyring([b"k" * 32])
 QUICK = RaftSettings(
     election_timeout_ms=400.0, heartbeat_interval_ms=60.0, recovery_query_interval_ms=50.0
 )  # a loaded machine bears it
--- a/tests/test_replication_host.py
+++ b/tests/test_replication_host.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from martenstep.membership.codec import Keys
+from martenstep.membership.keyring import Keyring
 from martenstep.replication.errors import IndeterminateError, NotLeaderError
 from martenstep.replication.frames import Envelope
 from martenstep.replication.messages import Configuration, TimeoutNow, encode
@@ -23,7 +23,7 @@
 from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
 from tests.socket_rig import LONG_S, run
 
-KEYS = Keys([b"k" * 32])
+KEYS = Keyring([b"k" * 32])
 QUICK = RaftSettings(election_timeout_ms=150.0, heartbeat_interval_ms=30.0, recovery_query_interval_ms=50.0)
 
 
@@ -73,7 +73,7 @@
         for store in stores:
             await self.run(store)
 
-    async def run(self, store: ReplicaStorage, keys: Keys = KEYS) -> Replica:
+    async def run(self, store: ReplicaStorage, keys: Keyring = KEYS) -> Replica:
         machine = self.machines[store.replica_id] = self.machine()
         links = self.links[store.replica_id] = Transport("g", str(store.replica_id), lambda: keys, self.where.get)
         host = self.hosts[store.replica_id] = Replica(
@@ -254,7 +254,7 @@
         def there(place: str) -> tuple[str, int]:
             return group.where[str(me)]
 
-        strange = Transport("g", "99", lambda: Keys([b"x" * 32]), there)
+        strange = Transport("g", "99", lambda: Keyring([b"x" * 32]), there)
         wrong = Transport("g", "99", lambda: KEYS, there)
         body = encode(TimeoutNow(9))
         strange.send(str(me), Envelope("g", 99, me), body)
