--- a/martenstep/lab/fleet/rig.py
+++ b/martenstep/lab/fleet/rig.py
@@ -33,7 +33,8 @@
 from martenstep.membership.core import Address
 from martenstep.replication.node_disk import load_disk_identity
 from martenstep.standins.base import now_ms
-from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
+from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
+from martenstep.storage.files import Disk
 
 MOST_DOORS = 24
 JOIN_S = 30.0  # all must have joined within this of the last being started
--- a/martenstep/storage/__init__.py
+++ b/martenstep/storage/__init__.py
@@ -1,4 +1,4 @@
-"""What stands on a disk: the few file operations that all rests on, and the log of records.
+"""What is kept on a disk: the few file operations that all rests on (`files`), and a log of records (`log`).
 
-May live here: files with the seam for faults, segments, snapshots, reading back.  May not: what a record means.
+What a record means is the user's.
 """
--- a/martenstep/storage/files.py
+++ b/martenstep/storage/files.py
@@ -1,19 +1,23 @@
 """The few file operations that logs and identities rest on, so that a test can own what survives a crash.
 
-`Disk` is the operating system's; the fault-injecting one of the tests keeps what was written but not synced apart, and
-after a crash gives back any part of it.
+`Disk` is the operating system's; the fake of the tests keeps what was written but not synced apart, and after a crash
+gives back any part of it.
 """
 
 from __future__ import annotations
 
 import errno
 import fcntl
-import json
 import os
-import time
 from pathlib import Path
 from typing import Protocol
 
+from martenstep.storage.disk_faults import DiskFaults
+from martenstep.storage.errors import StorageError
+
+LOCK_FILE = "lock"
+FILE_MODE = 0o644
+
 
 class Appender(Protocol):
     """A file that is only added to."""
@@ -25,7 +29,7 @@
         """Make all bytes so far durable; raises OSError."""
 
     def close(self) -> None:
-        """Close it."""
+        """Close the file."""
 
 
 class Files(Protocol):
@@ -41,96 +45,69 @@
         """A new file; raises FileExistsError."""
 
     def append(self, name: str, size: int) -> Appender:
-        """An old file, cut to a size."""
+        """An existing file, cut to a size."""
 
     def write_atomically(self, name: str, data: bytes) -> None:
-        """A whole file, durable under its name or not there at all."""
+        """Write a whole file, durable under its name or not there at all; raises OSError."""
+
+    def overwrite(self, name: str, offset: int, data: bytes) -> None:
+        """Put bytes over those at an offset of an existing file, all within one sector; durable on return.
 
-    def overwrite(self, name: str, at: int, data: bytes) -> None:
-        """Put bytes over those at an offset of an old file, all within one sector; durable on return.  A crash leaves
-        there the old, the new, or neither."""
+        A crash leaves there the old, the new, or neither.
+        """
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
 
-DISK_FAULTS_VARIABLE = (
-    "MARTENSTEP_DISK_FAULTS"  # the lab's: a file that tells what is wrong with the disk, read at each operation
-)
-
-
-class SettingsError:
-    """What the lab has the disk do: `full`, `sync_fails`, or `sync_ms` more for each sync."""
-
-    def __init__(self, file: Path) -> None:
-        self._file = file
-
-    def _told(self) -> dict[str, float]:
-        try:
-            told = json.loads(self._file.read_bytes())
-        except (OSError, ValueError):
-            return {}
-        return told if isinstance(told, dict) else {}
-
-    def write(self) -> None:
-        """Before bytes are written; raises OSError."""
-        if self._told().get("full"):
-            raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-
-    def sync(self) -> None:
-        """Before a sync; raises OSError."""
-        told = self._told()
-        time.sleep(told.get("sync_ms", 0.0) / 1000)
-        if told.get("sync_fails"):
-            raise OSError(errno.EIO, os.strerror(errno.EIO))
+class LockedError(StorageError):
+    """Another process holds the directory."""
 
 
 class _DiskAppender:
-    def __init__(self, number: int, faults: SettingsError | None = None) -> None:
-        self._number, self._faults = number, faults
+    """An open file of a Disk."""
+
+    def __init__(self, fd: int, faults: DiskFaults | None = None) -> None:
+        self._fd = fd
+        self._faults = faults
 
     def write(self, data: bytes) -> None:
         if self._faults is not None:
             self._faults.write()
-        view = memoryview(data)
-        while view:
-            view = view[os.write(self._number, view) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(self._fd, remaining) :]
 
     def sync(self) -> None:
         if self._faults is not None:
             self._faults.sync()
-        os.fdatasync(self._number)
+        os.fdatasync(self._fd)
 
     def close(self) -> None:
-        os.close(self._number)
-
-
-class LockedError(Exception):
-    """Another process holds the directory."""
+        os.close(self._fd)
 
 
 class Disk:
     """A directory of the operating system, held by one process at a time."""
 
     def __init__(self, path: Path) -> None:
+        """Make the directory where there is none, and lock it; raises LockedError, OSError."""
         self._path = path
-        self._faults = (
-            SettingsError(Path(os.environ[DISK_FAULTS_VARIABLE])) if os.environ.get(DISK_FAULTS_VARIABLE) else None
-        )
+        self._faults = DiskFaults.from_environment()
+        self._overwritten: dict[str, int] = {}  # descriptors of files that are kept open, by name
         path.mkdir(parents=True, exist_ok=True)
-        self._patched: dict[str, int] = {}  # open files
-        self._lock = os.open(path / "lock", os.O_RDWR | os.O_CREAT, 0o644)
+        self._lock_fd = os.open(path / LOCK_FILE, os.O_RDWR | os.O_CREAT, FILE_MODE)
         try:
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(self._lock)
+            os.close(self._lock_fd)
             raise LockedError(f"{path}: another process holds it") from None
 
     def close(self) -> None:
         """Let the directory go."""
-        for name in list(self._patched):
-            os.close(self._patched.pop(name))
-        os.close(self._lock)
+        for name in list(self._overwritten):
+            self._close_overwritten(name)
+        os.close(self._lock_fd)
 
     def __enter__(self) -> Disk:
         return self
@@ -138,57 +115,67 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
+    def _close_overwritten(self, name: str) -> None:
+        if name in self._overwritten:
+            os.close(self._overwritten.pop(name))
+
     def _sync_directory(self) -> None:
-        number = os.open(self._path, os.O_RDONLY)
+        fd = os.open(self._path, os.O_RDONLY)
         try:
-            os.fsync(number)
+            os.fsync(fd)
         finally:
-            os.close(number)
+            os.close(fd)
 
     def names(self) -> list[str]:
-        return sorted(name for name in os.listdir(self._path) if name != "lock")
+        """The files in it, but for the lock."""
+        return sorted(name for name in os.listdir(self._path) if name != LOCK_FILE)
 
     def read(self, name: str) -> bytes:
+        """A whole file."""
         return (self._path / name).read_bytes()
 
     def create(self, name: str) -> Appender:
-        number = os.open(self._path / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND, 0o644)
+        """A new file; raises FileExistsError."""
+        flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND
+        fd = os.open(self._path / name, flags, FILE_MODE)
         self._sync_directory()
-        return _DiskAppender(number, self._faults)
+        return _DiskAppender(fd, self._faults)
 
     def append(self, name: str, size: int) -> Appender:
-        number = os.open(self._path / name, os.O_WRONLY | os.O_APPEND)
-        os.ftruncate(number, size)
-        os.fsync(number)
-        return _DiskAppender(number, self._faults)
+        """An existing file, cut to a size."""
+        fd = os.open(self._path / name, os.O_WRONLY | os.O_APPEND)
+        os.ftruncate(fd, size)
+        os.fsync(fd)
+        return _DiskAppender(fd, self._faults)
 
     def write_atomically(self, name: str, data: bytes) -> None:
-        if name in self._patched:
-            os.close(self._patched.pop(name))
-        aside = self._path / f"{name}.aside"
-        number = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
+        """Write a whole file under a temporary name, sync it and rename it; raises OSError."""
+        self._close_overwritten(name)
+        temporary = self._path / f"{name}.aside"
+        fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
         try:
-            _DiskAppender(number, self._faults).write(data)
+            _DiskAppender(fd, self._faults).write(data)
             if self._faults is not None:
                 self._faults.sync()
-            os.fsync(number)
+            os.fsync(fd)
         finally:
-            os.close(number)
-        os.replace(aside, self._path / name)
+            os.close(fd)
+        os.replace(temporary, self._path / name)
         self._sync_directory()
 
-    def overwrite(self, name: str, at: int, data: bytes) -> None:
-        number = self._patched.get(name)
-        if number is None:
-            number = self._patched[name] = os.open(self._path / name, os.O_WRONLY)
+    def overwrite(self, name: str, offset: int, data: bytes) -> None:
+        """Put bytes over those at an offset of an existing file, and sync it; raises OSError."""
+        fd = self._overwritten.get(name)
+        if fd is None:
+            fd = self._overwritten[name] = os.open(self._path / name, os.O_WRONLY)
         if self._faults is not None:
             self._faults.write()
             self._faults.sync()
-        if os.pwrite(number, data, at) != len(data):
+        if os.pwrite(fd, data, offset) != len(data):
             raise OSError(errno.EIO, os.strerror(errno.EIO))
-        os.fdatasync(number)
+        os.fdatasync(fd)
 
     def remove(self, name: str) -> None:
-        if name in self._patched:
-            os.close(self._patched.pop(name))
+        """Remove a file."""
+        self._close_overwritten(name)
         os.unlink(self._path / name)
--- /dev/null
+++ b/martenstep/storage/log/errors.py
@@ -0,0 +1,16 @@
+"""Errors of a log."""
+
+from __future__ import annotations
+
+from martenstep.storage.errors import StorageError
+
+
+class LogError(StorageError):
+    """Damage: which file, at which offset, and what."""
+
+    def __init__(self, file: str, offset: int, text: str) -> None:
+        """`offset` is in bytes from the file's beginning."""
+        self.file = file
+        self.offset = offset
+        self.text = text
+        super().__init__(f"{file} at byte {offset}: {text}")
--- /dev/null
+++ b/martenstep/storage/log/snapshot.py
@@ -0,0 +1,67 @@
+"""The files of snapshots: `snap-<records in it, 16 hex digits>.snap`.
+
+A file holds `MSTEPSNP`, u32 version, u64 records, u32 CRC32C of the body, body.
+"""
+
+from __future__ import annotations
+
+import struct
+
+import google_crc32c
+
+from martenstep.storage.files import Files
+from martenstep.storage.log.errors import LogError
+
+MAGIC = b"MSTEPSNP"
+VERSION = 1
+HEADER = struct.Struct(">8sIQI")
+PREFIX = "snap-"
+SUFFIX = ".snap"
+
+
+def snapshot_name(records: int) -> str:
+    """The file of a snapshot."""
+    return f"{PREFIX}{records:016x}{SUFFIX}"
+
+
+def snapshots(files: Files) -> list[tuple[str, int]]:
+    """All snapshots by name and number of records, the newest first."""
+    found = [
+        (name, int(name.removeprefix(PREFIX).removesuffix(SUFFIX), 16))
+        for name in files.names()
+        if name.startswith(PREFIX) and name.endswith(SUFFIX)
+    ]
+    return sorted(found, key=lambda snapshot: -snapshot[1])
+
+
+def read_snapshot(files: Files, name: str) -> bytes:
+    """A snapshot's body; raises LogError."""
+    data = files.read(name)
+    if len(data) < HEADER.size:
+        raise LogError(name, 0, "shorter than its header")
+    magic, version, _, checksum = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
+    if magic != MAGIC or version != VERSION:
+        raise LogError(name, 0, "not a snapshot of this version")
+    if google_crc32c.value(body) != checksum:
+        raise LogError(name, HEADER.size, "the checksum does not fit")
+    return body
+
+
+def write_snapshot(files: Files, records: int, body: bytes) -> None:
+    """Keep a snapshot, whole or not at all; raises OSError."""
+    header = HEADER.pack(MAGIC, VERSION, records, google_crc32c.value(body))
+    files.write_atomically(snapshot_name(records), header + body)
+
+
+def read_newest_snapshot(files: Files) -> tuple[bytes | None, int]:
+    """The body of the newest snapshot that is whole, and its records; None and 0 where there is none.
+
+    An older one, or the whole log, tells the same as one that is damaged.
+    """
+    for name, records in snapshots(files):
+        try:
+            return read_snapshot(files, name), records
+        except LogError:
+            continue
+    return None, 0
--- a/tests/counter_rig.py
+++ b/tests/counter_rig.py
@@ -110,13 +110,13 @@
         self._files[name] = _File()
         self._files[name].durable = data
 
-    def overwrite(self, name: str, at: int, data: bytes) -> None:
+    def overwrite(self, name: str, offset: int, data: bytes) -> None:
         file = self._files[name]
-        old = file.durable[at : at + len(data)]
-        assert len(old) == len(data) and at // SECTOR == (at + len(data) - 1) // SECTOR
+        old = file.durable[offset : offset + len(data)]
+        assert len(old) == len(data) and offset // SECTOR == (offset + len(data) - 1) // SECTOR
 
         def put(part: bytes) -> None:
-            file.durable = file.durable[:at] + part + file.durable[at + len(data) :]
+            file.durable = file.durable[:offset] + part + file.durable[offset + len(data) :]
 
         if self._step():
             put(self._rng.choice((old, data, bytes(len(data)))))
--- a/tests/test_counter_follow.py
+++ b/tests/test_counter_follow.py
@@ -245,7 +245,7 @@
             from martenstep.storage.log import segments
 
             [first] = segments(service.keeper.files)
-            service.keeper._writer._begin()
+            service.keeper._writer._begin_segment()
             service.keeper.files.remove(first.name)
             follower = Follower(tmp_path / "b")
             with pytest.raises(RefusedError, match="copy the directory first"):
--- a/tests/test_fault_counter.py
+++ b/tests/test_fault_counter.py
@@ -11,7 +11,7 @@
 
 from martenstep.counter.journal import Journal
 from martenstep.counter.log_inspection import each_try
-from martenstep.storage.files import DISK_FAULTS_VARIABLE
+from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
 from tests.socket_rig import run
 from tests.test_counter_service import Desk, served
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,7 +21,8 @@
 from martenstep.membership.member_table import State
 from martenstep.membership.transport import Membership
 from martenstep.proxy.admin import Admin, DoorCollector
-from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
+from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
+from martenstep.storage.files import Disk
 from tests.door_rig import DOOR
 from tests.socket_rig import run
 
--- a/tests/test_replication_host.py
+++ b/tests/test_replication_host.py
@@ -20,7 +20,8 @@
 from martenstep.replication.replica import Replica
 from martenstep.replication.replica_storage import ReplicaStorage
 from martenstep.replication.transport import Transport
-from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
+from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
+from martenstep.storage.files import Disk
 from tests.socket_rig import LONG_S, run
 
 KEYS = Keys([b"k" * 32])
