--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -6,7 +6,13 @@
 
 from martenstep.lab.explore import BreachError, Budget, Explorer
 from martenstep.replication.raft import RaftNode
-from tests.test_replication import AckNotDurable, AnyLog, Cuts, NoProof, VoteNotDurable
+from tests.raft_flaws import (
+    AcknowledgesBeforeDurable,
+    TruncatesOnOldMessage,
+    TrustsAnyDisk,
+    VotesBeforeDurable,
+    VotesForAnyLog,
+)
 
 ONE = Budget(timeouts=1, beats=0, commands=0, crashes=0, cuts=0)
 
@@ -46,11 +52,11 @@
 @pytest.mark.parametrize(
     ("flaw", "budget"),
     [
-        (VoteNotDurable, Budget(timeouts=2, beats=0, commands=0, crashes=1, cuts=0)),
-        (AckNotDurable, Budget(timeouts=2, beats=0, commands=1, crashes=1, cuts=0)),
-        (AnyLog, Budget(timeouts=2, beats=0, commands=1, crashes=0, cuts=0)),
-        (Cuts, Budget(timeouts=2, beats=1, commands=2, crashes=0, cuts=0)),
-        (NoProof, Budget(timeouts=2, beats=0, commands=1, crashes=0, old=1, cuts=0)),
+        (VotesBeforeDurable, Budget(timeouts=2, beats=0, commands=0, crashes=1, cuts=0)),
+        (AcknowledgesBeforeDurable, Budget(timeouts=2, beats=0, commands=1, crashes=1, cuts=0)),
+        (VotesForAnyLog, Budget(timeouts=2, beats=0, commands=1, crashes=0, cuts=0)),
+        (TruncatesOnOldMessage, Budget(timeouts=2, beats=1, commands=2, crashes=0, cuts=0)),
+        (TrustsAnyDisk, Budget(timeouts=2, beats=0, commands=1, crashes=0, old=1, cuts=0)),
     ],
 )
 def test_some_order_shows_a_flaw(flaw: type[RaftNode], budget: Budget) -> None:
--- a/tests/test_replication_store.py
+++ b/tests/test_replica_storage.py
@@ -1,4 +1,4 @@
-"""A copy's disk: what is read back after any crash, and what it can prove of itself."""
+"""A replica's disk: what is read back after any crash, and when it counts as verified."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return LogEntry(index, term, EntryKind.COMMAND, b"x" * size)
 
 
-def test_a_torn_mark_leaves_the_one_before_it_and_a_flipped_byte_too() -> None:
+def test_a_torn_witness_mark_leaves_the_one_before_it() -> None:
     older, newer = WitnessMark(4, 7, 10), WitnessMark(5, 7, 12)
     both = older.encode().ljust(WITNESS_SLOT_BYTES, b"\0") + newer.encode().ljust(WITNESS_SLOT_BYTES, b"\0")
     assert (
@@ -45,48 +45,48 @@
     )
 
 
-def opened(files: FaultFiles, witness: FaultFiles | None, seed: int = 1) -> ReplicaStorage:
+def open_storage(files: FaultFiles, witness: FaultFiles | None, seed: int = 1) -> ReplicaStorage:
     return ReplicaStorage(files, witness, random.Random(seed))
 
 
-def drawn(rng: random.Random, kept: PersistentState, ticket: int) -> DurableWrite:
-    """A write that a core could make next."""
-    last = kept.entries[-1].index if kept.entries else (kept.snapshot.index if kept.snapshot is not None else 0)
-    base = kept.snapshot.index if kept.snapshot is not None else 0
-    term, kind = kept.term + rng.randrange(2), rng.randrange(5)
+def draw_write(rng: random.Random, state: PersistentState, ticket: int) -> DurableWrite:
+    """A write that a Raft node could make next."""
+    last = state.entries[-1].index if state.entries else (state.snapshot.index if state.snapshot is not None else 0)
+    base = state.snapshot.index if state.snapshot is not None else 0
+    term, kind = state.term + rng.randrange(2), rng.randrange(5)
     if kind == 0:
         return DurableWrite(ticket, term, rng.randrange(4), LogPosition(rng.randrange(3), 1))
     if kind == 1 and last > base:
         cut = rng.randrange(base + 1, last + 1)
-        return DurableWrite(ticket, term, kept.voted_for, kept.log_floor, cut, (entry(cut, term),))
+        return DurableWrite(ticket, term, state.voted_for, state.log_floor, cut, (entry(cut, term),))
     if kind == 2 and last > base:
         index = rng.randrange(base + 1, last + 1)
         return DurableWrite(
             ticket,
             term,
-            kept.voted_for,
-            kept.log_floor,
+            state.voted_for,
+            state.log_floor,
             snapshot=Snapshot(index, term, Configuration((1, 2, 3)), b"s" * index),
         )
     count = rng.randrange(1, 4)
     return DurableWrite(
         ticket,
         term,
-        kept.voted_for,
-        kept.log_floor,
+        state.voted_for,
+        state.log_floor,
         None,
         tuple(entry(last + 1 + n, term, rng.choice((3, 50_000))) for n in range(count)),
     )
 
 
-def possible(kept: PersistentState, write: DurableWrite) -> list[PersistentState]:
-    """What a crash within a write may leave: any of its lines, in order, and its snapshot or not."""
-    made = [kept]
+def possible_states(state: PersistentState, write: DurableWrite) -> list[PersistentState]:
+    """What a crash within a write may leave: any of its records, in order, and its snapshot or not."""
+    made = [state]
     for line in encode_write(write):
         after = replace(made[-1], entries=list(made[-1].entries))
         apply_write(after, msgspec.msgpack.decode(line, type=WriteRecord))
         made.append(after)
-    whole = replace(kept, entries=list(kept.entries))
+    whole = replace(state, entries=list(state.entries))
     apply_write(whole, write)
     return [*made, whole]
 
@@ -95,19 +95,19 @@
 def test_what_was_durable_is_read_back_after_a_crash_at_any_step(seed: int) -> None:
     rng = random.Random(seed)
     files, witness = FaultFiles(seed), FaultFiles(seed + 1)
-    store = opened(files, witness)
+    storage = open_storage(files, witness)
     files.crash_at = files.steps + rng.randrange(1, 60)
-    allowed, first = [store.read_state()], store.replica_id
+    allowed, first = [storage.read_state()], storage.replica_id
     try:
         for ticket in range(1, 40):
-            write = drawn(rng, store.read_state(), ticket)
-            allowed = possible(store.read_state(), write)
-            store.write([write])
-            allowed = [store.read_state()]
+            write = draw_write(rng, storage.read_state(), ticket)
+            allowed = possible_states(storage.read_state(), write)
+            storage.write([write])
+            allowed = [storage.read_state()]
     except Crash:
         pass
     files.crash()
-    again = opened(files, witness)
+    again = open_storage(files, witness)
     assert again.replica_id == first and again.disk_verified
     assert again.read_state() in allowed
 
@@ -115,75 +115,75 @@
 def test_all_that_was_written_is_there_at_the_next_start() -> None:
     rng = random.Random(7)
     files, witness = FaultFiles(7), FaultFiles(8)
-    store = opened(files, witness)
+    storage = open_storage(files, witness)
     for ticket in range(1, 200):
-        store.write([drawn(rng, store.read_state(), ticket)])
+        storage.write([draw_write(rng, storage.read_state(), ticket)])
         if ticket % 20 == 0:
-            held = store.read_state()
+            held = storage.read_state()
             files.kill()
-            store = opened(files, witness)
-            assert store.read_state() == held and store.disk_verified
+            storage = open_storage(files, witness)
+            assert storage.read_state() == held and storage.disk_verified
 
 
-def test_a_disk_put_back_or_moved_cannot_prove_itself_and_neither_can_its_next_start() -> None:
+def test_a_disk_put_back_or_moved_is_not_verified_and_neither_is_its_next_start() -> None:
     import copy
 
     files, witness = FaultFiles(1), FaultFiles(2)
-    store = opened(files, witness)
-    store.write([DurableWrite(1, 1, 1, entries=(entry(1),))])
+    storage = open_storage(files, witness)
+    storage.write([DurableWrite(1, 1, 1, entries=(entry(1),))])
     old = copy.deepcopy(files)
-    store.write([DurableWrite(2, 2, 3, entries=(entry(2),))])
-    assert opened(copy.deepcopy(files), copy.deepcopy(witness)).disk_verified
-    back = opened(old, witness)
-    assert not back.disk_verified and back.replica_id == store.replica_id and WITNESS_FILE not in witness.names()
-    for ticket in range(3, 9):  # more lines than the witness ever knew of
+    storage.write([DurableWrite(2, 2, 3, entries=(entry(2),))])
+    assert open_storage(copy.deepcopy(files), copy.deepcopy(witness)).disk_verified
+    back = open_storage(old, witness)
+    assert not back.disk_verified and back.replica_id == storage.replica_id and WITNESS_FILE not in witness.names()
+    for ticket in range(3, 9):  # more records than the witness ever knew of
         back.write([DurableWrite(ticket, 2, 2)])
-    assert not opened(old, witness).disk_verified
-    again = opened(old, witness)
+    assert not open_storage(old, witness).disk_verified
+    again = open_storage(old, witness)
     again.confirm_disk()
-    assert opened(old, witness).disk_verified
-    assert not opened(old, FaultFiles(3)).disk_verified  # the machine was restarted: its memory is empty
-    assert not opened(old, None).disk_verified
+    assert open_storage(old, witness).disk_verified
+    assert not open_storage(old, FaultFiles(3)).disk_verified  # the machine was restarted: its memory is empty
+    assert not open_storage(old, None).disk_verified
 
 
-def test_an_empty_disk_is_another_and_a_log_without_its_identity_is_refused() -> None:
+def test_an_empty_disk_is_another_replica_and_a_log_without_its_identity_is_rejected() -> None:
     files, witness = FaultFiles(1), FaultFiles(2)
-    store = opened(files, witness)
-    assert store.disk_verified
-    store.write([DurableWrite(1, 1, 1)])
-    other = opened(FaultFiles(5), witness, seed=2)
-    assert other.replica_id != store.replica_id
+    storage = open_storage(files, witness)
+    assert storage.disk_verified
+    storage.write([DurableWrite(1, 1, 1)])
+    other = open_storage(FaultFiles(5), witness, seed=2)
+    assert other.replica_id != storage.replica_id
     del files._files[IDENTITY_FILE]
     with pytest.raises(ReplicaStorageError, match="empty the disk"):
-        opened(files, witness)
+        open_storage(files, witness)
 
 
-def test_damage_is_told_with_its_file() -> None:
+def test_damage_is_reported_with_its_file() -> None:
     files, witness = FaultFiles(1), FaultFiles(2)
-    store = opened(files, witness)
+    storage = open_storage(files, witness)
     for ticket in range(1, 6):
-        store.write([DurableWrite(ticket, ticket, 1)])
+        storage.write([DurableWrite(ticket, ticket, 1)])
     files.flip("seg-0000000000000000.log", 60)
     with pytest.raises(ReplicaStorageError, match="seg-0000000000000000"):
-        opened(files, witness)
+        open_storage(files, witness)
 
 
-def test_a_full_disk_is_told_and_nothing_is_marked() -> None:
+def test_a_full_disk_raises_and_the_witness_is_not_marked() -> None:
     files, witness = FaultFiles(1), FaultFiles(2)
-    store = opened(files, witness)
+    storage = open_storage(files, witness)
     files.fail_at = files.steps
     before = witness.read(WITNESS_FILE)
     with pytest.raises(OSError, match="space"):
-        store.write([DurableWrite(1, 1, 1)])
+        storage.write([DurableWrite(1, 1, 1)])
     assert witness.read(WITNESS_FILE) == before
 
 
-def test_writes_that_are_joined_make_the_same_of_a_disk() -> None:
+def test_coalesced_writes_make_the_same_state() -> None:
     joined = 0
     for seed in range(60):
         rng, apart, whole, writes = random.Random(seed), PersistentState(), PersistentState(), list[DurableWrite]()
         for ticket in range(1, 25):
-            writes.append(drawn(rng, apart, ticket))
+            writes.append(draw_write(rng, apart, ticket))
             apply_write(apart, writes[-1])
         told = [replace(write) for write in writes]
         for write in (made := coalesce_writes(writes)):
