--- /dev/null
+++ b/tests/test_pages.py
@@ -0,0 +1,35 @@
+"""The pages that lead a reader into the code name files that are there."""
+
+from __future__ import annotations
+
+import re
+from pathlib import Path
+
+import pytest
+
+from martenstep.config.generate import ROOT
+
+PAGES = ("docs/architecture.md", "docs/rules.md", "docs/glossary.md", "README.md")
+NAMED = re.compile(r"`((?:[a-z_0-9]+/)*[a-z_0-9*]+(?:\.py|/))`")
+ROOTS = (ROOT, ROOT / "martenstep", ROOT / "martenstep" / "proxy")
+
+
+def named_paths(page: str) -> list[str]:
+    """Modules and folders in back quotes on a page."""
+    return NAMED.findall((ROOT / page).read_text(encoding="utf-8"))
+
+
+def exists(name: str) -> bool:
+    """Whether a path, or a pattern, is found at the root, in the package or in the proxy."""
+    return any(any(root.glob(name.rstrip("/"))) for root in ROOTS)
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_each_file_that_a_page_names_is_there(page: str) -> None:
+    assert [name for name in named_paths(page) if not exists(name)] == []
+
+
+def test_the_architecture_page_names_every_package() -> None:
+    text = (ROOT / "docs/architecture.md").read_text(encoding="utf-8")
+    packages = [path.parent.name for path in Path(ROOT / "martenstep").glob("*/__init__.py")]
+    assert [name for name in packages if f"`{name}`" not in text] == []
