--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,8 @@
 from martenstep.membership.member import MemberState
 from martenstep.membership.service import MembershipService
 from martenstep.proxy.admin import AdminListener, GatewayCollector
-from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
+from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
+from martenstep.storage.files import Disk
 from tests.door_rig import DOOR
 from tests.socket_rig import run
 
