--- a/martenstep/auth/core.py
+++ b/martenstep/auth/core.py
@@ -223,7 +223,8 @@
 
     def _shed(self) -> None:
         """Where too many wait, shed the oldest of the group that waits most, so that one group's burst does not shed
-        the others' requests."""
+        the others' requests.
+        """
         while self._queued_requests.total > self._rules.waiting:
             self._end_without_verdict(self._queued_requests.oldest_of_largest_group(), Reason.SHED)
 
--- a/martenstep/discovery/endpoint_list.py
+++ b/martenstep/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""What the feed's client tells its host."""
+"""What the discovery client tells its host of the endpoint list."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 
 from martenstep.policy.messages import Endpoint, EndpointListScope
 
+Address = tuple[str, int]
+
 
 @dataclass(slots=True)
-class Listed:
-    """The feed told of servers; addresses are (host, port) by server id."""
+class EndpointListEvent:
+    """A list, a change of it, or the loss of its source; addresses are by endpoint id."""
 
     scope: EndpointListScope
-    servers: tuple[Endpoint, ...] = ()
-    addresses: dict[int, tuple[str, int]] = field(default_factory=dict)
+    endpoints: tuple[Endpoint, ...] = ()
+    addresses: dict[int, Address] = field(default_factory=dict)
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.discovery.endpoint_list import Listed
-from martenstep.discovery.feed import Follower
+from martenstep.discovery.endpoint_list import EndpointListEvent
+from martenstep.discovery.endpoint_list_state import EndpointListState
 from martenstep.lab.emulate.auth import EmuAuth
 from martenstep.lab.emulate.core import Sim, Timer
 from martenstep.lab.emulate.net import Network, Pipe, Place
@@ -121,7 +121,7 @@
         self.engine = make_engine(settings, seed)
         self._zones, self._subscribe = zones, subscribe
         self.alive, self.stopping = True, False
-        self.follower = Follower()
+        self.follower = EndpointListState()
         self.listening = False
         self._callers: dict[int, Caller] = {}
         self._tickets = 0
@@ -488,17 +488,21 @@
     def told(self, body: bytes) -> None:
         """The feed's answer."""
         if self.alive:
-            listed, _ = self.follower.take(body, self._sim.now)
+            listed, _ = self.follower.apply(body, self._sim.now)
             if listed is not None:
                 self.act(listed)
 
     def warm(self, body: bytes | None) -> None:
         """The list as last held."""
-        self.act(self.follower.warm(body, self._sim.now, self._sim.now) if body else Listed(EndpointListScope.CACHED))
+        self.act(
+            self.follower.restore(body, self._sim.now, self._sim.now)
+            if body
+            else EndpointListEvent(EndpointListScope.CACHED)
+        )
 
     def feed_lost(self) -> None:
         """The feed cannot be reached."""
-        self.act(Listed(EndpointListScope.LOST))
+        self.act(EndpointListEvent(EndpointListScope.LOST))
 
     # Life -----------------------------------------------------------------------------------------------
 
--- a/martenstep/lab/emulate/world.py
+++ b/martenstep/lab/emulate/world.py
@@ -261,7 +261,7 @@
         )
         door = LimitedDoor(self.day, self._central, *words) if self.day.limiter else EmuDoor(*words)
         self.doors[number] = door
-        door.warm(before.follower.copy(self.sim.now) if before is not None else None)
+        door.warm(before.follower.encode(self.sim.now) if before is not None else None)
 
     # Playing --------------------------------------------------------------------------------------------
 
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any, TextIO, TypeVar
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.node.config import (
     NOTHING_TAKEN,
     PASSING_ERRORS,
@@ -151,10 +151,10 @@
         # A service that all gateways share is not asked out of turn: what it has told by now is waited for.
         return self._discovery.unread
 
-    def _listed(self, listed: Listed) -> None:
+    def _listed(self, listed: EndpointListEvent) -> None:
         if listed.scope is EndpointListScope.FULL:
             self._first_list.set()
-        starts = {server.id: server.started_ms for server in listed.servers}
+        starts = {server.id: server.started_ms for server in listed.endpoints}
         concerned = starts if listed.scope is EndpointListScope.DELTA else self.engine.addresses
         before = {number: self.engine.addresses[number] for number in concerned if number in self.engine.addresses}
         started_before = {number: self._started.get(number, math.inf) for number in before}
@@ -184,7 +184,7 @@
         except DiscoveryError as error:
             self._event_logger.log("known list not taken up", {"error": str(error)})
             known = None
-        self.driver.handle(known if known is not None else Listed(EndpointListScope.CACHED))
+        self.driver.handle(known if known is not None else EndpointListEvent(EndpointListScope.CACHED))
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from martenstep.backoff import Backoff
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.event_log import EventLog
 from martenstep.node.config import ConfigError, address_of
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
@@ -203,13 +203,13 @@
         self.addresses: dict[int, tuple[str, int]] = {}
         self._servers: dict[int, Endpoint] = {}
 
-    def whole(self) -> Listed:
+    def whole(self) -> EndpointListEvent:
         """The list as told so far."""
-        return Listed(EndpointListScope.FULL, tuple(self._servers.values()), dict(self.addresses))
+        return EndpointListEvent(EndpointListScope.FULL, tuple(self._servers.values()), dict(self.addresses))
 
-    def doubted(self) -> Listed:
+    def doubted(self) -> EndpointListEvent:
         """The same where any of them may be draining: none takes anything new."""
-        return Listed(
+        return EndpointListEvent(
             EndpointListScope.DELTA,
             tuple(replace(server, state=EndpointState.DRAINING) for server in self._servers.values()),
             dict(self.addresses),
@@ -219,7 +219,7 @@
         """What to ask next; a watch may wait for so long."""
         return PATH if self.rev is None else f"{PATH}?after={self.rev}&wait_ms={wait_ms:.0f}"
 
-    def take(self, body: bytes) -> Listed | None:
+    def take(self, body: bytes) -> EndpointListEvent | None:
         """Take in an answer; gives what it tells, none where nothing changed.  Raises DiscoveryError."""
         try:
             told = json.loads(body)
@@ -227,7 +227,7 @@
             raise DiscoveryError(f"not JSON: {error}") from None
         return self.told(told)
 
-    def told(self, told: Any, scope: EndpointListScope | None = None) -> Listed | None:
+    def told(self, told: Any, scope: EndpointListScope | None = None) -> EndpointListEvent | None:
         """Take in a list that is read already; `scope` in place of its own, and then no watch goes on from it.
 
         Nothing of one that cannot be read to its end is taken in.
@@ -252,7 +252,9 @@
         servers = self._apply(entries, whole)
         self._starts.trim(self._numbers)
         told_of = {server.id: self.addresses[server.id] for server in servers if server.id in self.addresses}
-        return Listed(scope or (EndpointListScope.FULL if whole else EndpointListScope.DELTA), tuple(servers), told_of)
+        return EndpointListEvent(
+            scope or (EndpointListScope.FULL if whole else EndpointListScope.DELTA), tuple(servers), told_of
+        )
 
     def _apply(self, entries: list[_Entry], whole: bool) -> list[Endpoint]:
         """Take in entries that were all read.  The cost is that of the entries, not that of the fleet."""
@@ -306,7 +308,7 @@
         self,
         address: tuple[str, int],
         follower: Follower,
-        tell: Callable[[Listed], None],
+        tell: Callable[[EndpointListEvent], None],
         log_event: EventLog,
         timing: Timing = AGENT,
     ) -> None:
--- a/martenstep/policy/admission.py
+++ b/martenstep/policy/admission.py
@@ -107,7 +107,8 @@
         self, now: float, request: InFlightRequest, wait_ms: float, reason: RejectionReason
     ) -> list[Action]:
         """Reject with a Retry-After, unless the plan earns more over quota than it costs, the endpoints have capacity
-        to spare and the own headroom holds it: no other instance counts it."""
+        to spare and the own headroom holds it: no other instance counts it.
+        """
         customer = request.customer
         units = request.request.units
         gains_over_quota = customer.plan.over_quota_value > customer.plan.over_quota_cost
--- a/martenstep/policy/ceiling.py
+++ b/martenstep/policy/ceiling.py
@@ -63,7 +63,8 @@
 
     def begin_period(self, consecutive: bool) -> None:
         """Take in that a period began: until the previous one's end is read, `confirmed` counts as exhausted at the
-        turn, and at the previous one's start too where that is not known either."""
+        turn, and at the previous one's start too where that is not known either.
+        """
         start = self._period.start()
         exhausted_tat = max(start, self.exhausted_at) + self.confirmed.tolerance_ms
         self._previous_period_tat = self.confirmed.tat if consecutive else exhausted_tat - self._period.length_ms
--- a/martenstep/policy/quota.py
+++ b/martenstep/policy/quota.py
@@ -103,7 +103,8 @@
 
     def has_ample_quota(self, now: float, customer: CustomerState, units: float) -> bool:
         """Whether the last reading leaves so much of the quota that a call is better made for another customer, the
-        more so the more the counter is overloaded: the units are then gathered and reported afterwards."""
+        more so the more the counter is overloaded: the units are then gathered and reported afterwards.
+        """
         used_elsewhere = customer.others_rate * (now - customer.read_at) / MS_PER_S
         available = customer.quota.available_units(now) - used_elsewhere - units
         max_age_ms = MAX_READING_AGE_PERIODS * customer.period.length_ms
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING, Any
 
 from martenstep.config import door_pb2 as pb
-from martenstep.discovery.endpoint_list import Listed
-from martenstep.discovery.feed import Feed
+from martenstep.discovery.endpoint_list import EndpointListEvent
+from martenstep.discovery.feed import EndpointFeed
 from martenstep.hooks.releases import Shelf
 from martenstep.policy.messages import CallResult, EndpointListScope
 from martenstep.proxy.admin import AdminListener, GatewayCollector
@@ -50,7 +50,7 @@
         self._redis: RedisStore | None = None
         if settings.HasField("store"):
             self._redis = RedisStore(settings.store, self._counter_replied, settings.name, self._log_event)
-        self._feed = Feed(settings.members, settings.name, self._endpoints_updated, self._feed_problem, now_ms)
+        self._feed = EndpointFeed(settings.members, settings.name, self._endpoints_updated, self._feed_problem, now_ms)
         self._feed_task: asyncio.Task[None] | None = None
         self._admin = AdminListener(GatewayCollector(self.counts, self.gauges), lambda: self.ready)
         self.cluster = Cluster(settings, self._admin, lambda: self.ready, self._log_event)
@@ -78,7 +78,7 @@
         The listener comes last, or a socket that is bound already, so that the first request finds the endpoint list.
         """
         await self._load_hooks()
-        self.server.subscribe_endpoints = self._feed.listen
+        self.server.subscribe_endpoints = self._feed.subscribe
         if self._redis is not None:
             self._redis.start()
             self.server.add_to_counter = self._redis.add
@@ -86,7 +86,7 @@
             self._trace_exporter = Exporter(Path(self.settings.tracing.file), self.settings.name, wall_clock_ms, now_ms)
             self.server.export_trace = self._trace_exporter.take
         if self.settings.HasField("members"):
-            self._feed.warm()
+            self._feed.restore()
             self._feed_task = asyncio.create_task(self._feed.run())
             self._feed_task.add_done_callback(self._feed_ended)
         if self.settings.HasField("fleet"):
@@ -158,9 +158,9 @@
     def _deliver(self, pending: Try) -> bool:
         return self._usage_recorder is not None and self._usage_recorder.deliver(pending)
 
-    def _endpoints_updated(self, update: Listed) -> None:
+    def _endpoints_updated(self, update: EndpointListEvent) -> None:
         if update.scope is not EndpointListScope.DELTA:
-            self._log_event("members", {"scope": update.scope.value, "servers": len(update.servers)})
+            self._log_event("members", {"scope": update.scope.value, "servers": len(update.endpoints)})
         self.server.handle(update)
 
     def _feed_problem(self, event: str, text: str) -> None:
--- a/martenstep/proxy/engine/endpoints.py
+++ b/martenstep/proxy/engine/endpoints.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.policy.messages import EndpointListScope, EndpointState
 
 
@@ -19,26 +19,26 @@
         """Whether an endpoint accepts new requests."""
         return self._accepts_all or endpoint in self._accepting
 
-    def update_addresses(self, update: Listed) -> None:
+    def update_addresses(self, update: EndpointListEvent) -> None:
         """Take over the addresses of an update, before the policy learns of it."""
         self.addresses.update(update.addresses)
         if update.scope is EndpointListScope.FULL:
-            listed = {endpoint.id for endpoint in update.servers}
+            listed = {endpoint.id for endpoint in update.endpoints}
             self.addresses = {number: address for number, address in self.addresses.items() if number in listed}
 
-    def update_states(self, update: Listed) -> None:
+    def update_states(self, update: EndpointListEvent) -> None:
         """Take over the states of an update, once the policy knows of it."""
-        for endpoint in update.servers:  # one that is removed comes back under another number, if at all
+        for endpoint in update.endpoints:  # one that is removed comes back under another number, if at all
             if endpoint.state is EndpointState.REMOVED:
                 self.addresses.pop(endpoint.id, None)
         accepting = accepting_endpoints(update)
         if update.scope is EndpointListScope.DELTA:
-            self._accepting.difference_update(endpoint.id for endpoint in update.servers)
+            self._accepting.difference_update(endpoint.id for endpoint in update.endpoints)
             self._accepting |= accepting
         else:
             self._accepting = accepting
 
 
-def accepting_endpoints(update: Listed) -> set[int]:
+def accepting_endpoints(update: EndpointListEvent) -> set[int]:
     """The endpoints of an update that accept new requests."""
-    return {endpoint.id for endpoint in update.servers if endpoint.state is EndpointState.UP}
+    return {endpoint.id for endpoint in update.endpoints if endpoint.state is EndpointState.UP}
--- a/martenstep/proxy/engine/engine.py
+++ b/martenstep/proxy/engine/engine.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.policy import messages as api
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.dependencies import EngineDependencies
@@ -108,7 +108,7 @@
             ev.ResponseCompleted: self._attempts.response_completed,
             ev.AttemptFailed: self._attempts.failed,
             ev.CounterReplied: self._counter_calls.replied,
-            Listed: self._endpoints_updated,
+            EndpointListEvent: self._endpoints_updated,
             ev.Tick: self._tick,
         }
         if self._authorization is not None:
@@ -233,20 +233,20 @@
             self._state.actions.append(ev.LogEvent("clock stepped", {"shift_ms": round(event.shift_ms, 3)}))
         self._policy.submit(api.ClockStepped(event.shift_ms))
 
-    def _endpoints_updated(self, update: Listed) -> None:
+    def _endpoints_updated(self, update: EndpointListEvent) -> None:
         self._endpoints.update_addresses(update)
-        self._policy.submit(api.EndpointListUpdate(update.scope, update.servers))
+        self._policy.submit(api.EndpointListUpdate(update.scope, update.endpoints))
         self._endpoints.update_states(update)
         self._withdraw_attempts(update)
 
-    def _withdraw_attempts(self, update: Listed) -> None:
+    def _withdraw_attempts(self, update: EndpointListEvent) -> None:
         """Withdraw attempts that are not written yet to endpoints that no longer accept requests.
 
         Connecting may take longer than the grace period of an endpoint that drains.
         """
         accepting = accepting_endpoints(update)
         is_full = update.scope is api.EndpointListScope.FULL
-        changed = {endpoint.id for endpoint in update.servers}
+        changed = {endpoint.id for endpoint in update.endpoints}
         for request in self._state.requests:
             attempt = request.attempt
             if attempt is None or not attempt.open or attempt.written or attempt.endpoint in accepting:
--- a/martenstep/proxy/engine_messages.py
+++ b/martenstep/proxy/engine_messages.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from martenstep.discovery.endpoint_list import Listed as Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent as EndpointListEvent
 from martenstep.event_log import LogFields
 from martenstep.policy.messages import CallResult
 
@@ -158,7 +158,7 @@
     | ResponseCompleted
     | AttemptFailed
     | CounterReplied
-    | Listed
+    | EndpointListEvent
     | Tick
 )
 
--- a/tests/door_rig.py
+++ b/tests/door_rig.py
@@ -6,7 +6,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.loading import parse_door
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.hooks.releases import Shelf
 from martenstep.policy.messages import CallResult, Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy import engine_messages as ev
@@ -46,10 +46,10 @@
 
 def listed(
     *numbers: int, scope: EndpointListScope = EndpointListScope.FULL, state: EndpointState = EndpointState.UP
-) -> Listed:
+) -> EndpointListEvent:
     """Servers by number, in two zones."""
     servers = tuple(Endpoint(n, "a" if n % 2 else "b", "std", n % 2, state) for n in numbers)
-    return Listed(scope, servers, {n: ("127.0.0.1", 9000 + n) for n in numbers})
+    return EndpointListEvent(scope, servers, {n: ("127.0.0.1", 9000 + n) for n in numbers})
 
 
 class Rig:
--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -12,7 +12,7 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from typing import Any
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine_factory import make_engine, make_server
 from martenstep.proxy.server import ProxyServer
@@ -158,7 +158,9 @@
     numbers = [await back.start() for back in backs] + list(ports)
     servers = tuple(Endpoint(n, "a", "std", 0, EndpointState.UP) for n in range(1, len(numbers) + 1))
     driver.handle(
-        Listed(EndpointListScope.CACHED, servers, {n + 1: ("127.0.0.1", port) for n, port in enumerate(numbers)})
+        EndpointListEvent(
+            EndpointListScope.CACHED, servers, {n + 1: ("127.0.0.1", port) for n, port in enumerate(numbers)}
+        )
     )
     port = await driver.start()
     try:
--- a/tests/test_members.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The members feed: its client without sockets, and against the stand-in."""
+"""The client of the endpoint feed: without sockets, and against the stand-in."""
 
 from __future__ import annotations
 
@@ -12,8 +12,10 @@
 import pytest
 
 from martenstep.config import door_pb2 as pb
-from martenstep.discovery.endpoint_list import Listed
-from martenstep.discovery.feed import AGAIN_LEAST_MS, Feed, FeedError, Follower
+from martenstep.discovery.endpoint_list import EndpointListEvent
+from martenstep.discovery.endpoint_list_state import EndpointListState
+from martenstep.discovery.feed import MIN_RETRY_MS, EndpointFeed
+from martenstep.discovery.feed_protocol import FeedError
 from martenstep.policy.messages import EndpointListScope, EndpointState
 from martenstep.standins.base import Trace
 from martenstep.standins.feed import FeedServer
@@ -29,28 +31,28 @@
 
 
 def test_whole_lists_and_changes_in_order() -> None:
-    follower = Follower()
-    listed, _ = follower.take(answer(5, "full", entry(1), entry(2)), 100.0)
-    assert listed and listed.scope is EndpointListScope.FULL and [s.id for s in listed.servers] == [1, 2]
+    follower = EndpointListState()
+    listed, _ = follower.apply(answer(5, "full", entry(1), entry(2)), 100.0)
+    assert listed and listed.scope is EndpointListScope.FULL and [s.id for s in listed.endpoints] == [1, 2]
     assert listed.addresses[1] == ("127.0.0.1", 80)
-    listed, _ = follower.take(answer(6, "changes", entry(2, "draining")), 200.0)
-    assert listed and listed.scope is EndpointListScope.DELTA and listed.servers[0].state is EndpointState.DRAINING
-    assert follower.take(answer(6, "changes"), 300.0) == (None, [])  # the wait was over
+    listed, _ = follower.apply(answer(6, "changes", entry(2, "draining")), 200.0)
+    assert listed and listed.scope is EndpointListScope.DELTA and listed.endpoints[0].state is EndpointState.DRAINING
+    assert follower.apply(answer(6, "changes"), 300.0) == (None, [])  # the wait was over
     assert follower.index == 6
 
 
 def test_changes_without_their_list_are_turned_down() -> None:
     with pytest.raises(FeedError, match="without the list"):
-        Follower().take(answer(5, "changes", entry(1)), 0.0)
+        EndpointListState().apply(answer(5, "changes", entry(1)), 0.0)
 
 
 def test_an_index_that_goes_back_asks_for_the_whole_list() -> None:
-    follower = Follower()
-    follower.take(answer(50, "full", entry(1)), 0.0)
+    follower = EndpointListState()
+    follower.apply(answer(50, "full", entry(1)), 0.0)
     with pytest.raises(FeedError, match="went back"):
-        follower.take(answer(3, "changes", entry(2)), 0.0)
+        follower.apply(answer(3, "changes", entry(2)), 0.0)
     assert follower.index == 0
-    listed, _ = follower.take(answer(3, "full", entry(2)), 0.0)
+    listed, _ = follower.apply(answer(3, "full", entry(2)), 0.0)
     assert listed and follower.index == 3
 
 
@@ -59,56 +61,56 @@
     [b"", b"{}", b"[1]", b'{"index": "x"}', answer(1, "other"), answer(1, "full", {**entry(1), "state": "maybe"})],
 )
 def test_what_is_no_list_is_turned_down_and_the_old_one_stays(body: bytes) -> None:
-    follower = Follower()
-    follower.take(answer(5, "full", entry(1)), 0.0)
+    follower = EndpointListState()
+    follower.apply(answer(5, "full", entry(1)), 0.0)
     with pytest.raises(FeedError):
-        follower.take(body, 0.0)
+        follower.apply(body, 0.0)
     assert follower.index == 5
 
 
 def test_a_server_listed_twice_counts_once_and_is_told() -> None:
-    listed, odd = Follower().take(answer(1, "full", entry(1, port=80), entry(1, "draining", port=81)), 0.0)
-    assert listed and len(listed.servers) == 1 and listed.servers[0].state is EndpointState.DRAINING
+    listed, odd = EndpointListState().apply(answer(1, "full", entry(1, port=80), entry(1, "draining", port=81)), 0.0)
+    assert listed and len(listed.endpoints) == 1 and listed.endpoints[0].state is EndpointState.DRAINING
     assert listed.addresses == {1: ("127.0.0.1", 81)} and "listed twice" in odd[0]
 
 
 def test_a_start_is_reckoned_once_on_the_doors_clock() -> None:
-    follower = Follower()
-    first, _ = follower.take(answer(1, "full", entry(1, started=999_000.0)), 50_000.0)
-    assert first and first.servers[0].started_ms == 49_000.0
+    follower = EndpointListState()
+    first, _ = follower.apply(answer(1, "full", entry(1, started=999_000.0)), 50_000.0)
+    assert first and first.endpoints[0].started_ms == 49_000.0
     # Later answers come with another delay: the start must not move, or it would look like a restart.
-    again, _ = follower.take(answer(2, "full", entry(1, started=999_000.0), now=1_000_500.0), 50_900.0)
-    assert again and again.servers[0].started_ms == 49_000.0
-    fresh, _ = follower.take(answer(3, "changes", entry(1, started=1_000_600.0), now=1_000_700.0), 51_000.0)
-    assert fresh and fresh.servers[0].started_ms == 50_900.0
-    old, _ = follower.take(answer(4, "changes", entry(2)), 52_000.0)
-    assert old and old.servers[0].started_ms == 0.0  # long ago
+    again, _ = follower.apply(answer(2, "full", entry(1, started=999_000.0), now=1_000_500.0), 50_900.0)
+    assert again and again.endpoints[0].started_ms == 49_000.0
+    fresh, _ = follower.apply(answer(3, "changes", entry(1, started=1_000_600.0), now=1_000_700.0), 51_000.0)
+    assert fresh and fresh.endpoints[0].started_ms == 50_900.0
+    old, _ = follower.apply(answer(4, "changes", entry(2)), 52_000.0)
+    assert old and old.endpoints[0].started_ms == 0.0  # long ago
 
 
 def test_the_copy_is_the_list_as_last_held() -> None:
-    follower = Follower()
-    follower.take(answer(5, "full", entry(1, started=999_000.0), entry(2), entry(3)), 50_000.0)
-    follower.take(answer(6, "changes", entry(3, "gone"), entry(2, "draining")), 50_000.0)
-    fresh = Follower()
-    warm = fresh.warm(follower.copy(1_000_000.0), 10_000.0, 1_004_000.0)
-    assert warm.scope is EndpointListScope.CACHED and {s.id: s.state for s in warm.servers} == {
+    follower = EndpointListState()
+    follower.apply(answer(5, "full", entry(1, started=999_000.0), entry(2), entry(3)), 50_000.0)
+    follower.apply(answer(6, "changes", entry(3, "gone"), entry(2, "draining")), 50_000.0)
+    fresh = EndpointListState()
+    warm = fresh.restore(follower.encode(1_000_000.0), 10_000.0, 1_004_000.0)
+    assert warm.scope is EndpointListScope.CACHED and {s.id: s.state for s in warm.endpoints} == {
         1: EndpointState.UP,
         2: EndpointState.DRAINING,
     }
-    assert warm.servers[0].started_ms == 5_000.0 and fresh.index == 0  # the whole list is asked for
+    assert warm.endpoints[0].started_ms == 5_000.0 and fresh.index == 0  # the whole list is asked for
     with pytest.raises(FeedError):
-        fresh.warm(b"half a fi", 0.0, 0.0)
+        fresh.restore(b"half a fi", 0.0, 0.0)
 
 
 class Told:
     """What a door was told."""
 
     def __init__(self) -> None:
-        self.lists: list[Listed] = []
+        self.lists: list[EndpointListEvent] = []
         self.notes: list[str] = []
-        self.feed: Feed | None = None
+        self.feed: EndpointFeed | None = None
 
-    async def until(self, scope: EndpointListScope, count: int = 1) -> Listed:
+    async def until(self, scope: EndpointListScope, count: int = 1) -> EndpointListEvent:
         while True:
             found = [listed for listed in self.lists if listed.scope is scope]
             if len(found) >= count:
@@ -122,10 +124,12 @@
     port = await server.start()
     server.control("update", {"now": True, "servers": [entry(1), entry(2)]})
     members = pb.MembersFeed(port=port, wait_ms=wait_ms, warm_copy=str(tmp / "warm.json") if tmp else "")
-    feed = Feed(members, "door-0", told.lists.append, lambda what, text: told.notes.append(what), lambda: 5000.0)
+    feed = EndpointFeed(
+        members, "door-0", told.lists.append, lambda what, text: told.notes.append(what), lambda: 5000.0
+    )
     told.feed = feed
-    feed.warm()
-    feed.listen()
+    feed.restore()
+    feed.subscribe()
     task = asyncio.create_task(feed.run())
     try:
         yield server, told
@@ -138,11 +142,11 @@
 def test_the_feed_is_followed_over_changes_and_empty_waits(tmp_path: Path) -> None:
     async def test() -> None:
         async with followed(tmp_path, wait_ms=20.0) as (server, told):
-            assert told.lists[0].scope is EndpointListScope.CACHED and not told.lists[0].servers
-            assert len((await told.until(EndpointListScope.FULL)).servers) == 2
+            assert told.lists[0].scope is EndpointListScope.CACHED and not told.lists[0].endpoints
+            assert len((await told.until(EndpointListScope.FULL)).endpoints) == 2
             await asyncio.sleep(0.1)  # some waits pass with nothing to tell
             server.control("update", {"now": True, "servers": [entry(2, "draining"), entry(3)]})
-            assert [s.id for s in (await told.until(EndpointListScope.DELTA)).servers] == [2, 3]
+            assert [s.id for s in (await told.until(EndpointListScope.DELTA)).endpoints] == [2, 3]
             assert len(told.lists) == 3
             assert sorted(e["id"] for e in json.loads((tmp_path / "warm.json").read_bytes())["servers"]) == [1, 2, 3]
 
@@ -158,11 +162,11 @@
             server.control("update", {"now": True, "servers": [entry(9)]})
             await asyncio.sleep(0.3)  # several polls fail
             assert sum(listed.scope is EndpointListScope.LOST for listed in told.lists) == 1
-            assert told.feed is not None and told.feed.backoff.next_ms > AGAIN_LEAST_MS
+            assert told.feed is not None and told.feed.backoff.next_ms > MIN_RETRY_MS
             server.control("down", {"on": False})
-            assert [s.id for s in (await told.until(EndpointListScope.DELTA)).servers] == [9]
-            assert told.notes == ["feed lost", "feed back"]
-            assert told.feed.backoff.next_ms == AGAIN_LEAST_MS  # the next loss is as short as the first
+            assert [s.id for s in (await told.until(EndpointListScope.DELTA)).endpoints] == [9]
+            assert told.notes == ["endpoint feed lost", "endpoint feed recovered"]
+            assert told.feed.backoff.next_ms == MIN_RETRY_MS  # the next loss is as short as the first
 
     run(test())
 
@@ -172,9 +176,9 @@
         async with followed() as (server, told):
             await told.until(EndpointListScope.FULL)
             server.control("partial", {"share": 0.5})
-            assert len((await told.until(EndpointListScope.FULL, 2)).servers) == 1
+            assert len((await told.until(EndpointListScope.FULL, 2)).endpoints) == 1
             server.control("partial", {"share": 0.0})
-            assert len((await told.until(EndpointListScope.FULL, 3)).servers) == 2
+            assert len((await told.until(EndpointListScope.FULL, 3)).endpoints) == 2
 
     run(test())
 
@@ -183,7 +187,7 @@
     async def test() -> None:
         (tmp_path / "warm.json").write_text("{half")
         async with followed(tmp_path) as (_, told):
-            assert told.notes == ["warm copy unusable"] and not told.lists[0].servers
-            assert len((await told.until(EndpointListScope.FULL)).servers) == 2
+            assert told.notes == ["cached endpoint list unusable"] and not told.lists[0].endpoints
+            assert len((await told.until(EndpointListScope.FULL)).endpoints) == 2
 
     run(test())
--- a/tests/test_formats_discovery.py
+++ b/tests/test_formats_discovery.py
@@ -10,7 +10,8 @@
 from pathlib import Path
 
 from martenstep.config import door_pb2 as pb
-from martenstep.discovery.feed import Feed, Follower
+from martenstep.discovery.endpoint_list_state import EndpointListState
+from martenstep.discovery.feed import EndpointFeed
 from martenstep.policy.messages import EndpointListScope
 
 FORMATS = Path(__file__).parent / "formats" / "membership"
@@ -24,12 +25,12 @@
 
 def test_the_warm_copy_is_read_and_written_as_before() -> None:
     old = (FORMATS / "warm-copy.json").read_bytes()
-    follower = Follower()
-    follower.take(LIST, 10_000.0)
-    assert follower.copy(1_700_000_009_000.0) == old
-    warm = Follower().warm(old, 10_000.0, 1_700_000_009_000.0)
+    follower = EndpointListState()
+    follower.apply(LIST, 10_000.0)
+    assert follower.encode(1_700_000_009_000.0) == old
+    warm = EndpointListState().restore(old, 10_000.0, 1_700_000_009_000.0)
     assert warm.scope is EndpointListScope.CACHED and warm.addresses == {7: ("10.0.0.7", 8080), 8: ("::1", 1)}
-    first, second = warm.servers
+    first, second = warm.endpoints
     assert (first.id, first.zone, first.kind, first.cell, first.state.value) == (7, "a", "std", 3, "up")
     assert (first.started_ms, second.started_ms, second.state.value) == (1000.0, 0.0, "draining")
     assert (first.capacity, second.capacity) == (2.5, 1.0)
@@ -52,9 +53,9 @@
         port = server.sockets[0].getsockname()[1]
         copy = tmp_path / "warm.json"
         members = pb.MembersFeed(port=port, wait_ms=250.4, warm_copy=str(copy))
-        feed = Feed(members, "door-3", lambda listed: None, lambda what, text: None, lambda: 10_000.0)
-        feed.warm()
-        feed.listen()
+        feed = EndpointFeed(members, "door-3", lambda listed: None, lambda what, text: None, lambda: 10_000.0)
+        feed.restore()
+        feed.subscribe()
         task = asyncio.create_task(feed.run())
         async with asyncio.timeout(5):
             await done.wait()
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from unittest.mock import Mock
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.node.daemon import Node
 from martenstep.node.discovery import Follower
 from martenstep.policy import messages as api
@@ -55,9 +55,9 @@
     return lambda body: assert_taken(follower.take(body))
 
 
-def assert_taken(listed: Listed | None) -> None:
+def assert_taken(listed: EndpointListEvent | None) -> None:
     """A change was told."""
-    assert listed is not None and listed.scope is EndpointListScope.DELTA and len(listed.servers) == 1
+    assert listed is not None and listed.scope is EndpointListScope.DELTA and len(listed.endpoints) == 1
 
 
 def of_module(whole: bytes) -> Callable[[bytes], None]:
@@ -67,7 +67,7 @@
     def take(body: bytes) -> None:
         listed = follower.take(body)
         assert listed is not None
-        gateway.handle(0.0, api.EndpointListUpdate(listed.scope, listed.servers))
+        gateway.handle(0.0, api.EndpointListUpdate(listed.scope, listed.endpoints))
 
     take(whole)
     return take
@@ -82,7 +82,7 @@
     async def test() -> None:
         def of_node(whole: bytes) -> Callable[[bytes], None]:
             node, follower = Node(config(), Mock()), Follower()
-            node._listed(follower.take(whole) or Listed(EndpointListScope.FULL))
+            node._listed(follower.take(whole) or EndpointListEvent(EndpointListScope.FULL))
 
             def take(body: bytes) -> None:
                 listed = follower.take(body)
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.node.config import ConfigError, drain_plan_of, read_config
 from martenstep.node.protocol import Requests, make_dependencies
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
@@ -153,7 +153,9 @@
         engine = Engine(make_dependencies(made, requests), made.seed)
         engine.handle(
             0.0,
-            Listed(EndpointListScope.CACHED, (Endpoint(1, "north", "m", 0, EndpointState.UP),), {1: ("127.0.0.1", 1)}),
+            EndpointListEvent(
+                EndpointListScope.CACHED, (Endpoint(1, "north", "m", 0, EndpointState.UP),), {1: ("127.0.0.1", 1)}
+            ),
         )
         for number, plan in enumerate(made.settings.plans):
             head = request(number, X_Plan=plan.name).split("\r\n")[1:-2]
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.node import discovery
 from martenstep.node.discovery import (
     AGENT,
@@ -45,13 +45,13 @@
     assert follower.target() == "/catalog/members"
     listed = follower.take(told(4, True, target("s-b", 11), target("s-a", 12, boot_ms=NOW_MS - 7000)))
     assert listed is not None and listed.scope is EndpointListScope.FULL
-    first, second = listed.servers
+    first, second = listed.endpoints
     assert listed.addresses == {first.id: ("127.0.0.1", 11), second.id: ("127.0.0.1", 12)}
     assert (first.started_ms, second.started_ms) == (0.0, NOW_MS - 7000)
     assert "after=4&" in follower.target()
     listed = follower.take(told(5, False, target("s-a", 12, state="draining")))
     assert listed is not None and listed.scope is EndpointListScope.DELTA
-    assert [(server.id, server.state) for server in listed.servers] == [(second.id, EndpointState.DRAINING)]
+    assert [(server.id, server.state) for server in listed.endpoints] == [(second.id, EndpointState.DRAINING)]
     assert follower.take(told(5, False)) is None, "the wait was over"
 
 
@@ -59,11 +59,11 @@
     follower = Follower()
     listed = follower.take(told(1, True, target("s-a", 11)))
     assert listed is not None
-    old = listed.servers[0].id
+    old = listed.endpoints[0].id
     listed = follower.take(told(2, False, target("s-a", 11, state="gone"), target("s-n", 11)))
     assert listed is not None
-    assert [server.state for server in listed.servers] == [EndpointState.REMOVED, EndpointState.UP]
-    assert listed.servers[1].id != old and follower.addresses == {listed.servers[1].id: ("127.0.0.1", 11)}
+    assert [server.state for server in listed.endpoints] == [EndpointState.REMOVED, EndpointState.UP]
+    assert listed.endpoints[1].id != old and follower.addresses == {listed.endpoints[1].id: ("127.0.0.1", 11)}
 
 
 def test_who_has_gone_is_forgotten() -> None:
@@ -118,7 +118,7 @@
             await peer.rest()
 
         first, second = Back(agent), Back(other)
-        lists: list[Listed] = []
+        lists: list[EndpointListEvent] = []
         notes: list[str] = []
         made = Discovery(
             ("127.0.0.1", await first.start()), Follower(), lists.append, lambda event, fields: notes.append(event)
@@ -129,7 +129,7 @@
         assert asked[0] == "/catalog/members" and asked[1].startswith("/catalog/members?after=1&")
         assert asked[2] == "/catalog/members?after=1&wait_ms=0" and "discovery lost" in notes
         made.move(("127.0.0.1", await second.start()))
-        while all(listed.servers[0].id != 2 for listed in lists):
+        while all(listed.endpoints[0].id != 2 for listed in lists):
             await asyncio.sleep(0.001)
         made.stop()
         first.stop()
@@ -156,7 +156,7 @@
             await peer.rest()
 
         back = Back(agent)
-        lists: list[Listed] = []
+        lists: list[EndpointListEvent] = []
         made = Discovery(("127.0.0.1", await back.start()), Follower(), lists.append, lambda event, fields: None, SHORT)
         made.start()
         while len(lists) < 2:
@@ -194,7 +194,7 @@
         follower.take(body.encode())
     assert follower.addresses == {1: ("127.0.0.1", 11)} and follower.rev == 4
     listed = follower.take(told(5, False, target("s-n", 12)))
-    assert listed is not None and listed.servers[0].id == 2, "no number was spent on it"
+    assert listed is not None and listed.endpoints[0].id == 2, "no number was spent on it"
 
 
 def test_a_watch_that_goes_back_is_begun_anew() -> None:
@@ -211,7 +211,7 @@
     follower.take(told(1, True, target("s-a", 11)))
     listed = follower.take(told(2, False, target("s-a", 11, state="gone"), target("s-a", 12, boot_ms=5)))
     assert listed is not None
-    assert [(server.id, server.state) for server in listed.servers] == [
+    assert [(server.id, server.state) for server in listed.endpoints] == [
         (1, EndpointState.REMOVED),
         (2, EndpointState.UP),
     ]
@@ -230,15 +230,15 @@
 async def _followed(
     script: Callable[[Peer], Awaitable[None]],
     wanted: int,
-    tell: Callable[[Listed], None] | None = None,
+    tell: Callable[[EndpointListEvent], None] | None = None,
     timing: Timing = AGENT,
-) -> tuple[list[Listed], list[str]]:
+) -> tuple[list[EndpointListEvent], list[str]]:
     """What is told of an agent until so many lists have come, and what is noted."""
     back = Back(script)
-    lists: list[Listed] = []
+    lists: list[EndpointListEvent] = []
     notes: list[str] = []
 
-    def take(listed: Listed) -> None:
+    def take(listed: EndpointListEvent) -> None:
         lists.append(listed)
         if tell is not None:
             tell(listed)
@@ -272,7 +272,7 @@
 
     async def test() -> None:
         lists, notes = await _followed(agent, 2, timing=SHORT)
-        assert [[server.id for server in listed.servers] for listed in lists] == [[1], [1]]
+        assert [[server.id for server in listed.endpoints] for listed in lists] == [[1], [1]]
         watch = next(place for place, turn in enumerate(turns) if "after=1" in turn)
         assert watch >= 2 and set(turns[:watch]) == {"/catalog/members"}, "there was no list yet"
         assert turns[watch + 1] == "/catalog/members?after=1&wait_ms=0", "what changed since the list that there is"
@@ -312,7 +312,7 @@
         await peer.write(answer(told(1, True, target("s-a"))))
         await peer.rest()
 
-    def fails(listed: Listed) -> None:
+    def fails(listed: EndpointListEvent) -> None:
         if not failed:
             failed.append(1)
             raise AttributeError("nobody expected it")
@@ -345,7 +345,7 @@
             await peer.rest()
 
         first, second = Back(old), Back(new)
-        lists: list[Listed] = []
+        lists: list[EndpointListEvent] = []
         follower = Follower()
         made = Discovery(("127.0.0.1", await first.start()), follower, lists.append, lambda event, fields: None)
         elsewhere = ("127.0.0.1", await second.start())
@@ -413,7 +413,7 @@
         await peer.rest()
 
     async def test() -> None:
-        back, lists = Back(refuses), list[Listed]()
+        back, lists = Back(refuses), list[EndpointListEvent]()
         made = Discovery(
             ("127.0.0.1", await back.start()), Follower(), lists.append, lambda event, fields: None, SERVICE
         )
@@ -591,23 +591,23 @@
                 await peer.write(answer(told(2, False, target("s-c"))))
                 await peer.rest()
 
-    def take(listed: Listed) -> None:
+    def take(listed: EndpointListEvent) -> None:
         lists.append(listed)
         if len(lists) == 2:
             gate.set()
 
-    lists: list[Listed] = []
+    lists: list[EndpointListEvent] = []
 
     async def test() -> None:
         _, notes = await _followed(refuses, 3, take, Timing(0.0, 60_000.0, 60_000.0, 1500.0, 5.0, 5.0))
         first, doubted, again = lists
-        assert [server.state for server in first.servers] == [EndpointState.UP, EndpointState.DRAINING]
-        assert (doubted.scope, [server.state for server in doubted.servers]) == (
+        assert [server.state for server in first.endpoints] == [EndpointState.UP, EndpointState.DRAINING]
+        assert (doubted.scope, [server.state for server in doubted.endpoints]) == (
             EndpointListScope.DELTA,
             [EndpointState.DRAINING] * 2,
         )
         assert again.scope is EndpointListScope.FULL, "all of it, whatever the answer itself tells"
-        assert [server.state for server in again.servers] == [EndpointState.UP, EndpointState.DRAINING] + [
+        assert [server.state for server in again.endpoints] == [EndpointState.UP, EndpointState.DRAINING] + [
             EndpointState.UP
         ] * (ends != "held")
         assert notes == ["discovery lost", "list in doubt"] + ["discovery back"] * (ends != "held") + [
