--- a/martenstep/auth/core.py
+++ b/martenstep/auth/core.py
@@ -111,7 +111,7 @@
         """When `tick` is due; None where no timer is set."""
         return self._timers[0].at if self._timers else None
 
-    def ask(
+    def ask(  # noqa: PLR0913 - what a request brings, each of another type
         self,
         now: float,
         request_id: int,
@@ -222,8 +222,10 @@
         self._drop(request)
 
     def _shed(self) -> None:
-        """Where too many wait, shed the oldest of the group that waits most, so that one group's burst does not shed
-        the others' requests."""
+        """Shed the oldest of the group that waits most, where too many wait.
+
+        One group's burst does not shed the others' requests.
+        """
         while self._queued_requests.total > self._rules.waiting:
             self._end_without_verdict(self._queued_requests.oldest_of_largest_group(), Reason.SHED)
 
--- a/martenstep/policy/admission.py
+++ b/martenstep/policy/admission.py
@@ -106,8 +106,11 @@
     def _over_quota(
         self, now: float, request: InFlightRequest, wait_ms: float, reason: RejectionReason
     ) -> list[Action]:
-        """Reject with a Retry-After, unless the plan earns more over quota than it costs, the endpoints have capacity
-        to spare and the own headroom holds it: no other instance counts it."""
+        """Reject with a Retry-After, or forward over quota.
+
+        Forwarded is what earns the plan more than it costs, where endpoints have capacity to spare and the own headroom
+        holds it: no other instance counts it.
+        """
         customer = request.customer
         units = request.request.units
         gains_over_quota = customer.plan.over_quota_value > customer.plan.over_quota_cost
--- a/martenstep/policy/ceiling.py
+++ b/martenstep/policy/ceiling.py
@@ -62,8 +62,11 @@
         self.confirmed = Gcra(rate, plan.ceiling_burst + plan.ceiling_slack - headroom_units - late_units, now)
 
     def begin_period(self, consecutive: bool) -> None:
-        """Take in that a period began: until the previous one's end is read, `confirmed` counts as exhausted at the
-        turn, and at the previous one's start too where that is not known either."""
+        """Begin a period.
+
+        Until the previous one's end is read, `confirmed` counts as exhausted at the turn, and at the previous one's
+        start too where that is not known either.
+        """
         start = self._period.start()
         exhausted_tat = max(start, self.exhausted_at) + self.confirmed.tolerance_ms
         self._previous_period_tat = self.confirmed.tat if consecutive else exhausted_tat - self._period.length_ms
--- a/martenstep/policy/counter_calls.py
+++ b/martenstep/policy/counter_calls.py
@@ -71,9 +71,9 @@
         return self._rng.random() < self.probability - MIN_PROBABILITY
 
     def has_spare_capacity(self) -> bool:
-        """Whether the counter has capacity for a call that no request waits for, to take back units that were reported
-        and not sent; else they go with the customer's next call.
+        """Whether the counter has capacity for a call that no request waits for.
 
+        Such a call takes back units that were reported and not sent; else they go with the customer's next call.
         By chance, with odds by how far the counter is from a queue.  Harms a customer who comes no more within the
         period: its total stays high.
         """
--- a/martenstep/policy/quota.py
+++ b/martenstep/policy/quota.py
@@ -102,8 +102,10 @@
         return wait_ms if customer.unconfirmed_pays() else max(wait_ms, customer.quota.emission_interval_ms)
 
     def has_ample_quota(self, now: float, customer: CustomerState, units: float) -> bool:
-        """Whether the last reading leaves so much of the quota that a call is better made for another customer, the
-        more so the more the counter is overloaded: the units are then gathered and reported afterwards."""
+        """Whether the last reading leaves so much of the quota that a call is better made for another customer.
+
+        The more so the more the counter is overloaded; the units are then gathered and reported afterwards.
+        """
         used_elsewhere = customer.others_rate * (now - customer.read_at) / MS_PER_S
         available = customer.quota.available_units(now) - used_elsewhere - units
         max_age_ms = MAX_READING_AGE_PERIODS * customer.period.length_ms
--- a/martenstep/policy/send_rate.py
+++ b/martenstep/policy/send_rate.py
@@ -29,6 +29,8 @@
         return self._count * math.exp(-(now - self.last_at) / MEMORY_MS) / MEMORY_MS
 
     def unbiased_per_ms(self, now: float) -> float:
-        """Attempts per millisecond, without the lag of a fresh start: a restarted instance of few would else act for
-        its first seconds as one of hundreds."""
+        """Attempts per millisecond, without the lag of a fresh start.
+
+        A restarted instance of few would otherwise act for its first seconds as one of hundreds.
+        """
         return self.per_ms(now) / (1 - math.exp(-max(now - self._first_at, MS_PER_S) / MEMORY_MS))
