--- a/martenstep/discovery/endpoint_list_state.py
+++ b/martenstep/discovery/endpoint_list_state.py
@@ -48,18 +48,18 @@
         if not response.is_full and self.index == NO_INDEX:
             raise FeedError("changes without the list that they apply to")
         anomalies: list[str] = []
-        listed: dict[int, EndpointEntry] = {}
+        received: dict[int, EndpointEntry] = {}
         for entry in response.endpoints:
-            if entry.id in listed:
+            if entry.id in received:
                 anomalies.append(f"endpoint {entry.id} is listed twice: the last entry counts")
-            listed[entry.id] = entry
+            received[entry.id] = entry
         if response.is_full:
-            self._entries = dict(listed)
+            self._entries = dict(received)
         else:
-            self._entries.update(listed)
+            self._entries.update(received)
         self.index = response.index
         scope = EndpointListScope.FULL if response.is_full else EndpointListScope.DELTA
-        event = self._build_event(scope, listed, response.now_unix_ms, now, unseen_ms)
+        event = self._build_event(scope, received, response.now_unix_ms, now, unseen_ms)
         return FeedUpdate(event, anomalies)
 
     def _check_index(self, response: FeedResponse) -> None:
@@ -73,16 +73,16 @@
     def _build_event(
         self,
         scope: EndpointListScope,
-        listed: dict[int, EndpointEntry],
+        received: dict[int, EndpointEntry],
         now_unix_ms: float,
         now: float,
         unseen_ms: float = math.inf,
     ) -> EndpointListEvent:
-        endpoints = tuple(self._build_endpoint(entry, now_unix_ms, now, unseen_ms) for entry in listed.values())
+        endpoints = tuple(self._build_endpoint(entry, now_unix_ms, now, unseen_ms) for entry in received.values())
         for removed in [entry.id for entry in self._entries.values() if entry.state == "gone"]:
             del self._entries[removed]
         self._start_times.trim(self._entries)
-        addresses = {entry.id: (entry.host, entry.port) for entry in listed.values()}
+        addresses = {entry.id: (entry.host, entry.port) for entry in received.values()}
         return EndpointListEvent(scope, endpoints, addresses)
 
     def _build_endpoint(self, entry: EndpointEntry, now_unix_ms: float, now: float, unseen_ms: float) -> Endpoint:
--- a/martenstep/lab/fleet/baseline.py
+++ b/martenstep/lab/fleet/baseline.py
@@ -16,8 +16,8 @@
     Sender,
     cluster_hash,
     decode_message,
+    encode_datagram,
     open_datagram,
-    seal_datagram,
 )
 from martenstep.membership.errors import DropReason, ProtocolError
 from martenstep.membership.keyring import Keyring
@@ -58,7 +58,7 @@
         self._number += 1
         for to in self.settings.seeds:
             if to != self.record.address:
-                data = seal_datagram(
+                data = encode_datagram(
                     self.keys, self._cluster, DatagramHeader(self.record.boot_id, 0, self._number), message
                 )
                 self.counters["sent"] += 1
--- a/martenstep/membership/codec.py
+++ b/martenstep/membership/codec.py
@@ -175,7 +175,7 @@
     body: bytes
 
 
-def seal_datagram(keyring: Keyring, cluster: int, header: DatagramHeader, message: Message) -> bytes:
+def encode_datagram(keyring: Keyring, cluster: int, header: DatagramHeader, message: Message) -> bytes:
     """A message as it is sent."""
     data = HEADER.pack(MAGIC, VERSION, 0, cluster, *header) + _encoder.encode(message)
     return data + keyring.sign(data)
@@ -219,7 +219,7 @@
     return hashlib.sha256(header + server_nonce + client_nonce).digest()
 
 
-def seal_frame(keyring: Keyring, context: bytes, body: bytes) -> bytes:
+def encode_frame(keyring: Keyring, context: bytes, body: bytes) -> bytes:
     """A frame as it is sent."""
     return struct.pack(">I", len(body) + MAC_BYTES) + body + keyring.sign(context + body)
 
--- a/martenstep/membership/datagram_channel.py
+++ b/martenstep/membership/datagram_channel.py
@@ -16,8 +16,8 @@
     cluster_hash,
     decode_message,
     encode,
+    encode_datagram,
     open_datagram,
-    seal_datagram,
 )
 from martenstep.membership.errors import DropReason, ProtocolError
 from martenstep.membership.keyring import Keyring
@@ -56,7 +56,7 @@
         self._sent_number += 1
         target_boot_id = self.boot_id_at(to, boot_id)
         header = DatagramHeader(node.record.boot_id, target_boot_id, self._sent_number)
-        data = seal_datagram(self.keyring, self._cluster, header, message)
+        data = encode_datagram(self.keyring, self._cluster, header, message)
         node.counters["sent"] += 1
         node.counters["sent_bytes"] += len(data)
         node.actions.append(SendDatagram(to, data))
--- a/martenstep/membership/dissemination.py
+++ b/martenstep/membership/dissemination.py
@@ -40,8 +40,8 @@
                 self._left()
         if node.stage not in (Stage.JOINED, Stage.LEAVING) or not len(node.gossip_queue):
             return
-        peers = node.peers()
-        for record in node.rng.sample(peers, min(FANOUT, len(peers))):
+        members = node.present_members()
+        for record in node.rng.sample(members, min(FANOUT, len(members))):
             message = Gossip(node.sender, node.receiver_view(record.name), node.table.digest)
             self._channel.send_with_gossip(record.address, record.boot_id, record.name, message)
 
@@ -58,7 +58,7 @@
             return
         was_joined = node.stage is Stage.JOINED
         node.stage = Stage.LEAVING
-        if was_joined and node.peers():
+        if was_joined and node.present_members():
             node.announce(now, state=MemberState.LEFT)
         else:
             self._left()
--- a/martenstep/membership/exchange_dialer.py
+++ b/martenstep/membership/exchange_dialer.py
@@ -83,6 +83,6 @@
         ):
             return
         self._tables_differ = False
-        alive = [record for record in node.peers() if record.state is MemberState.ALIVE]
+        alive = [record for record in node.present_members() if record.state is MemberState.ALIVE]
         if alive:
             self.dial(now, node.rng.choice(alive).address, ExchangePurpose.RECONCILE)
--- a/martenstep/membership/exchange_stream.py
+++ b/martenstep/membership/exchange_stream.py
@@ -16,9 +16,9 @@
     MAX_FRAME_BYTES,
     VERSION,
     cluster_hash,
+    encode_frame,
     frame_context,
     open_frame,
-    seal_frame,
 )
 from martenstep.membership.errors import DropReason, ProtocolError
 from martenstep.membership.keyring import Keyring
@@ -64,7 +64,7 @@
             index = 0
             frame: bytes | None = body
             while frame is not None:
-                writer.write(self._seal(server_nonce, client_nonce, index, frame))
+                writer.write(self._encode_frame(server_nonce, client_nonce, index, frame))
                 answer = await self._read_frame(reader, server_nonce, client_nonce, index + 1)
                 frame = answered(answer)
                 index += 2
@@ -86,7 +86,7 @@
                 client_nonce = await reader.readexactly(NONCE_BYTES)
                 for index in CLIENT_FRAMES:
                     body = await self._read_frame(reader, server_nonce, client_nonce, index)
-                    writer.write(self._seal(server_nonce, client_nonce, index + 1, answer(body)))
+                    writer.write(self._encode_frame(server_nonce, client_nonce, index + 1, answer(body)))
                     await writer.drain()
         except STREAM_ERRORS:
             pass
@@ -94,8 +94,8 @@
             self._open_streams -= 1
             writer.close()
 
-    def _seal(self, server_nonce: bytes, client_nonce: bytes, index: int, body: bytes) -> bytes:
-        return seal_frame(self._keyring(), frame_context(self._cluster, server_nonce, client_nonce, index), body)
+    def _encode_frame(self, server_nonce: bytes, client_nonce: bytes, index: int, body: bytes) -> bytes:
+        return encode_frame(self._keyring(), frame_context(self._cluster, server_nonce, client_nonce, index), body)
 
     async def _read_frame(
         self, reader: asyncio.StreamReader, server_nonce: bytes, client_nonce: bytes, index: int
--- a/martenstep/membership/failure_detector.py
+++ b/martenstep/membership/failure_detector.py
@@ -115,7 +115,7 @@
         """From different zones as far as there are some: they see round a partition between two zones."""
         usable = [
             record
-            for record in self._node.peers()
+            for record in self._node.present_members()
             if record.state is MemberState.ALIVE and record.name != target.name and not record.receive_partitioned
         ]
         self._node.rng.shuffle(usable)
--- a/martenstep/membership/gossip_queue.py
+++ b/martenstep/membership/gossip_queue.py
@@ -23,35 +23,35 @@
     def __init__(self) -> None:
         """An empty queue."""
         self._tiers: list[dict[str, bytes]] = []  # by number of transmissions, in the order in which records came
-        self._tier_of: dict[str, int] = {}
+        self._tier_by_name: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._tier_of)
+        return len(self._tier_by_name)
 
     def __contains__(self, name: str) -> bool:
-        return name in self._tier_of
+        return name in self._tier_by_name
 
     def enqueue(self, record: MemberRecord) -> None:
         """Disseminate a record from now on."""
         self.discard(record.name)
-        self._place(record.name, 0, encode(record))
+        self._insert(record.name, 0, encode(record))
 
     def discard(self, name: str) -> None:
         """Disseminate the record of a name no more."""
-        tier = self._tier_of.pop(name, None)
+        tier = self._tier_by_name.pop(name, None)
         if tier is not None:
             del self._tiers[tier][name]
 
     def take(self, max_bytes: int, cluster_size: int) -> list[bytes]:
         """Encoded records for one datagram; each counts as transmitted once more."""
-        if not self._tier_of:
+        if not self._tier_by_name:
             return []
         max_transmissions = RETRANSMIT_MULTIPLIER * math.ceil(math.log10(cluster_size + 1))
         taken = self._select(max_bytes)
         for name, tier, data in taken:
             self.discard(name)
             if tier + 1 < max_transmissions:
-                self._place(name, tier + 1, data)
+                self._insert(name, tier + 1, data)
         return [transmission.data for transmission in taken]
 
     def _select(self, max_bytes: int) -> list[_Transmission]:
@@ -65,8 +65,8 @@
                 selected.append(_Transmission(name, tier, data))
         return selected
 
-    def _place(self, name: str, tier: int, data: bytes) -> None:
+    def _insert(self, name: str, tier: int, data: bytes) -> None:
         while len(self._tiers) <= tier:
             self._tiers.append({})
         self._tiers[tier][name] = data
-        self._tier_of[name] = tier
+        self._tier_by_name[name] = tier
--- a/martenstep/membership/local_node.py
+++ b/martenstep/membership/local_node.py
@@ -39,8 +39,8 @@
         self.no_judgement_until_ms = now  # after a pause: until what waits in the socket was read
         self.announced_at_ms = now  # when the own record last changed
         self.outdated_observers: set[str] = set()  # members heard in a row that hold an older own record
-        self._peers: list[MemberRecord] = []
-        self._peers_version = -1
+        self._present_members: list[MemberRecord] = []
+        self._present_version = -1
         self.table.put(now, record)
 
     def emit(self, kind: EventKind, member: str, **fields: str | int | float | bool) -> None:
@@ -79,12 +79,14 @@
         """Whether it has received nothing for so long that chance is no cause of it."""
         return now - self.last_received_ms > RECEIVE_TIMEOUT_INTERVALS * self.settings.probe_interval_ms
 
-    def peers(self) -> list[MemberRecord]:
-        """The other members that are present."""
-        if self._peers_version != self.table.version:
-            self._peers = [record for record in self.table if record.present and record.name != self.record.name]
-            self._peers_version = self.table.version
-        return self._peers
+    def present_members(self) -> list[MemberRecord]:
+        """The other members that are alive or suspect."""
+        if self._present_version != self.table.version:
+            self._present_members = [
+                record for record in self.table if record.present and record.name != self.record.name
+            ]
+            self._present_version = self.table.version
+        return self._present_members
 
     def receiver_view(self, name: str) -> ReceiverView | None:
         """How this node holds the receiver of a message."""
--- a/martenstep/membership/partition_detector.py
+++ b/martenstep/membership/partition_detector.py
@@ -38,7 +38,7 @@
     def check(self, now: float) -> None:
         """Judge this node, before it judges others."""
         node = self._node
-        if not node.peers() or node.stage is not Stage.JOINED:
+        if not node.present_members() or node.stage is not Stage.JOINED:
             return
         receive_partitioned = node.reports(SelfReport.RECEIVE_PARTITIONED)
         if not receive_partitioned and node.receives_nothing(now):
--- a/martenstep/membership/probe_round.py
+++ b/martenstep/membership/probe_round.py
@@ -30,7 +30,7 @@
             if shuffled:
                 return None
             shuffled = True
-            self.remaining = [record.name for record in node.peers()]
+            self.remaining = [record.name for record in node.present_members()]
             node.rng.shuffle(self.remaining)
 
     def _is_probed(self, now: float, record: MemberRecord) -> bool:
--- a/martenstep/membership/state_exchange.py
+++ b/martenstep/membership/state_exchange.py
@@ -159,9 +159,9 @@
         Others may have forgotten what this node still holds.  Danger: it would be disseminated as alive.
         """
         node = self._node
-        listed = {record.name for record in records} | {node.record.name}
+        known_names = {record.name for record in records} | {node.record.name}
         for record in list(node.table):
-            if record.name not in listed:
+            if record.name not in known_names:
                 node.table.remove(record.name)
                 self._suspicions.clear(record.name)
                 node.gossip_queue.discard(record.name)
--- a/tests/test_formats_membership.py
+++ b/tests/test_formats_membership.py
@@ -87,12 +87,12 @@
     cluster = wire.cluster_hash(CLUSTER)
     assert wire.encode(DATAGRAMS[kind]) == expected["body"]
     for place, key in enumerate(KEYS):
-        sealed = wire.seal_datagram(Keyring([key]), cluster, HEADER, DATAGRAMS[kind])
+        sealed = wire.encode_datagram(Keyring([key]), cluster, HEADER, DATAGRAMS[kind])
         assert sealed == expected[f"sealed by key {place}"]
         opened = wire.open_datagram(Keyring(KEYS), cluster, sealed)
         assert tuple(opened.header) == (SOURCE, TARGET, NUMBER)
         assert wire.decode_message(opened.body) == DATAGRAMS[kind]
-    assert wire.seal_datagram(Keyring(KEYS), cluster, HEADER, DATAGRAMS[kind]) == expected["sealed by key 0"]
+    assert wire.encode_datagram(Keyring(KEYS), cluster, HEADER, DATAGRAMS[kind]) == expected["sealed by key 0"]
 
 
 @pytest.mark.parametrize("kind", FRAMES)
@@ -103,7 +103,7 @@
     for place in range(4):
         context = wire.frame_context(wire.cluster_hash(CLUSTER), SERVER_DRAW, CLIENT_DRAW, place)
         for number, key in enumerate(KEYS):
-            sealed = wire.seal_frame(Keyring([key]), context, body)
+            sealed = wire.encode_frame(Keyring([key]), context, body)
             assert sealed == expected[f"place {place} by key {number}"]
             assert wire.open_frame(Keyring(KEYS), context, sealed[4:]) == body
 
@@ -271,7 +271,7 @@
         net.cores["10.0.0.1", 1].receive(net.now, data)
     net.cores["10.0.0.5", 1].receive(
         net.now,
-        wire.seal_datagram(
+        wire.encode_datagram(
             Keyring([KEYS[0]]), wire.cluster_hash(CLUSTER), wire.DatagramHeader(1, 2, 3), DATAGRAMS["ping"]
         ),
     )
