--- a/martenstep/policy/admission.py
+++ b/martenstep/policy/admission.py
@@ -67,9 +67,9 @@
         wait_ms = self._quota.unconfirmed_wait_ms(now, customer, request.request.units)
         reason = RejectionReason.UNCONFIRMED
         if not self._cluster.responds_quickly(now) and not self._cluster.is_half_open(now):
-            # What the counter has not confirmed goes first when capacity gets short: one in four is over quota, and
-            # they fill the endpoints for those inside.  Covers every overload; harms, mildly, where the counter is
-            # down and the endpoints are slow for a reason that fewer attempts do not mend.
+            # Unconfirmed requests are the first to be rejected when capacity gets short, as many of them are over
+            # quota and take the capacity of those within.  The cost: some needless rejections while the counter is
+            # down and the endpoints are slow for a reason that fewer attempts do not change.
             if wait_ms <= 0:
                 reason = RejectionReason.OVERLOAD
             wait_ms = max(wait_ms, customer.quota.emission_interval_ms)
@@ -143,7 +143,7 @@
         return actions
 
     def _decide_confirmed(self, now: float, request: InFlightRequest, units: float) -> list[Action]:
-        """Decide by the total that the counter has told, in which the request's units are already."""
+        """Decide by the total that the counter replied with, which includes the request's units."""
         customer = request.customer
         wait_ms = customer.quota.wait_ms(now, units)
         conforms = wait_ms <= 0
--- a/martenstep/policy/concurrency_limit.py
+++ b/martenstep/policy/concurrency_limit.py
@@ -39,16 +39,16 @@
         """Whether what responds at all does so quickly: what is lost then is lost for another reason.
 
         `randomness` is how far endpoints are chosen by chance, 0 to 1.  Queues differ much then, and the same mean
-        hides endpoints that are overloaded: it must be lower.  Covers slow, overloaded and uneven endpoints; harms
-        where all are slow but not full.
+        hides endpoints that are overloaded, so it must be lower.  The cost: where all endpoints are slow but not
+        overloaded, fewer attempts are admitted than they would bear.
         """
         return self.latency_share <= MAX_QUICK_LATENCY_SHARE * (1 - RANDOM_CHOICE_REDUCTION * randomness)
 
     def is_half_open(self, endpoints: int, idle_ms: float) -> bool:
         """Whether so little is in flight that nothing can be learnt without one more attempt.
 
-        By idle time alone it would stay so: one response in 2 s is chance, and `responds_quickly` asks more of it the
-        fewer attempts there are.
+        Idle time alone would not let the limit recover: one response in 2 s proves little, and `responds_quickly` asks
+        for a lower latency the fewer attempts there are.
         """
         few = self._rng.random() < HALF_OPEN_SHARE * (self._part(endpoints) + self._extra) - self.in_flight
         return few or idle_ms > HALF_OPEN_IDLE_MS
@@ -68,7 +68,7 @@
             self._extra += 1 / max(limit, 1.0)
 
     def record_timeout(self, endpoints: int, rtt_ms: float, objective_ms: float, randomness: float) -> None:
-        """Learn from an attempt without a response; it tells of load only where the others respond slowly."""
+        """Learn from an attempt without a response; it is a sign of load only where the others respond slowly."""
         if not self.responds_quickly(randomness):
             self._update_latency(rtt_ms, objective_ms)
             part = self._part(endpoints)
--- a/martenstep/policy/counter_calls.py
+++ b/martenstep/policy/counter_calls.py
@@ -9,7 +9,7 @@
 from martenstep.policy.messages import CallResult, CounterReply, Settings
 
 PROBABILITY_EWMA_WEIGHT = 0.12  # the probability of a call moves by about this part with each reply
-QUEUED_REPLY_SHARE = 0.25  # of the time-out: a reply that comes so much later than usual tells of a queue
+QUEUED_REPLY_SHARE = 0.25  # of the time-out: a reply that comes so much later than usual is a sign of a queue
 MIN_PROBABILITY = 0.05  # while no call is answered, so that a recovery is noticed
 MAX_PROBABILITY = 8.0  # above 1, so that requests of less than usual value are asked for too without a queue
 VALUE_EWMA_WEIGHT = 0.05
@@ -46,8 +46,9 @@
     def call_weight(self, now: float, customer: CustomerState, units: float) -> float:
         """How many requests the one that asks stands for; 0 for no call.
 
-        The odds follow what the reply is worth: a correct send where the request would else be rejected, or a wrong
-        one avoided.  Covers a counter that is overloaded, slow or down; harms where calls are slow for another reason.
+        The odds follow what the reply is worth: a correct send where the request would otherwise be rejected, or a
+        wrong one avoided.  They fall while the counter is overloaded, slow or down; the cost is needless caution where
+        its replies are slow for another reason.
         """
         sends_unconfirmed = customer.unconfirmed_pays() and customer.headroom_holds(now, units)
         conforming = min(max(customer.conforming_share, 1 - MAX_CERTAINTY), MAX_CERTAINTY)
@@ -74,7 +75,7 @@
         """Whether the counter has capacity for a call that no request waits for, to take back units that were reported
         and not sent; else they go with the customer's next call.
 
-        By chance, with odds by how far the counter is from a queue.  Harms a customer who comes no more within the
-        period: its total stays high.
+        By chance, with odds by how far the counter is from a queue.  The cost: the total of a customer without another
+        request in the period stays too high.
         """
         return self._rng.random() < self.probability / MAX_PROBABILITY
--- a/martenstep/policy/customer_state.py
+++ b/martenstep/policy/customer_state.py
@@ -77,7 +77,7 @@
         self.period_total = 0.0  # last read under this period's key
         self.previous_period_total = 0.0  # and under the one before
         self.previous_period_unread = False  # the end of the previous period was not read
-        self.read_at = now  # when the counter last told of the others
+        self.read_at = now  # when a total was last read
         self.confirmed = False  # by a total of this period, or of the one before and this instance's own use since
         self._was_unconfirmed = False  # before the last reply
         self._renumbered = False  # the periods, by a step of the wall clock, and not read since
@@ -109,7 +109,7 @@
         self.conforming_share += CONFORMING_EWMA_WEIGHT * (conforms - self.conforming_share)
 
     def clock_stepped(self, clock_shift_ms: float, exhausted_at: float) -> None:
-        """Take in a step of the wall clock: what was read and called stands under keys that nobody uses any more.
+        """Take in a step of the wall clock: what was read and called stands under keys that are not used any longer.
 
         Until all instances have noticed, others add to the old keys; so the ceiling counts as exhausted until then.
         """
--- a/martenstep/policy/endpoint_stats.py
+++ b/martenstep/policy/endpoint_stats.py
@@ -98,7 +98,7 @@
     def expected_latency(self, now: float, default_latency_ms: float) -> tuple[float, float]:
         """Latency without a queue, and the queueing delay.
 
-        A measured queue fades, lest an endpoint be avoided for a queue that is long gone.
+        A measured queue fades, so that an endpoint is not avoided for a queue that is long gone.
         """
         base_ms = self.base_latency_ms
         if not base_ms:
@@ -107,7 +107,7 @@
         if queue_ms:
             decay_ms = max(MIN_QUEUE_DECAY_MS, QUEUE_DECAY_DELAYS * queue_ms)
             queue_ms *= math.exp((self.latency_updated_at - now) / decay_ms)
-        # What is in flight tells before it is answered, the oldest most, but for what later attempts overtook.
+        # Attempts in flight show a queue before they are answered, the oldest best; not those that later ones overtook.
         for started_at in self.in_flight.values():
             if started_at >= self.latest_answered_start:
                 return base_ms, max(queue_ms, now - started_at - base_ms)
--- a/martenstep/policy/load_balancing.py
+++ b/martenstep/policy/load_balancing.py
@@ -11,7 +11,7 @@
 from martenstep.policy.send_rate import SendRate
 from martenstep.policy.slow_start import SlowStart
 
-APERTURE_MS = 1500.0  # an instance keeps to as many endpoints as it sends to in this time: each tells so often
+APERTURE_MS = 1500.0  # an instance keeps to as many endpoints as it sends to in this time: so often it hears of each
 MIN_APERTURE = 3.0  # with two, one that is overloaded leaves no choice
 INFORMATIVE_MS = 1000.0  # own attempts at an endpoint in this time tell of its queue, ...
 INFORMATIVE_ATTEMPTS = 1.0  # ... if there are so many; with fewer, chance decides
@@ -27,10 +27,10 @@
 class LoadBalancer:
     """Picks endpoints within an aperture.
 
-    Of hundreds of instances that each use all endpoints none knows any, and all go on filling what is slow, overloaded
-    or lost.  So each keeps to few, in an order of its own; one that fails moves to the back.  Covers endpoints that
-    are slow, overloaded, silent or lost, and full connection tables; harms where the few that look healthy to many are
-    too few, which chance and rotation even out.  An instance that sends much uses all.
+    If each of hundreds of instances used all endpoints, none would measure any of them well, and all would go on
+    sending to those that are slow, overloaded or lost.  So each keeps to few, in an order of its own, and moves one
+    that fails to the back.  The cost: many instances may find the same few endpoints healthy, which chance and rotation
+    even out.  An instance that sends much uses all endpoints.
     """
 
     def __init__(
--- a/martenstep/policy/messages.py
+++ b/martenstep/policy/messages.py
@@ -243,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The response of a streamed class has begun; the attempt can not be retried any more."""
+    """The response of a streamed class has begun; the attempt cannot be retried any longer."""
 
     id: str
 
--- a/martenstep/policy/quota.py
+++ b/martenstep/policy/quota.py
@@ -88,10 +88,10 @@
         return max(customer.quota.available_units(now), 0.0)
 
     def unconfirmed_wait_ms(self, now: float, customer: CustomerState, units: float) -> float:
-        """How long until a request conforms without the counter's word, by the own share of the quota.
+        """How long until a request conforms without a reply of the counter, by the own share of the quota.
 
         While the counter replies, a share of 1/sqrt of the instances holds by chance in place of the own share: few
-        that are within their quota come by one instance more often.
+        customers within their quota send more than that through one instance.
         """
         wait_ms = customer.quota.wait_ms(now, units) if customer.confirmed else 0.0
         share = customer.own_share()
--- a/martenstep/policy/timers.py
+++ b/martenstep/policy/timers.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class CounterReport:
-    """Report the units that were sent before the counter was told."""
+    """Report to the counter the units that were sent without it."""
 
     customer: CustomerState
 
