--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -17,9 +17,9 @@
 from martenstep.counter.replicated_counter import CopiedCounter
 from martenstep.counter.replicated_service import Bounds, CopiedService
 from martenstep.event_log import EventLog
-from martenstep.maintenance.coordinator import GROUP as ORDERS
-from martenstep.maintenance.queue import Book as OrderBook
-from martenstep.membership.transport import Membership
+from martenstep.maintenance.coordinator import QUEUE_GROUP
+from martenstep.maintenance.queue import MaintenanceQueue
+from martenstep.membership.service import MembershipService
 from martenstep.replication.replica import Replica
 from martenstep.replication.replica_manager import ReplicaManager
 from martenstep.replication.settings import BootstrapMember, ClusterNode, ReplicationSettings
@@ -36,7 +36,7 @@
 def holding(door: pb.Door) -> ReplicationSettings:
     """What the settings ask of each door."""
     copies = door.copies
-    more = (ORDERS,) if door.HasField("maintenance") else ()
+    more = (QUEUE_GROUP,) if door.HasField("maintenance") else ()
     return ReplicationSettings(
         slots(copies) + more,
         tuple(BootstrapMember(one.door, one.disk) for one in copies.founder),
@@ -51,7 +51,7 @@
     def __init__(
         self,
         door: pb.Door,
-        membership: Membership,
+        membership: MembershipService,
         log_event: EventLog,
         deliver: Callable[[Try], bool],
     ) -> None:
@@ -73,7 +73,7 @@
         self.links = Transport(
             door.fleet.cluster,
             door.name,
-            lambda: membership.keys,
+            lambda: membership.keyring,
             self._link_address,
             self.keeper.receive,
             self.keeper.report_unknown_replica,
@@ -97,9 +97,9 @@
         self.links.stop()
 
     @staticmethod
-    def _machine(group: str) -> CopiedCounter | Book | OrderBook:
-        if group == ORDERS:
-            return OrderBook()
+    def _machine(group: str) -> CopiedCounter | Book | MaintenanceQueue:
+        if group == QUEUE_GROUP:
+            return MaintenanceQueue()
         return Book() if is_book(group) else CopiedCounter()
 
     def _counter(self, group: str) -> Replica | None:
@@ -124,7 +124,7 @@
 
     def _link_address(self, place: str) -> Address | None:
         address = self._address(place, self._copies.port)
-        return self._membership.way(address) if address is not None else None
+        return self._membership.route(address) if address is not None else None
 
     def _where(self, group: str, copy: int | None) -> str | None:
         if copy is None:
--- a/martenstep/policy/counter_calls.py
+++ b/martenstep/policy/counter_calls.py
@@ -72,9 +72,9 @@
         return self._rng.random() < self.probability - MIN_PROBABILITY
 
     def has_spare_capacity(self) -> bool:
-        """Whether the counter has capacity for a call that no request waits for, to take back units that were reported
-        and not sent; else they go with the customer's next call.
+        """Whether the counter has capacity for a call that no request waits for.
 
+        Such a call takes back units that were reported and not sent; else they go with the customer's next call.
         By chance, with odds by how far the counter is from a queue.  The cost: the total of a customer without another
         request in the period stays too high.
         """
--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -1,6 +1,7 @@
 """The admin listener: health, readiness, metrics, membership, replicas and maintenance.
 
-For operators only: bind it to a host that clients don't reach."""
+For operators only: bind it to a host that clients don't reach.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +17,7 @@
 from prometheus_client.registry import Collector
 
 if TYPE_CHECKING:  # a gateway without maintenance does not load it
-    from martenstep.maintenance.queue import What
+    from martenstep.maintenance.commands import Command
 
 REQUEST_TIMEOUT_MS = 5000.0
 MAX_VIEW_WAIT_MS = 60_000.0
@@ -37,10 +38,10 @@
 class MembershipAdmin(Protocol):
     """What the listener asks of the membership."""
 
-    def view(self) -> dict[str, Any]:
-        """What this gateway knows of the others."""
+    def view(self) -> object:
+        """What this gateway knows of the others; encoded as JSON."""
 
-    async def newer(self, version: int, wait_s: float) -> None:
+    async def wait_newer(self, version: int, wait_s: float) -> None:
         """Wait until the view is newer."""
 
     async def leave(self) -> None:
@@ -60,10 +61,10 @@
 class MaintenanceAdmin(Protocol):
     """What the listener asks of the maintenance queue."""
 
-    async def tell(self, what: What) -> object:
+    async def submit(self, what: Command) -> object:
         """Submit a change."""
 
-    async def look(self) -> object:
+    async def fetch(self) -> object:
         """All of the queue."""
 
 
@@ -161,12 +162,11 @@
                 return _text(BAD_REQUEST, "after and wait_ms are numbers")
             if not 0 <= wait_ms <= MAX_VIEW_WAIT_MS:
                 return _text(BAD_REQUEST, f"wait_ms: expected 0 to {MAX_VIEW_WAIT_MS:.0f}")
-            await self.membership.newer(after, wait_ms / MS_PER_S)
+            await self.membership.wait_newer(after, wait_ms / MS_PER_S)
         return _json(self.membership.view())
 
     def _respond_replication(self, method: str, path: str, query: str) -> AdminResponse:
-        """`GET /copies`; `POST /copies/move?group=GROUP&to=GATEWAY` transfers the leadership of a group that is led
-        here."""
+        """`GET /copies`; `POST /copies/move?group=GROUP&to=GATEWAY` transfers the leadership of a group."""
         if self.replication is None:
             return _text(NOT_FOUND, "the settings have no copies")
         if path == "/copies/move":
@@ -186,14 +186,14 @@
             return _text(NOT_FOUND, "the settings have no maintenance")
         if path != "/maintenance":
             return _text(NOT_FOUND, "there is: /maintenance")
-        from martenstep.maintenance.queue import What
+        from martenstep.maintenance.commands import Command
         from martenstep.replication.errors import LeaderUnreachableError
 
         try:
             if method != "POST":
-                return _json(await self.maintenance.look())
-            what = msgspec.json.decode(parse_qs(query).get("what", [""])[-1], type=What)
-            return _json(await self.maintenance.tell(what))
+                return _json(await self.maintenance.fetch())
+            what = msgspec.json.decode(parse_qs(query).get("what", [""])[-1], type=Command)
+            return _json(await self.maintenance.submit(what))
         except msgspec.DecodeError as error:
             return _text(BAD_REQUEST, f"what: {error}")
         except LeaderUnreachableError as error:
--- a/martenstep/replication/transport.py
+++ b/martenstep/replication/transport.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from martenstep.backoff import Backoff
-from martenstep.membership.codec import Keys
+from martenstep.membership.keyring import Keyring
 from martenstep.replication.errors import FrameError
 from martenstep.replication.frames import (
     NONCE_BYTES,
@@ -76,7 +76,7 @@
         self,
         cluster: str,
         node: str,
-        keys: Callable[[], Keys],
+        keys: Callable[[], Keyring],
         find_address: Callable[[str], Address | None],
         on_node_message: Callable[[str, str, int, NodeMessage], None] = lambda node, group, replica, message: None,
         on_unknown_replica: Callable[[str, str, int, int], None] = lambda node, group, source, target: None,
