--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -30,69 +30,71 @@
     return json.dumps({"index": index, "scope": scope, "now_unix_ms": now, "servers": servers}).encode()
 
 
-def test_whole_lists_and_changes_in_order() -> None:
-    follower = EndpointListState()
-    listed, _ = follower.apply(answer(5, "full", entry(1), entry(2)), 100.0)
-    assert listed and listed.scope is EndpointListScope.FULL and [s.id for s in listed.endpoints] == [1, 2]
-    assert listed.addresses[1] == ("127.0.0.1", 80)
-    listed, _ = follower.apply(answer(6, "changes", entry(2, "draining")), 200.0)
-    assert listed and listed.scope is EndpointListScope.DELTA and listed.endpoints[0].state is EndpointState.DRAINING
-    assert follower.apply(answer(6, "changes"), 300.0) == (None, [])  # the wait was over
-    assert follower.index == 6
-
-
-def test_changes_without_their_list_are_turned_down() -> None:
+def test_full_lists_and_deltas_in_order() -> None:
+    state = EndpointListState()
+    event, _ = state.apply(answer(5, "full", entry(1), entry(2)), 100.0)
+    assert event and event.scope is EndpointListScope.FULL and [s.id for s in event.endpoints] == [1, 2]
+    assert event.addresses[1] == ("127.0.0.1", 80)
+    event, _ = state.apply(answer(6, "changes", entry(2, "draining")), 200.0)
+    assert event and event.scope is EndpointListScope.DELTA and event.endpoints[0].state is EndpointState.DRAINING
+    assert state.apply(answer(6, "changes"), 300.0) == (None, [])  # the wait was over
+    assert state.index == 6
+
+
+def test_a_delta_without_its_list_is_rejected() -> None:
     with pytest.raises(FeedError, match="without the list"):
         EndpointListState().apply(answer(5, "changes", entry(1)), 0.0)
 
 
 def test_an_index_that_goes_back_asks_for_the_whole_list() -> None:
-    follower = EndpointListState()
-    follower.apply(answer(50, "full", entry(1)), 0.0)
+    state = EndpointListState()
+    state.apply(answer(50, "full", entry(1)), 0.0)
     with pytest.raises(FeedError, match="went back"):
-        follower.apply(answer(3, "changes", entry(2)), 0.0)
-    assert follower.index == 0
-    listed, _ = follower.apply(answer(3, "full", entry(2)), 0.0)
-    assert listed and follower.index == 3
+        state.apply(answer(3, "changes", entry(2)), 0.0)
+    assert state.index == 0
+    event, _ = state.apply(answer(3, "full", entry(2)), 0.0)
+    assert event and state.index == 3
 
 
 @pytest.mark.parametrize(
     "body",
     [b"", b"{}", b"[1]", b'{"index": "x"}', answer(1, "other"), answer(1, "full", {**entry(1), "state": "maybe"})],
 )
-def test_what_is_no_list_is_turned_down_and_the_old_one_stays(body: bytes) -> None:
-    follower = EndpointListState()
-    follower.apply(answer(5, "full", entry(1)), 0.0)
+def test_an_invalid_list_is_rejected_and_the_old_one_stays(body: bytes) -> None:
+    state = EndpointListState()
+    state.apply(answer(5, "full", entry(1)), 0.0)
     with pytest.raises(FeedError):
-        follower.apply(body, 0.0)
-    assert follower.index == 5
+        state.apply(body, 0.0)
+    assert state.index == 5
 
 
-def test_a_server_listed_twice_counts_once_and_is_told() -> None:
-    listed, odd = EndpointListState().apply(answer(1, "full", entry(1, port=80), entry(1, "draining", port=81)), 0.0)
-    assert listed and len(listed.endpoints) == 1 and listed.endpoints[0].state is EndpointState.DRAINING
-    assert listed.addresses == {1: ("127.0.0.1", 81)} and "listed twice" in odd[0]
+def test_an_endpoint_listed_twice_counts_once_and_is_reported() -> None:
+    event, anomalies = EndpointListState().apply(
+        answer(1, "full", entry(1, port=80), entry(1, "draining", port=81)), 0.0
+    )
+    assert event and len(event.endpoints) == 1 and event.endpoints[0].state is EndpointState.DRAINING
+    assert event.addresses == {1: ("127.0.0.1", 81)} and "listed twice" in anomalies[0]
 
 
-def test_a_start_is_reckoned_once_on_the_doors_clock() -> None:
-    follower = EndpointListState()
-    first, _ = follower.apply(answer(1, "full", entry(1, started=999_000.0)), 50_000.0)
+def test_a_start_is_computed_once_on_the_instances_clock() -> None:
+    state = EndpointListState()
+    first, _ = state.apply(answer(1, "full", entry(1, started=999_000.0)), 50_000.0)
     assert first and first.endpoints[0].started_ms == 49_000.0
     # Later answers come with another delay: the start must not move, or it would look like a restart.
-    again, _ = follower.apply(answer(2, "full", entry(1, started=999_000.0), now=1_000_500.0), 50_900.0)
+    again, _ = state.apply(answer(2, "full", entry(1, started=999_000.0), now=1_000_500.0), 50_900.0)
     assert again and again.endpoints[0].started_ms == 49_000.0
-    fresh, _ = follower.apply(answer(3, "changes", entry(1, started=1_000_600.0), now=1_000_700.0), 51_000.0)
+    fresh, _ = state.apply(answer(3, "changes", entry(1, started=1_000_600.0), now=1_000_700.0), 51_000.0)
     assert fresh and fresh.endpoints[0].started_ms == 50_900.0
-    old, _ = follower.apply(answer(4, "changes", entry(2)), 52_000.0)
+    old, _ = state.apply(answer(4, "changes", entry(2)), 52_000.0)
     assert old and old.endpoints[0].started_ms == 0.0  # long ago
 
 
-def test_the_copy_is_the_list_as_last_held() -> None:
-    follower = EndpointListState()
-    follower.apply(answer(5, "full", entry(1, started=999_000.0), entry(2), entry(3)), 50_000.0)
-    follower.apply(answer(6, "changes", entry(3, "gone"), entry(2, "draining")), 50_000.0)
+def test_the_cached_list_is_the_list_as_last_known() -> None:
+    state = EndpointListState()
+    state.apply(answer(5, "full", entry(1, started=999_000.0), entry(2), entry(3)), 50_000.0)
+    state.apply(answer(6, "changes", entry(3, "gone"), entry(2, "draining")), 50_000.0)
     fresh = EndpointListState()
-    warm = fresh.restore(follower.encode(1_000_000.0), 10_000.0, 1_004_000.0)
+    warm = fresh.restore(state.encode(1_000_000.0), 10_000.0, 1_004_000.0)
     assert warm.scope is EndpointListScope.CACHED and {s.id: s.state for s in warm.endpoints} == {
         1: EndpointState.UP,
         2: EndpointState.DRAINING,
@@ -102,8 +104,8 @@
         fresh.restore(b"half a fi", 0.0, 0.0)
 
 
-class Told:
-    """What a door was told."""
+class RecordedEvents:
+    """What the client told its host."""
 
     def __init__(self) -> None:
         self.lists: list[EndpointListEvent] = []
@@ -112,27 +114,29 @@
 
     async def until(self, scope: EndpointListScope, count: int = 1) -> EndpointListEvent:
         while True:
-            found = [listed for listed in self.lists if listed.scope is scope]
+            found = [event for event in self.lists if event.scope is scope]
             if len(found) >= count:
                 return found[count - 1]
             await asyncio.sleep(0.002)
 
 
 @asynccontextmanager
-async def followed(tmp: Path | None = None, wait_ms: float = 30_000.0) -> AsyncIterator[tuple[FeedServer, Told]]:
-    server, told = FeedServer(Trace(None)), Told()
+async def followed(
+    tmp: Path | None = None, wait_ms: float = 30_000.0
+) -> AsyncIterator[tuple[FeedServer, RecordedEvents]]:
+    server, recorded = FeedServer(Trace(None)), RecordedEvents()
     port = await server.start()
     server.control("update", {"now": True, "servers": [entry(1), entry(2)]})
     members = pb.MembersFeed(port=port, wait_ms=wait_ms, warm_copy=str(tmp / "warm.json") if tmp else "")
     feed = EndpointFeed(
-        members, "door-0", told.lists.append, lambda what, text: told.notes.append(what), lambda: 5000.0
+        members, "door-0", recorded.lists.append, lambda what, text: recorded.notes.append(what), lambda: 5000.0
     )
-    told.feed = feed
+    recorded.feed = feed
     feed.restore()
     feed.subscribe()
     task = asyncio.create_task(feed.run())
     try:
-        yield server, told
+        yield server, recorded
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -141,53 +145,53 @@
 
 def test_the_feed_is_followed_over_changes_and_empty_waits(tmp_path: Path) -> None:
     async def test() -> None:
-        async with followed(tmp_path, wait_ms=20.0) as (server, told):
-            assert told.lists[0].scope is EndpointListScope.CACHED and not told.lists[0].endpoints
-            assert len((await told.until(EndpointListScope.FULL)).endpoints) == 2
+        async with followed(tmp_path, wait_ms=20.0) as (server, recorded):
+            assert recorded.lists[0].scope is EndpointListScope.CACHED and not recorded.lists[0].endpoints
+            assert len((await recorded.until(EndpointListScope.FULL)).endpoints) == 2
             await asyncio.sleep(0.1)  # some waits pass with nothing to tell
             server.control("update", {"now": True, "servers": [entry(2, "draining"), entry(3)]})
-            assert [s.id for s in (await told.until(EndpointListScope.DELTA)).endpoints] == [2, 3]
-            assert len(told.lists) == 3
+            assert [s.id for s in (await recorded.until(EndpointListScope.DELTA)).endpoints] == [2, 3]
+            assert len(recorded.lists) == 3
             assert sorted(e["id"] for e in json.loads((tmp_path / "warm.json").read_bytes())["servers"]) == [1, 2, 3]
 
     run(test())
 
 
-def test_a_lost_feed_is_told_once_and_found_again() -> None:
+def test_a_lost_feed_is_reported_once_and_recovers() -> None:
     async def test() -> None:
-        async with followed() as (server, told):
-            await told.until(EndpointListScope.FULL)
+        async with followed() as (server, recorded):
+            await recorded.until(EndpointListScope.FULL)
             server.control("down", {"on": True})
-            await told.until(EndpointListScope.LOST)
+            await recorded.until(EndpointListScope.LOST)
             server.control("update", {"now": True, "servers": [entry(9)]})
             await asyncio.sleep(0.3)  # several polls fail
-            assert sum(listed.scope is EndpointListScope.LOST for listed in told.lists) == 1
-            assert told.feed is not None and told.feed.backoff.next_ms > MIN_RETRY_MS
+            assert sum(event.scope is EndpointListScope.LOST for event in recorded.lists) == 1
+            assert recorded.feed is not None and recorded.feed.backoff.next_ms > MIN_RETRY_MS
             server.control("down", {"on": False})
-            assert [s.id for s in (await told.until(EndpointListScope.DELTA)).endpoints] == [9]
-            assert told.notes == ["endpoint feed lost", "endpoint feed recovered"]
-            assert told.feed.backoff.next_ms == MIN_RETRY_MS  # the next loss is as short as the first
+            assert [s.id for s in (await recorded.until(EndpointListScope.DELTA)).endpoints] == [9]
+            assert recorded.notes == ["endpoint feed lost", "endpoint feed recovered"]
+            assert recorded.feed.backoff.next_ms == MIN_RETRY_MS  # the next loss is as short as the first
 
     run(test())
 
 
-def test_a_partial_list_is_a_whole_one_that_lacks_servers() -> None:
+def test_a_partial_list_is_a_full_one_that_lacks_endpoints() -> None:
     async def test() -> None:
-        async with followed() as (server, told):
-            await told.until(EndpointListScope.FULL)
+        async with followed() as (server, recorded):
+            await recorded.until(EndpointListScope.FULL)
             server.control("partial", {"share": 0.5})
-            assert len((await told.until(EndpointListScope.FULL, 2)).endpoints) == 1
+            assert len((await recorded.until(EndpointListScope.FULL, 2)).endpoints) == 1
             server.control("partial", {"share": 0.0})
-            assert len((await told.until(EndpointListScope.FULL, 3)).endpoints) == 2
+            assert len((await recorded.until(EndpointListScope.FULL, 3)).endpoints) == 2
 
     run(test())
 
 
-def test_a_copy_that_cannot_be_read_is_told_and_left_aside(tmp_path: Path) -> None:
+def test_an_unreadable_cached_list_is_reported_and_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         (tmp_path / "warm.json").write_text("{half")
-        async with followed(tmp_path) as (_, told):
-            assert told.notes == ["cached endpoint list unusable"] and not told.lists[0].endpoints
-            assert len((await told.until(EndpointListScope.FULL)).endpoints) == 2
+        async with followed(tmp_path) as (_, recorded):
+            assert recorded.notes == ["cached endpoint list unusable"] and not recorded.lists[0].endpoints
+            assert len((await recorded.until(EndpointListScope.FULL)).endpoints) == 2
 
     run(test())
--- a/tests/test_explore_orders.py
+++ b/tests/test_explore_orders.py
@@ -1,4 +1,4 @@
-"""The order book in every order of events of small worlds, and flaws that some order shows."""
+"""The maintenance queue in every order of events of small worlds, and flaws that some order shows."""
 
 from __future__ import annotations
 
@@ -10,17 +10,22 @@
 from martenstep.maintenance.commands import CommandResult
 from martenstep.maintenance.model import MaintenanceRequest, RequestState
 from martenstep.maintenance.queue import MaintenanceQueue
-from tests.test_maintenance import DoneByAnybody, GivenUpAtOnce, LeaseFromAnswer, LeavesUnheard
+from tests.test_maintenance_queue import (
+    AbandonedDuringLease,
+    DrainsBeforeAnswer,
+    FinishedByAnybody,
+    LeaseFromAnswer,
+)
 
 
-class GivenUpUnseen(MaintenanceQueue):
-    """Flaw: who was given up counts as there, whoever looked."""
+class AbandonedUnobserved(MaintenanceQueue):
+    """Flaw: a machine whose request was abandoned counts as there, whoever observed it."""
 
-    def _abandon(self, held: MaintenanceRequest) -> CommandResult:
-        if held.state in (RequestState.OUT, RequestState.RECOVERING) and self.now_ms > held.lease_expires_ms:
-            self._end(held, "given up")
-            return CommandResult(True, "", held)
-        return CommandResult(False, "", held)
+    def _abandon(self, request: MaintenanceRequest) -> CommandResult:
+        if request.state in (RequestState.OUT, RequestState.RECOVERING) and self.now_ms > request.lease_expires_ms:
+            self._end(request, "given up")
+            return CommandResult(True, "", request)
+        return CommandResult(False, "", request)
 
 
 @pytest.mark.parametrize(
@@ -34,14 +39,14 @@
 @pytest.mark.parametrize(
     ("flaw", "budget"),
     [
-        (GivenUpAtOnce, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (GivenUpUnseen, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (DoneByAnybody, Budget(laps=1, crashes=0, losses=0, people=1)),
+        (AbandonedDuringLease, Budget(laps=1, crashes=0, losses=0, people=1)),
+        (AbandonedUnobserved, Budget(laps=1, crashes=0, losses=0, people=1)),
+        (FinishedByAnybody, Budget(laps=1, crashes=0, losses=0, people=1)),
         (LeaseFromAnswer, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (LeavesUnheard, Budget(laps=1, crashes=0, losses=0, people=0)),
+        (DrainsBeforeAnswer, Budget(laps=1, crashes=0, losses=0, people=0)),
     ],
 )
-def test_some_order_shows_a_flaw(flaw: Any, budget: Budget) -> None:
+def test_some_order_of_events_shows_a_flaw(flaw: Any, budget: Budget) -> None:
     explorer = Explorer(budget, book=flaw) if issubclass(flaw, MaintenanceQueue) else Explorer(budget, agent=flaw)
     with pytest.raises(BreachError, match=r"(away|leaves by).*, after: "):
         explorer.run(most=30_000)
--- a/tests/test_gossip_core.py
+++ b/tests/test_membership_core.py
@@ -1,4 +1,4 @@
-"""The membership core alone: sayings, seals, replays, and what a door does about its own faults."""
+"""The membership core alone: suspicions, signatures, replays, and what a member does about its own faults."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 SETTINGS = MembershipSettings("c", seeds=(("10.0.0.1", 1),))
 
 
-def fact(number: int, **changes: object) -> MemberRecord:
+def make_record(number: int, **changes: object) -> MemberRecord:
     made = MemberRecord(f"d{number}", 0, 100 + number, 1, MemberState.ALIVE, 1000 + number, f"10.0.0.{number}", 1, "z")
     return msgspec.structs.replace(made, **changes)
 
 
-class Net:
+class CoreNetwork:
     """A few cores whose datagrams and exchanges are carried by hand."""
 
     def __init__(self, number: int, settings: MembershipSettings = SETTINGS) -> None:
@@ -45,7 +45,7 @@
         self.cut: set[tuple[str, str]] = set()
         self.wire: list[tuple[str, SendDatagram]] = []
         for each in range(1, number + 1):
-            self.start(fact(each))
+            self.start(make_record(each))
 
     def start(self, me: MemberRecord, keys: Keyring | None = None) -> MembershipCore:
         core = MembershipCore(self.settings, me, keys or Keyring([KEY]), random.Random(me.boot_id), self.now)
@@ -65,10 +65,10 @@
                 else:
                     self.events.append((core.record.name, action))
 
-    def _exchange(self, core: MembershipCore, dial: OpenExchange) -> None:
+    def _exchange(self, core: MembershipCore, action: OpenExchange) -> None:
         body: bytes | None = core.open_exchange()
         while body is not None:
-            target = self.cores.get(dial.to)
+            target = self.cores.get(action.to)
             answer = None
             if (
                 target is not None
@@ -78,7 +78,7 @@
                     answer = target.serve_exchange(self.now, body)
                 except ProtocolError:
                     answer = None
-            body = core.continue_exchange(self.now, dial.token, answer)
+            body = core.continue_exchange(self.now, action.token, answer)
 
     def deliver(self) -> None:
         """All that is on its way."""
@@ -92,13 +92,13 @@
                 if target is not None and (source, target.record.name) not in self.cut:
                     target.receive(self.now, each.data)
 
-    def run(self, ms: float, asleep: frozenset[str] = frozenset()) -> None:
+    def run(self, ms: float, paused: frozenset[str] = frozenset()) -> None:
         """Let time pass in steps of 10 ms."""
         until = self.now + ms
         while self.now < until:
             self.now += 10.0
             for core in list(self.cores.values()):
-                if core.record.name not in asleep and core.next_due_ms <= self.now:
+                if core.record.name not in paused and core.next_due_ms <= self.now:
                     core.wake(self.now)
             self.deliver()
 
@@ -106,228 +106,230 @@
         return [(who, event.member) for who, event in self.events if event.kind == kind]
 
 
-def test_doors_find_each_other_and_agree() -> None:
-    net = Net(5)
-    net.run(4000)
-    assert {core.stage for core in net.cores.values()} == {Stage.JOINED}
-    assert {core.table.digest for core in net.cores.values()} == {net.core(1).table.digest}
-    assert all(core.table.present_count == 5 for core in net.cores.values())
+def test_members_find_each_other_and_converge() -> None:
+    network = CoreNetwork(5)
+    network.run(4000)
+    assert {core.stage for core in network.cores.values()} == {Stage.JOINED}
+    assert {core.table.digest for core in network.cores.values()} == {network.core(1).table.digest}
+    assert all(core.table.present_count == 5 for core in network.cores.values())
 
 
-def test_a_member_that_is_gone_is_told_dead_to_all_and_one_that_leaves_as_left() -> None:
-    net = Net(5)
-    net.run(4000)
-    del net.cores["10.0.0.4", 1]
-    net.core(5).leave(net.now)
-    net.run(9000)
+def test_a_failed_member_is_declared_dead_at_all_and_one_that_leaves_as_left() -> None:
+    network = CoreNetwork(5)
+    network.run(4000)
+    del network.cores["10.0.0.4", 1]
+    network.core(5).leave(network.now)
+    network.run(9000)
     for number in (1, 2, 3):
-        states = {each.name: each.state for each in net.core(number).table}
+        states = {each.name: each.state for each in network.core(number).table}
         assert states["d4"] is MemberState.DEAD and states["d5"] is MemberState.LEFT
-    assert ("d5", "d5") in net.kinds("gone")
-
-
-def test_one_that_stood_still_accuses_nobody_and_refutes_what_was_said_of_it() -> None:
-    net = Net(5)
-    net.run(4000)
-    asleep = net.cores.pop(("10.0.0.3", 1))
-    net.run(2000)
-    assert net.kinds("suspect")
-    net.cores["10.0.0.3", 1] = asleep
-    asleep.wake(net.now)
-    net.events.clear()
-    net.run(5000)
-    assert not net.kinds("suspect") and not net.kinds("dead")
-    assert asleep.counters["stood"] == 1 and asleep.record.incarnation > 1
-    assert all(each.state is MemberState.ALIVE for core in net.cores.values() for each in core.table)
-
-
-def test_a_suspicion_that_ran_out_while_a_door_stood_kills_nobody() -> None:
-    net = Net(5)
-    net.run(4000)
-    watcher = net.core(1)
+    assert ("d5", "d5") in network.kinds("gone")
+
+
+def test_a_paused_member_suspects_nobody_and_refutes_its_own_suspicion() -> None:
+    network = CoreNetwork(5)
+    network.run(4000)
+    paused = network.cores.pop(("10.0.0.3", 1))
+    network.run(2000)
+    assert network.kinds("suspect")
+    network.cores["10.0.0.3", 1] = paused
+    paused.wake(network.now)
+    network.events.clear()
+    network.run(5000)
+    assert not network.kinds("suspect") and not network.kinds("dead")
+    assert paused.counters["stood"] == 1 and paused.record.incarnation > 1
+    assert all(each.state is MemberState.ALIVE for core in network.cores.values() for each in core.table)
+
+
+def test_a_suspicion_that_expired_during_a_pause_declares_nobody_dead() -> None:
+    network = CoreNetwork(5)
+    network.run(4000)
+    watcher = network.core(1)
     accused = watcher.table.get("d3")
     assert accused is not None
-    watcher.merger.apply(net.now, accused.with_state(MemberState.SUSPECT, "d2"))
-    net.run(10)
-    held = net.cores.pop(("10.0.0.1", 1))
-    net.run(10)
-    net.wire.clear()
-    net.now += 60_000.0  # all of them stand, and d3's refutation waits in the socket
-    net.cores["10.0.0.1", 1] = held
-    for core in net.cores.values():
-        core.wake(net.now)
-    net.run(6000)
-    assert not net.kinds("dead")
-
-
-def test_a_deaf_door_says_so_accuses_nobody_and_is_not_called_dead() -> None:
-    net = Net(5)
-    net.run(4000)
-    net.cut = {(f"d{number}", "d3") for number in (1, 2, 4, 5)}
-    net.run(20_000)
-    assert net.core(3).receive_partitioned
-    assert ("d1", "d3") not in net.kinds("dead")
-    assert all(about == "d3" for _, about in net.kinds("suspect"))
-    net.cut.clear()
-    net.run(5000)
-    assert not net.core(3).receive_partitioned and all(core.table.present_count == 5 for core in net.cores.values())
-
-
-def test_a_door_that_nobody_hears_says_so_and_accuses_nobody() -> None:
-    net = Net(5)
-    net.run(4000)
-    net.cut = {("d3", f"d{number}") for number in (1, 2, 4, 5)}
-    net.run(25_000)
-    assert net.core(3).send_partitioned and not net.core(3).receive_partitioned
-    assert all(each.state is MemberState.ALIVE for each in net.core(3).table)
-    dead = net.core(1).table.get("d3")
+    watcher.merger.apply(network.now, accused.with_state(MemberState.SUSPECT, "d2"))
+    network.run(10)
+    held = network.cores.pop(("10.0.0.1", 1))
+    network.run(10)
+    network.wire.clear()
+    network.now += 60_000.0  # all of them stand, and d3's refutation waits in the socket
+    network.cores["10.0.0.1", 1] = held
+    for core in network.cores.values():
+        core.wake(network.now)
+    network.run(6000)
+    assert not network.kinds("dead")
+
+
+def test_a_receive_partitioned_member_reports_so_suspects_nobody_and_is_not_declared_dead() -> None:
+    network = CoreNetwork(5)
+    network.run(4000)
+    network.cut = {(f"d{number}", "d3") for number in (1, 2, 4, 5)}
+    network.run(20_000)
+    assert network.core(3).receive_partitioned
+    assert ("d1", "d3") not in network.kinds("dead")
+    assert all(about == "d3" for _, about in network.kinds("suspect"))
+    network.cut.clear()
+    network.run(5000)
+    assert not network.core(3).receive_partitioned and all(
+        core.table.present_count == 5 for core in network.cores.values()
+    )
+
+
+def test_a_send_partitioned_member_reports_so_and_suspects_nobody() -> None:
+    network = CoreNetwork(5)
+    network.run(4000)
+    network.cut = {("d3", f"d{number}") for number in (1, 2, 4, 5)}
+    network.run(25_000)
+    assert network.core(3).send_partitioned and not network.core(3).receive_partitioned
+    assert all(each.state is MemberState.ALIVE for each in network.core(3).table)
+    dead = network.core(1).table.get("d3")
     assert dead is not None and dead.state is MemberState.DEAD
-    net.cut.clear()
-    net.run(6000)
-    assert not net.core(3).send_partitioned and net.core(1).table.present_count == 5
-
-
-def test_a_name_that_runs_elsewhere_is_refused_and_its_holder_stays() -> None:
-    net = Net(4)
-    net.run(4000)
-    twin = net.start(fact(9, name="d3"))
-    net.run(6000)
-    assert twin.stage.value == "refused" and ("d3", "d3") in net.kinds("refused")
-    held = net.core(1).table.get("d3")
+    network.cut.clear()
+    network.run(6000)
+    assert not network.core(3).send_partitioned and network.core(1).table.present_count == 5
+
+
+def test_a_name_that_runs_elsewhere_is_rejected_and_its_owner_stays() -> None:
+    network = CoreNetwork(4)
+    network.run(4000)
+    twin = network.start(make_record(9, name="d3"))
+    network.run(6000)
+    assert twin.stage.value == "refused" and ("d3", "d3") in network.kinds("refused")
+    held = network.core(1).table.get("d3")
     assert held is not None and held.node_id == 103
-    del net.cores["10.0.0.3", 1]
-    net.run(25_000)  # the holder is dead: now the name is free
-    held = net.core(1).table.get("d3")
+    del network.cores["10.0.0.3", 1]
+    network.run(25_000)  # the holder is dead: now the name is free
+    held = network.core(1).table.get("d3")
     assert twin.joined
     assert held is not None and (held.node_id, held.epoch) == (109, 1)
 
 
-def test_one_that_came_just_now_is_asked_in_the_round_under_way() -> None:
-    """Emulated at 48 doors, one that died 2 s after it had joined was suspected after 3.1 s, and dead after 9.8."""
-    net = Net(5)
-    net.run(4000)
-    for core in net.cores.values():
+def test_a_member_that_just_joined_is_probed_in_the_round_under_way() -> None:
+    """Else one that died soon after it had joined would be probed by nobody for a whole round."""
+    network = CoreNetwork(5)
+    network.run(4000)
+    for core in network.cores.values():
         core.probe_round.remaining = ["d1", "d2"] * 50
-    net.start(fact(6))
-    net.run(1500)
-    others = [core for core in net.cores.values() if core.record.name != "d6"]
+    network.start(make_record(6))
+    network.run(1500)
+    others = [core for core in network.cores.values() if core.record.name != "d6"]
     assert all(core.table.present_count == 6 and "d6" in core.probe_round.remaining for core in others)
 
 
 def test_a_lost_disk_under_an_old_name_at_the_old_address_takes_it_over_at_once() -> None:
-    net = Net(4)
-    net.run(4000)
-    del net.cores["10.0.0.3", 1]
-    net.start(fact(3, node_id=555, boot_id=777))
-    net.run(1500)
-    held = net.core(1).table.get("d3")
+    network = CoreNetwork(4)
+    network.run(4000)
+    del network.cores["10.0.0.3", 1]
+    network.start(make_record(3, node_id=555, boot_id=777))
+    network.run(1500)
+    held = network.core(1).table.get("d3")
     assert held is not None and (held.node_id, held.boot_id, held.epoch) == (555, 777, 1)
-    assert ("d1", "d3") in net.kinds("replaced")
+    assert ("d1", "d3") in network.kinds("replaced")
 
 
 def test_a_name_taken_over_is_kept_through_the_next_start() -> None:
     """The era in which a new disk took the name over is not on that disk."""
-    net = Net(4)
-    net.run(4000)
-    del net.cores["10.0.0.2", 1]
-    net.run(30_000)
-    assert net.core(1).table.get("d2").state is MemberState.DEAD  # type: ignore[union-attr]
+    network = CoreNetwork(4)
+    network.run(4000)
+    del network.cores["10.0.0.2", 1]
+    network.run(30_000)
+    assert network.core(1).table.get("d2").state is MemberState.DEAD  # type: ignore[union-attr]
     for life, starts in ((91, 1), (92, 2), (93, 3)):
-        net.start(fact(2, node_id=999, boot_id=life, incarnation=starts))
-        net.run(3000)
-        held = [core.table.get("d2") for core in net.cores.values() if core.record.name != "d2"]
+        network.start(make_record(2, node_id=999, boot_id=life, incarnation=starts))
+        network.run(3000)
+        held = [core.table.get("d2") for core in network.cores.values() if core.record.name != "d2"]
         assert all(one is not None and one.present and (one.boot_id, one.epoch) == (life, 1) for one in held), held
-        assert net.core(2).stage is Stage.JOINED and net.core(2).record.epoch == 1
+        assert network.core(2).stage is Stage.JOINED and network.core(2).record.epoch == 1
 
 
-def test_one_that_is_met_before_it_asked_still_stands_above_what_is_said_of_its_name() -> None:
+def test_a_member_whose_exchange_another_opens_still_supersedes_claims_of_its_name() -> None:
     """Another door that holds its name for gone opens the first exchange."""
-    net = Net(3)
-    net.run(4000)
-    del net.cores["10.0.0.2", 1]
-    net.run(30_000)
-    newcomer = net.start(fact(2, node_id=5, boot_id=91))  # below the one that was there, in the same era
-    net.core(3).dialer.dial(net.now, newcomer.record.address, ExchangePurpose.RECONNECT)
-    net.collect()
+    network = CoreNetwork(3)
+    network.run(4000)
+    del network.cores["10.0.0.2", 1]
+    network.run(30_000)
+    newcomer = network.start(make_record(2, node_id=5, boot_id=91))  # below the one that was there, in the same era
+    network.core(3).dialer.dial(network.now, newcomer.record.address, ExchangePurpose.RECONNECT)
+    network.collect()
     assert newcomer.stage is Stage.JOINED
-    net.run(20_000)
+    network.run(20_000)
     for number in (1, 3):
-        held = net.core(number).table.get("d2")
+        held = network.core(number).table.get("d2")
         assert held is not None and held.present and held.boot_id == 91, held
 
 
-def test_an_old_disk_comes_back_above_what_is_known_of_it() -> None:
-    net = Net(4)
-    net.run(4000)
-    net.core(3).node.announce(net.now, incarnation=9)
-    net.run(2000)
-    del net.cores["10.0.0.3", 1]
-    net.start(fact(3, incarnation=2, boot_id=888))
-    net.run(2000)
-    held = net.core(1).table.get("d3")
+def test_a_restored_disk_comes_back_above_what_is_known_of_it() -> None:
+    network = CoreNetwork(4)
+    network.run(4000)
+    network.core(3).node.announce(network.now, incarnation=9)
+    network.run(2000)
+    del network.cores["10.0.0.3", 1]
+    network.start(make_record(3, incarnation=2, boot_id=888))
+    network.run(2000)
+    held = network.core(1).table.get("d3")
     assert held is not None and held.boot_id == 888 and held.incarnation == 10
 
 
-def test_a_restarted_receiver_is_reached_though_its_life_is_not_known() -> None:
-    net = Net(3)
-    net.run(4000)
-    core = net.core(2)
+def test_a_restarted_receiver_is_reached_though_its_boot_id_is_not_known() -> None:
+    network = CoreNetwork(3)
+    network.run(4000)
+    core = network.core(2)
     again = MembershipCore(
-        SETTINGS, msgspec.structs.replace(core.record, boot_id=4242), Keyring([KEY]), random.Random(1), net.now
+        SETTINGS, msgspec.structs.replace(core.record, boot_id=4242), Keyring([KEY]), random.Random(1), network.now
     )
     again.node.stage = Stage.JOINED
     for each in core.table:
         if each.name != "d2":
-            again.table.put(net.now, each)
-    net.cores["10.0.0.2", 1] = again
-    net.run(3000)
-    assert again.counters["dropped_life"] and not net.kinds("dead")
+            again.table.put(network.now, each)
+    network.cores["10.0.0.2", 1] = again
+    network.run(3000)
+    assert again.counters["dropped_life"] and not network.kinds("dead")
     assert again.counters["received"]
 
 
-def test_views_that_differ_in_silence_are_made_the_same_by_an_exchange() -> None:
-    net = Net(4)
-    net.run(4000)
-    net.core(1).table.put(net.now, fact(8, state=MemberState.LEFT))  # without a word to others
-    net.run(20_000)
-    assert all(core.table.get("d8") is not None for core in net.cores.values())
+def test_tables_that_differ_without_gossip_converge_by_an_exchange() -> None:
+    network = CoreNetwork(4)
+    network.run(4000)
+    network.core(1).table.put(network.now, make_record(8, state=MemberState.LEFT))  # without a word to others
+    network.run(20_000)
+    assert all(core.table.get("d8") is not None for core in network.cores.values())
 
 
 def test_replays_and_forged_datagrams_change_nothing() -> None:
-    net = Net(3)
-    net.run(4000)
-    core = net.core(1)
-    net.collect()
-    kept: list[SendDatagram] = []
+    network = CoreNetwork(3)
+    network.run(4000)
+    core = network.core(1)
+    network.collect()
+    captured: list[SendDatagram] = []
     for _ in range(300):
-        net.now += 10
-        for each in net.cores.values():
-            if each.next_due_ms <= net.now:
-                each.wake(net.now)
-        net.collect()
-        kept += [each for _, each in net.wire if each.to == core.record.address]
-        net.deliver()
-    assert kept
+        network.now += 10
+        for each in network.cores.values():
+            if each.next_due_ms <= network.now:
+                each.wake(network.now)
+        network.collect()
+        captured += [each for _, each in network.wire if each.to == core.record.address]
+        network.deliver()
+    assert captured
     before = core.table.digest, core.table.version, len(core.channel.replay_windows)
-    for old in kept:
-        core.receive(net.now, old.data)
-    assert core.counters["dropped_replay"] == len(kept)
-    spoilt = bytearray(kept[0].data)
+    for old in captured:
+        core.receive(network.now, old.data)
+    assert core.counters["dropped_replay"] == len(captured)
+    spoilt = bytearray(captured[0].data)
     spoilt[40] ^= 1
-    core.receive(net.now, bytes(spoilt))
+    core.receive(network.now, bytes(spoilt))
     assert core.counters["dropped_mac"] == 1
-    restarted = MembershipCore(SETTINGS, fact(1, boot_id=31337), Keyring([KEY]), random.Random(2), net.now)
+    restarted = MembershipCore(SETTINGS, make_record(1, boot_id=31337), Keyring([KEY]), random.Random(2), network.now)
     restarted.node.stage = Stage.JOINED
-    for old in kept:
-        restarted.receive(net.now, old.data)
-    assert len(restarted.table) == 1 and restarted.counters["dropped_life"] == len(kept)
+    for old in captured:
+        restarted.receive(network.now, old.data)
+    assert len(restarted.table) == 1 and restarted.counters["dropped_life"] == len(captured)
     assert before == (core.table.digest, core.table.version, len(core.channel.replay_windows))
 
 
 @given(st.binary(max_size=1400))
-def test_no_bytes_crash_a_core_or_change_its_view(data: bytes) -> None:
-    net = Net(2)
-    core = net.core(1)
+def test_no_bytes_crash_a_core_or_change_its_table(data: bytes) -> None:
+    network = CoreNetwork(2)
+    core = network.core(1)
     core.receive(AT, data)
     assert len(core.table) == 1 and not core.counters["received"]
     with pytest.raises(ProtocolError):
@@ -335,28 +337,28 @@
 
 
 @given(st.binary(max_size=600))
-def test_no_sealed_body_crashes_a_core(body: bytes) -> None:
-    core = Net(2).core(1)
+def test_no_signed_body_crashes_a_core(body: bytes) -> None:
+    core = CoreNetwork(2).core(1)
     keys = Keyring([KEY])
     head = wire.HEADER.pack(b"MG", 1, 0, wire.cluster_hash("c"), 7, core.record.boot_id, 1) + body
     core.receive(AT, head + keys.sign(head))
     assert sum(core.counters[f"dropped_{why}"] for why in ("body", "length")) == 1 or core.counters["received"]
 
 
-def test_keys_change_door_by_door_and_other_clusters_are_not_heard() -> None:
+def test_keys_are_rotated_one_by_one_and_other_clusters_are_dropped() -> None:
     both, new = Keyring([OTHER, KEY]), Keyring([OTHER])
     assert new.verify(b"x", both.sign(b"x")) and both.verify(b"x", Keyring([KEY]).sign(b"x"))
     assert not new.verify(b"x", Keyring([KEY]).sign(b"x"))
-    net = Net(1)
-    foreign = MembershipCore(replace(SETTINGS, cluster="other"), fact(2), Keyring([KEY]), random.Random(1), AT)
+    network = CoreNetwork(1)
+    foreign = MembershipCore(replace(SETTINGS, cluster="other"), make_record(2), Keyring([KEY]), random.Random(1), AT)
     foreign.channel.send(("10.0.0.1", 1), 1001, wire.IndirectPingResponse(wire.Sender("d2", "10.0.0.2", 1), 1, True))
     (sent,) = [each for each in foreign.take_actions() if isinstance(each, SendDatagram)]
-    net.core(1).receive(AT, sent.data)
-    assert net.core(1).counters["dropped_cluster"] == 1
+    network.core(1).receive(AT, sent.data)
+    assert network.core(1).counters["dropped_cluster"] == 1
 
 
-facts = st.builds(
-    fact,
+records = st.builds(
+    make_record,
     st.integers(1, 4),
     epoch=st.integers(0, 2),
     node_id=st.integers(1, 3),
@@ -365,8 +367,8 @@
 )
 
 
-@given(st.lists(facts, max_size=20), st.randoms())
-def test_the_table_is_the_same_whatever_the_order(told: list[MemberRecord], rng: random.Random) -> None:
+@given(st.lists(records, max_size=20), st.randoms())
+def test_the_table_is_the_same_whatever_the_order(received: list[MemberRecord], rng: random.Random) -> None:
     def of(order: list[MemberRecord]) -> MemberTable:
         table = MemberTable()
         for each in order:
@@ -375,9 +377,9 @@
                 table.put(AT, each)
         return table
 
-    mixed = list(told)
+    mixed = list(received)
     rng.shuffle(mixed)
-    one, other = of(told), of(mixed)
+    one, other = of(received), of(mixed)
     assert {each.name: each.precedence for each in one} == {each.name: each.precedence for each in other}
     assert one.bucket_digests == other.bucket_digests and one.present_count == sum(each.present for each in one)
     for each in list(one):
@@ -389,7 +391,7 @@
 
 
 @given(members, st.integers(1, 5), st.data())
-def test_a_member_lost_moves_only_its_own_share(zones: dict[str, str], count: int, data: st.DataObject) -> None:
+def test_a_lost_member_moves_only_what_it_owned(zones: dict[str, str], count: int, data: st.DataObject) -> None:
     lost = data.draw(st.sampled_from(sorted(zones)))
     for key in map(str, range(20)):
         before = select_owners(key, zones.items(), count)
@@ -402,25 +404,25 @@
         assert len({zones[name] for name in before}) == min(count, len(set(zones.values())))
 
 
-def test_holders_are_spread_evenly() -> None:
+def test_owners_are_spread_evenly() -> None:
     names = [(f"d{number}", f"z{number % 3}") for number in range(9)]
     held = [select_owners(str(key), names, 3)[0] for key in range(3000)]
     assert all(200 < held.count(name) < 470 for name, _ in names)
 
 
-def test_each_saying_is_told_a_bounded_number_of_times_the_newest_first() -> None:
-    spread = GossipQueue()
-    spread.enqueue(fact(1))
-    first = spread.take(1000, 99)
-    spread.enqueue(fact(2))
-    assert spread.take(len(first[0]), 99) == [wire.encode(fact(2))]
+def test_each_record_is_transmitted_a_bounded_number_of_times_the_newest_first() -> None:
+    queue = GossipQueue()
+    queue.enqueue(make_record(1))
+    first = queue.take(1000, 99)
+    queue.enqueue(make_record(2))
+    assert queue.take(len(first[0]), 99) == [wire.encode(make_record(2))]
     times = 2
-    while spread.take(1000, 99):
+    while queue.take(1000, 99):
         times += 1
-    assert times == 9 and not len(spread)
+    assert times == 9 and not len(queue)
 
 
-def test_a_single_accuser_kills_slowly() -> None:
+def test_a_single_accuser_declares_dead_slowly() -> None:
     alone, more = (
         suspicion_timeout_ms(24, 0, 500, 4000),
         [suspicion_timeout_ms(24, others, 500, 4000) for others in (1, 2, 3, 9)],
@@ -430,11 +432,11 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Four doors whose datagrams are lost, doubled, held back and mixed; at the end all agree."""
+    """Four members whose datagrams are lost, duplicated, delayed and reordered; at the end all converge."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.net = Net(4)
+        self.net = CoreNetwork(4)
         self.rank: dict[tuple[str, str], tuple[int, int, int]] = {}
 
     @initialize()
@@ -447,7 +449,7 @@
 
     @rule(number=st.integers(1, 4), ms=st.integers(200, 9000))
     def stands(self, number: int, ms: int) -> None:
-        self.net.run(ms, asleep=frozenset({f"d{number}"}))
+        self.net.run(ms, paused=frozenset({f"d{number}"}))
 
     @rule(one=st.integers(1, 4), other=st.integers(1, 4), ms=st.integers(200, 9000))
     def cut(self, one: int, other: int, ms: int) -> None:
@@ -467,7 +469,7 @@
             self.net.wire = data.draw(st.lists(st.sampled_from(sent), max_size=2 * len(sent)))
 
     @invariant()
-    def sayings_never_go_back(self) -> None:
+    def precedence_never_decreases(self) -> None:
         for core in self.net.cores.values():
             for each in core.table:
                 rank = each.epoch, each.node_id, each.incarnation
@@ -483,7 +485,7 @@
         )
 
 
-def test_whatever_the_wire_does_all_agree_in_the_end() -> None:
+def test_whatever_the_network_does_all_converge_in_the_end() -> None:
     from hypothesis import settings
 
     run_state_machine_as_test(
--- a/tests/test_membership.py
+++ b/tests/test_membership_service.py
@@ -1,4 +1,4 @@
-"""Membership on sockets: several doors in one loop, keys, identities, the admin listener, the command line."""
+"""Membership on sockets: several instances in one loop, keys, identities, the admin listener, the command line."""
 
 from __future__ import annotations
 
@@ -36,22 +36,22 @@
     key = folder / "keys" / name
     if not key.exists():
         key.write_text(f"{OLD}  # in force\n", encoding="ascii")
-    fleet = pb.Fleet(cluster="test", key_file=str(key), directory=str(folder / name), **{**QUICK, **more})
+    cluster = pb.Fleet(cluster="test", key_file=str(key), directory=str(folder / name), **{**QUICK, **more})
     for port in seeds:
-        fleet.seed.add(port=port)
-    return fleet
+        cluster.seed.add(port=port)
+    return cluster
 
 
-class Doors:
+class Cluster:
     """Several memberships in one loop."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.doors: dict[str, MembershipService] = {}
+        self.instances: dict[str, MembershipService] = {}
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
     async def start(self, name: str, **more: Any) -> MembershipService:
-        seeds = [door.port for door in self.doors.values()][:1]
+        seeds = [instance.port for instance in self.instances.values()][:1]
         made = MembershipService(
             settings(self.folder, name, seeds, **more),
             name,
@@ -59,7 +59,7 @@
             lambda event, fields: self.lines.append((event, fields)),
         )
         await made.start()
-        self.doors[name] = made
+        self.instances[name] = made
         return made
 
     async def until(self, holds: Any) -> None:
@@ -68,114 +68,116 @@
             await asyncio.sleep(0.02)
 
     def state(self, of: str, name: str) -> MemberState | None:
-        core = self.doors[of].core
+        core = self.instances[of].core
         assert core is not None
         fact = core.table.get(name)
         return None if fact is None else fact.state
 
     def all_hold(self, state: MemberState | None, name: str) -> bool:
-        return all(self.state(of, name) is state for of in self.doors if of != name)
+        return all(self.state(of, name) is state for of in self.instances if of != name)
 
     async def stop(self) -> None:
-        for door in self.doors.values():
-            await door.stop()
+        for instance in self.instances.values():
+            await instance.stop()
 
 
-def test_doors_join_hear_of_a_leave_and_know_a_restart(tmp_path: Path) -> None:
+def test_instances_join_learn_of_a_leave_and_recognize_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        fleet = Doors(tmp_path)
+        cluster = Cluster(tmp_path)
         for name in ("d0", "d1", "d2"):
-            await fleet.start(name)
-        await fleet.until(lambda: all(fleet.all_hold(MemberState.ALIVE, name) for name in fleet.doors))
-        first = msgspec.to_builtins(fleet.doors["d2"].view())
-        await fleet.doors["d2"].leave()
-        await fleet.until(lambda: fleet.all_hold(MemberState.LEFT, "d2"))
-        await fleet.doors.pop("d2").stop()
-        again = await fleet.start("d2")
-        await fleet.until(lambda: fleet.all_hold(MemberState.ALIVE, "d2"))
+            await cluster.start(name)
+        await cluster.until(lambda: all(cluster.all_hold(MemberState.ALIVE, name) for name in cluster.instances))
+        first = msgspec.to_builtins(cluster.instances["d2"].view())
+        await cluster.instances["d2"].leave()
+        await cluster.until(lambda: cluster.all_hold(MemberState.LEFT, "d2"))
+        await cluster.instances.pop("d2").stop()
+        again = await cluster.start("d2")
+        await cluster.until(lambda: cluster.all_hold(MemberState.ALIVE, "d2"))
         core = again.core
         assert core is not None
         mine = next(one for one in first["members"] if one["name"] == "d2")
         assert f"{core.record.node_id:016x}" == mine["identity"] and core.record.incarnation > mine["incarnation"]
-        await fleet.stop()
+        await cluster.stop()
 
     run(test())
 
 
-def test_a_door_that_ends_without_a_word_is_told_dead_and_its_empty_disk_is_another(tmp_path: Path) -> None:
+def test_an_instance_that_fails_is_declared_dead_and_its_empty_disk_is_another_node(tmp_path: Path) -> None:
     async def test() -> None:
-        fleet = Doors(tmp_path)
+        cluster = Cluster(tmp_path)
         for name in ("d0", "d1", "d2", "d3"):
-            await fleet.start(name)
-        await fleet.until(lambda: all(fleet.all_hold(MemberState.ALIVE, name) for name in fleet.doors))
-        gone = fleet.doors.pop("d3")
+            await cluster.start(name)
+        await cluster.until(lambda: all(cluster.all_hold(MemberState.ALIVE, name) for name in cluster.instances))
+        gone = cluster.instances.pop("d3")
         assert gone.core is not None
         old = gone.core.record.node_id
         await gone.stop()
-        await fleet.until(lambda: fleet.all_hold(MemberState.DEAD, "d3"))
+        await cluster.until(lambda: cluster.all_hold(MemberState.DEAD, "d3"))
         (tmp_path / "d3" / identity.IDENTITY_FILE).unlink()
-        again = await fleet.start("d3")
-        await fleet.until(lambda: fleet.all_hold(MemberState.ALIVE, "d3"))
+        again = await cluster.start("d3")
+        await cluster.until(lambda: cluster.all_hold(MemberState.ALIVE, "d3"))
         assert again.core is not None and again.core.record.node_id != old and again.core.record.epoch == 1
-        await fleet.stop()
+        await cluster.stop()
 
     run(test())
 
 
-def test_a_key_changes_door_by_door_and_one_without_it_stays_out(tmp_path: Path) -> None:
+def test_keys_are_rotated_one_by_one_and_an_instance_without_them_stays_out(tmp_path: Path) -> None:
     async def test() -> None:
-        fleet = Doors(tmp_path)
+        cluster = Cluster(tmp_path)
         for name in ("d0", "d1"):
-            await fleet.start(name)
+            await cluster.start(name)
         (tmp_path / "keys" / "x").write_text(NEW, encoding="ascii")
-        stranger = await fleet.start("x")
-        core = fleet.doors["d0"].core
+        stranger = await cluster.start("x")
+        core = cluster.instances["d0"].core
         assert core is not None
-        await fleet.until(lambda: core.counters["dropped_stream_mac"])
+        await cluster.until(lambda: core.counters["dropped_stream_mac"])
         assert stranger.core is not None and not stranger.core.joined
         for keys in (f"{OLD}\n{NEW}", f"{NEW}\n{OLD}", NEW):
             for name in ("d0", "d1"):
                 (tmp_path / "keys" / name).write_text(keys, encoding="ascii")
-                fleet.doors[name].reload_keys()
-        await fleet.until(lambda: fleet.all_hold(MemberState.ALIVE, "x") and stranger.core.joined)
+                cluster.instances[name].reload_keys()
+        await cluster.until(lambda: cluster.all_hold(MemberState.ALIVE, "x") and stranger.core.joined)
         (tmp_path / "keys" / "d0").write_text("nothing", encoding="ascii")
-        fleet.doors["d0"].reload_keys()
-        assert fleet.lines[-1][0] == "membership keys not reloaded" and "line 1" in fleet.lines[-1][1]["error"]
-        await fleet.stop()
+        cluster.instances["d0"].reload_keys()
+        assert cluster.lines[-1][0] == "membership keys not reloaded" and "line 1" in cluster.lines[-1][1]["error"]
+        await cluster.stop()
 
     run(test())
 
 
 def test_noise_on_a_stream_is_counted_and_ends_it(tmp_path: Path) -> None:
     async def test() -> None:
-        fleet = Doors(tmp_path)
-        door = await fleet.start("d0")
-        assert door.core is not None
+        cluster = Cluster(tmp_path)
+        instance = await cluster.start("d0")
+        assert instance.core is not None
         for body in (b"", b"\xff" * 4, b"\0\0\0\x20" + b"x" * 32):
-            reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", instance.port)
             await reader.readexactly(19)
             writer.write(b"n" * 16 + body)
             writer.write_eof()
             assert await reader.read() == b""
             writer.close()
-        assert door.core.counters["dropped_stream_mac"] == 1 and door.core.counters["dropped_stream_length"] == 1
-        await fleet.stop()
+        assert (
+            instance.core.counters["dropped_stream_mac"] == 1 and instance.core.counters["dropped_stream_length"] == 1
+        )
+        await cluster.stop()
 
     run(test())
 
 
-def test_staff_read_the_view_watch_it_and_let_a_door_leave(tmp_path: Path) -> None:
+def test_operators_read_the_view_watch_it_and_let_an_instance_leave(tmp_path: Path) -> None:
     async def test() -> None:
-        fleet = Doors(tmp_path)
+        cluster = Cluster(tmp_path)
         for name in ("d0", "d1"):
-            await fleet.start(name)
-        await fleet.until(lambda: all(fleet.all_hold(MemberState.ALIVE, name) for name in fleet.doors))
-        admin = AdminListener(GatewayCollector(dict, fleet.doors["d0"].gauges), lambda: True)
+            await cluster.start(name)
+        await cluster.until(lambda: all(cluster.all_hold(MemberState.ALIVE, name) for name in cluster.instances))
+        admin = AdminListener(GatewayCollector(dict, cluster.instances["d0"].gauges), lambda: True)
         port = await admin.start("127.0.0.1", 0)
         at = f"127.0.0.1:{port}"
         told = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", at])
         assert told.exit_code == 1 and "no fleet" in told.output
-        admin.membership = fleet.doors["d0"]
+        admin.membership = cluster.instances["d0"]
         told = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", at])
         assert told.exit_code == 0 and "d0 is joined; 2 of 2 present" in told.output and "d1    alive" in told.output
         view = await ask(port, "/members")
@@ -195,12 +197,12 @@
             with pytest.raises(ValueError, match=str(status)):
                 await ask(port, path)
         admin.stop()
-        await fleet.stop()
+        await cluster.stop()
 
     run(test())
 
 
-def test_no_answer_is_told_in_a_line() -> None:
+def test_an_unreachable_instance_is_reported_in_one_line() -> None:
     told = CliRunner().invoke(cli, ["members", "show", "--admin", "127.0.0.1:1"])
     assert told.exit_code == 1 and "127.0.0.1:1" in told.output
     assert CliRunner().invoke(cli, ["members", "show", "--admin", "x"]).exit_code == 2
@@ -215,7 +217,7 @@
         ("é", "not hex"),
     ],
 )
-def test_keys_that_cannot_be_used_are_told_and_never_shown(tmp_path: Path, text: str, told: str) -> None:
+def test_unusable_keys_are_reported_and_never_shown(tmp_path: Path, text: str, told: str) -> None:
     file = tmp_path / "keys"
     file.write_text(text, encoding="utf-8")
     with pytest.raises(KeyFileError, match=told):
@@ -224,30 +226,30 @@
         read_keyring(tmp_path / "none")
 
 
-def test_an_identity_is_kept_raised_at_each_start_and_never_keeps_a_door_from_starting(
+def test_an_identity_is_stored_counts_starts_and_never_prevents_a_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rng = random.Random(1)
     with Disk(tmp_path / "a") as disk:
-        first, wrong = identity.load_identity(disk, rng)
+        first, problem = identity.load_identity(disk, rng)
         second, _ = identity.load_identity(disk, rng)
-        assert not wrong and (first.node_id, first.start_count, second.start_count) == (second.node_id, 1, 2)
+        assert not problem and (first.node_id, first.start_count, second.start_count) == (second.node_id, 1, 2)
         disk.write_atomically(identity.IDENTITY_FILE, b"{")
-        third, wrong = identity.load_identity(disk, rng)
-        assert third.node_id != first.node_id and third.start_count == 1 and "is not read" in wrong
+        third, problem = identity.load_identity(disk, rng)
+        assert third.node_id != first.node_id and third.start_count == 1 and "is not read" in problem
     faults = tmp_path / "faults"
     monkeypatch.setenv(DISK_FAULTS_VARIABLE, str(faults))
     for number, (fault, told) in enumerate((('{"full": 1}', "No space left"), ('{"sync_fails": 1}', "Input/output"))):
         faults.write_text(fault)
         with Disk(tmp_path / "a") as broken:
-            again, wrong = identity.load_identity(broken, rng)
-            assert again.start_count == 2 and told in wrong, number
+            again, problem = identity.load_identity(broken, rng)
+            assert again.start_count == 2 and told in problem, number
     faults.write_text("{}")
     with Disk(tmp_path / "a") as mended:
         assert identity.load_identity(mended, rng)[0].start_count == 2
 
 
-def test_faults_of_the_fleets_settings_are_told_by_field() -> None:
+def test_problems_of_the_settings_are_reported_by_field() -> None:
     with pytest.raises(SettingsError) as told:
         parse_door(
             DOOR + 'fleet { host: "0.0.0.0" period_ms: 100 ack_ms: 80 suspect_least_ms: 5 seed { } '
