--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -337,7 +337,7 @@
 
 
 def test_a_replica_whose_disk_was_put_back_in_a_term_is_sent_the_log_again() -> None:
-    """Seed 100183 of five copies: query for what it had acknowledged and lost, the leader sent the same for ever."""
+    """Seed 100183 of five replicas: the leader sent the same for ever to one that had lost what it acknowledged."""
     node = leader(RaftNode)
     node.propose(b"x")
     node.receive(LATER, 2, AppendEntriesResponse(node.term, True, 2, 1))
