--- a/martenstep/replication/leader_requests.py
+++ b/martenstep/replication/leader_requests.py
@@ -1,4 +1,4 @@
-"""Requests to whoever leads a group, from any node, and the answers of a leader that is here."""
+"""Requests to the leader of a group, from any node, and the responses of a leader on this node."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from martenstep.tasks import Tasks
 
 RESPONSE_TIMEOUT_S = 1.0  # of one node
-RETRY_PAUSE_S = 0.1  # before all nodes are asked again
+RETRY_PAUSE_S = 0.1  # before all nodes are tried again
 NONCE_BITS = 60
 LeaderHandler = Callable[[Replica, bytes], Awaitable[bytes]]
 
@@ -72,7 +72,7 @@
         return [*self._repair.desired_nodes(group), *sorted(present)]
 
     async def _request_from(self, node: str, group: str, data: bytes) -> LeaderResponse | None:
-        """What one node answers; None where it says nothing in time."""
+        """The response of one node; None where none comes in time."""
         if node == self._node:
             return await self._answer(group, LeaderRequest(0, data))
         nonce = random.getrandbits(NONCE_BITS)
--- a/martenstep/replication/local_replicas.py
+++ b/martenstep/replication/local_replicas.py
@@ -69,7 +69,7 @@
         self._transport: Transport | None = None
         self._by_group: dict[str, LocalReplica] = {}
         self._busy_groups: set[str] = set()  # whose replica is being created or removed
-        self.is_open = False  # before that nobody is told that a replica is not here
+        self.is_open = False  # before that no node is sent ReplicaNotFound
         self.counts: Counter[str] = Counter()  # shown as metrics under these names
 
     # Begin and end.
--- a/martenstep/replication/messages.py
+++ b/martenstep/replication/messages.py
@@ -19,7 +19,7 @@
 class EntryKind(IntEnum):
     """What an entry is; the values are stored and sent."""
 
-    NO_OP = 0  # a leader's first: what stands before it is committed with it
+    NO_OP = 0  # the first of a leader's term: what precedes it is committed with it
     COMMAND = 1
     CONFIGURATION = 2
 
@@ -65,13 +65,13 @@
 
 
 class RequestVote(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """A candidate asks for a vote, or, before it stands (`pre_vote`), whether it would get one."""
+    """A candidate asks for a vote, or, before it campaigns (`pre_vote`), whether it would get one."""
 
     term: Unsigned
     last_index: Unsigned
     last_term: Unsigned
     pre_vote: bool
-    leadership_transfer: bool = False  # the leader asked for it: who still hears that one may agree
+    leadership_transfer: bool = False  # at the leader's request: its followers may agree
 
 
 class VoteResponse(msgspec.Struct, array_like=True, tag=2, frozen=True):
@@ -125,7 +125,7 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """The leader asks a replica to stand for election at once."""
+    """The leader asks a replica to campaign at once."""
 
     term: Unsigned
 
--- a/martenstep/replication/node_disk.py
+++ b/martenstep/replication/node_disk.py
@@ -93,7 +93,7 @@
 
     @property
     def dissolved_groups(self) -> list[str]:
-        """Groups that were dissolved here: whoever still asks of one is removed from it."""
+        """Groups that were dissolved here: a replica of one that still asks is removed."""
         return self._identity.dissolved_groups
 
     def add_bootstrapped(self, groups: Iterable[str]) -> None:
--- a/martenstep/replication/node_messages.py
+++ b/martenstep/replication/node_messages.py
@@ -49,7 +49,7 @@
 
 
 class LeaderRequest(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """A request to whoever leads the group."""
+    """A request to the leader of the group."""
 
     nonce: Unsigned
     data: bytes
--- a/martenstep/replication/placement.py
+++ b/martenstep/replication/placement.py
@@ -123,7 +123,7 @@
 
     leader: int  # the replica that leads
     nodes: list[str]  # that should hold the group (`desired_nodes`)
-    missing: Collection[int]  # replicas that their node says it does not hold
+    missing: Collection[int]  # replicas that were reported as not found
     present: Collection[str]  # nodes that can be asked
     replication_factor: int
     may_add: bool = True  # False while other groups are being filled from here
--- a/martenstep/replication/raft/append.py
+++ b/martenstep/replication/raft/append.py
@@ -140,7 +140,7 @@
     def _handle_append_entries_response(self, now: float, source: int, response: AppendEntriesResponse) -> None:
         """Advance a replica's progress, or go back to where its log fits."""
         if not response.success and not response.round:
-            return  # to a heartbeat of an earlier term: it says nothing of what is held in this one
+            return  # to a heartbeat of an earlier term: it does not show what is held in this one
         progress = self._record_round(now, source, response.round)
         if not response.success:
             # Below what it acknowledged in this term: its disk was put back.  What is committed stays so; it is sent
@@ -158,7 +158,7 @@
             self._replicate_to(source, heartbeat=False)
 
     def _send_timeout_now_if_caught_up(self) -> None:
-        """Let the target of a leadership transfer stand for election once it holds the whole log."""
+        """Let the target of a leadership transfer campaign once it holds the whole log."""
         target = self._transfer_target
         if target is None or target not in self._progress:
             return
--- a/martenstep/replication/raft/election.py
+++ b/martenstep/replication/raft/election.py
@@ -63,14 +63,14 @@
             self._become_leader(now)
 
     def _become_leader(self, now: float) -> None:
-        """Lead the present term; its first entry commits what stands before it."""
+        """Lead the present term; its first entry commits what precedes it."""
         self._change_role(Role.LEADER, self.replica_id)
         self._reset_leadership(now)
         self._append_entry(EntryKind.NO_OP, b"")
         self._heartbeat(now, self.term)
 
     def _handle_request_vote(self, now: float, source: int, request: RequestVote) -> None:
-        """Vote, or tell how a vote would be."""
+        """Answer a request for a vote or a pre-vote."""
         if not self.disk_verified:
             return  # whether the candidate is a member by the log here does not matter: this log may lag
         in_lease = not request.leadership_transfer and self._in_leader_lease(now)
--- a/martenstep/replication/raft/lease.py
+++ b/martenstep/replication/raft/lease.py
@@ -64,7 +64,7 @@
         return now - self.leader_contact_at < self.settings.election_timeout_ms
 
     def _accept_leader(self, now: float, source: int, term: int) -> bool:
-        """Whether a leader's message counts here; one of an older term is told of the present one."""
+        """Whether a leader's message counts here; one of an older term is sent the present term."""
         if not self.disk_verified:
             return False
         if term >= self.term:
--- a/martenstep/replication/raft/node.py
+++ b/martenstep/replication/raft/node.py
@@ -100,7 +100,7 @@
     def _handle_follower_response(
         self, now: float, source: int, response: AppendEntriesResponse | InstallSnapshotResponse
     ) -> None:
-        """Handle what a follower says to its leader."""
+        """Handle a response of a follower to its leader."""
         if response.term > self.term:
             self._enter_term(now, response.term)
         elif self.role is Role.LEADER and response.term == self.term and source in self.configuration.members:
--- a/martenstep/replication/repair.py
+++ b/martenstep/replication/repair.py
@@ -1,4 +1,4 @@
-"""Repair of groups: whoever leads one moves its replicas to where they should be, one step at a time (`placement`)."""
+"""Repair of groups: the leader moves the replicas to where they should be, one step at a time (`placement`)."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from martenstep.replication.transport import Transport
 
 MAX_LEARNING_GROUPS = 2  # led here, with a learner at a time: filling yields to serving
-CREATE_TIMEOUT_MS = 3000.0  # a node that was asked for a replica and says nothing by then holds none
-UNRESPONSIVE_NODE_PAUSE_MS = 60_000.0  # and is asked again after this
+CREATE_TIMEOUT_MS = 3000.0  # for a node that was asked to create a replica
+UNRESPONSIVE_NODE_PAUSE_MS = 60_000.0  # before a node that did not respond is asked again
 NO_LEADER_MS = 3000.0  # a replica that hears no leader for so long asks whether it was removed
 UNUSED_REPLICA_MS = 60_000.0  # a replica that was created and never taken in is removed after this
 TRANSFER_INTERVAL_MS = 30_000.0  # between two transfers of a group to its preferred leader
@@ -64,7 +64,7 @@
         transport: Callable[[], Transport],
         log_event: EventLog,
     ) -> None:
-        """`preferred_node` tells which node should hold a group in any case, and lead it."""
+        """`preferred_node` gives the node that should hold a group in any case, and lead it."""
         self._node = node
         self._settings = settings
         self._local = local
@@ -73,7 +73,7 @@
         self._transport = transport
         self._log_event = log_event
         self._absence = AbsenceTracker(settings.node_lost_after_ms)
-        self._missing: dict[str, set[int]] = {}  # replicas that their node says it does not hold, by group
+        self._missing: dict[str, set[int]] = {}  # replicas that were reported as not found, by group
         self._pending_creations: dict[str, _PendingCreation] = {}
         self._unresponsive_until: dict[str, float] = {}
         self._transferred_at: dict[str, float] = {}
@@ -92,11 +92,11 @@
         return self._absence.lost(now_ms())
 
     def missing_replicas(self, group: str) -> set[int]:
-        """Replicas of a group that their node says it does not hold."""
+        """Replicas of a group that were reported as not found."""
         return self._missing.get(group, set())
 
     def desired_nodes(self, group: str) -> list[str]:
-        """Where a group should be, as this node sees it, whoever holds it."""
+        """Where a group should be, as this node sees it, whichever nodes hold it."""
         replica = self._local.replica(group)
         configuration = replica.raft.configuration if replica is not None else Configuration(())
         cluster = self.observe()
@@ -186,7 +186,7 @@
         self._log_event("group configuration changed", fields)
 
     def _request_creation(self, now: float, replica: Replica, node: str) -> None:
-        """Ask a node to create a replica, until it has, or says nothing for long."""
+        """Ask a node to create a replica, until it has, or does not respond in time."""
         group, raft = replica.group, replica.raft
         if not raft.configuration_committed:
             return
@@ -205,7 +205,7 @@
         """Let a replica that hears no leader ask whether it was removed: it may never have heard of that."""
         replica = local.replica
         raft = replica.raft
-        # Not by whether it knows a leader: a learner that is dropped never stands, and would believe in the last one.
+        # Not by whether it knows a leader: a removed learner never campaigns, and would go on following the last one.
         if raft.halted or raft.role is Role.LEADER or now - raft.leader_contact_at < NO_LEADER_MS:
             local.without_leader_since = None
             return
@@ -258,7 +258,7 @@
             replica.change_configuration(without_replica(raft.configuration, others[0]))
 
     def abandon_group(self, group: str) -> None:
-        """Remove the replica that is here, and tell whoever asks that the group is dissolved.
+        """Remove the replica that is here, and answer queries of others that the group is dissolved.
 
         Danger: what only this replica holds is lost; it is for groups that promise nothing any more.
         """
--- a/martenstep/replication/replica.py
+++ b/martenstep/replication/replica.py
@@ -1,9 +1,8 @@
 """One replica of a group as it runs: the Raft node, its disk, its transport and the state machine of the group.
 
 Writes are made by a thread, one sync for all that came together (group commit); what the Raft node promised on them
-leaves only when it is told that they are durable.  A write that fails halts the replica: it says nothing more until it
-is started again, and the group goes on without it.  Snapshots are made by a child process: the loop does not wait for
-them.
+is sent only once they are durable.  A write that fails halts the replica: it sends nothing more until it is started
+again, and the group goes on without it.  Snapshots are made by a child process: the loop does not wait for them.
 """
 
 from __future__ import annotations
--- a/martenstep/replication/replica_manager.py
+++ b/martenstep/replication/replica_manager.py
@@ -5,8 +5,8 @@
 group's leader moves replicas to where they should be (`repair`): it asks a node to create one, takes it in as a
 learner, promotes it once it has caught up, and removes a lost one after.
 
-What a node says (`node_messages`) only saves time, but for one thing: that a replica was removed, and is deleted with
-its disk.  That rests on the index of a committed configuration that does not have it.  A replica is never taken in
+A message of a node (`node_messages`) only saves time, but for one thing: that a replica was removed, and is deleted
+with its disk.  That rests on the index of a committed configuration that does not have it.  A replica is never taken in
 again once it was removed (a node that held one creates another), and votes only once it holds the entry that took it
 in, so an older message, from whatever buffer, cannot delete a replica that votes.
 """
@@ -52,8 +52,8 @@
     """One node's replicas.
 
     `make_state_machine` makes the state of a group from its name; `cluster_nodes` are those that the membership knows.
-    `is_own_group` tells which groups are held beside those of the settings, each begun by one node alone;
-    `preferred_node` tells which node should hold a group in any case, and lead it.
+    `is_own_group` selects the groups that are held beside those of the settings, each begun by one node alone;
+    `preferred_node` gives the node that should hold a group in any case, and lead it.
     """
 
     def __init__(  # noqa: PLR0913 (puts the parts together)
@@ -142,7 +142,7 @@
         self.repair.dissolve_group(group)
 
     def abandon_group(self, group: str) -> None:
-        """Remove the replica that is here, and tell whoever asks that the group is dissolved.
+        """Remove the replica that is here, and answer queries of others that the group is dissolved.
 
         Danger: what only this replica holds is lost.
         """
@@ -167,7 +167,7 @@
         return self.repair.lost_nodes()
 
     def desired_nodes(self, group: str) -> list[str]:
-        """Where a group should be, as this node sees it, whoever holds it."""
+        """Where a group should be, as this node sees it, whichever nodes hold it."""
         return self.repair.desired_nodes(group)
 
     def led_groups(self) -> list[LedGroup]:
@@ -264,7 +264,7 @@
         self._running_transport().send_to_node(node, group, message)
 
     def report_unknown_replica(self, node: str, group: str, source: int, target: int) -> None:
-        """A message came for a replica that is not here: tell the sending node."""
+        """Answer a message for a replica that is not here, at most once in an interval."""
         now = now_ms()
         sent_at = self._not_found_sent_at.get((group, target), LONG_AGO_MS)
         if not self.local.is_open or self.local.is_busy(group) or sent_at > now - NOT_FOUND_INTERVAL_MS:
--- a/martenstep/replication/replica_storage.py
+++ b/martenstep/replication/replica_storage.py
@@ -156,7 +156,7 @@
             opened = open_log(self._files)
             self.state = _decode_state(opened.snapshot)
             for record in opened.entries:
-                if len(record) > 1:  # the marker behind a sync says nothing
+                if len(record) > 1:  # the marker behind a sync has no content
                     apply_write(self.state, _decode_record(record))
             self._writer = LogWriter(self._files, opened, SEGMENT_BYTES)
         except LogError as error:
@@ -194,7 +194,7 @@
     def write(self, writes: list[DurableWrite]) -> None:
         """Make writes durable, in order, with one sync, and then mark the witness.
 
-        Raises OSError: the Raft node is then to be told that the write failed.
+        Raises OSError: call the Raft node's `write_failed` then.
         """
         records: list[bytes] = []
         for write in coalesce_writes(writes):
--- a/martenstep/replication/settings.py
+++ b/martenstep/replication/settings.py
@@ -1,4 +1,4 @@
-"""What the settings and the membership tell a node of the replicas that it should hold."""
+"""The part of the settings and of the membership that replication needs."""
 
 from __future__ import annotations
 
--- a/martenstep/replication/transport.py
+++ b/martenstep/replication/transport.py
@@ -4,7 +4,7 @@
 when it breaks.
 
 The server greets with a nonce; the client answers with its own and a Hello.  A node that is not the one that is meant
-closes.  A replica is its disk: a message for a replica that is not here goes no further, and the sending node is told.
+closes.  A replica is its disk: a message for a replica that is not here is dropped, and `on_unknown_replica` is called.
 
 What cannot be sent at once waits in a bounded queue.  Messages may be lost, as on any network: Raft sends again what
 matters.
@@ -54,7 +54,7 @@
         self.group = group
         self.replica = replica
         self.deliver = deliver
-        self.contacted_nodes: dict[int, str] = {}  # where replicas were heard from that no configuration tells of yet
+        self.contacted_nodes: dict[int, str] = {}  # nodes of replicas that no configuration has yet
         self._transport = transport
         self._find_node = find_node
 
@@ -81,10 +81,10 @@
         on_node_message: Callable[[str, str, int, NodeMessage], None] = lambda node, group, replica, message: None,
         on_unknown_replica: Callable[[str, str, int, int], None] = lambda node, group, source, target: None,
     ) -> None:
-        """`find_address` tells where a node is now.
+        """`find_address` gives the present address of a node.
 
         `on_node_message` is given what nodes send to each other (node, group, replica, message); `on_unknown_replica`
-        is told of a message for a replica that is not here (node, group, source, target).
+        is called for a message to a replica that is not here (node, group, source, target).
         """
         self._cluster = cluster
         self._node = node
@@ -171,7 +171,7 @@
         queue: OutboundQueue,
         backoff: Backoff,
     ) -> None:
-        """Send what is queued, and what is added, until the other end closes: it says nothing else."""
+        """Send what is queued, and what is added, until the other end closes: it sends nothing else."""
         loop = asyncio.get_running_loop()
         ended = loop.create_task(reader.read(1))
         try:
