--- a/bench/copies_rate.py
+++ b/bench/copies_rate.py
@@ -19,7 +19,7 @@
 import click
 import numpy as np
 
-from martenstep.counter.protocol import Add, Frames, Hello, Status, Total, decode, encode
+from martenstep.counter.protocol import Add, FrameDecoder, Hello, Status, TotalReply, decode, encode
 from martenstep.lab.copies import Copies, started
 from martenstep.lab.ports import held_ports
 
@@ -31,7 +31,7 @@
     """Keep so many adds out on one connection; gives each one's time, in ms."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(encode(Hello(door, int(time.time() * 1000))))
-    frames, since, took, sequence = Frames(), dict[int, float](), list[float](), 0
+    frames, since, took, sequence = FrameDecoder(), dict[int, float](), list[float](), 0
     until = time.perf_counter() + seconds
     for _ in range(out):
         sequence += 1
@@ -44,7 +44,7 @@
         now, more = time.perf_counter(), []
         for payload in frames.feed(data):
             reply = decode(payload)
-            if isinstance(reply, Total):
+            if isinstance(reply, TotalReply):
                 if reply.status is not Status.DONE:
                     raise RuntimeError(f"{reply}")
                 took.append((now - since.pop(reply.sequence)) * 1000)
--- a/bench/counter.py
+++ b/bench/counter.py
@@ -19,8 +19,8 @@
 
 from bench.throughput import resident_kb, start
 from martenstep.counter import protocol as fr
-from martenstep.counter.commit_pipeline import Keeper
-from martenstep.counter.state import _ADD, ENTRY_ADD, Counter, Limits
+from martenstep.counter.commit_pipeline import CommitPipeline
+from martenstep.counter.state import _ADD, ENTRY_ADD, CounterLimits, CounterState
 from martenstep.storage.files import Disk
 
 NAMES = 10_000
@@ -30,7 +30,7 @@
     """So many adds out at once over one connection; each answer sends the next."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(fr.encode(fr.Hello(door, int(time.time() * 1000))))
-    frames, sequence, sent = fr.Frames(), 0, {}
+    frames, sequence, sent = fr.FrameDecoder(), 0, {}
     times: list[float] = []
     until = time.perf_counter() + seconds
 
@@ -141,23 +141,23 @@
 def restarts(folder: Path, records: int) -> list[tuple[str, float, int]]:
     """Seconds from open to ready for a log of so many adds, with and without a snapshot; and bytes a record."""
     disk = Disk(folder)
-    keeper = Keeper(disk, Limits())
-    session = keeper.hello("d", 1)
+    keeper = CommitPipeline(disk, CounterLimits())
+    session = keeper.open_session("d", 1)
     assert session is not None
-    keeper.commit()
+    keeper.commit_pending()
     for first in range(0, records, 2000):
         for number in range(first + 1, first + 2001):
-            keeper.command(None, session, fr.Add(number, number % NAMES, 1.0, 1e12))
-        keeper.commit()
+            keeper.submit(None, session, fr.Add(number, number % NAMES, 1.0, 1e12))
+        keeper.commit_pending()
     size = sum(path.stat().st_size for path in folder.glob("seg-*"))
     keeper.close()
     found = []
     for what in ("log alone", "snapshot and tail"):
         began = time.perf_counter()
-        again = Keeper(disk, Limits())
+        again = CommitPipeline(disk, CounterLimits())
         found.append((what, time.perf_counter() - began, size // records))
         if what == "log alone":
-            again.keep_snapshot(*again.snapshot())
+            again.store_snapshot(*again.encode_snapshot())
         again.close()
     disk.close()
     return found
@@ -166,8 +166,8 @@
 def memory_of_names(count: int) -> int:
     """Resident bytes for each live name."""
     before = resident_kb(os.getpid())
-    counter = Counter(Limits(window=1))
-    counter.hello("d", 1)
+    counter = CounterState(CounterLimits(deduplication_window=1))
+    counter.begin_session("d", 1)
     for number in range(count):
         counter.apply(_ADD.pack(ENTRY_ADD, 1.0, 0, number + 1, number * 7919, 1.0, 1e12))
     return (resident_kb(os.getpid()) - before) * 1024 // count
--- a/bench/rolling_upgrade.py
+++ b/bench/rolling_upgrade.py
@@ -20,8 +20,9 @@
 
 import click
 
-from martenstep.counter.client import CounterClient, Journal
-from martenstep.counter.protocol import Frames, Hello, Read, Total, decode, encode
+from martenstep.counter.client import CounterClient
+from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.protocol import FrameDecoder, Hello, Read, TotalReply, decode, encode
 from martenstep.lab.copies import Copies
 from martenstep.policy.messages import CallResult
 
@@ -156,7 +157,7 @@
     """Each name's total as the leader answers it."""
     leader, _ = await replicas.leader()
     reader, writer = await asyncio.open_connection("127.0.0.1", replicas.ports[leader])
-    frames, totals = Frames(), dict[int, float]()
+    frames, totals = FrameDecoder(), dict[int, float]()
     writer.write(encode(Hello("verifier", 1)))
     for first in range(names.start, names.stop, READS_AT_ONCE):
         batch = range(first, min(first + READS_AT_ONCE, names.stop))
@@ -166,7 +167,7 @@
             if not data:
                 raise UpgradeError(f"replica {leader} leads no more while totals are read")
             replies = [decode(payload) for payload in frames.feed(data)]
-            totals |= {reply.sequence: reply.total for reply in replies if isinstance(reply, Total)}
+            totals |= {reply.sequence: reply.total for reply in replies if isinstance(reply, TotalReply)}
     writer.close()
     return totals
 
@@ -213,7 +214,7 @@
     client = CounterClient(
         replicas.addresses,
         "client",
-        Journal(folder / "journal", JOURNAL_RECORDS),
+        AttemptJournal(folder / "journal", JOURNAL_RECORDS),
         load.answered,
         lambda event, fields: None,
         timeout_ms=CLIENT_TIMEOUT_MS,
@@ -225,7 +226,7 @@
         load.stopping = True
         await loading
         if not await client.flush(FLUSH_MS):
-            raise UpgradeError(f"{client.unanswered} adds are not acknowledged after {FLUSH_MS} ms")
+            raise UpgradeError(f"{client.pending_count} adds are not acknowledged after {FLUSH_MS} ms")
         await verify_served(replicas, load)
         for number in list(replicas.running):
             await replicas.terminate(number)
--- a/bench/stores.py
+++ b/bench/stores.py
@@ -11,9 +11,9 @@
 
 import lmdb
 
-from martenstep.counter.commit_pipeline import Keeper
+from martenstep.counter.commit_pipeline import CommitPipeline
 from martenstep.counter.protocol import Add
-from martenstep.counter.state import _ADD, ENTRY_ADD, Limits
+from martenstep.counter.state import _ADD, ENTRY_ADD, CounterLimits
 from martenstep.storage.files import Disk
 from martenstep.storage.log import Writer, open_log
 
@@ -23,15 +23,15 @@
 
 def by_log(folder: Path) -> Commit:
     """The project's keeper, repeats and all."""
-    keeper = Keeper(Disk(folder), Limits())
-    session = keeper.hello("d", 1)
+    keeper = CommitPipeline(Disk(folder), CounterLimits())
+    session = keeper.open_session("d", 1)
     assert session is not None
-    keeper.commit()
+    keeper.commit_pending()
 
     def commit(first: int) -> None:
         for number in range(first, first + GROUP):
-            keeper.command(None, session, Add(number, number % NAMES, 1.0, 1e12))
-        keeper.commit()
+            keeper.submit(None, session, Add(number, number % NAMES, 1.0, 1e12))
+        keeper.commit_pending()
 
     return commit
 
--- a/martenstep/cli/main.py
+++ b/martenstep/cli/main.py
@@ -267,14 +267,14 @@
 def _log_faults() -> Iterator[None]:
     """What can be wrong with a log, or with what serves it, is told in a line; exit 1."""
     from martenstep.config.tls import TlsError
-    from martenstep.counter.follower import RefusedError
-    from martenstep.counter.replicated_service import CopyError
+    from martenstep.counter.follower import LeaderRejectedError
+    from martenstep.counter.replicated_service import ReplicaError
     from martenstep.storage.files import LockedError
     from martenstep.storage.log import LogError
 
     try:
         yield
-    except (CopyError, LogError, LockedError, RefusedError, TlsError, OSError) as error:
+    except (ReplicaError, LogError, LockedError, LeaderRejectedError, TlsError, OSError) as error:
         click.echo(str(error), err=True)
         sys.exit(1)
 
@@ -311,10 +311,10 @@
 )
 def counter_identity(directory: Path, witness: Path) -> None:
     """Tell which copy's disk DIRECTORY is; an empty one becomes a new copy's."""
-    from martenstep.counter.replicated_service import identity_of
+    from martenstep.counter.replicated_service import read_identity
 
     with _log_faults():
-        click.echo(identity_of(directory, witness))
+        click.echo(read_identity(directory, witness))
 
 
 @counter.command("follow", epilog=_example("martenstep counter follow /var/lib/martenstep/copy --leader 10.0.0.5:6400"))
@@ -326,7 +326,7 @@
 
     address = address_of("--leader", leader)
     with _log_faults(), contextlib.suppress(KeyboardInterrupt), contextlib.closing(follow.Follower(directory)) as made:
-        click.echo(msgspec.json.encode({"ready": {"records": made.records, "term": made.term}}))
+        click.echo(msgspec.json.encode({"ready": {"records": made.record_count, "term": made.term}}))
         asyncio.run(made.run(*address))
 
 
@@ -351,7 +351,7 @@
         found = read.verify(directory)
     click.echo(
         f"{found.records} records in {found.segments} segments, {found.snapshots} snapshots, all whole; "
-        f"{found.torn} bytes of a torn tail"
+        f"{found.torn_bytes} bytes of a torn tail"
     )
 
 
@@ -382,20 +382,20 @@
 def counter_rebuild(directory: Path, period_ms: float) -> None:
     """Rebuild the state from the log, and print the totals by customer, plan and period as JSON lines."""
     from martenstep.counter import log_inspection as read
-    from martenstep.counter.state import Limits
+    from martenstep.counter.state import CounterLimits
 
     with _log_faults():
-        made = read.rebuilt(directory, Limits(period_ms=period_ms))
-    for (customer, plan, period), use in sorted(made.uses().items()):
+        made = read.rebuild_from_log(directory, CounterLimits(period_ms=period_ms))
+    for (customer, plan, period), use in sorted(made.usage().items()):
         click.echo(
             msgspec.json.encode(
                 {
                     "customer": customer,
                     "plan": plan,
                     "from_ms": period * period_ms,
-                    "tries": use.tries,
+                    "tries": use.attempts,
                     "units": use.units,
-                    "beyond": use.beyond,
+                    "beyond": use.over_quota_units,
                 }
             )
         )
@@ -406,19 +406,19 @@
     from martenstep.counter import log_inspection as read
 
     with _log_faults():
-        for door, told in read.each_try(
+        for door, told in read.iterate_attempts(
             directory, customer, float("-inf") if since is None else since, float("inf") if until is None else until
         ):
             click.echo(
                 msgspec.json.encode(
                     {
                         "time_ms": told.time_ms,
-                        "request": told.request,
+                        "request": told.request_id,
                         "customer": told.customer,
                         "plan": told.plan,
-                        "class": told.cls,
+                        "class": told.request_class,
                         "units": told.units,
-                        "beyond": told.beyond,
+                        "beyond": told.over_quota,
                         "door": door,
                     }
                 )
--- a/martenstep/counter/client.py
+++ b/martenstep/counter/client.py
@@ -21,19 +21,19 @@
 from dataclasses import replace
 
 from martenstep.backoff import Backoff
-from martenstep.counter.journal import Journal as Journal
+from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.protocol import (
     Add,
     Command,
-    FrameError,
-    Frames,
+    FrameDecoder,
     Hello,
-    Record,
-    Refused,
+    ProtocolError,
+    RecordAttempt,
+    RecordReply,
+    Rejection,
     Reply,
     Status,
-    Stored,
-    Total,
+    TotalReply,
     Welcome,
     decode,
     encode,
@@ -62,7 +62,7 @@
         self,
         addresses: Sequence[Address] | Callable[[], Sequence[Address]],
         door: str,
-        journal: Journal,
+        journal: AttemptJournal,
         answer: Answer,
         log_event: EventLog,
         *,
@@ -95,14 +95,14 @@
         self._ready = False
         self._task: asyncio.Task[None] | None = None
         self._written: set[int] = set()  # of the unanswered: those that may have come through
-        self.sent_again = 0
+        self.resent = 0
         self._promised_here: set[str] = set()  # tries of this life whose time may still be mended
         self._welcomed = math.inf  # when the present connection was taken
 
     def start(self) -> None:
         """Connect, and send what an earlier life had promised."""
         self._task = asyncio.create_task(self._run())
-        for made in list(self._journal.tries.values()):
+        for made in list(self._journal.pending.values()):
             self._queue_record(made)
 
     async def flush(self, within_ms: float) -> bool:
@@ -121,7 +121,7 @@
         self._journal.close()
 
     @property
-    def unanswered(self) -> int:
+    def pending_count(self) -> int:
         """Commands that wait for their answer."""
         return len(self._out)
 
@@ -151,37 +151,37 @@
         self, time_ms: float, units: float, beyond: bool, request: str, customer: str, plan: str, cls: str
     ) -> bool:
         """Promise a try; False where the journal is full, and nothing is promised."""
-        made = Record(0, time_ms, units, beyond, request, customer, plan, cls)
-        if not self._journal.promise(made):
+        made = RecordAttempt(0, time_ms, units, beyond, request, customer, plan, cls)
+        if not self._journal.append(made):
             return False
         self._promised_here.add(request)
         self._queue_record(made)
         return True
 
-    def _record_ended(self, command: Record, status: Status) -> None:
+    def _record_ended(self, command: RecordAttempt, status: Status) -> None:
         """A try needs nothing more, unless its time alone was refused: clocks were stepped, and it is made anew as of
         now.  One of an earlier life is not: the service may have recorded it, and forgotten that."""
-        if status is Status.TOO_OLD and command.request in self._promised_here:
-            self._promised_here.discard(command.request)
+        if status is Status.TOO_OLD and command.request_id in self._promised_here:
+            self._promised_here.discard(command.request_id)
             self._queue_record(replace(command, time_ms=LATEST_MS))
             return
         if status in LOST:
             self._log_event(
                 "try refused by the counter",
                 {
-                    "request": command.request,
+                    "request": command.request_id,
                     "customer": command.customer,
                     "plan": command.plan,
                     "units": command.units,
-                    "beyond": command.beyond,
+                    "beyond": command.over_quota,
                     "status": status.name,
                 },
             )
-        self._promised_here.discard(command.request)
-        self._journal.done(command.request)
-        self._recorded(command.request)
+        self._promised_here.discard(command.request_id)
+        self._journal.acknowledge(command.request_id)
+        self._recorded(command.request_id)
 
-    def _queue_record(self, made: Record) -> None:
+    def _queue_record(self, made: RecordAttempt) -> None:
         sequence = self._next()
         self._send(sequence, replace(made, sequence=sequence))
 
@@ -203,7 +203,7 @@
                 await self._connection()
             except _MovedError as error:
                 leader = str(error)
-            except (OSError, FrameError, asyncio.IncompleteReadError) as error:
+            except (OSError, ProtocolError, asyncio.IncompleteReadError) as error:
                 self._log_event("counter lost", {"error": f"{type(error).__name__}: {error}"})
             finally:
                 self._ready = False
@@ -238,7 +238,7 @@
                     return await reader.read(READ_BYTES)
             except TimeoutError:
                 if waiting:
-                    raise FrameError("the copy says nothing") from None
+                    raise ProtocolError("the copy says nothing") from None
 
     async def _connection(self) -> None:
         if self._to is None:
@@ -259,34 +259,34 @@
                 Hello(self._door, self._journal.epoch, self._map_version, term=self._journal.term, group=self._group)
             )
         )
-        frames = Frames()
+        frames = FrameDecoder()
         while data := await self._read(reader):
             for payload in frames.feed(data):
                 reply = decode(payload)
                 if isinstance(reply, Welcome):
-                    self._journal.saw_term(reply.term)
+                    self._journal.observe_term(reply.term)
                     self._ready, self._welcomed = True, time.monotonic()
                     self.backoff.succeeded()
-                    self.sent_again += len(self._written)
+                    self.resent += len(self._written)
                     self._written.update(self._out)
                     writer.write(b"".join(encode(command) for command in self._out.values()))
-                elif isinstance(reply, Refused) and reply.status is Status.MOVED:
+                elif isinstance(reply, Rejection) and reply.status is Status.MOVED:
                     raise _MovedError(reply.reason)
-                elif isinstance(reply, Refused):
-                    raise FrameError(f"{reply.status.name}: {reply.reason}")
-                elif isinstance(reply, Total | Stored):
+                elif isinstance(reply, Rejection):
+                    raise ProtocolError(f"{reply.status.name}: {reply.reason}")
+                elif isinstance(reply, TotalReply | RecordReply):
                     self._take(reply)
 
     def _take(self, reply: Reply) -> None:
-        assert isinstance(reply, Total | Stored)
+        assert isinstance(reply, TotalReply | RecordReply)
         if reply.status is Status.UNWRITTEN:
-            raise FrameError("the service cannot write its log")  # all is sent again once it can
+            raise ProtocolError("the service cannot write its log")  # all is sent again once it can
         command = self._out.pop(reply.sequence, None)
         self._written.discard(reply.sequence)
-        if isinstance(command, Record) and reply.status in FINAL:
+        if isinstance(command, RecordAttempt) and reply.status in FINAL:
             self._record_ended(command, reply.status)
         call = self._calls.pop(reply.sequence, None)
-        if isinstance(reply, Total) and call is not None:
+        if isinstance(reply, TotalReply) and call is not None:
             good = reply.status in (Status.DONE, Status.REPEATED)
             self._answer(
                 call,
--- a/martenstep/counter/connection.py
+++ b/martenstep/counter/connection.py
@@ -7,27 +7,27 @@
 from collections.abc import Collection
 from typing import cast
 
-from martenstep.counter.protocol import Frame, FrameError, Frames, Refused, Status, decode, encode
+from martenstep.counter.protocol import Frame, FrameDecoder, ProtocolError, Rejection, Status, decode, encode
 
-SWEEP_S = 1.0  # how often connections that owe a frame and say nothing are looked for
+IDLE_CHECK_INTERVAL_S = 1.0  # how often connections that owe a frame and say nothing are looked for
 
 
-class DoorConnection(asyncio.Protocol):
+class GatewayConnection(asyncio.Protocol):
     """One connection; `take` gets its frames."""
 
     def __init__(self, unsent_bytes: int) -> None:
         """A door that leaves more than these unread is cut off."""
-        self._frames = Frames()
+        self._frames = FrameDecoder()
         self._unsent = unsent_bytes
         self.transport: asyncio.Transport | None = None
-        self.heard = time.monotonic()
+        self.last_received_s = time.monotonic()
 
     @property
-    def hangs(self) -> bool:
+    def owes_frame(self) -> bool:
         """Whether a frame has begun and nothing more has come of it."""
-        return self._frames.partial
+        return self._frames.has_partial_frame
 
-    def take(self, frame: Frame) -> None:
+    def handle_frame(self, frame: Frame) -> None:
         """One frame; raises FrameError where it is out of place."""
         raise NotImplementedError
 
@@ -38,14 +38,14 @@
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        self.heard = time.monotonic()
+        self.last_received_s = time.monotonic()
         try:
             for payload in self._frames.feed(data):
-                self.take(decode(payload))
+                self.handle_frame(decode(payload))
                 if self.transport is None or self.transport.is_closing():
                     return
-        except FrameError as error:
-            self.end(Status.BAD, str(error))
+        except ProtocolError as error:
+            self.reject(Status.BAD, str(error))
 
     def send(self, data: bytes) -> None:
         """Bytes to the door; a slow reader is cut off."""
@@ -56,18 +56,18 @@
         if transport.get_write_buffer_size() > self._unsent:
             transport.abort()
 
-    def end(self, status: Status, reason: str) -> None:
+    def reject(self, status: Status, reason: str) -> None:
         """Say why, and close."""
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(encode(Refused(status, reason[:1000])))
+            self.transport.write(encode(Rejection(status, reason[:1000])))
             self.transport.close()
 
 
-async def cut_off_silent(connections: Collection[DoorConnection], idle_s: float) -> None:
+async def close_idle_connections(connections: Collection[GatewayConnection], idle_s: float) -> None:
     """End, for as long as this runs, those that owe a frame and have said nothing for so long."""
     while True:
-        await asyncio.sleep(SWEEP_S)
+        await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
         late = time.monotonic() - idle_s
         for connection in list(connections):
-            if connection.hangs and connection.heard < late:
-                connection.end(Status.BAD, "half a frame, and nothing more")
+            if connection.owes_frame and connection.last_received_s < late:
+                connection.reject(Status.BAD, "half a frame, and nothing more")
--- a/martenstep/counter/follower.py
+++ b/martenstep/counter/follower.py
@@ -16,9 +16,19 @@
 from pathlib import Path
 
 from martenstep.backoff import Backoff
-from martenstep.counter.commit_pipeline import Keeper, rebuild
-from martenstep.counter.protocol import Ack, Entries, Follow, FrameError, Frames, Refused, Status, decode, encode
-from martenstep.counter.state import ENTRY_TERM, Limits, term_of
+from martenstep.counter.commit_pipeline import CommitPipeline, rebuild_state
+from martenstep.counter.protocol import (
+    FollowAck,
+    FollowRequest,
+    FrameDecoder,
+    LogRecords,
+    ProtocolError,
+    Rejection,
+    Status,
+    decode,
+    encode,
+)
+from martenstep.counter.state import ENTRY_TERM, CounterLimits, decode_term
 from martenstep.storage.files import Disk
 from martenstep.storage.log import Writer, likeness, open_log, read_records, records_of
 
@@ -26,7 +36,7 @@
 AGAIN_LEAST_MS, AGAIN_MOST_MS = 50.0, 2000.0
 
 
-class RefusedError(Exception):
+class LeaderRejectedError(Exception):
     """The leader will not be followed: a person must look."""
 
 
@@ -37,7 +47,7 @@
         self._disk = Disk(directory)
         try:
             opened = open_log(self._disk)
-            self.term = rebuild(opened, Limits()).term
+            self.term = rebuild_state(opened, CounterLimits()).term
             self._writer = Writer(self._disk, opened, segment_bytes)
         except BaseException:
             self._disk.close()
@@ -49,21 +59,21 @@
             self._last = likeness(self._writer.next - 1, entry)
 
     @property
-    def records(self) -> int:
+    def record_count(self) -> int:
         """Records held."""
         return self._writer.next
 
-    def take(self, entries: Entries) -> Ack:
+    def append_records(self, entries: LogRecords) -> FollowAck:
         """Make records durable; raises LogError where they are not whole, FrameError where they do not follow."""
-        if entries.first != self._writer.next:
-            raise FrameError(f"record {entries.first} after {self._writer.next - 1}")
-        found = records_of(entries.data, entries.first)
+        if entries.first_index != self._writer.next:
+            raise ProtocolError(f"record {entries.first_index} after {self._writer.next - 1}")
+        found = records_of(entries.data, entries.first_index)
         self._writer.copy(found)
         self._last = likeness(self._writer.next - 1, found[-1])
         for entry in found:
             if entry[0] == ENTRY_TERM:
-                self.term = max(self.term, term_of(entry))
-        return Ack(self._writer.next)
+                self.term = max(self.term, decode_term(entry))
+        return FollowAck(self._writer.next)
 
     def close(self) -> None:
         """Close the log and let the directory go."""
@@ -75,17 +85,17 @@
         reader, writer = await asyncio.open_connection(host, port)
         loop = asyncio.get_running_loop()
         try:
-            writer.write(encode(Follow(self.term, self._writer.next, self._last)))
-            frames = Frames()
+            writer.write(encode(FollowRequest(self.term, self._writer.next, self._last)))
+            frames = FrameDecoder()
             while data := await reader.read(READ_BYTES):
                 for payload in frames.feed(data):
                     frame = decode(payload)
-                    if isinstance(frame, Refused):
+                    if isinstance(frame, Rejection):
                         if frame.status in (Status.BAD, Status.FENCED, Status.VERSION):
-                            raise RefusedError(f"{frame.status.name}: {frame.reason}")
-                        raise FrameError(frame.reason)
-                    if isinstance(frame, Entries):
-                        writer.write(encode(await loop.run_in_executor(None, self.take, frame)))
+                            raise LeaderRejectedError(f"{frame.status.name}: {frame.reason}")
+                        raise ProtocolError(frame.reason)
+                    if isinstance(frame, LogRecords):
+                        writer.write(encode(await loop.run_in_executor(None, self.append_records, frame)))
         finally:
             writer.close()
 
@@ -93,12 +103,12 @@
         """Follow for good, through the leader's restarts; raises RefusedError."""
         backoff = Backoff(AGAIN_LEAST_MS, AGAIN_MOST_MS)
         while True:
-            held = self.records
+            held = self.record_count
             try:
                 await self.follow(host, port)
-            except (OSError, FrameError) as error:
+            except (OSError, ProtocolError) as error:
                 sys.stderr.write(json.dumps({"event": "leader lost", "error": str(error), "records": held}) + "\n")
-            if self.records > held:
+            if self.record_count > held:
                 backoff.succeeded()
             await asyncio.sleep(backoff.failed() / 1000)
 
@@ -106,7 +116,7 @@
 def promote(directory: Path) -> int:
     """Begin a new term in a follower's log: whoever serves it is the leader.  Gives the term."""
     with Disk(directory) as disk:
-        keeper = Keeper(disk, Limits())
+        keeper = CommitPipeline(disk, CounterLimits())
         term = keeper.begin_term()
         keeper.close()
         return term
--- a/martenstep/counter/increment_ledger.py
+++ b/martenstep/counter/increment_ledger.py
@@ -19,37 +19,48 @@
 
 import xxhash
 
-from martenstep.counter.pending_increments import Begin, Book, Done, Seal, Try, dones, entry, puts
+from martenstep.counter.pending_increments import (
+    Acknowledge,
+    AttemptRecord,
+    FenceOwner,
+    PendingIncrements,
+    SetOwner,
+    encode_entry,
+    split_acknowledged,
+    split_pending,
+)
 from martenstep.event_log import EventLog
 from martenstep.replication.replica import Host, InDoubtError, NotLeaderError, now_ms
 from martenstep.replication.replica_manager import Keeper
 from martenstep.tasks import Tasks
 
-PREFIX = "book-"
-TEND_S = 0.2
-LEADERLESS_MS = 10_000.0  # an own book that nobody leads for so long: another is begun, that one is left to the others
-MOST_DELIVERING = 2000  # of one book at a time, so that a large one does not fill a client's line
+GROUP_PREFIX = "book-"
+MAINTENANCE_INTERVAL_S = 0.2
+MAX_LEADERLESS_MS = (
+    10_000.0  # an own book that nobody leads for so long: another is begun, that one is left to the others
+)
+MAX_DELIVERING = 2000  # of one book at a time, so that a large one does not fill a client's line
 
 
-def is_book(group: str) -> bool:
+def is_ledger_group(group: str) -> bool:
     """Whether a group is a door's book."""
-    return group.startswith(PREFIX)
+    return group.startswith(GROUP_PREFIX)
 
 
-def drawn_name(door: str) -> str:
+def new_group_name(door: str) -> str:
     """A new book's: never one that was there before, whatever disk is put back."""
-    return f"{PREFIX}{xxhash.xxh32_hexdigest(door.encode())}-{secrets.token_hex(6)}"
+    return f"{GROUP_PREFIX}{xxhash.xxh32_hexdigest(door.encode())}-{secrets.token_hex(6)}"
 
 
-class Books:
+class IncrementLedger:
     """One door's part in them."""
 
-    def __init__(self, me: str, keeper: Keeper, deliver: Callable[[Try], bool], log_event: EventLog) -> None:
+    def __init__(self, me: str, keeper: Keeper, deliver: Callable[[AttemptRecord], bool], log_event: EventLog) -> None:
         """`deliver` hands a try to the counter's client, False where that has no room; `recorded` is to be told when
         the counter has it."""
-        self.me, self._keeper, self._deliver, self._log_event = me, keeper, deliver, log_event
-        self.own = ""
-        self._queue: list[tuple[Try, asyncio.Future[bool]]] = []
+        self.instance, self._keeper, self._deliver, self._log_event = me, keeper, deliver, log_event
+        self.own_group = ""
+        self._queue: list[tuple[AttemptRecord, asyncio.Future[bool]]] = []
         self._delivering: set[str] = set()
         self._recorded: list[str] = []
         self._tending: asyncio.Task[None] | None = None
@@ -59,8 +70,8 @@
 
     async def start(self) -> None:
         """Take up this door's book, or begin one."""
-        self.own = self._keeper.alone()
-        if not self.own or self._keeper.host(self.own) is None:
+        self.own_group = self._keeper.alone()
+        if not self.own_group or self._keeper.host(self.own_group) is None:
             await self._another()
         self._tending = asyncio.get_running_loop().create_task(self._tend())
 
@@ -73,17 +84,17 @@
         self._queue = []
 
     async def _another(self) -> None:
-        self.own = drawn_name(self.me)
-        if await self._keeper.begin_alone(self.own) is None:
-            self._log_event("no book", {"group": self.own})
+        self.own_group = new_group_name(self.instance)
+        if await self._keeper.begin_alone(self.own_group) is None:
+            self._log_event("no book", {"group": self.own_group})
 
     # Promising.
 
-    def promise(self, made: Try) -> asyncio.Future[bool]:
+    def replicate(self, made: AttemptRecord) -> asyncio.Future[bool]:
         """Done once the try is in the book, durably; its result is whether it outlives this machine."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bool] = loop.create_future()
-        self._delivering.add(made.request)  # the door's own journal delivers it already
+        self._delivering.add(made.request_id)  # the door's own journal delivers it already
         if not self._queue:
             loop.call_soon(self._put)
         self._queue.append((made, future))
@@ -91,16 +102,18 @@
 
     def _put(self) -> None:
         waiting, self._queue = self._queue, []
-        by_request = {made.request: (made, future) for made, future in waiting}
-        for told in puts([made for made, _ in waiting]):
+        by_request = {made.request_id: (made, future) for made, future in waiting}
+        for told in split_pending([made for made, _ in waiting]):
             self._tasks.spawn(
-                self._proposed(told.tries, entry(told), [by_request[made.request] for made in told.tries])
+                self._proposed(
+                    told.attempts, encode_entry(told), [by_request[made.request_id] for made in told.attempts]
+                )
             )
 
     async def _proposed(
-        self, tries: tuple[Try, ...], data: bytes, waiting: list[tuple[Try, asyncio.Future[bool]]]
+        self, tries: tuple[AttemptRecord, ...], data: bytes, waiting: list[tuple[AttemptRecord, asyncio.Future[bool]]]
     ) -> None:
-        host = self._keeper.host(self.own)
+        host = self._keeper.host(self.own_group)
         stands = False
         try:
             if host is not None:
@@ -114,29 +127,29 @@
         self._told(waiting, strong)
 
     @staticmethod
-    def _told(waiting: list[tuple[Try, asyncio.Future[bool]]], strong: bool) -> None:
+    def _told(waiting: list[tuple[AttemptRecord, asyncio.Future[bool]]], strong: bool) -> None:
         for _, future in waiting:
             if not future.done():
                 future.set_result(strong)
 
-    def recorded(self, request: str) -> None:
+    def on_acknowledged(self, request: str) -> None:
         """The counter has a try."""
         self._recorded.append(request)
 
     # Delivering.
 
-    def led(self) -> list[tuple[Host, Book]]:
+    def led_groups(self) -> list[tuple[Host, PendingIncrements]]:
         """The books that this door leads."""
         made = []
         for group in self._keeper.groups():
-            host = self._keeper.host(group) if is_book(group) else None
-            if host is not None and isinstance(host.machine, Book) and host.copy.may_read(now_ms()):
+            host = self._keeper.host(group) if is_ledger_group(group) else None
+            if host is not None and isinstance(host.machine, PendingIncrements) and host.copy.may_read(now_ms()):
                 made.append((host, host.machine))
         return made
 
     async def _tend(self) -> None:
         while True:
-            await asyncio.sleep(TEND_S)
+            await asyncio.sleep(MAINTENANCE_INTERVAL_S)
             try:
                 await self._look()
             except Exception as error:  # one book's trouble must not end the care for all others
@@ -146,63 +159,63 @@
         recorded, self._recorded = self._recorded, []
         self._delivering.difference_update(recorded)
         gone = set(recorded)
-        for host, book in self.led():
+        for host, book in self.led_groups():
             over = [request for request in recorded if request in book.pending]
-            for told in dones(over):
+            for told in split_acknowledged(over):
                 self._tasks.spawn(self._entered(host, told))
             gone.difference_update(over)
-            if not book.owner and host.group == self.own:
-                self._tasks.spawn(self._entered(host, Begin(self.me)))
+            if not book.owner and host.group == self.own_group:
+                self._tasks.spawn(self._entered(host, SetOwner(self.instance)))
             self._hand_on(book, set(recorded))
             self._end(host, book)
         # Of books that are led elsewhere by now, or were not led yet: they stay until whoever leads finds them known.
-        own = self._keeper.host(self.own)
+        own = self._keeper.host(self.own_group)
         if own is not None and own.copy.leader is not None:
             self._led_at = now_ms()
         if (
             own is None
-            or now_ms() - self._led_at > LEADERLESS_MS
-            or (isinstance(own.machine, Book) and own.machine.sealed)
+            or now_ms() - self._led_at > MAX_LEADERLESS_MS
+            or (isinstance(own.machine, PendingIncrements) and own.machine.fenced)
         ):
-            self._log_event("book ends", {"group": self.own})
+            self._log_event("book ends", {"group": self.own_group})
             self._led_at = now_ms()
             if own is not None and len(own.copy.config.voters) < self._keeper.holding.count:
                 # It never was whole, so it promised nothing beyond this door's own journal; of two copies one was lost.
-                self._keeper.abandon(self.own)
+                self._keeper.abandon(self.own_group)
             await self._another()
 
-    def _hand_on(self, book: Book, recorded: set[str]) -> None:
-        room = MOST_DELIVERING
+    def _hand_on(self, book: PendingIncrements, recorded: set[str]) -> None:
+        room = MAX_DELIVERING
         for made in list(book.pending.values()):
             if room <= 0:
                 return
             room -= 1
-            if made.request not in self._delivering and made.request not in recorded:
+            if made.request_id not in self._delivering and made.request_id not in recorded:
                 if not self._deliver(made):
                     return
-                self._delivering.add(made.request)
+                self._delivering.add(made.request_id)
                 self.counts["delivered"] += 1
 
-    def _end(self, host: Host, book: Book) -> None:
+    def _end(self, host: Host, book: PendingIncrements) -> None:
         """Of a book whose owner is lost for good."""
-        if book.owner and book.owner != self.me and book.owner in self._keeper.lost_places():
-            if not book.sealed:
+        if book.owner and book.owner != self.instance and book.owner in self._keeper.lost_places():
+            if not book.fenced:
                 self._log_event("book sealed", {"group": host.group, "owner": book.owner, "pending": len(book.pending)})
-                self._tasks.spawn(self._entered(host, Seal()))
+                self._tasks.spawn(self._entered(host, FenceOwner()))
             elif not book.pending:
                 self._keeper.dissolve(host.group)
 
-    async def _entered(self, host: Host, told: Begin | Done | Seal) -> None:
+    async def _entered(self, host: Host, told: SetOwner | Acknowledge | FenceOwner) -> None:
         try:
-            await host.propose(entry(told))
+            await host.propose(encode_entry(told))
         except (NotLeaderError, InDoubtError):
-            if isinstance(told, Done):  # whoever leads next delivers them once more, and finds them known
-                self.counts["done_in_doubt"] += len(told.requests)
+            if isinstance(told, Acknowledge):  # whoever leads next delivers them once more, and finds them known
+                self.counts["done_in_doubt"] += len(told.request_ids)
 
     def gauges(self) -> dict[str, float]:
         """For metrics."""
-        led = self.led()
-        own = self._keeper.host(self.own)
+        led = self.led_groups()
+        own = self._keeper.host(self.own_group)
         return {
             "books_led": len(led),
             "books_pending": sum(len(book.pending) for _, book in led),
--- a/martenstep/counter/log_inspection.py
+++ b/martenstep/counter/log_inspection.py
@@ -6,23 +6,31 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from martenstep.counter.commit_pipeline import rebuild
-from martenstep.counter.state import ENTRY_DOOR, ENTRY_TRY, Counter, Limits, TryEntry, read_door, read_try
+from martenstep.counter.commit_pipeline import rebuild_state
+from martenstep.counter.state import (
+    ENTRY_ATTEMPT,
+    ENTRY_GATEWAY,
+    AttemptEntry,
+    CounterLimits,
+    CounterState,
+    decode_attempt,
+    decode_gateway,
+)
 from martenstep.storage.files import Disk
 from martenstep.storage.log import HEADER, LogError, open_log, read_snapshot, scan, segments, snapshots
 
 
 @dataclass(frozen=True, slots=True)
-class Verified:
+class LogSummary:
     """What a log holds, all of it read."""
 
     segments: int
     snapshots: int
     records: int
-    torn: int  # bytes that a start would cut
+    torn_bytes: int  # bytes that a start would cut
 
 
-def verify(directory: Path) -> Verified:
+def verify(directory: Path) -> LogSummary:
     """Read everything, old segments too; raises LogError at the first damage."""
     with Disk(directory) as disk:
         found = segments(disk)
@@ -37,7 +45,7 @@
         for name, _ in kept:
             read_snapshot(disk, name)
         open_log(disk)
-        return Verified(len(found), len(kept), records, torn)
+        return LogSummary(len(found), len(kept), records, torn)
 
 
 def repair(directory: Path, file: str, offset: int) -> int:
@@ -64,25 +72,25 @@
         return lost
 
 
-def rebuilt(directory: Path, limits: Limits) -> Counter:
+def rebuild_from_log(directory: Path, limits: CounterLimits) -> CounterState:
     """The state that the log tells; raises LogError."""
     with Disk(directory) as disk:
-        return rebuild(open_log(disk), limits)
+        return rebuild_state(open_log(disk), limits)
 
 
-def each_try(
+def iterate_attempts(
     directory: Path, customer: str | None = None, since_ms: float = float("-inf"), until_ms: float = float("inf")
-) -> Iterator[tuple[str, TryEntry]]:
+) -> Iterator[tuple[str, AttemptEntry]]:
     """Every recorded try that is kept, old segments too, in the order of the log, with its door's name: once each."""
     doors: dict[int, str] = {}
     with Disk(directory) as disk:
         found = segments(disk)
         for index, segment in enumerate(found):
             for entry in scan(disk, segment, index == len(found) - 1).entries:
-                if entry[0] == ENTRY_DOOR:
-                    _, number, _, name = read_door(entry)
+                if entry[0] == ENTRY_GATEWAY:
+                    _, number, _, name = decode_gateway(entry)
                     doors[number] = name
-                elif entry[0] == ENTRY_TRY:
-                    told = read_try(entry)
-                    if not told.known and customer in (None, told.customer) and since_ms <= told.time_ms < until_ms:
-                        yield doors.get(told.door, f"door number {told.door}"), told
+                elif entry[0] == ENTRY_ATTEMPT:
+                    told = decode_attempt(entry)
+                    if not told.duplicate and customer in (None, told.customer) and since_ms <= told.time_ms < until_ms:
+                        yield doors.get(told.gateway_number, f"door number {told.gateway_number}"), told
--- a/martenstep/counter/pending_increments.py
+++ b/martenstep/counter/pending_increments.py
@@ -11,45 +11,45 @@
 
 import msgspec
 
-MOST_TRIES = 100  # of one entry: names are bounded, so that it stays below an entry's most bytes
-MOST_REQUESTS = 400
+MAX_ATTEMPTS_PER_ENTRY = 100  # of one entry: names are bounded, so that it stays below an entry's most bytes
+MAX_REQUESTS_PER_ENTRY = 400
 
 
-class Try(msgspec.Struct, array_like=True, frozen=True):
+class AttemptRecord(msgspec.Struct, array_like=True, frozen=True):
     """One try that was sent on."""
 
-    request: str
+    request_id: str
     time_ms: float  # Unix
     units: float
-    beyond: bool
+    over_quota: bool
     customer: str
     plan: str
-    cls: str
+    request_class: str
 
 
-class Begin(msgspec.Struct, array_like=True, tag=1, frozen=True):
+class SetOwner(msgspec.Struct, array_like=True, tag=1, frozen=True):
     """Whose book it is."""
 
     owner: str
 
 
-class Put(msgspec.Struct, array_like=True, tag=2, frozen=True):
+class AddPending(msgspec.Struct, array_like=True, tag=2, frozen=True):
     """Tries that are promised."""
 
-    tries: tuple[Try, ...]
+    attempts: tuple[AttemptRecord, ...]
 
 
-class Done(msgspec.Struct, array_like=True, tag=3, frozen=True):
+class Acknowledge(msgspec.Struct, array_like=True, tag=3, frozen=True):
     """The counter has these."""
 
-    requests: tuple[str, ...]
+    request_ids: tuple[str, ...]
 
 
-class Seal(msgspec.Struct, array_like=True, tag=4, frozen=True):
+class FenceOwner(msgspec.Struct, array_like=True, tag=4, frozen=True):
     """Its owner is lost: nothing more is put in."""
 
 
-Entry = Begin | Put | Done | Seal
+Entry = SetOwner | AddPending | Acknowledge | FenceOwner
 _entries = msgspec.msgpack.Decoder(Entry)
 
 
@@ -57,23 +57,23 @@
     owner: str
     sealed: bool
     done: int
-    pending: list[Try]
+    pending: list[AttemptRecord]
 
 
 _image = msgspec.msgpack.Decoder(_Image)
 
 
-def entry(told: Entry) -> bytes:
+def encode_entry(told: Entry) -> bytes:
     """An entry's bytes."""
     return msgspec.msgpack.encode(told)
 
 
-class Book:
+class PendingIncrements:
     """One copy's state of a book."""
 
     def __init__(self) -> None:
-        self.owner, self.sealed, self.done = "", False, 0
-        self.pending: dict[str, Try] = {}
+        self.owner, self.fenced, self.acknowledged_count = "", False, 0
+        self.pending: dict[str, AttemptRecord] = {}
 
     def apply(self, data: bytes) -> bool:
         """One entry; False where it changes nothing, as the book is sealed or the entry cannot be read."""
@@ -81,22 +81,24 @@
             told = _entries.decode(data)
         except msgspec.MsgspecError:
             return False
-        if isinstance(told, Begin):
+        if isinstance(told, SetOwner):
             self.owner = self.owner or told.owner
-        elif isinstance(told, Done):
-            for request in told.requests:
-                self.done += self.pending.pop(request, None) is not None
-        elif isinstance(told, Seal):
-            self.sealed = True
-        elif self.sealed:
+        elif isinstance(told, Acknowledge):
+            for request in told.request_ids:
+                self.acknowledged_count += self.pending.pop(request, None) is not None
+        elif isinstance(told, FenceOwner):
+            self.fenced = True
+        elif self.fenced:
             return False
         else:
-            self.pending.update((one.request, one) for one in told.tries)
+            self.pending.update((one.request_id, one) for one in told.attempts)
         return True
 
     def snapshot(self) -> bytes:
         """All of it."""
-        return msgspec.msgpack.encode(_Image(self.owner, self.sealed, self.done, list(self.pending.values())))
+        return msgspec.msgpack.encode(
+            _Image(self.owner, self.fenced, self.acknowledged_count, list(self.pending.values()))
+        )
 
     def restore(self, body: bytes) -> None:
         """In place of all that was; raises ValueError where it is no snapshot."""
@@ -104,17 +106,17 @@
             told = _image.decode(body)
         except msgspec.MsgspecError as error:
             raise ValueError(f"not a book's snapshot: {error}") from None
-        self.owner, self.sealed, self.done = told.owner, told.sealed, told.done
-        self.pending = {one.request: one for one in told.pending}
+        self.owner, self.fenced, self.acknowledged_count = told.owner, told.sealed, told.done
+        self.pending = {one.request_id: one for one in told.pending}
 
 
-def puts(tries: list[Try]) -> Iterable[Put]:
+def split_pending(tries: list[AttemptRecord]) -> Iterable[AddPending]:
     """Tries as entries that are not too large."""
-    for at in range(0, len(tries), MOST_TRIES):
-        yield Put(tuple(tries[at : at + MOST_TRIES]))
+    for at in range(0, len(tries), MAX_ATTEMPTS_PER_ENTRY):
+        yield AddPending(tuple(tries[at : at + MAX_ATTEMPTS_PER_ENTRY]))
 
 
-def dones(requests: list[str]) -> Iterable[Done]:
+def split_acknowledged(requests: list[str]) -> Iterable[Acknowledge]:
     """Requests as entries that are not too large."""
-    for at in range(0, len(requests), MOST_REQUESTS):
-        yield Done(tuple(requests[at : at + MOST_REQUESTS]))
+    for at in range(0, len(requests), MAX_REQUESTS_PER_ENTRY):
+        yield Acknowledge(tuple(requests[at : at + MAX_REQUESTS_PER_ENTRY]))
--- a/martenstep/counter/protocol.py
+++ b/martenstep/counter/protocol.py
@@ -29,9 +29,9 @@
 
 import google_crc32c
 
-VERSION = 1
-MOST_BYTES = 65_536  # of a payload
-HEAD = struct.Struct(">II")
+PROTOCOL_VERSION = 1
+MAX_PAYLOAD_BYTES = 65_536  # of a payload
+FRAME_HEADER = struct.Struct(">II")
 _HELLO = struct.Struct(">BHIQQ")
 _FOLLOW = struct.Struct(">BHQQI")
 _ACK = struct.Struct(">BQ")
@@ -65,7 +65,7 @@
     MOVED = 11  # another copy leads: the reason is its address for doors, or empty while nobody is known to
 
 
-class FrameError(Exception):
+class ProtocolError(Exception):
     """Bytes that are no frame: the connection ends."""
 
 
@@ -73,36 +73,36 @@
 class Hello:
     """Who speaks: a door, and which of its lives; and to which group, where several are held there."""
 
-    door: str
+    gateway: str
     epoch: int
     map_version: int = 1
-    version: int = VERSION
+    version: int = PROTOCOL_VERSION
     term: int = 0
     group: str = ""
 
 
 @dataclass(slots=True)
-class Follow:
+class FollowRequest:
     """A follower asks for the log from a record on."""
 
     term: int
-    next: int
-    check: int  # of the record before it, 0 where there is none: tells logs apart
-    version: int = VERSION
+    next_index: int
+    previous_checksum: int  # of the record before it, 0 where there is none: tells logs apart
+    version: int = PROTOCOL_VERSION
 
 
 @dataclass(slots=True)
-class Ack:
+class FollowAck:
     """All records before this one are durable at the follower."""
 
-    next: int
+    next_index: int
 
 
 @dataclass(slots=True)
-class Entries:
+class LogRecords:
     """Records of the log, as they stand in a segment."""
 
-    first: int
+    first_index: int
     data: bytes
 
 
@@ -111,9 +111,9 @@
     """Add units to a name."""
 
     sequence: int
-    name: int
+    key: int
     units: float
-    expire_ms: float
+    ttl_ms: float
 
 
 @dataclass(slots=True)
@@ -121,35 +121,35 @@
     """Tell a name's total."""
 
     sequence: int
-    name: int
+    key: int
 
 
 @dataclass(slots=True)
-class Record:
+class RecordAttempt:
     """A try that was sent on."""
 
     sequence: int
     time_ms: float
     units: float
-    beyond: bool
-    request: str
+    over_quota: bool
+    request_id: str
     customer: str
     plan: str
-    cls: str
+    request_class: str
 
 
 @dataclass(slots=True)
 class Welcome:
     """The session is open."""
 
-    highest: int
+    highest_sequence: int
     map_version: int = 1
-    version: int = VERSION
+    version: int = PROTOCOL_VERSION
     term: int = 0
 
 
 @dataclass(slots=True)
-class Total:
+class TotalReply:
     """Reply to Add and Read."""
 
     sequence: int
@@ -158,7 +158,7 @@
 
 
 @dataclass(slots=True)
-class Stored:
+class RecordReply:
     """Reply to Record."""
 
     sequence: int
@@ -166,28 +166,30 @@
 
 
 @dataclass(slots=True)
-class Refused:
+class Rejection:
     """The connection ends, and why."""
 
     status: Status
     reason: str
 
 
-Command = Hello | Add | Read | Record | Follow | Ack
-Reply = Welcome | Total | Stored | Refused | Entries
+Command = Hello | Add | Read | RecordAttempt | FollowRequest | FollowAck
+Reply = Welcome | TotalReply | RecordReply | Rejection | LogRecords
 Frame = Command | Reply
 
 
-def without(told: Add | Read | Record | Total | Stored, status: Status) -> Total | Stored:
+def reply_without_result(
+    told: Add | Read | RecordAttempt | TotalReply | RecordReply, status: Status
+) -> TotalReply | RecordReply:
     """The reply to a command, or in place of a reply to one, that has no result but a status."""
-    if isinstance(told, Record | Stored):
-        return Stored(told.sequence, status)
-    return Total(told.sequence, status, 0.0)
+    if isinstance(told, RecordAttempt | RecordReply):
+        return RecordReply(told.sequence, status)
+    return TotalReply(told.sequence, status, 0.0)
 
 
-def framed(payload: bytes) -> bytes:
+def frame_payload(payload: bytes) -> bytes:
     """A payload with its head."""
-    return HEAD.pack(len(payload), crc32c(payload)) + payload
+    return FRAME_HEADER.pack(len(payload), crc32c(payload)) + payload
 
 
 def _strings(*texts: str) -> bytes:
@@ -195,7 +197,7 @@
     for text in texts:
         data = text.encode()
         if len(data) > 0xFFFF:
-            raise FrameError(f"a string of {len(data)} bytes")
+            raise ProtocolError(f"a string of {len(data)} bytes")
         parts.append(len(data).to_bytes(2, "big") + data)
     return b"".join(parts)
 
@@ -206,11 +208,11 @@
         size = int.from_bytes(payload[at : at + 2], "big")
         at += 2
         if len(payload) < at + size:
-            raise FrameError("a string is cut off")
+            raise ProtocolError("a string is cut off")
         found.append(payload[at : at + size].decode())
         at += size
     if at != len(payload):
-        raise FrameError(f"{len(payload) - at} bytes too many")
+        raise ProtocolError(f"{len(payload) - at} bytes too many")
     return found
 
 
@@ -218,32 +220,32 @@
     """A frame as bytes, head included; raises FrameError where it is too large."""
     match frame:
         case Add():
-            payload = _ADD.pack(ADD, frame.sequence, frame.name, frame.units, frame.expire_ms)
-        case Total():
+            payload = _ADD.pack(ADD, frame.sequence, frame.key, frame.units, frame.ttl_ms)
+        case TotalReply():
             payload = _TOTAL.pack(TOTAL, frame.sequence, frame.status, frame.total)
         case Read():
-            payload = _READ.pack(READ, frame.sequence, frame.name)
-        case Record():
-            payload = _RECORD.pack(RECORD, frame.sequence, frame.time_ms, frame.units, frame.beyond)
-            payload += _strings(frame.request, frame.customer, frame.plan, frame.cls)
-        case Stored():
+            payload = _READ.pack(READ, frame.sequence, frame.key)
+        case RecordAttempt():
+            payload = _RECORD.pack(RECORD, frame.sequence, frame.time_ms, frame.units, frame.over_quota)
+            payload += _strings(frame.request_id, frame.customer, frame.plan, frame.request_class)
+        case RecordReply():
             payload = _STORED.pack(STORED, frame.sequence, frame.status)
         case Hello():
             payload = _HELLO.pack(HELLO, frame.version, frame.map_version, frame.epoch, frame.term)
-            payload += _strings(frame.door, frame.group) if frame.group else _strings(frame.door)
+            payload += _strings(frame.gateway, frame.group) if frame.group else _strings(frame.gateway)
         case Welcome():
-            payload = _WELCOME.pack(WELCOME, frame.version, frame.map_version, frame.term, frame.highest)
-        case Entries():
-            payload = _ENTRIES.pack(ENTRIES, frame.first) + frame.data
-        case Follow():
-            payload = _FOLLOW.pack(FOLLOW, frame.version, frame.term, frame.next, frame.check)
-        case Ack():
-            payload = _ACK.pack(ACK, frame.next)
-        case Refused():
+            payload = _WELCOME.pack(WELCOME, frame.version, frame.map_version, frame.term, frame.highest_sequence)
+        case LogRecords():
+            payload = _ENTRIES.pack(ENTRIES, frame.first_index) + frame.data
+        case FollowRequest():
+            payload = _FOLLOW.pack(FOLLOW, frame.version, frame.term, frame.next_index, frame.previous_checksum)
+        case FollowAck():
+            payload = _ACK.pack(ACK, frame.next_index)
+        case Rejection():
             payload = _REFUSED.pack(REFUSED, frame.status) + _strings(frame.reason)
-    if len(payload) > MOST_BYTES:
-        raise FrameError(f"a frame of {len(payload)} bytes: {MOST_BYTES} are allowed")
-    return framed(payload)
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise ProtocolError(f"a frame of {len(payload)} bytes: {MAX_PAYLOAD_BYTES} are allowed")
+    return frame_payload(payload)
 
 
 def decode(payload: bytes) -> Frame:
@@ -254,15 +256,15 @@
             return Add(*_ADD.unpack(payload)[1:])
         if kind == TOTAL:
             _, sequence, status, total = _TOTAL.unpack(payload)
-            return Total(sequence, Status(status), total)
+            return TotalReply(sequence, Status(status), total)
         if kind == READ:
             return Read(*_READ.unpack(payload)[1:])
         if kind == RECORD:
             _, sequence, time_ms, units, beyond = _RECORD.unpack_from(payload)
-            return Record(sequence, time_ms, units, bool(beyond), *_texts(payload, _RECORD.size, 4))
+            return RecordAttempt(sequence, time_ms, units, bool(beyond), *_texts(payload, _RECORD.size, 4))
         if kind == STORED:
             _, sequence, status = _STORED.unpack(payload)
-            return Stored(sequence, Status(status))
+            return RecordReply(sequence, Status(status))
         if kind == HELLO:
             _, version, map_version, epoch, term = _HELLO.unpack_from(payload)
             size = _HELLO.size + 2 + int.from_bytes(payload[_HELLO.size : _HELLO.size + 2], "big")
@@ -272,27 +274,27 @@
             _, version, map_version, term, highest = _WELCOME.unpack(payload)
             return Welcome(highest, map_version, version, term)
         if kind == ENTRIES:
-            return Entries(_ENTRIES.unpack_from(payload)[1], payload[_ENTRIES.size :])
+            return LogRecords(_ENTRIES.unpack_from(payload)[1], payload[_ENTRIES.size :])
         if kind == FOLLOW:
             _, version, term, after, check = _FOLLOW.unpack(payload)
-            return Follow(term, after, check, version)
+            return FollowRequest(term, after, check, version)
         if kind == ACK:
-            return Ack(_ACK.unpack(payload)[1])
+            return FollowAck(_ACK.unpack(payload)[1])
         if kind == REFUSED:
-            return Refused(Status(_REFUSED.unpack_from(payload)[1]), _texts(payload, _REFUSED.size, 1)[0])
+            return Rejection(Status(_REFUSED.unpack_from(payload)[1]), _texts(payload, _REFUSED.size, 1)[0])
     except (struct.error, ValueError, IndexError) as error:
-        raise FrameError(f"a frame that cannot be read: {error}") from None
-    raise FrameError(f"a frame of no known kind: {kind:#x}")
+        raise ProtocolError(f"a frame that cannot be read: {error}") from None
+    raise ProtocolError(f"a frame of no known kind: {kind:#x}")
 
 
-class Frames:
+class FrameDecoder:
     """Takes bytes as they come and gives whole payloads, their checksums proven."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
-    def partial(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Whether a frame has begun and is not whole."""
         return bool(self._buffer)
 
@@ -302,15 +304,15 @@
         buffer += data
         found, at, size = [], 0, len(buffer)
         while size - at >= 8:
-            length, check = HEAD.unpack_from(buffer, at)
-            if not 1 <= length <= MOST_BYTES:
-                raise FrameError(f"a frame of {length} bytes: 1 to {MOST_BYTES} are allowed")
+            length, check = FRAME_HEADER.unpack_from(buffer, at)
+            if not 1 <= length <= MAX_PAYLOAD_BYTES:
+                raise ProtocolError(f"a frame of {length} bytes: 1 to {MAX_PAYLOAD_BYTES} are allowed")
             end = at + 8 + length
             if size < end:
                 break
             payload = bytes(buffer[at + 8 : end])
             if crc32c(payload) != check:
-                raise FrameError("a frame whose checksum does not fit")
+                raise ProtocolError("a frame whose checksum does not fit")
             found.append(payload)
             at = end
         if at:
--- a/martenstep/counter/replicated_counter.py
+++ b/martenstep/counter/replicated_counter.py
@@ -19,67 +19,69 @@
 import msgspec
 
 from martenstep.counter import protocol as frames
-from martenstep.counter.protocol import Add, FrameError, Hello, Record, Refused, Reply, Status, Welcome
-from martenstep.counter.state import Counter, Limits
+from martenstep.counter.protocol import Add, Hello, ProtocolError, RecordAttempt, Rejection, Reply, Status, Welcome
+from martenstep.counter.state import CounterLimits, CounterState
 from martenstep.replication.messages import Kind
 from martenstep.replication.raft import Kept
 
 _HEAD = struct.Struct(">dQH")  # time at the leader (Unix ms), epoch, length of the door's name
 
 
-def asked(now: float, door: str, epoch: int, command: Hello | Add | Record) -> bytes:
+def encode_entry(now: float, door: str, epoch: int, command: Hello | Add | RecordAttempt) -> bytes:
     """An entry's bytes.  A Hello names the same door and epoch.  Raises FrameError where it is too large."""
     name = door.encode()
     if len(name) > 0xFFFF:
-        raise FrameError(f"a door's name of {len(name)} bytes")
-    return _HEAD.pack(now, epoch, len(name)) + name + frames.encode(command)[frames.HEAD.size :]
+        raise ProtocolError(f"a door's name of {len(name)} bytes")
+    return _HEAD.pack(now, epoch, len(name)) + name + frames.encode(command)[frames.FRAME_HEADER.size :]
 
 
-def _read(data: bytes) -> tuple[float, str, int, Hello | Add | Record]:
+def _read(data: bytes) -> tuple[float, str, int, Hello | Add | RecordAttempt]:
     try:
         now, epoch, size = _HEAD.unpack_from(data)
         door = data[_HEAD.size : _HEAD.size + size].decode()
     except (struct.error, UnicodeDecodeError) as error:
-        raise FrameError(f"an entry that cannot be read: {error}") from None
+        raise ProtocolError(f"an entry that cannot be read: {error}") from None
     command = frames.decode(data[_HEAD.size + size :])
-    if not isinstance(command, Hello | Add | Record) or not math.isfinite(now):
-        raise FrameError("an entry that asks for nothing")
+    if not isinstance(command, Hello | Add | RecordAttempt) or not math.isfinite(now):
+        raise ProtocolError("an entry that asks for nothing")
     return now, door, epoch, command
 
 
-def command_of(data: bytes) -> Hello | Add | Record:
+def decode_command(data: bytes) -> Hello | Add | RecordAttempt:
     """What an entry asks for; raises FrameError."""
     return _read(data)[3]
 
 
-class CopiedCounter:
+class ReplicatedCounter:
     """One copy's counter."""
 
-    def __init__(self, limits: Limits | None = None) -> None:
-        self._limits = limits or Limits()
-        self.counter = Counter(self._limits)
+    def __init__(self, limits: CounterLimits | None = None) -> None:
+        self._limits = limits or CounterLimits()
+        self.state = CounterState(self._limits)
 
     def apply(self, data: bytes) -> Reply:
         """What comes of one entry.  Never raises: what one copy cannot read, none can, and all go on."""
         try:
             now, name, epoch, command = _read(data)
-        except FrameError as error:
-            return Refused(Status.BAD, str(error))
-        counter = self.counter
-        counter.clock(now)
+        except ProtocolError as error:
+            return Rejection(Status.BAD, str(error))
+        counter = self.state
+        counter.advance_clock(now)
         # A session begins with its first command as well: a door that comes to a new leader need not greet it.
-        door, _ = counter.hello(name, epoch)
+        door, _ = counter.begin_session(name, epoch)
         if isinstance(command, Hello):
-            return Refused(Status.FENCED, "a later epoch was seen") if door is None else Welcome(door.highest)
+            return (
+                Rejection(Status.FENCED, "a later epoch was seen") if door is None else Welcome(door.highest_sequence)
+            )
         if door is None:
-            return frames.without(command, Status.FENCED)
+            return frames.reply_without_result(command, Status.FENCED)
         try:
-            return counter.command(door, epoch, command)[0]
-        except FrameError:
-            return frames.without(command, Status.BAD)
+            return counter.execute(door, epoch, command)[0]
+        except ProtocolError:
+            return frames.reply_without_result(command, Status.BAD)
 
     @classmethod
-    def of(cls, kept: Kept) -> CopiedCounter:
+    def from_stored(cls, kept: Kept) -> ReplicatedCounter:
         """What a copy that is down would hold, all entries of its disk applied."""
         made = cls()
         if kept.snapshot is not None:
@@ -91,15 +93,15 @@
 
     def total(self, name: int) -> float:
         """A name's total, for who has the leader's word that nothing is missing; 0 where it is not known."""
-        return self.counter.total(name)
+        return self.state.total(name)
 
     def snapshot(self) -> bytes:
         """All of the state, sessions with it."""
-        return self.counter.snapshot()
+        return self.state.snapshot()
 
     def restore(self, body: bytes) -> None:
         """In place of all that was; raises ValueError where it is no snapshot."""
         try:
-            self.counter = Counter.restored(self._limits, body)
+            self.state = CounterState.from_snapshot(self._limits, body)
         except msgspec.MsgspecError as error:
             raise ValueError(f"not a counter's snapshot: {error}") from None
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -25,24 +25,24 @@
 
 from martenstep.config.text import Faults
 from martenstep.counter import counter_pb2 as pb
-from martenstep.counter.connection import DoorConnection, cut_off_silent
+from martenstep.counter.connection import GatewayConnection, close_idle_connections
 from martenstep.counter.protocol import (
-    VERSION,
+    PROTOCOL_VERSION,
     Add,
     Frame,
-    FrameError,
     Hello,
+    ProtocolError,
     Read,
-    Record,
-    Refused,
+    RecordAttempt,
+    Rejection,
     Reply,
     Status,
-    Total,
+    TotalReply,
     Welcome,
     encode,
-    without,
+    reply_without_result,
 )
-from martenstep.counter.replicated_counter import CopiedCounter, asked
+from martenstep.counter.replicated_counter import ReplicatedCounter, encode_entry
 from martenstep.counter.service import limits_of
 from martenstep.counter.steady_clock import SteadyClock
 from martenstep.event_log import EventLog
@@ -64,30 +64,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ServiceLimits:
     """What one copy takes; whoever asks for more is told FULL, or cut off."""
 
-    connections: int = 1000
-    waiting: int = 4096  # commands of one connection without their reply
-    unsent_bytes: int = 1_000_000  # a door that does not read is cut off
-    hang_s: float = 5.0  # for a frame that has begun, and for the first one
+    max_connections: int = 1000
+    max_pending: int = 4096  # commands of one connection without their reply
+    max_unsent_bytes: int = 1_000_000  # a door that does not read is cut off
+    idle_timeout_s: float = 5.0  # for a frame that has begun, and for the first one
     map_version: int | None = None  # that a door must name; None: any
 
 
-class CopiedService:
+class ReplicatedService:
     """The listener of a machine that holds copies."""
 
     def __init__(
         self,
         held: Callable[[str], Host | None],
         where: Callable[[str, int | None], str | None],
-        bounds: Bounds | None = None,
+        bounds: ServiceLimits | None = None,
         clock: Callable[[], float] | None = None,
     ) -> None:
         """`held` gives the copy of a group that is here, its machine a CopiedCounter; `where` the address for doors, as
         HOST:PORT, of one copy of a group, or of any that may know who leads; `clock` Unix seconds, where it is not
         to be the wall clock as of now, carried on steadily."""
-        self.held, self.bounds = held, bounds or Bounds()
+        self.find_replica, self.limits = held, bounds or ServiceLimits()
         self._where, self._clock = where, clock or SteadyClock().now_s
         self.connections: set[_Connection] = set()
         self._server: asyncio.Server | None = None
@@ -97,7 +97,7 @@
         """Bind; gives the port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Connection(self), host, port)
-        self._sweeper = loop.create_task(cut_off_silent(self.connections, self.bounds.hang_s))
+        self._sweeper = loop.create_task(close_idle_connections(self.connections, self.limits.idle_timeout_s))
         return int(self._server.sockets[0].getsockname()[1])
 
     async def stop(self) -> None:
@@ -110,30 +110,34 @@
             if connection.transport is not None:
                 connection.transport.abort()
 
-    def ask(self, hello: Hello, command: Hello | Add | Read | Record) -> Waiting:
+    def submit(self, hello: Hello, command: Hello | Add | Read | RecordAttempt) -> Waiting:
         """What comes of a command, or a future of it; `reply` makes the answer of either."""
-        host = self.held(hello.group)
+        host = self.find_replica(hello.group)
         if host is None:
-            return Refused(Status.MOVED, self._where(hello.group, None) or "")
+            return Rejection(Status.MOVED, self._where(hello.group, None) or "")
         if isinstance(command, Read):
             return asyncio.get_running_loop().create_task(self._read(host, command))
         try:
-            return host.proposed(asked(self._clock() * 1000, hello.door, hello.epoch, command))
+            return host.proposed(encode_entry(self._clock() * 1000, hello.gateway, hello.epoch, command))
         except NotLeaderError as error:
             return self._moved(hello, error.leader)
-        except (ValueError, FrameError) as error:  # larger than an entry may be
-            return Refused(Status.BAD, str(error)) if isinstance(command, Hello) else without(command, Status.BAD)
+        except (ValueError, ProtocolError) as error:  # larger than an entry may be
+            return (
+                Rejection(Status.BAD, str(error))
+                if isinstance(command, Hello)
+                else reply_without_result(command, Status.BAD)
+            )
 
     @staticmethod
     async def _read(host: Host, command: Read) -> Reply:
         await host.read()
-        assert isinstance(host.machine, CopiedCounter)
-        return Total(command.sequence, Status.DONE, host.machine.total(command.name))
+        assert isinstance(host.machine, ReplicatedCounter)
+        return TotalReply(command.sequence, Status.DONE, host.machine.total(command.key))
 
-    def _moved(self, hello: Hello, leader: int | None) -> Refused:
-        return Refused(Status.MOVED, (self._where(hello.group, leader) or "") if leader is not None else "")
+    def _moved(self, hello: Hello, leader: int | None) -> Rejection:
+        return Rejection(Status.MOVED, (self._where(hello.group, leader) or "") if leader is not None else "")
 
-    def reply(self, hello: Hello, waiting: Waiting) -> Reply:
+    def resolve(self, hello: Hello, waiting: Waiting) -> Reply:
         """The answer; MOVED, with the leader's address if it is known, where this machine cannot say."""
         if not isinstance(waiting, asyncio.Future):
             return waiting
@@ -142,7 +146,7 @@
         except NotLeaderError as error:
             return self._moved(hello, error.leader)
         except InDoubtError:
-            host = self.held(hello.group)
+            host = self.find_replica(hello.group)
             leader = host.copy.leader if host is not None and host.copy.leader != host.copy.me else None
             return self._moved(hello, leader)
         if isinstance(reply, Welcome):
@@ -150,25 +154,25 @@
         return reply
 
 
-class _Connection(DoorConnection):
+class _Connection(GatewayConnection):
     """One door's connection."""
 
-    def __init__(self, service: CopiedService) -> None:
-        super().__init__(service.bounds.unsent_bytes)
+    def __init__(self, service: ReplicatedService) -> None:
+        super().__init__(service.limits.max_unsent_bytes)
         self._service = service
         self._hello: Hello | None = None
         self._out: deque[Waiting] = deque()
         self._telling: asyncio.Task[None] | None = None
 
     @property
-    def hangs(self) -> bool:
+    def owes_frame(self) -> bool:
         """Whether a frame is owed: the first one, or the rest of one."""
-        return super().hangs or self._hello is None
+        return super().owes_frame or self._hello is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        if len(self._service.connections) >= self._service.bounds.connections:
-            self.end(Status.FULL, "no more connections are taken")
+        if len(self._service.connections) >= self._service.limits.max_connections:
+            self.reject(Status.FULL, "no more connections are taken")
         else:
             self._service.connections.add(self)
 
@@ -181,29 +185,29 @@
             if isinstance(waiting, asyncio.Future):
                 waiting.cancel()  # the entries stand or not as they would: nobody is there to be told
 
-    def take(self, frame: Frame) -> None:
+    def handle_frame(self, frame: Frame) -> None:
         """One frame."""
         if isinstance(frame, Hello) and self._hello is None:
-            if frame.version != VERSION:
-                self.end(Status.VERSION, f"version {frame.version} is not spoken here; {VERSION} is")
+            if frame.version != PROTOCOL_VERSION:
+                self.reject(Status.VERSION, f"version {frame.version} is not spoken here; {PROTOCOL_VERSION} is")
                 return
-            wanted = self._service.bounds.map_version
+            wanted = self._service.limits.map_version
             if wanted is not None and frame.map_version != wanted:
-                self.end(Status.MAP, f"names are split in another way here: {wanted}, not {frame.map_version}")
+                self.reject(Status.MAP, f"names are split in another way here: {wanted}, not {frame.map_version}")
                 return
             self._hello = frame
             self._ask(frame, frame)
-        elif isinstance(frame, Add | Read | Record) and self._hello is not None:
+        elif isinstance(frame, Add | Read | RecordAttempt) and self._hello is not None:
             self._ask(self._hello, frame)
         else:
-            raise FrameError(f"{type(frame).__name__} where it was not expected")
+            raise ProtocolError(f"{type(frame).__name__} where it was not expected")
 
-    def _ask(self, hello: Hello, command: Hello | Add | Read | Record) -> None:
-        full = len(self._out) >= self._service.bounds.waiting and not isinstance(command, Hello)
+    def _ask(self, hello: Hello, command: Hello | Add | Read | RecordAttempt) -> None:
+        full = len(self._out) >= self._service.limits.max_pending and not isinstance(command, Hello)
         self._out.append(
-            without(command, Status.FULL)
+            reply_without_result(command, Status.FULL)
             if full and not isinstance(command, Hello)
-            else self._service.ask(hello, command)
+            else self._service.submit(hello, command)
         )
         if len(self._out) == 1:
             self._telling = asyncio.get_running_loop().create_task(self._tell(hello))
@@ -215,30 +219,30 @@
                 await asyncio.wait((first,))
             parts: list[bytes] = []  # all that is there by now, in one write
             while self._out and not (isinstance(self._out[0], asyncio.Future) and not self._out[0].done()):
-                reply = self._service.reply(hello, self._out.popleft())
-                if isinstance(reply, Refused):
+                reply = self._service.resolve(hello, self._out.popleft())
+                if isinstance(reply, Rejection):
                     self.send(b"".join(parts))
-                    self.end(reply.status, reply.reason)
+                    self.reject(reply.status, reply.reason)
                     return
                 parts.append(encode(reply))
             self.send(b"".join(parts))
 
 
-def _renew(listed: Listed, load: Callable[[], pb.Service]) -> None:
+def _renew(listed: ReplicaList, load: Callable[[], pb.Service]) -> None:
     """Take up a new list of copies; what is wrong with it changes nothing."""
     try:
-        listed.take(load().copies)
+        listed.update(load().copies)
     except (Faults, OSError) as error:
         _log_event("copies not taken up", {"error": str(error)})
     else:
-        _log_event("copies taken up", {"copies": list(listed.copies)})
+        _log_event("copies taken up", {"copies": list(listed.replicas)})
 
 
-class CopyError(Exception):
+class ReplicaError(Exception):
     """A copy that cannot start as the settings want it: why."""
 
 
-def identity_of(directory: Path, witness: Path) -> int:
+def read_identity(directory: Path, witness: Path) -> int:
     """Whose disk a directory is; an empty one becomes a new copy's.  Raises CopyError, LockedError, OSError."""
     with contextlib.ExitStack() as stack:
         disks = [stack.enter_context(contextlib.closing(Disk(path))) for path in (directory, witness)]
@@ -249,37 +253,37 @@
     try:
         return Store(disk, witness, random.SystemRandom())
     except StoreError as error:
-        raise CopyError(str(error)) from None
+        raise ReplicaError(str(error)) from None
 
 
 def _log_event(event: str, fields: dict[str, Any]) -> None:
     sys.stderr.write(json.dumps({"event": event, **fields}) + "\n")
 
 
-class Listed:
+class ReplicaList:
     """The copies as the settings list them; what they list now is where the group is led to."""
 
     def __init__(self, copies: pb.Copies) -> None:
-        self.take(copies)
+        self.update(copies)
         # Danger: were those that came later among them, two of three new ones would make a group of their own.
-        self.first = Config(tuple(copy.id for copy in copies.copy if not copy.later))
+        self.bootstrap_config = Config(tuple(copy.id for copy in copies.copy if not copy.later))
 
-    def take(self, copies: pb.Copies) -> None:
+    def update(self, copies: pb.Copies) -> None:
         """Take up another list."""
-        self.copies = {copy.id: copy for copy in copies.copy}
+        self.replicas = {copy.id: copy for copy in copies.copy}
 
     def address(self, place: str) -> tuple[str, int] | None:
         """Where a copy's place is, which is its number."""
-        copy = self.copies.get(int(place))
+        copy = self.replicas.get(int(place))
         return (copy.host, copy.port) if copy is not None else None
 
-    def doors(self, copy: int | None) -> str | None:
+    def gateway_address(self, copy: int | None) -> str | None:
         """Where doors reach a copy."""
-        return self.copies[copy].doors if copy in self.copies else None
+        return self.replicas[copy].doors if copy in self.replicas else None
 
-    def step(self, config: Config, me: int) -> Config | HandOver | None:
+    def next_change(self, config: Config, me: int) -> Config | HandOver | None:
         """The next thing to do on the way to the list, for who leads."""
-        places = [str(copy) for copy in self.copies]
+        places = [str(copy) for copy in self.replicas]
         homes = tuple((copy, str(copy)) for copy in config.everyone)
         told = next_step(Config(config.voters, config.learners, homes), me, places, (), places, len(places), True)
         if isinstance(told, Invite):
@@ -287,12 +291,12 @@
         return told.config if isinstance(told, Change) else told
 
 
-async def _lead_to(listed: Listed, host: Host, log_event: EventLog) -> None:
+async def _lead_to(listed: ReplicaList, host: Host, log_event: EventLog) -> None:
     """Lead the group to what is listed, one change after another, wherever this copy leads."""
     while True:
         await asyncio.sleep(TEND_S)
         copy = host.copy
-        step = listed.step(copy.config, copy.me) if copy.role is Role.LEADER else None
+        step = listed.next_change(copy.config, copy.me) if copy.role is Role.LEADER else None
         if isinstance(step, HandOver):
             host.hand_over(step.to)
         elif step is not None and host.change(step):
@@ -307,25 +311,27 @@
     try:
         keys = read_keys(Path(told.key_file))
     except KeyFileError as error:
-        raise CopyError(str(error)) from None
+        raise ReplicaError(str(error)) from None
     disk, witness = Disk(Path(settings.log.directory)), Disk(Path(told.witness))
     try:
         store = _opened(disk, witness)
-        listed = Listed(told)
-        if store.id not in listed.copies:
-            raise CopyError(
+        listed = ReplicaList(told)
+        if store.id not in listed.replicas:
+            raise ReplicaError(
                 f"{settings.log.directory} is the disk of copy {store.id}, not among those of the settings "
-                f"({', '.join(map(str, listed.copies))}): an emptied disk is another copy"
+                f"({', '.join(map(str, listed.replicas))}): an emptied disk is another copy"
             )
-        machine = CopiedCounter(limits_of(settings))
+        machine = ReplicatedCounter(limits_of(settings))
         links = Links(told.group, str(store.id), lambda: keys, listed.address)
-        host = Host(told.group, store, listed.first, machine, links, _log_event, place_of=str)
-        service = CopiedService(
+        host = Host(told.group, store, listed.bootstrap_config, machine, links, _log_event, place_of=str)
+        service = ReplicatedService(
             lambda group: host,
-            lambda group, copy: listed.doors(copy),
-            Bounds(settings.max_connections, settings.max_waiting, settings.unsent_bytes, settings.idle_ms / 1000),
+            lambda group, copy: listed.gateway_address(copy),
+            ServiceLimits(
+                settings.max_connections, settings.max_waiting, settings.unsent_bytes, settings.idle_ms / 1000
+            ),
         )
-        mine = listed.copies[store.id]
+        mine = listed.replicas[store.id]
         await links.start(mine.host, mine.port)
         host.start()
         tending = asyncio.get_running_loop().create_task(_lead_to(listed, host, _log_event))
--- a/martenstep/counter/service.py
+++ b/martenstep/counter/service.py
@@ -19,26 +19,26 @@
 
 from martenstep.config.tls import ServerContext, TlsError
 from martenstep.counter import counter_pb2 as pb
-from martenstep.counter.commit_pipeline import Group, Keeper, Session
-from martenstep.counter.connection import DoorConnection, cut_off_silent
+from martenstep.counter.commit_pipeline import CommitGroup, CommitPipeline, Session
+from martenstep.counter.connection import GatewayConnection, close_idle_connections
 from martenstep.counter.protocol import (
-    VERSION,
-    Ack,
+    PROTOCOL_VERSION,
     Add,
-    Entries,
-    Follow,
+    FollowAck,
+    FollowRequest,
     Frame,
-    FrameError,
     Hello,
+    LogRecords,
+    ProtocolError,
     Read,
-    Record,
+    RecordAttempt,
     Reply,
     Status,
     Welcome,
     encode,
-    without,
+    reply_without_result,
 )
-from martenstep.counter.state import Limits
+from martenstep.counter.state import CounterLimits
 from martenstep.counter.steady_clock import SteadyClock
 from martenstep.lifetime import until_stopped
 from martenstep.storage.files import Disk
@@ -52,7 +52,7 @@
     sys.stderr.write(json.dumps({"event": event, **fields}) + "\n")
 
 
-def records_in(data: bytes) -> int:
+def count_records(data: bytes) -> int:
     """How many records stand in some bytes."""
     at = count = 0
     while at < len(data):
@@ -61,38 +61,40 @@
     return count
 
 
-def limits_of(service: pb.Service) -> Limits:
+def limits_of(service: pb.Service) -> CounterLimits:
     """The bounds that the settings state."""
-    return Limits(service.window, service.try_window_ms, service.max_tries, service.max_names, service.period_ms)
+    return CounterLimits(service.window, service.try_window_ms, service.max_tries, service.max_names, service.period_ms)
 
 
-def open_keeper(service: pb.Service) -> tuple[Keeper, Disk]:
+def open_pipeline(service: pb.Service) -> tuple[CommitPipeline, Disk]:
     """The keeper over the directory; raises LogError, LockedError or OSError."""
     log = service.log
     disk = Disk(Path(log.directory))
     try:
-        keeper = Keeper(disk, limits_of(service), log.segment_bytes, log.durable, log.snapshot_records, log.keep_ms)
+        keeper = CommitPipeline(
+            disk, limits_of(service), log.segment_bytes, log.durable, log.snapshot_records, log.keep_ms
+        )
     except BaseException:
         disk.close()
         raise
     return keeper, disk
 
 
-class Connection(DoorConnection):
+class ClientConnection(GatewayConnection):
     """One door's connection."""
 
     def __init__(self, service: Service) -> None:
         super().__init__(service.settings.unsent_bytes)
         self._service = service
         self.session: Session | None = None
-        self.link: Link | None = None
+        self.link: FollowerLink | None = None
         self.room = asyncio.Event()  # what was written is on its way, or nobody is there any more
         self.room.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         if not self._service.admit(self):
-            self.end(Status.FULL, "no more connections are taken")
+            self.reject(Status.FULL, "no more connections are taken")
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
@@ -107,44 +109,44 @@
     def resume_writing(self) -> None:
         self.room.set()
 
-    def take(self, frame: Frame) -> None:
+    def handle_frame(self, frame: Frame) -> None:
         """One frame."""
-        if isinstance(frame, Add | Read | Record):
+        if isinstance(frame, Add | Read | RecordAttempt):
             if self.session is None:
-                raise FrameError("a command before HELLO")
-            self._service.command(self, self.session, frame)
+                raise ProtocolError("a command before HELLO")
+            self._service.submit(self, self.session, frame)
         elif isinstance(frame, Hello) and self.session is None and self.link is None:
             self._hello(frame)
-        elif isinstance(frame, Follow) and self.session is None and self.link is None:
-            self.link = Link(self._service, self, frame)
-        elif isinstance(frame, Ack) and self.link is not None:
-            self.link.acked(frame.next)
+        elif isinstance(frame, FollowRequest) and self.session is None and self.link is None:
+            self.link = FollowerLink(self._service, self, frame)
+        elif isinstance(frame, FollowAck) and self.link is not None:
+            self.link.on_ack(frame.next_index)
         else:
-            raise FrameError(f"{type(frame).__name__} where a command was expected")
+            raise ProtocolError(f"{type(frame).__name__} where a command was expected")
 
     def _hello(self, hello: Hello) -> None:
         service = self._service
-        if hello.version != VERSION:
-            self.end(Status.VERSION, f"version {hello.version} is not spoken here; {VERSION} is")
-        elif service.keeper.fence(hello.term):
-            self.end(Status.FENCED, service.keeper.failed)
+        if hello.version != PROTOCOL_VERSION:
+            self.reject(Status.VERSION, f"version {hello.version} is not spoken here; {PROTOCOL_VERSION} is")
+        elif service.pipeline.fence_if_superseded(hello.term):
+            self.reject(Status.FENCED, service.pipeline.failure)
         elif hello.map_version != service.settings.map_version:
-            self.end(Status.MAP, f"the map has version {service.settings.map_version}: reload it")
-        elif service.keeper.failed:
-            self.end(Status.UNWRITTEN, f"the log cannot be written: {service.keeper.failed}")
+            self.reject(Status.MAP, f"the map has version {service.settings.map_version}: reload it")
+        elif service.pipeline.failure:
+            self.reject(Status.UNWRITTEN, f"the log cannot be written: {service.pipeline.failure}")
         else:
-            self.session = service.hello(self, hello)
+            self.session = service.open_session(self, hello)
             if self.session is None:
-                self.end(Status.FENCED, f"epoch {hello.epoch} of {hello.door} is over")
+                self.reject(Status.FENCED, f"epoch {hello.epoch} of {hello.gateway} is over")
 
 
-class Link:
+class FollowerLink:
     """One follower: what it has been sent, and what it holds."""
 
-    def __init__(self, service: Service, connection: Connection, follow: Follow) -> None:
+    def __init__(self, service: Service, connection: ClientConnection, follow: FollowRequest) -> None:
         self._service, self._connection, self._follow = service, connection, follow
-        self.held = 0  # records that are durable there
-        self._sent = follow.next
+        self.acknowledged_index = 0  # records that are durable there
+        self._sent = follow.next_index
         self._task = asyncio.get_running_loop().create_task(self._ship())
 
     def stop(self) -> None:
@@ -152,51 +154,56 @@
         self._task.cancel()
         self._service.links.discard(self)
 
-    def acked(self, upto: int) -> None:
+    def on_ack(self, upto: int) -> None:
         """The follower holds all before this."""
-        self.held = max(self.held, upto)
+        self.acknowledged_index = max(self.acknowledged_index, upto)
         self._service.confirm()
 
     async def _why_not(self) -> tuple[Status, str] | None:
         """Whether the follower's log is the beginning of this one."""
         service, follow = self._service, self._follow
-        keeper = service.keeper
-        if follow.version != VERSION:
-            return Status.VERSION, f"version {follow.version} is not spoken here; {VERSION} is"
-        if keeper.fence(follow.term):
-            return Status.FENCED, keeper.failed
-        if follow.next > keeper.synced:
-            return Status.BAD, f"the follower holds {follow.next} records, this log {keeper.synced}: they have parted"
-        if follow.next:
+        keeper = service.pipeline
+        if follow.version != PROTOCOL_VERSION:
+            return Status.VERSION, f"version {follow.version} is not spoken here; {PROTOCOL_VERSION} is"
+        if keeper.fence_if_superseded(follow.term):
+            return Status.FENCED, keeper.failure
+        if follow.next_index > keeper.durable_count:
+            return (
+                Status.BAD,
+                f"the follower holds {follow.next_index} records, this log {keeper.durable_count}: they have parted",
+            )
+        if follow.next_index:
             try:
-                data, _ = await self._old(follow.next - 1, follow.next)
-                [entry] = records_of(data, follow.next - 1)
+                data, _ = await self._old(follow.next_index - 1, follow.next_index)
+                [entry] = records_of(data, follow.next_index - 1)
             except (LogError, ValueError) as error:
                 return Status.BAD, f"{error}: copy the directory first"
             except OSError as error:
                 return Status.UNWRITTEN, f"the log cannot be read: {error}"
-            if likeness(follow.next - 1, entry) != follow.check:
-                return Status.BAD, f"the logs part before record {follow.next}"
+            if likeness(follow.next_index - 1, entry) != follow.previous_checksum:
+                return Status.BAD, f"the logs part before record {follow.next_index}"
         return None
 
     async def _ship(self) -> None:
         service = self._service
         fault = await self._why_not()
         if fault is not None:
-            self._connection.end(*fault)
+            self._connection.reject(*fault)
             return
         service.links.add(self)
-        self.held = self._sent
+        self.acknowledged_index = self._sent
         while True:
             news = service.news
-            while self._sent < service.keeper.synced:
+            while self._sent < service.pipeline.durable_count:
                 try:
-                    data, after = service.recent(self._sent) or await self._old(self._sent, service.keeper.synced)
+                    data, after = service.recent(self._sent) or await self._old(
+                        self._sent, service.pipeline.durable_count
+                    )
                 except LogError as error:
-                    self._connection.end(Status.BAD, f"{error}: copy the directory first")
+                    self._connection.reject(Status.BAD, f"{error}: copy the directory first")
                     return
                 except OSError as error:  # a segment that was compacted away meanwhile, or a disk: it may ask again
-                    self._connection.end(Status.UNWRITTEN, f"the log cannot be read: {error}")
+                    self._connection.reject(Status.UNWRITTEN, f"the log cannot be read: {error}")
                     return
                 for frame in _parts(self._sent, data):
                     await self._connection.room.wait()  # it is waited for, not cut off as a door is
@@ -210,31 +217,31 @@
     async def _old(self, first: int, until: int) -> tuple[bytes, int]:
         """Records that may no longer be in memory, up to the end of their segment, and the number behind them."""
         return await asyncio.get_running_loop().run_in_executor(
-            None, read_records, self._service.keeper.files, first, until
+            None, read_records, self._service.pipeline.files, first, until
         )
 
 
-def _parts(first: int, data: bytes) -> Iterator[Entries]:
+def _parts(first: int, data: bytes) -> Iterator[LogRecords]:
     """Records cut into frames, between records."""
     begin, number, start, at = first, first, 0, 0
     while at < len(data):
         end = at + RECORD.size + RECORD.unpack_from(data, at)[0]
         if end - start > PART_BYTES and at > start:
-            yield Entries(begin, data[start:at])
+            yield LogRecords(begin, data[start:at])
             start, begin = at, number
         at, number = end, number + 1
-    yield Entries(begin, data[start:])
+    yield LogRecords(begin, data[start:])
 
 
 class Service:
     """The counter as a server."""
 
-    def __init__(self, settings: pb.Service, keeper: Keeper) -> None:
-        self.settings, self.keeper = settings, keeper
+    def __init__(self, settings: pb.Service, keeper: CommitPipeline) -> None:
+        self.settings, self.pipeline = settings, keeper
         self._clock = SteadyClock()
-        self.connections: set[Connection] = set()
-        self.groups = 0
-        self.links: set[Link] = set()
+        self.connections: set[ClientConnection] = set()
+        self.committed_groups = 0
+        self.links: set[FollowerLink] = set()
         self.news = asyncio.Event()  # set, and replaced, when more is durable
         self._confirmed = asyncio.Event()
         self._recent: deque[tuple[int, bytes, int]] = deque()  # records still in memory: first, bytes, next
@@ -247,32 +254,34 @@
         self._recovery_error = ""  # the last one, so that it is told once
         self._tls: ServerContext | None = None
 
-    def admit(self, connection: Connection) -> bool:
+    def admit(self, connection: ClientConnection) -> bool:
         """Whether one more connection is taken."""
         if len(self.connections) >= self.settings.max_connections:
             return False
         self.connections.add(connection)
         return True
 
-    def hello(self, connection: Connection, hello: Hello) -> Session | None:
+    def open_session(self, connection: ClientConnection, hello: Hello) -> Session | None:
         """A door begins; WELCOME waits for its entry to be durable, as every reply does."""
-        self.keeper.counter.clock(self._clock.now_ms())
-        session = self.keeper.hello(hello.door, hello.epoch)
+        self.pipeline.state.advance_clock(self._clock.now_ms())
+        session = self.pipeline.open_session(hello.gateway, hello.epoch)
         if session is not None:
-            welcome = Welcome(session.door.highest, hello.map_version, VERSION, self.keeper.counter.term)
-            self.keeper.group.replies.append((connection, welcome))
+            welcome = Welcome(
+                session.gateway.highest_sequence, hello.map_version, PROTOCOL_VERSION, self.pipeline.state.term
+            )
+            self.pipeline.pending_group.replies.append((connection, welcome))
             self._wake.set()
         return session
 
-    def command(self, connection: Connection, session: Session, frame: Add | Read | Record) -> None:
+    def submit(self, connection: ClientConnection, session: Session, frame: Add | Read | RecordAttempt) -> None:
         """One command."""
-        keeper = self.keeper
-        keeper.counter.clock(self._clock.now_ms())
-        if len(keeper.group.replies) >= self.settings.max_waiting:
-            connection.send(encode(without(frame, Status.FULL)))
+        keeper = self.pipeline
+        keeper.state.advance_clock(self._clock.now_ms())
+        if len(keeper.pending_group.replies) >= self.settings.max_waiting:
+            connection.send(encode(reply_without_result(frame, Status.FULL)))
             return
-        keeper.command(connection, session, frame)
-        if len(keeper.group.replies) >= self.settings.log.commit_records:
+        keeper.submit(connection, session, frame)
+        if len(keeper.pending_group.replies) >= self.settings.log.commit_records:
             self._full.set()
         self._wake.set()
 
@@ -280,7 +289,7 @@
         """Durable records from one on, where a group that is still in memory begins with it, and the number behind."""
         for begin, data, after in reversed(self._recent):  # a follower in step wants the last
             if begin <= first:
-                return (data, after) if begin == first and after <= self.keeper.synced else None
+                return (data, after) if begin == first and after <= self.pipeline.durable_count else None
         return None
 
     def confirm(self) -> None:
@@ -289,16 +298,16 @@
 
     async def _held(self, upto: int) -> None:
         """Wait until a follower holds all before this."""
-        while not any(link.held >= upto for link in self.links):
+        while not any(link.acknowledged_index >= upto for link in self.links):
             self._confirmed.clear()
             await self._confirmed.wait()
 
-    def _tell(self, group: Group) -> int:
+    def _tell(self, group: CommitGroup) -> int:
         """More is written, and followers may have it once it is durable; gives the number behind the group's last
         record."""
-        after = group.first + records_in(group.data)
-        self._recent.append((group.first, group.data, after))
-        self._recent_bytes += len(group.data)
+        after = group.first_index + count_records(group.records)
+        self._recent.append((group.first_index, group.records, after))
+        self._recent_bytes += len(group.records)
         while self._recent_bytes > self.settings.recent_bytes and len(self._recent) > 1:
             self._recent_bytes -= len(self._recent.popleft()[1])
         news, self.news = self.news, asyncio.Event()
@@ -310,14 +319,14 @@
         loop = asyncio.get_running_loop()
         self._tls = ServerContext(self.settings.tls) if self.settings.HasField("tls") else None
         self._server = await loop.create_server(
-            lambda: Connection(self),
+            lambda: ClientConnection(self),
             self.settings.host,
             self.settings.port,
             ssl=self._tls.context if self._tls else None,
         )
         self._tasks = [
             asyncio.create_task(self._commit()),
-            asyncio.create_task(cut_off_silent(self.connections, self.settings.idle_ms / 1000)),
+            asyncio.create_task(close_idle_connections(self.connections, self.settings.idle_ms / 1000)),
         ]
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -342,53 +351,55 @@
                     pass
             self._wake.clear()
             self._full.clear()
-            group = self.keeper.take()
+            group = self.pipeline.take_group()
             fault = ""
             if group.entries:
-                fault = await loop.run_in_executor(self._writer, self.keeper.write, group)
+                fault = await loop.run_in_executor(self._writer, self.pipeline.write_group, group)
                 if not fault:
                     after = self._tell(group)
                     if self.settings.wait_for_follower:
                         await self._held(after)
-            self.groups += 1
-            self._answer(self.keeper.written(group, fault))
-            if self.keeper.failed and not self.keeper.fenced:
+            self.committed_groups += 1
+            self._answer(self.pipeline.finish_group(group, fault))
+            if self.pipeline.failure and not self.pipeline.fenced:
                 await self._recover()
-            if self.keeper.snapshot_due() and not self.keeper.group.entries:
+            if self.pipeline.snapshot_due() and not self.pipeline.pending_group.entries:
                 try:
-                    await loop.run_in_executor(self._writer, self.keeper.keep_snapshot, *self.keeper.snapshot())
+                    await loop.run_in_executor(
+                        self._writer, self.pipeline.store_snapshot, *self.pipeline.encode_snapshot()
+                    )
                 except OSError as error:
                     sys.stderr.write(json.dumps({"event": "snapshot not kept", "error": str(error)}) + "\n")
 
     async def _recover(self) -> None:
         """Read the log anew until it can be written again.  Its doors say hello anew: what was not acknowledged may be
         gone, also that they did."""
-        _log_event("log cannot be written", {"error": self.keeper.failed})
+        _log_event("log cannot be written", {"error": self.pipeline.failure})
         loop = asyncio.get_running_loop()
-        while self.keeper.failed and not self.keeper.fenced:
+        while self.pipeline.failure and not self.pipeline.fenced:
             await asyncio.sleep(RECOVER_S)
-            self._answer(self.keeper.written(self.keeper.take(), self.keeper.failed))
+            self._answer(self.pipeline.finish_group(self.pipeline.take_group(), self.pipeline.failure))
             try:
-                recovered = await loop.run_in_executor(self._writer, self.keeper.recovered)
+                recovered = await loop.run_in_executor(self._writer, self.pipeline.recover_log)
             except (OSError, LogError) as error:
                 last, self._recovery_error = self._recovery_error, str(error)
                 if last != self._recovery_error:
                     _log_event("log not recovered", {"error": self._recovery_error})
                 continue
-            self._answer(self.keeper.written(self.keeper.take(), self.keeper.failed))
-            if self.keeper.fenced:
+            self._answer(self.pipeline.finish_group(self.pipeline.take_group(), self.pipeline.failure))
+            if self.pipeline.fenced:
                 break
-            self.keeper.resume(recovered)
+            self.pipeline.resume(recovered)
             self._recent.clear()
             self._recent_bytes = 0
             for connection in list(self.connections):
                 if connection.transport is not None:
                     connection.transport.close()
-            _log_event("log written again", {"records": self.keeper.records})
+            _log_event("log written again", {"records": self.pipeline.record_count})
 
     @staticmethod
     def _answer(replies: list[tuple[Any, Reply]]) -> None:
-        by: defaultdict[Connection, list[bytes]] = defaultdict(list)
+        by: defaultdict[ClientConnection, list[bytes]] = defaultdict(list)
         for connection, reply in replies:
             by[connection].append(encode(reply))
         for connection, parts in by.items():
@@ -402,27 +413,27 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         loop = asyncio.get_running_loop()
-        group = self.keeper.take()
-        fault = await loop.run_in_executor(self._writer, self.keeper.write, group)
-        replies = self.keeper.written(group, fault)
+        group = self.pipeline.take_group()
+        fault = await loop.run_in_executor(self._writer, self.pipeline.write_group, group)
+        replies = self.pipeline.finish_group(group, fault)
         if not self.settings.wait_for_follower:  # else nobody has confirmed them
             self._answer(replies)
         for connection in list(self.connections):
             if connection.transport is not None:
                 connection.transport.close()
         await asyncio.sleep(0)
-        self.keeper.close()
+        self.pipeline.close()
         self._writer.shutdown()
 
 
 async def serve(settings: pb.Service) -> int:
     """Run until SIGTERM; gives the exit code.  Raises LogError, LockedError, OSError where it cannot start."""
-    keeper, disk = open_keeper(settings)
+    keeper, disk = open_pipeline(settings)
     service = Service(settings, keeper)
     try:
         port = await service.start()
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, service.reload)
-        await until_stopped({"port": port}, service.stop, records=keeper.records, cut=keeper.cut)
+        await until_stopped({"port": port}, service.stop, records=keeper.record_count, cut=keeper.truncated_bytes)
     finally:
         disk.close()
     return 0
--- a/martenstep/counter/settings.py
+++ b/martenstep/counter/settings.py
@@ -9,7 +9,7 @@
 from martenstep.config.text import Node
 from martenstep.counter import counter_pb2 as pb
 
-LEAST_SEGMENT = 4096
+MIN_SEGMENT_BYTES = 4096
 
 
 def check_service(check: Checker, service: pb.Service, root: Node) -> None:
@@ -27,7 +27,7 @@
         _check_copies(check, service, root)
     node = root.at("log")
     check.needed(service.log, node, "directory")
-    check.number(service.log, node, "segment_bytes", LEAST_SEGMENT)
+    check.number(service.log, node, "segment_bytes", MIN_SEGMENT_BYTES)
     check.number(service.log, node, "commit_ms", 0, 1000)
     check.number(service.log, node, "commit_records", 1)
     check.number(service.log, node, "keep_ms", 0)
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 
 from martenstep.config import door_pb2 as pb
-from martenstep.counter.increment_ledger import Books, is_book
-from martenstep.counter.pending_increments import Book, Try
-from martenstep.counter.replicated_counter import CopiedCounter
-from martenstep.counter.replicated_service import Bounds, CopiedService
+from martenstep.counter.increment_ledger import IncrementLedger, is_ledger_group
+from martenstep.counter.pending_increments import AttemptRecord, PendingIncrements
+from martenstep.counter.replicated_counter import ReplicatedCounter
+from martenstep.counter.replicated_service import ReplicatedService, ServiceLimits
 from martenstep.event_log import EventLog
 from martenstep.maintenance.coordinator import GROUP as ORDERS
 from martenstep.maintenance.queue import Book as OrderBook
@@ -27,24 +27,24 @@
 Address = tuple[str, int]
 
 
-def slots(copies: pb.Copies) -> tuple[str, ...]:
+def slot_groups(copies: pb.Copies) -> tuple[str, ...]:
     """The groups of the counter."""
     return tuple(f"counter-{number}" for number in range(copies.slots))
 
 
-def holding(door: pb.Door) -> Holding:
+def replica_requirements(door: pb.Door) -> Holding:
     """What the settings ask of each door."""
     copies = door.copies
     more = (ORDERS,) if door.HasField("maintenance") else ()
     return Holding(
-        slots(copies) + more,
+        slot_groups(copies) + more,
         tuple(Founder(one.door, one.disk) for one in copies.founder),
         copies.count,
         copies.final_ms,
     )
 
 
-class HeldByDoors:
+class ShardedCounter:
     """One door's part in it: the copies that are here, their links, and the listener for all doors' commands."""
 
     def __init__(
@@ -52,62 +52,68 @@
         door: pb.Door,
         membership: Membership,
         log_event: EventLog,
-        deliver: Callable[[Try], bool],
+        deliver: Callable[[AttemptRecord], bool],
     ) -> None:
         """`deliver` hands a try of somebody's book to this door's clients of the counter."""
         self._copies, self._membership = door.copies, membership
         self._host = door.fleet.host
-        self.keeper = Keeper(
+        self.replica_manager = Keeper(
             door.name,
             Path(door.copies.directory),
             Path(door.copies.witness),
-            holding(door),
+            replica_requirements(door),
             self._machine,
             self._places,
             log_event,
-            also=is_book,
+            also=is_ledger_group,
             first=self._owner,
         )
-        self.books = Books(door.name, self.keeper, deliver, log_event) if door.copies.HasField("book") else None
-        self.links = Links(
+        self.ledger = (
+            IncrementLedger(door.name, self.replica_manager, deliver, log_event)
+            if door.copies.HasField("book")
+            else None
+        )
+        self.transport = Links(
             door.fleet.cluster,
             door.name,
             lambda: membership.keys,
             self._link_address,
-            self.keeper.word,
-            self.keeper.nobody,
+            self.replica_manager.word,
+            self.replica_manager.nobody,
         )
-        self.service = CopiedService(self._counter, self._where, Bounds(map_version=door.copies.slots))
+        self.service = ReplicatedService(self._counter, self._where, ServiceLimits(map_version=door.copies.slots))
 
     async def start(self) -> dict[str, int]:
         """Hold what is to be held; gives the ports.  Raises KeeperError, LockedError, OSError."""
-        ports = {"copies": await self.links.start(self._host, self._copies.port)}
-        await self.keeper.start(self.links)
-        if self.books is not None:
-            await self.books.start()
+        ports = {"copies": await self.transport.start(self._host, self._copies.port)}
+        await self.replica_manager.start(self.transport)
+        if self.ledger is not None:
+            await self.ledger.start()
         return {**ports, "counter": await self.service.start(self._host, self._copies.counter_port)}
 
     async def stop(self) -> None:
         """Let others lead, and end."""
-        if self.books is not None:
-            await self.books.stop()
-        await self.keeper.stop()
+        if self.ledger is not None:
+            await self.ledger.stop()
+        await self.replica_manager.stop()
         await self.service.stop()
-        self.links.stop()
+        self.transport.stop()
 
     @staticmethod
-    def _machine(group: str) -> CopiedCounter | Book | OrderBook:
+    def _machine(group: str) -> ReplicatedCounter | PendingIncrements | OrderBook:
         if group == ORDERS:
             return OrderBook()
-        return Book() if is_book(group) else CopiedCounter()
+        return PendingIncrements() if is_ledger_group(group) else ReplicatedCounter()
 
     def _counter(self, group: str) -> Host | None:
-        host = self.keeper.host(group)
-        return host if host is not None and isinstance(host.machine, CopiedCounter) else None
+        host = self.replica_manager.host(group)
+        return host if host is not None and isinstance(host.machine, ReplicatedCounter) else None
 
     def _owner(self, group: str) -> str | None:
-        host = self.keeper.host(group)
-        return (host.machine.owner or None) if host is not None and isinstance(host.machine, Book) else None
+        host = self.replica_manager.host(group)
+        return (
+            (host.machine.owner or None) if host is not None and isinstance(host.machine, PendingIncrements) else None
+        )
 
     # Who is where.
 
@@ -127,16 +133,18 @@
 
     def _where(self, group: str, copy: int | None) -> str | None:
         if copy is None:
-            place = next((place for place in self.keeper.wanted(group) if place != self.keeper.me), None)
+            place = next(
+                (place for place in self.replica_manager.wanted(group) if place != self.replica_manager.me), None
+            )
         else:
-            host: Host | None = self.keeper.host(group)
+            host: Host | None = self.replica_manager.host(group)
             place = host.home(copy) if host is not None else None
         address = self._address(place, self._copies.counter_port)
         return "{}:{}".format(*address) if address is not None else None
 
     def addresses(self, group: str) -> list[Address]:
         """Where a slot's leader may be: those that should hold it first, then all others."""
-        likely = self.keeper.wanted(group)
+        likely = self.replica_manager.wanted(group)
         rest = sorted(place.name for place in self._places() if place.present and place.name not in likely)
         return [
             address
--- a/martenstep/counter/shards.py
+++ b/martenstep/counter/shards.py
@@ -19,12 +19,12 @@
 from martenstep.counter.client import CounterClient
 
 
-def owner(services: Sequence[str], key: str) -> str:
+def owning_service(services: Sequence[str], key: str) -> str:
     """The service that a key belongs to; ties go to the name that is first in order."""
     return max(sorted(services), key=lambda service: xxhash.xxh64_intdigest(f"{service}\0{key}".encode()))
 
 
-class Shards:
+class ShardedClient:
     """The clients of all services, as one store port."""
 
     def __init__(self, clients: Mapping[str, CounterClient]) -> None:
@@ -33,7 +33,7 @@
         self._only = self._clients[self._names[0]] if len(self._names) == 1 else None
 
     def _of(self, key: str) -> CounterClient:
-        return self._only if self._only is not None else self._clients[owner(self._names, key)]
+        return self._only if self._only is not None else self._clients[owning_service(self._names, key)]
 
     def start(self) -> None:
         """Connect to all."""
--- a/martenstep/lab/copies.py
+++ b/martenstep/lab/copies.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep.counter.protocol import Add, Frames, Hello, Read, Total, decode, encode
-from martenstep.counter.replicated_counter import CopiedCounter
-from martenstep.counter.replicated_service import identity_of
-from martenstep.counter.state import Counter
+from martenstep.counter.protocol import Add, FrameDecoder, Hello, Read, TotalReply, decode, encode
+from martenstep.counter.replicated_counter import ReplicatedCounter
+from martenstep.counter.replicated_service import read_identity
+from martenstep.counter.state import CounterState
 from martenstep.lab.ports import held_ports
 from martenstep.replication.replica_storage import Store
 from martenstep.storage.files import Disk
@@ -44,7 +44,7 @@
         ports = held_ports(2 * count)
         self.ports = ports[count:]  # for doors
         (folder / "keys").write_text("ab" * 16 + "\n")
-        self.ids = [identity_of(folder / f"log-{n}", witness / f"witness-{n}") for n in range(count)]
+        self.ids = [read_identity(folder / f"log-{n}", witness / f"witness-{n}") for n in range(count)]
         self._ports, self._witness = ports, witness
         self.write(range(count))
         self.running: dict[int, asyncio.subprocess.Process] = {}
@@ -109,10 +109,10 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.ports[number])
                 try:
                     writer.write(encode(hello) + encode(command))
-                    frames = Frames()
+                    frames = FrameDecoder()
                     while data := await reader.read(4096):
                         for reply in map(decode, frames.feed(data)):
-                            if isinstance(reply, Total):
+                            if isinstance(reply, TotalReply):
                                 return reply.total
                 finally:
                     writer.close()
@@ -127,7 +127,7 @@
                     return number, total
             await asyncio.sleep(0.02)
 
-    def on_disk(self, number: int) -> Counter:
+    def on_disk(self, number: int) -> CounterState:
         """What a copy that is down would begin with, all its entries applied."""
         with contextlib.closing(Disk(self.folder / f"log-{number}")) as disk:
-            return CopiedCounter.of(Store(disk, None, random.Random(1)).image()).counter
+            return ReplicatedCounter.from_stored(Store(disk, None, random.Random(1)).image()).state
--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -19,9 +19,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from martenstep.counter.client import Address, CounterClient, Journal
-from martenstep.counter.replicated_counter import CopiedCounter
-from martenstep.counter.shards import Shards, owner
+from martenstep.counter.client import Address, CounterClient
+from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.replicated_counter import ReplicatedCounter
+from martenstep.counter.shards import ShardedClient, owning_service
 from martenstep.policy.messages import CallResult
 from martenstep.replication.verify import Found, differences, furthest, read_folder
 
@@ -48,12 +49,12 @@
             return list(addresses)
 
         self._slots = [f"counter-{slot}" for slot in range(slots)]
-        self.shards = Shards(
+        self.shards = ShardedClient(
             {
                 f"counter-{slot}": CounterClient(
                     likely,
                     name,
-                    Journal(folder / f"counter-{slot}", 1_000_000),
+                    AttemptJournal(folder / f"counter-{slot}", 1_000_000),
                     self._answered,
                     self._log_event,
                     timeout_ms=TIMEOUT_MS,
@@ -94,7 +95,7 @@
                 )
             self.acknowledged[name] += 1
             self.took.record_value(int((now - asked) * 1e6))
-            self.answers[owner(self._slots, f"n{name:x}")].append(now)
+            self.answers[owning_service(self._slots, f"n{name:x}")].append(now)
 
 
 class Promises:
@@ -182,7 +183,7 @@
     totals: Counter[int] = Counter()
     tries = 0
     for one in furthest(found).values():
-        machine = CopiedCounter.of(one.kept)
+        machine = ReplicatedCounter.from_stored(one.kept)
         totals.update({name: int(machine.total(name)) for name in range(names)})
-        tries += sum(use.tries for use in machine.counter.uses().values())
+        tries += sum(use.attempts for use in machine.state.usage().values())
     return totals, tries
--- a/martenstep/lab/held.py
+++ b/martenstep/lab/held.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.counter.protocol import FrameError, Record, Status, Stored
-from martenstep.counter.replicated_counter import CopiedCounter, command_of
+from martenstep.counter.protocol import ProtocolError, RecordAttempt, RecordReply, Status
+from martenstep.counter.replicated_counter import ReplicatedCounter, decode_command
 from martenstep.lab import day_pb2 as pb
 from martenstep.replication.messages import Kind
 from martenstep.replication.replica_manager import GROUPS, disk_identity
@@ -84,13 +84,13 @@
 def _tries(found: Found) -> Iterable[tuple[str, str, float]]:
     if found.kept.snapshot is not None:
         raise ValueError(f"{found.folder}: its first entries are in a snapshot, which does not hold tries one by one")
-    machine = CopiedCounter()
+    machine = ReplicatedCounter()
     for entry in found.kept.entries:
         if entry.kind is not Kind.COMMAND:
             continue
         reply = machine.apply(entry.data)
-        if isinstance(reply, Stored) and reply.status is Status.DONE:
-            with contextlib.suppress(FrameError):
-                command = command_of(entry.data)
-                if isinstance(command, Record):
-                    yield command.request, command.customer, command.units
+        if isinstance(reply, RecordReply) and reply.status is Status.DONE:
+            with contextlib.suppress(ProtocolError):
+                command = decode_command(entry.data)
+                if isinstance(command, RecordAttempt):
+                    yield command.request_id, command.customer, command.units
--- a/martenstep/lab/report.py
+++ b/martenstep/lab/report.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from martenstep.config.text import Faults
-from martenstep.counter.log_inspection import each_try
+from martenstep.counter.log_inspection import iterate_attempts
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import load_day
 from martenstep.lab.held import recorded_tries
@@ -114,7 +114,7 @@
             exported = (
                 recorded_tries(folder)
                 if day.HasField("held_by_doors")
-                else [(told.request, told.customer, told.units) for _, told in each_try(folder / "counter")]
+                else [(told.request_id, told.customer, told.units) for _, told in iterate_attempts(folder / "counter")]
             )
         except (LogError, LockedError, OSError, ValueError) as error:
             raise TraceError(f"{folder}: {error}") from None
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -15,8 +15,9 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.tls import WARN_DAYS, ClientContext, ServerContext, TlsError
-from martenstep.counter.client import CounterClient, Journal
-from martenstep.counter.shards import Shards
+from martenstep.counter.client import CounterClient
+from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.shards import ShardedClient
 from martenstep.discovery.endpoint_list import Listed
 from martenstep.discovery.feed import Feed
 from martenstep.hooks.files import History, read_directory
@@ -32,8 +33,8 @@
 from martenstep.redis_counter.redis_store import RedisStore
 
 if TYPE_CHECKING:
-    from martenstep.counter.pending_increments import Try
-    from martenstep.counter.sharded_counter import HeldByDoors
+    from martenstep.counter.pending_increments import AttemptRecord
+    from martenstep.counter.sharded_counter import ShardedCounter
     from martenstep.maintenance.coordinator import Orders
     from martenstep.membership.transport import Membership
 
@@ -79,12 +80,12 @@
         self._store: RedisStore | None = None
         if door.HasField("store"):
             self._store = RedisStore(door.store, self._counted, door.name, self.event_logger.log)
-        self._counter: Shards | None = None
+        self._counter: ShardedClient | None = None
         self._exporter: Exporter | None = None
         self._feed = Feed(door.members, door.name, self._listed, self._odd, now_ms)
         self._feeding: asyncio.Task[None] | None = None
         self.fleet: Membership | None = None
-        self.copies: HeldByDoors | None = None
+        self.copies: ShardedCounter | None = None
         self.orders: Orders | None = None
         self._admin = Admin(DoorCollector(self._counts, self._gauges), lambda: self.ready)
         self._loading: asyncio.Task[None] | None = None
@@ -107,7 +108,7 @@
         if self.door.HasField("fleet"):
             await self._join_fleet()
         if self.door.HasField("counter"):
-            self._counter = Shards(self._counter_clients())
+            self._counter = ShardedClient(self._counter_clients())
             self._counter.start()
             self.driver.add, self.driver.record = self._counter.add, self._tried
             self.driver.record_ms = self.door.copies.book.wait_ms
@@ -137,17 +138,17 @@
 
     async def _hold_copies(self, fleet: Membership) -> None:
         """Hold what others rely on.  What is wrong with it keeps nobody from serving: the copies elsewhere go on."""
-        from martenstep.counter.sharded_counter import HeldByDoors
+        from martenstep.counter.sharded_counter import ShardedCounter
         from martenstep.replication.replica_manager import KeeperError
         from martenstep.storage.files import LockedError
 
-        self.copies = HeldByDoors(self.door, fleet, self.event_logger.log, self._deliver)
+        self.copies = ShardedCounter(self.door, fleet, self.event_logger.log, self._deliver)
         try:
             self.ports.update(await self.copies.start())
         except (KeeperError, LockedError, OSError) as error:
             self.event_logger.log("copies not held", {"error": str(error)})
             await self.copies.stop()
-        self._admin.copies(self.copies.keeper)
+        self._admin.copies(self.copies.replica_manager)
         if self.door.HasField("maintenance"):
             from martenstep.maintenance.coordinator import Orders
 
@@ -155,7 +156,7 @@
                 self.door.name,
                 self.door.zone,
                 self.door.maintenance.capacity,
-                self.copies.keeper,
+                self.copies.replica_manager,
                 lambda: self.ready,
                 self._known_doors,
                 self._leave_for_work,
@@ -285,7 +286,7 @@
             name: CounterClient(
                 addresses,
                 self.door.name,
-                Journal(Path(told.journal) / name, told.journal_tries, self.event_logger.log),
+                AttemptJournal(Path(told.journal) / name, told.journal_tries, self.event_logger.log),
                 self._counted,
                 self.event_logger.log,
                 timeout_ms=told.timeout_ms,
@@ -300,7 +301,7 @@
     def _held_clients(self) -> dict[str, CounterClient]:
         """One client a slot.  A door that knows of no other asks nobody, and decides without: as with a counter that is
         away."""
-        from martenstep.counter.sharded_counter import slots
+        from martenstep.counter.sharded_counter import slot_groups
 
         told = self.door.counter
 
@@ -311,7 +312,7 @@
             slot: CounterClient(
                 partial(addresses, slot),
                 self.door.name,
-                Journal(Path(told.journal) / slot, told.journal_tries, self.event_logger.log),
+                AttemptJournal(Path(told.journal) / slot, told.journal_tries, self.event_logger.log),
                 self._counted,
                 self.event_logger.log,
                 timeout_ms=told.timeout_ms,
@@ -321,27 +322,29 @@
                 way=self.fleet.way if self.fleet is not None else lambda address: address,
                 recorded=self._recorded,
             )
-            for slot in slots(self.door.copies)
+            for slot in slot_groups(self.door.copies)
         }
 
-    def _deliver(self, made: Try) -> bool:
+    def _deliver(self, made: AttemptRecord) -> bool:
         """A try out of a book that this door leads."""
         return self._counter is not None and self._counter.record(
-            made.time_ms, made.units, made.beyond, made.request, made.customer, made.plan, made.cls
+            made.time_ms, made.units, made.over_quota, made.request_id, made.customer, made.plan, made.request_class
         )
 
     def _recorded(self, request: str) -> None:
-        if self.copies is not None and self.copies.books is not None:
-            self.copies.books.recorded(request)
+        if self.copies is not None and self.copies.ledger is not None:
+            self.copies.ledger.on_acknowledged(request)
 
     def _tried(self, tried: Tried) -> asyncio.Future[bool] | None:
         assert self._counter is not None
         promised = None
-        if self.copies is not None and self.copies.books is not None:
-            from martenstep.counter.pending_increments import Try
+        if self.copies is not None and self.copies.ledger is not None:
+            from martenstep.counter.pending_increments import AttemptRecord
 
-            made = self.copies.books.promise(
-                Try(tried.request, time.time() * 1000, tried.units, tried.beyond, tried.customer, tried.plan, tried.cls)
+            made = self.copies.ledger.replicate(
+                AttemptRecord(
+                    tried.request, time.time() * 1000, tried.units, tried.beyond, tried.customer, tried.plan, tried.cls
+                )
             )
             promised = made if self.door.copies.book.before_answer else None
         if not self._counter.record(
@@ -382,10 +385,10 @@
         if self.fleet is not None:
             made.update(self.fleet.counts())
         if self.copies is not None:
-            made.update({f"copies_{name}": count for name, count in self.copies.keeper.counts.items()})
-            if self.copies.books is not None:
-                made.update({f"books_{name}": count for name, count in self.copies.books.counts.items()})
-            made.update({f"copies_links_{name}": count for name, count in self.copies.links.counts.items()})
+            made.update({f"copies_{name}": count for name, count in self.copies.replica_manager.counts.items()})
+            if self.copies.ledger is not None:
+                made.update({f"books_{name}": count for name, count in self.copies.ledger.counts.items()})
+            made.update({f"copies_links_{name}": count for name, count in self.copies.transport.counts.items()})
         return made
 
     def _gauges(self) -> dict[str, float]:
@@ -395,9 +398,9 @@
         if self.fleet is not None:
             held.update(self.fleet.gauges())
         if self.copies is not None:
-            held.update(self.copies.keeper.gauges())
-            if self.copies.books is not None:
-                held.update(self.copies.books.gauges())
+            held.update(self.copies.replica_manager.gauges())
+            if self.copies.ledger is not None:
+                held.update(self.copies.ledger.gauges())
             if self.orders is not None:
                 held.update(self.orders.gauges())
         return {
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -39,6 +39,6 @@
                     assert connection.transport is not None
                     connection.transport.abort()
             await desk.client.stop()
-            assert service.keeper.counter.total(5) == 6.0
+            assert service.pipeline.state.total(5) == 6.0
 
     run(test())
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -11,8 +11,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martenstep.counter.increment_ledger import Books, is_book
-from martenstep.counter.pending_increments import Begin, Book, Done, Entry, Put, Seal, Try, dones, entry, puts
+from martenstep.counter.increment_ledger import IncrementLedger, is_ledger_group
+from martenstep.counter.pending_increments import (
+    Acknowledge,
+    AddPending,
+    AttemptRecord,
+    Entry,
+    FenceOwner,
+    PendingIncrements,
+    SetOwner,
+    encode_entry,
+    split_acknowledged,
+    split_pending,
+)
 from martenstep.replication.replica_manager import Keeper
 from martenstep.replication.transport import Links
 from tests.socket_rig import LONG_S, run
@@ -20,25 +31,33 @@
 from tests.test_replication_host import Sum
 
 
-def made(request: str) -> Try:
-    return Try(request, 1e12, 1.0, False, "ada", "pro", "read")
+def made(request: str) -> AttemptRecord:
+    return AttemptRecord(request, 1e12, 1.0, False, "ada", "pro", "read")
 
 
 def test_a_try_is_in_the_book_until_it_is_done_and_a_sealed_book_takes_no_more() -> None:
-    book = Book()
-    assert book.apply(entry(Begin("d1"))) and book.apply(entry(Begin("d2"))) and book.owner == "d1"
-    assert book.apply(entry(Put((made("a"), made("b")))))
-    assert book.apply(entry(Done(("a", "zz")))) and list(book.pending) == ["b"] and book.done == 1
-    assert book.apply(entry(Seal())) and not book.apply(entry(Put((made("c"),)))) and list(book.pending) == ["b"]
-    assert not book.apply(b"\xff\x00") and book.apply(entry(Done(("b",)))) and not book.pending
+    book = PendingIncrements()
+    assert book.apply(encode_entry(SetOwner("d1"))) and book.apply(encode_entry(SetOwner("d2"))) and book.owner == "d1"
+    assert book.apply(encode_entry(AddPending((made("a"), made("b")))))
+    assert (
+        book.apply(encode_entry(Acknowledge(("a", "zz"))))
+        and list(book.pending) == ["b"]
+        and book.acknowledged_count == 1
+    )
+    assert (
+        book.apply(encode_entry(FenceOwner()))
+        and not book.apply(encode_entry(AddPending((made("c"),))))
+        and list(book.pending) == ["b"]
+    )
+    assert not book.apply(b"\xff\x00") and book.apply(encode_entry(Acknowledge(("b",)))) and not book.pending
 
 
 ENTRIES = st.lists(
     st.one_of(
-        st.builds(lambda names: Put(tuple(map(made, names))), st.lists(st.sampled_from("abcdef"), max_size=3)),
-        st.builds(lambda names: Done(tuple(names)), st.lists(st.sampled_from("abcdef"), max_size=3)),
-        st.builds(Begin, st.sampled_from(["d1", "d2"])),
-        st.just(Seal()),
+        st.builds(lambda names: AddPending(tuple(map(made, names))), st.lists(st.sampled_from("abcdef"), max_size=3)),
+        st.builds(lambda names: Acknowledge(tuple(names)), st.lists(st.sampled_from("abcdef"), max_size=3)),
+        st.builds(SetOwner, st.sampled_from(["d1", "d2"])),
+        st.just(FenceOwner()),
     ),
     max_size=20,
 )
@@ -46,27 +65,31 @@
 
 @given(ENTRIES, st.integers(0, 20))
 def test_a_book_filled_by_a_snapshot_goes_on_as_one_that_saw_all(entries: list[Entry], cut: int) -> None:
-    seen, filled = Book(), Book()
+    seen, filled = PendingIncrements(), PendingIncrements()
     for told in entries[:cut]:
-        seen.apply(entry(told))
+        seen.apply(encode_entry(told))
     filled.restore(seen.snapshot())
     for told in entries[cut:]:
-        assert filled.apply(entry(told)) == seen.apply(entry(told))
-    assert (filled.pending, filled.owner, filled.sealed, filled.done) == (
+        assert filled.apply(encode_entry(told)) == seen.apply(encode_entry(told))
+    assert (filled.pending, filled.owner, filled.fenced, filled.acknowledged_count) == (
         seen.pending,
         seen.owner,
-        seen.sealed,
-        seen.done,
+        seen.fenced,
+        seen.acknowledged_count,
     )
 
 
 def test_large_entries_are_split_and_no_snapshot_is_named() -> None:
-    tries = [Try("r" * 64 + str(number), 1e12, 1.0, True, "c" * 64, "p" * 64, "k" * 64) for number in range(250)]
-    split = list(puts(tries))
-    assert [one for put in split for one in put.tries] == tries and max(len(entry(put)) for put in split) < 65536
-    assert sum(len(done.requests) for done in dones([one.request for one in tries])) == 250
+    tries = [
+        AttemptRecord("r" * 64 + str(number), 1e12, 1.0, True, "c" * 64, "p" * 64, "k" * 64) for number in range(250)
+    ]
+    split = list(split_pending(tries))
+    assert [one for put in split for one in put.attempts] == tries and max(
+        len(encode_entry(put)) for put in split
+    ) < 65536
+    assert sum(len(done.request_ids) for done in split_acknowledged([one.request_id for one in tries])) == 250
     with pytest.raises(ValueError, match="not a book's snapshot"):
-        Book().restore(b"\x01")
+        PendingIncrements().restore(b"\x01")
 
 
 class BookFleet(Fleet):
@@ -74,7 +97,7 @@
 
     def __init__(self, folder: Path, names: str, final_ms: float) -> None:
         super().__init__(folder, names, groups=(), final_ms=final_ms)
-        self.books: dict[str, Books] = {}
+        self.books: dict[str, IncrementLedger] = {}
         self.counter: dict[str, list[str]] = {}  # request: who delivered it
         self.down = False  # the counter is
         self.tasks: list[asyncio.Task[None]] = []
@@ -84,34 +107,38 @@
 
             def owner(group: str, name: str = name) -> str | None:
                 host = self.keepers[name].host(group)
-                return (host.machine.owner or None) if host is not None and isinstance(host.machine, Book) else None
+                return (
+                    (host.machine.owner or None)
+                    if host is not None and isinstance(host.machine, PendingIncrements)
+                    else None
+                )
 
             keeper = self.keepers[name] = Keeper(
                 name,
                 self.folder / name,
                 self.folder / f"{name}-witness",
                 self.holding,
-                lambda group: Book() if is_book(group) else Sum(),
+                lambda group: PendingIncrements() if is_ledger_group(group) else Sum(),
                 self.places,
                 lambda event, fields: self.notes.append((event, fields)),
                 QUICK,
-                also=is_book,
+                also=is_ledger_group,
                 first=owner,
             )
             links = self.links[name] = Links("f", name, lambda: KEYS, self.where.get, keeper.word, keeper.nobody)
             host, port = self.where.get(name, ("127.0.0.1", 0))
             self.where[name] = host, await links.start(host, port)
             await keeper.start(links)
-            books = self.books[name] = Books(
+            books = self.books[name] = IncrementLedger(
                 name, keeper, partial(self.deliver, name), lambda event, fields: self.notes.append((event, fields))
             )
             await books.start()
 
-    def deliver(self, name: str, told: Try) -> bool:
+    def deliver(self, name: str, told: AttemptRecord) -> bool:
         if self.down:
             return False
-        self.counter.setdefault(told.request, []).append(name)
-        asyncio.get_running_loop().call_soon(self.books[name].recorded, told.request)
+        self.counter.setdefault(told.request_id, []).append(name)
+        asyncio.get_running_loop().call_soon(self.books[name].on_acknowledged, told.request_id)
         return True
 
     async def kill(self, name: str, wipe: bool = False) -> None:
@@ -120,7 +147,7 @@
 
     async def promised(self, name: str, request: str) -> None:
         """Until a try is promised: an election may come between."""
-        while not await self.books[name].promise(made(request)):
+        while not await self.books[name].replicate(made(request)):
             await asyncio.sleep(0.02)
 
     def state(self, name: str, group: str) -> Any:
@@ -133,12 +160,16 @@
         books = self.books[name]
         await self.until(
             lambda: (
-                len(self.at(books.own)) == 3
+                len(self.at(books.own_group)) == 3
                 and name
-                in [one for one in self.keepers if any(host.group == books.own for host, _ in self.books[one].led())]
+                in [
+                    one
+                    for one in self.keepers
+                    if any(host.group == books.own_group for host, _ in self.books[one].led_groups())
+                ]
             )
         )
-        return books.own
+        return books.own_group
 
 
 def test_what_a_lost_door_promised_is_delivered_by_another_and_its_book_ends(tmp_path: Path) -> None:
@@ -157,7 +188,7 @@
         await fleet.until(lambda: all(fleet.state(name, own) is None for name in "bcd"))
         assert any(event == "book sealed" for event, _ in fleet.notes)
         await fleet.start("a")
-        assert fleet.books["a"].own != own
+        assert fleet.books["a"].own_group != own
         await fleet.whole("a")
         await fleet.stop()
 
@@ -175,10 +206,10 @@
         await fleet.promised("a", "r1")
         fleet.names.remove("a")  # membership is wrong about it: it lives, and holds its book
         await fleet.kill("a")
-        await fleet.until(lambda: any(getattr(fleet.state(name, own), "sealed", False) for name in "bcd"))
+        await fleet.until(lambda: any(getattr(fleet.state(name, own), "fenced", False) for name in "bcd"))
         fleet.names.append("a")
         await fleet.start("a")
-        await fleet.until(lambda: fleet.books["a"].own != own)  # it finds the old one sealed
+        await fleet.until(lambda: fleet.books["a"].own_group != own)  # it finds the old one sealed
         await fleet.whole("a")
         fleet.down = False
         await fleet.until(lambda: "r1" in fleet.counter)
@@ -192,12 +223,12 @@
     async def test() -> None:
         fleet = BookFleet(tmp_path, "a", final_ms=3_600_000.0)
         await fleet.start("a")
-        await fleet.until(lambda: fleet.books["a"].led())
-        assert not await fleet.books["a"].promise(made("r1")) and fleet.books["a"].counts["thin"] == 1
+        await fleet.until(lambda: fleet.books["a"].led_groups())
+        assert not await fleet.books["a"].replicate(made("r1")) and fleet.books["a"].counts["thin"] == 1
         await fleet.kill("a")
         await fleet.start("a")  # the same book, with what is in it
         await fleet.until(lambda: "r1" in fleet.counter)
-        await fleet.until(lambda: not fleet.state("a", fleet.books["a"].own).pending)
+        await fleet.until(lambda: not fleet.state("a", fleet.books["a"].own_group).pending)
         await fleet.stop()
 
     run(test(), LONG_S)
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -11,24 +11,25 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martenstep.counter.client import CounterClient, Journal
+from martenstep.counter.client import CounterClient
+from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.protocol import (
     Add,
-    Frames,
+    FrameDecoder,
     Hello,
-    Record,
-    Refused,
+    RecordAttempt,
+    RecordReply,
+    Rejection,
     Reply,
     Status,
-    Stored,
-    Total,
+    TotalReply,
     Welcome,
     decode,
     encode,
 )
-from martenstep.counter.replicated_counter import CopiedCounter, asked
-from martenstep.counter.replicated_service import CopiedService
-from martenstep.counter.state import Limits
+from martenstep.counter.replicated_counter import ReplicatedCounter, encode_entry
+from martenstep.counter.replicated_service import ReplicatedService
+from martenstep.counter.state import CounterLimits
 from martenstep.membership.codec import Keys
 from martenstep.policy.messages import CallResult
 from martenstep.replication.replica import Host, InDoubtError, NotLeaderError
@@ -37,17 +38,19 @@
 from tests.test_replication_host import KEYS, Group
 
 NOW = 1_000_000.0
-SMALL = Limits(window=6, try_window_ms=4000.0, max_tries=5, max_names=4, period_ms=1000.0)
+SMALL = CounterLimits(deduplication_window=6, attempt_window_ms=4000.0, max_attempts=5, max_keys=4, period_ms=1000.0)
 
 
 def entry(at: float, door: int, epoch: int, sequence: int, kind: int, key: int) -> bytes:
     """One of few commands, so that repeats and reuse of sequences are common."""
     name = f"door-{door}"
     if kind == 0:
-        return asked(at, name, epoch, Hello(name, epoch))
+        return encode_entry(at, name, epoch, Hello(name, epoch))
     if kind == 1:
-        return asked(at, name, epoch, Record(sequence, at - 500.0 * key, 1.0, key % 2 == 0, f"r{key}", "c", "p", "k"))
-    return asked(at, name, epoch, Add(sequence, key, float(kind), 700.0))
+        return encode_entry(
+            at, name, epoch, RecordAttempt(sequence, at - 500.0 * key, 1.0, key % 2 == 0, f"r{key}", "c", "p", "k")
+        )
+    return encode_entry(at, name, epoch, Add(sequence, key, float(kind), 700.0))
 
 
 ENTRIES = st.lists(
@@ -66,35 +69,35 @@
 
 @given(ENTRIES, st.integers(0, 60))
 def test_a_copy_filled_by_a_snapshot_answers_as_one_that_saw_all(entries: list[bytes], cut: int) -> None:
-    seen, filled = CopiedCounter(SMALL), CopiedCounter(SMALL)
+    seen, filled = ReplicatedCounter(SMALL), ReplicatedCounter(SMALL)
     for data in entries[:cut]:
         seen.apply(data)
     filled.restore(seen.snapshot())
     for data in entries[cut:]:
         assert filled.apply(data) == seen.apply(data)
-    assert filled.counter.uses() == seen.counter.uses()
+    assert filled.state.usage() == seen.state.usage()
     assert [filled.total(name) for name in range(10)] == [seen.total(name) for name in range(10)]
 
 
 def test_the_same_sequence_counts_once_and_a_later_epoch_ends_the_earlier() -> None:
-    made = CopiedCounter()
-    first = made.apply(asked(NOW, "a", 1, Add(1, 7, 2.0, 60_000.0)))  # no greeting before it
-    assert first == Total(1, Status.DONE, 2.0)
-    assert made.apply(asked(NOW, "b", 1, Add(1, 7, 5.0, 60_000.0))) == Total(1, Status.DONE, 7.0)
-    assert made.apply(asked(NOW + 9, "a", 1, Add(1, 7, 2.0, 60_000.0))) == Total(1, Status.REPEATED, 2.0)
-    assert made.apply(asked(NOW, "a", 1, Hello("a", 1))) == Welcome(1)
-    assert made.apply(asked(NOW, "a", 2, Add(1, 7, 1.0, 60_000.0))) == Total(1, Status.DONE, 8.0)
-    assert made.apply(asked(NOW, "a", 1, Add(2, 7, 1.0, 60_000.0))) == Total(2, Status.FENCED, 0.0)
-    assert isinstance(made.apply(asked(NOW, "a", 1, Hello("a", 1))), Refused)
+    made = ReplicatedCounter()
+    first = made.apply(encode_entry(NOW, "a", 1, Add(1, 7, 2.0, 60_000.0)))  # no greeting before it
+    assert first == TotalReply(1, Status.DONE, 2.0)
+    assert made.apply(encode_entry(NOW, "b", 1, Add(1, 7, 5.0, 60_000.0))) == TotalReply(1, Status.DONE, 7.0)
+    assert made.apply(encode_entry(NOW + 9, "a", 1, Add(1, 7, 2.0, 60_000.0))) == TotalReply(1, Status.REPEATED, 2.0)
+    assert made.apply(encode_entry(NOW, "a", 1, Hello("a", 1))) == Welcome(1)
+    assert made.apply(encode_entry(NOW, "a", 2, Add(1, 7, 1.0, 60_000.0))) == TotalReply(1, Status.DONE, 8.0)
+    assert made.apply(encode_entry(NOW, "a", 1, Add(2, 7, 1.0, 60_000.0))) == TotalReply(2, Status.FENCED, 0.0)
+    assert isinstance(made.apply(encode_entry(NOW, "a", 1, Hello("a", 1))), Rejection)
     assert made.total(7) == 8.0
 
 
 def test_a_leader_whose_clock_is_behind_brings_no_name_back() -> None:
-    made = CopiedCounter()
-    made.apply(asked(NOW, "a", 1, Add(1, 7, 2.0, 1000.0)))
-    made.apply(asked(NOW + 1500, "a", 1, Add(2, 8, 1.0, 1000.0)))
+    made = ReplicatedCounter()
+    made.apply(encode_entry(NOW, "a", 1, Add(1, 7, 2.0, 1000.0)))
+    made.apply(encode_entry(NOW + 1500, "a", 1, Add(2, 8, 1.0, 1000.0)))
     assert made.total(7) == 0.0
-    assert made.apply(asked(NOW + 10, "a", 1, Add(3, 7, 4.0, 1000.0))) == Total(3, Status.DONE, 4.0)
+    assert made.apply(encode_entry(NOW + 10, "a", 1, Add(3, 7, 4.0, 1000.0))) == TotalReply(3, Status.DONE, 4.0)
 
 
 @pytest.mark.parametrize(
@@ -103,29 +106,29 @@
         b"",
         b"\0" * 17,
         b"\0" * 30,
-        asked(NOW, "a", 1, Add(1, 7, 1.0, 9.0))[:-3],
-        asked(float("nan"), "a", 1, Hello("a", 1)),
+        encode_entry(NOW, "a", 1, Add(1, 7, 1.0, 9.0))[:-3],
+        encode_entry(float("nan"), "a", 1, Hello("a", 1)),
     ],
 )
 def test_an_entry_that_cannot_be_read_changes_nothing(data: bytes) -> None:
-    made = CopiedCounter()
+    made = ReplicatedCounter()
     before = made.snapshot()
-    assert isinstance(made.apply(data), Refused) and made.snapshot() == before
+    assert isinstance(made.apply(data), Rejection) and made.snapshot() == before
 
 
 def test_a_body_that_is_no_snapshot_is_named() -> None:
     with pytest.raises(ValueError, match="not a counter's snapshot"):
-        CopiedCounter().restore(b"\x93\x01\x02\x03")
+        ReplicatedCounter().restore(b"\x93\x01\x02\x03")
 
 
 class CountingGroup(Group):
     """Copies of a counter with their listeners, and a door that asks until it knows."""
 
-    machine = CopiedCounter
+    machine = ReplicatedCounter
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
-        self.services: dict[int, CopiedService] = {}
+        self.services: dict[int, ReplicatedService] = {}
         self.ports: dict[int, int] = {}
 
     def address(self, group: str, copy: int | None) -> str | None:
@@ -133,7 +136,9 @@
 
     async def run(self, store: Store, keys: Keys = KEYS) -> Host:
         host = await super().run(store, keys)
-        service = self.services[store.id] = CopiedService(lambda group: host, self.address, clock=lambda: NOW / 1000)
+        service = self.services[store.id] = ReplicatedService(
+            lambda group: host, self.address, clock=lambda: NOW / 1000
+        )
         self.ports[store.id] = await service.start("127.0.0.1", self.ports.get(store.id, 0))
         return host
 
@@ -144,13 +149,13 @@
     def client(self, answer: Any, first: int) -> CounterClient:
         order = [*self.first.voters[first:], *self.first.voters[:first]]
         addresses = [("127.0.0.1", self.ports[copy]) for copy in order]
-        journal = Journal(self.folder / "journal", 1000)
+        journal = AttemptJournal(self.folder / "journal", 1000)
         return CounterClient(addresses, "door", journal, answer, lambda event, fields: None, timeout_ms=300.0)
 
-    async def command(self, epoch: int, command: Add | Record) -> Reply:
+    async def command(self, epoch: int, command: Add | RecordAttempt) -> Reply:
         while True:
             try:
-                reply: Reply = await (await self.leader()).propose(asked(NOW, "door", epoch, command))
+                reply: Reply = await (await self.leader()).propose(encode_entry(NOW, "door", epoch, command))
                 return reply
             except (NotLeaderError, InDoubtError):
                 await asyncio.sleep(0.02)
@@ -169,7 +174,7 @@
                 told = (
                     Add(number, 7, 1.0, 3_600_000.0)
                     if number % 2
-                    else Record(number, NOW, 1.0, False, f"r{number}", "c", "p", "k")
+                    else RecordAttempt(number, NOW, 1.0, False, f"r{number}", "c", "p", "k")
                 )
                 replies.append(await group.command(1, told))
 
@@ -184,11 +189,11 @@
         await loading
         leader = await group.leader()
         await leader.read()
-        counter = group.machines[leader.copy.me].counter
+        counter = group.machines[leader.copy.me].state
         assert counter.total(7) == 60.0
-        assert sum(use.tries for use in counter.uses().values()) == 60
-        assert [reply.total for reply in replies if isinstance(reply, Total)] == [float(n) for n in range(1, 61)]
-        assert {reply.status for reply in replies if isinstance(reply, Stored)} <= {Status.DONE, Status.REPEATED}
+        assert sum(use.attempts for use in counter.usage().values()) == 60
+        assert [reply.total for reply in replies if isinstance(reply, TotalReply)] == [float(n) for n in range(1, 61)]
+        assert {reply.status for reply in replies if isinstance(reply, RecordReply)} <= {Status.DONE, Status.REPEATED}
         await group.stop()
 
     run(test(), LONG_S)
@@ -231,11 +236,11 @@
         assert await client.flush(20_000)
         leader = await group.leader()
         await leader.read()
-        counter = group.machines[leader.copy.me].counter
+        counter = group.machines[leader.copy.me].state
         # What the door was told is certain, or in doubt until it came through; what never left it was not added.
         assert len(told) == 150 and set(told) <= {CallResult.OK, CallResult.TIMEOUT, CallResult.CONNECT_FAILED}
         assert counter.total(7) == 150 - told.count(CallResult.CONNECT_FAILED)
-        assert sum(use.tries for use in counter.uses().values()) == 150
+        assert sum(use.attempts for use in counter.usage().values()) == 150
         await client.stop()
         await group.stop()
 
@@ -251,8 +256,8 @@
         other = next(copy for copy in group.first.voters if copy != leader)
         reader, writer = await asyncio.open_connection("127.0.0.1", group.ports[other])
         writer.write(encode(Hello("door", 1)) + encode(Add(1, 7, 1.0, 60_000.0)))
-        [payload] = Frames().feed(await reader.read())
-        assert decode(payload) == Refused(Status.MOVED, group.address("", leader) or "")
+        [payload] = FrameDecoder().feed(await reader.read())
+        assert decode(payload) == Rejection(Status.MOVED, group.address("", leader) or "")
         writer.close()
         client = group.client(lambda *told: None, 0)
         assert not client._elsewhere("192.0.2.1:80") and not client._elsewhere("")
--- a/tests/test_counter_log.py
+++ b/tests/test_counter_log.py
@@ -11,13 +11,13 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.counter.commit_pipeline import Keeper, Session, rebuild
-from martenstep.counter.protocol import Add, Read, Record, Reply, Status, Stored, Total
-from martenstep.counter.state import Counter, Limits
+from martenstep.counter.commit_pipeline import CommitPipeline, Session, rebuild_state
+from martenstep.counter.protocol import Add, Read, RecordAttempt, RecordReply, Reply, Status, TotalReply
+from martenstep.counter.state import CounterLimits, CounterState
 from martenstep.storage.log import HEADER, LogError, open_log, segments, snapshots
 from tests.counter_rig import Crash, FaultFiles
 
-LIMITS = Limits(window=64, try_window_ms=60_000.0)
+LIMITS = CounterLimits(deduplication_window=64, attempt_window_ms=60_000.0)
 HOUR = 3_600_000.0
 START = 1_000_000.0
 
@@ -28,22 +28,22 @@
     def __init__(self, files: FaultFiles, snapshot_records: int = 0, segment_bytes: int = 1500) -> None:
         self.files, self._snapshots, self._segment_bytes = files, snapshot_records, segment_bytes
         self.now = START
-        self.keeper: Keeper | None = None
+        self.keeper: CommitPipeline | None = None
         self.epochs = {"door-0": 1, "door-1": 1}
         self.sequence = {"door-0": 0, "door-1": 0}
-        self.waiting: dict[tuple[str, int], Add | Record] = {}
+        self.waiting: dict[tuple[str, int], Add | RecordAttempt] = {}
         self.answers: dict[tuple[str, int], Reply] = {}
-        self.asked: list[Add | Record] = []
+        self.asked: list[Add | RecordAttempt] = []
         self.crashes = 0
 
-    def open(self) -> Keeper:
+    def open(self) -> CommitPipeline:
         if self.keeper is None:
-            made = Keeper(self.files, LIMITS, self._segment_bytes, True, self._snapshots)
-            made.counter.clock(self.now)
+            made = CommitPipeline(self.files, LIMITS, self._segment_bytes, True, self._snapshots)
+            made.state.advance_clock(self.now)
             self.keeper = made
         return self.keeper
 
-    def send(self, door: str, make: type[Add] | type[Record], *words: object) -> None:
+    def send(self, door: str, make: type[Add] | type[RecordAttempt], *words: object) -> None:
         self.sequence[door] += 1
         command = make(self.sequence[door], *words)  # type: ignore[arg-type]
         self.waiting[door, command.sequence] = command
@@ -53,16 +53,16 @@
         """Send all that waits, in one group; a crash may come at any step of it."""
         try:
             keeper = self.open()
-            keeper.counter.clock(self.now)
+            keeper.state.advance_clock(self.now)
             sessions = {}
             for (door, _), command in self.waiting.items():
                 if door not in sessions:
-                    session = keeper.hello(door, self.epochs[door])
+                    session = keeper.open_session(door, self.epochs[door])
                     assert session is not None
                     sessions[door] = session
-                keeper.command((door, command.sequence), sessions[door], command)
-            for who, reply in keeper.commit():
-                assert not isinstance(reply, Total | Stored) or reply.status in (
+                keeper.submit((door, command.sequence), sessions[door], command)
+            for who, reply in keeper.commit_pending():
+                assert not isinstance(reply, TotalReply | RecordReply) or reply.status in (
                     Status.DONE,
                     Status.REPEATED,
                     Status.KNOWN,
@@ -71,7 +71,7 @@
                 self.answers[who] = reply
                 del self.waiting[who]
             if keeper.snapshot_due():
-                keeper.keep_snapshot(*keeper.snapshot())
+                keeper.store_snapshot(*keeper.encode_snapshot())
         except Crash:
             self.crashes += 1
             self.keeper = None
@@ -86,14 +86,14 @@
         """Each command counted exactly once, live and on rebuild."""
         self.settle()
         self.files.crash()
-        for counter in (self.open().counter, rebuild(open_log(self.files), LIMITS)):
+        for counter in (self.open().state, rebuild_state(open_log(self.files), LIMITS)):
             wanted: Tally[int] = Tally()
             for command in self.asked:
                 if isinstance(command, Add):
-                    wanted[command.name] += int(command.units)
+                    wanted[command.key] += int(command.units)
             assert {name: counter.total(name) for name in wanted} == dict(wanted)
-            tried = {command.request for command in self.asked if isinstance(command, Record)}
-            assert sum(use.tries for use in counter.uses().values()) == len(tried)
+            tried = {command.request_id for command in self.asked if isinstance(command, RecordAttempt)}
+            assert sum(use.attempts for use in counter.usage().values()) == len(tried)
 
 
 @given(st.integers(0, 2**32), st.data())
@@ -107,7 +107,9 @@
             if rng.random() < 0.6:
                 doors.send(door, Add, rng.randint(1, 4), float(rng.randint(1, 9)), 1e9)
             else:
-                doors.send(door, Record, doors.now, 1.0, False, f"r{rng.randint(0, 20)}", "anna", "plain", "read")
+                doors.send(
+                    door, RecordAttempt, doors.now, 1.0, False, f"r{rng.randint(0, 20)}", "anna", "plain", "read"
+                )
         doors.files.crash_at = doors.files.steps + rng.randint(1, 6) if rng.random() < 0.7 else -1
         doors.now += rng.choice((1.0, 500.0))
         doors.round()
@@ -151,7 +153,7 @@
             refused += 1
             assert error.file == segment.name and error.offset <= at
         else:
-            assert rebuild(opened, LIMITS).total(1) == 8.0, "an acknowledged add is gone without a word"
+            assert rebuild_state(opened, LIMITS).total(1) == 8.0, "an acknowledged add is gone without a word"
         files.flip(segment.name, at)
     assert refused > size * 0.9  # all but the last seal
 
@@ -178,10 +180,10 @@
         files = filled(5)
         files.cut("seg-0000000000000000.log", end)
         opened = open_log(files)
-        total = rebuild(opened, LIMITS).total(1)
+        total = rebuild_state(opened, LIMITS).total(1)
         assert total in range(6)
-        assert Keeper(files, LIMITS).records <= opened.count
-        assert rebuild(open_log(files), LIMITS).total(1) == total  # cut once, then whole
+        assert CommitPipeline(files, LIMITS).record_count <= opened.count
+        assert rebuild_state(open_log(files), LIMITS).total(1) == total  # cut once, then whole
 
 
 def test_a_segment_that_ends_exactly_at_a_record_goes_on_in_the_next() -> None:
@@ -202,54 +204,54 @@
     assert len(snapshots(files)) == 2 and segments(files)[0].first > 0
     files.kill()
     newest = snapshots(files)[0][0]
-    assert rebuild(open_log(files), LIMITS).total(1) == 100.0
+    assert rebuild_state(open_log(files), LIMITS).total(1) == 100.0
     files.flip(newest, 40)
-    assert rebuild(open_log(files), LIMITS).total(1) == 100.0
+    assert rebuild_state(open_log(files), LIMITS).total(1) == 100.0
     files.flip(snapshots(files)[1][0], 40)
     with pytest.raises(LogError, match="are missing"):
         open_log(files)
 
 
-def keeper(files: FaultFiles | None = None, limits: Limits = LIMITS) -> Keeper:
-    made = Keeper(files or FaultFiles(1), limits)
-    made.counter.clock(START)
+def keeper(files: FaultFiles | None = None, limits: CounterLimits = LIMITS) -> CommitPipeline:
+    made = CommitPipeline(files or FaultFiles(1), limits)
+    made.state.advance_clock(START)
     return made
 
 
-def session(made: Keeper, door: str = "door-0", epoch: int = 1) -> Session:
-    found = made.hello(door, epoch)
+def session(made: CommitPipeline, door: str = "door-0", epoch: int = 1) -> Session:
+    found = made.open_session(door, epoch)
     assert found is not None
     return found
 
 
-def ask(made: Keeper, who: Session, command: Add | Read | Record) -> Reply:
-    made.command("me", who, command)
-    [(_, reply)] = made.commit()
+def ask(made: CommitPipeline, who: Session, command: Add | Read | RecordAttempt) -> Reply:
+    made.submit("me", who, command)
+    [(_, reply)] = made.commit_pending()
     return reply
 
 
 def test_a_repeat_gets_the_first_result_and_another_command_is_told() -> None:
     made = keeper()
     door = session(made)
-    assert ask(made, door, Add(1, 7, 2.0, HOUR)) == Total(1, Status.DONE, 2.0)
-    assert ask(made, door, Add(2, 7, 3.0, HOUR)) == Total(2, Status.DONE, 5.0)
-    assert ask(made, door, Add(1, 7, 2.0, HOUR)) == Total(1, Status.REPEATED, 2.0)
-    assert ask(made, door, Add(1, 7, 9.0, HOUR)) == Total(1, Status.REUSED, 0.0)  # restored from an old disk
-    assert ask(made, door, Read(0, 7)) == Total(0, Status.DONE, 5.0)
+    assert ask(made, door, Add(1, 7, 2.0, HOUR)) == TotalReply(1, Status.DONE, 2.0)
+    assert ask(made, door, Add(2, 7, 3.0, HOUR)) == TotalReply(2, Status.DONE, 5.0)
+    assert ask(made, door, Add(1, 7, 2.0, HOUR)) == TotalReply(1, Status.REPEATED, 2.0)
+    assert ask(made, door, Add(1, 7, 9.0, HOUR)) == TotalReply(1, Status.REUSED, 0.0)  # restored from an old disk
+    assert ask(made, door, Read(0, 7)) == TotalReply(0, Status.DONE, 5.0)
 
 
 def test_what_lies_before_the_window_is_too_old_and_never_counted_again() -> None:
-    made = keeper(limits=Limits(window=4))
+    made = keeper(limits=CounterLimits(deduplication_window=4))
     door = session(made)
     for number in range(1, 11):
         ask(made, door, Add(number, 7, 1.0, HOUR))
-    assert ask(made, door, Add(3, 7, 1.0, HOUR)) == Total(3, Status.TOO_OLD, 0.0)
-    assert ask(made, door, Add(7, 7, 1.0, HOUR)) == Total(7, Status.REPEATED, 7.0)
+    assert ask(made, door, Add(3, 7, 1.0, HOUR)) == TotalReply(3, Status.TOO_OLD, 0.0)
+    assert ask(made, door, Add(7, 7, 1.0, HOUR)) == TotalReply(7, Status.REPEATED, 7.0)
     assert ask(made, door, Add(100, 7, 1.0, HOUR)).status is Status.DONE  # type: ignore[union-attr]  # a gap
     assert ask(made, door, Add(98, 7, 1.0, HOUR)).status is Status.DONE  # type: ignore[union-attr]  # inside it
     assert ask(made, door, Add(96, 7, 1.0, HOUR)).status is Status.TOO_OLD  # type: ignore[union-attr]
-    assert ask(made, door, Read(0, 7)) == Total(0, Status.DONE, 12.0)
-    assert len(door.door.results) <= 4 or len(made.counter.door("door-0").results) <= 4
+    assert ask(made, door, Read(0, 7)) == TotalReply(0, Status.DONE, 12.0)
+    assert len(door.gateway.results) <= 4 or len(made.state.gateway("door-0").results) <= 4
 
 
 def test_an_old_life_of_a_door_is_fenced() -> None:
@@ -257,47 +259,53 @@
     old = session(made, epoch=1)
     ask(made, old, Add(1, 7, 1.0, HOUR))
     new = session(made, epoch=2)
-    assert ask(made, new, Add(1, 7, 1.0, HOUR)) == Total(1, Status.DONE, 2.0)  # a sequence of its own
-    assert ask(made, old, Add(2, 7, 1.0, HOUR)) == Total(2, Status.FENCED, 0.0)
-    assert made.hello("door-0", 1) is None
+    assert ask(made, new, Add(1, 7, 1.0, HOUR)) == TotalReply(1, Status.DONE, 2.0)  # a sequence of its own
+    assert ask(made, old, Add(2, 7, 1.0, HOUR)) == TotalReply(2, Status.FENCED, 0.0)
+    assert made.open_session("door-0", 1) is None
 
 
 def test_two_doors_with_the_same_try_make_one_record() -> None:
     made = keeper()
     one, two = session(made, "door-0"), session(made, "door-1")
     words = (START, 2.0, True, "r1", "anna", "plain", "read")
-    made.command("one", one, Record(1, *words))
-    made.command("two", two, Record(1, *words))  # at the same moment: one group
-    assert made.commit() == [("one", Stored(1, Status.DONE)), ("two", Stored(1, Status.KNOWN))]
-    assert ask(made, two, Record(1, *words)) == Stored(1, Status.KNOWN)  # its repeat is told the same
-    [use] = made.counter.uses().values()
-    assert (use.tries, use.units, use.beyond) == (1, 2.0, 2.0)
+    made.submit("one", one, RecordAttempt(1, *words))
+    made.submit("two", two, RecordAttempt(1, *words))  # at the same moment: one group
+    assert made.commit_pending() == [("one", RecordReply(1, Status.DONE)), ("two", RecordReply(1, Status.KNOWN))]
+    assert ask(made, two, RecordAttempt(1, *words)) == RecordReply(1, Status.KNOWN)  # its repeat is told the same
+    [use] = made.state.usage().values()
+    assert (use.attempts, use.units, use.over_quota_units) == (1, 2.0, 2.0)
 
 
 def test_a_forgotten_try_cannot_come_in_twice() -> None:
     made = keeper()
     door = session(made)
-    assert ask(made, door, Record(1, START, 1.0, False, "r1", "a", "p", "c")) == Stored(1, Status.DONE)
-    made.counter.clock(START + 70_000.0)
-    ask(made, door, Record(2, START + 70_000.0, 1.0, False, "r2", "a", "p", "c"))
-    assert made.counter.sizes["tries"] == 1  # r1 is let go
-    assert ask(made, door, Record(3, START, 1.0, False, "r1", "a", "p", "c")) == Stored(3, Status.TOO_OLD)
-    assert ask(made, door, Record(4, START + 9e9, 1.0, False, "r3", "a", "p", "c")) == Stored(4, Status.DONE)
-    assert ask(made, door, Record(4, START + 9e9, 1.0, False, "r3", "a", "p", "c")) == Stored(4, Status.REPEATED)
-    last = max(period for _, _, period in made.counter.uses())
+    assert ask(made, door, RecordAttempt(1, START, 1.0, False, "r1", "a", "p", "c")) == RecordReply(1, Status.DONE)
+    made.state.advance_clock(START + 70_000.0)
+    ask(made, door, RecordAttempt(2, START + 70_000.0, 1.0, False, "r2", "a", "p", "c"))
+    assert made.state.sizes["tries"] == 1  # r1 is let go
+    assert ask(made, door, RecordAttempt(3, START, 1.0, False, "r1", "a", "p", "c")) == RecordReply(3, Status.TOO_OLD)
+    assert ask(made, door, RecordAttempt(4, START + 9e9, 1.0, False, "r3", "a", "p", "c")) == RecordReply(
+        4, Status.DONE
+    )
+    assert ask(made, door, RecordAttempt(4, START + 9e9, 1.0, False, "r3", "a", "p", "c")) == RecordReply(
+        4, Status.REPEATED
+    )
+    last = max(period for _, _, period in made.state.usage())
     assert last == (START + 70_000.0) // LIMITS.period_ms, "a time that lies ahead is taken for now"
 
 
 def test_bounds_are_answers_not_silence() -> None:
-    made = keeper(limits=Limits(max_names=2, max_tries=1))
+    made = keeper(limits=CounterLimits(max_keys=2, max_attempts=1))
     door = session(made)
     for number, status in ((1, Status.DONE), (2, Status.DONE), (3, Status.FULL), (1, Status.DONE)):
-        reply = ask(made, door, Add(made.counter.door("door-0").highest + 1, number, 1.0, 1000.0))
-        assert isinstance(reply, Total) and reply.status is status
-    made.counter.clock(START + 2000.0)  # their time is over: there is room again
-    assert ask(made, door, Add(20, 3, 1.0, 1000.0)) == Total(20, Status.DONE, 1.0)
-    ask(made, door, Record(21, START + 2000.0, 1.0, False, "r1", "a", "p", "c"))
-    assert ask(made, door, Record(22, START + 2000.0, 1.0, False, "r2", "a", "p", "c")) == Stored(22, Status.FULL)
+        reply = ask(made, door, Add(made.state.gateway("door-0").highest_sequence + 1, number, 1.0, 1000.0))
+        assert isinstance(reply, TotalReply) and reply.status is status
+    made.state.advance_clock(START + 2000.0)  # their time is over: there is room again
+    assert ask(made, door, Add(20, 3, 1.0, 1000.0)) == TotalReply(20, Status.DONE, 1.0)
+    ask(made, door, RecordAttempt(21, START + 2000.0, 1.0, False, "r1", "a", "p", "c"))
+    assert ask(made, door, RecordAttempt(22, START + 2000.0, 1.0, False, "r2", "a", "p", "c")) == RecordReply(
+        22, Status.FULL
+    )
 
 
 def test_names_expire_also_while_the_service_is_down_and_no_clock_brings_them_back() -> None:
@@ -308,14 +316,14 @@
     ask(made, door, Add(2, 7, 1.0, 9e9))  # the expiry is set only when new
     made.close()
     files.kill()
-    again = Keeper(files, LIMITS)
-    again.counter.clock(START + 1500.0)
-    assert again.counter.total(7) == 0.0
+    again = CommitPipeline(files, LIMITS)
+    again.state.advance_clock(START + 1500.0)
+    assert again.state.total(7) == 0.0
     door = session(again)
-    assert ask(again, door, Add(3, 7, 2.0, 1000.0)) == Total(3, Status.DONE, 2.0)
-    again.counter.clock(START - 50_000.0)  # the clock went back
-    assert again.counter.now == START + 1500.0
-    assert ask(again, door, Read(0, 7)) == Total(0, Status.DONE, 2.0)
+    assert ask(again, door, Add(3, 7, 2.0, 1000.0)) == TotalReply(3, Status.DONE, 2.0)
+    again.state.advance_clock(START - 50_000.0)  # the clock went back
+    assert again.state.now_ms == START + 1500.0
+    assert ask(again, door, Read(0, 7)) == TotalReply(0, Status.DONE, 2.0)
 
 
 @pytest.mark.parametrize("sync", [False, True])
@@ -326,18 +334,18 @@
     ask(made, door, Add(1, 7, 5.0, HOUR))
     ask(made, door, Add(2, 8, 1.0, HOUR))
     files.fail_sync, files.fail_at = sync, -1 if sync else files.steps
-    assert ask(made, door, Add(3, 7, 1.0, HOUR)) == Total(3, Status.UNWRITTEN, 0.0)
-    assert made.failed
+    assert ask(made, door, Add(3, 7, 1.0, HOUR)) == TotalReply(3, Status.UNWRITTEN, 0.0)
+    assert made.failure
     files.fail_sync, files.fail_at = False, -1  # room again: that alone changes nothing
-    assert ask(made, door, Add(4, 9, 1.0, HOUR)) == Total(4, Status.UNWRITTEN, 0.0)
-    assert ask(made, door, Read(0, 8)) == Total(0, Status.DONE, 1.0)
-    assert ask(made, door, Read(0, 7)) == Total(0, Status.UNWRITTEN, 0.0)  # the disk may hold 5 or 6
-    assert made.hello("door-1", 1) is None
+    assert ask(made, door, Add(4, 9, 1.0, HOUR)) == TotalReply(4, Status.UNWRITTEN, 0.0)
+    assert ask(made, door, Read(0, 8)) == TotalReply(0, Status.DONE, 1.0)
+    assert ask(made, door, Read(0, 7)) == TotalReply(0, Status.UNWRITTEN, 0.0)  # the disk may hold 5 or 6
+    assert made.open_session("door-1", 1) is None
     files.kill()
     again = keeper(files)
     door = session(again)
     reply = ask(again, door, Add(3, 7, 1.0, HOUR))  # sent again after the restart: once, either way
-    assert reply in (Total(3, Status.DONE, 6.0), Total(3, Status.REPEATED, 6.0))
+    assert reply in (TotalReply(3, Status.DONE, 6.0), TotalReply(3, Status.REPEATED, 6.0))
 
 
 @given(
@@ -347,20 +355,23 @@
 @hypo(max_examples=80, deadline=None, derandomize=True)
 def test_a_rebuilt_state_is_the_live_one(adds: list[tuple[int, float, float]], pauses: list[float]) -> None:
     files = FaultFiles(3)
-    made = keeper(files, Limits(window=8))
+    made = keeper(files, CounterLimits(deduplication_window=8))
     door = session(made)
-    made.commit()
+    made.commit_pending()
     now = START
     for number, (name, units, expire) in enumerate(adds, 1):
         now += pauses[number % len(pauses)] if pauses else 1.0
-        made.counter.clock(now)
+        made.state.advance_clock(now)
         ask(made, door, Add(number, name, units, expire))
         with contextlib.suppress(AssertionError):
             if number % 7 == 0:
-                made.keep_snapshot(*made.snapshot())
+                made.store_snapshot(*made.encode_snapshot())
     files.kill()
-    again = rebuild(open_log(files), Limits(window=8))
-    again.clock(made.counter.now)
-    assert {name: again.total(name) for name in (1, 2, 3)} == {name: made.counter.total(name) for name in (1, 2, 3)}
-    assert again.door("door-0").results == made.counter.door("door-0").results
-    assert again.snapshot() == Counter.restored(Limits(window=8), again.snapshot()).snapshot()
+    again = rebuild_state(open_log(files), CounterLimits(deduplication_window=8))
+    again.advance_clock(made.state.now_ms)
+    assert {name: again.total(name) for name in (1, 2, 3)} == {name: made.state.total(name) for name in (1, 2, 3)}
+    assert again.gateway("door-0").results == made.state.gateway("door-0").results
+    assert (
+        again.snapshot()
+        == CounterState.from_snapshot(CounterLimits(deduplication_window=8), again.snapshot()).snapshot()
+    )
--- a/tests/test_counter_processes.py
+++ b/tests/test_counter_processes.py
@@ -11,7 +11,8 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.counter.client import CounterClient, Journal
+from martenstep.counter.client import CounterClient
+from martenstep.counter.journal import AttemptJournal
 from martenstep.lab.copies import Copies
 from martenstep.policy.messages import CallResult
 from tests.socket_rig import LONG_S, run
@@ -21,7 +22,7 @@
     return CounterClient(
         copies.addresses,
         "door",
-        Journal(copies.folder / "journal", 5000),
+        AttemptJournal(copies.folder / "journal", 5000),
         lambda call, verdict, total, kept: told.append(verdict),
         lambda event, fields: None,
         timeout_ms=300.0,
@@ -67,7 +68,7 @@
             _, total = await copies.leader()
             assert len(told) == sent and set(told) <= {CallResult.OK, CallResult.TIMEOUT, CallResult.CONNECT_FAILED}
             assert total == sent - told.count(CallResult.CONNECT_FAILED)  # these had never left the door
-            assert told.count(CallResult.OK) > 0 and not client.unanswered
+            assert told.count(CallResult.OK) > 0 and not client.pending_count
         finally:
             stop.set()
             await client.stop()
@@ -75,7 +76,10 @@
         # By the disks alone: a majority holds every try and every add, once.
         kept = [copies.on_disk(number) for number in range(3)]
         assert sorted(counter.total(7) == total for counter in kept)[1:] == [True, True]
-        assert sorted(sum(use.tries for use in counter.uses().values()) == sent for counter in kept)[1:] == [True, True]
+        assert sorted(sum(use.attempts for use in counter.usage().values()) == sent for counter in kept)[1:] == [
+            True,
+            True,
+        ]
 
     run(test(), LONG_S)
 
--- a/tests/test_counter_service.py
+++ b/tests/test_counter_service.py
@@ -19,11 +19,12 @@
 
 from martenstep.cli.main import cli
 from martenstep.counter import protocol as fr
-from martenstep.counter.client import CounterClient, Journal
-from martenstep.counter.log_inspection import each_try, rebuilt, verify
-from martenstep.counter.service import Service, open_keeper
+from martenstep.counter.client import CounterClient
+from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.log_inspection import iterate_attempts, rebuild_from_log, verify
+from martenstep.counter.service import Service, open_pipeline
 from martenstep.counter.settings import parse_service
-from martenstep.counter.state import Limits
+from martenstep.counter.state import CounterLimits
 from martenstep.policy.messages import CallResult
 from martenstep.storage.files import LockedError
 from tests.socket_rig import run
@@ -33,22 +34,22 @@
     fr.Add(1, 2**63 - 1, -2.5, 1e6),
     fr.Read(3, 9),
     fr.Welcome(5),
-    fr.Record(4, 1.7e12, 2.0, True, "r-1", "ä", "plan", "c"),
-    fr.Total(1, fr.Status.DONE, 3.5),
-    fr.Stored(2, fr.Status.KNOWN),
-    fr.Refused(fr.Status.FENCED, "over"),
+    fr.RecordAttempt(4, 1.7e12, 2.0, True, "r-1", "ä", "plan", "c"),
+    fr.TotalReply(1, fr.Status.DONE, 3.5),
+    fr.RecordReply(2, fr.Status.KNOWN),
+    fr.Rejection(fr.Status.FENCED, "over"),
 ]
 
 
 @given(st.lists(st.sampled_from(EVERY), max_size=12), st.data())
 @hypo(max_examples=100, deadline=None, derandomize=True)
 def test_frames_come_out_however_they_are_cut(sent: list[fr.Frame], data: st.DataObject) -> None:
-    stream, reader, got = b"".join(fr.encode(frame) for frame in sent), fr.Frames(), []
+    stream, reader, got = b"".join(fr.encode(frame) for frame in sent), fr.FrameDecoder(), []
     while stream:
         size = data.draw(st.integers(1, 60))
         got += [fr.decode(payload) for payload in reader.feed(stream[:size])]
         stream = stream[size:]
-    assert got == sent and not reader.partial
+    assert got == sent and not reader.has_partial_frame
 
 
 def test_an_add_byte_by_byte() -> None:
@@ -63,7 +64,7 @@
 @given(st.binary(max_size=80))
 @hypo(max_examples=200, deadline=None, derandomize=True)
 def test_no_payload_brings_the_reader_down(payload: bytes) -> None:
-    with suppress(fr.FrameError):
+    with suppress(fr.ProtocolError):
         fr.decode(payload)
 
 
@@ -71,8 +72,8 @@
     good = fr.encode(EVERY[1])
     for bad in (good[:-1] + b"\0", b"\0\1\0\1" + good[4:], b"\0\0\0\0" + good[4:]):
         if bad != good:
-            with pytest.raises(fr.FrameError):
-                fr.Frames().feed(bad)
+            with pytest.raises(fr.ProtocolError):
+                fr.FrameDecoder().feed(bad)
 
 
 def config(directory: Path, more: str = "") -> str:
@@ -82,7 +83,7 @@
 @asynccontextmanager
 async def served(directory: Path, more: str = "") -> AsyncIterator[tuple[Service, int]]:
     settings = parse_service(config(directory, more), "counter.txtpb")
-    keeper, disk = open_keeper(settings)
+    keeper, disk = open_pipeline(settings)
     service = Service(settings, keeper)
     try:
         yield service, await service.start()
@@ -95,7 +96,7 @@
     """A client by hand."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self._frames = reader, writer, fr.Frames()
+        self.reader, self.writer, self._frames = reader, writer, fr.FrameDecoder()
         self.got: list[fr.Frame] = []
 
     @classmethod
@@ -125,9 +126,9 @@
             wire.send(*(fr.Add(n, n % 7, 1.0, 1e6) for n in range(1, 1001)), fr.Read(0, 3))
             replies = [await wire.next() for _ in range(1001)]
             assert [r.sequence for r in replies[:-1]] == list(range(1, 1001))  # type: ignore[union-attr]
-            assert replies[-1] == fr.Total(0, fr.Status.DONE, 143.0)
-            assert service.groups < 200  # one sync for many
-        assert rebuilt(tmp_path, Limits()).total(3) == 143.0
+            assert replies[-1] == fr.TotalReply(0, fr.Status.DONE, 143.0)
+            assert service.committed_groups < 200  # one sync for many
+        assert rebuild_from_log(tmp_path, CounterLimits()).total(3) == 143.0
 
     run(test())
 
@@ -140,11 +141,11 @@
             async def load(wire: Wire, number: int) -> float:
                 wire.send(*(fr.Add(n, n * 4 + number, 1.0, 1e9) for n in range(1, 10_001)))
                 replies = [await wire.next() for _ in range(10_000)]
-                assert replies == [fr.Total(n, fr.Status.DONE, 1.0) for n in range(1, 10_001)]
-                return sum(reply.total for reply in replies if isinstance(reply, fr.Total))
+                assert replies == [fr.TotalReply(n, fr.Status.DONE, 1.0) for n in range(1, 10_001)]
+                return sum(reply.total for reply in replies if isinstance(reply, fr.TotalReply))
 
             assert await asyncio.gather(*(load(wire, n) for n, wire in enumerate(wires))) == [10_000.0] * 4
-            assert service.keeper.counter.sizes["names"] == 40_000
+            assert service.pipeline.state.sizes["names"] == 40_000
 
     run(test())
 
@@ -167,7 +168,7 @@
             wire = await Wire.to(port)
             wire.writer.write(sent)
             refused = await wire.next()
-            assert isinstance(refused, fr.Refused) and refused.status is status
+            assert isinstance(refused, fr.Rejection) and refused.status is status
             with pytest.raises(EOFError):
                 await wire.next()
 
@@ -180,9 +181,9 @@
             hangs, fine = await Wire.to(port, fr.Hello("a", 1)), await Wire.to(port, fr.Hello("b", 1))
             hangs.writer.write(fr.encode(fr.Add(1, 1, 1.0, 1.0))[:20])
             refused = await hangs.next()
-            assert isinstance(refused, fr.Refused) and "half a frame" in refused.reason
+            assert isinstance(refused, fr.Rejection) and "half a frame" in refused.reason
             fine.send(fr.Add(1, 1, 1.0, 1e6))
-            assert await fine.next() == fr.Total(1, fr.Status.DONE, 1.0)  # idle, but between frames
+            assert await fine.next() == fr.TotalReply(1, fr.Status.DONE, 1.0)  # idle, but between frames
 
     run(test())
 
@@ -199,8 +200,11 @@
             again = await Wire.to(port, fr.Hello("slow", 1))
             again.send(fr.Add(1, 1, 1.0, 1e9), fr.Read(0, 1))
             first, total = await again.next(), await again.next()
-            assert isinstance(first, fr.Total) and first.status in (fr.Status.REPEATED, fr.Status.TOO_OLD)
-            assert isinstance(total, fr.Total) and total.total == service.keeper.counter.door("slow").highest
+            assert isinstance(first, fr.TotalReply) and first.status in (fr.Status.REPEATED, fr.Status.TOO_OLD)
+            assert (
+                isinstance(total, fr.TotalReply)
+                and total.total == service.pipeline.state.gateway("slow").highest_sequence
+            )
 
     run(test())
 
@@ -209,7 +213,7 @@
     async def test() -> None:
         async with served(tmp_path):
             with pytest.raises(LockedError, match="another process holds it"):
-                open_keeper(parse_service(config(tmp_path), "c"))
+                open_pipeline(parse_service(config(tmp_path), "c"))
             file = tmp_path.parent / "counter.txtpb"
             file.write_text(config(tmp_path))
             done = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
@@ -242,7 +246,7 @@
         self.client = CounterClient(
             [("127.0.0.1", port)],
             name,
-            Journal(journal, 100_000),
+            AttemptJournal(journal, 100_000),
             self._answer,
             lambda event, fields: self.notes.append(event),
             **words,
@@ -260,7 +264,7 @@
         return self._call
 
     async def quiet(self) -> None:
-        while self.client.unanswered or len(self.answers) < self._call:
+        while self.client.pending_count or len(self.answers) < self._call:
             await asyncio.sleep(0.005)
 
 
@@ -273,7 +277,7 @@
             await desk.quiet()
             assert [desk.answers[call] for call in calls] == [(CallResult.OK, n + 1.0) for n in range(50)]
             await desk.client.stop()
-            assert not Journal(tmp_path / "door", 10).tries
+            assert not AttemptJournal(tmp_path / "door", 10).pending
 
     run(test())
 
@@ -295,28 +299,28 @@
             again = Desk(port, tmp_path / "door", timeout_ms=5000.0)  # the door's next life
             await again.quiet()
             await again.client.stop()
-            assert service.keeper.counter.total(5) == 0.0
-        [(door, told)] = each_try(tmp_path / "log")
-        assert (door, told.request, told.units, told.beyond, told.time_ms) == ("door-0", "r1", 2.0, True, now)
+            assert service.pipeline.state.total(5) == 0.0
+        [(door, told)] = iterate_attempts(tmp_path / "log")
+        assert (door, told.request_id, told.units, told.over_quota, told.time_ms) == ("door-0", "r1", 2.0, True, now)
 
     run(test())
 
 
 def test_the_journal_is_bounded_and_survives_a_cut_line(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, 2)
-    made = [fr.Record(0, 1.0, 1.0, False, f"r{n}", "a", "p", "c") for n in range(3)]
-    assert [journal.promise(one) for one in made] == [True, True, False]
-    journal.done("r0")
-    assert journal.promise(made[2])
+    journal = AttemptJournal(tmp_path, 2)
+    made = [fr.RecordAttempt(0, 1.0, 1.0, False, f"r{n}", "a", "p", "c") for n in range(3)]
+    assert [journal.append(one) for one in made] == [True, True, False]
+    journal.acknowledge("r0")
+    assert journal.append(made[2])
     for _ in range(20):
-        journal.done("r2")
-        assert journal.promise(made[2])
+        journal.acknowledge("r2")
+        assert journal.append(made[2])
     assert len((tmp_path / "tries.jsonl").read_text().splitlines()) <= 9  # written anew past its bound
     journal.close()
     with (tmp_path / "tries.jsonl").open("a") as file:
         file.write('{"time_ms": 1.0, "req')
-    again = Journal(tmp_path, 2)
-    assert list(again.tries) == ["r1", "r2"] and again.epoch > journal.epoch
+    again = AttemptJournal(tmp_path, 2)
+    assert list(again.pending) == ["r1", "r2"] and again.epoch > journal.epoch
     again.close()
 
 
@@ -367,11 +371,11 @@
         dropped = sum(verdict is CallResult.CONNECT_FAILED for desk in desks for verdict, _ in desk.answers.values())
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
-        assert sum(desk.client.sent_again for desk in desks) > 0  # some had to be sent again
-        made = rebuilt(tmp_path / "log", Limits())
+        assert sum(desk.client.resent for desk in desks) > 0  # some had to be sent again
+        made = rebuild_from_log(tmp_path / "log", CounterLimits())
         assert sum(made.total(name) for name in sent) == sum(sent.values()) - dropped
-        assert sum(use.tries for use in made.uses().values()) == len(requests)
-        names = [told.request for _, told in each_try(tmp_path / "log")]
+        assert sum(use.attempts for use in made.usage().values()) == len(requests)
+        names = [told.request_id for _, told in iterate_attempts(tmp_path / "log")]
         assert sorted(names) == sorted(requests)
         assert verify(tmp_path / "log").records > 0
 
@@ -384,9 +388,9 @@
             wire = await Wire.to(port, fr.Hello("door-0", 1))
             now = time.time() * 1000
             for n, customer in enumerate(("ada", "ada", "bob"), 1):
-                wire.send(fr.Record(n, now + n, 2.0, n == 2, f"r{n}", customer, "basic", "read"))
+                wire.send(fr.RecordAttempt(n, now + n, 2.0, n == 2, f"r{n}", customer, "basic", "read"))
             for _ in range(3):
-                assert isinstance(await wire.next(), fr.Stored)
+                assert isinstance(await wire.next(), fr.RecordReply)
 
     run(test())
 
--- a/tests/test_counter_shards.py
+++ b/tests/test_counter_shards.py
@@ -11,10 +11,11 @@
 
 from martenstep.config.settings import parse_door
 from martenstep.config.text import Faults
-from martenstep.counter.client import CounterClient, Journal
-from martenstep.counter.log_inspection import each_try, rebuilt
-from martenstep.counter.shards import Shards, owner
-from martenstep.counter.state import Limits
+from martenstep.counter.client import CounterClient
+from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.log_inspection import iterate_attempts, rebuild_from_log
+from martenstep.counter.shards import ShardedClient, owning_service
+from martenstep.counter.state import CounterLimits
 from martenstep.policy.messages import CallResult
 from tests.door_rig import DOOR
 from tests.socket_rig import run
@@ -23,12 +24,12 @@
 
 def test_a_service_that_joins_or_leaves_moves_only_its_own_names() -> None:
     keys = [f"n{number:x}" for number in range(20_000)]
-    three = {key: owner(["a", "b", "c"], key) for key in keys}
-    assert three == {key: owner(["c", "a", "b"], key) for key in keys}  # in whatever order they are written
+    three = {key: owning_service(["a", "b", "c"], key) for key in keys}
+    assert three == {key: owning_service(["c", "a", "b"], key) for key in keys}  # in whatever order they are written
     assert all(6000 < count < 7400 for count in Counter(three.values()).values())
-    two = {key: owner(["a", "b"], key) for key in keys}
+    two = {key: owning_service(["a", "b"], key) for key in keys}
     assert {three[key] for key in keys if three[key] != two[key]} == {"c"}
-    four = {key: owner(["a", "b", "c", "d"], key) for key in keys}
+    four = {key: owning_service(["a", "b", "c", "d"], key) for key in keys}
     moved = [key for key in keys if three[key] != four[key]]
     assert {four[key] for key in moved} == {"d"} and 0.2 < len(moved) / len(keys) < 0.3
 
@@ -38,13 +39,13 @@
         async with served(tmp_path / "a") as (_, a), served(tmp_path / "b") as (_, b):
             answers: dict[int, tuple[CallResult, float]] = {}
 
-            def desk(name: str) -> Shards:
-                made = Shards(
+            def desk(name: str) -> ShardedClient:
+                made = ShardedClient(
                     {
                         service: CounterClient(
                             [("127.0.0.1", port)],
                             name,
-                            Journal(tmp_path / name / service, 1000),
+                            AttemptJournal(tmp_path / name / service, 1000),
                             lambda call, verdict, total, kept: answers.__setitem__(call, (verdict, total)),
                             lambda event, fields: None,
                             timeout_ms=5000.0,
@@ -64,13 +65,13 @@
             assert all(await asyncio.gather(one.flush(9000.0), two.flush(9000.0)))
             await asyncio.gather(one.stop(), two.stop())
             assert sorted(total for _, total in answers.values()) == sorted([1.0, 2.0, 3.0, 4.0] * 50)
-        states = [rebuilt(tmp_path / service, Limits()) for service in ("a", "b")]
+        states = [rebuild_from_log(tmp_path / service, CounterLimits()) for service in ("a", "b")]
         assert all(sorted(state.total(name) for state in states) == [0.0, 4.0] for name in range(50))
-        tries = [told for service in ("a", "b") for _, told in each_try(tmp_path / service)]
-        assert sorted(told.request for told in tries) == sorted(f"r{number}" for number in range(200))
+        tries = [told for service in ("a", "b") for _, told in iterate_attempts(tmp_path / service)]
+        assert sorted(told.request_id for told in tries) == sorted(f"r{number}" for number in range(200))
         for number in range(9):
             held = [
-                any(told.customer == f"customer-{number}" for _, told in each_try(tmp_path / service))
+                any(told.customer == f"customer-{number}" for _, told in iterate_attempts(tmp_path / service))
                 for service in ("a", "b")
             ]
             assert sorted(held) == [False, True]  # one customer, one log
@@ -85,7 +86,7 @@
             client = CounterClient(
                 [("127.0.0.1", port)],
                 "door-0",
-                Journal(tmp_path / "door", 10),
+                AttemptJournal(tmp_path / "door", 10),
                 lambda call, verdict, total, kept: None,
                 lambda event, fields: notes.append(str(fields)),
                 map_version=1,
@@ -96,7 +97,7 @@
                 await asyncio.sleep(0.002)
             assert "MAP: the map has version 2: reload it" in notes[0]
             await client.stop()
-            assert service.keeper.counter.total(1) == 0.0
+            assert service.pipeline.state.total(1) == 0.0
 
     run(test())
 
--- a/tests/test_fault_counter.py
+++ b/tests/test_fault_counter.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from martenstep.counter.journal import Journal
-from martenstep.counter.log_inspection import each_try
+from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.log_inspection import iterate_attempts
 from martenstep.storage.files import FAULTS
 from tests.socket_rig import run
 from tests.test_counter_service import Desk, served
@@ -68,10 +68,12 @@
             async with asyncio.timeout(5):
                 await desk.quiet()
             await desk.client.stop()
-            uses = service.keeper.counter.uses().values()
-            assert sum(use.tries for use in uses) == 5
-        assert not Journal(folder / "door", 10).tries
-        assert sorted(told.request for _, told in each_try(folder / "log")) == [f"r{number}" for number in range(5)]
+            uses = service.pipeline.state.usage().values()
+            assert sum(use.attempts for use in uses) == 5
+        assert not AttemptJournal(folder / "door", 10).pending
+        assert sorted(told.request_id for _, told in iterate_attempts(folder / "log")) == [
+            f"r{number}" for number in range(5)
+        ]
 
     for step_s in (0.0, 90.0, HOUR_S, -900.0, -HOUR_S):
         run(test(step_s, tmp_path / f"{step_s}"))
@@ -95,7 +97,7 @@
                 await asyncio.sleep(0.005)
             faults.write_text("{}")
             async with asyncio.timeout(5):
-                while desk.client.unanswered:
+                while desk.client.pending_count:
                     await asyncio.sleep(0.01)
             last = desk.add(5)
             await desk.quiet()
@@ -103,8 +105,8 @@
             await desk.client.stop()
         monkeypatch.delenv(FAULTS)
         async with served(folder / "log") as (service, _):
-            assert service.keeper.counter.total(5) == 5.0
-        assert [told.request for _, told in each_try(folder / "log")] == ["r1"]
+            assert service.pipeline.state.total(5) == 5.0
+        assert [told.request_id for _, told in iterate_attempts(folder / "log")] == ["r1"]
 
     for fault in ("full", "sync_fails"):
         run(test(fault, tmp_path / fault))
--- a/tests/test_fault_disks.py
+++ b/tests/test_fault_disks.py
@@ -11,12 +11,12 @@
 import pytest
 
 from martenstep.counter import protocol as fr
-from martenstep.counter.client import Journal
+from martenstep.counter.journal import AttemptJournal
 
 
-def made(number: int) -> fr.Record:
+def made(number: int) -> fr.RecordAttempt:
     """A try."""
-    return fr.Record(0, 1.0, 1.0, False, f"r{number}", "anna", "plain", "read")
+    return fr.RecordAttempt(0, 1.0, 1.0, False, f"r{number}", "anna", "plain", "read")
 
 
 class FullDisk:
@@ -49,56 +49,56 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The half line of the failed promise took the next one with it."""
-    disk, journal = FullDisk(monkeypatch), Journal(tmp_path, 100)
-    assert journal.promise(made(1))
+    disk, journal = FullDisk(monkeypatch), AttemptJournal(tmp_path, 100)
+    assert journal.append(made(1))
     promised = ["r1"]
     for number in range(2, 12):
         disk.full = number % 3 == 0
-        if journal.promise(made(number)):
+        if journal.append(made(number)):
             promised.append(f"r{number}")
         else:
             assert disk.full, "what cannot be kept is not promised"
     disk.full = False
     assert set(promised) >= {"r2", "r4", "r5", "r7", "r8", "r10", "r11"} and "r3" not in promised
-    again = Journal(tmp_path, 100)  # nothing was closed: a kill
-    assert list(again.tries) == promised
+    again = AttemptJournal(tmp_path, 100)  # nothing was closed: a kill
+    assert list(again.pending) == promised
 
 
 def test_a_rewrite_that_fails_leaves_the_journal_as_it_was(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The closed descriptor's number went to the next connection, and a line with a customer's name to its client."""
-    disk, journal = FullDisk(monkeypatch), Journal(tmp_path, 2)
+    disk, journal = FullDisk(monkeypatch), AttemptJournal(tmp_path, 2)
     near, far = socket.socketpair()
     pairs: list[socket.socket] = []
     with near, far:
-        assert journal.promise(made(0))
+        assert journal.append(made(0))
         for number in range(1, 20):
-            assert journal.promise(made(number))
+            assert journal.append(made(number))
             disk.sync_fails = number > 4
-            journal.done(f"r{number}")
+            journal.acknowledge(f"r{number}")
             pairs += socket.socketpair()  # takes the lowest numbers that are free
         disk.sync_fails = False
-        assert journal.promise(made(20))
+        assert journal.append(made(20))
         for one in pairs:
             one.setblocking(False)
             with pytest.raises(BlockingIOError):
                 one.recv(100)
         for one in pairs:
             one.close()
-    assert set(Journal(tmp_path, 2).tries) == {"r0", "r20"}
+    assert set(AttemptJournal(tmp_path, 2).pending) == {"r0", "r20"}
 
 
 def test_an_acknowledgement_that_cannot_be_written_raises_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It came up in the midst of whoever read the counter's answer; the try is sent once more after a restart."""
-    disk, journal = FullDisk(monkeypatch), Journal(tmp_path, 10)
-    assert journal.promise(made(1)) and journal.promise(made(2))
+    disk, journal = FullDisk(monkeypatch), AttemptJournal(tmp_path, 10)
+    assert journal.append(made(1)) and journal.append(made(2))
     disk.full = disk.sync_fails = True
-    journal.done("r1")
-    journal.saw_term(4)
-    assert list(journal.tries) == ["r2"] and journal.term == 4
+    journal.acknowledge("r1")
+    journal.observe_term(4)
+    assert list(journal.pending) == ["r2"] and journal.term == 4
     disk.full = disk.sync_fails = False
-    assert journal.promise(made(3))
-    journal.saw_term(4)
-    again = Journal(tmp_path, 10)
-    assert list(again.tries) == ["r1", "r2", "r3"] and again.term == 4
+    assert journal.append(made(3))
+    journal.observe_term(4)
+    again = AttemptJournal(tmp_path, 10)
+    assert list(again.pending) == ["r1", "r2", "r3"] and again.term == 4
