--- a/tests/test_formats_counter_log.py
+++ b/tests/test_formats_counter_log.py
@@ -11,16 +11,18 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.counter.commit_pipeline import Keeper
-from martenstep.counter.journal import Journal
-from martenstep.counter.log_inspection import each_try, rebuilt, verify
-from martenstep.counter.protocol import Add, Record, Status, Stored, Total
-from martenstep.counter.state import Counter, Limits
+from martenstep.counter.commit_pipeline import CommitPipeline
+from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.log_inspection import iterate_attempts, rebuild_from_log, verify
+from martenstep.counter.protocol import Add, RecordAttempt, RecordReply, Status, TotalReply
+from martenstep.counter.state import CounterLimits, CounterState
 from martenstep.storage.files import Disk
 
 STORED = Path(__file__).parent / "formats" / "counter"
 NOW_MS = 1_700_000_000_000.0
-LIMITS = Limits(window=4, try_window_ms=60_000.0, max_tries=100, max_names=100, period_ms=3_600_000.0)
+LIMITS = CounterLimits(
+    deduplication_window=4, attempt_window_ms=60_000.0, max_attempts=100, max_keys=100, period_ms=3_600_000.0
+)
 TRY_FIELDS = ("r-é", "ada", "plan ☂", "read")
 
 
@@ -35,30 +37,30 @@
 def write_log(directory: Path) -> None:
     """The same commands each time: two doors, adds, tries, a snapshot, a term, several segments."""
     with Disk(directory) as disk:
-        keeper = Keeper(disk, LIMITS, 700, True, 5, 1e12)
-        keeper.counter.clock(NOW_MS)
-        first, second = keeper.hello("door-0", 11), keeper.hello("döor-1", 12)
+        keeper = CommitPipeline(disk, LIMITS, 700, True, 5, 1e12)
+        keeper.state.advance_clock(NOW_MS)
+        first, second = keeper.open_session("door-0", 11), keeper.open_session("döor-1", 12)
         assert first is not None and second is not None
-        keeper.command(None, first, Add(1, 5, 2.5, 600_000.0))
-        keeper.command(None, second, Add(1, 5, 1.0, 600_000.0))
-        keeper.command(None, first, Record(2, NOW_MS - 10.0, 2.0, True, *TRY_FIELDS))
-        keeper.commit()
-        keeper.counter.clock(NOW_MS + 1000.0)
-        keeper.command(None, second, Record(2, NOW_MS - 10.0, 2.0, True, *TRY_FIELDS))
-        keeper.command(None, second, Record(3, NOW_MS + 500.0, 1.0, False, "r-2", "bob", "basic", "write"))
-        keeper.command(None, first, Add(3, 2**64 - 1, -1.0, 500.0))
-        keeper.commit()
+        keeper.submit(None, first, Add(1, 5, 2.5, 600_000.0))
+        keeper.submit(None, second, Add(1, 5, 1.0, 600_000.0))
+        keeper.submit(None, first, RecordAttempt(2, NOW_MS - 10.0, 2.0, True, *TRY_FIELDS))
+        keeper.commit_pending()
+        keeper.state.advance_clock(NOW_MS + 1000.0)
+        keeper.submit(None, second, RecordAttempt(2, NOW_MS - 10.0, 2.0, True, *TRY_FIELDS))
+        keeper.submit(None, second, RecordAttempt(3, NOW_MS + 500.0, 1.0, False, "r-2", "bob", "basic", "write"))
+        keeper.submit(None, first, Add(3, 2**64 - 1, -1.0, 500.0))
+        keeper.commit_pending()
         assert keeper.snapshot_due()
-        keeper.keep_snapshot(*keeper.snapshot())
-        keeper.counter.clock(NOW_MS + 2000.0)
+        keeper.store_snapshot(*keeper.encode_snapshot())
+        keeper.state.advance_clock(NOW_MS + 2000.0)
         assert keeper.begin_term() == 1
-        later = keeper.hello("door-0", 21)
+        later = keeper.open_session("door-0", 21)
         assert later is not None
         for number in range(1, 7):
-            keeper.command(None, later, Add(number, 6, 1.0, 600_000.0))
-        keeper.commit()
-        keeper.command(None, later, Add(7, 7, 0.5, 600_000.0))
-        keeper.commit()
+            keeper.submit(None, later, Add(number, 6, 1.0, 600_000.0))
+        keeper.commit_pending()
+        keeper.submit(None, later, Add(7, 7, 0.5, 600_000.0))
+        keeper.commit_pending()
         keeper.close()
 
 
@@ -88,9 +90,9 @@
     if without_snapshot:
         (directory / "snap-0000000000000009.snap").unlink()
     with Disk(directory) as disk:
-        keeper = Keeper(disk, LIMITS, 700)
-        counter = keeper.counter
-        assert (counter.now, counter.term, counter.applied, keeper.cut) == (
+        keeper = CommitPipeline(disk, LIMITS, 700)
+        counter = keeper.state
+        assert (counter.now_ms, counter.term, counter.applied_entries, keeper.truncated_bytes) == (
             NOW_MS + 2000.0,
             1,
             20 + without_snapshot,
@@ -98,35 +100,35 @@
         )
         assert (counter.total(5), counter.total(6), counter.total(7)) == (3.5, 6.0, 0.5)
         assert counter.total(2**64 - 1) == 0.0  # its time is over
-        uses = {key: (use.tries, use.units, use.beyond) for key, use in counter.uses().items()}
+        uses = {key: (use.attempts, use.units, use.over_quota_units) for key, use in counter.usage().items()}
         period = int(NOW_MS // 3_600_000.0)
         assert uses == {("ada", "plan ☂", period): (1, 2.0, 2.0), ("bob", "basic", period): (1, 1.0, 0.0)}
-        doors = [counter.door("door-0"), counter.door("döor-1")]
-        assert [(door.number, door.epoch, door.highest) for door in doors] == [(0, 21, 7), (1, 12, 3)]
-        assert keeper.hello("door-0", 11) is None
-        session, other = keeper.hello("door-0", 21), keeper.hello("döor-1", 12)
+        doors = [counter.gateway("door-0"), counter.gateway("döor-1")]
+        assert [(door.number, door.epoch, door.highest_sequence) for door in doors] == [(0, 21, 7), (1, 12, 3)]
+        assert keeper.open_session("door-0", 11) is None
+        session, other = keeper.open_session("door-0", 21), keeper.open_session("döor-1", 12)
         assert session is not None and other is not None
-        keeper.command(1, session, Add(7, 7, 0.5, 600_000.0))
-        keeper.command(2, session, Add(7, 7, 9.0, 600_000.0))
-        keeper.command(3, session, Add(3, 6, 1.0, 600_000.0))
-        keeper.command(4, other, Record(2, NOW_MS - 10.0, 2.0, True, *TRY_FIELDS))
-        keeper.command(5, session, Record(8, NOW_MS, 1.0, False, "r-2", "bob", "basic", "write"))
-        keeper.command(6, session, Add(9, 5, 0.5, 600_000.0))
-        assert keeper.commit() == [
-            (1, Total(7, Status.REPEATED, 0.5)),
-            (2, Total(7, Status.REUSED, 0.0)),
-            (3, Total(3, Status.TOO_OLD, 0.0)),
-            (4, Stored(2, Status.KNOWN)),
-            (5, Stored(8, Status.KNOWN)),
-            (6, Total(9, Status.DONE, 4.0)),
+        keeper.submit(1, session, Add(7, 7, 0.5, 600_000.0))
+        keeper.submit(2, session, Add(7, 7, 9.0, 600_000.0))
+        keeper.submit(3, session, Add(3, 6, 1.0, 600_000.0))
+        keeper.submit(4, other, RecordAttempt(2, NOW_MS - 10.0, 2.0, True, *TRY_FIELDS))
+        keeper.submit(5, session, RecordAttempt(8, NOW_MS, 1.0, False, "r-2", "bob", "basic", "write"))
+        keeper.submit(6, session, Add(9, 5, 0.5, 600_000.0))
+        assert keeper.commit_pending() == [
+            (1, TotalReply(7, Status.REPEATED, 0.5)),
+            (2, TotalReply(7, Status.REUSED, 0.0)),
+            (3, TotalReply(3, Status.TOO_OLD, 0.0)),
+            (4, RecordReply(2, Status.KNOWN)),
+            (5, RecordReply(8, Status.KNOWN)),
+            (6, TotalReply(9, Status.DONE, 4.0)),
         ]
         keeper.close()
 
 
 def test_the_state_and_its_snapshot_as_committed(tmp_path: Path) -> None:
-    counter = rebuilt(copied_log(tmp_path), LIMITS)
+    counter = rebuild_from_log(copied_log(tmp_path), LIMITS)
     assert counter.snapshot() == golden("state.snapshot")
-    assert Counter.restored(LIMITS, golden("state.snapshot")).snapshot() == golden("state.snapshot")
+    assert CounterState.from_snapshot(LIMITS, golden("state.snapshot")).snapshot() == golden("state.snapshot")
 
 
 @pytest.mark.parametrize(
@@ -148,8 +150,10 @@
 def test_what_is_read_of_the_committed_log(tmp_path: Path) -> None:
     directory = copied_log(tmp_path)
     found = verify(directory)
-    assert (found.records, found.segments, found.snapshots, found.torn) == (21, 2, 1, 0)
-    tries = [(door, made.request, made.customer, made.plan, made.units) for door, made in each_try(directory)]
+    assert (found.records, found.segments, found.snapshots, found.torn_bytes) == (21, 2, 1, 0)
+    tries = [
+        (door, made.request_id, made.customer, made.plan, made.units) for door, made in iterate_attempts(directory)
+    ]
     assert tries == [("door-0", "r-é", "ada", "plan ☂", 2.0), ("döor-1", "r-2", "bob", "basic", 1.0)]
 
 
@@ -158,11 +162,13 @@
 
 def write_journal(directory: Path) -> None:
     """Three tries promised, one of them acknowledged, a term seen.  The file is left as a kill leaves it."""
-    journal = Journal(directory, 100)
+    journal = AttemptJournal(directory, 100)
     for number in range(3):
-        assert journal.promise(Record(number + 1, NOW_MS + number, 0.5, number == 1, f"r-{number}", *TRY_FIELDS[1:]))
-    journal.done("r-0")
-    journal.saw_term(4)
+        assert journal.append(
+            RecordAttempt(number + 1, NOW_MS + number, 0.5, number == 1, f"r-{number}", *TRY_FIELDS[1:])
+        )
+    journal.acknowledge("r-0")
+    journal.observe_term(4)
     journal.close()
 
 
@@ -180,11 +186,11 @@
 def test_the_committed_journal_is_read_and_written_anew(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(time, "time", lambda: 1.0)
     shutil.copytree(STORED / "journal", tmp_path / "journal")
-    journal = Journal(tmp_path / "journal", 100)
+    journal = AttemptJournal(tmp_path / "journal", 100)
     assert (journal.epoch, journal.term) == (int(NOW_MS) + 1, 4)
-    assert list(journal.tries.values()) == [
-        Record(0, NOW_MS + 1, 0.5, True, "r-1", *TRY_FIELDS[1:]),
-        Record(0, NOW_MS + 2, 0.5, False, "r-2", *TRY_FIELDS[1:]),
+    assert list(journal.pending.values()) == [
+        RecordAttempt(0, NOW_MS + 1, 0.5, True, "r-1", *TRY_FIELDS[1:]),
+        RecordAttempt(0, NOW_MS + 2, 0.5, False, "r-2", *TRY_FIELDS[1:]),
     ]
     journal.close()
     assert journal_files(tmp_path / "journal") == journal_files(STORED / "journal-anew")
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -20,7 +20,8 @@
 from martenstep.config.settings import parse_door
 from martenstep.config.text import Faults
 from martenstep.config.tls import ClientContext, ServerContext, TlsError, client_context
-from martenstep.counter.client import CounterClient, Journal
+from martenstep.counter.client import CounterClient
+from martenstep.counter.journal import AttemptJournal
 from martenstep.policy.messages import CallResult
 from tests.door_rig import DOOR
 from tests.socket_rig import BOUND_S, House, Peer, get, house, run
@@ -279,7 +280,7 @@
                 client = CounterClient(
                     [("127.0.0.1", port)],
                     "door-0",
-                    Journal(tmp_path / f"j{verdict.name}", 10),
+                    AttemptJournal(tmp_path / f"j{verdict.name}", 10),
                     lambda call, got, total, kept: answers.append(got),  # noqa: B023
                     lambda event, fields: None,
                     timeout_ms=5000.0 if shown else 300.0,
@@ -292,7 +293,7 @@
                         await asyncio.sleep(0.005)
                 assert answers[0] in ((CallResult.OK,) if shown else (CallResult.CONNECT_FAILED, CallResult.TIMEOUT))
                 await client.stop()
-            assert service.keeper.counter.total(7) == 1.0
+            assert service.pipeline.state.total(7) == 1.0
 
     run(test())
 
