--- a/bench/counter.py
+++ b/bench/counter.py
@@ -20,7 +20,8 @@
 from bench.throughput import resident_kb, start
 from martenstep.counter import protocol as fr
 from martenstep.counter.commit_pipeline import CommitPipeline
-from martenstep.counter.state import _ADD, ENTRY_ADD, CounterLimits, CounterState
+from martenstep.counter.log_entries import ADD_LAYOUT, ENTRY_ADD
+from martenstep.counter.state import CounterLimits, CounterState
 from martenstep.storage.files import Disk
 
 NAMES = 10_000
@@ -169,7 +170,7 @@
     counter = CounterState(CounterLimits(deduplication_window=1))
     counter.begin_session("d", 1)
     for number in range(count):
-        counter.apply(_ADD.pack(ENTRY_ADD, 1.0, 0, number + 1, number * 7919, 1.0, 1e12))
+        counter.apply(ADD_LAYOUT.pack(ENTRY_ADD, 1.0, 0, number + 1, number * 7919, 1.0, 1e12))
     return (resident_kb(os.getpid()) - before) * 1024 // count
 
 
--- a/bench/stores.py
+++ b/bench/stores.py
@@ -12,8 +12,9 @@
 import lmdb
 
 from martenstep.counter.commit_pipeline import CommitPipeline
+from martenstep.counter.log_entries import ADD_LAYOUT, ENTRY_ADD
 from martenstep.counter.protocol import Add
-from martenstep.counter.state import _ADD, ENTRY_ADD, CounterLimits
+from martenstep.counter.state import CounterLimits
 from martenstep.storage.files import Disk
 from martenstep.storage.log import Writer, open_log
 
@@ -43,7 +44,10 @@
 
     def commit(first: int) -> None:
         writer.write(
-            [_ADD.pack(ENTRY_ADD, 1.0, 0, number, number % NAMES, 1.0, 1e12) for number in range(first, first + GROUP)],
+            [
+                ADD_LAYOUT.pack(ENTRY_ADD, 1.0, 0, number, number % NAMES, 1.0, 1e12)
+                for number in range(first, first + GROUP)
+            ],
             True,
         )
 
--- a/martenstep/cli/main.py
+++ b/martenstep/cli/main.py
@@ -268,7 +268,7 @@
     """What can be wrong with a log, or with what serves it, is told in a line; exit 1."""
     from martenstep.config.tls import TlsError
     from martenstep.counter.follower import LeaderRejectedError
-    from martenstep.counter.replicated_service import ReplicaError
+    from martenstep.counter.replica_process import ReplicaError
     from martenstep.storage.files import LockedError
     from martenstep.storage.log import LogError
 
@@ -292,9 +292,9 @@
         faults_told(error)
     with _log_faults():
         if settings.HasField("copies"):
-            from martenstep.counter import replicated_service as copied_service
+            from martenstep.counter import replica_process
 
-            sys.exit(asyncio.run(copied_service.serve(settings, lambda: load_service(file))))
+            sys.exit(asyncio.run(replica_process.serve(settings, lambda: load_service(file))))
         sys.exit(asyncio.run(service.serve(settings)))
 
 
@@ -311,7 +311,7 @@
 )
 def counter_identity(directory: Path, witness: Path) -> None:
     """Tell which copy's disk DIRECTORY is; an empty one becomes a new copy's."""
-    from martenstep.counter.replicated_service import read_identity
+    from martenstep.counter.replica_process import read_identity
 
     with _log_faults():
         click.echo(read_identity(directory, witness))
--- a/martenstep/counter/__init__.py
+++ b/martenstep/counter/__init__.py
@@ -1,5 +1,5 @@
-"""The project's own counter service: counts and tries, kept in a log from which every one can be rebuilt.
+"""The project's own counter service: quota totals and recorded attempts, kept in a log that rebuilds all of them.
 
-May live here: its protocol, its state machine, its log, its server, and the client that a door uses.  May not:
+Belongs here: the protocol, the state machine, the log, the servers, and the client that a gateway uses.  Does not:
 decisions on quota, HTTP.
 """
--- a/martenstep/counter/client.py
+++ b/martenstep/counter/client.py
@@ -1,13 +1,13 @@
-"""The door's side: adds and tries that count exactly once, through broken connections and the door's own restarts.
+"""The gateway's side: adds and attempts that count exactly once, through broken connections and its own restarts.
 
-Every command has a sequence in the door's present life (epoch).  Once written it is sent again after each reconnect
-until it is answered, so a time-out is no longer ambiguous for the counts: the module is told TIMEOUT, and the add
-counts once.  An add that was never written is dropped at its time-out, and the module is told that nothing was added.
-The epoch is kept in a file and raised at each start.
+Every command has a sequence in the gateway's present epoch.  Once written it is sent again after each reconnect until
+it is answered, so a time-out is no longer ambiguous for the counts: the caller is told TIMEOUT, and the add counts
+once.  An add that was never written is dropped at its time-out, and the caller is told that nothing was added.  The
+epoch is kept in a file and raised at each start.
 
-Tries go through a journal: a file that holds each one until it is acknowledged.  After a restart what is left in it is
-sent under the new epoch; the service knows a try by its request id, and records it once.  The journal is bounded: past
-the bound `record` gives False, and the door's log tells of the try instead.
+Attempts go through a journal: a file that holds each one until it is acknowledged.  After a restart what is left in it
+is sent under the new epoch; the service knows an attempt by its request id, and records it once.  The journal is
+bounded: past the bound `record` returns False, and the gateway's log holds the attempt instead.
 """
 
 from __future__ import annotations
@@ -21,17 +21,18 @@
 from dataclasses import replace
 
 from martenstep.backoff import Backoff
-from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.errors import CounterError
+from martenstep.counter.journal import AttemptJournal as AttemptJournal
 from martenstep.counter.protocol import (
     Add,
     Command,
+    Frame,
     FrameDecoder,
     Hello,
     ProtocolError,
     RecordAttempt,
     RecordReply,
     Rejection,
-    Reply,
     Status,
     TotalReply,
     Welcome,
@@ -41,76 +42,89 @@
 from martenstep.event_log import EventLog
 from martenstep.policy.messages import CallResult
 
-AGAIN_LEAST_MS, AGAIN_MOST_MS = 20.0, 1000.0  # between attempts to connect
+MIN_RECONNECT_MS = 20.0
+MAX_RECONNECT_MS = 1000.0
 READ_BYTES = 262_144
-SILENT_S = 1.0  # with several copies: one that owes an answer for so long may have lost its place, or be paused
-FINAL = (Status.DONE, Status.REPEATED, Status.KNOWN, Status.TOO_OLD, Status.BAD, Status.REUSED)
-LOST = (Status.TOO_OLD, Status.BAD)  # of those: the try is recorded nowhere
-LATEST_MS = 1e15  # a try's time that every service takes for its own
+SILENCE_TIMEOUT_S = 1.0  # with several replicas: one that owes an answer for so long may have lost its term
+FLUSH_POLL_INTERVAL_S = 0.005
+FINAL_STATUSES = (Status.DONE, Status.REPEATED, Status.KNOWN, Status.TOO_OLD, Status.BAD, Status.REUSED)
+LOST_STATUSES = (Status.TOO_OLD, Status.BAD)  # of those: the attempt is recorded nowhere
+FUTURE_TIME_MS = 1e15  # an attempt's time that every service replaces by its own
 Address = tuple[str, int]
-Answer = Callable[[int, CallResult, float, float], None]  # call, verdict, total, ms for which nothing was lost
+Answer = Callable[[int, CallResult, float, float], None]  # call, result, total, ms for which nothing was lost
 
 
-class _MovedError(Exception):
-    """Another copy leads, at the address that is named, if any is."""
+class _MovedError(CounterError):
+    """Another replica leads, at the address that is named, if any is."""
+
+    def __init__(self, leader: str) -> None:
+        super().__init__(leader)
+        self.leader = leader
 
 
 class CounterClient:
-    """A store port over one counter service."""
+    """A client of one counter service, or of the replicas that hold one."""
 
     def __init__(
         self,
         addresses: Sequence[Address] | Callable[[], Sequence[Address]],
-        door: str,
+        gateway: str,
         journal: AttemptJournal,
         answer: Answer,
         log_event: EventLog,
         *,
         timeout_ms: float = 50.0,
-        waiting: int = 10_000,
+        max_pending: int = 10_000,
         map_version: int = 1,
         tls: ssl.SSLContext | None = None,
         server_name: str = "",
         group: str = "",
-        way: Callable[[Address], Address] = lambda address: address,
-        recorded: Callable[[str], None] = lambda request: None,
+        route: Callable[[Address], Address] = lambda address: address,
+        on_acknowledged: Callable[[str], None] = lambda request_id: None,
     ) -> None:
-        """Several `addresses` are those of the copies that hold the counter: one of them leads at a time.  Where they
-        change, a function gives those of now, the likeliest first; `group` is the one that is meant there, and `way`
-        leads to an address.  `recorded` is told of each try that is acknowledged, by its request."""
-        self._tls, self._server_name, self._group = tls, server_name, group
+        """Several `addresses` are those of the replicas that hold the counter: one of them leads at a time.  If they
+        change, a function gives those of now, the likeliest first; `group` is the one that is meant there, and `route`
+        gives the address that leads to one.  `on_acknowledged` is called with each attempt's request id."""
+        self._tls = tls
+        self._server_name = server_name
+        self._group = group
         self._addresses = addresses if callable(addresses) else lambda: addresses
-        self._way, self._recorded = way, recorded
+        self._route = route
+        self._on_acknowledged = on_acknowledged
         self._hops = 0
-        self._to: Address | None = None  # who is asked, once somebody was
-        self._door = door
-        self._silent_s = SILENT_S if callable(addresses) or len(addresses) > 1 else None
-        self._journal, self._answer, self._log_event = journal, answer, log_event
-        self._timeout, self._bound, self._map_version = timeout_ms / 1000, waiting, map_version
-        self.backoff = Backoff(AGAIN_LEAST_MS, AGAIN_MOST_MS)
+        self._address: Address | None = None  # that is asked, once one was
+        self._gateway = gateway
+        self._silence_timeout_s = SILENCE_TIMEOUT_S if callable(addresses) or len(addresses) > 1 else None
+        self._journal = journal
+        self._answer = answer
+        self._log_event = log_event
+        self._timeout_s = timeout_ms / 1000
+        self._max_pending = max_pending
+        self._map_version = map_version
+        self.backoff = Backoff(MIN_RECONNECT_MS, MAX_RECONNECT_MS)
         self._sequence = 0
-        self._out: OrderedDict[int, Command] = OrderedDict()  # unanswered, in order of sequence
-        self._calls: dict[int, int] = {}  # adds: the module's call by sequence, until its time-out
+        self._pending: OrderedDict[int, Command] = OrderedDict()  # in order of sequence
+        self._calls: dict[int, int] = {}  # adds: the caller's call by sequence, until its time-out
         self._writer: asyncio.StreamWriter | None = None
-        self._ready = False
+        self._session_open = False
         self._task: asyncio.Task[None] | None = None
-        self._written: set[int] = set()  # of the unanswered: those that may have come through
+        self._written: set[int] = set()  # of the pending: those that may have arrived
         self.resent = 0
-        self._promised_here: set[str] = set()  # tries of this life whose time may still be mended
-        self._welcomed = math.inf  # when the present connection was taken
+        self._journaled_now: set[str] = set()  # request ids of this epoch, whose time may still be corrected
+        self._connected_at_s = math.inf  # when the present session was opened
 
     def start(self) -> None:
-        """Connect, and send what an earlier life had promised."""
+        """Connect, and send what an earlier epoch had journaled."""
         self._task = asyncio.create_task(self._run())
-        for made in list(self._journal.pending.values()):
-            self._queue_record(made)
+        for attempt in list(self._journal.pending.values()):
+            self._send_attempt(attempt)
 
     async def flush(self, within_ms: float) -> bool:
-        """Wait until all is acknowledged; False where it was not in time."""
-        until = time.monotonic() + within_ms / 1000
-        while self._out and time.monotonic() < until:
-            await asyncio.sleep(0.005)
-        return not self._out
+        """Wait until all is acknowledged; False if it was not in time."""
+        deadline = time.monotonic() + within_ms / 1000
+        while self._pending and time.monotonic() < deadline:
+            await asyncio.sleep(FLUSH_POLL_INTERVAL_S)
+        return not self._pending
 
     async def stop(self) -> None:
         """Close; what is not acknowledged stays in the journal."""
@@ -123,174 +137,195 @@
     @property
     def pending_count(self) -> int:
         """Commands that wait for their answer."""
-        return len(self._out)
+        return len(self._pending)
+
+    # Commands
 
-    def add(self, call: int, name: int, units: float, expire_ms: float, proof: bool = False) -> None:
-        """Ask for one add; `answer` is called once for it, within the time-out, with a proof if asked or not.
+    def add(self, call: int, key: int, units: float, ttl_ms: float, bounds_ceiling: bool = False) -> None:
+        """Request one add; `answer` is called once for it, within the time-out, with a proof if requested or not.
 
-        The proof begins with the connection: another one may lead to a service that was promoted, or lost its tail."""
-        if len(self._out) >= self._bound:
+        The proof begins with the connection: another one may lead to a service that was promoted, or lost its tail.
+        """
+        if len(self._pending) >= self._max_pending:
             self._answer(call, CallResult.OVERLOADED, 0.0, 0.0)
             return
-        sequence = self._next()
+        sequence = self._next_sequence()
         self._calls[sequence] = call
-        asyncio.get_running_loop().call_later(self._timeout, self._late, sequence)
-        self._send(sequence, Add(sequence, name, units, expire_ms))
+        asyncio.get_running_loop().call_later(self._timeout_s, self._on_timeout, sequence)
+        self._send(sequence, Add(sequence, key, units, ttl_ms))
 
-    def _late(self, sequence: int) -> None:
+    def _on_timeout(self, sequence: int) -> None:
         call = self._calls.pop(sequence, None)
         if call is None:
             return
         if sequence in self._written:
             self._answer(call, CallResult.TIMEOUT, 0.0, 0.0)
         else:
-            self._out.pop(sequence, None)
+            self._pending.pop(sequence, None)
             self._answer(call, CallResult.CONNECT_FAILED, 0.0, 0.0)
 
     def record(
-        self, time_ms: float, units: float, beyond: bool, request: str, customer: str, plan: str, cls: str
+        self,
+        time_ms: float,
+        units: float,
+        over_quota: bool,
+        request_id: str,
+        customer: str,
+        plan: str,
+        request_class: str,
     ) -> bool:
-        """Promise a try; False where the journal is full, and nothing is promised."""
-        made = RecordAttempt(0, time_ms, units, beyond, request, customer, plan, cls)
-        if not self._journal.append(made):
+        """Journal an attempt and send it; False if the journal is full, and nothing is kept."""
+        attempt = RecordAttempt(0, time_ms, units, over_quota, request_id, customer, plan, request_class)
+        if not self._journal.append(attempt):
             return False
-        self._promised_here.add(request)
-        self._queue_record(made)
+        self._journaled_now.add(request_id)
+        self._send_attempt(attempt)
         return True
 
-    def _record_ended(self, command: RecordAttempt, status: Status) -> None:
-        """A try needs nothing more, unless its time alone was refused: clocks were stepped, and it is made anew as of
-        now.  One of an earlier life is not: the service may have recorded it, and forgotten that."""
-        if status is Status.TOO_OLD and command.request_id in self._promised_here:
-            self._promised_here.discard(command.request_id)
-            self._queue_record(replace(command, time_ms=LATEST_MS))
+    def _on_record_reply(self, command: RecordAttempt, status: Status) -> None:
+        """An attempt needs nothing more, unless its time alone was refused: clocks were stepped, and it is sent anew as
+        of now.  One of an earlier epoch is not: the service may have recorded it, and forgotten that."""
+        request_id = command.request_id
+        if status is Status.TOO_OLD and request_id in self._journaled_now:
+            self._journaled_now.discard(request_id)
+            self._send_attempt(replace(command, time_ms=FUTURE_TIME_MS))
             return
-        if status in LOST:
-            self._log_event(
-                "try refused by the counter",
-                {
-                    "request": command.request_id,
-                    "customer": command.customer,
-                    "plan": command.plan,
-                    "units": command.units,
-                    "beyond": command.over_quota,
-                    "status": status.name,
-                },
-            )
-        self._promised_here.discard(command.request_id)
-        self._journal.acknowledge(command.request_id)
-        self._recorded(command.request_id)
-
-    def _queue_record(self, made: RecordAttempt) -> None:
-        sequence = self._next()
-        self._send(sequence, replace(made, sequence=sequence))
-
-    def _next(self) -> int:
+        if status in LOST_STATUSES:
+            self._log_lost_attempt(command, status)
+        self._journaled_now.discard(request_id)
+        self._journal.acknowledge(request_id)
+        self._on_acknowledged(request_id)
+
+    def _log_lost_attempt(self, command: RecordAttempt, status: Status) -> None:
+        self._log_event(
+            "attempt rejected by the counter",
+            {
+                "request": command.request_id,
+                "customer": command.customer,
+                "plan": command.plan,
+                "units": command.units,
+                "beyond": command.over_quota,
+                "status": status.name,
+            },
+        )
+
+    def _send_attempt(self, attempt: RecordAttempt) -> None:
+        sequence = self._next_sequence()
+        self._send(sequence, replace(attempt, sequence=sequence))
+
+    def _next_sequence(self) -> int:
         self._sequence += 1
         return self._sequence
 
     def _send(self, sequence: int, command: Command) -> None:
-        self._out[sequence] = command
-        if self._ready and self._writer is not None and not self._writer.is_closing():
+        self._pending[sequence] = command
+        if self._session_open and self._writer is not None and not self._writer.is_closing():
             self._written.add(sequence)
             self._writer.write(encode(command))
 
+    # Connections
+
     async def _run(self) -> None:
-        moved = False
+        redirected = False
         while True:
-            hopped, leader = moved, ""
+            redirected_before = redirected
+            leader = ""
             try:
-                await self._connection()
+                await self._serve_connection()
             except _MovedError as error:
-                leader = str(error)
+                leader = error.leader
             except (OSError, ProtocolError, asyncio.IncompleteReadError) as error:
-                self._log_event("counter lost", {"error": f"{type(error).__name__}: {error}"})
+                self._log_event("counter connection lost", {"error": f"{type(error).__name__}: {error}"})
             finally:
-                self._ready = False
+                self._session_open = False
                 if self._writer is not None:
                     self._writer.close()
                     self._writer = None
-            moved = self._elsewhere(leader)
-            if hopped or not moved:  # two copies that each name the other must not be run between
+            redirected = self._choose_address(leader)
+            if redirected_before or not redirected:  # two replicas that each name the other must not cause a busy loop
                 # Each is asked once before the wait grows: after a leader's loss the next may be any of them.
                 self._hops += 1
-                whole = self._hops % max(1, len(self._addresses())) == 0
-                await asyncio.sleep((self.backoff.failed() if whole else AGAIN_LEAST_MS) / 1000)
+                all_asked = self._hops % max(1, len(self._addresses())) == 0
+                await asyncio.sleep((self.backoff.failed() if all_asked else MIN_RECONNECT_MS) / 1000)
 
-    def _elsewhere(self, leader: str) -> bool:
-        """Ask another copy next: the leader that was named, else the one after this.  Whether it was named.
+    def _choose_address(self, leader: str) -> bool:
+        """Choose another replica: the leader that was named, else the one after this.  Returns whether it was named.
 
-        Only addresses that are known are gone to: a reply must not lead a door to strangers."""
+        Only addresses that are known are used: a reply must not lead a gateway to strangers.
+        """
         known = list(self._addresses())
-        named = next((one for one in known if "{}:{}".format(*one) == leader and one != self._to), None)
-        if named is None and known:
-            self._to = known[(known.index(self._to) + 1) % len(known)] if self._to in known else known[0]
+        named = next(
+            (address for address in known if "{}:{}".format(*address) == leader and address != self._address), None
+        )
+        if named is not None or not known:
+            self._address = named
+        elif self._address in known:
+            self._address = known[(known.index(self._address) + 1) % len(known)]
         else:
-            self._to = named
+            self._address = known[0]
         return named is not None
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
-        """The next bytes; raises FrameError where another copy may lead by now, as this one says nothing."""
+        """Read the next bytes; raises ProtocolError if another replica may lead by now, as this one is silent."""
         while True:
-            waiting = bool(self._out) or not self._ready
+            owed = bool(self._pending) or not self._session_open
             try:
-                async with asyncio.timeout(self._silent_s):
+                async with asyncio.timeout(self._silence_timeout_s):
                     return await reader.read(READ_BYTES)
             except TimeoutError:
-                if waiting:
-                    raise ProtocolError("the copy says nothing") from None
+                if owed:
+                    raise ProtocolError("the replica is silent") from None
 
-    async def _connection(self) -> None:
-        if self._to is None:
-            self._elsewhere("")
-        if self._to is None:
+    async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        if self._address is None:
+            self._choose_address("")
+        if self._address is None:
             raise ConnectionError("nobody is known who may hold it")
-        host, port = self._way(self._to)
+        host, port = self._route(self._address)
+        server_name = (self._server_name or None) if self._tls else None
         try:
-            async with asyncio.timeout(self._silent_s):
-                reader, writer = await asyncio.open_connection(
-                    host, port, ssl=self._tls, server_hostname=(self._server_name or None) if self._tls else None
-                )
+            async with asyncio.timeout(self._silence_timeout_s):
+                return await asyncio.open_connection(host, port, ssl=self._tls, server_hostname=server_name)
         except TimeoutError:
             raise ConnectionError("no connection in time") from None
+
+    async def _serve_connection(self) -> None:
+        """Connect and handle frames until the connection ends; raises _MovedError, OSError, ProtocolError."""
+        reader, writer = await self._connect()
         self._writer = writer
-        writer.write(
-            encode(
-                Hello(self._door, self._journal.epoch, self._map_version, term=self._journal.term, group=self._group)
-            )
-        )
-        frames = FrameDecoder()
+        hello = Hello(self._gateway, self._journal.epoch, self._map_version, term=self._journal.term, group=self._group)
+        writer.write(encode(hello))
+        decoder = FrameDecoder()
         while data := await self._read(reader):
-            for payload in frames.feed(data):
-                reply = decode(payload)
-                if isinstance(reply, Welcome):
-                    self._journal.observe_term(reply.term)
-                    self._ready, self._welcomed = True, time.monotonic()
-                    self.backoff.succeeded()
-                    self.resent += len(self._written)
-                    self._written.update(self._out)
-                    writer.write(b"".join(encode(command) for command in self._out.values()))
-                elif isinstance(reply, Rejection) and reply.status is Status.MOVED:
-                    raise _MovedError(reply.reason)
-                elif isinstance(reply, Rejection):
-                    raise ProtocolError(f"{reply.status.name}: {reply.reason}")
-                elif isinstance(reply, TotalReply | RecordReply):
-                    self._take(reply)
-
-    def _take(self, reply: Reply) -> None:
-        assert isinstance(reply, TotalReply | RecordReply)
+            for payload in decoder.feed(data):
+                self._handle_frame(decode(payload), writer)
+
+    def _handle_frame(self, frame: Frame, writer: asyncio.StreamWriter) -> None:
+        if isinstance(frame, TotalReply | RecordReply):
+            self._handle_reply(frame)
+        elif isinstance(frame, Welcome):
+            self._journal.observe_term(frame.term)
+            self._session_open = True
+            self._connected_at_s = time.monotonic()
+            self.backoff.succeeded()
+            self.resent += len(self._written)
+            self._written.update(self._pending)
+            writer.write(b"".join(encode(command) for command in self._pending.values()))
+        elif isinstance(frame, Rejection) and frame.status is Status.MOVED:
+            raise _MovedError(frame.reason)
+        elif isinstance(frame, Rejection):
+            raise ProtocolError(f"{frame.status.name}: {frame.reason}")
+
+    def _handle_reply(self, reply: TotalReply | RecordReply) -> None:
         if reply.status is Status.UNWRITTEN:
             raise ProtocolError("the service cannot write its log")  # all is sent again once it can
-        command = self._out.pop(reply.sequence, None)
+        command = self._pending.pop(reply.sequence, None)
         self._written.discard(reply.sequence)
-        if isinstance(command, RecordAttempt) and reply.status in FINAL:
-            self._record_ended(command, reply.status)
+        if isinstance(command, RecordAttempt) and reply.status in FINAL_STATUSES:
+            self._on_record_reply(command, reply.status)
         call = self._calls.pop(reply.sequence, None)
         if isinstance(reply, TotalReply) and call is not None:
-            good = reply.status in (Status.DONE, Status.REPEATED)
-            self._answer(
-                call,
-                CallResult.OK if good else CallResult.OVERLOADED,
-                reply.total,
-                (time.monotonic() - self._welcomed) * 1000,
-            )
+            counted = reply.status in (Status.DONE, Status.REPEATED)
+            result = CallResult.OK if counted else CallResult.OVERLOADED
+            retained_ms = (time.monotonic() - self._connected_at_s) * 1000
+            self._answer(call, result, reply.total, retained_ms)
--- a/martenstep/counter/commit_pipeline.py
+++ b/martenstep/counter/commit_pipeline.py
@@ -1,18 +1,19 @@
-"""State and log together: commands in, replies out once what they rest on is durable.
+"""State and log together, by group commit: commands in, replies out once what they rest on is durable.
 
 Commands change the state at once, so that those of one group see each other, but no reply leaves before the group's
-entries are written and synced.  Where that fails nothing is acknowledged any more: the state is then ahead of the disk
-by the groups that were not written, so a read of a name that they touched is not answered either; all others are.
+entries are written and synced.  If that fails nothing is acknowledged any more: the state is then ahead of the disk by
+the groups that were not written, so a read of a key that they touched is not answered either; all others are.
 """
 
 from __future__ import annotations
 
 import contextlib
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Generic, NamedTuple, TypeVar
 
 import msgspec
 
+from martenstep.counter.log_entries import ENTRY_ADD, decode_add, encode_term
 from martenstep.counter.protocol import (
     Add,
     Read,
@@ -23,27 +24,37 @@
     TotalReply,
     reply_without_result,
 )
-from martenstep.counter.state import ENTRY_ADD, CounterLimits, CounterState, GatewayState, decode_add, encode_term
+from martenstep.counter.state import CounterLimits, CounterState, GatewayState
 from martenstep.storage.files import Files
 from martenstep.storage.log import LogError, Opened, Writer, compact, open_log, write_snapshot
 
+DEFAULT_SEGMENT_BYTES = 64 << 20
+Client = TypeVar("Client")  # whoever a reply goes to
+
 
 @dataclass(slots=True)
 class Session:
-    """One connection's door, and which of its lives."""
+    """The gateway of one connection, and its epoch."""
 
     gateway: GatewayState
     epoch: int
 
 
+class AddressedReply(NamedTuple, Generic[Client]):
+    """A reply and whom it goes to."""
+
+    client: Client
+    reply: Reply
+
+
 @dataclass(slots=True)
-class CommitGroup:
-    """What is made durable together, and whom it answers."""
+class CommitGroup(Generic[Client]):
+    """What is made durable together, and the replies that wait for it."""
 
     entries: list[bytes] = field(default_factory=list)
-    first_index: int = 0  # once written: the number of the first record, and the records, for followers
-    records: bytes = b""
-    replies: list[tuple[Any, Reply]] = field(default_factory=list)
+    first_index: int = 0  # once written: the number of the first record
+    records: bytes = b""  # once written: the records, for followers
+    replies: list[AddressedReply[Client]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -55,44 +66,57 @@
     record_count: int
 
 
+@dataclass(frozen=True, slots=True)
+class _SnapshotMark:
+    """When a snapshot was stored, and how many records were in it."""
+
+    time_ms: float
+    record_count: int
+
+
 def rebuild_state(opened: Opened, limits: CounterLimits) -> CounterState:
-    """The state that a log tells; raises LogError where a snapshot's body cannot be read."""
-    counter = CounterState(limits)
+    """Rebuild the state from a log; raises LogError if a snapshot's body cannot be read."""
+    state = CounterState(limits)
     if opened.snapshot is not None:
         try:
-            counter = CounterState.from_snapshot(limits, opened.snapshot)
+            state = CounterState.from_snapshot(limits, opened.snapshot)
         except msgspec.DecodeError as error:
             raise LogError("snapshot", 0, str(error)) from None
     for entry in opened.entries:
-        counter.apply(entry)
-    return counter
+        state.apply(entry)
+    return state
 
 
-class CommitPipeline:
+class CommitPipeline(Generic[Client]):
     """The counter over a directory."""
 
     def __init__(
         self,
         files: Files,
         limits: CounterLimits,
-        segment_bytes: int = 64 << 20,
+        segment_bytes: int = DEFAULT_SEGMENT_BYTES,
         durable: bool = True,
         snapshot_records: int = 0,
-        keep_ms: float = 0.0,
+        retention_ms: float = 0.0,
     ) -> None:
-        self._files, self._durable = files, durable
-        self._snapshot_records, self._keep_ms = snapshot_records, keep_ms
+        """Read the log.  A snapshot is due each `snapshot_records`, 0: never; segments that it makes useless are kept
+        for `retention_ms`.  Raises LogError, OSError."""
+        self._files = files
+        self._durable = durable
+        self._snapshot_records = snapshot_records
+        self._retention_ms = retention_ms
+        self._limits = limits
+        self._segment_bytes = segment_bytes
         opened = open_log(files)
-        self.truncated_bytes = opened.cut
+        self.truncated_bytes = opened.cut  # of a torn tail
         self.state = rebuild_state(opened, limits)
         self._writer = Writer(files, opened, segment_bytes)
-        self._last_snapshot = opened.start
-        self._marks: list[tuple[float, int]] = []  # time and records at each snapshot, for retention
-        self.pending_group = CommitGroup()
+        self._last_snapshot_records = opened.start
+        self._snapshot_marks: list[_SnapshotMark] = []  # for retention
+        self.pending_group: CommitGroup[Client] = CommitGroup()
         self.failure = ""  # why nothing is acknowledged any more
         self.fenced = False  # by a later term: then nothing ever is again
-        self._limits, self._segment_bytes = limits, segment_bytes
-        self._touched: set[int] = set()  # names that the state knows more of than the disk
+        self._uncertain_keys: set[int] = set()  # keys that the state knows more of than the disk
 
     @property
     def record_count(self) -> int:
@@ -109,8 +133,10 @@
         """The directory, for what reads old records."""
         return self._files
 
+    # Terms
+
     def fence_if_superseded(self, term: int) -> bool:
-        """A later term has begun elsewhere: nothing more is acknowledged here.  False where it has not."""
+        """Fence this log if the term, which was seen elsewhere, is later: nothing more is acknowledged then."""
         if term <= self.state.term:
             return False
         self.fenced = True
@@ -118,41 +144,45 @@
         return True
 
     def begin_term(self) -> int:
-        """Promote: begin the next term, durably; gives it.  Raises OSError."""
+        """Promote: begin the next term durably, and return it; raises OSError."""
         term = self.state.term + 1
         entry = encode_term(self.state.now_ms, term)
         self.state.apply(entry)
         self._writer.write([entry], True)
         return term
 
+    # Commands
+
     def open_session(self, name: str, epoch: int) -> Session | None:
-        """A door begins a session; None where its epoch is over, or nothing can be written."""
+        """Begin a gateway's session; None if its epoch is over, or nothing can be written."""
         if self.failure:
             return None
-        door, entry = self.state.begin_session(name, epoch)
+        gateway, entry = self.state.begin_session(name, epoch)
         if entry is not None:
             self.pending_group.entries.append(entry)
-        return Session(door, epoch) if door is not None else None
+        return Session(gateway, epoch) if gateway is not None else None
 
-    def submit(self, who: Any, session: Session, command: Add | Read | RecordAttempt) -> None:
-        """Take in one command; its reply comes with the group."""
-        if self.failure and (not isinstance(command, Read) or command.key in self._touched):
-            self.pending_group.replies.append((who, reply_without_result(command, Status.UNWRITTEN)))
+    def submit(self, client: Client, session: Session, command: Add | Read | RecordAttempt) -> None:
+        """Execute one command; its reply comes with the group."""
+        if self.failure and (not isinstance(command, Read) or command.key in self._uncertain_keys):
+            reply: Reply = reply_without_result(command, Status.UNWRITTEN)
+            self.pending_group.replies.append(AddressedReply(client, reply))
             return
-        door = session.gateway
-        current = self.state.gateway(door.name)
-        reply, entry = self.state.execute(current, session.epoch, command)
+        gateway = self.state.gateway(session.gateway.name)
+        reply, entry = self.state.execute(gateway, session.epoch, command)
         if entry is not None:
             self.pending_group.entries.append(entry)
-        self.pending_group.replies.append((who, reply))
+        self.pending_group.replies.append(AddressedReply(client, reply))
+
+    # Group commit
 
-    def take_group(self) -> CommitGroup:
-        """What came in since the last group."""
+    def take_group(self) -> CommitGroup[Client]:
+        """Return what came in since the last group, and begin another."""
         group, self.pending_group = self.pending_group, CommitGroup()
         return group
 
-    def write_group(self, group: CommitGroup) -> str:
-        """Make a group durable; gives why that failed, or nothing.  May run beside `command`, not beside itself."""
+    def write_group(self, group: CommitGroup[Client]) -> str:
+        """Make a group durable; returns why that failed, or nothing.  May run beside `submit`, not beside itself."""
         if not group.entries:
             return ""
         try:
@@ -161,80 +191,93 @@
             return error.strerror or str(error)
         return ""
 
-    def finish_group(self, group: CommitGroup, fault: str) -> list[tuple[Any, Reply]]:
-        """The replies that may go out."""
-        if fault and not self.failure:
-            self.failure = fault
+    def finish_group(self, group: CommitGroup[Client], failure: str) -> list[AddressedReply[Client]]:
+        """Return the replies that may be sent, after a group was written or that failed."""
+        if failure and not self.failure:
+            self.failure = failure
         if not self.failure or not group.entries:
             return group.replies
         for entry in [*group.entries, *self.pending_group.entries]:
             if entry[0] == ENTRY_ADD:
-                self._touched.add(decode_add(entry).key)
+                self._uncertain_keys.add(decode_add(entry).key)
         # Nobody is told of what may not be there: neither this group nor what was decided upon it since.
-        since, self.pending_group = self.pending_group, CommitGroup()
-        doubtful = [*group.replies, *since.replies]
-        return [
-            (
-                who,
-                reply_without_result(reply, Status.UNWRITTEN) if isinstance(reply, TotalReply | RecordReply) else reply,
-            )
-            for who, reply in doubtful
-        ]
+        since = self.take_group()
+        return [self._without_result(addressed) for addressed in (*group.replies, *since.replies)]
+
+    @staticmethod
+    def _without_result(addressed: AddressedReply[Client]) -> AddressedReply[Client]:
+        if not isinstance(addressed.reply, TotalReply | RecordReply):
+            return addressed
+        return AddressedReply(addressed.client, reply_without_result(addressed.reply, Status.UNWRITTEN))
+
+    def commit_pending(self) -> list[AddressedReply[Client]]:
+        """Take, write and answer in one step."""
+        group = self.take_group()
+        return self.finish_group(group, self.write_group(group))
+
+    # Recovery
 
     def recover_log(self) -> RecoveredLog:
-        """Read the directory anew and make all that it tells durable in files of its own: what stands in the old ones
-        behind a failed sync may be there or not.  The keeper goes on as it was.  Raises OSError or LogError."""
+        """Read the directory anew, and make all that it holds durable in files of its own.
+
+        What stands in the old ones behind a failed sync may be there or not.  The pipeline goes on as it was.  Raises
+        OSError or LogError.
+        """
         with contextlib.suppress(OSError):
             self._writer.abandon()
         opened = open_log(self._files)
-        counter = rebuild_state(opened, self._limits)
-        records = opened.start + opened.count
-        write_snapshot(self._files, records, counter.snapshot())
+        state = rebuild_state(opened, self._limits)
+        record_count = opened.start + opened.count
+        write_snapshot(self._files, record_count, state.snapshot())
         if opened.tail is not None:
             segment, end = opened.tail
-            if segment.first == records:  # it was begun and holds nothing
+            if segment.first == record_count:  # it was begun and holds nothing
                 self._files.remove(segment.name)
             else:
                 self._files.append(segment.name, end).close()  # it is no longer the last, which alone may be torn
-        fresh = Opened(None, records, iter(()), 0, None, 0)
-        return RecoveredLog(counter, Writer(self._files, fresh, self._segment_bytes), records)
+        fresh = Opened(None, record_count, iter(()), 0, None, 0)
+        return RecoveredLog(state, Writer(self._files, fresh, self._segment_bytes), record_count)
 
     def resume(self, recovered: RecoveredLog) -> None:
         """Go on with what was recovered; every session has to begin anew."""
-        self.state, self._writer = recovered.state, recovered.writer
-        self._last_snapshot = recovered.record_count
-        self.pending_group, self.failure = CommitGroup(), ""
-        self._touched.clear()
+        self.state = recovered.state
+        self._writer = recovered.writer
+        self._last_snapshot_records = recovered.record_count
+        self.pending_group = CommitGroup()
+        self.failure = ""
+        self._uncertain_keys.clear()
 
-    def commit_pending(self) -> list[tuple[Any, Reply]]:
-        """Take, write and answer in one step."""
-        group = self.take_group()
-        return self.finish_group(group, self.write_group(group))
+    # Snapshots
 
     def snapshot_due(self) -> bool:
-        """Whether so many records came since the last snapshot."""
+        """Whether enough records came since the last snapshot."""
         return (
             bool(self._snapshot_records)
             and not self.failure
-            and (self.record_count - self._last_snapshot >= self._snapshot_records)
+            and (self.record_count - self._last_snapshot_records >= self._snapshot_records)
         )
 
     def encode_snapshot(self) -> tuple[int, bytes]:
-        """The state as a snapshot's body, and how many records are in it.  Only with no group between; raises
-        OSError where what was written cannot be made durable."""
+        """Return how many records are in the state, and the state as a snapshot's body.
+
+        Only with no group pending; raises OSError if what was written cannot be made durable.
+        """
         assert not self.pending_group.entries, "a snapshot holds only what is durable"
         if not self._durable:
             self._writer.sync()
         return self._writer.synced, self.state.snapshot()
 
-    def store_snapshot(self, records: int, body: bytes) -> list[str]:
-        """Write a snapshot and let go of segments that it makes useless and that are old enough; gives their names.
-        Raises OSError: the log is then as it was."""
-        write_snapshot(self._files, records, body)
-        self._last_snapshot = records
-        self._marks.append((self.state.now_ms, records))
-        old = [mark for at, mark in self._marks if at <= self.state.now_ms - self._keep_ms]
-        return compact(self._files, old[-1]) if old else []
+    def store_snapshot(self, record_count: int, body: bytes) -> list[str]:
+        """Write a snapshot and remove segments that it makes useless and that are old enough; returns their names.
+
+        Raises OSError: the log is then as it was.
+        """
+        write_snapshot(self._files, record_count, body)
+        self._last_snapshot_records = record_count
+        self._snapshot_marks.append(_SnapshotMark(self.state.now_ms, record_count))
+        oldest_ms = self.state.now_ms - self._retention_ms
+        expired = [mark.record_count for mark in self._snapshot_marks if mark.time_ms <= oldest_ms]
+        return compact(self._files, expired[-1]) if expired else []
 
     def close(self) -> None:
         """Make the rest durable and close."""
--- a/martenstep/counter/follower.py
+++ b/martenstep/counter/follower.py
@@ -1,11 +1,11 @@
 """A follower: tails the leader's log, acknowledges what it has on its own disk, and can be promoted by hand.
 
-With `wait_for_follower` at the leader nothing is acknowledged to a door that a follower does not hold: a leader's
+With `wait_for_follower` at the leader nothing is acknowledged to a gateway that a follower does not hold: a leader's
 machine may be lost with nothing that was acknowledged.  Without it the follower lags: what it had not acknowledged when
 the machine was lost is lost with it.
 
-Promotion begins a new term in the follower's log.  A leader of an older term that hears of the new one, from a door or
-a follower, is fenced: it refuses all writes with a plain message.
+Promotion begins a new term in the follower's log.  A leader of an older term that hears of the new one, from a gateway
+or a follower, is fenced: it rejects all writes with a plain message.
 """
 
 from __future__ import annotations
@@ -14,9 +14,12 @@
 import json
 import sys
 from pathlib import Path
+from typing import NoReturn
 
 from martenstep.backoff import Backoff
-from martenstep.counter.commit_pipeline import CommitPipeline, rebuild_state
+from martenstep.counter.commit_pipeline import DEFAULT_SEGMENT_BYTES, CommitPipeline, rebuild_state
+from martenstep.counter.errors import CounterError
+from martenstep.counter.log_entries import ENTRY_TERM, decode_term
 from martenstep.counter.protocol import (
     FollowAck,
     FollowRequest,
@@ -28,22 +31,31 @@
     decode,
     encode,
 )
-from martenstep.counter.state import ENTRY_TERM, CounterLimits, decode_term
+from martenstep.counter.state import CounterLimits
 from martenstep.storage.files import Disk
 from martenstep.storage.log import Writer, likeness, open_log, read_records, records_of
 
 READ_BYTES = 1 << 20
-AGAIN_LEAST_MS, AGAIN_MOST_MS = 50.0, 2000.0
+MIN_RETRY_MS = 50.0
+MAX_RETRY_MS = 2000.0
+FINAL_STATUSES = (Status.BAD, Status.FENCED, Status.VERSION)
 
 
-class LeaderRejectedError(Exception):
+class LeaderRejectedError(CounterError):
     """The leader will not be followed: a person must look."""
 
+    def __init__(self, status: Status, reason: str) -> None:
+        """`status` and `reason` as the leader gave them."""
+        super().__init__(f"{status.name}: {reason}")
+        self.status = status
+        self.reason = reason
+
 
 class Follower:
-    """A copy of a leader's log."""
+    """A replica of a leader's log."""
 
-    def __init__(self, directory: Path, segment_bytes: int = 64 << 20) -> None:
+    def __init__(self, directory: Path, segment_bytes: int = DEFAULT_SEGMENT_BYTES) -> None:
+        """Open the directory; raises LogError, LockedError, OSError."""
         self._disk = Disk(directory)
         try:
             opened = open_log(self._disk)
@@ -52,25 +64,26 @@
         except BaseException:
             self._disk.close()
             raise
-        self._last = 0  # likeness of the last record
+        self._last_checksum = 0
         if self._writer.next:
-            data, _ = read_records(self._disk, self._writer.next - 1, self._writer.next)
-            [entry] = records_of(data, self._writer.next - 1)
-            self._last = likeness(self._writer.next - 1, entry)
+            last_index = self._writer.next - 1
+            data, _ = read_records(self._disk, last_index, self._writer.next)
+            [entry] = records_of(data, last_index)
+            self._last_checksum = likeness(last_index, entry)
 
     @property
     def record_count(self) -> int:
         """Records held."""
         return self._writer.next
 
-    def append_records(self, entries: LogRecords) -> FollowAck:
-        """Make records durable; raises LogError where they are not whole, FrameError where they do not follow."""
-        if entries.first_index != self._writer.next:
-            raise ProtocolError(f"record {entries.first_index} after {self._writer.next - 1}")
-        found = records_of(entries.data, entries.first_index)
-        self._writer.copy(found)
-        self._last = likeness(self._writer.next - 1, found[-1])
-        for entry in found:
+    def append_records(self, records: LogRecords) -> FollowAck:
+        """Make records durable; raises LogError if they are not complete, ProtocolError if they do not follow."""
+        if records.first_index != self._writer.next:
+            raise ProtocolError(f"record {records.first_index} after {self._writer.next - 1}")
+        entries = records_of(records.data, records.first_index)
+        self._writer.copy(entries)
+        self._last_checksum = likeness(self._writer.next - 1, entries[-1])
+        for entry in entries:
             if entry[0] == ENTRY_TERM:
                 self.term = max(self.term, decode_term(entry))
         return FollowAck(self._writer.next)
@@ -81,42 +94,47 @@
         self._disk.close()
 
     async def follow(self, host: str, port: int) -> None:
-        """Follow over one connection until it ends; raises RefusedError, OSError, FrameError."""
+        """Follow over one connection until it ends; raises LeaderRejectedError, OSError, ProtocolError."""
         reader, writer = await asyncio.open_connection(host, port)
         loop = asyncio.get_running_loop()
         try:
-            writer.write(encode(FollowRequest(self.term, self._writer.next, self._last)))
-            frames = FrameDecoder()
+            writer.write(encode(FollowRequest(self.term, self._writer.next, self._last_checksum)))
+            decoder = FrameDecoder()
             while data := await reader.read(READ_BYTES):
-                for payload in frames.feed(data):
+                for payload in decoder.feed(data):
                     frame = decode(payload)
                     if isinstance(frame, Rejection):
-                        if frame.status in (Status.BAD, Status.FENCED, Status.VERSION):
-                            raise LeaderRejectedError(f"{frame.status.name}: {frame.reason}")
-                        raise ProtocolError(frame.reason)
+                        self._raise_rejection(frame)
                     if isinstance(frame, LogRecords):
                         writer.write(encode(await loop.run_in_executor(None, self.append_records, frame)))
         finally:
             writer.close()
 
+    @staticmethod
+    def _raise_rejection(rejection: Rejection) -> NoReturn:
+        if rejection.status in FINAL_STATUSES:
+            raise LeaderRejectedError(rejection.status, rejection.reason)
+        raise ProtocolError(rejection.reason)
+
     async def run(self, host: str, port: int) -> None:
-        """Follow for good, through the leader's restarts; raises RefusedError."""
-        backoff = Backoff(AGAIN_LEAST_MS, AGAIN_MOST_MS)
+        """Follow for good, through the leader's restarts; raises LeaderRejectedError."""
+        backoff = Backoff(MIN_RETRY_MS, MAX_RETRY_MS)
         while True:
-            held = self.record_count
+            records_before = self.record_count
             try:
                 await self.follow(host, port)
             except (OSError, ProtocolError) as error:
-                sys.stderr.write(json.dumps({"event": "leader lost", "error": str(error), "records": held}) + "\n")
-            if self.record_count > held:
+                line = {"event": "leader lost", "error": str(error), "records": records_before}
+                sys.stderr.write(json.dumps(line) + "\n")
+            if self.record_count > records_before:
                 backoff.succeeded()
             await asyncio.sleep(backoff.failed() / 1000)
 
 
 def promote(directory: Path) -> int:
-    """Begin a new term in a follower's log: whoever serves it is the leader.  Gives the term."""
+    """Begin a new term in a follower's log: whoever serves it is the leader.  Returns the term."""
     with Disk(directory) as disk:
-        keeper = CommitPipeline(disk, CounterLimits())
-        term = keeper.begin_term()
-        keeper.close()
+        pipeline: CommitPipeline[None] = CommitPipeline(disk, CounterLimits())
+        term = pipeline.begin_term()
+        pipeline.close()
         return term
--- a/martenstep/counter/increment_ledger.py
+++ b/martenstep/counter/increment_ledger.py
@@ -1,13 +1,14 @@
-"""The books of a fleet as one door has them: its own, in which it promises tries, and those of others that it leads.
+"""The groups of pending increments that one gateway has: its own, which it writes, and those of others that it leads.
 
-**Own.**  A door begins its book alone, under a name drawn for it, and the book is copied to further doors as any group
-is (`replication.placing`, the owner first).  A try counts as promised once the group has it durably and is whole; while
-it is not, as in the first moments, tries are *thin*: told so, and kept by the door's own journal alone.
+**Own.**  A gateway begins its group alone, under a name drawn at random, and the group is replicated to further
+gateways as any other (`replication.placement`, the owner first).  An attempt counts as replicated once the group has it
+durably at all its replicas; until the group has them, as in the first moments, attempts are reported as held by this
+gateway's own journal alone.
 
-**Others'.**  Whoever leads a book delivers what is pending in it to the counter: the owner, usually, and when it is
-lost one of the other holders, which the group's election chooses and fences.  Two that both believe they lead do no
-harm: the counter knows a try by its request.  Once the owner is lost for good the book is sealed; an owner that comes
-back finds it so and begins another.  A sealed book with nothing left in it is let go.
+**Others'.**  The leader of a group delivers what is pending in it to the counter: the owner, usually, and when it is
+lost one of the other replicas, which the group's election chooses and fences.  Two that both believe they lead do no
+harm: the counter knows an attempt by its request id.  Once the owner is lost for good it is fenced; an owner that comes
+back finds itself fenced and begins another group.  A fenced group with nothing left in it is dissolved.
 """
 
 from __future__ import annotations
@@ -16,6 +17,7 @@
 import secrets
 from collections import Counter
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import xxhash
 
@@ -34,190 +36,214 @@
 from martenstep.replication.replica_manager import Keeper
 from martenstep.tasks import Tasks
 
-GROUP_PREFIX = "book-"
+GROUP_PREFIX = "book-"  # of the names of groups, which stand on disk
+GROUP_NAME_RANDOM_BYTES = 6
 MAINTENANCE_INTERVAL_S = 0.2
-MAX_LEADERLESS_MS = (
-    10_000.0  # an own book that nobody leads for so long: another is begun, that one is left to the others
-)
-MAX_DELIVERING = 2000  # of one book at a time, so that a large one does not fill a client's line
+MAX_LEADERLESS_MS = 10_000.0  # after that another own group is begun, and the old one is left to the others
+MAX_DELIVERING = 2000  # attempts of one group at a time, so that a large one does not fill a client's queue
 
 
 def is_ledger_group(group: str) -> bool:
-    """Whether a group is a door's book."""
+    """Whether a group holds a gateway's pending increments."""
     return group.startswith(GROUP_PREFIX)
 
 
-def new_group_name(door: str) -> str:
-    """A new book's: never one that was there before, whatever disk is put back."""
-    return f"{GROUP_PREFIX}{xxhash.xxh32_hexdigest(door.encode())}-{secrets.token_hex(6)}"
+def new_group_name(gateway: str) -> str:
+    """Draw a new group's name: never one that was there before, whatever disk is restored."""
+    return f"{GROUP_PREFIX}{xxhash.xxh32_hexdigest(gateway.encode())}-{secrets.token_hex(GROUP_NAME_RANDOM_BYTES)}"
+
+
+@dataclass(frozen=True, slots=True)
+class _Waiting:
+    """An attempt that is being replicated, and who waits for that."""
+
+    attempt: AttemptRecord
+    future: asyncio.Future[bool]
+
+
+@dataclass(frozen=True, slots=True)
+class LedGroup:
+    """A group that this gateway leads."""
+
+    replica: Host
+    increments: PendingIncrements
 
 
 class IncrementLedger:
-    """One door's part in them."""
+    """One gateway's own group and those that it leads."""
 
-    def __init__(self, me: str, keeper: Keeper, deliver: Callable[[AttemptRecord], bool], log_event: EventLog) -> None:
-        """`deliver` hands a try to the counter's client, False where that has no room; `recorded` is to be told when
-        the counter has it."""
-        self.instance, self._keeper, self._deliver, self._log_event = me, keeper, deliver, log_event
+    def __init__(
+        self, instance: str, manager: Keeper, deliver: Callable[[AttemptRecord], bool], log_event: EventLog
+    ) -> None:
+        """`deliver` hands an attempt to the counter's client, False if that has no capacity; `on_acknowledged` is to be
+        called when the counter has it."""
+        self.instance = instance
+        self._manager = manager
+        self._deliver = deliver
+        self._log_event = log_event
         self.own_group = ""
-        self._queue: list[tuple[AttemptRecord, asyncio.Future[bool]]] = []
-        self._delivering: set[str] = set()
-        self._recorded: list[str] = []
-        self._tending: asyncio.Task[None] | None = None
-        self._tasks = Tasks("books", log_event)
-        self._led_at = now_ms()
-        self.counts: Counter[str] = Counter()
+        self._queue: list[_Waiting] = []
+        self._delivering: set[str] = set()  # request ids
+        self._acknowledged: list[str] = []  # request ids since the last maintenance
+        self._maintenance: asyncio.Task[None] | None = None
+        self._tasks = Tasks("increment ledger", log_event)
+        self._led_at_ms = now_ms()
+        self.counts: Counter[str] = Counter()  # by the names of the metrics
 
     async def start(self) -> None:
-        """Take up this door's book, or begin one."""
-        self.own_group = self._keeper.alone()
-        if not self.own_group or self._keeper.host(self.own_group) is None:
-            await self._another()
-        self._tending = asyncio.get_running_loop().create_task(self._tend())
+        """Open this gateway's group, or begin one."""
+        self.own_group = self._manager.alone()
+        if not self.own_group or self._manager.host(self.own_group) is None:
+            await self._begin_group()
+        self._maintenance = asyncio.get_running_loop().create_task(self._maintain_forever())
 
     async def stop(self) -> None:
-        """What is not answered is in doubt."""
-        if self._tending is not None:
-            self._tending.cancel()
+        """Stop; whether what is not answered yet was replicated is indeterminate."""
+        if self._maintenance is not None:
+            self._maintenance.cancel()
         self._tasks.cancel()
-        self._told(self._queue, False)
+        self._resolve(self._queue, False)
         self._queue = []
 
-    async def _another(self) -> None:
+    async def _begin_group(self) -> None:
         self.own_group = new_group_name(self.instance)
-        if await self._keeper.begin_alone(self.own_group) is None:
-            self._log_event("no book", {"group": self.own_group})
+        if await self._manager.begin_alone(self.own_group) is None:
+            self._log_event("increment group not begun", {"group": self.own_group})
 
-    # Promising.
+    # Replicating
 
-    def replicate(self, made: AttemptRecord) -> asyncio.Future[bool]:
-        """Done once the try is in the book, durably; its result is whether it outlives this machine."""
+    def replicate(self, attempt: AttemptRecord) -> asyncio.Future[bool]:
+        """Add an attempt to the own group: done once it is there durably, with whether it outlives this machine."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bool] = loop.create_future()
-        self._delivering.add(made.request_id)  # the door's own journal delivers it already
+        self._delivering.add(attempt.request_id)  # the gateway's own journal delivers it already
         if not self._queue:
-            loop.call_soon(self._put)
-        self._queue.append((made, future))
+            loop.call_soon(self._propose_queue)
+        self._queue.append(_Waiting(attempt, future))
         return future
 
-    def _put(self) -> None:
-        waiting, self._queue = self._queue, []
-        by_request = {made.request_id: (made, future) for made, future in waiting}
-        for told in split_pending([made for made, _ in waiting]):
-            self._tasks.spawn(
-                self._proposed(
-                    told.attempts, encode_entry(told), [by_request[made.request_id] for made in told.attempts]
-                )
-            )
-
-    async def _proposed(
-        self, tries: tuple[AttemptRecord, ...], data: bytes, waiting: list[tuple[AttemptRecord, asyncio.Future[bool]]]
-    ) -> None:
-        host = self._keeper.host(self.own_group)
-        stands = False
+    def _propose_queue(self) -> None:
+        queue, self._queue = self._queue, []
+        by_request_id = {waiting.attempt.request_id: waiting for waiting in queue}
+        for entry in split_pending([waiting.attempt for waiting in queue]):
+            waiting_for = [by_request_id[attempt.request_id] for attempt in entry.attempts]
+            self._tasks.spawn(self._propose_attempts(encode_entry(entry), waiting_for))
+
+    async def _propose_attempts(self, data: bytes, waiting_for: list[_Waiting]) -> None:
+        replica = self._manager.host(self.own_group)
+        committed = False
         try:
-            if host is not None:
-                stands = bool(await host.propose(data))
-                if not stands:
-                    self.counts["sealed"] += len(tries)
+            if replica is not None:
+                committed = bool(await replica.propose(data))
+                if not committed:
+                    self.counts["sealed"] += len(waiting_for)
         except (NotLeaderError, InDoubtError, ValueError):
             pass
-        strong = stands and host is not None and len(host.copy.config.voters) >= self._keeper.holding.count
-        self.counts["promised" if strong else "thin"] += len(tries)
-        self._told(waiting, strong)
+        fully_replicated = (
+            committed and replica is not None and len(replica.copy.config.voters) >= self._manager.holding.count
+        )
+        self.counts["promised" if fully_replicated else "thin"] += len(waiting_for)
+        self._resolve(waiting_for, fully_replicated)
 
     @staticmethod
-    def _told(waiting: list[tuple[AttemptRecord, asyncio.Future[bool]]], strong: bool) -> None:
-        for _, future in waiting:
-            if not future.done():
-                future.set_result(strong)
-
-    def on_acknowledged(self, request: str) -> None:
-        """The counter has a try."""
-        self._recorded.append(request)
-
-    # Delivering.
-
-    def led_groups(self) -> list[tuple[Host, PendingIncrements]]:
-        """The books that this door leads."""
-        made = []
-        for group in self._keeper.groups():
-            host = self._keeper.host(group) if is_ledger_group(group) else None
-            if host is not None and isinstance(host.machine, PendingIncrements) and host.copy.may_read(now_ms()):
-                made.append((host, host.machine))
-        return made
-
-    async def _tend(self) -> None:
+    def _resolve(waiting_for: list[_Waiting], result: bool) -> None:
+        for waiting in waiting_for:
+            if not waiting.future.done():
+                waiting.future.set_result(result)
+
+    def on_acknowledged(self, request_id: str) -> None:
+        """Note that the counter has an attempt."""
+        self._acknowledged.append(request_id)
+
+    # Delivering
+
+    def led_groups(self) -> list[LedGroup]:
+        """Return the groups of pending increments that this gateway leads."""
+        led = []
+        for group in self._manager.groups():
+            replica = self._manager.host(group) if is_ledger_group(group) else None
+            if replica is None or not isinstance(replica.machine, PendingIncrements):
+                continue
+            if replica.copy.may_read(now_ms()):
+                led.append(LedGroup(replica, replica.machine))
+        return led
+
+    async def _maintain_forever(self) -> None:
         while True:
             await asyncio.sleep(MAINTENANCE_INTERVAL_S)
             try:
-                await self._look()
-            except Exception as error:  # one book's trouble must not end the care for all others
-                self._log_event("fault", {"where": "books", "error": repr(error)})
-
-    async def _look(self) -> None:
-        recorded, self._recorded = self._recorded, []
-        self._delivering.difference_update(recorded)
-        gone = set(recorded)
-        for host, book in self.led_groups():
-            over = [request for request in recorded if request in book.pending]
-            for told in split_acknowledged(over):
-                self._tasks.spawn(self._entered(host, told))
-            gone.difference_update(over)
-            if not book.owner and host.group == self.own_group:
-                self._tasks.spawn(self._entered(host, SetOwner(self.instance)))
-            self._hand_on(book, set(recorded))
-            self._end(host, book)
-        # Of books that are led elsewhere by now, or were not led yet: they stay until whoever leads finds them known.
-        own = self._keeper.host(self.own_group)
-        if own is not None and own.copy.leader is not None:
-            self._led_at = now_ms()
-        if (
-            own is None
-            or now_ms() - self._led_at > MAX_LEADERLESS_MS
-            or (isinstance(own.machine, PendingIncrements) and own.machine.fenced)
-        ):
-            self._log_event("book ends", {"group": self.own_group})
-            self._led_at = now_ms()
-            if own is not None and len(own.copy.config.voters) < self._keeper.holding.count:
-                # It never was whole, so it promised nothing beyond this door's own journal; of two copies one was lost.
-                self._keeper.abandon(self.own_group)
-            await self._another()
-
-    def _hand_on(self, book: PendingIncrements, recorded: set[str]) -> None:
-        room = MAX_DELIVERING
-        for made in list(book.pending.values()):
-            if room <= 0:
-                return
-            room -= 1
-            if made.request_id not in self._delivering and made.request_id not in recorded:
-                if not self._deliver(made):
+                await self._maintain()
+            except Exception as error:  # one group's fault must not end the maintenance of all others
+                self._log_event("fault", {"where": "increment ledger", "error": repr(error)})
+
+    async def _maintain(self) -> None:
+        acknowledged, self._acknowledged = self._acknowledged, []
+        self._delivering.difference_update(acknowledged)
+        for group in self.led_groups():
+            self._propose_acknowledged(group, acknowledged)
+            if not group.increments.owner and group.replica.group == self.own_group:
+                self._tasks.spawn(self._propose(group.replica, SetOwner(self.instance)))
+            self._deliver_pending(group.increments, set(acknowledged))
+            self._fence_lost_owner(group)
+        # Acknowledgements in groups that others lead, or that had no leader yet: the attempts stay there until whoever
+        # leads delivers them once more, and the counter knows them.
+        await self._replace_own_group()
+
+    def _propose_acknowledged(self, group: LedGroup, acknowledged: list[str]) -> None:
+        known = [request_id for request_id in acknowledged if request_id in group.increments.pending]
+        for entry in split_acknowledged(known):
+            self._tasks.spawn(self._propose(group.replica, entry))
+
+    async def _replace_own_group(self) -> None:
+        """Begin another own group if this one has had no leader for long, or is fenced."""
+        replica = self._manager.host(self.own_group)
+        if replica is not None and replica.copy.leader is not None:
+            self._led_at_ms = now_ms()
+        leaderless = replica is None or now_ms() - self._led_at_ms > MAX_LEADERLESS_MS
+        fenced = replica is not None and isinstance(replica.machine, PendingIncrements) and replica.machine.fenced
+        if not leaderless and not fenced:
+            return
+        self._log_event("increment group replaced", {"group": self.own_group})
+        self._led_at_ms = now_ms()
+        if replica is not None and len(replica.copy.config.voters) < self._manager.holding.count:
+            # It never had all its replicas, so it guaranteed nothing beyond this gateway's own journal; of two replicas
+            # one was lost.
+            self._manager.abandon(self.own_group)
+        await self._begin_group()
+
+    def _deliver_pending(self, increments: PendingIncrements, acknowledged: set[str]) -> None:
+        for attempt in list(increments.pending.values())[:MAX_DELIVERING]:
+            if attempt.request_id not in self._delivering and attempt.request_id not in acknowledged:
+                if not self._deliver(attempt):
                     return
-                self._delivering.add(made.request_id)
+                self._delivering.add(attempt.request_id)
                 self.counts["delivered"] += 1
 
-    def _end(self, host: Host, book: PendingIncrements) -> None:
-        """Of a book whose owner is lost for good."""
-        if book.owner and book.owner != self.instance and book.owner in self._keeper.lost_places():
-            if not book.fenced:
-                self._log_event("book sealed", {"group": host.group, "owner": book.owner, "pending": len(book.pending)})
-                self._tasks.spawn(self._entered(host, FenceOwner()))
-            elif not book.pending:
-                self._keeper.dissolve(host.group)
-
-    async def _entered(self, host: Host, told: SetOwner | Acknowledge | FenceOwner) -> None:
+    def _fence_lost_owner(self, group: LedGroup) -> None:
+        """Fence an owner that is lost for good; dissolve its group once it is empty."""
+        owner = group.increments.owner
+        if not owner or owner == self.instance or owner not in self._manager.lost_places():
+            return
+        if not group.increments.fenced:
+            fields = {"group": group.replica.group, "owner": owner, "pending": len(group.increments.pending)}
+            self._log_event("increment group fenced", fields)
+            self._tasks.spawn(self._propose(group.replica, FenceOwner()))
+        elif not group.increments.pending:
+            self._manager.dissolve(group.replica.group)
+
+    async def _propose(self, replica: Host, entry: SetOwner | Acknowledge | FenceOwner) -> None:
         try:
-            await host.propose(encode_entry(told))
+            await replica.propose(encode_entry(entry))
         except (NotLeaderError, InDoubtError):
-            if isinstance(told, Acknowledge):  # whoever leads next delivers them once more, and finds them known
-                self.counts["done_in_doubt"] += len(told.request_ids)
+            if isinstance(entry, Acknowledge):  # the next leader delivers them once more, and finds them known
+                self.counts["done_in_doubt"] += len(entry.request_ids)
 
     def gauges(self) -> dict[str, float]:
-        """For metrics."""
+        """Return the gauges by the names of the metrics."""
         led = self.led_groups()
-        own = self._keeper.host(self.own_group)
+        replica = self._manager.host(self.own_group)
         return {
             "books_led": len(led),
-            "books_pending": sum(len(book.pending) for _, book in led),
-            "books_own_copies": len(own.copy.config.voters) if own is not None else 0,
+            "books_pending": sum(len(group.increments.pending) for group in led),
+            "books_own_copies": len(replica.copy.config.voters) if replica is not None else 0,
         }
--- a/martenstep/counter/log_inspection.py
+++ b/martenstep/counter/log_inspection.py
@@ -1,4 +1,4 @@
-"""Reads a log without serving it: verify, rebuild, history, export, totals, and a repair that must be asked for."""
+"""Reads a log without serving it: verify, rebuild, history, export, totals, and a repair that must be requested."""
 
 from __future__ import annotations
 
@@ -7,15 +7,14 @@
 from pathlib import Path
 
 from martenstep.counter.commit_pipeline import rebuild_state
-from martenstep.counter.state import (
+from martenstep.counter.log_entries import (
     ENTRY_ATTEMPT,
     ENTRY_GATEWAY,
     AttemptEntry,
-    CounterLimits,
-    CounterState,
     decode_attempt,
     decode_gateway,
 )
+from martenstep.counter.state import CounterLimits, CounterState
 from martenstep.storage.files import Disk
 from martenstep.storage.log import HEADER, LogError, open_log, read_snapshot, scan, segments, snapshots
 
@@ -27,30 +26,34 @@
     segments: int
     snapshots: int
     records: int
-    torn_bytes: int  # bytes that a start would cut
+    torn_bytes: int  # that a start would cut off
 
 
 def verify(directory: Path) -> LogSummary:
     """Read everything, old segments too; raises LogError at the first damage."""
     with Disk(directory) as disk:
         found = segments(disk)
-        records = torn = 0
-        for index, segment in enumerate(found):
-            read = scan(disk, segment, index == len(found) - 1)
+        records = 0
+        torn_bytes = 0
+        for position, segment in enumerate(found):
+            is_last = position == len(found) - 1
+            read = scan(disk, segment, is_last)
             records += len(read.entries)
-            torn += len(disk.read(segment.name)) - read.end if read.torn else 0
-            if index + 1 < len(found) and found[index + 1].first != segment.first + len(read.entries):
-                raise LogError(segment.name, read.end, f"the next segment begins at {found[index + 1].first}")
-        kept = snapshots(disk)
-        for name, _ in kept:
+            torn_bytes += len(disk.read(segment.name)) - read.end if read.torn else 0
+            if not is_last and found[position + 1].first != segment.first + len(read.entries):
+                raise LogError(segment.name, read.end, f"the next segment begins at {found[position + 1].first}")
+        stored_snapshots = snapshots(disk)
+        for name, _ in stored_snapshots:
             read_snapshot(disk, name)
         open_log(disk)
-        return LogSummary(len(found), len(kept), records, torn)
+        return LogSummary(len(found), len(stored_snapshots), records, torn_bytes)
 
 
 def repair(directory: Path, file: str, offset: int) -> int:
-    """Cut a segment at an offset that a person gives, and remove what comes after it; gives the bytes lost.  Nothing
-    calls this by itself: what is cut may have been acknowledged."""
+    """Cut a segment at an offset that a person gives, and remove what comes after it; returns the bytes lost.
+
+    Nothing calls this by itself: what is cut may have been acknowledged.  Raises LogError.
+    """
     with Disk(directory) as disk:
         found = segments(disk)
         names = [segment.name for segment in found]
@@ -59,21 +62,21 @@
         size = len(disk.read(file))
         if not HEADER.size <= offset <= size:
             raise LogError(file, offset, f"expected an offset from {HEADER.size} to {size}")
-        lost = size - offset
-        place = names.index(file)
-        for later in found[place + 1 :]:
-            lost += len(disk.read(later.name))
+        lost_bytes = size - offset
+        position = names.index(file)
+        for later in found[position + 1 :]:
+            lost_bytes += len(disk.read(later.name))
             disk.remove(later.name)
         disk.append(file, offset).close()
-        reached = found[place].first + len(scan(disk, found[place], True).entries)
+        remaining = found[position].first + len(scan(disk, found[position], True).entries)
         for name, records in snapshots(disk):
-            if records > reached:  # it knows of what is cut
+            if records > remaining:  # it knows of what is cut
                 disk.remove(name)
-        return lost
+        return lost_bytes
 
 
 def rebuild_from_log(directory: Path, limits: CounterLimits) -> CounterState:
-    """The state that the log tells; raises LogError."""
+    """Rebuild the state from the log; raises LogError."""
     with Disk(directory) as disk:
         return rebuild_state(open_log(disk), limits)
 
@@ -81,16 +84,21 @@
 def iterate_attempts(
     directory: Path, customer: str | None = None, since_ms: float = float("-inf"), until_ms: float = float("inf")
 ) -> Iterator[tuple[str, AttemptEntry]]:
-    """Every recorded try that is kept, old segments too, in the order of the log, with its door's name: once each."""
-    doors: dict[int, str] = {}
+    """Yield every recorded attempt that is retained, old segments too, in the log's order, with its gateway's name.
+
+    Each comes once.
+    """
+    gateways: dict[int, str] = {}
     with Disk(directory) as disk:
         found = segments(disk)
-        for index, segment in enumerate(found):
-            for entry in scan(disk, segment, index == len(found) - 1).entries:
+        for position, segment in enumerate(found):
+            for entry in scan(disk, segment, position == len(found) - 1).entries:
                 if entry[0] == ENTRY_GATEWAY:
-                    _, number, _, name = decode_gateway(entry)
-                    doors[number] = name
+                    gateway = decode_gateway(entry)
+                    gateways[gateway.number] = gateway.name
                 elif entry[0] == ENTRY_ATTEMPT:
-                    told = decode_attempt(entry)
-                    if not told.duplicate and customer in (None, told.customer) and since_ms <= told.time_ms < until_ms:
-                        yield doors.get(told.gateway_number, f"door number {told.gateway_number}"), told
+                    attempt = decode_attempt(entry)
+                    wanted = customer in (None, attempt.customer) and since_ms <= attempt.time_ms < until_ms
+                    if wanted and not attempt.duplicate:
+                        number = attempt.gateway_number
+                        yield gateways.get(number, f"door number {number}"), attempt
--- a/martenstep/counter/pending_increments.py
+++ b/martenstep/counter/pending_increments.py
@@ -1,8 +1,8 @@
-"""A door's book: the tries that it promised to record and that the counter has not acknowledged yet.
+"""A gateway's increments that the counter has not acknowledged yet, as a replicated state machine.
 
-A state machine that the copies of a group feed with the same entries (`replication.host.Machine`).  A try is in the
-book from `Put` to `Done`; `Seal` ends the book for its owner, who begins another, while what is left in it is delivered
-by whoever leads the group.  Delivering a try twice does no harm: the counter knows it by its request.
+The replicas of a group apply the same entries (`replication.replica`).  An attempt is pending from `AddPending` to
+`Acknowledge`; `FenceOwner` ends the group for its owner, who begins another one, while what is left in it is delivered
+by the group's leader.  Delivering an attempt twice does no harm: the counter knows it by its request id.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 import msgspec
 
-MAX_ATTEMPTS_PER_ENTRY = 100  # of one entry: names are bounded, so that it stays below an entry's most bytes
+MAX_ATTEMPTS_PER_ENTRY = 100  # names are bounded, so that an entry stays below its maximum size
 MAX_REQUESTS_PER_ENTRY = 400
 
 
 class AttemptRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One try that was sent on."""
+    """One attempt that was forwarded.  Entries and snapshots hold its fields in this order."""
 
     request_id: str
     time_ms: float  # Unix
@@ -28,95 +28,103 @@
 
 
 class SetOwner(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Whose book it is."""
+    """Names the gateway whose increments these are."""
 
     owner: str
 
 
 class AddPending(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """Tries that are promised."""
+    """Adds attempts that are to be recorded."""
 
     attempts: tuple[AttemptRecord, ...]
 
 
 class Acknowledge(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """The counter has these."""
+    """Drops attempts that the counter has."""
 
     request_ids: tuple[str, ...]
 
 
 class FenceOwner(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """Its owner is lost: nothing more is put in."""
+    """The owner is lost: nothing more is added."""
 
 
 Entry = SetOwner | AddPending | Acknowledge | FenceOwner
-_entries = msgspec.msgpack.Decoder(Entry)
 
 
-class _Image(msgspec.Struct, array_like=True):
+class _Snapshot(msgspec.Struct, array_like=True):
+    """The state as snapshots hold it, its fields in this order."""
+
     owner: str
-    sealed: bool
-    done: int
+    fenced: bool
+    acknowledged_count: int
     pending: list[AttemptRecord]
 
 
-_image = msgspec.msgpack.Decoder(_Image)
+_ENTRY_DECODER: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
+_SNAPSHOT_DECODER = msgspec.msgpack.Decoder(_Snapshot)
 
 
-def encode_entry(told: Entry) -> bytes:
-    """An entry's bytes."""
-    return msgspec.msgpack.encode(told)
+def encode_entry(entry: Entry) -> bytes:
+    """Encode an entry."""
+    return msgspec.msgpack.encode(entry)
 
 
 class PendingIncrements:
-    """One copy's state of a book."""
+    """One replica's state."""
 
     def __init__(self) -> None:
-        self.owner, self.fenced, self.acknowledged_count = "", False, 0
-        self.pending: dict[str, AttemptRecord] = {}
+        """Begin empty, without an owner."""
+        self.owner = ""
+        self.fenced = False
+        self.acknowledged_count = 0
+        self.pending: dict[str, AttemptRecord] = {}  # by request id
 
     def apply(self, data: bytes) -> bool:
-        """One entry; False where it changes nothing, as the book is sealed or the entry cannot be read."""
+        """Apply one entry; False if it changes nothing, as the owner is fenced or the entry cannot be read."""
         try:
-            told = _entries.decode(data)
+            entry = _ENTRY_DECODER.decode(data)
         except msgspec.MsgspecError:
             return False
-        if isinstance(told, SetOwner):
-            self.owner = self.owner or told.owner
-        elif isinstance(told, Acknowledge):
-            for request in told.request_ids:
-                self.acknowledged_count += self.pending.pop(request, None) is not None
-        elif isinstance(told, FenceOwner):
-            self.fenced = True
-        elif self.fenced:
-            return False
-        else:
-            self.pending.update((one.request_id, one) for one in told.attempts)
+        match entry:
+            case SetOwner():
+                self.owner = self.owner or entry.owner
+            case Acknowledge():
+                for request_id in entry.request_ids:
+                    self.acknowledged_count += self.pending.pop(request_id, None) is not None
+            case FenceOwner():
+                self.fenced = True
+            case AddPending():
+                if self.fenced:
+                    return False
+                self.pending.update((attempt.request_id, attempt) for attempt in entry.attempts)
         return True
 
     def snapshot(self) -> bytes:
-        """All of it."""
+        """Encode the whole state."""
         return msgspec.msgpack.encode(
-            _Image(self.owner, self.fenced, self.acknowledged_count, list(self.pending.values()))
+            _Snapshot(self.owner, self.fenced, self.acknowledged_count, list(self.pending.values()))
         )
 
     def restore(self, body: bytes) -> None:
-        """In place of all that was; raises ValueError where it is no snapshot."""
+        """Replace the state by a snapshot's; raises ValueError if it is none."""
         try:
-            told = _image.decode(body)
+            snapshot = _SNAPSHOT_DECODER.decode(body)
         except msgspec.MsgspecError as error:
-            raise ValueError(f"not a book's snapshot: {error}") from None
-        self.owner, self.fenced, self.acknowledged_count = told.owner, told.sealed, told.done
-        self.pending = {one.request_id: one for one in told.pending}
+            raise ValueError(f"not a snapshot of pending increments: {error}") from None
+        self.owner = snapshot.owner
+        self.fenced = snapshot.fenced
+        self.acknowledged_count = snapshot.acknowledged_count
+        self.pending = {attempt.request_id: attempt for attempt in snapshot.pending}
 
 
-def split_pending(tries: list[AttemptRecord]) -> Iterable[AddPending]:
-    """Tries as entries that are not too large."""
-    for at in range(0, len(tries), MAX_ATTEMPTS_PER_ENTRY):
-        yield AddPending(tuple(tries[at : at + MAX_ATTEMPTS_PER_ENTRY]))
+def split_pending(attempts: list[AttemptRecord]) -> Iterable[AddPending]:
+    """Split attempts over entries that are not too large."""
+    for begin in range(0, len(attempts), MAX_ATTEMPTS_PER_ENTRY):
+        yield AddPending(tuple(attempts[begin : begin + MAX_ATTEMPTS_PER_ENTRY]))
 
 
-def split_acknowledged(requests: list[str]) -> Iterable[Acknowledge]:
-    """Requests as entries that are not too large."""
-    for at in range(0, len(requests), MAX_REQUESTS_PER_ENTRY):
-        yield Acknowledge(tuple(requests[at : at + MAX_REQUESTS_PER_ENTRY]))
+def split_acknowledged(request_ids: list[str]) -> Iterable[Acknowledge]:
+    """Split request ids over entries that are not too large."""
+    for begin in range(0, len(request_ids), MAX_REQUESTS_PER_ENTRY):
+        yield Acknowledge(tuple(request_ids[begin : begin + MAX_REQUESTS_PER_ENTRY]))
--- a/martenstep/counter/protocol.py
+++ b/martenstep/counter/protocol.py
@@ -1,15 +1,15 @@
 """The counter's protocol, version 1, without sockets.  All numbers are big-endian.
 
 Frame: `u32 length` of the payload (1 to 65,536), `u32 crc32c` of the payload, payload.  The payload's first byte is its
-kind.  Strings are `u16 length` and UTF-8.  A connection begins with HELLO and its answer; then commands and replies,
+type.  Strings are `u16 length` and UTF-8.  A connection begins with HELLO and its answer; then commands and replies,
 pipelined: replies come in the order of the commands.
 
-| kind | name | payload after the kind |
+| type | name | payload after the type |
 | --- | --- | --- |
-| 0x01 | HELLO | u16 version, u32 map version, u64 epoch, u64 highest term seen, string door, string group if any |
-| 0x02 | ADD | u64 sequence, u64 name, f64 units, f64 expiry in ms when the name is new |
-| 0x03 | READ | u64 sequence, u64 name |
-| 0x04 | RECORD | u64 sequence, f64 time (Unix ms), f64 units, u8 beyond, strings request, customer, plan, class |
+| 0x01 | HELLO | u16 version, u32 map version, u64 epoch, u64 highest term seen, string gateway, string group if any |
+| 0x02 | ADD | u64 sequence, u64 key, f64 units, f64 time to live in ms when the key is new |
+| 0x03 | READ | u64 sequence, u64 key |
+| 0x04 | RECORD | u64 sequence, f64 time (Unix ms), f64 units, u8 over quota, strings request, customer, plan, class |
 | 0x05 | FOLLOW | u16 version, u64 term, u64 next record wanted, u32 CRC32C of the record before it |
 | 0x06 | ACK | u64 next record: all before it are durable at the follower |
 | 0x81 | WELCOME | u16 version, u32 map version, u64 term, u64 highest sequence known of this epoch |
@@ -24,14 +24,31 @@
 from __future__ import annotations
 
 import struct
+from collections.abc import Callable
 from dataclasses import dataclass
 from enum import IntEnum
 
 import google_crc32c
 
+from martenstep.counter.errors import CounterError
+
 PROTOCOL_VERSION = 1
-MAX_PAYLOAD_BYTES = 65_536  # of a payload
+MAX_PAYLOAD_BYTES = 65_536
+MAX_STRING_BYTES = 0xFFFF
 FRAME_HEADER = struct.Struct(">II")
+
+HELLO = 0x01
+ADD = 0x02
+READ = 0x03
+RECORD = 0x04
+FOLLOW = 0x05
+ACK = 0x06
+WELCOME = 0x81
+TOTAL = 0x82
+STORED = 0x83
+REFUSED = 0x84
+ENTRIES = 0x85
+
 _HELLO = struct.Struct(">BHIQQ")
 _FOLLOW = struct.Struct(">BHQQI")
 _ACK = struct.Struct(">BQ")
@@ -43,35 +60,34 @@
 _TOTAL = struct.Struct(">BQBd")
 _STORED = struct.Struct(">BQB")
 _REFUSED = struct.Struct(">BB")
-HELLO, ADD, READ, RECORD, FOLLOW, ACK = 0x01, 0x02, 0x03, 0x04, 0x05, 0x06
-WELCOME, TOTAL, STORED, REFUSED, ENTRIES = 0x81, 0x82, 0x83, 0x84, 0x85
+
 crc32c = google_crc32c.value
 
 
 class Status(IntEnum):
-    """What became of a command."""
+    """The result of a command.  Logs and error texts show the members' names."""
 
     DONE = 0  # counted or recorded, now
     REPEATED = 1  # was counted or recorded before under the same sequence; this is the first result
-    KNOWN = 2  # the try is recorded already, by another command: not once more
-    TOO_OLD = 3  # beyond the window in which repeats are known: whether it was counted is not known, and it is not now
-    REUSED = 4  # the sequence was used for another command: the door must take a new epoch
-    FENCED = 5  # the door's epoch is over: a later one was seen
-    FULL = 6  # a stated bound is reached: not counted
+    KNOWN = 2  # the attempt is recorded already, by another command: not once more
+    TOO_OLD = 3  # outside the deduplication window: whether it was counted is not known, and it is not now
+    REUSED = 4  # the sequence was used for another command: the gateway must take a new epoch
+    FENCED = 5  # the gateway's epoch is over: a later one was seen
+    FULL = 6  # a configured bound is reached: not counted
     UNWRITTEN = 7  # the log cannot be written: not acknowledged, and it may or may not be there
-    VERSION = 8  # the protocol's version is not spoken here
-    MAP = 9  # the map of names to services is another: reload it
+    VERSION = 8  # the protocol's version is not supported
+    MAP = 9  # the map of keys to services has another version: reload it
     BAD = 10  # not a frame of this protocol
-    MOVED = 11  # another copy leads: the reason is its address for doors, or empty while nobody is known to
+    MOVED = 11  # another replica leads: the reason is its address for gateways, or empty if none is known
 
 
-class ProtocolError(Exception):
-    """Bytes that are no frame: the connection ends."""
+class ProtocolError(CounterError):
+    """Bytes that are no frame of the protocol, or a frame out of place: the connection ends."""
 
 
 @dataclass(slots=True)
 class Hello:
-    """Who speaks: a door, and which of its lives; and to which group, where several are held there."""
+    """Opens a session of a gateway's epoch, with one group of replicas where a listener serves several."""
 
     gateway: str
     epoch: int
@@ -87,7 +103,7 @@
 
     term: int
     next_index: int
-    previous_checksum: int  # of the record before it, 0 where there is none: tells logs apart
+    previous_checksum: int  # of the record before it, 0 if there is none: tells diverged logs apart
     version: int = PROTOCOL_VERSION
 
 
@@ -108,17 +124,17 @@
 
 @dataclass(slots=True)
 class Add:
-    """Add units to a name."""
+    """Adds units to a key."""
 
     sequence: int
     key: int
     units: float
-    ttl_ms: float
+    ttl_ms: float  # applies if the key is new
 
 
 @dataclass(slots=True)
 class Read:
-    """Tell a name's total."""
+    """Asks for a key's total."""
 
     sequence: int
     key: int
@@ -126,10 +142,10 @@
 
 @dataclass(slots=True)
 class RecordAttempt:
-    """A try that was sent on."""
+    """Records an attempt that was forwarded."""
 
     sequence: int
-    time_ms: float
+    time_ms: float  # Unix
     units: float
     over_quota: bool
     request_id: str
@@ -150,7 +166,7 @@
 
 @dataclass(slots=True)
 class TotalReply:
-    """Reply to Add and Read."""
+    """The reply to Add and Read."""
 
     sequence: int
     status: Status
@@ -159,7 +175,7 @@
 
 @dataclass(slots=True)
 class RecordReply:
-    """Reply to Record."""
+    """The reply to RecordAttempt."""
 
     sequence: int
     status: Status
@@ -179,45 +195,57 @@
 
 
 def reply_without_result(
-    told: Add | Read | RecordAttempt | TotalReply | RecordReply, status: Status
+    message: Add | Read | RecordAttempt | TotalReply | RecordReply, status: Status
 ) -> TotalReply | RecordReply:
-    """The reply to a command, or in place of a reply to one, that has no result but a status."""
-    if isinstance(told, RecordAttempt | RecordReply):
-        return RecordReply(told.sequence, status)
-    return TotalReply(told.sequence, status, 0.0)
+    """Build the reply to a command, or in place of a reply to one, that has no result but a status."""
+    if isinstance(message, RecordAttempt | RecordReply):
+        return RecordReply(message.sequence, status)
+    return TotalReply(message.sequence, status, 0.0)
 
 
 def frame_payload(payload: bytes) -> bytes:
-    """A payload with its head."""
+    """Put the header before a payload."""
     return FRAME_HEADER.pack(len(payload), crc32c(payload)) + payload
 
 
-def _strings(*texts: str) -> bytes:
+def _encode_strings(*texts: str) -> bytes:
     parts = []
     for text in texts:
         data = text.encode()
-        if len(data) > 0xFFFF:
+        if len(data) > MAX_STRING_BYTES:
             raise ProtocolError(f"a string of {len(data)} bytes")
         parts.append(len(data).to_bytes(2, "big") + data)
     return b"".join(parts)
 
 
-def _texts(payload: bytes, at: int, count: int) -> list[str]:
-    found = []
+def _decode_strings(payload: bytes, offset: int, count: int) -> list[str]:
+    texts = []
     for _ in range(count):
-        size = int.from_bytes(payload[at : at + 2], "big")
-        at += 2
-        if len(payload) < at + size:
+        size = int.from_bytes(payload[offset : offset + 2], "big")
+        offset += 2
+        if len(payload) < offset + size:
             raise ProtocolError("a string is cut off")
-        found.append(payload[at : at + size].decode())
-        at += size
-    if at != len(payload):
-        raise ProtocolError(f"{len(payload) - at} bytes too many")
-    return found
+        texts.append(payload[offset : offset + size].decode())
+        offset += size
+    if offset != len(payload):
+        raise ProtocolError(f"{len(payload) - offset} bytes too many")
+    return texts
+
+
+def _encode_record(frame: RecordAttempt) -> bytes:
+    head = _RECORD.pack(RECORD, frame.sequence, frame.time_ms, frame.units, frame.over_quota)
+    return head + _encode_strings(frame.request_id, frame.customer, frame.plan, frame.request_class)
+
+
+def _encode_hello(frame: Hello) -> bytes:
+    head = _HELLO.pack(HELLO, frame.version, frame.map_version, frame.epoch, frame.term)
+    if frame.group:
+        return head + _encode_strings(frame.gateway, frame.group)
+    return head + _encode_strings(frame.gateway)
 
 
 def encode(frame: Frame) -> bytes:
-    """A frame as bytes, head included; raises FrameError where it is too large."""
+    """Encode a frame, header included; raises ProtocolError if it is too large."""
     match frame:
         case Add():
             payload = _ADD.pack(ADD, frame.sequence, frame.key, frame.units, frame.ttl_ms)
@@ -226,13 +254,11 @@
         case Read():
             payload = _READ.pack(READ, frame.sequence, frame.key)
         case RecordAttempt():
-            payload = _RECORD.pack(RECORD, frame.sequence, frame.time_ms, frame.units, frame.over_quota)
-            payload += _strings(frame.request_id, frame.customer, frame.plan, frame.request_class)
+            payload = _encode_record(frame)
         case RecordReply():
             payload = _STORED.pack(STORED, frame.sequence, frame.status)
         case Hello():
-            payload = _HELLO.pack(HELLO, frame.version, frame.map_version, frame.epoch, frame.term)
-            payload += _strings(frame.gateway, frame.group) if frame.group else _strings(frame.gateway)
+            payload = _encode_hello(frame)
         case Welcome():
             payload = _WELCOME.pack(WELCOME, frame.version, frame.map_version, frame.term, frame.highest_sequence)
         case LogRecords():
@@ -242,79 +268,118 @@
         case FollowAck():
             payload = _ACK.pack(ACK, frame.next_index)
         case Rejection():
-            payload = _REFUSED.pack(REFUSED, frame.status) + _strings(frame.reason)
+            payload = _REFUSED.pack(REFUSED, frame.status) + _encode_strings(frame.reason)
     if len(payload) > MAX_PAYLOAD_BYTES:
         raise ProtocolError(f"a frame of {len(payload)} bytes: {MAX_PAYLOAD_BYTES} are allowed")
     return frame_payload(payload)
 
 
+def _decode_record(payload: bytes) -> RecordAttempt:
+    _, sequence, time_ms, units, over_quota = _RECORD.unpack_from(payload)
+    return RecordAttempt(sequence, time_ms, units, bool(over_quota), *_decode_strings(payload, _RECORD.size, 4))
+
+
+def _decode_stored(payload: bytes) -> RecordReply:
+    _, sequence, status = _STORED.unpack(payload)
+    return RecordReply(sequence, Status(status))
+
+
+def _decode_hello(payload: bytes) -> Hello:
+    _, version, map_version, epoch, term = _HELLO.unpack_from(payload)
+    size_without_group = _HELLO.size + 2 + int.from_bytes(payload[_HELLO.size : _HELLO.size + 2], "big")
+    string_count = 1 if len(payload) <= size_without_group else 2
+    gateway, *group = _decode_strings(payload, _HELLO.size, string_count)
+    return Hello(gateway, epoch, map_version, version, term, *group)
+
+
+def _decode_welcome(payload: bytes) -> Welcome:
+    _, version, map_version, term, highest_sequence = _WELCOME.unpack(payload)
+    return Welcome(highest_sequence, map_version, version, term)
+
+
+def _decode_entries(payload: bytes) -> LogRecords:
+    return LogRecords(_ENTRIES.unpack_from(payload)[1], payload[_ENTRIES.size :])
+
+
+def _decode_follow(payload: bytes) -> FollowRequest:
+    _, version, term, next_index, previous_checksum = _FOLLOW.unpack(payload)
+    return FollowRequest(term, next_index, previous_checksum, version)
+
+
+def _decode_ack(payload: bytes) -> FollowAck:
+    return FollowAck(_ACK.unpack(payload)[1])
+
+
+def _decode_refused(payload: bytes) -> Rejection:
+    status = Status(_REFUSED.unpack_from(payload)[1])
+    return Rejection(status, _decode_strings(payload, _REFUSED.size, 1)[0])
+
+
+_DECODERS: dict[int, Callable[[bytes], Frame]] = {
+    RECORD: _decode_record,
+    STORED: _decode_stored,
+    HELLO: _decode_hello,
+    WELCOME: _decode_welcome,
+    ENTRIES: _decode_entries,
+    FOLLOW: _decode_follow,
+    ACK: _decode_ack,
+    REFUSED: _decode_refused,
+}
+
+
 def decode(payload: bytes) -> Frame:
-    """A payload as a frame; raises FrameError."""
+    """Decode a payload; raises ProtocolError."""
     try:
-        kind = payload[0]
-        if kind == ADD:
+        frame_type = payload[0]
+        # The types of the hot path in line: adds, their replies and reads.
+        if frame_type == ADD:
             return Add(*_ADD.unpack(payload)[1:])
-        if kind == TOTAL:
+        if frame_type == TOTAL:
             _, sequence, status, total = _TOTAL.unpack(payload)
             return TotalReply(sequence, Status(status), total)
-        if kind == READ:
+        if frame_type == READ:
             return Read(*_READ.unpack(payload)[1:])
-        if kind == RECORD:
-            _, sequence, time_ms, units, beyond = _RECORD.unpack_from(payload)
-            return RecordAttempt(sequence, time_ms, units, bool(beyond), *_texts(payload, _RECORD.size, 4))
-        if kind == STORED:
-            _, sequence, status = _STORED.unpack(payload)
-            return RecordReply(sequence, Status(status))
-        if kind == HELLO:
-            _, version, map_version, epoch, term = _HELLO.unpack_from(payload)
-            size = _HELLO.size + 2 + int.from_bytes(payload[_HELLO.size : _HELLO.size + 2], "big")
-            door, *group = _texts(payload, _HELLO.size, 1 if len(payload) <= size else 2)
-            return Hello(door, epoch, map_version, version, term, *group)
-        if kind == WELCOME:
-            _, version, map_version, term, highest = _WELCOME.unpack(payload)
-            return Welcome(highest, map_version, version, term)
-        if kind == ENTRIES:
-            return LogRecords(_ENTRIES.unpack_from(payload)[1], payload[_ENTRIES.size :])
-        if kind == FOLLOW:
-            _, version, term, after, check = _FOLLOW.unpack(payload)
-            return FollowRequest(term, after, check, version)
-        if kind == ACK:
-            return FollowAck(_ACK.unpack(payload)[1])
-        if kind == REFUSED:
-            return Rejection(Status(_REFUSED.unpack_from(payload)[1]), _texts(payload, _REFUSED.size, 1)[0])
+        decoder = _DECODERS.get(frame_type)
+        if decoder is not None:
+            return decoder(payload)
     except (struct.error, ValueError, IndexError) as error:
         raise ProtocolError(f"a frame that cannot be read: {error}") from None
-    raise ProtocolError(f"a frame of no known kind: {kind:#x}")
+    raise ProtocolError(f"a frame of no known kind: {frame_type:#x}")
 
 
 class FrameDecoder:
-    """Takes bytes as they come and gives whole payloads, their checksums proven."""
+    """Takes bytes as they come and yields complete payloads whose checksums are right."""
 
     def __init__(self) -> None:
+        """Begin with an empty buffer."""
         self._buffer = bytearray()
 
     @property
     def has_partial_frame(self) -> bool:
-        """Whether a frame has begun and is not whole."""
+        """Whether a frame has begun and is not complete."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The payloads that are whole; raises FrameError on a bad length or checksum."""
+        """Return the payloads that are complete; raises ProtocolError on a bad length or checksum."""
         buffer = self._buffer
         buffer += data
-        found, at, size = [], 0, len(buffer)
-        while size - at >= 8:
-            length, check = FRAME_HEADER.unpack_from(buffer, at)
+        payloads = []
+        offset = 0
+        size = len(buffer)
+        header_bytes = FRAME_HEADER.size
+        while size - offset >= header_bytes:
+            length, checksum = FRAME_HEADER.unpack_from(buffer, offset)
             if not 1 <= length <= MAX_PAYLOAD_BYTES:
                 raise ProtocolError(f"a frame of {length} bytes: 1 to {MAX_PAYLOAD_BYTES} are allowed")
-            end = at + 8 + length
+            begin = offset + header_bytes
+            end = begin + length
             if size < end:
                 break
-            payload = bytes(buffer[at + 8 : end])
-            if crc32c(payload) != check:
+            payload = bytes(buffer[begin:end])
+            if crc32c(payload) != checksum:
                 raise ProtocolError("a frame whose checksum does not fit")
-            found.append(payload)
-            at = end
-        if at:
-            del buffer[:at]
-        return found
+            payloads.append(payload)
+            offset = end
+        if offset:
+            del buffer[:offset]
+        return payloads
--- /dev/null
+++ b/martenstep/counter/replica_process.py
@@ -0,0 +1,166 @@
+"""One replica of the counter as a process: its identity, its list of replicas, and how it serves."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import random
+import signal
+from collections.abc import Callable
+from pathlib import Path
+
+from martenstep.config.text import Faults
+from martenstep.counter import counter_pb2 as pb
+from martenstep.counter.errors import CounterError
+from martenstep.counter.log_output import log_event
+from martenstep.counter.replicated_counter import ReplicatedCounter
+from martenstep.counter.replicated_service import ReplicatedService, ServiceLimits
+from martenstep.counter.settings import build_limits
+from martenstep.event_log import EventLog
+from martenstep.lifetime import until_stopped
+from martenstep.membership.codec import Keys
+from martenstep.membership.keys import KeyFileError, read_keys
+from martenstep.replication.messages import Config
+from martenstep.replication.placement import Change, HandOver, Invite, learning, next_step
+from martenstep.replication.raft import Role
+from martenstep.replication.replica import Host
+from martenstep.replication.replica_storage import Store, StoreError
+from martenstep.replication.transport import Links
+from martenstep.storage.files import Disk
+
+RECONFIGURATION_INTERVAL_S = 0.25  # between two checks that the group is as it is listed
+LEADERSHIP_TRANSFER_S = 0.2  # for another to take over before this one ends
+
+
+class ReplicaError(CounterError):
+    """A replica that cannot start as the settings want it: why."""
+
+
+def read_identity(directory: Path, witness: Path) -> int:
+    """Return whose disk a directory is; an empty one becomes a new replica's.
+
+    Raises ReplicaError, LockedError, OSError.
+    """
+    with contextlib.ExitStack() as stack:
+        disk = stack.enter_context(contextlib.closing(Disk(directory)))
+        witness_disk = stack.enter_context(contextlib.closing(Disk(witness)))
+        return stack.enter_context(contextlib.closing(_open_storage(disk, witness_disk))).id
+
+
+def _open_storage(disk: Disk, witness: Disk) -> Store:
+    try:
+        return Store(disk, witness, random.SystemRandom())
+    except StoreError as error:
+        raise ReplicaError(str(error)) from None
+
+
+def _read_keys(path: Path) -> Keys:
+    try:
+        return read_keys(path)
+    except KeyFileError as error:
+        raise ReplicaError(str(error)) from None
+
+
+class ReplicaList:
+    """The replicas as the settings list them; the group is led to what they list now."""
+
+    def __init__(self, copies: pb.Copies) -> None:
+        """Take the list of the start."""
+        self.update(copies)
+        # Danger: were those that came later among them, two of three new ones would make a group of their own.
+        self.bootstrap_config = Config(tuple(copy.id for copy in copies.copy if not copy.later))
+
+    def update(self, copies: pb.Copies) -> None:
+        """Take another list."""
+        self.replicas = {copy.id: copy for copy in copies.copy}
+
+    def address(self, node: str) -> tuple[str, int] | None:
+        """Return where a replica's node is, which is named by its number."""
+        replica = self.replicas.get(int(node))
+        return (replica.host, replica.port) if replica is not None else None
+
+    def gateway_address(self, replica: int | None) -> str | None:
+        """Return where gateways reach a replica."""
+        return self.replicas[replica].doors if replica in self.replicas else None
+
+    def next_change(self, config: Config, own_id: int) -> Config | HandOver | None:
+        """Return the leader's next step on the way from a configuration to the list."""
+        nodes = [str(replica) for replica in self.replicas]
+        homes = tuple((replica, str(replica)) for replica in config.everyone)
+        placed = Config(config.voters, config.learners, homes)
+        step = next_step(placed, own_id, nodes, (), nodes, len(nodes), True)
+        if isinstance(step, Invite):
+            return learning(config, int(step.place), step.place)
+        return step.config if isinstance(step, Change) else step
+
+
+def _reload_replicas(replicas: ReplicaList, load: Callable[[], pb.Service]) -> None:
+    """Take up a new list of replicas; what is wrong with it changes nothing."""
+    try:
+        replicas.update(load().copies)
+    except (Faults, OSError) as error:
+        log_event("replica list not reloaded", {"error": str(error)})
+    else:
+        log_event("replica list reloaded", {"copies": list(replicas.replicas)})
+
+
+async def _reconfigure_forever(replicas: ReplicaList, replica: Host, log_event: EventLog) -> None:
+    """Lead the group to what is listed, one change after another, while this replica leads."""
+    while True:
+        await asyncio.sleep(RECONFIGURATION_INTERVAL_S)
+        copy = replica.copy
+        step = replicas.next_change(copy.config, copy.me) if copy.role is Role.LEADER else None
+        if isinstance(step, HandOver):
+            replica.hand_over(step.to)
+        elif step is not None and replica.change(step):
+            log_event("replica configuration change", {"voters": step.voters, "learners": step.learners})
+
+
+async def serve(settings: pb.Service, load: Callable[[], pb.Service] | None = None) -> int:
+    """Run one replica until SIGTERM; returns the exit code.  Raises ReplicaError, LockedError or OSError.
+
+    `load` reads the settings anew, on SIGHUP: the list of replicas is taken up from them.
+    """
+    keys = _read_keys(Path(settings.copies.key_file))
+    with contextlib.ExitStack() as stack:
+        disk = stack.enter_context(contextlib.closing(Disk(Path(settings.log.directory))))
+        witness = stack.enter_context(contextlib.closing(Disk(Path(settings.copies.witness))))
+        storage = _open_storage(disk, witness)
+        await _serve_storage(settings, load, keys, storage)
+    return 0
+
+
+async def _serve_storage(
+    settings: pb.Service, load: Callable[[], pb.Service] | None, keys: Keys, storage: Store
+) -> None:
+    replicas = ReplicaList(settings.copies)
+    if storage.id not in replicas.replicas:
+        raise ReplicaError(
+            f"{settings.log.directory} is the disk of copy {storage.id}, not among those of the settings "
+            f"({', '.join(map(str, replicas.replicas))}): an emptied disk is another copy"
+        )
+    group = settings.copies.group
+    machine = ReplicatedCounter(build_limits(settings))
+    transport = Links(group, str(storage.id), lambda: keys, replicas.address)
+    replica = Host(group, storage, replicas.bootstrap_config, machine, transport, log_event, place_of=str)
+    limits = ServiceLimits(
+        settings.max_connections, settings.max_waiting, settings.unsent_bytes, settings.idle_ms / 1000
+    )
+    service = ReplicatedService(
+        lambda group: replica, lambda group, replica_id: replicas.gateway_address(replica_id), limits
+    )
+    own = replicas.replicas[storage.id]
+    await transport.start(own.host, own.port)
+    replica.start()
+    reconfiguration = asyncio.get_running_loop().create_task(_reconfigure_forever(replicas, replica, log_event))
+    port = await service.start(settings.host, settings.port)
+    if load is not None:
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, _reload_replicas, replicas, load)
+    await until_stopped({"port": port}, copy=storage.id, proven=storage.proven)
+    reconfiguration.cancel()
+    if replica.hand_over():  # so that nobody waits for an election
+        await asyncio.sleep(LEADERSHIP_TRANSFER_S)
+    await service.stop()
+    await replica.stop()
+    transport.stop()
+    storage.close()
--- a/martenstep/counter/replicated_counter.py
+++ b/martenstep/counter/replicated_counter.py
@@ -1,106 +1,133 @@
-"""The counter as a state machine that several copies feed with the same entries (`replication.host.Machine`).
+"""The counter as a state machine that several replicas feed with the same entries (`replication.replica`).
 
-An entry is what was **asked**, with the door, its epoch and the time at the leader that proposed it; what comes of it
-is decided where it is applied, at every copy alike.  The service's own log holds what was done; a leader of copies
-cannot log that, as the entries that it would decide on need not stand in the end.
+An entry is what was **requested**, with the gateway, its epoch and the time at the leader that proposed it; what comes
+of it is decided where it is applied, at every replica alike.  The service's own log holds what was done; a leader of
+replicas cannot log that, as the entries that it would decide on need not be committed in the end.
 
-Exactly once over any failover: sessions (door, epoch, sequence) are part of the state.  A door that does not know what
-became of a command asks again under the same sequence, wherever the leader is now, and gets the first result.
+Exactly once over any failover: sessions (gateway, epoch, sequence) are part of the state.  A gateway that does not know
+what became of a command sends it again under the same sequence, wherever the leader is now, and gets the first result.
 
-Everything here follows from the entries alone: the time is the greatest that an entry told, so that a leader whose
-clock stands behind the last one's neither lets a name live longer nor forgets a try sooner.
+Everything here follows from the entries alone: the time is the greatest that an entry held, so that a leader whose
+clock stands behind the last one's neither lets a key live longer nor forgets an attempt sooner.
 """
 
 from __future__ import annotations
 
 import math
 import struct
+from dataclasses import dataclass
 
 import msgspec
 
-from martenstep.counter import protocol as frames
-from martenstep.counter.protocol import Add, Hello, ProtocolError, RecordAttempt, Rejection, Reply, Status, Welcome
+from martenstep.counter import protocol
+from martenstep.counter.protocol import (
+    Add,
+    Hello,
+    ProtocolError,
+    RecordAttempt,
+    Rejection,
+    Reply,
+    Status,
+    Welcome,
+    reply_without_result,
+)
 from martenstep.counter.state import CounterLimits, CounterState
 from martenstep.replication.messages import Kind
 from martenstep.replication.raft import Kept
 
-_HEAD = struct.Struct(">dQH")  # time at the leader (Unix ms), epoch, length of the door's name
+MAX_GATEWAY_NAME_BYTES = 0xFFFF
+_HEADER = struct.Struct(">dQH")  # time at the leader (Unix ms), epoch, length of the gateway's name
 
+ReplicatedCommand = Hello | Add | RecordAttempt
 
-def encode_entry(now: float, door: str, epoch: int, command: Hello | Add | RecordAttempt) -> bytes:
-    """An entry's bytes.  A Hello names the same door and epoch.  Raises FrameError where it is too large."""
-    name = door.encode()
-    if len(name) > 0xFFFF:
+
+@dataclass(frozen=True, slots=True)
+class _Entry:
+    """What was requested, by whom, and the leader's time."""
+
+    now_ms: float
+    gateway: str
+    epoch: int
+    command: ReplicatedCommand
+
+
+def encode_entry(now_ms: float, gateway: str, epoch: int, command: ReplicatedCommand) -> bytes:
+    """Encode an entry.  A Hello names the same gateway and epoch.  Raises ProtocolError if it is too large."""
+    name = gateway.encode()
+    if len(name) > MAX_GATEWAY_NAME_BYTES:
         raise ProtocolError(f"a door's name of {len(name)} bytes")
-    return _HEAD.pack(now, epoch, len(name)) + name + frames.encode(command)[frames.FRAME_HEADER.size :]
+    payload = protocol.encode(command)[protocol.FRAME_HEADER.size :]
+    return _HEADER.pack(now_ms, epoch, len(name)) + name + payload
 
 
-def _read(data: bytes) -> tuple[float, str, int, Hello | Add | RecordAttempt]:
+def _decode_entry(data: bytes) -> _Entry:
     try:
-        now, epoch, size = _HEAD.unpack_from(data)
-        door = data[_HEAD.size : _HEAD.size + size].decode()
+        now_ms, epoch, size = _HEADER.unpack_from(data)
+        gateway = data[_HEADER.size : _HEADER.size + size].decode()
     except (struct.error, UnicodeDecodeError) as error:
         raise ProtocolError(f"an entry that cannot be read: {error}") from None
-    command = frames.decode(data[_HEAD.size + size :])
-    if not isinstance(command, Hello | Add | RecordAttempt) or not math.isfinite(now):
+    command = protocol.decode(data[_HEADER.size + size :])
+    if not isinstance(command, Hello | Add | RecordAttempt) or not math.isfinite(now_ms):
         raise ProtocolError("an entry that asks for nothing")
-    return now, door, epoch, command
+    return _Entry(now_ms, gateway, epoch, command)
 
 
-def decode_command(data: bytes) -> Hello | Add | RecordAttempt:
-    """What an entry asks for; raises FrameError."""
-    return _read(data)[3]
+def decode_command(data: bytes) -> ReplicatedCommand:
+    """Return what an entry requests; raises ProtocolError."""
+    return _decode_entry(data).command
 
 
 class ReplicatedCounter:
-    """One copy's counter."""
+    """One replica's counter."""
 
     def __init__(self, limits: CounterLimits | None = None) -> None:
+        """Begin empty."""
         self._limits = limits or CounterLimits()
         self.state = CounterState(self._limits)
 
     def apply(self, data: bytes) -> Reply:
-        """What comes of one entry.  Never raises: what one copy cannot read, none can, and all go on."""
+        """Apply one entry and return its reply.  Never raises: what one replica cannot read, none can."""
         try:
-            now, name, epoch, command = _read(data)
+            entry = _decode_entry(data)
         except ProtocolError as error:
             return Rejection(Status.BAD, str(error))
-        counter = self.state
-        counter.advance_clock(now)
-        # A session begins with its first command as well: a door that comes to a new leader need not greet it.
-        door, _ = counter.begin_session(name, epoch)
+        self.state.advance_clock(entry.now_ms)
+        # A session begins with its first command as well: a gateway that comes to a new leader need not greet it.
+        gateway, _ = self.state.begin_session(entry.gateway, entry.epoch)
+        command = entry.command
         if isinstance(command, Hello):
-            return (
-                Rejection(Status.FENCED, "a later epoch was seen") if door is None else Welcome(door.highest_sequence)
-            )
-        if door is None:
-            return frames.reply_without_result(command, Status.FENCED)
+            if gateway is None:
+                return Rejection(Status.FENCED, "a later epoch was seen")
+            return Welcome(gateway.highest_sequence)
+        if gateway is None:
+            return reply_without_result(command, Status.FENCED)
         try:
-            return counter.execute(door, epoch, command)[0]
+            reply, _ = self.state.execute(gateway, entry.epoch, command)
         except ProtocolError:
-            return frames.reply_without_result(command, Status.BAD)
+            return reply_without_result(command, Status.BAD)
+        return reply
 
     @classmethod
-    def from_stored(cls, kept: Kept) -> ReplicatedCounter:
-        """What a copy that is down would hold, all entries of its disk applied."""
-        made = cls()
-        if kept.snapshot is not None:
-            made.restore(kept.snapshot.body)
-        for entry in kept.entries:
+    def from_stored(cls, stored: Kept) -> ReplicatedCounter:
+        """Rebuild what a replica that is down would hold, all entries of its disk applied."""
+        counter = cls()
+        if stored.snapshot is not None:
+            counter.restore(stored.snapshot.body)
+        for entry in stored.entries:
             if entry.kind is Kind.COMMAND:
-                made.apply(entry.data)
-        return made
+                counter.apply(entry.data)
+        return counter
 
-    def total(self, name: int) -> float:
-        """A name's total, for who has the leader's word that nothing is missing; 0 where it is not known."""
-        return self.state.total(name)
+    def total(self, key: int) -> float:
+        """Return a key's total, after the leader knows that nothing is missing; 0 if it is not known."""
+        return self.state.total(key)
 
     def snapshot(self) -> bytes:
-        """All of the state, sessions with it."""
+        """Encode the whole state, sessions with it."""
         return self.state.snapshot()
 
     def restore(self, body: bytes) -> None:
-        """In place of all that was; raises ValueError where it is no snapshot."""
+        """Replace the state by a snapshot's; raises ValueError if it is none."""
         try:
             self.state = CounterState.from_snapshot(self._limits, body)
         except msgspec.MsgspecError as error:
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -1,9 +1,9 @@
-"""The counter held by the doors themselves: names split over slots, each slot a group of copies at some of the doors.
+"""The counter held by the gateways themselves: keys split over slots, each slot a group of replicas at some gateways.
 
-Where a slot's copies should be follows from the membership by rendezvous hashing (`replication.placing`); who holds
-them in truth, each group's own log says.  A door asks at the likeliest places in turn until it is led to the leader; a
-reply of one that does not lead names it.  The number of slots is the map of names: a door with another number is turned
-away, as its names would stand elsewhere.
+Where a slot's replicas should be follows from the membership by rendezvous hashing (`replication.placement`); who holds
+them in truth, each group's own log says.  A gateway asks the likeliest nodes in turn until it is led to the leader; a
+reply of one that does not lead names it.  The number of slots is the map of keys: a gateway with another number is
+rejected, as its keys would be in other slots.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 
 
 def slot_groups(copies: pb.Copies) -> tuple[str, ...]:
-    """The groups of the counter."""
+    """Return the groups of the counter."""
     return tuple(f"counter-{number}" for number in range(copies.slots))
 
 
 def replica_requirements(door: pb.Door) -> Holding:
-    """What the settings ask of each door."""
+    """Return what the settings require of each gateway."""
     copies = door.copies
     more = (ORDERS,) if door.HasField("maintenance") else ()
     return Holding(
         slot_groups(copies) + more,
-        tuple(Founder(one.door, one.disk) for one in copies.founder),
+        tuple(Founder(founder.door, founder.disk) for founder in copies.founder),
         copies.count,
         copies.final_ms,
     )
 
 
 class ShardedCounter:
-    """One door's part in it: the copies that are here, their links, and the listener for all doors' commands."""
+    """One gateway's part in it: the replicas that are here, their transport, and the listener for all commands."""
 
     def __init__(
         self,
@@ -54,19 +54,20 @@
         log_event: EventLog,
         deliver: Callable[[AttemptRecord], bool],
     ) -> None:
-        """`deliver` hands a try of somebody's book to this door's clients of the counter."""
-        self._copies, self._membership = door.copies, membership
+        """`deliver` hands an attempt of a group that is led here to this gateway's clients of the counter."""
+        self._copies = door.copies
+        self._membership = membership
         self._host = door.fleet.host
         self.replica_manager = Keeper(
             door.name,
             Path(door.copies.directory),
             Path(door.copies.witness),
             replica_requirements(door),
-            self._machine,
-            self._places,
+            self._build_machine,
+            self._nodes,
             log_event,
             also=is_ledger_group,
-            first=self._owner,
+            first=self._group_owner,
         )
         self.ledger = (
             IncrementLedger(door.name, self.replica_manager, deliver, log_event)
@@ -77,14 +78,15 @@
             door.fleet.cluster,
             door.name,
             lambda: membership.keys,
-            self._link_address,
+            self._transport_address,
             self.replica_manager.word,
             self.replica_manager.nobody,
         )
-        self.service = ReplicatedService(self._counter, self._where, ServiceLimits(map_version=door.copies.slots))
+        limits = ServiceLimits(map_version=door.copies.slots)
+        self.service = ReplicatedService(self._find_replica, self._gateway_address, limits)
 
     async def start(self) -> dict[str, int]:
-        """Hold what is to be held; gives the ports.  Raises KeeperError, LockedError, OSError."""
+        """Open the replicas and listen; returns the ports.  Raises KeeperError, LockedError, OSError."""
         ports = {"copies": await self.transport.start(self._host, self._copies.port)}
         await self.replica_manager.start(self.transport)
         if self.ledger is not None:
@@ -100,54 +102,50 @@
         self.transport.stop()
 
     @staticmethod
-    def _machine(group: str) -> ReplicatedCounter | PendingIncrements | OrderBook:
+    def _build_machine(group: str) -> ReplicatedCounter | PendingIncrements | OrderBook:
         if group == ORDERS:
             return OrderBook()
         return PendingIncrements() if is_ledger_group(group) else ReplicatedCounter()
 
-    def _counter(self, group: str) -> Host | None:
-        host = self.replica_manager.host(group)
-        return host if host is not None and isinstance(host.machine, ReplicatedCounter) else None
+    def _find_replica(self, group: str) -> Host | None:
+        replica = self.replica_manager.host(group)
+        return replica if replica is not None and isinstance(replica.machine, ReplicatedCounter) else None
 
-    def _owner(self, group: str) -> str | None:
-        host = self.replica_manager.host(group)
-        return (
-            (host.machine.owner or None) if host is not None and isinstance(host.machine, PendingIncrements) else None
-        )
+    def _group_owner(self, group: str) -> str | None:
+        replica = self.replica_manager.host(group)
+        if replica is None or not isinstance(replica.machine, PendingIncrements):
+            return None
+        return replica.machine.owner or None
 
-    # Who is where.
+    # Nodes and their addresses
 
-    def _places(self) -> Iterable[Place]:
+    def _nodes(self) -> Iterable[Place]:
         core = self._membership.core
         return [Place(fact.name, fact.zone, fact.present) for fact in core.table] if core is not None else []
 
-    def _address(self, place: str | None, port: int) -> Address | None:
-        """As every door knows it: ways to it are each door's own."""
+    def _node_address(self, node: str | None, port: int) -> Address | None:
+        """Return an address as every gateway knows it: ways to it are each gateway's own."""
         core = self._membership.core
-        fact = core.table.get(place) if core is not None and place is not None else None
+        fact = core.table.get(node) if core is not None and node is not None else None
         return (fact.host, port) if fact is not None else None
 
-    def _link_address(self, place: str) -> Address | None:
-        address = self._address(place, self._copies.port)
+    def _transport_address(self, node: str) -> Address | None:
+        address = self._node_address(node, self._copies.port)
         return self._membership.way(address) if address is not None else None
 
-    def _where(self, group: str, copy: int | None) -> str | None:
-        if copy is None:
-            place = next(
-                (place for place in self.replica_manager.wanted(group) if place != self.replica_manager.me), None
-            )
+    def _gateway_address(self, group: str, replica_id: int | None) -> str | None:
+        if replica_id is None:
+            candidates = self.replica_manager.wanted(group)
+            node = next((node for node in candidates if node != self.replica_manager.me), None)
         else:
-            host: Host | None = self.replica_manager.host(group)
-            place = host.home(copy) if host is not None else None
-        address = self._address(place, self._copies.counter_port)
+            replica: Host | None = self.replica_manager.host(group)
+            node = replica.home(replica_id) if replica is not None else None
+        address = self._node_address(node, self._copies.counter_port)
         return "{}:{}".format(*address) if address is not None else None
 
     def addresses(self, group: str) -> list[Address]:
-        """Where a slot's leader may be: those that should hold it first, then all others."""
+        """Return where a slot's leader may be: the nodes that should hold it first, then all others."""
         likely = self.replica_manager.wanted(group)
-        rest = sorted(place.name for place in self._places() if place.present and place.name not in likely)
-        return [
-            address
-            for place in [*likely, *rest]
-            if (address := self._address(place, self._copies.counter_port)) is not None
-        ]
+        others = sorted(node.name for node in self._nodes() if node.present and node.name not in likely)
+        addresses = [self._node_address(node, self._copies.counter_port) for node in [*likely, *others]]
+        return [address for address in addresses if address is not None]
--- a/martenstep/counter/steady_clock.py
+++ b/martenstep/counter/steady_clock.py
@@ -1,7 +1,7 @@
 """Unix time as it was read once, carried on by the monotonic clock.
 
-The lives of names and the window of tries are spans of real time: a step of the wall clock must neither end nor stretch
-them.
+The lifetimes of keys and the window of attempts are spans of real time: a step of the wall clock must neither end nor
+stretch them.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class SteadyClock:
-    """Unix milliseconds that never go back or leap while the process runs."""
+    """Unix time that never goes back or leaps while the process runs."""
 
     def __init__(
         self, wall: Callable[[], float] | None = None, monotonic: Callable[[], float] = time.monotonic
@@ -23,9 +23,9 @@
         self._offset_s = (wall or time.time)() - monotonic()
 
     def now_ms(self) -> float:
-        """The time now, in milliseconds."""
+        """Return the time in milliseconds."""
         return self.now_s() * MS_PER_S
 
     def now_s(self) -> float:
-        """And in seconds."""
+        """Return the time in seconds."""
         return self._monotonic() + self._offset_s
--- a/martenstep/lab/copies.py
+++ b/martenstep/lab/copies.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from martenstep.counter.protocol import Add, FrameDecoder, Hello, Read, TotalReply, decode, encode
+from martenstep.counter.replica_process import read_identity
 from martenstep.counter.replicated_counter import ReplicatedCounter
-from martenstep.counter.replicated_service import read_identity
 from martenstep.counter.state import CounterState
 from martenstep.lab.ports import held_ports
 from martenstep.replication.replica_storage import Store
--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -58,7 +58,7 @@
                     self._answered,
                     self._log_event,
                     timeout_ms=TIMEOUT_MS,
-                    waiting=100_000,
+                    max_pending=100_000,
                     map_version=slots,
                     group=f"counter-{slot}",
                 )
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -290,7 +290,7 @@
                 self._counted,
                 self.event_logger.log,
                 timeout_ms=told.timeout_ms,
-                waiting=told.waiting,
+                max_pending=told.waiting,
                 map_version=told.map_version,
                 tls=tls,
                 server_name=told.tls.server_name,
@@ -316,11 +316,11 @@
                 self._counted,
                 self.event_logger.log,
                 timeout_ms=told.timeout_ms,
-                waiting=told.waiting,
+                max_pending=told.waiting,
                 map_version=self.door.copies.slots,
                 group=slot,
-                way=self.fleet.way if self.fleet is not None else lambda address: address,
-                recorded=self._recorded,
+                route=self.fleet.way if self.fleet is not None else lambda address: address,
+                on_acknowledged=self._recorded,
             )
             for slot in slot_groups(self.door.copies)
         }
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from martenstep.backoff import Backoff
-from martenstep.counter.client import AGAIN_LEAST_MS
+from martenstep.counter.client import MIN_RECONNECT_MS
 from tests.socket_rig import run
 from tests.test_counter_service import Desk, served
 
@@ -34,7 +34,7 @@
             for _ in range(6):  # six sessions end; what a connection lost costs does not grow with a door's age
                 desk.add(5)
                 await desk.quiet()
-                assert desk.client.backoff.next_ms == AGAIN_LEAST_MS
+                assert desk.client.backoff.next_ms == MIN_RECONNECT_MS
                 for connection in list(service.connections):
                     assert connection.transport is not None
                     connection.transport.abort()
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -88,7 +88,7 @@
         len(encode_entry(put)) for put in split
     ) < 65536
     assert sum(len(done.request_ids) for done in split_acknowledged([one.request_id for one in tries])) == 250
-    with pytest.raises(ValueError, match="not a book's snapshot"):
+    with pytest.raises(ValueError, match="not a snapshot of pending increments"):
         PendingIncrements().restore(b"\x01")
 
 
@@ -165,7 +165,7 @@
                 in [
                     one
                     for one in self.keepers
-                    if any(host.group == books.own_group for host, _ in self.books[one].led_groups())
+                    if any(led.replica.group == books.own_group for led in self.books[one].led_groups())
                 ]
             )
         )
@@ -186,7 +186,7 @@
         assert all(len(by) == 1 and by[0] in "bcd" for by in fleet.counter.values())
         # Lost for good: sealed, and when all is recorded it is let go everywhere.
         await fleet.until(lambda: all(fleet.state(name, own) is None for name in "bcd"))
-        assert any(event == "book sealed" for event, _ in fleet.notes)
+        assert any(event == "increment group fenced" for event, _ in fleet.notes)
         await fleet.start("a")
         assert fleet.books["a"].own_group != own
         await fleet.whole("a")
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -260,7 +260,7 @@
         assert decode(payload) == Rejection(Status.MOVED, group.address("", leader) or "")
         writer.close()
         client = group.client(lambda *told: None, 0)
-        assert not client._elsewhere("192.0.2.1:80") and not client._elsewhere("")
+        assert not client._choose_address("192.0.2.1:80") and not client._choose_address("")
         await client.stop()
         await group.stop()
 
--- a/tests/test_counter_follow.py
+++ b/tests/test_counter_follow.py
@@ -10,8 +10,8 @@
 import pytest
 
 from martenstep.config.text import Faults
+from martenstep.counter import log_shipping
 from martenstep.counter import protocol as fr
-from martenstep.counter import service as service_module
 from martenstep.counter.follower import Follower, LeaderRejectedError, promote
 from martenstep.counter.log_inspection import rebuild_from_log, verify
 from martenstep.counter.settings import parse_service
@@ -83,7 +83,7 @@
                     raise FileNotFoundError("gone")
                 return read(*words)
 
-            monkeypatch.setattr(service_module, "read_records", once)
+            monkeypatch.setattr(log_shipping, "read_records", once)
             follower = Follower(tmp_path / "b")
             task = asyncio.create_task(follower.run("127.0.0.1", port))
             await caught_up(follower, service.pipeline.durable_count)
--- a/tests/test_counter_log.py
+++ b/tests/test_counter_log.py
@@ -5,6 +5,7 @@
 import contextlib
 import random
 from collections import Counter as Tally
+from typing import Any
 
 import pytest
 from hypothesis import given
@@ -28,7 +29,7 @@
     def __init__(self, files: FaultFiles, snapshot_records: int = 0, segment_bytes: int = 1500) -> None:
         self.files, self._snapshots, self._segment_bytes = files, snapshot_records, segment_bytes
         self.now = START
-        self.keeper: CommitPipeline | None = None
+        self.keeper: CommitPipeline[Any] | None = None
         self.epochs = {"door-0": 1, "door-1": 1}
         self.sequence = {"door-0": 0, "door-1": 0}
         self.waiting: dict[tuple[str, int], Add | RecordAttempt] = {}
@@ -36,9 +37,9 @@
         self.asked: list[Add | RecordAttempt] = []
         self.crashes = 0
 
-    def open(self) -> CommitPipeline:
+    def open(self) -> CommitPipeline[Any]:
         if self.keeper is None:
-            made = CommitPipeline(self.files, LIMITS, self._segment_bytes, True, self._snapshots)
+            made: CommitPipeline[Any] = CommitPipeline(self.files, LIMITS, self._segment_bytes, True, self._snapshots)
             made.state.advance_clock(self.now)
             self.keeper = made
         return self.keeper
@@ -212,19 +213,19 @@
         open_log(files)
 
 
-def keeper(files: FaultFiles | None = None, limits: CounterLimits = LIMITS) -> CommitPipeline:
-    made = CommitPipeline(files or FaultFiles(1), limits)
+def keeper(files: FaultFiles | None = None, limits: CounterLimits = LIMITS) -> CommitPipeline[Any]:
+    made: CommitPipeline[Any] = CommitPipeline(files or FaultFiles(1), limits)
     made.state.advance_clock(START)
     return made
 
 
-def session(made: CommitPipeline, door: str = "door-0", epoch: int = 1) -> Session:
+def session(made: CommitPipeline[Any], door: str = "door-0", epoch: int = 1) -> Session:
     found = made.open_session(door, epoch)
     assert found is not None
     return found
 
 
-def ask(made: CommitPipeline, who: Session, command: Add | Read | RecordAttempt) -> Reply:
+def ask(made: CommitPipeline[Any], who: Session, command: Add | Read | RecordAttempt) -> Reply:
     made.submit("me", who, command)
     [(_, reply)] = made.commit_pending()
     return reply
@@ -316,7 +317,7 @@
     ask(made, door, Add(2, 7, 1.0, 9e9))  # the expiry is set only when new
     made.close()
     files.kill()
-    again = CommitPipeline(files, LIMITS)
+    again: CommitPipeline[Any] = CommitPipeline(files, LIMITS)
     again.state.advance_clock(START + 1500.0)
     assert again.state.total(7) == 0.0
     door = session(again)
