--- a/martenstep/counter/increment_ledger.py
+++ b/martenstep/counter/increment_ledger.py
@@ -32,8 +32,8 @@
     split_pending,
 )
 from martenstep.event_log import EventLog
-from martenstep.replication.replica import Host, InDoubtError, NotLeaderError, now_ms
-from martenstep.replication.replica_manager import Keeper
+from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica, now_ms
+from martenstep.replication.replica_manager import ReplicaManager
 from martenstep.tasks import Tasks
 
 GROUP_PREFIX = "book-"  # of the names of groups, which stand on disk
@@ -65,7 +65,7 @@
 class LedGroup:
     """A group that this gateway leads."""
 
-    replica: Host
+    replica: Replica
     increments: PendingIncrements
 
 
@@ -73,7 +73,7 @@
     """One gateway's own group and those that it leads."""
 
     def __init__(
-        self, instance: str, manager: Keeper, deliver: Callable[[AttemptRecord], bool], log_event: EventLog
+        self, instance: str, manager: ReplicaManager, deliver: Callable[[AttemptRecord], bool], log_event: EventLog
     ) -> None:
         """`deliver` hands an attempt to the counter's client, False if that has no capacity; `on_acknowledged` is to be
         called when the counter has it."""
@@ -92,8 +92,8 @@
 
     async def start(self) -> None:
         """Open this gateway's group, or begin one."""
-        self.own_group = self._manager.alone()
-        if not self.own_group or self._manager.host(self.own_group) is None:
+        self.own_group = self._manager.latest_own_group()
+        if not self.own_group or self._manager.replica(self.own_group) is None:
             await self._begin_group()
         self._maintenance = asyncio.get_running_loop().create_task(self._maintain_forever())
 
@@ -107,7 +107,7 @@
 
     async def _begin_group(self) -> None:
         self.own_group = new_group_name(self.instance)
-        if await self._manager.begin_alone(self.own_group) is None:
+        if await self._manager.create_own_group(self.own_group) is None:
             self._log_event("increment group not begun", {"group": self.own_group})
 
     # Replicating
@@ -130,17 +130,19 @@
             self._tasks.spawn(self._propose_attempts(encode_entry(entry), waiting_for))
 
     async def _propose_attempts(self, data: bytes, waiting_for: list[_Waiting]) -> None:
-        replica = self._manager.host(self.own_group)
+        replica = self._manager.replica(self.own_group)
         committed = False
         try:
             if replica is not None:
                 committed = bool(await replica.propose(data))
                 if not committed:
                     self.counts["sealed"] += len(waiting_for)
-        except (NotLeaderError, InDoubtError, ValueError):
+        except (NotLeaderError, IndeterminateError, ValueError):
             pass
         fully_replicated = (
-            committed and replica is not None and len(replica.copy.config.voters) >= self._manager.holding.count
+            committed
+            and replica is not None
+            and len(replica.raft.configuration.voters) >= self._manager.replication.replication_factor
         )
         self.counts["promised" if fully_replicated else "thin"] += len(waiting_for)
         self._resolve(waiting_for, fully_replicated)
@@ -161,11 +163,11 @@
         """Return the groups of pending increments that this gateway leads."""
         led = []
         for group in self._manager.groups():
-            replica = self._manager.host(group) if is_ledger_group(group) else None
-            if replica is None or not isinstance(replica.machine, PendingIncrements):
+            replica = self._manager.replica(group) if is_ledger_group(group) else None
+            if replica is None or not isinstance(replica.state_machine, PendingIncrements):
                 continue
-            if replica.copy.may_read(now_ms()):
-                led.append(LedGroup(replica, replica.machine))
+            if replica.raft.can_serve_read(now_ms()):
+                led.append(LedGroup(replica, replica.state_machine))
         return led
 
     async def _maintain_forever(self) -> None:
@@ -196,19 +198,26 @@
 
     async def _replace_own_group(self) -> None:
         """Begin another own group if this one has had no leader for long, or is fenced."""
-        replica = self._manager.host(self.own_group)
-        if replica is not None and replica.copy.leader is not None:
+        replica = self._manager.replica(self.own_group)
+        if replica is not None and replica.raft.leader is not None:
             self._led_at_ms = now_ms()
         leaderless = replica is None or now_ms() - self._led_at_ms > MAX_LEADERLESS_MS
-        fenced = replica is not None and isinstance(replica.machine, PendingIncrements) and replica.machine.fenced
+        fenced = (
+            replica is not None
+            and isinstance(replica.state_machine, PendingIncrements)
+            and replica.state_machine.fenced
+        )
         if not leaderless and not fenced:
             return
         self._log_event("increment group replaced", {"group": self.own_group})
         self._led_at_ms = now_ms()
-        if replica is not None and len(replica.copy.config.voters) < self._manager.holding.count:
+        if (
+            replica is not None
+            and len(replica.raft.configuration.voters) < self._manager.replication.replication_factor
+        ):
             # It never had all its replicas, so it guaranteed nothing beyond this gateway's own journal; of two replicas
             # one was lost.
-            self._manager.abandon(self.own_group)
+            self._manager.abandon_group(self.own_group)
         await self._begin_group()
 
     def _deliver_pending(self, increments: PendingIncrements, acknowledged: set[str]) -> None:
@@ -222,28 +231,28 @@
     def _fence_lost_owner(self, group: LedGroup) -> None:
         """Fence an owner that is lost for good; dissolve its group once it is empty."""
         owner = group.increments.owner
-        if not owner or owner == self.instance or owner not in self._manager.lost_places():
+        if not owner or owner == self.instance or owner not in self._manager.lost_nodes():
             return
         if not group.increments.fenced:
             fields = {"group": group.replica.group, "owner": owner, "pending": len(group.increments.pending)}
             self._log_event("increment group fenced", fields)
             self._tasks.spawn(self._propose(group.replica, FenceOwner()))
         elif not group.increments.pending:
-            self._manager.dissolve(group.replica.group)
+            self._manager.dissolve_group(group.replica.group)
 
-    async def _propose(self, replica: Host, entry: SetOwner | Acknowledge | FenceOwner) -> None:
+    async def _propose(self, replica: Replica, entry: SetOwner | Acknowledge | FenceOwner) -> None:
         try:
             await replica.propose(encode_entry(entry))
-        except (NotLeaderError, InDoubtError):
+        except (NotLeaderError, IndeterminateError):
             if isinstance(entry, Acknowledge):  # the next leader delivers them once more, and finds them known
                 self.counts["done_in_doubt"] += len(entry.request_ids)
 
     def gauges(self) -> dict[str, float]:
         """Return the gauges by the names of the metrics."""
         led = self.led_groups()
-        replica = self._manager.host(self.own_group)
+        replica = self._manager.replica(self.own_group)
         return {
             "books_led": len(led),
             "books_pending": sum(len(group.increments.pending) for group in led),
-            "books_own_copies": len(replica.copy.config.voters) if replica is not None else 0,
+            "books_own_copies": len(replica.raft.configuration.voters) if replica is not None else 0,
         }
--- a/martenstep/counter/replica_process.py
+++ b/martenstep/counter/replica_process.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from martenstep.config.text import Faults
+from martenstep.config.text_format import SettingsError
 from martenstep.counter import counter_pb2 as pb
 from martenstep.counter.errors import CounterError
 from martenstep.counter.log_output import log_event
@@ -20,12 +20,18 @@
 from martenstep.lifetime import until_stopped
 from martenstep.membership.codec import Keys
 from martenstep.membership.keys import KeyFileError, read_keys
-from martenstep.replication.messages import Config
-from martenstep.replication.placement import Change, HandOver, Invite, learning, next_step
+from martenstep.replication.messages import Configuration
+from martenstep.replication.placement import (
+    AddReplica,
+    ChangeConfiguration,
+    TransferLeadership,
+    next_step,
+    with_learner,
+)
 from martenstep.replication.raft import Role
-from martenstep.replication.replica import Host
-from martenstep.replication.replica_storage import Store, StoreError
-from martenstep.replication.transport import Links
+from martenstep.replication.replica import Replica
+from martenstep.replication.replica_storage import ReplicaStorage, ReplicaStorageError
+from martenstep.replication.transport import Transport
 from martenstep.storage.files import Disk
 
 RECONFIGURATION_INTERVAL_S = 0.25  # between two checks that the group is as it is listed
@@ -44,13 +50,13 @@
     with contextlib.ExitStack() as stack:
         disk = stack.enter_context(contextlib.closing(Disk(directory)))
         witness_disk = stack.enter_context(contextlib.closing(Disk(witness)))
-        return stack.enter_context(contextlib.closing(_open_storage(disk, witness_disk))).id
+        return stack.enter_context(contextlib.closing(_open_storage(disk, witness_disk))).replica_id
 
 
-def _open_storage(disk: Disk, witness: Disk) -> Store:
+def _open_storage(disk: Disk, witness: Disk) -> ReplicaStorage:
     try:
-        return Store(disk, witness, random.SystemRandom())
-    except StoreError as error:
+        return ReplicaStorage(disk, witness, random.SystemRandom())
+    except ReplicaStorageError as error:
         raise ReplicaError(str(error)) from None
 
 
@@ -68,7 +74,7 @@
         """Take the list of the start."""
         self.update(copies)
         # Danger: were those that came later among them, two of three new ones would make a group of their own.
-        self.bootstrap_config = Config(tuple(copy.id for copy in copies.copy if not copy.later))
+        self.bootstrap_config = Configuration(tuple(copy.id for copy in copies.copy if not copy.later))
 
     def update(self, copies: pb.Copies) -> None:
         """Take another list."""
@@ -83,36 +89,36 @@
         """Return where gateways reach a replica."""
         return self.replicas[replica].doors if replica in self.replicas else None
 
-    def next_change(self, config: Config, own_id: int) -> Config | HandOver | None:
+    def next_change(self, config: Configuration, own_id: int) -> Configuration | TransferLeadership | None:
         """Return the leader's next step on the way from a configuration to the list."""
         nodes = [str(replica) for replica in self.replicas]
-        homes = tuple((replica, str(replica)) for replica in config.everyone)
-        placed = Config(config.voters, config.learners, homes)
+        homes = tuple((replica, str(replica)) for replica in config.members)
+        placed = Configuration(config.voters, config.learners, homes)
         step = next_step(placed, own_id, nodes, (), nodes, len(nodes), True)
-        if isinstance(step, Invite):
-            return learning(config, int(step.place), step.place)
-        return step.config if isinstance(step, Change) else step
+        if isinstance(step, AddReplica):
+            return with_learner(config, int(step.node), step.node)
+        return step.configuration if isinstance(step, ChangeConfiguration) else step
 
 
 def _reload_replicas(replicas: ReplicaList, load: Callable[[], pb.Service]) -> None:
     """Take up a new list of replicas; what is wrong with it changes nothing."""
     try:
         replicas.update(load().copies)
-    except (Faults, OSError) as error:
+    except (SettingsError, OSError) as error:
         log_event("replica list not reloaded", {"error": str(error)})
     else:
         log_event("replica list reloaded", {"copies": list(replicas.replicas)})
 
 
-async def _reconfigure_forever(replicas: ReplicaList, replica: Host, log_event: EventLog) -> None:
+async def _reconfigure_forever(replicas: ReplicaList, replica: Replica, log_event: EventLog) -> None:
     """Lead the group to what is listed, one change after another, while this replica leads."""
     while True:
         await asyncio.sleep(RECONFIGURATION_INTERVAL_S)
-        copy = replica.copy
-        step = replicas.next_change(copy.config, copy.me) if copy.role is Role.LEADER else None
-        if isinstance(step, HandOver):
-            replica.hand_over(step.to)
-        elif step is not None and replica.change(step):
+        raft = replica.raft
+        step = replicas.next_change(raft.configuration, raft.replica_id) if raft.role is Role.LEADER else None
+        if isinstance(step, TransferLeadership):
+            replica.transfer_leadership(step.to)
+        elif step is not None and replica.change_configuration(step):
             log_event("replica configuration change", {"voters": step.voters, "learners": step.learners})
 
 
@@ -131,34 +137,34 @@
 
 
 async def _serve_storage(
-    settings: pb.Service, load: Callable[[], pb.Service] | None, keys: Keys, storage: Store
+    settings: pb.Service, load: Callable[[], pb.Service] | None, keys: Keys, storage: ReplicaStorage
 ) -> None:
     replicas = ReplicaList(settings.copies)
-    if storage.id not in replicas.replicas:
+    if storage.replica_id not in replicas.replicas:
         raise ReplicaError(
-            f"{settings.log.directory} is the disk of copy {storage.id}, not among those of the settings "
+            f"{settings.log.directory} is the disk of copy {storage.replica_id}, not among those of the settings "
             f"({', '.join(map(str, replicas.replicas))}): an emptied disk is another copy"
         )
     group = settings.copies.group
     machine = ReplicatedCounter(build_limits(settings))
-    transport = Links(group, str(storage.id), lambda: keys, replicas.address)
-    replica = Host(group, storage, replicas.bootstrap_config, machine, transport, log_event, place_of=str)
+    transport = Transport(group, str(storage.replica_id), lambda: keys, replicas.address)
+    replica = Replica(group, storage, replicas.bootstrap_config, machine, transport, log_event, place_of=str)
     limits = ServiceLimits(
         settings.max_connections, settings.max_waiting, settings.unsent_bytes, settings.idle_ms / 1000
     )
     service = ReplicatedService(
         lambda group: replica, lambda group, replica_id: replicas.gateway_address(replica_id), limits
     )
-    own = replicas.replicas[storage.id]
+    own = replicas.replicas[storage.replica_id]
     await transport.start(own.host, own.port)
     replica.start()
     reconfiguration = asyncio.get_running_loop().create_task(_reconfigure_forever(replicas, replica, log_event))
     port = await service.start(settings.host, settings.port)
     if load is not None:
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, _reload_replicas, replicas, load)
-    await until_stopped({"port": port}, copy=storage.id, proven=storage.proven)
+    await until_stopped({"port": port}, copy=storage.replica_id, proven=storage.disk_verified)
     reconfiguration.cancel()
-    if replica.hand_over():  # so that nobody waits for an election
+    if replica.transfer_leadership():  # so that nobody waits for an election
         await asyncio.sleep(LEADERSHIP_TRANSFER_S)
     await service.stop()
     await replica.stop()
--- a/martenstep/counter/replicated_counter.py
+++ b/martenstep/counter/replicated_counter.py
@@ -32,8 +32,8 @@
     reply_without_result,
 )
 from martenstep.counter.state import CounterLimits, CounterState
-from martenstep.replication.messages import Kind
-from martenstep.replication.raft import Kept
+from martenstep.replication.messages import EntryKind
+from martenstep.replication.raft import PersistentState
 
 MAX_GATEWAY_NAME_BYTES = 0xFFFF
 _HEADER = struct.Struct(">dQH")  # time at the leader (Unix ms), epoch, length of the gateway's name
@@ -108,13 +108,13 @@
         return reply
 
     @classmethod
-    def from_stored(cls, stored: Kept) -> ReplicatedCounter:
+    def from_stored(cls, stored: PersistentState) -> ReplicatedCounter:
         """Rebuild what a replica that is down would hold, all entries of its disk applied."""
         counter = cls()
         if stored.snapshot is not None:
             counter.restore(stored.snapshot.body)
         for entry in stored.entries:
-            if entry.kind is Kind.COMMAND:
+            if entry.kind is EntryKind.COMMAND:
                 counter.apply(entry.data)
         return counter
 
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -35,7 +35,7 @@
 )
 from martenstep.counter.replicated_counter import ReplicatedCounter, encode_entry
 from martenstep.counter.steady_clock import SteadyClock
-from martenstep.replication.replica import Host, InDoubtError, NotLeaderError
+from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica
 
 PendingReply = Reply | asyncio.Future[Reply]
 Request = Hello | Add | Read | RecordAttempt
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        find_replica: Callable[[str], Host | None],
+        find_replica: Callable[[str], Replica | None],
         find_address: Callable[[str, int | None], str | None],
         limits: ServiceLimits | None = None,
         clock: Callable[[], float] | None = None,
@@ -103,7 +103,7 @@
             return asyncio.get_running_loop().create_task(self._read(replica, command))
         try:
             entry = encode_entry(self._clock() * 1000, hello.gateway, hello.epoch, command)
-            return replica.proposed(entry)
+            return replica.submit(entry)
         except NotLeaderError as error:
             return self._moved(hello, error.leader)
         except (ValueError, ProtocolError) as error:  # larger than an entry may be
@@ -112,10 +112,10 @@
             return reply_without_result(command, Status.BAD)
 
     @staticmethod
-    async def _read(replica: Host, command: Read) -> Reply:
-        await replica.read()
-        assert isinstance(replica.machine, ReplicatedCounter)
-        return TotalReply(command.sequence, Status.DONE, replica.machine.total(command.key))
+    async def _read(replica: Replica, command: Read) -> Reply:
+        await replica.confirm_leadership()
+        assert isinstance(replica.state_machine, ReplicatedCounter)
+        return TotalReply(command.sequence, Status.DONE, replica.state_machine.total(command.key))
 
     def _moved(self, hello: Hello, leader: int | None) -> Rejection:
         address = self._find_address(hello.group, leader) if leader is not None else None
@@ -129,10 +129,10 @@
             reply = pending.result()
         except NotLeaderError as error:
             return self._moved(hello, error.leader)
-        except InDoubtError:
+        except IndeterminateError:
             replica = self.find_replica(hello.group)
-            leads_elsewhere = replica is not None and replica.copy.leader != replica.copy.me
-            leader = replica.copy.leader if replica is not None and leads_elsewhere else None
+            leads_elsewhere = replica is not None and replica.raft.leader != replica.raft.replica_id
+            leader = replica.raft.leader if replica is not None and leads_elsewhere else None
             return self._moved(hello, leader)
         if isinstance(reply, Welcome):
             reply.map_version = hello.map_version
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -20,9 +20,9 @@
 from martenstep.maintenance.coordinator import GROUP as ORDERS
 from martenstep.maintenance.queue import Book as OrderBook
 from martenstep.membership.transport import Membership
-from martenstep.replication.replica import Host
-from martenstep.replication.replica_manager import Founder, Holding, Keeper, Place
-from martenstep.replication.transport import Links
+from martenstep.replication.replica import Replica
+from martenstep.replication.replica_manager import BootstrapMember, ClusterNode, ReplicaManager, ReplicationSettings
+from martenstep.replication.transport import Transport
 
 Address = tuple[str, int]
 
@@ -32,13 +32,13 @@
     return tuple(f"counter-{number}" for number in range(copies.slots))
 
 
-def replica_requirements(door: pb.Door) -> Holding:
+def replica_requirements(door: pb.Door) -> ReplicationSettings:
     """Return what the settings require of each gateway."""
     copies = door.copies
     more = (ORDERS,) if door.HasField("maintenance") else ()
-    return Holding(
+    return ReplicationSettings(
         slot_groups(copies) + more,
-        tuple(Founder(founder.door, founder.disk) for founder in copies.founder),
+        tuple(BootstrapMember(founder.door, founder.disk) for founder in copies.founder),
         copies.count,
         copies.final_ms,
     )
@@ -58,7 +58,7 @@
         self._copies = door.copies
         self._membership = membership
         self._host = door.fleet.host
-        self.replica_manager = Keeper(
+        self.replica_manager = ReplicaManager(
             door.name,
             Path(door.copies.directory),
             Path(door.copies.witness),
@@ -74,19 +74,19 @@
             if door.copies.HasField("book")
             else None
         )
-        self.transport = Links(
+        self.transport = Transport(
             door.fleet.cluster,
             door.name,
             lambda: membership.keys,
             self._transport_address,
-            self.replica_manager.word,
-            self.replica_manager.nobody,
+            self.replica_manager.receive,
+            self.replica_manager.report_unknown_replica,
         )
         limits = ServiceLimits(map_version=door.copies.slots)
         self.service = ReplicatedService(self._find_replica, self._gateway_address, limits)
 
     async def start(self) -> dict[str, int]:
-        """Open the replicas and listen; returns the ports.  Raises KeeperError, LockedError, OSError."""
+        """Open the replicas and listen; returns the ports.  Raises ReplicaManagerError, LockedError, OSError."""
         ports = {"copies": await self.transport.start(self._host, self._copies.port)}
         await self.replica_manager.start(self.transport)
         if self.ledger is not None:
@@ -107,21 +107,21 @@
             return OrderBook()
         return PendingIncrements() if is_ledger_group(group) else ReplicatedCounter()
 
-    def _find_replica(self, group: str) -> Host | None:
-        replica = self.replica_manager.host(group)
-        return replica if replica is not None and isinstance(replica.machine, ReplicatedCounter) else None
+    def _find_replica(self, group: str) -> Replica | None:
+        replica = self.replica_manager.replica(group)
+        return replica if replica is not None and isinstance(replica.state_machine, ReplicatedCounter) else None
 
     def _group_owner(self, group: str) -> str | None:
-        replica = self.replica_manager.host(group)
-        if replica is None or not isinstance(replica.machine, PendingIncrements):
+        replica = self.replica_manager.replica(group)
+        if replica is None or not isinstance(replica.state_machine, PendingIncrements):
             return None
-        return replica.machine.owner or None
+        return replica.state_machine.owner or None
 
     # Nodes and their addresses
 
-    def _nodes(self) -> Iterable[Place]:
+    def _nodes(self) -> Iterable[ClusterNode]:
         core = self._membership.core
-        return [Place(fact.name, fact.zone, fact.present) for fact in core.table] if core is not None else []
+        return [ClusterNode(fact.name, fact.zone, fact.present) for fact in core.table] if core is not None else []
 
     def _node_address(self, node: str | None, port: int) -> Address | None:
         """Return an address as every gateway knows it: ways to it are each gateway's own."""
@@ -135,17 +135,17 @@
 
     def _gateway_address(self, group: str, replica_id: int | None) -> str | None:
         if replica_id is None:
-            candidates = self.replica_manager.wanted(group)
-            node = next((node for node in candidates if node != self.replica_manager.me), None)
+            candidates = self.replica_manager.desired_nodes(group)
+            node = next((node for node in candidates if node != self.replica_manager.node), None)
         else:
-            replica: Host | None = self.replica_manager.host(group)
-            node = replica.home(replica_id) if replica is not None else None
+            replica: Replica | None = self.replica_manager.replica(group)
+            node = replica.find_node(replica_id) if replica is not None else None
         address = self._node_address(node, self._copies.counter_port)
         return "{}:{}".format(*address) if address is not None else None
 
     def addresses(self, group: str) -> list[Address]:
         """Return where a slot's leader may be: the nodes that should hold it first, then all others."""
-        likely = self.replica_manager.wanted(group)
+        likely = self.replica_manager.desired_nodes(group)
         others = sorted(node.name for node in self._nodes() if node.present and node.name not in likely)
         addresses = [self._node_address(node, self._copies.counter_port) for node in [*likely, *others]]
         return [address for address in addresses if address is not None]
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from martenstep.config import door_pb2 as pb
-from martenstep.config.tls import WARN_DAYS, ClientContext, ServerContext, TlsError
+from martenstep.config.tls import EXPIRY_WARNING_DAYS, ClientContext, ServerContext, TlsError
 from martenstep.counter.client import CounterClient
 from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.shards import ShardedClient
@@ -25,11 +25,11 @@
 from martenstep.hooks.runner import Limits
 from martenstep.policy.messages import CallResult, EndpointListScope
 from martenstep.proxy.admin import Admin, DoorCollector
-from martenstep.proxy.engine_factory import driver_of, engine_of, parts_of
-from martenstep.proxy.engine_messages import Counted, Tried
+from martenstep.proxy.clock import now_ms
+from martenstep.proxy.engine_factory import make_dependencies, make_engine, make_server
+from martenstep.proxy.engine_messages import CounterReplied, RecordUsage
 from martenstep.proxy.event_logger import EventLogger
 from martenstep.proxy.traces import Exporter
-from martenstep.proxy.transport import now_ms
 from martenstep.redis_counter.redis_store import RedisStore
 
 if TYPE_CHECKING:
@@ -74,8 +74,8 @@
                 late=self._backstop.begin,
             )
         self._seed = random.SystemRandom().getrandbits(63) if seed is None else seed
-        self.engine = engine_of(door, self._seed, self.shelf, time.time() * 1000 - now_ms())
-        self.driver = driver_of(door, self.engine, self.event_logger.log)
+        self.engine = make_engine(door, self._seed, self.shelf, time.time() * 1000 - now_ms())
+        self.driver = make_server(door, self.engine, self.event_logger.log)
         self.ready = False
         self._store: RedisStore | None = None
         if door.HasField("store"):
@@ -94,13 +94,13 @@
     async def start(self, sock: socket.socket | None = None, reuse_port: bool = False) -> None:
         """Bind everything; the listener last, or a socket bound already, so that the first request finds the list."""
         await self.load_hooks()
-        self.driver.listen = self._feed.listen
+        self.driver.subscribe_endpoints = self._feed.listen
         if self._store is not None:
             self._store.start()
-            self.driver.add = self._store.add
+            self.driver.add_to_counter = self._store.add
         if self.door.HasField("tracing"):
             self._exporter = Exporter(Path(self.door.tracing.file), self.door.name, lambda: time.time() * 1000, now_ms)
-            self.driver.trace = self._exporter.take
+            self.driver.export_trace = self._exporter.take
         if self.door.HasField("members"):
             self._feed.warm()
             self._feeding = asyncio.create_task(self._feed.run())
@@ -110,8 +110,8 @@
         if self.door.HasField("counter"):
             self._counter = ShardedClient(self._counter_clients())
             self._counter.start()
-            self.driver.add, self.driver.record = self._counter.add, self._tried
-            self.driver.record_ms = self.door.copies.book.wait_ms
+            self.driver.add_to_counter = self._counter.add
+            self.driver.set_usage_recorder(self._tried, self.door.copies.book.wait_ms)
         if self.door.HasField("admin"):
             self.ports["admin"] = await self._admin.start(self.door.admin.host, self.door.admin.port)
         self.ports["listener"] = await self.driver.start(sock, reuse_port)
@@ -139,13 +139,13 @@
     async def _hold_copies(self, fleet: Membership) -> None:
         """Hold what others rely on.  What is wrong with it keeps nobody from serving: the copies elsewhere go on."""
         from martenstep.counter.sharded_counter import ShardedCounter
-        from martenstep.replication.replica_manager import KeeperError
+        from martenstep.replication.replica_manager import ReplicaManagerError
         from martenstep.storage.files import LockedError
 
         self.copies = ShardedCounter(self.door, fleet, self.event_logger.log, self._deliver)
         try:
             self.ports.update(await self.copies.start())
-        except (KeeperError, LockedError, OSError) as error:
+        except (ReplicaManagerError, LockedError, OSError) as error:
             self.event_logger.log("copies not held", {"error": str(error)})
             await self.copies.stop()
         self._admin.copies(self.copies.replica_manager)
@@ -207,13 +207,13 @@
     def reconfigure(self, door: pb.Door) -> None:
         """Take up settings that differ only in what can change in service (config.changes)."""
         self.door = door
-        self.event_logger.bound(door.log)
+        self.event_logger.reconfigure(door.log)
         if self.shelf is not None:
             told = door.hooks
             self.shelf.limit(Limits(told.failure_share, told.mean_steps, told.least_runs))
             self._backstop.most_ms = told.backstop_ms
         self.driver.reconfigure(door.listener, door.upstream)
-        self.engine.reconfigure(parts_of(door, self._seed, self.shelf, time.time() * 1000 - now_ms()))
+        self.engine.reconfigure(make_dependencies(door, self._seed, self.shelf, time.time() * 1000 - now_ms()))
 
     def renew(self) -> None:
         """Take up new hooks and certificates; requests and connections that stand keep theirs."""
@@ -236,7 +236,7 @@
         """Warn of a certificate that ends soon, now and each hour."""
         if self.driver.tls is not None:
             left = self.driver.tls.days_left()
-            if left < WARN_DAYS:
+            if left < EXPIRY_WARNING_DAYS:
                 self.event_logger.log("certificate ends soon", {"days_left": round(left, 1)})
             self.driver.loop.call_later(WARN_S, self._warn)
 
@@ -267,7 +267,7 @@
         return clean
 
     def _counted(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
-        self.driver.act(Counted(call, verdict, total, kept_ms))
+        self.driver.handle(CounterReplied(call, verdict, total, kept_ms))
 
     def _counter_clients(self) -> dict[str, CounterClient]:
         """One client a service, each with a journal of its own."""
@@ -335,7 +335,7 @@
         if self.copies is not None and self.copies.ledger is not None:
             self.copies.ledger.on_acknowledged(request)
 
-    def _tried(self, tried: Tried) -> asyncio.Future[bool] | None:
+    def _tried(self, tried: RecordUsage) -> asyncio.Future[bool] | None:
         assert self._counter is not None
         promised = None
         if self.copies is not None and self.copies.ledger is not None:
@@ -343,21 +343,33 @@
 
             made = self.copies.ledger.replicate(
                 AttemptRecord(
-                    tried.request, time.time() * 1000, tried.units, tried.beyond, tried.customer, tried.plan, tried.cls
+                    tried.correlation_id,
+                    time.time() * 1000,
+                    tried.units,
+                    tried.over_quota,
+                    tried.customer,
+                    tried.plan,
+                    tried.request_class,
                 )
             )
             promised = made if self.door.copies.book.before_answer else None
         if not self._counter.record(
-            time.time() * 1000, tried.units, tried.beyond, tried.request, tried.customer, tried.plan, tried.cls
+            time.time() * 1000,
+            tried.units,
+            tried.over_quota,
+            tried.correlation_id,
+            tried.customer,
+            tried.plan,
+            tried.request_class,
         ):
             self.event_logger.log(
                 "try not recorded",
                 {
-                    "request": tried.request,
+                    "request": tried.correlation_id,
                     "customer": tried.customer,
                     "plan": tried.plan,
                     "units": tried.units,
-                    "beyond": tried.beyond,
+                    "beyond": tried.over_quota,
                 },
             )
         return promised
@@ -365,7 +377,7 @@
     def _listed(self, listed: Listed) -> None:
         if listed.scope is not EndpointListScope.DELTA:
             self.event_logger.log("members", {"scope": listed.scope.value, "servers": len(listed.servers)})
-        self.driver.act(listed)
+        self.driver.handle(listed)
 
     def _odd(self, what: str, text: str) -> None:
         self.event_logger.log(what, {"text": text})
