--- a/martenstep/counter/increment_ledger.py
+++ b/martenstep/counter/increment_ledger.py
@@ -32,7 +32,8 @@
     split_pending,
 )
 from martenstep.event_log import EventLog
-from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica, now_ms
+from martenstep.replication.errors import IndeterminateError, NotLeaderError
+from martenstep.replication.replica import Replica, now_ms
 from martenstep.replication.replica_manager import ReplicaManager
 from martenstep.tasks import Tasks
 
--- a/martenstep/counter/replica_process.py
+++ b/martenstep/counter/replica_process.py
@@ -20,17 +20,19 @@
 from martenstep.lifetime import until_stopped
 from martenstep.membership.codec import Keys
 from martenstep.membership.keys import KeyFileError, read_keys
+from martenstep.replication.errors import ReplicaStorageError
 from martenstep.replication.messages import Configuration
 from martenstep.replication.placement import (
     AddReplica,
     ChangeConfiguration,
+    GroupView,
     TransferLeadership,
     next_step,
     with_learner,
 )
 from martenstep.replication.raft import Role
 from martenstep.replication.replica import Replica
-from martenstep.replication.replica_storage import ReplicaStorage, ReplicaStorageError
+from martenstep.replication.replica_storage import ReplicaStorage
 from martenstep.replication.transport import Transport
 from martenstep.storage.files import Disk
 
@@ -94,7 +96,7 @@
         nodes = [str(replica) for replica in self.replicas]
         homes = tuple((replica, str(replica)) for replica in config.members)
         placed = Configuration(config.voters, config.learners, homes)
-        step = next_step(placed, own_id, nodes, (), nodes, len(nodes), True)
+        step = next_step(placed, GroupView(own_id, nodes, (), nodes, len(nodes)))
         if isinstance(step, AddReplica):
             return with_learner(config, int(step.node), step.node)
         return step.configuration if isinstance(step, ChangeConfiguration) else step
@@ -148,7 +150,7 @@
     group = settings.copies.group
     machine = ReplicatedCounter(build_limits(settings))
     transport = Transport(group, str(storage.replica_id), lambda: keys, replicas.address)
-    replica = Replica(group, storage, replicas.bootstrap_config, machine, transport, log_event, place_of=str)
+    replica = Replica(group, storage, replicas.bootstrap_config, machine, transport, log_event, find_node=str)
     limits = ServiceLimits(
         settings.max_connections, settings.max_waiting, settings.unsent_bytes, settings.idle_ms / 1000
     )
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -35,7 +35,8 @@
 )
 from martenstep.counter.replicated_counter import ReplicatedCounter, encode_entry
 from martenstep.counter.steady_clock import SteadyClock
-from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica
+from martenstep.replication.errors import IndeterminateError, NotLeaderError
+from martenstep.replication.replica import Replica
 
 PendingReply = Reply | asyncio.Future[Reply]
 Request = Hello | Add | Read | RecordAttempt
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -21,7 +21,8 @@
 from martenstep.maintenance.queue import Book as OrderBook
 from martenstep.membership.transport import Membership
 from martenstep.replication.replica import Replica
-from martenstep.replication.replica_manager import BootstrapMember, ClusterNode, ReplicaManager, ReplicationSettings
+from martenstep.replication.replica_manager import ReplicaManager
+from martenstep.replication.settings import BootstrapMember, ClusterNode, ReplicationSettings
 from martenstep.replication.transport import Transport
 
 Address = tuple[str, int]
@@ -66,8 +67,8 @@
             self._build_machine,
             self._nodes,
             log_event,
-            also=is_ledger_group,
-            first=self._group_owner,
+            is_own_group=is_ledger_group,
+            preferred_node=self._group_owner,
         )
         self.ledger = (
             IncrementLedger(door.name, self.replica_manager, deliver, log_event)
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -122,8 +122,8 @@
                 self.places,
                 lambda event, fields: self.notes.append((event, fields)),
                 QUICK,
-                also=is_ledger_group,
-                first=owner,
+                is_own_group=is_ledger_group,
+                preferred_node=owner,
             )
             links = self.links[name] = Transport(
                 "f", name, lambda: KEYS, self.where.get, keeper.receive, keeper.report_unknown_replica
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -32,7 +32,8 @@
 from martenstep.counter.state import CounterLimits
 from martenstep.membership.codec import Keys
 from martenstep.policy.messages import CallResult
-from martenstep.replication.replica import IndeterminateError, NotLeaderError, Replica
+from martenstep.replication.errors import IndeterminateError, NotLeaderError
+from martenstep.replication.replica import Replica
 from martenstep.replication.replica_storage import ReplicaStorage
 from tests.socket_rig import LONG_S, run
 from tests.test_replication_host import KEYS, Group
