--- a/tests/test_counter_service.py
+++ b/tests/test_counter_service.py
@@ -27,7 +27,7 @@
 from martenstep.counter.state import CounterLimits
 from martenstep.policy.messages import CallResult
 from martenstep.storage.files import LockedError
-from tests.socket_rig import run
+from tests.socket_rig import LONG_S, run
 
 EVERY: list[fr.Frame] = [
     fr.Hello("door-0", 7, 2),
@@ -324,6 +324,10 @@
     again.close()
 
 
+KILLS = 6
+ROUNDS_A_KILL = 300  # of each gateway's load: a slow start must not make more work, and 75 at most come before a kill
+
+
 def test_real_kills_under_load_lose_nothing_and_count_nothing_twice(tmp_path: Path) -> None:
     """The process is killed again and again; each add and each try counts once, and the totals are the doors' own."""
 
@@ -341,10 +345,16 @@
         desks = [Desk(port, tmp_path / f"door-{n}", f"door-{n}", timeout_ms=200.0) for n in range(2)]
         sent: dict[int, float] = {}
         stop = asyncio.Event()
+        allowed_rounds = ROUNDS_A_KILL
+        rounds = [0, 0]
 
         async def load(desk: Desk, number: int) -> None:
             tries = 0
             while not stop.is_set():
+                if rounds[number] == allowed_rounds:  # until the next kill
+                    await asyncio.sleep(0.002)
+                    continue
+                rounds[number] += 1
                 for _ in range(5):
                     call = desk.add(tries % 3, 1.0)
                     if call not in desk.answers:
@@ -358,11 +368,13 @@
 
         requests: set[str] = set()
         loads = [asyncio.create_task(load(desk, number)) for number, desk in enumerate(desks)]
-        for _ in range(6):
+        for _ in range(KILLS):
             await asyncio.sleep(0.15)
+            assert max(rounds) < allowed_rounds  # it is killed under load
             process.kill()
             await process.wait()
             process, _ = await started(file)
+            allowed_rounds += ROUNDS_A_KILL
         stop.set()
         await asyncio.gather(*loads)
         for desk in desks:
@@ -379,7 +391,7 @@
         assert sorted(names) == sorted(requests)
         assert verify(tmp_path / "log").records > 0
 
-    run(test())
+    run(test(), LONG_S)
 
 
 def test_the_log_is_read_back_on_the_command_line(tmp_path: Path) -> None:
