--- a/bench/limiters.py
+++ b/bench/limiters.py
@@ -32,7 +32,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.policy import messages as api
 from martenstep.policy.gateway import Gateway
-from martenstep.redis_counter.redis_store import RedisStore
+from martenstep.redis_counter.redis_store import RedisCounter
 from martenstep.standins.base import Trace
 from martenstep.standins.redis.fleet import ALONE, CLUSTER, SENTINEL, Fleet
 
@@ -131,7 +131,7 @@
             node=[pb.Store.Node(port=port) for port in ports],
             port=ports[0],
         )
-        self.store = RedisStore(settings, self._counted, f"door-{number}")
+        self.store = RedisCounter(settings, self._counted, f"door-{number}")
         self._names: dict[int, tuple[int, float]] = {}
         self._waiting: dict[str, asyncio.Future[bool]] = {}
         self._number = number
--- a/bench/store_cost.py
+++ b/bench/store_cost.py
@@ -16,7 +16,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.policy.messages import CallResult
-from martenstep.redis_counter.redis_store import RedisStore
+from martenstep.redis_counter.redis_store import RedisCounter
 from martenstep.standins.base import Trace
 from martenstep.standins.redis.server import RedisServer
 
@@ -40,7 +40,7 @@
     def __init__(self, port: int, gather_ms: float = 0.0, scripts: bool = True, connections: int = 4) -> None:
         self._out: dict[int, asyncio.Future[CallResult]] = {}
         self._numbers = itertools.count(1)
-        self.store = RedisStore(
+        self.store = RedisCounter(
             pb.Store(
                 port=port, timeout_ms=2000, gather_ms=gather_ms, scripts=scripts, connections=connections, waiting=5000
             ),
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -139,14 +139,14 @@
         if redis is not None:
             told = settings.store
             self._core = store.Core(
-                store.Options(
+                store.CoreOptions(
                     told.timeout_ms, told.connections, told.waiting, told.gather_ms, told.prefix, told.scripts
                 ),
                 random.Random(seed),
             )
-            self._lanes: dict[store.Lane, tuple[Pipe, Pipe]] = {}
+            self._lanes: dict[store.ConnectionId, tuple[Pipe, Pipe]] = {}
             self._store_place = Place(STORE_NODE, ZONE_OF_STORE)
-            self._core.topology(sim.now, [STORE_NODE])
+            self._core.set_topology(sim.now, [STORE_NODE])
             self._store_act()
         self._does: dict[type, Callable[[Any], None]] = {
             ev.OpenAttempt: self._open,
@@ -379,20 +379,20 @@
     def _store_act(self) -> None:
         core = self._core
         assert core is not None
-        for action in core.take():
+        for action in core.take_actions():
             match action:
-                case store.Told(call=call, verdict=verdict, total=total, kept_ms=kept):
+                case store.AnswerCall(call=call, result=verdict, total=total, retained_ms=kept):
                     self.act(ev.CounterReplied(call, verdict, total, kept))
-                case store.Write(lane=lane):
-                    self._lanes[lane][0].send(self._at_store, action, size=120 * len(action.ops))
-                case store.Open(lane=lane):
+                case store.WriteOperations(connection=lane):
+                    self._lanes[lane][0].send(self._at_store, action, size=120 * len(action.operations))
+                case store.OpenConnection(connection=lane):
                     pipes = (
                         Pipe(self._net, self.place, self._store_place),
                         Pipe(self._net, self._store_place, self.place),
                     )
                     self._lanes[lane] = pipes
                     pipes[0].send(self._store_knock, lane, pipes, size=60)
-                case store.Close(lane=lane):
+                case store.CloseConnection(connection=lane):
                     found = self._lanes.pop(lane, None)
                     if found is not None:
                         found[1].open = False
@@ -400,51 +400,53 @@
                     pass
         if self._store_timer is not None:
             self._store_timer.cancel()
-        at = core.next_at(self._sim.now)
+        at = core.next_timer_ms(self._sim.now)
         self._store_timer = self._sim.at(at, self._store_wake) if at < float("inf") else None
 
     def _store_wake(self) -> None:
         if self.alive and self._core is not None:
-            self._core.wake(self._sim.now)
+            self._core.on_timer(self._sim.now)
             self._store_act()
 
-    def _store_knock(self, lane: store.Lane, pipes: tuple[Pipe, Pipe]) -> None:
+    def _store_knock(self, lane: store.ConnectionId, pipes: tuple[Pipe, Pipe]) -> None:
         assert self._redis is not None
         pipes[1].send(self._store_stands, lane, pipes, not self._redis.down, size=60)
 
-    def _store_stands(self, lane: store.Lane, pipes: tuple[Pipe, Pipe], taken: bool) -> None:
+    def _store_stands(self, lane: store.ConnectionId, pipes: tuple[Pipe, Pipe], taken: bool) -> None:
         if self._lanes.get(lane) is not pipes or not self.alive or self._core is None:
             return
         if taken:
-            self._core.opened(self._sim.now, lane)
+            self._core.on_opened(self._sim.now, lane)
         else:
             del self._lanes[lane]
-            self._core.refused(self._sim.now, lane, "refused")
+            self._core.on_connect_failed(self._sim.now, lane, "refused")
         self._store_act()
 
-    def _at_store(self, write: store.Write) -> None:
+    def _at_store(self, write: store.WriteOperations) -> None:
         assert self._redis is not None and self._core is not None
-        pipes = self._lanes.get(write.lane)
+        pipes = self._lanes.get(write.connection)
         if self._redis.down:
             return
-        done, answers = self._redis.take(self.name, write, self._core.key)
+        done, answers = self._redis.take(self.name, write, self._core.store_key)
         if answers is not None and pipes is not None:
-            self._sim.at(done, pipes[1].send, self._store_said, write.lane, pipes, answers)
+            self._sim.at(done, pipes[1].send, self._store_said, write.connection, pipes, answers)
         elif pipes is not None and self._redis.cut_share:
-            self._sim.at(done, pipes[1].send, self.store_lost, write.lane, pipes)
+            self._sim.at(done, pipes[1].send, self.store_lost, write.connection, pipes)
 
-    def _store_said(self, lane: store.Lane, pipes: tuple[Pipe, Pipe], answers: list[store.Held | store.Fault]) -> None:
+    def _store_said(
+        self, lane: store.ConnectionId, pipes: tuple[Pipe, Pipe], answers: list[store.StatementReply | store.StoreError]
+    ) -> None:
         if self._lanes.get(lane) is pipes and self.alive and self._core is not None:
             for answer in answers:
-                self._core.replied(self._sim.now, lane, answer)
+                self._core.on_reply(self._sim.now, lane, answer)
             self._store_act()
 
-    def store_lost(self, lane: store.Lane, pipes: tuple[Pipe, Pipe]) -> None:
+    def store_lost(self, lane: store.ConnectionId, pipes: tuple[Pipe, Pipe]) -> None:
         """A connection to the store broke."""
         if self._lanes.get(lane) is pipes and self.alive and self._core is not None:
             del self._lanes[lane]
             pipes[1].open = False
-            self._core.lost(self._sim.now, lane, "broke")
+            self._core.on_connection_lost(self._sim.now, lane, "broke")
             self._store_act()
 
     def store_gone(self) -> None:
--- a/martenstep/lab/emulate/store.py
+++ b/martenstep/lab/emulate/store.py
@@ -6,7 +6,7 @@
 
 from martenstep.lab.emulate.core import Draws, Sim
 from martenstep.redis_counter import script
-from martenstep.redis_counter.core import Fault, Held, Op, Write
+from martenstep.redis_counter.core import Operation, StatementReply, StoreError, WriteOperations
 from martenstep.standins.redis.keyspace import Keyspace, Session
 from martenstep.standins.resp import ErrorReply
 
@@ -28,15 +28,17 @@
         self.calls = 0
         self._copies: list[tuple[float, list[Any]]] = []
 
-    def take(self, door: str, write: Write, key_of: Any) -> tuple[float, list[Held | Fault] | None]:
+    def take(
+        self, door: str, write: WriteOperations, key_of: Any
+    ) -> tuple[float, list[StatementReply | StoreError] | None]:
         """When one write's answers leave, and what they are; None where they never do."""
-        done = self.serve(self._call_ms * len(write.ops))
-        self.calls += len(write.ops)
-        if write.load:
+        done = self.serve(self._call_ms * len(write.operations))
+        self.calls += len(write.operations)
+        if write.load_script:
             self.keys.run(self._session, self._sim.now, [b"SCRIPT", b"LOAD", script.LUA.encode()])
         if self.hangs:
             return done, None
-        answers = [self._run(door, op, write.plain, key_of(op.name)) for op in write.ops]
+        answers = [self._run(door, op, write.plain, key_of(op.key)) for op in write.operations]
         if self.cut_share and self._draws.unit() < self.cut_share:
             return done, None
         return done, answers
@@ -47,16 +49,16 @@
         self._busy_until = begin + cost_ms + self.slow_ms
         return self._busy_until
 
-    def _run(self, door: str, op: Op, plain: bool, key: bytes) -> Held | Fault:
+    def _run(self, door: str, op: Operation, plain: bool, key: bytes) -> StatementReply | StoreError:
         if self.error:
-            return Fault(self.error)
+            return StoreError(self.error)
         if self.full and self.keys.run(self._session, self._sim.now, [b"EXISTS", key]) == 0:
-            return Fault("OOM command not allowed when used memory > 'maxmemory'.")
+            return StoreError("OOM command not allowed when used memory > 'maxmemory'.")
         run = self.keys.run
         if plain:
             total = run(self._session, self._sim.now, [b"HINCRBYFLOAT", key, b"t", b"%.17g" % op.units])
-            run(self._session, self._sim.now, [b"PEXPIRE", key, b"%d" % op.life_ms, b"NX"])
-            return Fault(str(total)) if isinstance(total, ErrorReply) else Held(float(total), -1)  # type: ignore[arg-type]
+            run(self._session, self._sim.now, [b"PEXPIRE", key, b"%d" % op.ttl_ms, b"NX"])
+            return StoreError(str(total)) if isinstance(total, ErrorReply) else StatementReply(float(total), -1)  # type: ignore[arg-type]
         reply = run(
             self._session,
             self._sim.now,
@@ -68,13 +70,13 @@
                 b"%b:1" % door.encode(),
                 b"%d" % op.version,
                 b"%.17g" % op.total,
-                b"%d" % op.life_ms,
+                b"%d" % op.ttl_ms,
             ],
         )
         if isinstance(reply, ErrorReply):
-            return Fault(str(reply))
+            return StoreError(str(reply))
         assert isinstance(reply, list) and isinstance(reply[0], bytes) and isinstance(reply[1], bytes)
-        return Held(float(reply[0]), int(reply[1]))
+        return StatementReply(float(reply[0]), int(reply[1]))
 
     # Troubles -------------------------------------------------------------------------------------------
 
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -30,7 +30,7 @@
 from martenstep.proxy.engine_messages import CounterReplied, RecordUsage
 from martenstep.proxy.event_logger import EventLogger
 from martenstep.proxy.traces import Exporter
-from martenstep.redis_counter.redis_store import RedisStore
+from martenstep.redis_counter.redis_store import RedisCounter
 
 if TYPE_CHECKING:
     from martenstep.counter.pending_increments import AttemptRecord
@@ -77,9 +77,9 @@
         self.engine = make_engine(door, self._seed, self.shelf, time.time() * 1000 - now_ms())
         self.driver = make_server(door, self.engine, self.event_logger.log)
         self.ready = False
-        self._store: RedisStore | None = None
+        self._store: RedisCounter | None = None
         if door.HasField("store"):
-            self._store = RedisStore(door.store, self._counted, door.name, self.event_logger.log)
+            self._store = RedisCounter(door.store, self._counted, door.name, self.event_logger.log)
         self._counter: ShardedClient | None = None
         self._exporter: Exporter | None = None
         self._feed = Feed(door.members, door.name, self._listed, self._odd, now_ms)
--- a/martenstep/redis_counter/core.py
+++ b/martenstep/redis_counter/core.py
@@ -39,24 +39,24 @@
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter.slots import SLOTS, slot_of
 
-BATCH = 64  # statements in one write at most: more would make the last wait for the first
-RESTORE_BATCH = 32  # of those, statements made anew after a loss: calls keep their place
-MOST_TURNS = 5  # a call is redirected or asked to come again so often at most
-BREAK_AFTER = 4  # failures in a row after which a node is left alone
-AGAIN_LEAST_MS, AGAIN_MOST_MS = 20.0, 400.0  # between attempts on a node that fails
-PROBE_MS = 250.0  # a node that was told nothing for so long is asked whether it still has what it had
-LEARN_MS = 50.0  # the topology is asked for no more often
-TRY_AGAIN_MS = 5.0  # a slot that is under way
-REST_MS = 100.0  # a store that turns down what is stated anew is left alone with that for so long
-WITNESS_LIFE_MS = 3_600_000.0  # of a witness; past half of it there is a new one, and the proof begins anew
-WITNESS_DRAWS = 20_000  # names drawn until one stands at the node that it is to prove
-MOST_NAMES = 200_000  # registers at once: past that a new name is turned away, since none may be forgotten
-SWEEP_MS = 1000.0
-DOWN = ("LOADING", "BUSY", "MASTERDOWN", "CLUSTERDOWN", "READONLY", "NOAUTH")  # the node fails, not the call
-NO_SCRIPTS = ("NOPERM", "unknown command")
-
-
-class Lane(NamedTuple):
+MAX_BATCH = 64  # statements in one write at most: more would make the last wait for the first
+MAX_RESTATED = 32  # of those, statements made anew after a loss: calls keep their place
+MAX_ATTEMPTS = 5  # a call is redirected or asked to come again so often at most
+FAILURES_TO_OPEN_CIRCUIT = 4  # failures in a row after which a node is left alone
+MIN_RETRY_MS, MAX_RETRY_MS = 20.0, 400.0  # between attempts on a node that fails
+HEALTH_CHECK_INTERVAL_MS = 250.0  # a node that was told nothing for so long is asked whether it still has what it had
+TOPOLOGY_QUERY_INTERVAL_MS = 50.0  # the topology is asked for no more often
+MOVING_SLOT_RETRY_MS = 5.0  # a slot that is under way
+RESTATE_PAUSE_MS = 100.0  # a store that turns down what is stated anew is left alone with that for so long
+WITNESS_TTL_MS = 3_600_000.0  # of a witness; past half of it there is a new one, and the proof begins anew
+MAX_WITNESS_DRAWS = 20_000  # names drawn until one stands at the node that it is to prove
+MAX_REGISTERS = 200_000  # registers at once: past that a new name is turned away, since none may be forgotten
+SWEEP_INTERVAL_MS = 1000.0
+NODE_ERRORS = ("LOADING", "BUSY", "MASTERDOWN", "CLUSTERDOWN", "READONLY", "NOAUTH")  # the node fails, not the call
+NO_SCRIPT_ERRORS = ("NOPERM", "unknown command")
+
+
+class ConnectionId(NamedTuple):
     """One connection to one node."""
 
     node: str
@@ -70,59 +70,59 @@
 
 
 @dataclass(slots=True, eq=False)
-class Op:
+class Operation:
     """One statement, or one plain add, on its way."""
 
-    name: int
+    key: int
     units: float
     call: int | None
-    until: float
+    deadline_ms: float
     version: int = 0  # 0: not stated yet
     total: float = 0.0
-    known: int = 0  # the version that the store was known to hold when this was written
-    life_ms: int = 0
-    uncertain: bool = False  # it was written once, and no answer came
+    known_version: int = 0  # the version that the store was known to hold when this was written
+    ttl_ms: int = 0
+    indeterminate: bool = False  # it was written once, and no answer came
     asking: bool = False
-    turns: int = 0
-    proof: bool = False  # its total is to come with a proof
+    attempts: int = 0
+    needs_proof: bool = False  # its total is to come with a proof
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenConnection:
     """Connect."""
 
-    lane: Lane
+    connection: ConnectionId
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
+class CloseConnection:
     """Drop the connection; what it may still say is nobody's."""
 
-    lane: Lane
+    connection: ConnectionId
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class WriteOperations:
     """Send these in one write; each is answered in turn."""
 
-    lane: Lane
-    ops: tuple[Op, ...]
-    load: bool  # the script first
+    connection: ConnectionId
+    operations: tuple[Operation, ...]
+    load_script: bool  # the script first
     plain: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class AnswerCall:
     """The answer to a call."""
 
     call: int
-    verdict: CallResult
+    result: CallResult
     total: float
-    kept_ms: float = 0.0  # for so long the node has lost nothing, as far as is proved
+    retained_ms: float = 0.0  # for so long the node has lost nothing, as far as is proved
 
 
 @dataclass(frozen=True, slots=True)
-class Learn:
+class QueryTopology:
     """Ask for the topology."""
 
 
@@ -130,23 +130,23 @@
 class LogEvent:
     """A line for the log."""
 
-    what: str
+    event: str
     fields: dict[str, object]
 
 
-Action = Open | Close | Write | Told | Learn | LogEvent
+Action = OpenConnection | CloseConnection | WriteOperations | AnswerCall | QueryTopology | LogEvent
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class StatementReply:
     """A statement's answer: the name's total, and the version that the register held before; -1 after a plain add."""
 
     total: float
-    found: int
+    previous_version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class StoreError:
     """An error that the store answered with."""
 
     text: str
@@ -161,24 +161,24 @@
 class Register:
     """What this door's life added to one name."""
 
-    until: float  # the name is forgotten then
+    expires_ms: float  # the name is forgotten then
     sum: float = 0.0
     version: int = 0
-    acked: int = 0  # the newest version that the store told of
-    others: float = 0.0  # of the last total, what is not this door's
-    floor: float = 0.0  # the others had used no less, whatever a store that lost contents says
+    acknowledged_version: int = 0  # the newest version that the store told of
+    others_total: float = 0.0  # of the last total, what is not this door's
+    others_floor: float = 0.0  # the others had used no less, whatever a store that lost contents says
     generation: int = 0  # of the node's contents, when it last answered for this name
-    proved: int = 0  # the chain of proofs that its last answer was part of
+    proved_chain: int = 0  # the chain of proofs that its last answer was part of
 
 
 class _Lane:
-    def __init__(self, lane: Lane, node: _Node) -> None:
+    def __init__(self, lane: ConnectionId, node: _Node) -> None:
         self.lane, self.node = lane, node
         self.ready = self.opening = False
-        self.queue: deque[Op] = deque()
+        self.queue: deque[Operation] = deque()
         self.restore: OrderedDict[int, None] = OrderedDict()
-        self.out: deque[Op] = deque()
-        self.again: list[Op] = []  # answered with a reason to send them again, once the rest is answered
+        self.out: deque[Operation] = deque()
+        self.again: list[Operation] = []  # answered with a reason to send them again, once the rest is answered
         self.since = 0.0  # the write that is out
         self.first_end = math.inf  # of the calls in it: when the first one's time ends
         self.first = 0.0  # the queue's first came
@@ -194,11 +194,11 @@
 
 
 class _Node:
-    def __init__(self, name: str, options: Options, rng: random.Random) -> None:
+    def __init__(self, name: str, options: CoreOptions, rng: random.Random) -> None:
         self.name = name
-        self.lanes = [_Lane(Lane(name, index), self) for index in range(options.lanes)]
+        self.lanes = [_Lane(ConnectionId(name, index), self) for index in range(options.connections_per_node)]
         self.failures = 0
-        self.backoff = Backoff(AGAIN_LEAST_MS, AGAIN_MOST_MS, rng)
+        self.backoff = Backoff(MIN_RETRY_MS, MAX_RETRY_MS, rng)
         self.closed_until = -math.inf
         self.plain = not options.scripts  # adds, not statements
         self.generation = 0  # of its contents, no other node's
@@ -211,7 +211,7 @@
 
     @property
     def broken(self) -> bool:
-        return self.failures >= BREAK_AFTER
+        return self.failures >= FAILURES_TO_OPEN_CIRCUIT
 
     @property
     def busy(self) -> bool:
@@ -219,29 +219,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
+class CoreOptions:
     """Figures of the settings."""
 
     timeout_ms: float = 50.0
-    lanes: int = 4  # connections to each node
-    waiting: int = 1000  # calls that one lane holds
+    connections_per_node: int = 4  # connections to each node
+    max_pending: int = 1000  # calls that one lane holds
     gather_ms: float = 0.0  # a call waits so long for others to share its write
-    prefix: str = "mstep:"
+    key_prefix: str = "mstep:"
     scripts: bool = True
-    topology: bool = False  # whether the nodes can change, and are to be asked for
+    dynamic_topology: bool = False  # whether the nodes can change, and are to be asked for
 
 
 class Core:
     """The calls of one door's life to the store."""
 
-    def __init__(self, options: Options, rng: random.Random) -> None:
+    def __init__(self, options: CoreOptions, rng: random.Random) -> None:
         self._options, self._rng = options, rng
         self._nodes: dict[str, _Node] = {}
         self._slots: list[str] = []  # node by slot; one alone where there are no slots
         self._told: list[str] = []  # the same as the topology had it, without what MOVED told since
         self._generation = 0
         self._registers: dict[int, Register] = {}  # the newest name is last
-        self._homeless: deque[Op] = deque()  # until the topology is known
+        self._homeless: deque[Operation] = deque()  # until the topology is known
         self._version = 0
         self._actions: deque[Action] = deque()
         self._learned = self._swept = -math.inf
@@ -249,7 +249,7 @@
 
     # What happens ---------------------------------------------------------------------------------------
 
-    def topology(self, now: float, slots: list[str]) -> None:
+    def set_topology(self, now: float, slots: list[str]) -> None:
         """Node by slot, or one node for all; what stood at nodes that are gone is sent to the new ones."""
         before, self._told, self._slots = self._told, list(slots), list(slots)
         for node_name in dict.fromkeys(slots):
@@ -264,7 +264,7 @@
                     self._lane_of(name, at).restore[name] = None
         for node in gone:
             for lane in node.lanes:
-                self._actions.append(Close(lane.lane))
+                self._actions.append(CloseConnection(lane.lane))
                 self._cut(now, lane)
                 for op in lane.queue:
                     self._queue(now, op)
@@ -277,18 +277,18 @@
     def add(self, now: float, call: int, name: int, units: float, expire_ms: float, proof: bool = False) -> None:
         """One call: told once, within the time-out."""
         if name not in self._registers:
-            if len(self._registers) >= MOST_NAMES:
+            if len(self._registers) >= MAX_REGISTERS:
                 self._tell(call, CallResult.OVERLOADED)
                 return
             self._registers[name] = Register(now + expire_ms)
-        self._queue(now, Op(name, units, call, now + self._options.timeout_ms, proof=proof))
+        self._queue(now, Operation(name, units, call, now + self._options.timeout_ms, needs_proof=proof))
         self._turn(now)
 
-    def opened(self, now: float, at: Lane) -> None:
+    def on_opened(self, now: float, at: ConnectionId) -> None:
         """A connection stands."""
         lane = self._lane(at)
         if lane is None or not lane.opening:
-            self._actions.append(Close(at))
+            self._actions.append(CloseConnection(at))
             return
         lane.opening, lane.ready, lane.load = False, True, True
         lane.rest_until = -math.inf
@@ -296,7 +296,7 @@
         self._witness(now, lane)
         self._turn(now)
 
-    def refused(self, now: float, at: Lane, error: str) -> None:
+    def on_connect_failed(self, now: float, at: ConnectionId, error: str) -> None:
         """A connection was not to be had."""
         lane = self._lane(at)
         if lane is not None and lane.opening:
@@ -307,25 +307,25 @@
                 self._drop(op, CallResult.CONNECT_FAILED)
             self._turn(now)
 
-    def lost(self, now: float, at: Lane, error: str) -> None:
+    def on_connection_lost(self, now: float, at: ConnectionId, error: str) -> None:
         """A connection broke."""
         lane = self._lane(at)
         if lane is not None and lane.ready:
             if lane.out:
                 self._failed(now, lane, error)
             else:  # by itself: every door's at once, so that each looks after what it had at a time of its own
-                lane.rest_until = now + PROBE_MS * self._rng.random()
+                lane.rest_until = now + HEALTH_CHECK_INTERVAL_MS * self._rng.random()
             self._cut(now, lane)
             self._witness(now, lane)
             self._turn(now)
 
-    def replied(self, now: float, at: Lane, result: Held | Fault) -> None:
+    def on_reply(self, now: float, at: ConnectionId, result: StatementReply | StoreError) -> None:
         """The answer to the first that is out."""
         lane = self._lane(at)
         if lane is None or not lane.out:
             return
         op = lane.out.popleft()
-        if isinstance(result, Held):
+        if isinstance(result, StatementReply):
             self._held(now, lane, op, result)
         else:
             self._fault(now, lane, op, result)
@@ -335,7 +335,7 @@
                 self._queue(now, op, first=True)
         self._turn(now)
 
-    def wake(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Time has passed."""
         for node in list(self._nodes.values()):
             for lane in node.lanes:
@@ -345,34 +345,34 @@
                     if lane.ready or node.broken:
                         self._witness(now, lane)
                 node.heard = now
-        while self._homeless and self._homeless[0].until <= now:
+        while self._homeless and self._homeless[0].deadline_ms <= now:
             self._drop(self._homeless.popleft(), CallResult.CONNECT_FAILED)
-        if now - self._swept >= SWEEP_MS:
+        if now - self._swept >= SWEEP_INTERVAL_MS:
             self._swept = now
-            busy = {op.name for lane in self._lanes() for op in (*lane.queue, *lane.out, *lane.again)}
-            for name in [n for n, r in self._registers.items() if r.until <= now and n not in busy]:
+            busy = {op.key for lane in self._lanes() for op in (*lane.queue, *lane.out, *lane.again)}
+            for name in [n for n, r in self._registers.items() if r.expires_ms <= now and n not in busy]:
                 del self._registers[name]
         self._turn(now)
 
-    def take(self) -> Iterator[Action]:
+    def take_actions(self) -> Iterator[Action]:
         """What is to be done, in order."""
         while self._actions:
             yield self._actions.popleft()
 
-    def next_at(self, now: float) -> float:
+    def next_timer_ms(self, now: float) -> float:
         """When `wake` is needed next; infinity for never."""
         at = math.inf
         for lane in self._lanes():
             if lane.out:
                 at = min(at, lane.since + self._options.timeout_ms, lane.first_end)
             if lane.queue:
-                at = min(at, lane.queue[0].until)
+                at = min(at, lane.queue[0].deadline_ms)
             if not lane.busy and (lane.queue or lane.restore):
                 at = min(at, self._may_at(lane))
         for node in self._nodes.values():
             at = min(at, self._probe_at(node))
         if self._homeless:
-            at = min(at, self._homeless[0].until, self._learned + LEARN_MS)
+            at = min(at, self._homeless[0].deadline_ms, self._learned + TOPOLOGY_QUERY_INTERVAL_MS)
         return max(at, now) if at < math.inf else at
 
     @property
@@ -387,7 +387,7 @@
             return math.inf  # its end is an event
         closed = node.closed_until if node.broken or not lane.ready else -math.inf
         calls = lane.first + self._options.gather_ms if lane.queue and lane.ready else -math.inf
-        if len(lane.queue) >= BATCH:
+        if len(lane.queue) >= MAX_BATCH:
             calls = -math.inf
         return max(closed, lane.not_before, calls if lane.queue else lane.rest_until)
 
@@ -397,16 +397,16 @@
             return math.inf
         if any(lane.restore for lane in node.lanes):
             return math.inf  # it is being asked
-        return node.closed_until if node.broken else node.heard + PROBE_MS
+        return node.closed_until if node.broken else node.heard + HEALTH_CHECK_INTERVAL_MS
 
     # Where things go ------------------------------------------------------------------------------------
 
     def _of(self, slots: list[str], name: int) -> str:
-        return slots[slot_of(self.key(name)) if len(slots) == SLOTS else 0]
+        return slots[slot_of(self.store_key(name)) if len(slots) == SLOTS else 0]
 
-    def key(self, name: int) -> bytes:
+    def store_key(self, name: int) -> bytes:
         """The store's key of a name."""
-        return f"{self._options.prefix}{name:x}".encode()
+        return f"{self._options.key_prefix}{name:x}".encode()
 
     def _node_of(self, name: int) -> _Node | None:
         return self._nodes.get(self._of(self._slots, name)) if self._slots else None
@@ -414,7 +414,7 @@
     def _lane_of(self, name: int, node: _Node) -> _Lane:
         return node.lanes[name % len(node.lanes)]
 
-    def _lane(self, at: Lane) -> _Lane | None:
+    def _lane(self, at: ConnectionId) -> _Lane | None:
         node = self._nodes.get(at.node)
         return node.lanes[at.number] if node is not None else None
 
@@ -432,22 +432,22 @@
     def _lanes(self) -> Iterable[_Lane]:
         return (lane for node in self._nodes.values() for lane in node.lanes)
 
-    def _queue(self, now: float, op: Op, first: bool = False) -> None:
-        node = self._node_of(op.name)
+    def _queue(self, now: float, op: Operation, first: bool = False) -> None:
+        node = self._node_of(op.key)
         if node is None:
-            if len(self._homeless) >= self._options.waiting:
+            if len(self._homeless) >= self._options.max_pending:
                 self._drop(op, CallResult.OVERLOADED)
                 return
             self._homeless.append(op)
             self._learn(now)
             return
-        lane = self._lane_of(op.name, node)
+        lane = self._lane_of(op.key, node)
         if node.broken and op.call is not None and (node.closed_until > now or node.busy or self._newest(now, lane)):
             # Its one trial is a statement of what it had, where there is any: no request waits for it.
             self._drop(op, CallResult.CONNECT_FAILED)
         elif first:
             self._insert(lane, op)
-        elif len(lane.queue) + len(lane.out) >= self._options.waiting:
+        elif len(lane.queue) + len(lane.out) >= self._options.max_pending:
             self._drop(op, CallResult.OVERLOADED)
         else:
             if not lane.queue:
@@ -455,36 +455,40 @@
             self._insert(lane, op)
 
     @staticmethod
-    def _insert(lane: _Lane, op: Op) -> None:
+    def _insert(lane: _Lane, op: Operation) -> None:
         """Keep the queue in the order in which the calls' times end; of equals, one that was sent before is first."""
         queue = lane.queue
-        if not queue or op.until > queue[-1].until or (op.until == queue[-1].until and not op.turns + op.uncertain):
+        if (
+            not queue
+            or op.deadline_ms > queue[-1].deadline_ms
+            or (op.deadline_ms == queue[-1].deadline_ms and not op.attempts + op.indeterminate)
+        ):
             queue.append(op)
-        elif op.until <= queue[0].until:
+        elif op.deadline_ms <= queue[0].deadline_ms:
             queue.appendleft(op)
         else:
-            queue.insert(bisect_left(queue, op.until, key=lambda other: other.until), op)
+            queue.insert(bisect_left(queue, op.deadline_ms, key=lambda other: other.deadline_ms), op)
 
     def _newest(self, now: float, lane: _Lane) -> int | None:
         """The name of a lane that was answered last: a store that kept this one kept all that came before it."""
         name = lane.newest
         register = self._registers.get(name) if name is not None else None
-        if name is None or register is None or register.until <= now or self._node_of(name) is not lane.node:
+        if name is None or register is None or register.expires_ms <= now or self._node_of(name) is not lane.node:
             name = lane.newest = None
         return next(iter(lane.restore), None) if name is None else name
 
-    def _proof(self, now: float, node: _Node) -> Op | None:
+    def _proof(self, now: float, node: _Node) -> Operation | None:
         """A statement of the node's witness; None where no name for one stands there."""
         held = self._registers.get(node.witness)
-        if held is None or held.until - now < WITNESS_LIFE_MS / 2 or self._node_of(node.witness) is not node:
-            drawn = (self._rng.getrandbits(62) for _ in range(WITNESS_DRAWS))
+        if held is None or held.expires_ms - now < WITNESS_TTL_MS / 2 or self._node_of(node.witness) is not node:
+            drawn = (self._rng.getrandbits(62) for _ in range(MAX_WITNESS_DRAWS))
             name = next((name for name in drawn if self._node_of(name) is node), None)
             if name is None:
                 return None
-            self._registers[name] = Register(now + WITNESS_LIFE_MS)
+            self._registers[name] = Register(now + WITNESS_TTL_MS)
             node.witness, node.chain = name, node.chain + 1
         self.counts["witnesses"] += 1
-        return Op(node.witness, 0.0, None, math.inf)
+        return Operation(node.witness, 0.0, None, math.inf)
 
     def _witness(self, now: float, lane: _Lane) -> None:
         """Ask whether what was there last is there still."""
@@ -504,99 +508,99 @@
                 self._write(now, lane)
             else:
                 lane.opening = True
-                self._actions.append(Open(lane.lane))
+                self._actions.append(OpenConnection(lane.lane))
 
     def _write(self, now: float, lane: _Lane) -> None:
         plain = lane.node.plain
-        batch: list[Op] = []
-        while lane.queue and len(batch) < BATCH:
+        batch: list[Operation] = []
+        while lane.queue and len(batch) < MAX_BATCH:
             op = lane.queue.popleft()
-            if op.until <= now:
+            if op.deadline_ms <= now:
                 self._drop(op, CallResult.OVERLOADED)
                 continue
             batch.append(op)
         lane.first = now
         lane.witnessed = False
-        if not plain and any(op.proof and self._unproved(lane.node, op.name) for op in batch):
+        if not plain and any(op.needs_proof and self._unproved(lane.node, op.key) for op in batch):
             witness = self._proof(now, lane.node)
             batch[:0] = [witness] if witness is not None else []
-        stated = {op.name for op in batch}
-        for _ in range(min(len(lane.restore), RESTORE_BATCH) if lane.rest_until <= now else 0):
+        stated = {op.key for op in batch}
+        for _ in range(min(len(lane.restore), MAX_RESTATED) if lane.rest_until <= now else 0):
             name, _ = lane.restore.popitem(last=False)
             register = self._registers.get(name)
-            if plain or register is None or register.until <= now or name in stated:
+            if plain or register is None or register.expires_ms <= now or name in stated:
                 continue
-            batch.append(Op(name, 0.0, None, math.inf))
+            batch.append(Operation(name, 0.0, None, math.inf))
             self.counts["stated again"] += 1
         if not batch:
             return
         for op in batch:
-            register = self._registers.setdefault(op.name, Register(now + SWEEP_MS))
+            register = self._registers.setdefault(op.key, Register(now + SWEEP_INTERVAL_MS))
             if not plain and not op.version:
                 if op.units or not register.version:  # who has only read has a register too: it proves a loss
                     self._version += 1
                     register.sum, register.version = register.sum + op.units, self._version
                 op.version, op.total = register.version, register.sum
-            op.known, op.life_ms = register.acked, max(round(register.until - now), 1)
+            op.known_version, op.ttl_ms = register.acknowledged_version, max(round(register.expires_ms - now), 1)
         lane.out.extend(batch)
         lane.since = now
-        lane.first_end = min(op.until for op in batch)
+        lane.first_end = min(op.deadline_ms for op in batch)
         self.counts["writes"] += 1
         self.counts["statements"] += len(batch)
-        self._actions.append(Write(lane.lane, tuple(batch), lane.load and not plain, plain))
+        self._actions.append(WriteOperations(lane.lane, tuple(batch), lane.load and not plain, plain))
         lane.load = False
 
     def _unproved(self, node: _Node, name: int) -> bool:
         register = self._registers.get(name)
-        return register is None or register.proved != node.chain
+        return register is None or register.proved_chain != node.chain
 
     # What comes back ------------------------------------------------------------------------------------
 
-    def _held(self, now: float, lane: _Lane, op: Op, held: Held) -> None:
+    def _held(self, now: float, lane: _Lane, op: Operation, held: StatementReply) -> None:
         node = lane.node
         node.heard = now
         if node.failures:
             node.failures, node.closed_until = 0, -math.inf
             node.backoff.succeeded()
-        register = self._registers.get(op.name)
-        if held.found < 0 or register is None:
+        register = self._registers.get(op.key)
+        if held.previous_version < 0 or register is None:
             self._tell(op.call, CallResult.OK, held.total)
             return
-        if held.found < op.known:
+        if held.previous_version < op.known_version:
             self._lost_contents(node, op, register.generation == node.generation)
-        if op.name == node.witness:
+        if op.key == node.witness:
             lane.witnessed = True
             if node.proved != node.chain:
                 node.proved, node.kept_since = node.chain, now
         if lane.witnessed and node.proved == node.chain:
-            register.proved = node.chain
+            register.proved_chain = node.chain
         if register.generation != node.generation:
-            register.floor = max(register.floor, register.others)
+            register.others_floor = max(register.others_floor, register.others_total)
             register.generation = node.generation
         told = held.total
-        if held.found <= op.version:
+        if held.previous_version <= op.version:
             others = held.total - op.total
-            told = op.total + max(others, register.floor)
-            if others >= register.floor:
-                register.floor, register.others = 0.0, others
-        register.acked = max(register.acked, op.version, held.found)
-        lane.newest = op.name
-        if register.version > register.acked and not self._coming(lane, op.name):
-            lane.restore[op.name] = None  # a statement of it went missing
-        kept = now - node.kept_since if register.proved == node.chain == node.proved else 0.0
+            told = op.total + max(others, register.others_floor)
+            if others >= register.others_floor:
+                register.others_floor, register.others_total = 0.0, others
+        register.acknowledged_version = max(register.acknowledged_version, op.version, held.previous_version)
+        lane.newest = op.key
+        if register.version > register.acknowledged_version and not self._coming(lane, op.key):
+            lane.restore[op.key] = None  # a statement of it went missing
+        kept = now - node.kept_since if register.proved_chain == node.chain == node.proved else 0.0
         self._tell(op.call, CallResult.OK, told, max(kept, 0.0))
 
     @staticmethod
     def _coming(lane: _Lane, name: int) -> bool:
-        return any(other.name == name and other.version for other in (*lane.out, *lane.again, *lane.queue))
+        return any(other.key == name and other.version for other in (*lane.out, *lane.again, *lane.queue))
 
-    def _lost_contents(self, node: _Node, op: Op, anew: bool) -> None:
+    def _lost_contents(self, node: _Node, op: Operation, anew: bool) -> None:
         """The store does not hold what it held: state all that this door has there, once."""
         if anew:  # else it is the loss that is known
             self._anew(node)
             node.chain += 1
             for name in reversed(self._registers):  # the newest names matter most
-                if name != op.name and self._registers[name].version and self._node_of(name) is node:
+                if name != op.key and self._registers[name].version and self._node_of(name) is node:
                     self._lane_of(name, node).restore[name] = None
         if node.noted != node.generation:
             node.noted = node.generation
@@ -604,21 +608,21 @@
             names = sum(len(lane.restore) for lane in node.lanes) + 1
             self._actions.append(LogEvent("store lost contents", {"node": node.name, "names": names}))
 
-    def _fault(self, now: float, lane: _Lane, op: Op, fault: Fault) -> None:
+    def _fault(self, now: float, lane: _Lane, op: Operation, fault: StoreError) -> None:
         """The store did not do it; whether it may have done so before is known from `uncertain`."""
         node, code = lane.node, fault.code
         self.counts[f"fault {code}"] += 1
-        op.turns += 1
-        if code in DOWN:
+        op.attempts += 1
+        if code in NODE_ERRORS:
             self._failed(now, lane, code)
         else:
             node.heard = now
-        if op.call is not None and op.version and op.units and not op.uncertain:
+        if op.call is not None and op.version and op.units and not op.indeterminate:
             self._take_back(lane, op)
-        turn = op.turns <= MOST_TURNS and op.until > now
+        turn = op.attempts <= MAX_ATTEMPTS and op.deadline_ms > now
         if code == "NOSCRIPT":
             lane.load = True
-        elif self._options.scripts and any(word in fault.text for word in NO_SCRIPTS):
+        elif self._options.scripts and any(word in fault.text for word in NO_SCRIPT_ERRORS):
             if not node.plain:
                 node.plain = True
                 self._actions.append(LogEvent("store without scripts", {"node": node.name, "error": fault.text}))
@@ -630,44 +634,44 @@
             self._slots[slot], there.chain = there.name, there.chain + 1
             self._learn(now)
         elif code == "TRYAGAIN":
-            lane.not_before = now + TRY_AGAIN_MS
-        elif code in ("READONLY", "CLUSTERDOWN") and self._options.topology:
+            lane.not_before = now + MOVING_SLOT_RETRY_MS
+        elif code in ("READONLY", "CLUSTERDOWN") and self._options.dynamic_topology:
             self._learn(now)
-            lane.not_before = now + TRY_AGAIN_MS
+            lane.not_before = now + MOVING_SLOT_RETRY_MS
         else:
             turn = False
         if turn and (op.call is not None or op.version):
             lane.again.append(op)
         elif op.call is not None:
             self._drop(op, CallResult.OVERLOADED)
-        register = self._registers.get(op.name)
-        if not turn and register is not None and register.version > register.acked:
-            lane.rest_until = max(lane.rest_until, now + REST_MS)
-            self._restate(op.name)
+        register = self._registers.get(op.key)
+        if not turn and register is not None and register.version > register.acknowledged_version:
+            lane.rest_until = max(lane.rest_until, now + RESTATE_PAUSE_MS)
+            self._restate(op.key)
 
-    def _take_back(self, lane: _Lane, op: Op) -> None:
+    def _take_back(self, lane: _Lane, op: Operation) -> None:
         """A statement was turned down, so its units were not added: later ones leave them out."""
-        register = self._registers[op.name]
+        register = self._registers[op.key]
         self._version += 1
         register.sum, register.version, op.version = register.sum - op.units, self._version, 0
-        if self._coming(lane, op.name):
-            self._restate(op.name)  # what is behind it was stated with these units
+        if self._coming(lane, op.key):
+            self._restate(op.key)  # what is behind it was stated with these units
 
-    def _slot_told(self, fault: Fault) -> int | None:
+    def _slot_told(self, fault: StoreError) -> int | None:
         """The slot of a redirection; None where it is none that can be followed."""
         words = fault.text.split()
         good = len(words) == 3 and words[1].isdigit() and int(words[1]) < len(self._slots) == SLOTS
         return int(words[1]) if good else None
 
-    def _elsewhere(self, now: float, op: Op, fault: Fault) -> None:
+    def _elsewhere(self, now: float, op: Operation, fault: StoreError) -> None:
         """Another node has the name for this one time."""
         op.asking = True
         if op.call is None:
-            op.until = now + self._options.timeout_ms
+            op.deadline_ms = now + self._options.timeout_ms
         self.counts["asked elsewhere"] += 1
         there = self._node(fault.text.split()[2])
         there.chain += 1
-        self._insert(self._lane_of(op.name, there), op)
+        self._insert(self._lane_of(op.key, there), op)
 
     def _failed(self, now: float, lane: _Lane, error: str) -> None:
         node = lane.node
@@ -679,23 +683,23 @@
                 self.counts["breaks"] += 1
                 self._actions.append(LogEvent("store node left alone", {"node": node.name, "error": error}))
         else:
-            node.closed_until = now + AGAIN_LEAST_MS * self._rng.uniform(0.0, 1.0)
-        if self._options.topology:
+            node.closed_until = now + MIN_RETRY_MS * self._rng.uniform(0.0, 1.0)
+        if self._options.dynamic_topology:
             self._learn(now)
 
     def _cut(self, now: float, lane: _Lane) -> None:
         """A connection is gone, and what was out with it is uncertain."""
         lane.ready = lane.opening = False
         for op in lane.out:
-            op.uncertain = True
+            op.indeterminate = True
         out = [*lane.again, *lane.out]
         lane.again.clear()
         lane.out.clear()
         for op in reversed(out):
             op.asking = False
-            if not op.uncertain:
+            if not op.indeterminate:
                 self._insert(lane, op)
-            elif lane.node.plain or op.until <= now or op.call is None:
+            elif lane.node.plain or op.deadline_ms <= now or op.call is None:
                 self._drop(op, CallResult.TIMEOUT)
             else:
                 self.counts["sent again"] += 1
@@ -703,27 +707,29 @@
 
     def _expire(self, now: float, lane: _Lane) -> None:
         for op in lane.out:
-            if op.until <= now and op.call is not None:
+            if op.deadline_ms <= now and op.call is not None:
                 self._tell(op.call, CallResult.TIMEOUT)
                 op.call = None
-        for op in [op for op in lane.again if op.until <= now]:
+        for op in [op for op in lane.again if op.deadline_ms <= now]:
             lane.again.remove(op)
             self._drop(op, CallResult.OVERLOADED)
-        lane.first_end = min((op.until for op in (*lane.out, *lane.again) if op.call is not None), default=math.inf)
-        while lane.queue and lane.queue[0].until <= now:
+        lane.first_end = min(
+            (op.deadline_ms for op in (*lane.out, *lane.again) if op.call is not None), default=math.inf
+        )
+        while lane.queue and lane.queue[0].deadline_ms <= now:
             op = lane.queue.popleft()
             self._drop(op, CallResult.OVERLOADED)
         if lane.out and now - lane.since >= self._options.timeout_ms:
-            self._actions.append(Close(lane.lane))
+            self._actions.append(CloseConnection(lane.lane))
             self._failed(now, lane, "no answer in time")
             self._cut(now, lane)
 
-    def _drop(self, op: Op, verdict: CallResult) -> None:
+    def _drop(self, op: Operation, verdict: CallResult) -> None:
         """An operation ends without an answer; one that was written once may have been done, and is stated again."""
-        self._tell(op.call, CallResult.TIMEOUT if op.uncertain else verdict)
+        self._tell(op.call, CallResult.TIMEOUT if op.indeterminate else verdict)
         op.call = None
-        if op.uncertain:
-            self._restate(op.name)
+        if op.indeterminate:
+            self._restate(op.key)
 
     def _restate(self, name: int) -> None:
         node = self._node_of(name)
@@ -733,9 +739,9 @@
     def _tell(self, call: int | None, verdict: CallResult, total: float = 0.0, kept_ms: float = 0.0) -> None:
         if call is not None:
             self.counts[METRIC_NAMES[verdict]] += 1
-            self._actions.append(Told(call, verdict, total, kept_ms))
+            self._actions.append(AnswerCall(call, verdict, total, kept_ms))
 
     def _learn(self, now: float) -> None:
-        if self._options.topology and now - self._learned >= LEARN_MS:
+        if self._options.dynamic_topology and now - self._learned >= TOPOLOGY_QUERY_INTERVAL_MS:
             self._learned = now
-            self._actions.append(Learn())
+            self._actions.append(QueryTopology())
--- a/martenstep/redis_counter/redis_store.py
+++ b/martenstep/redis_counter/redis_store.py
@@ -21,24 +21,24 @@
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter import script
 from martenstep.redis_counter.core import (
-    Close,
+    AnswerCall,
+    CloseConnection,
+    ConnectionId,
     Core,
-    Fault,
-    Held,
-    Lane,
-    Learn,
+    CoreOptions,
     LogEvent,
-    Op,
-    Open,
-    Options,
-    Told,
-    Write,
+    OpenConnection,
+    Operation,
+    QueryTopology,
+    StatementReply,
+    StoreError,
+    WriteOperations,
 )
-from martenstep.redis_counter.topology import ERRORS, Nodes, TopologyError, close
+from martenstep.redis_counter.topology import CONNECTION_ERRORS, NodeDirectory, TopologyError, close
 
-CONNECT_TIMES = 5.0  # a connection may take so many time-outs of a call
-LEARN_AGAIN_MS = 50.0  # after nobody told who the nodes are
-FLUSH_MS = 500.0  # at a stop: what is not settled by then is left
+CONNECT_TIMEOUTS = 5.0  # a connection may take so many time-outs of a call
+TOPOLOGY_RETRY_INTERVAL_MS = 50.0  # after nobody told who the nodes are
+FLUSH_TIMEOUT_MS = 500.0  # at a stop: what is not settled by then is left
 
 Answer = Callable[[int, CallResult, float, float], None]  # call, verdict, total, ms for which nothing was lost
 Tell = Callable[[str, dict[str, object]], None]
@@ -49,10 +49,10 @@
     return time.monotonic() * 1000.0
 
 
-def fault_of(error: Exception) -> Fault:
+def build_store_error(error: Exception) -> StoreError:
     """What the store said, its code first, which the library takes off."""
     code = getattr(error, "status_code", None)
-    return Fault(f"{code} {error}" if code and not str(error).startswith(code) else str(error))
+    return StoreError(f"{code} {error}" if code and not str(error).startswith(code) else str(error))
 
 
 class _Link:
@@ -60,33 +60,33 @@
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
-        self.writes: asyncio.Queue[Write] = asyncio.Queue()
+        self.writes: asyncio.Queue[WriteOperations] = asyncio.Queue()
         self.task: asyncio.Task[None] | None = None
 
 
-class RedisStore:
+class RedisCounter:
     """The calls of one door to its shared store."""
 
     def __init__(self, store: pb.Store, answer: Answer, door: str = "door", log_event: Tell | None = None) -> None:
         self._store, self._answer = store, answer
         self._log_event: EventLog = log_event or (lambda what, fields: None)
-        self._nodes = Nodes(store)
+        self._nodes = NodeDirectory(store)
         # Another life's register is never gone on with: its sums are not known any more.
         self._door = f"{door}:{time.time_ns():x}{random.SystemRandom().getrandbits(16):04x}"
         many = store.topology != pb.Store.ALONE
         self.core = Core(
-            Options(
+            CoreOptions(
                 timeout_ms=store.timeout_ms,
-                lanes=store.connections,
-                waiting=store.waiting,
+                connections_per_node=store.connections,
+                max_pending=store.waiting,
                 gather_ms=store.gather_ms,
-                prefix=store.prefix,
+                key_prefix=store.prefix,
                 scripts=store.scripts,
-                topology=many,
+                dynamic_topology=many,
             ),
             random.Random(),
         )
-        self._links: dict[Lane, _Link] = {}
+        self._links: dict[ConnectionId, _Link] = {}
         self._known: list[str] = []
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = math.inf
@@ -97,11 +97,11 @@
     def start(self) -> None:
         """Connections are made when they are first needed."""
         if self._store.topology == pb.Store.ALONE:
-            self.core.topology(now_ms(), [f"{self._store.host}:{self._store.port}"])
+            self.core.set_topology(now_ms(), [f"{self._store.host}:{self._store.port}"])
         else:
             self._learn()
         if self._store.topology == pb.Store.SENTINEL:
-            self._hearing = asyncio.create_task(self._nodes.heard(self._learn))
+            self._hearing = asyncio.create_task(self._nodes.watch(self._learn))
 
     def add(self, number: int, name: int, units: float, expire_ms: float, proof: bool = False) -> None:
         """Ask for one add; `answer` is called once for it, within the time-out."""
@@ -110,7 +110,7 @@
 
     async def stop(self) -> None:
         """Bring the store what it has not got yet, within a bound, and leave."""
-        until = now_ms() + FLUSH_MS
+        until = now_ms() + FLUSH_TIMEOUT_MS
         while not self.core.settled and now_ms() < until:
             await asyncio.sleep(0.002)
         self._stopped = True
@@ -129,28 +129,28 @@
     # What the core wants ----------------------------------------------------------------------------------
 
     def _act(self) -> None:
-        for action in self.core.take():
+        for action in self.core.take_actions():
             match action:
-                case Told():
-                    self._answer(action.call, action.verdict, action.total, action.kept_ms)
-                case Write():
-                    self._links[action.lane].writes.put_nowait(action)
-                case Open():
-                    link = self._links[action.lane] = _Link(self._nodes.connection(action.lane.node))
-                    link.task = asyncio.create_task(self._serve(action.lane, link))
-                case Close():
-                    gone = self._links.pop(action.lane, None)
+                case AnswerCall():
+                    self._answer(action.call, action.result, action.total, action.retained_ms)
+                case WriteOperations():
+                    self._links[action.connection].writes.put_nowait(action)
+                case OpenConnection():
+                    link = self._links[action.connection] = _Link(self._nodes.connection(action.connection.node))
+                    link.task = asyncio.create_task(self._serve(action.connection, link))
+                case CloseConnection():
+                    gone = self._links.pop(action.connection, None)
                     if gone is not None and gone.task is not None and gone.task is not asyncio.current_task():
                         gone.task.cancel()
-                case Learn():
+                case QueryTopology():
                     self._learn()
                 case LogEvent():
-                    self._log_event(action.what, action.fields)
+                    self._log_event(action.event, action.fields)
         self._set_timer()
 
     def _set_timer(self) -> None:
         now = now_ms()
-        at = self.core.next_at(now)
+        at = self.core.next_timer_ms(now)
         if self._timer is not None:
             if self._timer_at <= at:
                 return  # a wake that comes early does no harm, and each answer would make a timer anew
@@ -162,7 +162,7 @@
 
     def _wake(self) -> None:
         self._timer = None
-        self.core.wake(now_ms())
+        self.core.on_timer(now_ms())
         self._act()
 
     def _learn(self) -> None:
@@ -172,89 +172,89 @@
     async def _learned(self) -> None:
         while True:
             try:
-                slots = await self._nodes.ask(self._known)
+                slots = await self._nodes.query(self._known)
             except TopologyError as error:
                 self._log_event("store nodes unknown", {"error": str(error)})
-                await asyncio.sleep(LEARN_AGAIN_MS / 1000)
+                await asyncio.sleep(TOPOLOGY_RETRY_INTERVAL_MS / 1000)
                 continue
             break
         self._known = list(dict.fromkeys(slots))
-        self.core.topology(now_ms(), slots)
+        self.core.set_topology(now_ms(), slots)
         self._act()
 
     # One connection -----------------------------------------------------------------------------------------
 
-    async def _serve(self, lane: Lane, link: _Link) -> None:
+    async def _serve(self, lane: ConnectionId, link: _Link) -> None:
         """Open it, and send and read until it ends or is given up."""
         connection = link.connection
         try:
             try:
-                async with asyncio.timeout(self._store.timeout_ms * CONNECT_TIMES / 1000):
+                async with asyncio.timeout(self._store.timeout_ms * CONNECT_TIMEOUTS / 1000):
                     await connection.connect()  # type: ignore[no-untyped-call]
-            except ERRORS as error:
+            except CONNECTION_ERRORS as error:
                 if self._links.get(lane) is link:
                     del self._links[lane]
-                    self.core.refused(now_ms(), lane, f"{type(error).__name__}: {error}")
+                    self.core.on_connect_failed(now_ms(), lane, f"{type(error).__name__}: {error}")
                     self._act()
                 return
-            self.core.opened(now_ms(), lane)
+            self.core.on_opened(now_ms(), lane)
             self._act()
             try:
                 while self._links.get(lane) is link:
                     await self._exchange(lane, link, await link.writes.get())
-            except ERRORS as error:
+            except CONNECTION_ERRORS as error:
                 if self._links.get(lane) is link:
                     del self._links[lane]
-                    self.core.lost(now_ms(), lane, f"{type(error).__name__}: {error}")
+                    self.core.on_connection_lost(now_ms(), lane, f"{type(error).__name__}: {error}")
                     self._act()
         finally:
             await close(connection)
 
-    async def _exchange(self, lane: Lane, link: _Link, write: Write) -> None:
+    async def _exchange(self, lane: ConnectionId, link: _Link, write: WriteOperations) -> None:
         connection = link.connection
-        commands: list[tuple[Any, ...]] = [("SCRIPT", "LOAD", script.LUA)] if write.load else []
-        for op in write.ops:
+        commands: list[tuple[Any, ...]] = [("SCRIPT", "LOAD", script.LUA)] if write.load_script else []
+        for op in write.operations:
             commands += self._commands(op, write.plain)
         await connection.send_packed_command(connection.pack_commands(commands), check_health=False)
-        if write.load:
+        if write.load_script:
             await self._reply(connection)  # a store that turns it down says so again at the first statement
-        for op in write.ops:
+        for op in write.operations:
             result = await self._result(connection, op, write.plain)
             if self._links.get(lane) is not link:
                 return
-            self.core.replied(now_ms(), lane, result)
+            self.core.on_reply(now_ms(), lane, result)
             self._act()
 
-    def _commands(self, op: Op, plain: bool) -> list[tuple[Any, ...]]:
-        key = self.core.key(op.name)
+    def _commands(self, op: Operation, plain: bool) -> list[tuple[Any, ...]]:
+        key = self.core.store_key(op.key)
         first: list[tuple[Any, ...]] = [("ASKING",)] if op.asking else []
         if plain:
             return [
                 *first,
                 ("MULTI",),
                 ("HINCRBYFLOAT", key, script.TOTAL, f"{op.units:.9g}"),
-                ("PEXPIRE", key, str(op.life_ms), "NX"),
+                ("PEXPIRE", key, str(op.ttl_ms), "NX"),
                 ("EXEC",),
             ]
         return [
             *first,
-            ("EVALSHA", script.DIGEST, "1", key, self._door, str(op.version), f"{op.total:.17g}", str(op.life_ms)),
+            ("EVALSHA", script.DIGEST, "1", key, self._door, str(op.version), f"{op.total:.17g}", str(op.ttl_ms)),
         ]
 
-    async def _result(self, connection: Connection, op: Op, plain: bool) -> Held | Fault:
+    async def _result(self, connection: Connection, op: Operation, plain: bool) -> StatementReply | StoreError:
         if op.asking:
             await self._reply(connection)
         if not plain:
             reply = await self._reply(connection)
-            return reply if isinstance(reply, Fault) else Held(float(reply[0]), int(reply[1]))
+            return reply if isinstance(reply, StoreError) else StatementReply(float(reply[0]), int(reply[1]))
         queued = [await self._reply(connection) for _ in range(3)]
         done = await self._reply(connection)
-        fault = next((reply for reply in (*queued, done) if isinstance(reply, Fault)), None)
+        fault = next((reply for reply in (*queued, done) if isinstance(reply, StoreError)), None)
         if fault is not None:
             return fault
         if isinstance(done[0], Exception):
-            return fault_of(done[0])
-        return Held(float(done[0]), -1)
+            return build_store_error(done[0])
+        return StatementReply(float(done[0]), -1)
 
     @staticmethod
     async def _reply(connection: Connection) -> Any:
@@ -262,4 +262,4 @@
         try:
             return await connection.read_response()
         except ResponseError as error:
-            return fault_of(error)
+            return build_store_error(error)
--- a/martenstep/redis_counter/script.py
+++ b/martenstep/redis_counter/script.py
@@ -31,7 +31,9 @@
 DIGEST = hashlib.sha1(LUA.encode()).hexdigest()
 
 
-def state(fields: MutableMapping[bytes, bytes], door: bytes, version: int, total: float) -> tuple[float, int, bool]:
+def apply_statement(
+    fields: MutableMapping[bytes, bytes], door: bytes, version: int, total: float
+) -> tuple[float, int, bool]:
     """The same in Python: gives the name's total, the version held before, and whether anything changed.
 
     Raises ValueError on a field that holds no number, as Redis does.
--- a/martenstep/redis_counter/topology.py
+++ b/martenstep/redis_counter/topology.py
@@ -17,27 +17,27 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.redis_counter.slots import SLOTS
 
-ASK_MS = 500.0  # a node is asked who the nodes are for so long, then the next
+QUERY_TIMEOUT_MS = 500.0  # a node is asked who the nodes are for so long, then the next
 AGAIN_LEAST_MS, AGAIN_MOST_MS = 50.0, 1000.0  # between attempts to hear of a new primary
-ERRORS = (RedisError, OSError, TimeoutError)
+CONNECTION_ERRORS = (RedisError, OSError, TimeoutError)
 
 
 class TopologyError(Exception):
     """Nobody told who the nodes are."""
 
 
-def first_line(file: str) -> str | None:
+def read_first_line(file: str) -> str | None:
     """A password from its file; None where no file is named."""
     return Path(file).read_text(encoding="utf-8").split("\n", 1)[0].strip() if file else None
 
 
-class Nodes:
+class NodeDirectory:
     """Makes connections, and finds out who the nodes are."""
 
     def __init__(self, store: pb.Store) -> None:
         self._store = store
-        self._password = first_line(store.password_file)
-        self._sentinel_password = first_line(store.sentinel_password_file)
+        self._password = read_first_line(store.password_file)
+        self._sentinel_password = read_first_line(store.sentinel_password_file)
         self._seeds = [f"{node.host}:{node.port}" for node in store.node]
 
     def connection(self, node: str, sentinel: bool = False) -> Connection:
@@ -64,7 +64,7 @@
             ssl_ca_certs=tls.ca or None, ssl_certfile=tls.certificate or None, ssl_keyfile=tls.key or None, **words
         )
 
-    async def ask(self, known: list[str]) -> list[str]:
+    async def query(self, known: list[str]) -> list[str]:
         """Node by slot, or one node for all; raises TopologyError."""
         if self._store.topology == pb.Store.ALONE:
             return [f"{self._store.host}:{self._store.port}"]
@@ -73,9 +73,9 @@
         for node in dict.fromkeys([*known, *self._seeds] if cluster else self._seeds):
             connection = self.connection(node, sentinel=not cluster)
             try:
-                async with asyncio.timeout(ASK_MS / 1000):
+                async with asyncio.timeout(QUERY_TIMEOUT_MS / 1000):
                     return await (self._slots(connection, node) if cluster else self._primary(connection))
-            except (*ERRORS, TopologyError, ValueError, IndexError, TypeError) as error:
+            except (*CONNECTION_ERRORS, TopologyError, ValueError, IndexError, TypeError) as error:
                 errors.append(f"{node}: {type(error).__name__}: {error}")
             finally:
                 await close(connection)
@@ -112,13 +112,13 @@
             raise TopologyError(f"{slots.count('')} slots are nobody's")
         return slots
 
-    async def heard(self, changed: Callable[[], None]) -> None:
+    async def watch(self, changed: Callable[[], None]) -> None:
         """Listen to the sentinels for good; `changed` at each new primary, and after a time without hearing."""
         backoff, turn = Backoff(AGAIN_LEAST_MS, AGAIN_MOST_MS), 0
         while True:
             connection = self.connection(self._seeds[turn % len(self._seeds)], sentinel=True)
             turn += 1
-            with suppress(*ERRORS):
+            with suppress(*CONNECTION_ERRORS):
                 await connection.connect()  # type: ignore[no-untyped-call]
                 await connection.send_command("SUBSCRIBE", "+switch-master")
                 await connection.read_response()
@@ -134,5 +134,5 @@
 
 async def close(connection: Connection) -> None:
     """Close it now, whatever state it is in."""
-    with suppress(*ERRORS):
+    with suppress(*CONNECTION_ERRORS):
         await connection.disconnect(nowait=True)
--- a/martenstep/standins/redis/keyspace.py
+++ b/martenstep/standins/redis/keyspace.py
@@ -460,7 +460,7 @@
             return WRONG_TYPE
         try:
             version, own, life = int(words[5]), float(words[6]), int(words[7])
-            total, found, changed = script.state(fields, door, version, own)
+            total, found, changed = script.apply_statement(fields, door, version, own)
         except ValueError:
             return NOT_FLOAT
         if changed:
--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -10,18 +10,18 @@
 from martenstep.redis_counter import script
 from martenstep.redis_counter.core import (
     Action,
-    Close,
+    AnswerCall,
+    CloseConnection,
+    ConnectionId,
     Core,
-    Fault,
-    Held,
-    Lane,
-    Learn,
+    CoreOptions,
     LogEvent,
-    Op,
-    Open,
-    Options,
-    Told,
-    Write,
+    OpenConnection,
+    Operation,
+    QueryTopology,
+    StatementReply,
+    StoreError,
+    WriteOperations,
 )
 from martenstep.standins.redis.keyspace import Keyspace, Session, Value
 from martenstep.standins.resp import ErrorReply
@@ -35,9 +35,9 @@
     """One connection: what is on its way to the store, and back."""
 
     door: int
-    lane: Lane
-    there: deque[Write] = field(default_factory=deque)
-    back: deque[Held | Fault] = field(default_factory=deque)
+    lane: ConnectionId
+    there: deque[WriteOperations] = field(default_factory=deque)
+    back: deque[StatementReply | StoreError] = field(default_factory=deque)
     open: bool = True  # seen from the door; what is on its way to the store may arrive all the same
 
 
@@ -50,11 +50,11 @@
         self.session = Session(0)
         self.error = ""
         self.refuses = False
-        self.options = Options(timeout_ms=TIMEOUT_MS, lanes=lanes, scripts=scripts)
+        self.options = CoreOptions(timeout_ms=TIMEOUT_MS, connections_per_node=lanes, scripts=scripts)
         self.cores = [Core(self.options, random.Random(seed + n)) for n in range(doors)]
         self.lives = [1] * doors
         self.wires: list[Wire] = []
-        self.opening: list[tuple[int, Lane]] = []
+        self.opening: list[tuple[int, ConnectionId]] = []
         self.told: dict[int, tuple[CallResult, float]] = {}
         self.kept: dict[int, float] = {}  # for so long the store had lost nothing, as that call was told
         self.calls: dict[int, tuple[int, int, float, float]] = {}  # door, name, units, when
@@ -62,7 +62,7 @@
         self.totals = True  # units are never below 0, so that totals can be judged
         self.seen: dict[tuple[int, int], float] = {}  # the highest total that a door was told of a name
         for number, core in enumerate(self.cores):
-            core.topology(self.now, [NODE])
+            core.set_topology(self.now, [NODE])
             self._act(number)
 
     # What the test does ------------------------------------------------------------------------------------
@@ -82,21 +82,21 @@
         self.opening = [one for one in self.opening if one[0] != door]
         self.lives[door] += 1
         self.cores[door] = Core(self.options, random.Random(self.lives[door] * 1009 + door))
-        self.cores[door].topology(self.now, [NODE])
+        self.cores[door].set_topology(self.now, [NODE])
         self._act(door)
 
     def pass_time(self, ms: float) -> None:
         """Time goes on, in the steps that the doors ask for."""
         until, spins = self.now + ms, 0
         while True:
-            at = min(core.next_at(self.now) for core in self.cores)
+            at = min(core.next_timer_ms(self.now) for core in self.cores)
             if at > until:
                 break
             before = self.now
             self.now = max(at, self.now)
             for number, core in enumerate(self.cores):
-                if core.next_at(self.now) <= self.now:
-                    core.wake(self.now)
+                if core.next_timer_ms(self.now) <= self.now:
+                    core.on_timer(self.now)
                     self._act(number)
             if self.now == before:
                 spins += 1
@@ -105,7 +105,7 @@
                 spins = 0
         self.now = until
         for number, core in enumerate(self.cores):
-            core.wake(self.now)
+            core.on_timer(self.now)
             self._act(number)
 
     def connect(self) -> None:
@@ -113,18 +113,18 @@
         opening, self.opening = self.opening, []
         for door, lane in opening:
             if self.refuses:
-                self.cores[door].refused(self.now, lane, "refused")
+                self.cores[door].on_connect_failed(self.now, lane, "refused")
             else:
                 self.wires.append(Wire(door, lane))
-                self.cores[door].opened(self.now, lane)
+                self.cores[door].on_opened(self.now, lane)
             self._act(door)
 
     def arrive(self, wire: Wire) -> None:
         """The first write of a connection reaches the store."""
         write = wire.there.popleft()
-        if write.load:
+        if write.load_script:
             self.keys.run(self.session, self.now, [b"SCRIPT", b"LOAD", script.LUA.encode()])
-        for op in write.ops:
+        for op in write.operations:
             reply = self._run(wire.door, op, write.plain)
             if wire.open:
                 wire.back.append(reply)
@@ -135,14 +135,14 @@
             reply = wire.back.popleft()
             count -= 1
             if wire.open:
-                self.cores[wire.door].replied(self.now, wire.lane, reply)
+                self.cores[wire.door].on_reply(self.now, wire.lane, reply)
                 self._act(wire.door)
 
     def cut(self, wire: Wire) -> None:
         """The door loses a connection; what it wrote may still arrive."""
         if wire.open:
             wire.open = False
-            self.cores[wire.door].lost(self.now, wire.lane, "broke")
+            self.cores[wire.door].on_connection_lost(self.now, wire.lane, "broke")
             self._act(wire.door)
 
     def deliver(self) -> None:
@@ -187,7 +187,7 @@
 
     def total(self, name: int) -> float:
         """What the store holds of a name."""
-        value = self.keys.run(self.session, self.now, [b"HGET", self.cores[0].key(name), b"t"])
+        value = self.keys.run(self.session, self.now, [b"HGET", self.cores[0].store_key(name), b"t"])
         assert value is None or isinstance(value, bytes)
         return float(value or 0)
 
@@ -201,14 +201,14 @@
 
     # What the doors do -----------------------------------------------------------------------------------------
 
-    def _run(self, door: int, op: Op, plain: bool) -> Held | Fault:
+    def _run(self, door: int, op: Operation, plain: bool) -> StatementReply | StoreError:
         if self.error:
-            return Fault(self.error)
-        key = self.cores[0].key(op.name)
+            return StoreError(self.error)
+        key = self.cores[0].store_key(op.key)
         if plain:
             total = self.keys.run(self.session, self.now, [b"HINCRBYFLOAT", key, b"t", b"%.17g" % op.units])
-            self.keys.run(self.session, self.now, [b"PEXPIRE", key, b"%d" % op.life_ms, b"NX"])
-            return Fault(str(total)) if isinstance(total, ErrorReply) else Held(float(total), -1)  # type: ignore[arg-type]
+            self.keys.run(self.session, self.now, [b"PEXPIRE", key, b"%d" % op.ttl_ms, b"NX"])
+            return StoreError(str(total)) if isinstance(total, ErrorReply) else StatementReply(float(total), -1)  # type: ignore[arg-type]
         reply = self.keys.run(
             self.session,
             self.now,
@@ -220,46 +220,48 @@
                 b"door-%d:%d" % (door, self.lives[door]),
                 b"%d" % op.version,
                 b"%.17g" % op.total,
-                b"%d" % op.life_ms,
+                b"%d" % op.ttl_ms,
             ],
         )
         if isinstance(reply, ErrorReply):
-            return Fault(str(reply))
+            return StoreError(str(reply))
         assert isinstance(reply, list) and isinstance(reply[0], bytes) and isinstance(reply[1], bytes)
-        return Held(float(reply[0]), int(reply[1]))
+        return StatementReply(float(reply[0]), int(reply[1]))
 
     def _act(self, door: int) -> None:
-        for action in self.cores[door].take():
+        for action in self.cores[door].take_actions():
             self._do(door, action)
 
     def _do(self, door: int, action: Action) -> None:
         match action:
-            case Told():
+            case AnswerCall():
                 assert action.call not in self.told, "told twice"
                 number, name, _, at = self.calls[action.call]
                 assert number == door, "another door's call"
                 assert self.now <= at + TIMEOUT_MS + 0.5, "told after its time"
-                self.told[action.call] = action.verdict, action.total
-                self.kept[action.call] = action.kept_ms
-                if action.verdict is CallResult.OK and self.totals:
+                self.told[action.call] = action.result, action.total
+                self.kept[action.call] = action.retained_ms
+                if action.result is CallResult.OK and self.totals:
                     most = sum(units for _, called, units, _ in self.calls.values() if called == name)
                     assert action.total <= most + 1e-6, "a total beyond all that was ever added"
                     assert action.total >= self.seen.get((door, name), 0.0) - 1e-6, "a total that fell"
                     self.seen[door, name] = action.total
-            case Write():
-                [wire] = [wire for wire in self.wires if wire.open and (wire.door, wire.lane) == (door, action.lane)]
+            case WriteOperations():
+                [wire] = [
+                    wire for wire in self.wires if wire.open and (wire.door, wire.lane) == (door, action.connection)
+                ]
                 assert not wire.there and not wire.back, "two writes out on one connection"
                 wire.there.append(action)
-            case Open():
-                assert (door, action.lane) not in self.opening, "opened twice"
-                self.opening.append((door, action.lane))
-            case Close():
+            case OpenConnection():
+                assert (door, action.connection) not in self.opening, "opened twice"
+                self.opening.append((door, action.connection))
+            case CloseConnection():
                 for wire in self.wires:
-                    if (wire.door, wire.lane) == (door, action.lane):
+                    if (wire.door, wire.lane) == (door, action.connection):
                         wire.open = False
-                if (door, action.lane) in self.opening:
-                    self.opening.remove((door, action.lane))
+                if (door, action.connection) in self.opening:
+                    self.opening.remove((door, action.connection))
             case LogEvent():
-                self.notes.append(action.what)
-            case Learn():
+                self.notes.append(action.event)
+            case QueryTopology():
                 pass
--- a/tests/test_formats_redis.py
+++ b/tests/test_formats_redis.py
@@ -14,8 +14,8 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter import script
-from martenstep.redis_counter.core import Core, Options, Write
-from martenstep.redis_counter.redis_store import RedisStore
+from martenstep.redis_counter.core import Core, CoreOptions, WriteOperations
+from martenstep.redis_counter.redis_store import RedisCounter
 from martenstep.redis_counter.slots import slot_of
 from tests.socket_rig import run
 
@@ -64,7 +64,9 @@
     text = f"port: {server.sockets[0].getsockname()[1]} connections: 1 timeout_ms: 5000 {settings}"
     store = pb.Store()
     text_format.Merge(text, store)
-    client = RedisStore(store, lambda call, verdict, total, kept_ms: told.put_nowait((call, verdict, total)), "door-0")
+    client = RedisCounter(
+        store, lambda call, verdict, total, kept_ms: told.put_nowait((call, verdict, total)), "door-0"
+    )
     client.start()
     got = []
     async with asyncio.timeout(WAIT_S):
@@ -120,30 +122,34 @@
 
 def test_the_script_in_python_does_the_same_to_the_fields() -> None:
     fields: dict[bytes, bytes] = {}
-    assert script.state(fields, b"door-0:17", 3, 2.5) == (2.5, 0, True)
-    assert script.state(fields, b"door-1:18", 1, 0.1) == (2.6, 0, True)
-    assert script.state(fields, b"door-0:17", 3, 9.0) == (2.6, 3, False)
+    assert script.apply_statement(fields, b"door-0:17", 3, 2.5) == (2.5, 0, True)
+    assert script.apply_statement(fields, b"door-1:18", 1, 0.1) == (2.6, 0, True)
+    assert script.apply_statement(fields, b"door-0:17", 3, 9.0) == (2.6, 3, False)
     assert fields == {b"door-0:17": b"3 2.5", b"door-1:18": b"1 0.10000000000000001", b"t": b"2.6000000000000001"}
 
 
 def test_keys_and_slots() -> None:
-    core = Core(Options(), random.Random(1))
-    assert [core.key(name) for name in (0, 255, 2**64 - 1)] == [b"mstep:0", b"mstep:ff", b"mstep:ffffffffffffffff"]
+    core = Core(CoreOptions(), random.Random(1))
+    assert [core.store_key(name) for name in (0, 255, 2**64 - 1)] == [
+        b"mstep:0",
+        b"mstep:ff",
+        b"mstep:ffffffffffffffff",
+    ]
     assert [slot_of(key) for key in (b"mstep:0", b"mstep:ff", b"a{mstep}b", b"a{}b")] == [10110, 4980, 12175, 13694]
 
 
 def test_the_statements_of_one_write() -> None:
     """The order of statements, their versions, sums and lives; with a witness first where a proof is asked for."""
-    core = Core(Options(lanes=1, gather_ms=1.0), random.Random(5))
-    core.topology(0.0, ["n:1"])
+    core = Core(CoreOptions(connections_per_node=1, gather_ms=1.0), random.Random(5))
+    core.set_topology(0.0, ["n:1"])
     for call, (name, units, proof) in enumerate([(3, 1.0, False), (4, 2.0, True), (3, 0.5, False)]):
         core.add(0.0, call, name, units, 600.0, proof)
-    [opening] = list(core.take())
-    core.opened(0.5, opening.lane)  # type: ignore[union-attr]
-    core.wake(2.0)
-    [write] = list(core.take())
-    assert isinstance(write, Write) and write.load and not write.plain
-    statements = [(op.name, op.units, op.version, op.total, op.life_ms) for op in write.ops]
+    [opening] = list(core.take_actions())
+    core.on_opened(0.5, opening.connection)  # type: ignore[union-attr]
+    core.on_timer(2.0)
+    [write] = list(core.take_actions())
+    assert isinstance(write, WriteOperations) and write.load_script and not write.plain
+    statements = [(op.key, op.units, op.version, op.total, op.ttl_ms) for op in write.operations]
     assert statements == [
         (1178032213966879813, 0.0, 1, 0.0, 3_600_000),
         (3, 1.0, 2, 1.0, 598),
@@ -155,23 +161,23 @@
 @pytest.mark.parametrize("name", ["OK", "FULL", "TIMEOUT", "CONNECT_FAILED"])
 def test_the_counts_have_their_names(name: str) -> None:
     """Metrics show these names of what became of calls."""
-    core = Core(Options(lanes=1, timeout_ms=10.0, waiting=1), random.Random(5))
-    core.topology(0.0, ["n:1"])
+    core = Core(CoreOptions(connections_per_node=1, timeout_ms=10.0, max_pending=1), random.Random(5))
+    core.set_topology(0.0, ["n:1"])
     core.add(0.0, 1, 3, 1.0, 600.0)
     core.add(0.0, 2, 3, 1.0, 600.0)  # no place
     assert core.counts == {"FULL": 1}
-    [opening, *_] = list(core.take())
-    lane = opening.lane  # type: ignore[union-attr]
+    [opening, *_] = list(core.take_actions())
+    lane = opening.connection  # type: ignore[union-attr]
     if name == "CONNECT_FAILED":
-        core.refused(1.0, lane, "down")
+        core.on_connect_failed(1.0, lane, "down")
     elif name == "TIMEOUT":
-        core.opened(1.0, lane)
-        core.wake(20.0)
+        core.on_opened(1.0, lane)
+        core.on_timer(20.0)
     elif name == "OK":
-        from martenstep.redis_counter.core import Held
+        from martenstep.redis_counter.core import StatementReply
 
-        core.opened(1.0, lane)
-        core.replied(2.0, lane, Held(1.0, 0))
+        core.on_opened(1.0, lane)
+        core.on_reply(2.0, lane, StatementReply(1.0, 0))
     assert core.counts[name] == 1
     names = {"OK", "FULL", "TIMEOUT", "CONNECT_FAILED", "writes", "statements", "stated again", "witnesses", "losses"}
     assert set(core.counts) <= names
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,7 +16,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.policy.messages import CallResult
-from martenstep.redis_counter.redis_store import RedisStore, now_ms
+from martenstep.redis_counter.redis_store import RedisCounter, now_ms
 from martenstep.standins.base import Trace
 from martenstep.standins.redis.fleet import ALONE, CLUSTER, SENTINEL, Fleet
 from martenstep.standins.redis.keyspace import Session, User
@@ -42,7 +42,7 @@
         settings = pb.Store(port=port, **{"timeout_ms": 5000.0, "connections": 2, **changes})
         self.answers: dict[int, tuple[CallResult, float]] = {}
         self.order: list[int] = []
-        self.store = RedisStore(settings, self._answer, "door-0", lambda what, fields: self.notes.append(what))
+        self.store = RedisCounter(settings, self._answer, "door-0", lambda what, fields: self.notes.append(what))
         self._number = 0
         self.notes: list[str] = []
         self.calls: dict[int, tuple[int, float]] = {}
--- a/tests/test_store_ceiling.py
+++ b/tests/test_store_ceiling.py
@@ -19,7 +19,7 @@
 from martenstep.policy.counter_period import KEY_LIFETIME_PERIODS
 from martenstep.policy.gateway import Gateway
 from martenstep.redis_counter import core
-from martenstep.redis_counter.core import Action, Told
+from martenstep.redis_counter.core import Action, AnswerCall
 from tests.helpers import CAPPED, SETTINGS, server
 from tests.store_world import World
 
@@ -118,12 +118,12 @@
 
     def _do(self, door: int, action: Action) -> None:
         super()._do(door, action)
-        if isinstance(action, Told):
+        if isinstance(action, AnswerCall):
             _, name, _, at = self.calls[action.call]
             self.decided(
                 door,
                 self.gates[door].handle(
-                    self.now, api.CounterReply(name, action.verdict, self.now - at, action.total, action.kept_ms)
+                    self.now, api.CounterReply(name, action.result, self.now - at, action.total, action.retained_ms)
                 ),
             )
 
@@ -218,8 +218,8 @@
     with pytest.MonkeyPatch.context() as patch:
         held = core.Core._held
 
-        def alone(self: core.Core, now: float, lane: Any, op: core.Op, reply: core.Held) -> None:
-            held(self, now, lane, op, core.Held(op.total, reply.found))
+        def alone(self: core.Core, now: float, lane: Any, op: core.Operation, reply: core.StatementReply) -> None:
+            held(self, now, lane, op, core.StatementReply(op.total, reply.previous_version))
 
         patch.setattr(core.Core, "_held", alone)
         world = day([Trouble("none", 2000.0, 600.0)], 1)
--- a/tests/test_store_core.py
+++ b/tests/test_store_core.py
@@ -5,22 +5,22 @@
 import random
 
 from martenstep.policy.messages import CallResult
-from martenstep.redis_counter.core import Core, Lane, Options, Told, Write
+from martenstep.redis_counter.core import AnswerCall, ConnectionId, Core, CoreOptions, WriteOperations
 from martenstep.redis_counter.slots import SLOTS, slot_of
 from tests.store_world import World
 
 
 def test_a_call_that_was_written_is_never_told_as_not_added_though_its_new_lane_is_full() -> None:
-    core = Core(Options(lanes=1, waiting=1, topology=True), random.Random(1))
+    core = Core(CoreOptions(connections_per_node=1, max_pending=1, dynamic_topology=True), random.Random(1))
     slots = ["one:1"] * SLOTS
-    slots[slot_of(core.key(2))] = "two:2"
-    core.topology(0.0, slots)
+    slots[slot_of(core.store_key(2))] = "two:2"
+    core.set_topology(0.0, slots)
     core.add(1.0, 1, 1, 1.0, 60_000.0)
     core.add(1.0, 2, 2, 1.0, 60_000.0)  # its lane is not open yet: it waits there, and the lane is full
-    core.opened(2.0, Lane("one:1", 0))
-    assert any(isinstance(action, Write) for action in core.take())
-    core.topology(3.0, ["two:2"] * SLOTS)
-    assert [(a.call, a.verdict) for a in core.take() if isinstance(a, Told)] == [(1, CallResult.TIMEOUT)]
+    core.on_opened(2.0, ConnectionId("one:1", 0))
+    assert any(isinstance(action, WriteOperations) for action in core.take_actions())
+    core.set_topology(3.0, ["two:2"] * SLOTS)
+    assert [(a.call, a.result) for a in core.take_actions() if isinstance(a, AnswerCall)] == [(1, CallResult.TIMEOUT)]
 
 
 # The proof that nothing was lost ------------------------------------------------------------------------
@@ -82,10 +82,12 @@
 
 
 def test_a_witness_stands_at_the_node_that_it_proves() -> None:
-    core = Core(Options(lanes=1, topology=True), random.Random(1))
-    core.topology(0.0, ["one:1"] * 100 + ["two:2"] * (SLOTS - 100))
-    name = next(n for n in range(100_000) if slot_of(core.key(n)) < 100)
+    core = Core(CoreOptions(connections_per_node=1, dynamic_topology=True), random.Random(1))
+    core.set_topology(0.0, ["one:1"] * 100 + ["two:2"] * (SLOTS - 100))
+    name = next(n for n in range(100_000) if slot_of(core.store_key(n)) < 100)
     core.add(1.0, 1, name, 1.0, 60_000.0, True)
-    core.opened(2.0, Lane("one:1", 0))
-    [write] = [action for action in core.take() if isinstance(action, Write)]
-    assert [slot_of(core.key(op.name)) < 100 for op in write.ops] == [True, True] and write.ops[1].name == name
+    core.on_opened(2.0, ConnectionId("one:1", 0))
+    [write] = [action for action in core.take_actions() if isinstance(action, WriteOperations)]
+    assert [slot_of(core.store_key(op.key)) < 100 for op in write.operations] == [True, True] and write.operations[
+        1
+    ].key == name
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -114,7 +114,7 @@
 
     @rule(name=st.integers(0, NAMES - 1))
     def evict(self, name: int) -> None:
-        self.world.keys.run(self.world.session, self.world.now, [b"DEL", self.world.cores[0].key(name)])
+        self.world.keys.run(self.world.session, self.world.now, [b"DEL", self.world.cores[0].store_key(name)])
 
     @rule()
     def flush_scripts(self) -> None:
@@ -147,10 +147,10 @@
 def _no_floor(monkeypatch: pytest.MonkeyPatch) -> None:
     held = core.Core._held
 
-    def without(self: core.Core, now: float, lane: Any, op: core.Op, reply: core.Held) -> None:
-        register = self._registers.get(op.name)
+    def without(self: core.Core, now: float, lane: Any, op: core.Operation, reply: core.StatementReply) -> None:
+        register = self._registers.get(op.key)
         if register is not None:
-            register.others = register.floor = 0.0
+            register.others_total = register.others_floor = 0.0
         held(self, now, lane, op, reply)
 
     monkeypatch.setattr(core.Core, "_held", without)
