--- a/bench/limiters.py
+++ b/bench/limiters.py
@@ -32,7 +32,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.policy import messages as api
 from martenstep.policy.gateway import Gateway
-from martenstep.redis_counter.redis_store import RedisCounter
+from martenstep.redis_counter.redis_client import RedisCounter
 from martenstep.standins.base import Trace
 from martenstep.standins.redis.fleet import ALONE, CLUSTER, SENTINEL, Fleet
 
--- a/bench/store_cost.py
+++ b/bench/store_cost.py
@@ -16,7 +16,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.policy.messages import CallResult
-from martenstep.redis_counter.redis_store import RedisCounter
+from martenstep.redis_counter.redis_client import RedisCounter
 from martenstep.standins.base import Trace
 from martenstep.standins.redis.server import RedisServer
 
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -24,7 +24,8 @@
 from martenstep.proxy.engine_factory import make_engine
 from martenstep.proxy.engine_messages import AttemptFailure
 from martenstep.proxy.headers import get_header
-from martenstep.redis_counter import core as store
+from martenstep.redis_counter import messages as store
+from martenstep.redis_counter.core import Core
 
 STORE_NODE = "store"
 ZONE_OF_STORE = "store"
@@ -135,10 +136,10 @@
         self._timer_at = 0.0
         self.answers: dict[str, int] = {}
         self._store_timer: Timer | None = None
-        self._core: store.Core | None = None
+        self._core: Core | None = None
         if redis is not None:
             told = settings.store
-            self._core = store.Core(
+            self._core = Core(
                 store.CoreOptions(
                     told.timeout_ms, told.connections, told.waiting, told.gather_ms, told.prefix, told.scripts
                 ),
--- a/martenstep/lab/emulate/store.py
+++ b/martenstep/lab/emulate/store.py
@@ -6,7 +6,7 @@
 
 from martenstep.lab.emulate.core import Draws, Sim
 from martenstep.redis_counter import script
-from martenstep.redis_counter.core import Operation, StatementReply, StoreError, WriteOperations
+from martenstep.redis_counter.messages import Operation, StatementReply, StoreError, WriteOperations
 from martenstep.standins.redis.keyspace import Keyspace, Session
 from martenstep.standins.resp import ErrorReply
 
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -30,7 +30,7 @@
 from martenstep.proxy.engine_messages import CounterReplied, RecordUsage
 from martenstep.proxy.event_logger import EventLogger
 from martenstep.proxy.traces import Exporter
-from martenstep.redis_counter.redis_store import RedisCounter
+from martenstep.redis_counter.redis_client import RedisCounter
 
 if TYPE_CHECKING:
     from martenstep.counter.pending_increments import AttemptRecord
--- a/martenstep/redis_counter/__init__.py
+++ b/martenstep/redis_counter/__init__.py
@@ -1,5 +1,5 @@
-"""The counter port that the module needs, over Redis: add to a name, expiry set when new, total back.
+"""The counter that many gateways share over Redis.
 
-May live here: what speaks to the shared store, its pooling and its time-outs, and the mapping of what can go wrong
-to the module's verdicts.  May not: what a count means.
+Belongs here: what its calls decide (pure, without I/O), and the adapter that binds the decisions to sockets and timers.
+Does not: decisions on quota.
 """
--- a/martenstep/redis_counter/script.py
+++ b/martenstep/redis_counter/script.py
@@ -1,9 +1,9 @@
 """The one script that the store runs, and what it does, in Lua for Redis and in Python for reference.
 
-A name is a hash: the field `t` holds the total, and each door's life has a field of its own that holds the version
-and the sum of all that it ever added to this name.  A door does not add, it states its sum: a statement whose version
+A key is a hash: the field `t` holds the total, and each gateway's epoch has a field of its own that holds the version
+and the sum of all that it ever added to this key.  A gateway does not add, it states its sum: a statement whose version
 is not newer than the one held changes nothing, so that one can be sent any number of times, in any order, and late.
-What the field held before the statement is told back: less than the door knows to have been there proves a loss.
+What the field held before the statement is returned: less than the gateway knows to have been there proves a loss.
 """
 
 from __future__ import annotations
@@ -32,19 +32,21 @@
 
 
 def apply_statement(
-    fields: MutableMapping[bytes, bytes], door: bytes, version: int, total: float
+    fields: MutableMapping[bytes, bytes], gateway_epoch: bytes, version: int, total: float
 ) -> tuple[float, int, bool]:
-    """The same in Python: gives the name's total, the version held before, and whether anything changed.
+    """Do the same in Python: returns the key's total, the version held before, and whether anything changed.
 
     Raises ValueError on a field that holds no number, as Redis does.
     """
-    own = fields.get(door)
-    found, held = 0, 0.0
-    if own is not None:
-        word, value = own.split(b" ")
-        found, held = int(word), float(value)
-    changed = version > found
+    register = fields.get(gateway_epoch)
+    previous_version = 0
+    previous_total = 0.0
+    if register is not None:
+        version_text, total_text = register.split(b" ")
+        previous_version = int(version_text)
+        previous_total = float(total_text)
+    changed = version > previous_version
     if changed:
-        fields[door] = b"%d %.17g" % (version, total)
-        fields[TOTAL] = b"%.17g" % (float(fields.get(TOTAL, b"0")) + total - held)
-    return float(fields.get(TOTAL, b"0")), found, changed
+        fields[gateway_epoch] = b"%d %.17g" % (version, total)
+        fields[TOTAL] = b"%.17g" % (float(fields.get(TOTAL, b"0")) + total - previous_total)
+    return float(fields.get(TOTAL, b"0")), previous_version, changed
--- a/martenstep/redis_counter/slots.py
+++ b/martenstep/redis_counter/slots.py
@@ -8,7 +8,7 @@
 
 
 def slot_of(key: bytes) -> int:
-    """CRC16 (XMODEM) of the key, or of the part in its first braces where that is not empty."""
+    """Return CRC16 (XMODEM) of the key, or of its hash tag: the part in its first braces, unless that is empty."""
     start = key.find(b"{")
     if start >= 0:
         end = key.find(b"}", start + 1)
--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -8,12 +8,12 @@
 
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter import script
-from martenstep.redis_counter.core import (
+from martenstep.redis_counter.core import Core
+from martenstep.redis_counter.messages import (
     Action,
     AnswerCall,
     CloseConnection,
     ConnectionId,
-    Core,
     CoreOptions,
     LogEvent,
     OpenConnection,
--- a/tests/test_formats_redis.py
+++ b/tests/test_formats_redis.py
@@ -14,8 +14,9 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter import script
-from martenstep.redis_counter.core import Core, CoreOptions, WriteOperations
-from martenstep.redis_counter.redis_store import RedisCounter
+from martenstep.redis_counter.core import Core
+from martenstep.redis_counter.messages import CoreOptions, StatementReply, WriteOperations
+from martenstep.redis_counter.redis_client import RedisCounter
 from martenstep.redis_counter.slots import slot_of
 from tests.socket_rig import run
 
@@ -56,7 +57,7 @@
 ) -> tuple[bytes, list[tuple[int, CallResult, float]]]:
     """What a gateway sends for some adds, made one after another, and what it is told."""
     clock = SimpleNamespace(monotonic=lambda: 1000.0, time_ns=lambda: TIME_NS)
-    monkeypatch.setattr("martenstep.redis_counter.redis_store.time", clock)
+    monkeypatch.setattr("martenstep.redis_counter.redis_client.time", clock)
     monkeypatch.setattr(random, "SystemRandom", FixedRandom)
     recorder = Recorder(answers)
     server = await asyncio.start_server(recorder.serve, "127.0.0.1", 0)
@@ -174,8 +175,6 @@
         core.on_opened(1.0, lane)
         core.on_timer(20.0)
     elif name == "OK":
-        from martenstep.redis_counter.core import StatementReply
-
         core.on_opened(1.0, lane)
         core.on_reply(2.0, lane, StatementReply(1.0, 0))
     assert core.counts[name] == 1
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,7 +16,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.policy.messages import CallResult
-from martenstep.redis_counter.redis_store import RedisCounter, now_ms
+from martenstep.redis_counter.redis_client import RedisCounter, now_ms
 from martenstep.standins.base import Trace
 from martenstep.standins.redis.fleet import ALONE, CLUSTER, SENTINEL, Fleet
 from martenstep.standins.redis.keyspace import Session, User
--- a/tests/test_store_ceiling.py
+++ b/tests/test_store_ceiling.py
@@ -18,8 +18,9 @@
 from martenstep.policy import messages as api
 from martenstep.policy.counter_period import KEY_LIFETIME_PERIODS
 from martenstep.policy.gateway import Gateway
-from martenstep.redis_counter import core
-from martenstep.redis_counter.core import Action, AnswerCall
+from martenstep.redis_counter import messages
+from martenstep.redis_counter.messages import Action, AnswerCall
+from martenstep.redis_counter.replies import ReplyHandler
 from tests.helpers import CAPPED, SETTINGS, server
 from tests.store_world import World
 
@@ -216,11 +217,18 @@
     """Doors that are told of no one else's use go beyond it."""
     assert most_beyond([0.0] * 11) == 0 and most_beyond([0.0] * 14) == 3
     with pytest.MonkeyPatch.context() as patch:
-        held = core.Core._held
-
-        def alone(self: core.Core, now: float, lane: Any, op: core.Operation, reply: core.StatementReply) -> None:
-            held(self, now, lane, op, core.StatementReply(op.total, reply.previous_version))
-
-        patch.setattr(core.Core, "_held", alone)
+        on_reply = ReplyHandler.on_reply
+
+        def alone(
+            self: ReplyHandler,
+            now_ms: float,
+            connection: Any,
+            operation: messages.Operation,
+            reply: messages.StatementReply,
+        ) -> None:
+            own = messages.StatementReply(operation.total, reply.previous_version)
+            on_reply(self, now_ms, connection, operation, own)
+
+        patch.setattr(ReplyHandler, "on_reply", alone)
         world = day([Trouble("none", 2000.0, 600.0)], 1)
     assert max(most_beyond(times) for times in world.sent.values()) > CAPPED.ceiling_slack
--- a/tests/test_store_core.py
+++ b/tests/test_store_core.py
@@ -5,7 +5,8 @@
 import random
 
 from martenstep.policy.messages import CallResult
-from martenstep.redis_counter.core import AnswerCall, ConnectionId, Core, CoreOptions, WriteOperations
+from martenstep.redis_counter.core import Core
+from martenstep.redis_counter.messages import AnswerCall, ConnectionId, CoreOptions, WriteOperations
 from martenstep.redis_counter.slots import SLOTS, slot_of
 from tests.store_world import World
 
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -12,7 +12,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule, run_state_machine_as_test
 
 from martenstep.policy.messages import CallResult
-from martenstep.redis_counter import core
+from martenstep.redis_counter.call_queue import CallQueue
+from martenstep.redis_counter.messages import Operation, StatementReply
+from martenstep.redis_counter.recovery import Recovery
+from martenstep.redis_counter.replies import ReplyHandler
 from martenstep.standins.redis.keyspace import Value
 from tests.store_world import TIMEOUT_MS, World
 
@@ -141,39 +144,41 @@
 
 
 def _no_proof(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(core.Core, "_lost_contents", lambda self, node, op, anew: None)
+    monkeypatch.setattr(Recovery, "on_lost_contents", lambda self, node, operation, newly_lost: None)
 
 
 def _no_floor(monkeypatch: pytest.MonkeyPatch) -> None:
-    held = core.Core._held
+    on_reply = ReplyHandler.on_reply
 
-    def without(self: core.Core, now: float, lane: Any, op: core.Operation, reply: core.StatementReply) -> None:
-        register = self._registers.get(op.key)
+    def without(
+        self: ReplyHandler, now_ms: float, connection: Any, operation: Operation, reply: StatementReply
+    ) -> None:
+        register = self._registers.get(operation.key)
         if register is not None:
             register.others_total = register.others_floor = 0.0
-        held(self, now, lane, op, reply)
+        on_reply(self, now_ms, connection, operation, reply)
 
-    monkeypatch.setattr(core.Core, "_held", without)
+    monkeypatch.setattr(ReplyHandler, "on_reply", without)
 
 
 def _adds_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """A statement sent again under a new version and with its units once more."""
-    cut = core.Core._cut
+    disconnect = CallQueue.disconnect
 
-    def anew(self: core.Core, now: float, lane: Any) -> None:
-        cut(self, now, lane)
-        for op in lane.queue:
-            op.version = 0
+    def anew(self: CallQueue, now_ms: float, connection: Any) -> None:
+        disconnect(self, now_ms, connection)
+        for operation in connection.queue:
+            operation.version = 0
 
-    monkeypatch.setattr(core.Core, "_cut", anew)
+    monkeypatch.setattr(CallQueue, "disconnect", anew)
 
 
-def _forgets_uncertain(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(core.Core, "_restate", lambda self, name: None)
+def _forgets_indeterminate(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Recovery, "restate", lambda self, key: None)
 
 
 @pytest.mark.parametrize(
-    ("flaw", "kind"), [(_no_proof, Losing), (_no_floor, Losing), (_adds_again, Store), (_forgets_uncertain, Store)]
+    ("flaw", "kind"), [(_no_proof, Losing), (_no_floor, Losing), (_adds_again, Store), (_forgets_indeterminate, Store)]
 )
 def test_each_flaw_is_found(
     flaw: Callable[[pytest.MonkeyPatch], None], kind: type[Store], monkeypatch: pytest.MonkeyPatch
