--- a/martenstep/supervise/__init__.py
+++ b/martenstep/supervise/__init__.py
@@ -1,5 +1,5 @@
-"""Several doors on one machine, as one service: workers, who restarts them, and what a process manager is told.
+"""Several gateways on one machine, as one service: workers, who restarts them, and what a process manager is told.
 
-May live here: the supervisor, its decisions (pure, in modules of their own), and the machine's bounds.  May not:
-anything about requests; a worker is a door like any other, with a number of its own among all doors.
+Belongs here: the supervisor, its decisions (pure, in modules of their own), and the machine's limits.  Does not:
+anything about requests; a worker is a gateway like any other, with an instance number of its own among all gateways.
 """
--- /dev/null
+++ b/martenstep/supervise/reloader.py
@@ -0,0 +1,98 @@
+"""SIGHUP: the settings' file read again, all that changed or nothing."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from martenstep.config import door_pb2 as pb
+from martenstep.config.changes import differences
+from martenstep.config.text_format import SettingsError
+from martenstep.event_log import EventLog, LogFields
+from martenstep.supervise import resources
+from martenstep.supervise.process_manager import Notifier
+
+MAX_LISTED_CHANGES = 50  # in one line
+NS_PER_US = 1000
+
+
+def monotonic_us() -> int:
+    """Return the monotonic clock's time as systemd reads it."""
+    return time.clock_gettime_ns(time.CLOCK_MONOTONIC) // NS_PER_US
+
+
+class Reloader:
+    """Reads the settings anew and has them applied."""
+
+    def __init__(
+        self,
+        load: Callable[[], pb.Door] | None,
+        log_event: EventLog,
+        notifier: Notifier,
+        current: Callable[[], pb.Door],
+        apply: Callable[[pb.Door], Coroutine[Any, Any, str]],
+        reload_files: Callable[[], None],
+    ) -> None:
+        """`load` reads the settings and raises SettingsError; `apply` returns why they were not applied; `reload_files`
+        loads hooks and certificates anew, which stand in files of their own."""
+        self._load = load
+        self._log_event = log_event
+        self._notifier = notifier
+        self._current = current
+        self._apply = apply
+        self._reload_files = reload_files
+        self._lock = asyncio.Lock()
+        self._task: asyncio.Task[None] | None = None
+
+    def schedule(self) -> None:
+        """Begin a reload, from a signal handler."""
+        self._task = asyncio.create_task(self.reload())
+
+    async def reload(self) -> None:
+        """Reload once; a second reload waits for the first."""
+        async with self._lock:
+            # systemd requires the time with Type=notify-reload.
+            self._notifier.notify(RELOADING=1, MONOTONIC_USEC=monotonic_us())
+            await self._reload_settings()
+            self._reload_files()
+            self._notifier.notify(READY=1)
+
+    async def _reload_settings(self) -> None:
+        if self._load is None:
+            return
+        try:
+            settings = await asyncio.to_thread(self._load)
+        except SettingsError as error:
+            self._reject({"errors": [problem.describe(error.file) for problem in error.problems][:MAX_LISTED_CHANGES]})
+            return
+        allowed = self._allowed_connections(settings)
+        settings.listener.max_connections = min(settings.listener.max_connections, allowed)
+        changes = differences(self._current(), settings)
+        need_restart = [change.describe() for change in changes if not change.live]
+        if need_restart:
+            self._reject({"need_a_restart": need_restart[:MAX_LISTED_CHANGES]})
+            return
+        if not changes:
+            return
+        error_text = await self._apply(settings)
+        if error_text:
+            self._reject({"errors": [error_text]})
+        else:
+            self._log_event(
+                "settings applied", {"changes": [change.describe() for change in changes][:MAX_LISTED_CHANGES]}
+            )
+
+    def _allowed_connections(self, settings: pb.Door) -> int:
+        """Return how many connections the open files allow, as at the start."""
+        copy = pb.Door()
+        copy.CopyFrom(settings)
+        try:
+            resources.apply_limits(copy, lambda event, fields: None)
+        except resources.ResourceError:
+            return self._current().listener.max_connections
+        return copy.listener.max_connections
+
+    def _reject(self, fields: LogFields) -> None:
+        self._log_event("settings rejected", fields)
--- a/martenstep/supervise/resources.py
+++ b/martenstep/supervise/resources.py
@@ -1,4 +1,4 @@
-"""Whether the machine's bounds hold what the settings allow: open files and memory, looked at before the start."""
+"""Whether the machine's limits allow what the settings need: open files and memory, checked before the start."""
 
 from __future__ import annotations
 
@@ -8,49 +8,55 @@
 from pathlib import Path
 
 from martenstep.config import door_pb2 as pb
+from martenstep.event_log import EventLog
+from martenstep.supervise.errors import SuperviseError
 
-OWN_FILES = 64  # the listener, the log, the feed, what the interpreter holds
-SERVERS_GUESSED = 32  # whose connections are all in use at once
-LEAST_CONNECTIONS = 16  # of clients: with fewer a door is of no use
-REQUEST_BYTES = 8192  # of one held request besides its body and its answer, measured about (bench.memory)
-MEMINFO, CGROUP = Path("/proc/meminfo"), Path("/sys/fs/cgroup/memory.max")
+OWN_FILES = 64  # the listener, the log, the endpoint feed, what the interpreter holds
+ASSUMED_ENDPOINTS = 32  # whose connections are all in use at once
+MIN_CONNECTIONS = 16  # of clients: with fewer a gateway is of no use
+REQUEST_BYTES = 8192  # of one buffered request besides its body and its response (bench.memory)
+MEMINFO = Path("/proc/meminfo")
+CGROUP_LIMIT = Path("/sys/fs/cgroup/memory.max")
+BYTES_PER_KIB = 1024
+MIB_SHIFT = 20
 
 
-class ResourceError(Exception):
-    """The bounds are too narrow for any service."""
+class ResourceError(SuperviseError):
+    """The limits are too narrow for any service."""
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
-    """What a door may come to hold."""
+class ResourceNeed:
+    """What a gateway may come to hold."""
 
     files: int
     bytes: int
 
 
-def need_of(door: pb.Door) -> Need:
-    """At the worst, by the settings."""
-    listener, upstream = door.listener, door.upstream
-    services = len(door.auth.service) * (door.auth.per_service + 1) if door.HasField("auth") else 0
-    store = door.store.connections * max(len(door.store.node), 1) if door.HasField("store") else 0
-    files = listener.max_connections + upstream.connections * SERVERS_GUESSED + services + store + OWN_FILES
-    held = listener.max_open * (REQUEST_BYTES + upstream.keep_body_bytes + upstream.hold_answer_bytes)
-    return Need(files, held)
+def estimate_need(settings: pb.Door) -> ResourceNeed:
+    """Estimate the most that these settings allow."""
+    listener = settings.listener
+    upstream = settings.upstream
+    auth = len(settings.auth.service) * (settings.auth.per_service + 1) if settings.HasField("auth") else 0
+    store = settings.store.connections * max(len(settings.store.node), 1) if settings.HasField("store") else 0
+    files = listener.max_connections + upstream.connections * ASSUMED_ENDPOINTS + auth + store + OWN_FILES
+    buffered = listener.max_open * (REQUEST_BYTES + upstream.keep_body_bytes + upstream.hold_answer_bytes)
+    return ResourceNeed(files, buffered)
 
 
-def fit_connections(need: Need, connections: int, files: int) -> int:
-    """How many clients' connections so many files leave room for; raises ResourceError."""
-    left = connections - max(need.files - files, 0)
-    if left < LEAST_CONNECTIONS:
+def limit_connections(need: ResourceNeed, connections: int, files: int) -> int:
+    """Return for how many clients' connections so many files suffice; raises ResourceError."""
+    allowed = connections - max(need.files - files, 0)
+    if allowed < MIN_CONNECTIONS:
         raise ResourceError(
             f"{files} open files are allowed, {need.files} are needed for {connections} connections; "
             f"raise the bound (LimitNOFILE, ulimit -n) or lower max_connections"
         )
-    return left
+    return allowed
 
 
-def raise_files(need: int) -> int:
-    """Raise the soft bound of open files as far as needed and allowed; gives what holds then."""
+def raise_file_limit(need: int) -> int:
+    """Raise the soft limit of open files as far as needed and allowed; returns what holds then."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= need:
         return need
@@ -62,13 +68,43 @@
     return wanted
 
 
-def memory() -> int | None:
-    """Bytes that this process may still take: the least of what the machine has and the control group allows."""
+def available_memory_bytes() -> int | None:
+    """Return what this process may still take: the least of what the machine has and the control group allows."""
     found = []
     with contextlib.suppress(OSError, ValueError, IndexError):
         for line in MEMINFO.read_text().splitlines():
             if line.startswith("MemAvailable:"):
-                found.append(int(line.split()[1]) * 1024)
+                found.append(int(line.split()[1]) * BYTES_PER_KIB)
     with contextlib.suppress(OSError, ValueError):  # "max", or no such group
-        found.append(int(CGROUP.read_text()))
+        found.append(int(CGROUP_LIMIT.read_text()))
     return min(found, default=None)
+
+
+def apply_limits(settings: pb.Door, log_event: EventLog) -> None:
+    """Lower the settings' connections to what the machine's limits allow; raises ResourceError."""
+    need = estimate_need(settings)
+    workers = max(settings.workers.count, 1)
+    files_per_worker = -(-need.files // workers) + OWN_FILES
+    files = raise_file_limit(files_per_worker) * workers
+    allowed = limit_connections(need, settings.listener.max_connections, files)
+    if allowed < settings.listener.max_connections:
+        log_event(
+            "connection limit lowered",
+            {
+                "max_connections": allowed,
+                "instead_of": settings.listener.max_connections,
+                "open_files": files,
+                "needed": need.files,
+            },
+        )
+        settings.listener.max_connections = allowed
+    available_bytes = available_memory_bytes()
+    if available_bytes is not None and need.bytes > available_bytes:
+        log_event(
+            "memory may not suffice",
+            {
+                "held_at_most_mb": need.bytes >> MIB_SHIFT,
+                "free_mb": available_bytes >> MIB_SHIFT,
+                "lower": "listener.max_open, upstream.keep_body_bytes or hold_answer_bytes",
+            },
+        )
--- a/martenstep/supervise/worker.py
+++ b/martenstep/supervise/worker.py
@@ -1,4 +1,4 @@
-"""One worker: a door that its supervisor steers over standard input."""
+"""One worker: a gateway that its supervisor steers over standard input."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import signal
 import socket
 import sys
+from dataclasses import dataclass
 
 import msgspec
 from google.protobuf.message import DecodeError
@@ -16,93 +17,122 @@
 from martenstep.config.tls import TlsError
 from martenstep.proxy.daemon import Daemon, loop_fault
 from martenstep.proxy.event_logger import EventLogger, configure
-from martenstep.supervise import frames
-from martenstep.supervise.frames import Begin, Commit, Prepare, Renew, Said
+from martenstep.supervise.protocol import (
+    CommitSettings,
+    PrepareSettings,
+    ProtocolError,
+    ReloadFiles,
+    StartWorker,
+    WorkerMessage,
+    read_frame,
+)
+
+STDIN_BUFFER_BYTES = 2**20
+EXIT_CANNOT_START = 1
+EXIT_BAD_USAGE = 2
+NO_GENERATION = 0
+
+
+def _write_message(message: WorkerMessage) -> None:
+    sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
+    sys.stdout.buffer.flush()
 
 
-def _say(said: Said) -> None:
-    sys.stdout.buffer.write(msgspec.json.encode(said) + b"\n")
-    sys.stdout.buffer.flush()
+def _parse_settings(data: bytes) -> pb.Door:
+    settings = pb.Door()
+    settings.ParseFromString(data)
+    return settings
 
 
-def _door(data: bytes) -> pb.Door:
-    door = pb.Door()
-    door.ParseFromString(data)
-    return door
+@dataclass(frozen=True, slots=True)
+class _Prepared:
+    """Settings that could be applied, and their number."""
+
+    generation: int
+    settings: pb.Door
 
 
 class Worker:
     """A running daemon and what was prepared for it."""
 
     def __init__(self, daemon: Daemon) -> None:
+        """Begin with nothing prepared."""
         self._daemon = daemon
-        self._prepared: tuple[int, pb.Door] | None = None
+        self._prepared: _Prepared | None = None
 
-    def prepare(self, frame: Prepare) -> Said:
-        """Whether its settings could be taken up."""
+    def prepare(self, frame: PrepareSettings) -> WorkerMessage:
+        """Check whether settings could be applied."""
         try:
-            door = _door(frame.door)
+            settings = _parse_settings(frame.settings)
         except DecodeError as error:
-            return Said(prepared=frame.number, error=str(error))
-        stuck = [change.path for change in differences(self._daemon.door, door) if not change.live]
-        if stuck:
-            return Said(prepared=frame.number, error=f"needs a restart: {', '.join(stuck)}")
-        self._prepared = frame.number, door
-        return Said(prepared=frame.number)
-
-    def commit(self, frame: Commit) -> None:
-        """Take up what was prepared."""
-        if self._prepared is not None and self._prepared[0] == frame.number:
-            self._daemon.reconfigure(self._prepared[1])
+            return WorkerMessage(prepared_generation=frame.generation, error=str(error))
+        need_restart = [change.path for change in differences(self._daemon.door, settings) if not change.live]
+        if need_restart:
+            error_text = f"needs a restart: {', '.join(need_restart)}"
+            return WorkerMessage(prepared_generation=frame.generation, error=error_text)
+        self._prepared = _Prepared(frame.generation, settings)
+        return WorkerMessage(prepared_generation=frame.generation)
+
+    def commit(self, generation: int) -> None:
+        """Apply what was prepared under this number, and load files anew."""
+        if self._prepared is not None and self._prepared.generation == generation:
+            self._daemon.reconfigure(self._prepared.settings)
             self._prepared = None
         self._daemon.renew()
 
 
+async def _open_stdin() -> asyncio.StreamReader:
+    reader = asyncio.StreamReader(limit=STDIN_BUFFER_BYTES)
+    loop = asyncio.get_running_loop()
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), os.fdopen(0, "rb", 0))
+    return reader
+
+
 async def work() -> int:
-    """Serve until SIGTERM or the input's end; gives the exit code."""
+    """Serve until SIGTERM or the input's end; returns the exit code."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    reader = asyncio.StreamReader(limit=2**20)
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), os.fdopen(0, "rb", 0))
+    reader = await _open_stdin()
     try:
-        begin = await frames.read(reader)
-    except frames.FrameError as error:
+        start = await read_frame(reader)
+    except ProtocolError as error:
         sys.stderr.write(f"worker: {error}\n")
-        return 2
-    if not isinstance(begin, Begin):
-        return 2
-    door = _door(begin.door)
-    configure(door.log.form)
+        return EXIT_BAD_USAGE
+    if not isinstance(start, StartWorker):
+        return EXIT_BAD_USAGE
+    settings = _parse_settings(start.settings)
+    configure(settings.log.form)
     try:
-        daemon = Daemon(door, begin.seed)
+        daemon = Daemon(settings, start.seed)
         loop.set_exception_handler(lambda _, context: loop_fault(daemon, context))
-        sock = socket.socket(fileno=begin.socket) if begin.socket >= 0 else None
-        await daemon.start(sock, begin.reuse_port)
+        listener = socket.socket(fileno=start.socket) if start.socket >= 0 else None
+        await daemon.start(listener, start.reuse_port)
     except (TlsError, OSError) as error:
-        EventLogger(door.log, door.name).log("cannot start", {"error": getattr(error, "strerror", None) or str(error)})
-        return 1
-    _say(Said(ready=daemon.ports))
-    steering = asyncio.create_task(_steered(reader, Worker(daemon), stop))
+        event_logger = EventLogger(settings.log, settings.name)
+        event_logger.log("cannot start", {"error": getattr(error, "strerror", None) or str(error)})
+        return EXIT_CANNOT_START
+    _write_message(WorkerMessage(ready=daemon.ports))
+    steering = asyncio.create_task(_handle_frames(reader, Worker(daemon), stop))
     await stop.wait()
     steering.cancel()
     await daemon.stop()
     return 0
 
 
-async def _steered(reader: asyncio.StreamReader, worker: Worker, stop: asyncio.Event) -> None:
-    """Do what the supervisor says; its end is ours."""
+async def _handle_frames(reader: asyncio.StreamReader, worker: Worker, stop: asyncio.Event) -> None:
+    """Do what the supervisor says; its end is this worker's."""
     try:
-        while (frame := await frames.read(reader)) is not None:
+        while (frame := await read_frame(reader)) is not None:
             match frame:
-                case Prepare():
-                    _say(worker.prepare(frame))
-                case Commit():
-                    worker.commit(frame)
-                case Renew():
-                    worker.commit(Commit(0))
-    except frames.FrameError as error:
+                case PrepareSettings():
+                    _write_message(worker.prepare(frame))
+                case CommitSettings():
+                    worker.commit(frame.generation)
+                case ReloadFiles():
+                    worker.commit(NO_GENERATION)
+    except ProtocolError as error:
         sys.stderr.write(f"worker: {error}\n")
     finally:
         stop.set()
--- a/tests/test_formats_supervise.py
+++ b/tests/test_formats_supervise.py
@@ -13,26 +13,33 @@
 from google.protobuf import text_format
 
 from martenstep.config import door_pb2 as pb
-from martenstep.supervise import frames
-from martenstep.supervise.frames import Begin, Commit, Frame, Prepare, Renew, Said
-from martenstep.supervise.notify import Notifier
-from martenstep.supervise.service import Reloader
-from martenstep.supervise.workers import worker_door
+from martenstep.supervise import protocol as frames
+from martenstep.supervise.process_manager import Notifier
+from martenstep.supervise.protocol import (
+    CommitSettings,
+    Frame,
+    PrepareSettings,
+    ReloadFiles,
+    StartWorker,
+    WorkerMessage,
+)
+from martenstep.supervise.reloader import Reloader
+from martenstep.supervise.worker_settings import build_worker_settings
 from tests.door_rig import settings
 
 STORED = Path(__file__).parent / "formats" / "supervise"
 
 FRAMES: dict[str, Frame] = {
-    "begin": Begin(b"\x0a\x01d", 7, True, 3),
-    "begin-least": Begin(b"\x0a\x01d"),
-    "prepare": Prepare(2, b"\x0a\x01e"),
-    "commit": Commit(2),
-    "renew": Renew(),
+    "begin": StartWorker(b"\x0a\x01d", 7, True, 3),
+    "begin-least": StartWorker(b"\x0a\x01d"),
+    "prepare": PrepareSettings(2, b"\x0a\x01e"),
+    "commit": CommitSettings(2),
+    "renew": ReloadFiles(),
 }
-SAID: dict[str, Said] = {
-    "ready": Said({"listener": 8080, "admin": 9000}),
-    "prepared": Said(prepared=3),
-    "error": Said(prepared=3, error="needs a restart: admin.port"),
+SAID: dict[str, WorkerMessage] = {
+    "ready": WorkerMessage({"listener": 8080, "admin": 9000}),
+    "prepared": WorkerMessage(prepared_generation=3),
+    "error": WorkerMessage(prepared_generation=3, error="needs a restart: admin.port"),
 }
 
 
@@ -44,7 +51,7 @@
         reader = asyncio.StreamReader()
         reader.feed_data(data)
         reader.feed_eof()
-        return await frames.read(reader)
+        return await frames.read_frame(reader)
 
     for name, frame in FRAMES.items():
         assert asyncio.run(read(bytes.fromhex(lines[name]))) == frame
@@ -65,7 +72,7 @@
 def test_each_line_of_a_worker_is_written_and_read_as_committed() -> None:
     lines = (STORED / "said.jsonl").read_bytes().splitlines()
     assert [msgspec.json.encode(said) for said in SAID.values()] == lines
-    assert [msgspec.json.decode(line, type=Said) for line in lines] == list(SAID.values())
+    assert [msgspec.json.decode(line, type=WorkerMessage) for line in lines] == list(SAID.values())
 
 
 def test_the_settings_of_the_workers() -> None:
@@ -75,7 +82,9 @@
         'hooks { directory: "h" history: "h.jsonl" } counter { journal: "j" } members { warm_copy: "w" } '
         'tracing { file: "t" }'
     )
-    made = "".join(f"# {number}\n{text_format.MessageToString(worker_door(door, number))}" for number in range(3))
+    made = "".join(
+        f"# {number}\n{text_format.MessageToString(build_worker_settings(door, number))}" for number in range(3)
+    )
     assert made.encode() == (STORED / "workers.txtpb").read_bytes()
 
 
@@ -98,7 +107,7 @@
         asyncio.run(reloader.reload())
         assert heard.recv(1000) == b"RELOADING=1\nMONOTONIC_USEC=123456\n"
         assert heard.recv(1000) == b"READY=1\n"
-        assert notifier.tell(READY=1, STATUS="serves at port 8080") and notifier.tell(WATCHDOG=1)
+        assert notifier.notify(READY=1, STATUS="serves at port 8080") and notifier.notify(WATCHDOG=1)
         assert heard.recv(1000) == b"READY=1\nSTATUS=serves at port 8080\n"
         assert heard.recv(1000) == b"WATCHDOG=1\n"
         assert not lines
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -19,13 +19,23 @@
 from martenstep.config.loading import load_door, parse_door
 from martenstep.config.text_format import SettingsError
 from martenstep.hooks import files
-from martenstep.supervise import frames, resources
-from martenstep.supervise.lock import LockedError, PidFile
-from martenstep.supervise.notify import Notifier
-from martenstep.supervise.respawn import AT_START, FLAP_MS, FLAPS, MOST_MS, STEADY_MS, Again, GiveUp, Respawn
-from martenstep.supervise.service import Reloader, fit
+from martenstep.supervise import protocol as frames
+from martenstep.supervise import resources
+from martenstep.supervise.pid_file import PidFile, PidFileLockedError
+from martenstep.supervise.process_manager import Notifier
+from martenstep.supervise.reloader import Reloader
+from martenstep.supervise.restart_policy import (
+    CRASH_LOOP_DELAY_MS,
+    CRASH_LOOP_EXITS,
+    MAX_DELAY_MS,
+    MAX_STARTUP_FAILURES,
+    STABLE_AFTER_MS,
+    GiveUp,
+    RestartAt,
+    RestartPolicy,
+)
 from martenstep.supervise.supervisor import Supervisor
-from martenstep.supervise.workers import worker_door
+from martenstep.supervise.worker_settings import build_worker_settings
 from tests.door_rig import settings
 from tests.hook_rig import words
 
@@ -57,33 +67,35 @@
 
 
 def test_waits_grow_from_death_to_death_and_begin_anew_after_a_steady_life() -> None:
-    made = Respawn(2, random.Random(1))
-    made.ready(0.0, 1)
+    made = RestartPolicy(2, random.Random(1))
+    made.on_ready(0.0, 1)
     waits = []
-    for number in range(FLAPS - 1):
-        made.ready(1000.0 * number, 0)
-        decided = made.died(1000.0 * number, 0, "signal SIGKILL")
-        assert isinstance(decided, Again) and not decided.flaps
-        waits.append(decided.at - 1000.0 * number)
-    assert waits[0] <= 150 and waits[-1] > 1000 and max(waits) <= 1.5 * MOST_MS
-    flapping = made.died(9000.0, 0, "signal SIGKILL")
-    assert flapping == Again(9000.0 + FLAP_MS, True)
-    made.ready(50_000.0, 0)
-    decided = made.died(50_000.0 + STEADY_MS, 0, "signal SIGKILL")
-    assert isinstance(decided, Again) and not decided.flaps and decided.at - 50_000.0 - STEADY_MS <= 150
+    for number in range(CRASH_LOOP_EXITS - 1):
+        made.on_ready(1000.0 * number, 0)
+        decided = made.on_exit(1000.0 * number, 0, "signal SIGKILL")
+        assert isinstance(decided, RestartAt) and not decided.crash_loop
+        waits.append(decided.at_ms - 1000.0 * number)
+    assert waits[0] <= 150 and waits[-1] > 1000 and max(waits) <= 1.5 * MAX_DELAY_MS
+    flapping = made.on_exit(9000.0, 0, "signal SIGKILL")
+    assert flapping == RestartAt(9000.0 + CRASH_LOOP_DELAY_MS, True)
+    made.on_ready(50_000.0, 0)
+    decided = made.on_exit(50_000.0 + STABLE_AFTER_MS, 0, "signal SIGKILL")
+    assert (
+        isinstance(decided, RestartAt) and not decided.crash_loop and decided.at_ms - 50_000.0 - STABLE_AFTER_MS <= 150
+    )
 
 
 def test_the_whole_is_given_up_only_where_none_serves_and_none_ever_did() -> None:
-    made = Respawn(2, random.Random(1))
-    for _ in range(AT_START + 2):
-        assert isinstance(made.died(0.0, 0, "exit code 1"), Again)  # the other may still come
-    for _ in range(AT_START - 1):
-        assert isinstance(made.died(0.0, 1, "exit code 1"), Again)
-    assert isinstance(made.died(0.0, 1, "exit code 1"), GiveUp)
-    serving = Respawn(2, random.Random(1))
-    serving.ready(0.0, 1)
+    made = RestartPolicy(2, random.Random(1))
+    for _ in range(MAX_STARTUP_FAILURES + 2):
+        assert isinstance(made.on_exit(0.0, 0, "exit code 1"), RestartAt)  # the other may still come
+    for _ in range(MAX_STARTUP_FAILURES - 1):
+        assert isinstance(made.on_exit(0.0, 1, "exit code 1"), RestartAt)
+    assert isinstance(made.on_exit(0.0, 1, "exit code 1"), GiveUp)
+    serving = RestartPolicy(2, random.Random(1))
+    serving.on_ready(0.0, 1)
     for _ in range(50):
-        assert isinstance(serving.died(0.0, 0, "exit code 1"), Again)
+        assert isinstance(serving.on_exit(0.0, 0, "exit code 1"), RestartAt)
 
 
 def test_workers_are_instances_of_their_own() -> None:
@@ -93,7 +105,7 @@
         'hooks { directory: "h" history: "h.jsonl" }'
     )
     door.instance = 1
-    made = [worker_door(door, number) for number in range(4)]
+    made = [build_worker_settings(door, number) for number in range(4)]
     assert [one.instance for one in made] == [4, 5, 6, 7] and {one.instances for one in made} == {8}
     assert [one.admin.port for one in made] == [9000, 9001, 9002, 9003]
     part = made[0].customer[-1]
@@ -112,15 +124,15 @@
         made = Notifier(
             {"NOTIFY_SOCKET": str(tmp_path / "n"), "WATCHDOG_USEC": "4000000", "WATCHDOG_PID": str(os.getpid())}
         )
-        assert made.watchdog_s == 2.0 and made.tell(READY=1, STATUS="well\nREADY=0")
+        assert made.watchdog_s == 2.0 and made.notify(READY=1, STATUS="well\nREADY=0")
         assert heard.recv(1000) == b"READY=1\nSTATUS=well\n"
-    assert not made.tell(READY=1)  # nobody listens any more
+    assert not made.notify(READY=1)  # nobody listens any more
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as heard:
         name = f"martenstep-{os.getpid()}"
         heard.bind("\0" + name)
         heard.settimeout(5)
-        assert Notifier({"NOTIFY_SOCKET": "@" + name}).tell(STOPPING=1) and heard.recv(100) == b"STOPPING=1\n"
-    assert not Notifier({}).tell(READY=1) and not Notifier({"NOTIFY_SOCKET": "vsock:1:2"}).tell(READY=1)
+        assert Notifier({"NOTIFY_SOCKET": "@" + name}).notify(STOPPING=1) and heard.recv(100) == b"STOPPING=1\n"
+    assert not Notifier({}).notify(READY=1) and not Notifier({"NOTIFY_SOCKET": "vsock:1:2"}).notify(READY=1)
     assert Notifier({"NOTIFY_SOCKET": "/x", "WATCHDOG_USEC": "many"}).watchdog_s == 0
     assert Notifier({"NOTIFY_SOCKET": "/x", "WATCHDOG_USEC": "1000", "WATCHDOG_PID": "1"}).watchdog_s == 0
 
@@ -129,32 +141,32 @@
     path = tmp_path / "door.pid"
     path.write_text("99999\n")  # left by one that was killed
     first, second = PidFile(path), PidFile(path)
-    first.take()
+    first.acquire()
     assert path.read_text() == f"{os.getpid()}\n"
-    with pytest.raises(LockedError, match=f"held by process {os.getpid()}"):
-        second.take()
-    first.drop()
+    with pytest.raises(PidFileLockedError, match=f"held by process {os.getpid()}"):
+        second.acquire()
+    first.release()
     assert not path.exists()
-    second.take()
-    second.drop()
+    second.acquire()
+    second.release()
 
 
 def test_connections_are_fitted_to_the_open_files() -> None:
-    need = resources.need_of(settings("listener { max_connections: 1000 } upstream { connections: 10 }"))
-    assert need.files == 1000 + 10 * resources.SERVERS_GUESSED + 4 + resources.OWN_FILES
-    assert resources.fit_connections(need, 1000, need.files) == 1000
-    assert resources.fit_connections(need, 1000, need.files - 300) == 700
+    need = resources.estimate_need(settings("listener { max_connections: 1000 } upstream { connections: 10 }"))
+    assert need.files == 1000 + 10 * resources.ASSUMED_ENDPOINTS + 4 + resources.OWN_FILES
+    assert resources.limit_connections(need, 1000, need.files) == 1000
+    assert resources.limit_connections(need, 1000, need.files - 300) == 700
     with pytest.raises(resources.ResourceError, match="raise the bound"):
-        resources.fit_connections(need, 1000, need.files - 990)
+        resources.limit_connections(need, 1000, need.files - 990)
 
 
 def test_what_the_machine_cannot_hold_is_told_before_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     told: dict[str, dict[str, Any]] = {}
     door = settings("listener { max_connections: 1000 }")
-    monkeypatch.setattr(resources, "raise_files", lambda need: need - 164)
-    monkeypatch.setattr(resources, "memory", lambda: 1)
-    fit(door, lambda event, fields: told.update({event: fields}))
-    assert door.listener.max_connections == 900 and told["fewer connections"]["instead_of"] == 1000
+    monkeypatch.setattr(resources, "raise_file_limit", lambda need: need - 164)
+    monkeypatch.setattr(resources, "available_memory_bytes", lambda: 1)
+    resources.apply_limits(door, lambda event, fields: told.update({event: fields}))
+    assert door.listener.max_connections == 900 and told["connection limit lowered"]["instead_of"] == 1000
     assert told["memory may not suffice"]["free_mb"] == 0
 
 
@@ -163,18 +175,18 @@
 
 def test_frames_come_back_whole_and_broken_ones_are_told() -> None:
     async def test() -> None:
-        whole = frames.encode(frames.Prepare(3, b"door")) + frames.encode(frames.Renew())
+        whole = frames.encode(frames.PrepareSettings(3, b"door")) + frames.encode(frames.ReloadFiles())
         reader = asyncio.StreamReader()
         reader.feed_data(whole)
         reader.feed_eof()
-        assert await frames.read(reader) == frames.Prepare(3, b"door")
-        assert await frames.read(reader) == frames.Renew() and await frames.read(reader) is None
+        assert await frames.read_frame(reader) == frames.PrepareSettings(3, b"door")
+        assert await frames.read_frame(reader) == frames.ReloadFiles() and await frames.read_frame(reader) is None
         for data in (whole[:3], whole[:9], b"\xff\xff\xff\xff", b"\0\0\0\2{}", b"\0\0\0\1\xc1"):
             reader = asyncio.StreamReader()
             reader.feed_data(data)
             reader.feed_eof()
-            with pytest.raises(frames.FrameError):
-                await frames.read(reader)
+            with pytest.raises(frames.ProtocolError):
+                await frames.read_frame(reader)
 
     run(test())
 
@@ -245,12 +257,12 @@
             assert set(answers) <= {0, 200, 429} and 429 in answers
             await made.until(
                 lambda: (
-                    made.supervisor.serving == 2
+                    made.supervisor.ready_count == 2
                     and first[0]["pid"] not in [one["pid"] for one in made.supervisor.workers]
                 )
             )
             assert [await made.ask() for _ in range(20)] == [200] * 20
-        assert ("worker died", {"worker": 0, "how": "signal SIGKILL"}) in notes
+        assert ("worker exited", {"worker": 0, "how": "signal SIGKILL"}) in notes
 
     run(test())
 
@@ -264,7 +276,7 @@
             door,
             lambda event, fields: notes.append(event),
             rng=random.Random(1),
-            words=(sys.executable, "-S", "-c", "raise SystemExit(7)"),
+            worker_command=(sys.executable, "-S", "-c", "raise SystemExit(7)"),
         )
         made.bind()
         made.start()
@@ -273,7 +285,7 @@
         await made.stop()
 
     run(test())
-    assert notes.count("worker died") >= 6 and notes[-1] == "supervisor gives up"
+    assert notes.count("worker exited") >= 6 and notes[-1] == "supervisor gives up"
 
 
 def test_settings_are_taken_up_by_all_workers_or_none_under_load(tmp_path: Path) -> None:
@@ -287,9 +299,9 @@
                 lambda: load_door(file),
                 lambda event, fields: notes.append((event, fields)),
                 Notifier({}),
-                lambda: made.supervisor.door,
-                made.supervisor.take_up,
-                made.supervisor.renew,
+                lambda: made.supervisor.settings,
+                made.supervisor.apply_settings,
+                made.supervisor.reload_files,
             )
             stop = False
 
@@ -307,18 +319,18 @@
             ):
                 file.write_text(bad)
                 await reloader.reload()
-                assert notes[-1][0] == "settings not taken up"
+                assert notes[-1][0] == "settings rejected"
                 assert {await made.ask("new") for _ in range(8)} == {403}
             assert notes[-1][1] == {"need_a_restart": ["zone: 'a' -> 'b'"]}
             file.write_text(base + 'customer { key: "new" plan: "open" }')
             await reloader.reload()
-            assert notes[-1] == ("settings taken up", {"changes": ["customer: 2 entries -> 3 entries ('new')"]})
+            assert notes[-1] == ("settings applied", {"changes": ["customer: 2 entries -> 3 entries ('new')"]})
             while {await made.ask("new") for _ in range(8)} != {200}:  # the last worker's turn is a moment away
                 pass
             pid = made.supervisor.workers[1]["pid"]
             os.kill(pid, signal.SIGKILL)
-            await made.until(lambda: made.supervisor.serving == 1)
-            await made.until(lambda: made.supervisor.serving == 2)
+            await made.until(lambda: made.supervisor.ready_count == 1)
+            await made.until(lambda: made.supervisor.ready_count == 2)
             assert {await made.ask("new") for _ in range(16)} == {200}  # it came back with what holds now
             stop = True
             assert set().union(*await asyncio.gather(*loads)) <= {200, 0}
@@ -338,8 +350,8 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         assert process.stdin is not None and process.stdout is not None
-        door = worker_door(parse_door(ASKED + "workers { count: 1 }", "door.txtpb"), 0)
-        process.stdin.write(frames.encode(frames.Begin(door.SerializeToString())))
+        door = build_worker_settings(parse_door(ASKED + "workers { count: 1 }", "door.txtpb"), 0)
+        process.stdin.write(frames.encode(frames.StartWorker(door.SerializeToString())))
         assert b'"ready"' in await process.stdout.readline()
         process.stdin.close()
         assert await process.wait() == 0
@@ -360,7 +372,7 @@
     """It would end the process, or pass unheard between the reading of the settings and the handler."""
     script = (
         "import os, signal, sys; sys.argv = ['martenstep', 'serve', sys.argv[1]]\n"
-        "from martenstep.supervise import early; early.arm(sys.argv[1:])\n"
+        "from martenstep.supervise import early_signals; early_signals.install(sys.argv[1:])\n"
         "from martenstep.cli import main\n"
         "load = main.load_door\n"
         "def loaded(path):\n"
@@ -385,7 +397,7 @@
             line = (await process.stderr.readline()).decode()
             assert line, seen
             seen.append(line)
-        assert "settings taken up" in seen[-1]
+        assert "settings applied" in seen[-1]
         process.terminate()
         assert await process.wait() == 0
 
