--- a/martenstep/counter/commit_pipeline.py
+++ b/martenstep/counter/commit_pipeline.py
@@ -26,7 +26,7 @@
 )
 from martenstep.counter.state import CounterLimits, CounterState, GatewayState
 from martenstep.storage.files import Files
-from martenstep.storage.log import LogError, Opened, Writer, compact, open_log, write_snapshot
+from martenstep.storage.log import LogError, LogWriter, OpenedLog, compact, open_log, write_snapshot
 
 DEFAULT_SEGMENT_BYTES = 64 << 20
 Client = TypeVar("Client")  # whoever a reply goes to
@@ -56,7 +56,7 @@
     """A log that was read anew after a failure, and can be written."""
 
     state: CounterState
-    writer: Writer
+    writer: LogWriter
     record_count: int
 
 
@@ -68,7 +68,7 @@
     record_count: int
 
 
-def rebuild_state(opened: Opened, limits: CounterLimits) -> CounterState:
+def rebuild_state(opened: OpenedLog, limits: CounterLimits) -> CounterState:
     """Rebuild the state from a log; raises LogError if a snapshot's body cannot be read."""
     state = CounterState(limits)
     if opened.snapshot is not None:
@@ -102,9 +102,9 @@
         self._limits = limits
         self._segment_bytes = segment_bytes
         opened = open_log(files)
-        self.truncated_bytes = opened.cut  # of a torn tail
+        self.truncated_bytes = opened.torn_bytes  # of a torn tail
         self.state = rebuild_state(opened, limits)
-        self._writer = Writer(files, opened, segment_bytes)
+        self._writer = LogWriter(files, opened, segment_bytes)
         self._last_snapshot_records = opened.start
         self._snapshot_marks: list[_SnapshotMark] = []  # for retention
         self.pending_group: CommitGroup[Client] = CommitGroup()
@@ -230,8 +230,8 @@
                 self._files.remove(segment.name)
             else:
                 self._files.append(segment.name, end).close()  # it is no longer the last, which alone may be torn
-        fresh = Opened(None, record_count, iter(()), 0, None, 0)
-        return RecoveredLog(state, Writer(self._files, fresh, self._segment_bytes), record_count)
+        fresh = OpenedLog(None, record_count, iter(()), 0, None, 0)
+        return RecoveredLog(state, LogWriter(self._files, fresh, self._segment_bytes), record_count)
 
     def resume(self, recovered: RecoveredLog) -> None:
         """Go on with what was recovered; every session has to begin anew."""
--- a/martenstep/counter/follower.py
+++ b/martenstep/counter/follower.py
@@ -33,7 +33,7 @@
 )
 from martenstep.counter.state import CounterLimits
 from martenstep.storage.files import Disk
-from martenstep.storage.log import Writer, likeness, open_log, read_records, records_of
+from martenstep.storage.log import LogWriter, decode_records, fingerprint_entry, open_log, read_records
 
 READ_BYTES = 1 << 20
 MIN_RETRY_MS = 50.0
@@ -60,7 +60,7 @@
         try:
             opened = open_log(self._disk)
             self.term = rebuild_state(opened, CounterLimits()).term
-            self._writer = Writer(self._disk, opened, segment_bytes)
+            self._writer = LogWriter(self._disk, opened, segment_bytes)
         except BaseException:
             self._disk.close()
             raise
@@ -68,8 +68,8 @@
         if self._writer.next:
             last_index = self._writer.next - 1
             data, _ = read_records(self._disk, last_index, self._writer.next)
-            [entry] = records_of(data, last_index)
-            self._last_checksum = likeness(last_index, entry)
+            [entry] = decode_records(data, last_index)
+            self._last_checksum = fingerprint_entry(last_index, entry)
 
     @property
     def record_count(self) -> int:
@@ -80,9 +80,9 @@
         """Make records durable; raises LogError if they are not complete, ProtocolError if they do not follow."""
         if records.first_index != self._writer.next:
             raise ProtocolError(f"record {records.first_index} after {self._writer.next - 1}")
-        entries = records_of(records.data, records.first_index)
-        self._writer.copy(entries)
-        self._last_checksum = likeness(self._writer.next - 1, entries[-1])
+        entries = decode_records(records.data, records.first_index)
+        self._writer.append_copied(entries)
+        self._last_checksum = fingerprint_entry(self._writer.next - 1, entries[-1])
         for entry in entries:
             if entry[0] == ENTRY_TERM:
                 self.term = max(self.term, decode_term(entry))
--- a/martenstep/counter/log_shipping.py
+++ b/martenstep/counter/log_shipping.py
@@ -18,7 +18,7 @@
     Status,
     encode,
 )
-from martenstep.storage.log import RECORD, LogError, likeness, read_records, records_of
+from martenstep.storage.log import RECORD, LogError, decode_records, fingerprint_entry, read_records
 
 MAX_FRAME_RECORD_BYTES = 60_000  # below the maximum of a frame
 
@@ -158,12 +158,12 @@
     async def _check_last_record(self, last_index: int) -> Rejection | None:
         try:
             records = await self._shipper.read_stored(last_index, last_index + 1)
-            [entry] = records_of(records.data, last_index)
+            [entry] = decode_records(records.data, last_index)
         except (LogError, ValueError) as error:
             return Rejection(Status.BAD, f"{error}: copy the directory first")
         except OSError as error:
             return Rejection(Status.UNWRITTEN, f"the log cannot be read: {error}")
-        if likeness(last_index, entry) != self._request.previous_checksum:
+        if fingerprint_entry(last_index, entry) != self._request.previous_checksum:
             return Rejection(Status.BAD, f"the logs part before record {last_index + 1}")
         return None
 
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -15,7 +15,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.tls import TlsError
-from martenstep.proxy.daemon import Daemon, loop_fault
+from martenstep.proxy.daemon import Daemon, log_loop_error
 from martenstep.proxy.event_logger import EventLogger, configure
 from martenstep.supervise import early_signals, resources
 from martenstep.supervise.pid_file import PidFile, PidFileLockedError
@@ -54,7 +54,7 @@
     notifier = Notifier()
     stop = asyncio.Event()
     daemon = Daemon(settings, seed)
-    asyncio.get_running_loop().set_exception_handler(lambda _, context: loop_fault(daemon, context))
+    asyncio.get_running_loop().set_exception_handler(lambda _, context: log_loop_error(daemon, context))
 
     async def apply(new_settings: pb.Door) -> str:
         daemon.reconfigure(new_settings)
--- a/martenstep/supervise/worker.py
+++ b/martenstep/supervise/worker.py
@@ -15,7 +15,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.changes import differences
 from martenstep.config.tls import TlsError
-from martenstep.proxy.daemon import Daemon, loop_fault
+from martenstep.proxy.daemon import Daemon, log_loop_error
 from martenstep.proxy.event_logger import EventLogger, configure
 from martenstep.supervise.protocol import (
     CommitSettings,
@@ -106,7 +106,7 @@
     configure(settings.log.form)
     try:
         daemon = Daemon(settings, start.seed)
-        loop.set_exception_handler(lambda _, context: loop_fault(daemon, context))
+        loop.set_exception_handler(lambda _, context: log_loop_error(daemon, context))
         listener = socket.socket(fileno=start.socket) if start.socket >= 0 else None
         await daemon.start(listener, start.reuse_port)
     except (TlsError, OSError) as error:
