--- a/martenstep/counter/replica_process.py
+++ b/martenstep/counter/replica_process.py
@@ -18,8 +18,7 @@
 from martenstep.counter.settings import build_limits
 from martenstep.event_log import EventLog
 from martenstep.lifetime import until_stopped
-from martenstep.membership.codec import Keys
-from martenstep.membership.keys import KeyFileError, read_keys
+from martenstep.membership.keyring import KeyFileError, Keyring, read_keyring
 from martenstep.replication.errors import ReplicaStorageError
 from martenstep.replication.messages import Configuration
 from martenstep.replication.placement import (
@@ -62,9 +61,9 @@
         raise ReplicaError(str(error)) from None
 
 
-def _read_keys(path: Path) -> Keys:
+def _read_keys(path: Path) -> Keyring:
     try:
-        return read_keys(path)
+        return read_keyring(path)
     except KeyFileError as error:
         raise ReplicaError(str(error)) from None
 
@@ -139,7 +138,7 @@
 
 
 async def _serve_storage(
-    settings: pb.Service, load: Callable[[], pb.Service] | None, keys: Keys, storage: ReplicaStorage
+    settings: pb.Service, load: Callable[[], pb.Service] | None, keys: Keyring, storage: ReplicaStorage
 ) -> None:
     replicas = ReplicaList(settings.copies)
     if storage.replica_id not in replicas.replicas:
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -17,9 +17,9 @@
 from martenstep.counter.replicated_counter import ReplicatedCounter
 from martenstep.counter.replicated_service import ReplicatedService, ServiceLimits
 from martenstep.event_log import EventLog
-from martenstep.maintenance.coordinator import GROUP as ORDERS
-from martenstep.maintenance.queue import Book as OrderBook
-from martenstep.membership.transport import Membership
+from martenstep.maintenance.coordinator import QUEUE_GROUP
+from martenstep.maintenance.queue import MaintenanceQueue
+from martenstep.membership.service import MembershipService
 from martenstep.replication.replica import Replica
 from martenstep.replication.replica_manager import ReplicaManager
 from martenstep.replication.settings import BootstrapMember, ClusterNode, ReplicationSettings
@@ -36,7 +36,7 @@
 def replica_requirements(door: pb.Door) -> ReplicationSettings:
     """Return what the settings require of each gateway."""
     copies = door.copies
-    more = (ORDERS,) if door.HasField("maintenance") else ()
+    more = (QUEUE_GROUP,) if door.HasField("maintenance") else ()
     return ReplicationSettings(
         slot_groups(copies) + more,
         tuple(BootstrapMember(founder.door, founder.disk) for founder in copies.founder),
@@ -51,7 +51,7 @@
     def __init__(
         self,
         door: pb.Door,
-        membership: Membership,
+        membership: MembershipService,
         log_event: EventLog,
         deliver: Callable[[AttemptRecord], bool],
     ) -> None:
@@ -78,7 +78,7 @@
         self.transport = Transport(
             door.fleet.cluster,
             door.name,
-            lambda: membership.keys,
+            lambda: membership.keyring,
             self._transport_address,
             self.replica_manager.receive,
             self.replica_manager.report_unknown_replica,
@@ -103,9 +103,9 @@
         self.transport.stop()
 
     @staticmethod
-    def _build_machine(group: str) -> ReplicatedCounter | PendingIncrements | OrderBook:
-        if group == ORDERS:
-            return OrderBook()
+    def _build_machine(group: str) -> ReplicatedCounter | PendingIncrements | MaintenanceQueue:
+        if group == QUEUE_GROUP:
+            return MaintenanceQueue()
         return PendingIncrements() if is_ledger_group(group) else ReplicatedCounter()
 
     def _find_replica(self, group: str) -> Replica | None:
@@ -132,7 +132,7 @@
 
     def _transport_address(self, node: str) -> Address | None:
         address = self._node_address(node, self._copies.port)
-        return self._membership.way(address) if address is not None else None
+        return self._membership.route(address) if address is not None else None
 
     def _gateway_address(self, group: str, replica_id: int | None) -> str | None:
         if replica_id is None:
--- /dev/null
+++ b/martenstep/membership/core_parts.py
@@ -0,0 +1,26 @@
+"""The parts of the core that the merging of records, the failure detector and the state exchange rest on."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from martenstep.membership.datagram_channel import DatagramChannel
+from martenstep.membership.exchange_dialer import ExchangeDialer
+from martenstep.membership.joining import ClusterJoiner
+from martenstep.membership.local_node import LocalNode
+from martenstep.membership.partition_detector import PartitionDetector
+from martenstep.membership.probe_round import ProbeRound
+from martenstep.membership.suspicion import SuspicionTracker
+
+
+@dataclass(frozen=True, slots=True)
+class CoreParts:
+    """One node's parts, made once by the core."""
+
+    node: LocalNode
+    channel: DatagramChannel
+    dialer: ExchangeDialer
+    suspicions: SuspicionTracker
+    partitions: PartitionDetector
+    probe_round: ProbeRound
+    joiner: ClusterJoiner
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any, TextIO, TypeVar
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.node.config import (
     NOTHING_TAKEN,
     PASSING_ERRORS,
@@ -130,7 +130,9 @@
 
     def _list_behind(self) -> bool:
         """Whether the process stood still and discovery has not answered since: what its agent told meanwhile counts.
-        An agent that does not answer is silent, and has told nothing."""
+
+        An agent that does not answer is silent, and has told nothing.
+        """
         assert self._selector is not None
         if self._selector.stalled_at > self._asked_anew_at:
             self._asked_anew_at, now = self._selector.stalled_at, now_ms()
@@ -149,10 +151,10 @@
         # A service that all gateways share is not asked out of turn: what it has told by now is waited for.
         return self._discovery.unread
 
-    def _listed(self, listed: Listed) -> None:
+    def _listed(self, listed: EndpointListEvent) -> None:
         if listed.scope is EndpointListScope.FULL:
             self._first_list.set()
-        starts = {server.id: server.started_ms for server in listed.servers}
+        starts = {server.id: server.started_ms for server in listed.endpoints}
         concerned = starts if listed.scope is EndpointListScope.DELTA else self.engine.addresses
         before = {number: self.engine.addresses[number] for number in concerned if number in self.engine.addresses}
         started_before = {number: self._started.get(number, math.inf) for number in before}
@@ -172,14 +174,17 @@
         self.driver.handle(CounterReplied(call, verdict, total))
 
     def _known(self) -> None:
-        """The list as last had, maybe old.  By the follower that goes on from it: a number that named another server
-        once discovery's list comes would have its attempts, its latency and its place in the books."""
+        """The list as last had, maybe old.
+
+        By the follower that goes on from it: a number that named another server once discovery's list comes would have
+        its attempts, its latency and its place in the books.
+        """
         try:
             known = self._follower.told(self.config.known, EndpointListScope.CACHED)
         except DiscoveryError as error:
             self._event_logger.log("known list not taken up", {"error": str(error)})
             known = None
-        self.driver.handle(known if known is not None else Listed(EndpointListScope.CACHED))
+        self.driver.handle(known if known is not None else EndpointListEvent(EndpointListScope.CACHED))
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
@@ -202,8 +207,11 @@
         self._first_list.set()  # who waits for it waits no more: the time until SIGKILL runs
 
     async def start(self) -> int:
-        """Bind everything, and be ready once there is a list; gives the listener's port, 0 where the door was told to
-        end before it listened.  Raises ConfigError where it cannot listen."""
+        """Bind everything, and be ready once there is a list.
+
+        Gives the listener's port, 0 where the door was told to end before it listened.  Raises ConfigError where it
+        cannot listen.
+        """
         self._known()
         if self._counter is not None:
             self.driver.add_to_counter = self._counter.add
@@ -291,9 +299,11 @@
         )
 
     def reload(self) -> None:
-        """SIGHUP: discovery and the counter may be elsewhere.  A file that cannot be read leaves all as it is, and is
-        read again for some seconds, since whoever writes it may not be done; whatever else has changed in it waits for
-        a restart."""
+        """SIGHUP: discovery and the counter may be elsewhere.
+
+        A file that cannot be read leaves all as it is, and is read again for some seconds, since whoever writes it may
+        not be done; whatever else has changed in it waits for a restart.
+        """
         if self._rereading is not None:
             self._rereading.cancel()
             self._rereading = None
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -1,8 +1,9 @@
-"""The platform's discovery: the whole list, then a watch that continues while each call follows the last answer at
-once.
+"""The platform's discovery.
 
-`Follower` is the protocol without sockets; `Discovery` keeps a connection to the agent, which answers from what it
-has been told and is silent while discovery is down.
+The whole list, then a watch that continues while each call follows the last answer at once.
+
+`Follower` is the protocol without sockets; `Discovery` keeps a connection to the agent, which answers from what it has
+been told and is silent while discovery is down.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from typing import Any
 
 from martenstep.backoff import Backoff
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.event_log import EventLog
 from martenstep.node.config import ConfigError, address_of
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
@@ -77,7 +78,8 @@
 
     Each call is work for a service that all front doors share.  Where calls are refused or answers come late, watches
     are held for longer, and of those that are refused who has a new list comes again later: the next turn is for those
-    whose list is old.  After an answer the next call follows at once, since what it would have told counts as told."""
+    whose list is old.  After an answer the next call follows at once, since what it would have told counts as told.
+    """
 
     def __init__(self, timing: Timing, rng: random.Random | None = None) -> None:
         self._timing, self._rng = timing, rng or random.Random()
@@ -114,7 +116,8 @@
 
     What it refuses to tell counts as told TOLD_MS after it had it.  Whoever is refused for longer knows of no server
     that it may still be sent to, nor does who starts with a list whose age nobody knows.  A watch that was taken and
-    not answered while the queue is long has nothing new to tell."""
+    not answered while the queue is long has nothing new to tell.
+    """
 
     def __init__(self) -> None:
         self._fresh = -math.inf  # when the last answer came
@@ -200,13 +203,13 @@
         self.addresses: dict[int, tuple[str, int]] = {}
         self._servers: dict[int, Endpoint] = {}
 
-    def whole(self) -> Listed:
+    def whole(self) -> EndpointListEvent:
         """The list as told so far."""
-        return Listed(EndpointListScope.FULL, tuple(self._servers.values()), dict(self.addresses))
+        return EndpointListEvent(EndpointListScope.FULL, tuple(self._servers.values()), dict(self.addresses))
 
-    def doubted(self) -> Listed:
+    def doubted(self) -> EndpointListEvent:
         """The same where any of them may be draining: none takes anything new."""
-        return Listed(
+        return EndpointListEvent(
             EndpointListScope.DELTA,
             tuple(replace(server, state=EndpointState.DRAINING) for server in self._servers.values()),
             dict(self.addresses),
@@ -216,7 +219,7 @@
         """What to ask next; a watch may wait for so long."""
         return PATH if self.rev is None else f"{PATH}?after={self.rev}&wait_ms={wait_ms:.0f}"
 
-    def take(self, body: bytes) -> Listed | None:
+    def take(self, body: bytes) -> EndpointListEvent | None:
         """Take in an answer; gives what it tells, none where nothing changed.  Raises DiscoveryError."""
         try:
             told = json.loads(body)
@@ -224,9 +227,11 @@
             raise DiscoveryError(f"not JSON: {error}") from None
         return self.told(told)
 
-    def told(self, told: Any, scope: EndpointListScope | None = None) -> Listed | None:
+    def told(self, told: Any, scope: EndpointListScope | None = None) -> EndpointListEvent | None:
         """Take in a list that is read already; `scope` in place of its own, and then no watch goes on from it.
-        Nothing of one that cannot be read to its end is taken in."""
+
+        Nothing of one that cannot be read to its end is taken in.
+        """
         now = self._clock()
         reading = _Reading(now, self._wall_clock(), now - self._complete_at)
         try:
@@ -247,7 +252,9 @@
         servers = self._apply(entries, whole)
         self._starts.trim(self._numbers)
         told_of = {server.id: self.addresses[server.id] for server in servers if server.id in self.addresses}
-        return Listed(scope or (EndpointListScope.FULL if whole else EndpointListScope.DELTA), tuple(servers), told_of)
+        return EndpointListEvent(
+            scope or (EndpointListScope.FULL if whole else EndpointListScope.DELTA), tuple(servers), told_of
+        )
 
     def _apply(self, entries: list[_Entry], whole: bool) -> list[Endpoint]:
         """Take in entries that were all read.  The cost is that of the entries, not that of the fleet."""
@@ -301,7 +308,7 @@
         self,
         address: tuple[str, int],
         follower: Follower,
-        tell: Callable[[Listed], None],
+        tell: Callable[[EndpointListEvent], None],
         log_event: EventLog,
         timing: Timing = AGENT,
     ) -> None:
@@ -337,8 +344,10 @@
         return bool(reader.buffered) or is_ready(writer, select.POLLIN)
 
     def ask_anew(self) -> None:
-        """Ask at once, in place of the call that is out: its answer may have been given up while the process did not
-        run, and what it told counts as told."""
+        """Ask at once, in place of the call that is out.
+
+        Its answer may have been given up while the process did not run, and what it told counts as told.
+        """
         if self._task is not None:
             self._task.cancel()
             self._ask_at_once = True
@@ -446,8 +455,10 @@
             writer.close()
 
     async def _answer(self, reader: asyncio.StreamReader, wire: Http1ClientConnection, wait_ms: float) -> bytes:
-        """One answer, whose first byte comes within `wait_ms`, which never stands still for longer than `still_ms` and
-        is whole within WHOLE_MS more; raises TimeoutError."""
+        """One answer, whose first byte comes within `wait_ms`.
+
+        Which never stands still for longer than `still_ms` and is whole within WHOLE_MS more; raises TimeoutError.
+        """
         body = bytearray()
         async with asyncio.timeout((wait_ms + WHOLE_MS) / 1000):
             while True:
--- a/martenstep/proxy/cluster.py
+++ b/martenstep/proxy/cluster.py
@@ -1,6 +1,7 @@
 """What a gateway does together with the others: membership, replicas, and turns of maintenance.
 
-What is wrong with any of it keeps no gateway from serving: the others go on."""
+What is wrong with any of it keeps no gateway from serving: the others go on.
+"""
 
 from __future__ import annotations
 
@@ -16,67 +17,73 @@
 if TYPE_CHECKING:  # a gateway without them loads none of it
     from martenstep.counter.pending_increments import AttemptRecord
     from martenstep.counter.sharded_counter import ShardedCounter
-    from martenstep.maintenance.coordinator import Orders
-    from martenstep.membership.transport import Membership
+    from martenstep.maintenance.coordinator import MaintenanceCoordinator
+    from martenstep.membership.service import MembershipService
 
 
 class Cluster:
     """This gateway's part in the cluster, as far as the settings have one."""
 
-    def __init__(self, door: pb.Door, admin: AdminListener, is_ready: Callable[[], bool], log_event: EventLog) -> None:
+    def __init__(
+        self, gateway_settings: pb.Door, admin: AdminListener, is_ready: Callable[[], bool], log_event: EventLog
+    ) -> None:
         """`admin` shows what is started here; `is_ready` tells whether this gateway serves."""
-        self._door, self._admin, self._is_ready, self._log_event = door, admin, is_ready, log_event
-        self.membership: Membership | None = None
+        self._settings, self._admin, self._is_ready, self._log_event = gateway_settings, admin, is_ready, log_event
+        self.membership: MembershipService | None = None
         self.replicas: ShardedCounter | None = None
-        self.maintenance: Orders | None = None
+        self.maintenance: MaintenanceCoordinator | None = None
 
     async def start(self, deliver: Callable[[AttemptRecord], bool]) -> dict[str, int]:
         """Join the others; returns the ports by name.  `deliver` takes what a ledger that this gateway leads has."""
-        from martenstep.membership.keys import KeyFileError
-        from martenstep.membership.transport import Membership
+        from martenstep.membership.keyring import KeyFileError
+        from martenstep.membership.service import MembershipService
 
         ports: dict[str, int] = {}
         try:
-            self.membership = Membership(self._door.fleet, self._door.name, self._door.zone, self._log_event)
+            self.membership = MembershipService(
+                self._settings.fleet, self._settings.name, self._settings.zone, self._log_event
+            )
             ports["fleet"] = await self.membership.start()
         except (KeyFileError, OSError) as error:
             self._log_event("fleet not joined", {"error": str(error)})
             self.membership = None
             return ports
         self._admin.membership = self.membership
-        if self._door.HasField("copies"):
+        if self._settings.HasField("copies"):
             ports.update(await self._start_replicas(self.membership, deliver))
         return ports
 
-    async def _start_replicas(self, membership: Membership, deliver: Callable[[AttemptRecord], bool]) -> dict[str, int]:
+    async def _start_replicas(
+        self, membership: MembershipService, deliver: Callable[[AttemptRecord], bool]
+    ) -> dict[str, int]:
         from martenstep.counter.sharded_counter import ShardedCounter
         from martenstep.replication.errors import ReplicaManagerError
         from martenstep.storage.files import LockedError
 
         ports: dict[str, int] = {}
-        self.replicas = ShardedCounter(self._door, membership, self._log_event, deliver)
+        self.replicas = ShardedCounter(self._settings, membership, self._log_event, deliver)
         try:
             ports.update(await self.replicas.start())
         except (ReplicaManagerError, LockedError, OSError) as error:
             self._log_event("copies not held", {"error": str(error)})
             await self.replicas.stop()
         self._admin.replication = self.replicas.replica_manager
-        if self._door.HasField("maintenance"):
+        if self._settings.HasField("maintenance"):
             self._start_maintenance(self.replicas)
         return ports
 
     def _start_maintenance(self, replicas: ShardedCounter) -> None:
-        from martenstep.maintenance.coordinator import Orders
+        from martenstep.maintenance.coordinator import LocalInstance, MaintenanceCoordinator
 
-        self.maintenance = Orders(
-            self._door.name,
-            self._door.zone,
-            self._door.maintenance.capacity,
-            replicas.replica_manager,
+        instance = LocalInstance(
+            self._settings.name,
+            self._settings.zone,
+            self._settings.maintenance.capacity,
             self._is_ready,
-            self._known_gateways,
             self._leave_for_maintenance,
-            self._log_event,
+        )
+        self.maintenance = MaintenanceCoordinator(
+            instance, replicas.replica_manager, self._known_gateways, self._log_event
         )
         self.maintenance.start()
         self._admin.maintenance = self.maintenance
@@ -102,7 +109,7 @@
         """Totals by metric name."""
         counts: dict[str, float] = {}
         if self.membership is not None:
-            counts.update(self.membership.counts())
+            counts.update(self.membership.counters())
         replicas = self.replicas
         if replicas is not None:
             counts.update({f"copies_{name}": count for name, count in replicas.replica_manager.counts.items()})
--- a/martenstep/replication/frames.py
+++ b/martenstep/replication/frames.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from martenstep.membership.codec import MAC_BYTES, Keys
+from martenstep.membership.keyring import MAC_BYTES, Keyring
 from martenstep.replication.errors import FrameError
 
 MAX_FRAME_BYTES = 8 << 20
@@ -42,7 +42,7 @@
 class AuthenticatedFrames:
     """Frames of one direction of a connection."""
 
-    def __init__(self, keys: Keys, server_nonce: bytes, client_nonce: bytes) -> None:
+    def __init__(self, keys: Keyring, server_nonce: bytes, client_nonce: bytes) -> None:
         """The nonces are those that both ends drew for the connection."""
         self._keys = keys
         self._context = hashlib.sha256(CONTEXT_LABEL + server_nonce + client_nonce).digest()
@@ -56,7 +56,7 @@
 
     def encode(self, body: bytes) -> bytes:
         """The next frame to be sent."""
-        return _FRAME_LENGTH.pack(len(body) + MAC_BYTES) + body + self._keys.seal(self._bind(body))
+        return _FRAME_LENGTH.pack(len(body) + MAC_BYTES) + body + self._keys.sign(self._bind(body))
 
     async def read(self, reader: asyncio.StreamReader) -> bytes:
         """The body of the next frame; raises FrameError, OSError, asyncio.IncompleteReadError."""
@@ -65,7 +65,7 @@
             raise FrameError("length")
         data = await reader.readexactly(length)
         body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-        if not self._keys.opens(self._bind(body), mac):
+        if not self._keys.verify(self._bind(body), mac):
             raise FrameError("mac")
         return body
 
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -60,7 +60,7 @@
         daemon.reconfigure(new_settings)
         return ""
 
-    reloader = Reloader(load, daemon.event_logger.log, notifier, lambda: daemon.door, apply, daemon.renew)
+    reloader = Reloader(load, daemon.event_logger.log, notifier, lambda: daemon.settings, apply, daemon.renew)
     await daemon.start()
     _write_ready(daemon.ports)
     notifier.notify(READY=1, STATUS=f"serves at port {daemon.ports['listener']}")
--- a/martenstep/supervise/worker.py
+++ b/martenstep/supervise/worker.py
@@ -66,7 +66,7 @@
             settings = _parse_settings(frame.settings)
         except DecodeError as error:
             return WorkerMessage(prepared_generation=frame.generation, error=str(error))
-        need_restart = [change.path for change in differences(self._daemon.door, settings) if not change.live]
+        need_restart = [change.path for change in differences(self._daemon.settings, settings) if not change.live]
         if need_restart:
             error_text = f"needs a restart: {', '.join(need_restart)}"
             return WorkerMessage(prepared_generation=frame.generation, error=error_text)
--- a/tests/test_counter_follow.py
+++ b/tests/test_counter_follow.py
@@ -251,7 +251,7 @@
             from martenstep.storage.log import segments
 
             [first] = segments(service.pipeline.files)
-            service.pipeline._writer._begin()
+            service.pipeline._writer._begin_segment()
             service.pipeline.files.remove(first.name)
             follower = Follower(tmp_path / "b")
             with pytest.raises(LeaderRejectedError, match="copy the directory first"):
--- a/tests/test_formats_replication.py
+++ b/tests/test_formats_replication.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from martenstep.membership.codec import Keys
+from martenstep.membership.keyring import Keyring
 from martenstep.replication import messages, node_messages, outbound_queue
 from martenstep.replication.frames import AuthenticatedFrames, Envelope, Hello
 from martenstep.replication.messages import (
@@ -158,7 +158,7 @@
 
 
 def test_frames_are_sealed_in_order_with_these_bytes() -> None:
-    sealed = AuthenticatedFrames(Keys([KEY]), SERVER, CLIENT)
+    sealed = AuthenticatedFrames(Keyring([KEY]), SERVER, CLIENT)
     assert sealed.encode(msgspec.msgpack.encode(Hello("fleet", "a", "b"))).hex() == HELLO
     assert sealed.encode(body()).hex() == FIRST
     assert sealed.encode(word_body()).hex() == SECOND
@@ -178,7 +178,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        sender = Transport("fleet", "a", lambda: Keys([KEY]), lambda place: ("127.0.0.1", port))
+        sender = Transport("fleet", "a", lambda: Keyring([KEY]), lambda place: ("127.0.0.1", port))
         sender.send("b", Envelope("counter-0", 11, 12), encode(TimeoutNow(7)))
         sender.send_to_node("b", "counter-0", ReplicaNotFound(5))
         assert await got == golden
@@ -196,7 +196,7 @@
         receiver = Transport(
             "fleet",
             "b",
-            lambda: Keys([KEY]),
+            lambda: Keyring([KEY]),
             lambda place: None,
             lambda *word: taken.append(word),
             lambda *nobody: taken.append(nobody),
@@ -221,8 +221,8 @@
     hello, first = bytes.fromhex(HELLO), bytes.fromhex(FIRST)
 
     async def test() -> None:
-        receiver = Transport("fleet", "b", lambda: Keys([KEY]), lambda place: None)
-        other = Transport("fleet", "c", lambda: Keys([KEY]), lambda place: None)
+        receiver = Transport("fleet", "b", lambda: Keyring([KEY]), lambda place: None)
+        other = Transport("fleet", "c", lambda: Keyring([KEY]), lambda place: None)
         ports = await receiver.start("127.0.0.1", 0), await other.start("127.0.0.1", 0)
 
         async def send(data: bytes, port: int = ports[0]) -> None:
@@ -235,7 +235,7 @@
         await send(wrong)
         await send(b"\xff" * 4)
         await send(hello, ports[1])
-        bad = AuthenticatedFrames(Keys([KEY]), SERVER, CLIENT)
+        bad = AuthenticatedFrames(Keyring([KEY]), SERVER, CLIENT)
         await send(bad.encode(b"\xc1"))
         stream = asyncio.create_task(send(hello + first))
         while not receiver.counts["not_for_this_disk"]:
