--- a/martenstep/counter/increment_ledger.py
+++ b/martenstep/counter/increment_ledger.py
@@ -35,7 +35,7 @@
 from martenstep.replication.errors import IndeterminateError, NotLeaderError
 from martenstep.replication.replica import Replica, now_ms
 from martenstep.replication.replica_manager import ReplicaManager
-from martenstep.tasks import Tasks
+from martenstep.tasks import BackgroundTasks
 
 GROUP_PREFIX = "book-"  # of the names of groups, which stand on disk
 GROUP_NAME_RANDOM_BYTES = 6
@@ -87,7 +87,7 @@
         self._delivering: set[str] = set()  # request ids
         self._acknowledged: list[str] = []  # request ids since the last maintenance
         self._maintenance: asyncio.Task[None] | None = None
-        self._tasks = Tasks("increment ledger", log_event)
+        self._tasks = BackgroundTasks("increment ledger", log_event)
         self._led_at_ms = now_ms()
         self.counts: Counter[str] = Counter()  # by the names of the metrics
 
--- a/martenstep/membership/service.py
+++ b/martenstep/membership/service.py
@@ -29,7 +29,7 @@
 )
 from martenstep.membership.transport import MembershipTransport
 from martenstep.storage.files import Disk, LockedError
-from martenstep.tasks import Tasks
+from martenstep.tasks import BackgroundTasks
 
 LEAVE_TIMEOUT_S = 3.0
 STORE_ADDRESSES_INTERVAL_S = 30.0
@@ -67,7 +67,7 @@
         self._identity = NodeIdentity(self._rng.getrandbits(62), 1)
         self.core: MembershipCore | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._tasks = Tasks("membership", log_event)
+        self._tasks = BackgroundTasks("membership", log_event)
         self._record: BeliefRecord | None = None
         self._changed = asyncio.Event()  # set and replaced with each change of the view
         self._left = asyncio.Event()
--- a/martenstep/node/counter.py
+++ b/martenstep/node/counter.py
@@ -14,7 +14,7 @@
 from martenstep.backoff import Backoff
 from martenstep.policy.messages import CallResult
 from martenstep.proxy.clock import now_ms
-from martenstep.tasks import standing
+from martenstep.tasks import start_supervised
 
 LANES = 4  # connections; the counter takes 32 of a front door
 LANE_CALLS = 256  # out on one: what stands behind more would be answered long after its time
@@ -148,7 +148,7 @@
 
     def start(self) -> None:
         """Connect."""
-        self._sweeper = standing(self._sweep, self._failed)
+        self._sweeper = start_supervised(self._sweep, self._failed)
         self._dial()
 
     def stop(self) -> None:
@@ -210,7 +210,7 @@
 
     def _dial(self) -> None:
         if self._dialling is None or self._dialling.done():
-            self._dialling = standing(self._connect, self._failed)
+            self._dialling = start_supervised(self._connect, self._failed)
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -42,7 +42,7 @@
 from martenstep.proxy.loop_lag import LagSelector
 from martenstep.proxy.server import ProxyServer
 from martenstep.proxy.transport import poll_descriptor
-from martenstep.tasks import standing
+from martenstep.tasks import start_supervised
 
 FIRST_LIST_MS = 1500.0  # the door is ready without discovery's word after this: it has the list as last known
 # The one before it under this name and address may still be ending.  Who does not get it in this time never will, and
@@ -229,7 +229,7 @@
         if not self._stop.is_set():
             self._requests.ready = True
             self._event_logger.log("ready", {"servers": len(self._follower.addresses)})
-        self._telling = standing(self._tell, self.driver.log_task_failure)
+        self._telling = start_supervised(self._tell, self.driver.log_task_failure)
         return port
 
     async def _first_list_within(self, ms: float) -> bool:
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -30,7 +30,7 @@
 from martenstep.proxy.http1.message_head import ProtocolError, ResponseHead
 from martenstep.proxy.http1.message_reader import Data, EndOfMessage
 from martenstep.proxy.transport import WatchedProtocol, WatchedReader, is_ready
-from martenstep.tasks import standing
+from martenstep.tasks import start_supervised
 
 PATH = "/catalog/members"
 # The agent is on this machine and answers at once.  What it wrote to a connection that broke counts as told, and a
@@ -323,7 +323,7 @@
 
     def start(self) -> None:
         """Ask from now on."""
-        self._task = standing(self._run, self._failed)
+        self._task = start_supervised(self._run, self._failed)
 
     def move(self, address: tuple[str, int]) -> None:
         """Discovery is elsewhere from now on; its revisions there may be others."""
--- a/martenstep/proxy/server.py
+++ b/martenstep/proxy/server.py
@@ -26,7 +26,7 @@
 from martenstep.proxy.loop_lag import ClockNow, LoopClock
 from martenstep.proxy.response_relay import RecordUsage, ResponseRelay
 from martenstep.proxy.server_state import ServerState
-from martenstep.tasks import standing
+from martenstep.tasks import start_supervised
 
 if TYPE_CHECKING:  # loaded where the settings name them
     from martenstep.config.tls import ClientContext, ServerContext
@@ -95,7 +95,7 @@
     async def start(self, sock: socket.socket | None = None, reuse_port: bool = False) -> int:
         """Bind, or take a socket that is bound already, and accept; returns the port.  Raises OSError."""
         port = self._acceptor.start(sock, reuse_port)
-        self._sweeper = standing(self._sweep, self.log_task_failure)
+        self._sweeper = start_supervised(self._sweep, self.log_task_failure)
         return port
 
     def reconfigure(self, listener: ListenerLimits, upstream: UpstreamLimits) -> None:
--- a/martenstep/replication/leader_requests.py
+++ b/martenstep/replication/leader_requests.py
@@ -12,7 +12,7 @@
 from martenstep.replication.repair import GroupRepair
 from martenstep.replication.replica import Replica
 from martenstep.replication.transport import Transport
-from martenstep.tasks import Tasks
+from martenstep.tasks import BackgroundTasks
 
 RESPONSE_TIMEOUT_S = 1.0  # of one node
 RETRY_PAUSE_S = 0.1  # before all nodes are tried again
@@ -29,7 +29,7 @@
         local: LocalReplicas,
         repair: GroupRepair,
         transport: Callable[[], Transport],
-        tasks: Tasks,
+        tasks: BackgroundTasks,
     ) -> None:
         """`repair` knows where a group's leader is likely to be; `tasks` runs the answers."""
         self._node = node
--- a/martenstep/replication/local_replicas.py
+++ b/martenstep/replication/local_replicas.py
@@ -20,7 +20,7 @@
 from martenstep.replication.settings import ReplicationSettings
 from martenstep.replication.transport import Transport
 from martenstep.storage.files import Disk, LockedError
-from martenstep.tasks import Tasks
+from martenstep.tasks import BackgroundTasks
 
 STOP_TASKS_TIMEOUT_S = 2.0  # for replicas that are being created or removed
 STOP_TRANSFER_S = 0.3  # for other nodes to lead
@@ -56,7 +56,7 @@
         make_state_machine: Callable[[str], StateMachine],
         log_event: EventLog,
         raft_settings: RaftSettings,
-        tasks: Tasks,
+        tasks: BackgroundTasks,
     ) -> None:
         """`make_state_machine` makes the state of a group from its name; `tasks` runs what is done beside."""
         self.disk = disk
--- a/martenstep/replication/replica_manager.py
+++ b/martenstep/replication/replica_manager.py
@@ -39,7 +39,7 @@
 from martenstep.replication.replica_views import LedGroup, build_gauges, build_page, list_led_groups
 from martenstep.replication.settings import ClusterNode, ReplicationSettings
 from martenstep.replication.transport import Transport
-from martenstep.tasks import Tasks
+from martenstep.tasks import BackgroundTasks
 
 REPAIR_INTERVAL_S = 0.25
 NOT_FOUND_INTERVAL_MS = 1000.0  # between two ReplicaNotFound of one replica
@@ -75,7 +75,7 @@
         self._is_own_group = is_own_group
         self._log_event = log_event
         self._transport: Transport | None = None
-        self._tasks = Tasks("copies", log_event)
+        self._tasks = BackgroundTasks("copies", log_event)
         raft_settings = settings or RaftSettings()
         self.local = LocalReplicas(
             node,
