--- /dev/null
+++ b/martenstep/cli/common.py
@@ -0,0 +1,34 @@
+"""What all commands share: the example in their help, exit codes, addresses, and how problems are printed."""
+
+from __future__ import annotations
+
+import sys
+from typing import NoReturn
+
+import click
+
+from martenstep.config.address import parse_host_port
+from martenstep.config.text_format import SettingsError
+
+EXIT_USAGE = 2  # bad usage or input
+EXIT_VIOLATION = 3  # an invariant was violated
+
+
+def example(text: str) -> str:
+    """Format an example below the help, on a line of its own."""
+    return f"\b\nExample:\n  {text}"
+
+
+def exit_with_problems(error: SettingsError) -> NoReturn:
+    """Print all that is wrong with a file, and exit."""
+    for problem in error.problems:
+        click.echo(problem.describe(error.file), err=True)
+    sys.exit(EXIT_USAGE)
+
+
+def parse_address(option: str, text: str) -> tuple[str, int]:
+    """Parse an option's HOST:PORT; raises UsageError."""
+    address = parse_host_port(text)
+    if address is None:
+        raise click.UsageError(f"{option}: expected HOST:PORT, got {text!r}")
+    return address
--- a/martenstep/cli/copies.py
+++ b/martenstep/cli/copies.py
@@ -10,38 +10,38 @@
 import click
 import msgspec
 
-from martenstep.cli.asking import ask, failed
-from martenstep.cli.words import example
+from martenstep.cli.admin_client import exit_with_error, send_request
+from martenstep.cli.common import example
 
 COLUMNS = ("group", "role", "term", "commit", "leader", "copies", "behind", "notes")
 ADMIN = click.option("--admin", required=True, help="HOST:PORT of the door's admin listener.")
 
 
-def notes(group: dict[str, Any], count: int) -> str:
-    """What staff should know of a group, in a few words."""
-    told = []
+def describe_state(group: dict[str, Any], count: int) -> str:
+    """Describe what operators should know of a group, in a few words."""
+    remarks = []
     if not group["proven"]:
-        told.append("not proven")
+        remarks.append("not proven")
     if group["leader"] is None:
-        told.append("no leader")
+        remarks.append("no leader")
     there = sum(one["present"] and one["counts"] for one in group["at"])
     counting = sum(one["counts"] for one in group["at"])
     if there <= counting // 2:
-        told.append("MAJORITY LOST")
+        remarks.append("MAJORITY LOST")
     elif there < count:
-        told.append("under strength")
+        remarks.append("under strength")
     if any(not one["counts"] for one in group["at"]):
-        told.append("filling")
+        remarks.append("filling")
     if sorted(group["wanted"]) != sorted(one["place"] for one in group["at"] if one["counts"]):
-        told.append("to move to " + " ".join(sorted(group["wanted"])))
-    return ", ".join(told) or "-"
+        remarks.append("to move to " + " ".join(sorted(group["wanted"])))
+    return ", ".join(remarks) or "-"
 
 
-def table(view: dict[str, Any]) -> str:
-    """A view as staff read it."""
+def format_table(view: dict[str, Any]) -> str:
+    """Format a view as a table for operators."""
     rows = [COLUMNS]
     for group in view["groups"]:
-        places = [
+        locations = [
             one["place"] + ("" if one["counts"] else "(learns)") + ("" if one["present"] else "(away)")
             for one in group["at"]
         ]
@@ -53,9 +53,9 @@
                 str(group["term"]),
                 str(group["commit"]),
                 group["leader"] or "-",
-                " ".join(places),
+                " ".join(locations),
                 str(max(behind)) if behind else "-",
-                notes(group, view["copies"]),
+                describe_state(group, view["copies"]),
             )
         )
     widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
@@ -84,7 +84,7 @@
         with contextlib.closing(Disk(directory)) as disk:
             click.echo(load_disk_identity(disk).id)
     except (ReplicaManagerError, LockedError, OSError) as error:
-        failed(str(error))
+        exit_with_error(str(error))
 
 
 @copies.command("show", epilog=example("martenstep copies show --admin 127.0.0.1:9080"))
@@ -92,8 +92,8 @@
 @click.option("--json", "as_json", is_flag=True, help="The whole view as JSON.")
 def show(admin: str, as_json: bool) -> None:
     """Print the copies that a door holds."""
-    view = ask(admin, "GET", "/copies")
-    click.echo(msgspec.json.encode(view) if as_json else table(view))
+    view = send_request(admin, "GET", "/copies")
+    click.echo(msgspec.json.encode(view) if as_json else format_table(view))
 
 
 @copies.command("move", epilog=example("martenstep copies move counter-3 --to d002 --admin 127.0.0.1:9080"))
@@ -102,22 +102,24 @@
 @ADMIN
 def move(group: str, to: str, admin: str) -> None:
     """Let another door lead GROUP, which the door that is asked leads."""
-    ask(admin, "POST", "/copies/move?" + urlencode({"group": group, "to": to}))
+    send_request(admin, "POST", "/copies/move?" + urlencode({"group": group, "to": to}))
     click.echo(f"{group} is handed to {to}")
 
 
 @copies.command("verify", epilog=example("martenstep copies verify /var/lib/martenstep/copies"))
 @click.argument("directory", type=click.Path(path_type=Path, file_okay=False, exists=True), nargs=-1, required=True)
 def verify(directory: tuple[Path, ...]) -> None:
-    """Read the copies of doors that do not run, and hold those of the same group against each other; exit 1 where one
-    is damaged or two differ."""
+    """Compare the stored replicas of gateways that do not run.
+
+    Exit 1 where one is damaged or two of the same group differ.
+    """
     from martenstep.replication.verify import find_differences, read_folder
     from martenstep.storage.files import LockedError
 
     try:
         found = [one for each in directory for one in read_folder(each)]
     except (LockedError, OSError) as error:
-        failed(str(error))
+        exit_with_error(str(error))
     for one in found:
         click.echo(
             f"{one.folder}: " + (one.error or f"copy {one.replica}, term {one.state.term}, entries to {one.last_index}")
--- a/martenstep/cli/fleet.py
+++ b/martenstep/cli/fleet.py
@@ -11,13 +11,13 @@
 import click
 import msgspec
 
-from martenstep.cli.words import BROKEN, USAGE, example, faults_told
+from martenstep.cli.common import EXIT_USAGE, EXIT_VIOLATION, example, exit_with_problems
 from martenstep.config.text_format import SettingsError
 
 FILE = click.Path(path_type=Path)
-TOLD_BREACHES = 10  # of one play
-SHOWN = ("false_deaths", "suspicions", "kills", "kills_known_to_all", "sent_a_second", "sent_bytes_a_second")
-SPREAD = ("first_detection_ms", "known_to_all_ms", "healed_ms")
+MAX_PRINTED_VIOLATIONS = 10  # of one run
+PRINTED_FIGURES = ("false_deaths", "suspicions", "kills", "kills_known_to_all", "sent_a_second", "sent_bytes_a_second")
+PRINTED_DISTRIBUTIONS = ("first_detection_ms", "known_to_all_ms", "healed_ms")
 
 
 @click.group("fleet")
@@ -26,21 +26,23 @@
 
 
 def _summary(name: str, breaches: list[str], figures: dict[str, Any]) -> str:
-    parts = [f"{key} {figures[key]:g}" for key in SHOWN if key in figures]
+    parts = [f"{key} {figures[key]:g}" for key in PRINTED_FIGURES if key in figures]
     parts += [
-        f"{key} {figures[key]['median']:.0f} (most {figures[key]['most']:.0f})" for key in SPREAD if key in figures
+        f"{key} {figures[key]['median']:.0f} (most {figures[key]['most']:.0f})"
+        for key in PRINTED_DISTRIBUTIONS
+        if key in figures
     ]
     lines = [f"{name}: {'kept' if not breaches else f'{len(breaches)} breaches'}; {', '.join(parts)}"]
-    lines += [f"  {breach}" for breach in breaches[:TOLD_BREACHES]]
-    if len(breaches) > TOLD_BREACHES:
-        lines.append(f"  and {len(breaches) - TOLD_BREACHES} more")
+    lines += [f"  {breach}" for breach in breaches[:MAX_PRINTED_VIOLATIONS]]
+    if len(breaches) > MAX_PRINTED_VIOLATIONS:
+        lines.append(f"  and {len(breaches) - MAX_PRINTED_VIOLATIONS} more")
     return "\n".join(lines)
 
 
-def _told(folder: Path, name: str, breaches: list[str], figures: dict[str, Any]) -> NoReturn:
+def _exit_with_result(folder: Path, name: str, breaches: list[str], figures: dict[str, Any]) -> NoReturn:
     (folder / "result.json").write_bytes(msgspec.json.encode({"breaches": breaches, "figures": figures}) + b"\n")
     click.echo(_summary(name, breaches, figures))
-    sys.exit(BROKEN if breaches else 0)
+    sys.exit(EXIT_VIOLATION if breaches else 0)
 
 
 @fleet.command("run", epilog=example("martenstep lab fleet run days/fleet/halves.txtpb --out out/halves"))
@@ -57,7 +59,7 @@
     try:
         schedule = load_schedule(file)
     except SettingsError as error:
-        faults_told(error)
+        exit_with_problems(error)
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, signal.default_int_handler)
     try:
@@ -69,7 +71,7 @@
         click.echo(f"{file}: interrupted; all processes are ended", err=True)
         sys.exit(1)
     verdict = judge(schedule, records)
-    _told(out, schedule.name, verdict.breaches, {**verdict.figures, "ready_s": round(ready_s, 2)})
+    _exit_with_result(out, schedule.name, verdict.breaches, {**verdict.figures, "ready_s": round(ready_s, 2)})
 
 
 @fleet.command("check", epilog=example("martenstep lab fleet check out/halves"))
@@ -84,11 +86,11 @@
         schedule = load_schedule(folder / "schedule.txtpb")
         verdict = judge(schedule, list(read_records(folder / "records.jsonl")))
     except SettingsError as error:
-        faults_told(error)
+        exit_with_problems(error)
     except RecordError as error:
         click.echo(str(error), err=True)
-        sys.exit(USAGE)
-    _told(folder, schedule.name, verdict.breaches, verdict.figures)
+        sys.exit(EXIT_USAGE)
+    _exit_with_result(folder, schedule.name, verdict.breaches, verdict.figures)
 
 
 @fleet.command("emulate", epilog=example("martenstep lab fleet emulate days/fleet/*.txtpb --seeds 20"))
@@ -112,15 +114,15 @@
         try:
             schedule = load_schedule(file)
         except SettingsError as error:
-            faults_told(error)
+            exit_with_problems(error)
         if members is not None:
             schedule.members = members
             schedule.seeds = min(schedule.seeds, members)
         texts.append((text_format.MessageToString(schedule), str(file)))
-    kept = True
+    all_hold = True
     try:
         for played in play_all(texts, range(first, first + seeds), workers or 0):
-            kept = kept and not played.breaches
+            all_hold = all_hold and not played.breaches
             if as_json:
                 click.echo(
                     msgspec.json.encode(
@@ -140,5 +142,5 @@
                     )
                 )
     except SettingsError as error:
-        faults_told(error)
-    sys.exit(0 if kept else BROKEN)
+        exit_with_problems(error)
+    sys.exit(0 if all_hold else EXIT_VIOLATION)
--- a/martenstep/cli/hooks.py
+++ b/martenstep/cli/hooks.py
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from martenstep.cli.words import example
+from martenstep.cli.common import example
 from martenstep.hooks import files
 from martenstep.hooks.code import Program, compile_source
 from martenstep.hooks.fast import translate
@@ -21,7 +21,7 @@
 from martenstep.hooks.vm import BYTES, STEPS, HookError, Machine
 
 FILE = click.Path(path_type=Path)
-ROUNDS = 2000  # of `hook bench`
+BENCH_RUNS = 2000  # of `hook bench`
 
 
 def _source(file: Path) -> str:
@@ -40,13 +40,13 @@
         sys.exit(2)
 
 
-def value_of(kind: Type, given: Any, where: str) -> Any:
+def decode_value(kind: Type, given: Any, where: str) -> Any:
     """A value of a type out of JSON; what is missing is nothing.  Raises ValueError."""
     if kind.name == "list":
         if not isinstance(given, list):
             raise ValueError(f"{where}: expected a list")
         assert kind.of is not None
-        return [value_of(kind.of, one, f"{where}[{number}]") for number, one in enumerate(given)]
+        return [decode_value(kind.of, one, f"{where}[{number}]") for number, one in enumerate(given)]
     if kind in RECORDS:
         if not isinstance(given, dict):
             raise ValueError(f"{where}: expected fields")
@@ -54,7 +54,7 @@
         if odd:
             raise ValueError(f"{where}: no field {sorted(odd)[0]!r}")
         return tuple(
-            value_of(of, given.get(name, [] if of.name == "list" else ZERO.get(of.name)), f"{where}.{name}")
+            decode_value(of, given.get(name, [] if of.name == "list" else ZERO.get(of.name)), f"{where}.{name}")
             for name, of in RECORDS[kind]
         )
     wanted = {"text": str, "bool": bool}.get(kind.name, float)
@@ -65,13 +65,13 @@
     return given
 
 
-def told(kind: Type, value: Any) -> Any:
+def encode_value(kind: Type, value: Any) -> Any:
     """A value of a type as JSON."""
     if kind.name == "list":
         assert kind.of is not None
-        return [told(kind.of, one) for one in value]
+        return [encode_value(kind.of, one) for one in value]
     if kind in RECORDS:
-        return {name: told(of, one) for (name, of), one in zip(RECORDS[kind], value, strict=True)}
+        return {name: encode_value(of, one) for (name, of), one in zip(RECORDS[kind], value, strict=True)}
     return value
 
 
@@ -95,7 +95,7 @@
         odd = held.keys() - {kind.name.lower() for kind in kinds}
         if odd:
             raise ValueError(f"no value {sorted(odd)[0]!r} (there are: {', '.join(k.name.lower() for k in kinds)})")
-        return tuple(value_of(kind, held.get(kind.name.lower(), {}), kind.name.lower()) for kind in kinds)
+        return tuple(decode_value(kind, held.get(kind.name.lower(), {}), kind.name.lower()) for kind in kinds)
     except OSError as error:
         raise click.UsageError(f"{file}: {error.strerror}") from None
     except (ValueError, msgspec.DecodeError) as error:
@@ -153,7 +153,7 @@
     except HookError as error:
         click.echo(f"{file}: {point}: {error}", err=True)
         sys.exit(1)
-    click.echo(msgspec.json.format(msgspec.json.encode(told(POINTS[point][1], made)), indent=2).decode())
+    click.echo(msgspec.json.format(msgspec.json.encode(encode_value(POINTS[point][1], made)), indent=2).decode())
     click.echo(f"{STEPS - machine.steps} of {STEPS} steps, {BYTES - machine.bytes} of {BYTES} bytes", err=True)
 
 
@@ -300,7 +300,7 @@
     took = []
     steps, fast = 0, translate(program)
     try:
-        for _ in range(ROUNDS):
+        for _ in range(BENCH_RUNS):
             machine = Machine(program, fast=fast)
             begin = time.perf_counter()
             machine.run(program.points[point], given)
@@ -311,6 +311,6 @@
         sys.exit(1)
     took.sort()
     click.echo(
-        f"{steps} steps; median {took[ROUNDS // 2]:.1f} us, p99 {took[ROUNDS * 99 // 100]:.1f} us; "
-        f"{steps / took[ROUNDS // 2]:.2f} steps a us"
+        f"{steps} steps; median {took[BENCH_RUNS // 2]:.1f} us, p99 {took[BENCH_RUNS * 99 // 100]:.1f} us; "
+        f"{steps / took[BENCH_RUNS // 2]:.2f} steps a us"
     )
--- a/martenstep/cli/lab.py
+++ b/martenstep/cli/lab.py
@@ -11,8 +11,8 @@
 import click
 import msgspec
 
+from martenstep.cli.common import EXIT_USAGE, EXIT_VIOLATION, example, exit_with_problems
 from martenstep.cli.fleet import fleet
-from martenstep.cli.words import BROKEN, USAGE, example, faults_told
 from martenstep.config.text_format import SettingsError
 
 FILE = click.Path(path_type=Path)
@@ -40,27 +40,27 @@
         try:
             result = judged.emulate(load_day(file), seed)
         except SettingsError as error:
-            faults_told(error)
+            exit_with_problems(error)
         except NotEmulatedError as error:
             click.echo(f"{file}: {error}", err=True)
-            sys.exit(USAGE)
+            sys.exit(EXIT_USAGE)
         kept = kept and result["kept"]
         if as_json:
             click.echo(msgspec.json.encode(result))
         else:
             click.echo(report.table(result))
             click.echo(f"emulated in {time.perf_counter() - begin:.1f} s, {result['events']} events\n")
-    sys.exit(0 if kept else BROKEN)
+    sys.exit(0 if kept else EXIT_VIOLATION)
 
 
 class _Progress:
     """Runs done and the time left, on a terminal; nothing elsewhere."""
 
     def __init__(self) -> None:
-        self._told = sys.stderr.isatty()
+        self._on_terminal = sys.stderr.isatty()
 
     def __call__(self, done: int, total: int, left_s: float) -> None:
-        if self._told:
+        if self._on_terminal:
             click.echo(f"\r{done} of {total} runs, {left_s / 60:.1f} min left ", nl=done == total, err=True)
 
 
@@ -83,14 +83,14 @@
         )
         rows, _ = load_result(file)
     except SettingsError as error:
-        faults_told(error)
+        exit_with_problems(error)
     except (RunError, PlayError, OSError) as error:
         raise click.UsageError(str(error)) from None
     broken = [row for row in rows if row["broken"]]
     click.echo(f"{file}: {len(rows)} runs, {len(broken)} of them broke a rule")
     for row in broken[:10]:
         click.echo(f"{row['arm']}, repetition {row['repetition']}: {', '.join(row['broken'])}")
-    sys.exit(BROKEN if broken else 0)
+    sys.exit(EXIT_VIOLATION if broken else 0)
 
 
 METRICS = click.option("--metric", "names", multiple=True, help="Only these.")
@@ -126,8 +126,8 @@
     """Print means with 95% intervals, and paired differences, of RESULT."""
     from martenstep.lab.experiment.compare import table
 
-    rows, _, shown = _result(result, names)
-    click.echo(table(rows, shown, _baseline(rows, baseline)))
+    rows, _, figures = _result(result, names)
+    click.echo(table(rows, figures, _baseline(rows, baseline)))
 
 
 @lab.command("report", epilog=example("martenstep lab report out/doors --out docs/studies/doors"))
@@ -142,8 +142,8 @@
 
     rows, held, _ = _result(result, names)
     plan = parse_plan(held["plan"], str(result))
-    _, _, shown = _result(result, names or tuple(plan.metric))
-    made = write(rows, held, shown, _baseline(rows, baseline or plan.baseline), out)
+    _, _, figures = _result(result, names or tuple(plan.metric))
+    made = write(rows, held, figures, _baseline(rows, baseline or plan.baseline), out)
     click.echo(f"{made[-1]}: {len(made)} files")
 
 
@@ -158,7 +158,8 @@
 def search(day: Path, metric: str, low: bool, runs: int, shrink_runs: int, seed: int, out: Path) -> None:
     """Find troubles for DAY that make a figure worst or break a rule, shrink them, and save the day.
 
-    Exit 3 where a rule broke."""
+    Exit 3 where a rule broke.
+    """
     from google.protobuf import text_format
 
     from martenstep.lab import day_pb2
@@ -169,7 +170,7 @@
     try:
         base = load_day(day)
     except SettingsError as error:
-        faults_told(error)
+        exit_with_problems(error)
 
     def badness(made: day_pb2.Day) -> float:
         found = measure(made)
@@ -177,7 +178,7 @@
             raise click.UsageError(f"no metric {metric!r} (there are: {', '.join(found)})")
         return float("inf") if found["broken"] else -found[metric] if low else found[metric]
 
-    found = searching.search(base, badness, runs, seed, told=lambda tried, worst: _Progress()(tried, runs, 0.0))
+    found = searching.search(base, badness, runs, seed, told=lambda count, worst: _Progress()(count, runs, 0.0))
     small = searching.shrink(found, badness, shrink_runs)
     small.day.name = out.stem
     out.write_text(text_format.MessageToString(small.day), encoding="utf-8")
@@ -186,7 +187,7 @@
         f"{out}: {'a rule breaks' if rule else f'{metric} {abs(small.badness):.4g}'}, {len(small.day.event)} "
         f"troubles; {small.tried} days tried"
     )
-    sys.exit(BROKEN if rule else 0)
+    sys.exit(EXIT_VIOLATION if rule else 0)
 
 
 @lab.command("sweep", epilog=example("martenstep lab sweep plans/sweep.txtpb --out out/sweep"))
@@ -197,7 +198,8 @@
 def sweep(plan: Path, out: Path, days: int | None, workers: int | None) -> None:
     """Draw days of many shapes as PLAN says, judge each by every rule, shrink and save those that break one.
 
-    Exit 3 where a rule broke."""
+    Exit 3 where a rule broke.
+    """
     from martenstep.lab.experiment import sweep as sweeping
     from martenstep.lab.experiment.run import RunError
 
@@ -206,11 +208,11 @@
         made.days = days or made.days
         rows = sweeping.run_sweep(made, out, workers or max((os.cpu_count() or 2) - 1, 1), _Progress())
     except SettingsError as error:
-        faults_told(error)
+        exit_with_problems(error)
     except (RunError, OSError) as error:
         raise click.UsageError(str(error)) from None
     click.echo(sweeping.summary(made, rows))
-    sys.exit(BROKEN if any(row["broken"] for row in rows) else 0)
+    sys.exit(EXIT_VIOLATION if any(row["broken"] for row in rows) else 0)
 
 
 @lab.command("match", epilog=example("martenstep lab match out/first"))
@@ -228,7 +230,7 @@
         try:
             pairs = matched(folder)
         except SettingsError as error:
-            faults_told(error)
+            exit_with_problems(error)
         except (TraceError, NotEmulatedError) as error:
             raise click.UsageError(str(error)) from None
         apart = apart or not all(pair.within for pair in pairs)
--- a/martenstep/cli/load.py
+++ b/martenstep/cli/load.py
@@ -6,7 +6,7 @@
 
 import click
 
-from martenstep.cli.words import example
+from martenstep.cli.common import example
 
 
 @click.command("load", epilog=example("martenstep load 8080 --path /read/1 --rate 500 --seconds 10"))
@@ -26,7 +26,9 @@
 @click.option("--seconds", type=float, default=5.0, show_default=True, help="Of each step.")
 @click.option("--processes", type=click.IntRange(1, 64), default=2, show_default=True)
 @click.option("--until-p99", type=float, default=None, help="Search the highest rate with p99 below so many ms.")
-@click.option("--most", type=float, default=20_000.0, show_default=True, help="Rate at which a search ends.")
+@click.option(
+    "--most", "max_rate", type=float, default=20_000.0, show_default=True, help="Rate at which a search ends."
+)
 @click.option(
     "--failures",
     type=click.FloatRange(0, 1),
@@ -45,7 +47,7 @@
     seconds: float,
     processes: int,
     until_p99: float | None,
-    most: float,
+    max_rate: float,
     failures: float,
 ) -> None:
     """Load the door at PORT and tell times from each request's own moment.  Exit 1 where a request failed."""
@@ -57,15 +59,15 @@
         if not found or not name.strip():
             raise click.UsageError(f"--header {header!r}: expected 'name: value'")
         pairs.append((name.strip(), value.strip()))
-    aim = loading.Aim(host, port, paths, tuple(pairs), customers)
+    target = loading.Aim(host, port, paths, tuple(pairs), customers)
     try:
         loading.allowed(host, anywhere)
-        loading.bounded(most if until_p99 else rate, seconds)
+        loading.bounded(max_rate if until_p99 else rate, seconds)
         if until_p99 is None:
-            steps = [(rate, True, loading.load(aim, rate, seconds, processes))]
+            steps = [(rate, True, loading.load(target, rate, seconds, processes))]
         else:
             steps = loading.highest(
-                lambda at: loading.load(aim, at, seconds, processes), rate, most, until_p99, failures, 20
+                lambda at: loading.load(target, at, seconds, processes), rate, max_rate, until_p99, failures, 20
             )
     except loading.LoadError as error:
         raise click.UsageError(str(error)) from None
--- a/martenstep/cli/maintenance.py
+++ b/martenstep/cli/maintenance.py
@@ -5,15 +5,13 @@
 import re
 import sys
 import time
-from typing import Any
 from urllib.parse import quote
 
 import click
 import msgspec
 
-from martenstep.cli.asking import ask as asked
-from martenstep.cli.asking import failed
-from martenstep.cli.words import example
+from martenstep.cli.admin_client import exit_with_error, send_request
+from martenstep.cli.common import example
 from martenstep.maintenance.commands import (
     AbandonRequest,
     CancelRequest,
@@ -29,51 +27,51 @@
 from martenstep.maintenance.protocol import QueueView
 
 ADMIN = click.option("--admin", required=True, help="HOST:PORT of any door's admin listener.")
-UNITS = {"s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
+MS_PER_UNIT = {"s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
 COLUMNS = ("id", "machine", "state", "token", "for", "plan", "reason", "waits for / end")
 
 
-class Span(click.ParamType[float]):
-    """A time such as 90s, 20m or 2h; gives milliseconds."""
+class Duration(click.ParamType[float]):
+    """A duration such as 90s, 20m or 2h, converted to milliseconds."""
 
     name = "time"
 
-    def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> float:
-        """Raises click.BadParameter."""
+    def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> float:
+        """Convert a duration; raises click.BadParameter."""
         found = re.fullmatch(r"(\d+(?:\.\d+)?)([smh])", str(value))
         if found is None:
             self.fail(f"{value!r} is no time such as 90s, 20m or 2h", param, ctx)
-        return float(found[1]) * UNITS[found[2]]
+        return float(found[1]) * MS_PER_UNIT[found[2]]
 
 
-def tell(admin: str, what: Command) -> CommandResult:
-    """Put something into the book; what it refuses ends the program with exit 1."""
-    told = asked(admin, "POST", "/maintenance?what=" + quote(msgspec.json.encode(what)))
-    answer = msgspec.convert(told, CommandResult)
+def submit(admin: str, what: Command) -> CommandResult:
+    """Submit a command to the queue; exits with 1 where it is refused."""
+    decoded = send_request(admin, "POST", "/maintenance?what=" + quote(msgspec.json.encode(what)))
+    answer = msgspec.convert(decoded, CommandResult)
     if not answer.ok:
-        failed(answer.message)
+        exit_with_error(answer.message)
     return answer
 
 
-def look(admin: str) -> QueueView:
-    """The book."""
-    return msgspec.convert(asked(admin, "GET", "/maintenance"), QueueView)
+def fetch_queue(admin: str) -> QueueView:
+    """Fetch the queue as the leader sees it."""
+    return msgspec.convert(send_request(admin, "GET", "/maintenance"), QueueView)
 
 
 def _token(view: QueueView, request: str) -> int:
     held = next((one for one in view.requests if one.request_id == request), None)
     if held is None:
-        failed(f"no request {request}")
+        exit_with_error(f"no request {request}")
     return held.token
 
 
-def table(view: QueueView, ended: bool) -> str:
-    """The book as staff read it."""
+def format_table(view: QueueView, ended: bool) -> str:
+    """Format the queue as a table for operators."""
     rows = [COLUMNS]
-    place = {request: number for number, request in enumerate(view.waiting_order)}
+    position = {request: number for number, request in enumerate(view.waiting_order)}
     held = [one for one in view.requests if ended or one.state is not RequestState.ENDED]
     for one in sorted(
-        held, key=lambda one: (one.state is RequestState.WAITING, place.get(one.request_id, -1), one.number)
+        held, key=lambda one: (one.state is RequestState.WAITING, position.get(one.request_id, -1), one.number)
     ):
         rows.append(
             (
@@ -95,8 +93,8 @@
     )
     notes = [f"paused: {view.paused}"] if view.paused is not None else []
     notes += [f"plan {plan} stands: {why}" for plan, why in sorted(view.paused_plans.items())]
-    away = [one.name for one in view.machines if not one.healthy]
-    notes += [f"not healthy: {', '.join(away)}"] if away else []
+    unhealthy = [one.name for one in view.machines if not one.healthy]
+    notes += [f"not healthy: {', '.join(unhealthy)}"] if unhealthy else []
     return "\n".join(
         [
             head,
@@ -117,7 +115,7 @@
 @click.option("--machine", multiple=True, help="Name of a door; may stand several times.")
 @click.option("--all", "every", is_flag=True, help="All doors, as one plan.")
 @click.option("--zone", help="With --all: of one zone.")
-@click.option("--for", "for_ms", type=Span(), required=True, help="How long it will be out, such as 20m.")
+@click.option("--for", "for_ms", type=Duration(), required=True, help="How long it will be out, such as 20m.")
 @click.option("--reason", default="")
 @click.option("--before", type=float, default=0.0, help="Unix time in ms before which it must be done.")
 @click.option("--urgent", is_flag=True, help="Before all that are not, as a failing disk.")
@@ -137,11 +135,11 @@
     """Ask for machines to be taken out.  A plan that was asked in part is gone on with by asking it again."""
     if bool(machine) == every:
         raise click.UsageError("either --machine or --all")
-    names = list(machine) or [one.name for one in look(admin).machines if zone in (None, one.zone)]
+    names = list(machine) or [one.name for one in fetch_queue(admin).machines if zone in (None, one.zone)]
     base = given or f"{'roll' if len(names) != 1 else names[0]}-{int(time.time())}"
     several = len(names) != 1
     for name in names:
-        answer = tell(
+        answer = submit(
             admin,
             SubmitRequest(
                 f"{base}-{name}" if several else base, name, for_ms, reason, urgent, before, base if several else ""
@@ -157,8 +155,8 @@
 @ADMIN
 def list_(ended: bool, as_json: bool, admin: str) -> None:
     """Print the book: who is out, who is next, and what each waits for."""
-    view = look(admin)
-    click.echo(msgspec.json.encode(view) if as_json else table(view, ended))
+    view = fetch_queue(admin)
+    click.echo(msgspec.json.encode(view) if as_json else format_table(view, ended))
 
 
 @maintenance.command("show", epilog=example("martenstep maintenance show kernel-d004 --admin 127.0.0.1:9080"))
@@ -166,12 +164,12 @@
 @ADMIN
 def show(request: str, admin: str) -> None:
     """Print one request, with what it waits for."""
-    view = look(admin)
+    view = fetch_queue(admin)
     held = next((one for one in view.requests if one.request_id == request), None)
     if held is None:
-        failed(f"no request {request}")
-    told = {**msgspec.to_builtins(held), "waits_for": view.waiting_reasons.get(request, "")}
-    click.echo(msgspec.json.format(msgspec.json.encode(told)))
+        exit_with_error(f"no request {request}")
+    shown = {**msgspec.to_builtins(held), "waits_for": view.waiting_reasons.get(request, "")}
+    click.echo(msgspec.json.format(msgspec.json.encode(shown)))
 
 
 @maintenance.command("ready", epilog=example("martenstep maintenance ready d004 --admin 127.0.0.1:9080"))
@@ -179,12 +177,12 @@
 @ADMIN
 def ready(machine: str, admin: str) -> None:
     """Exit 0 where MACHINE may be touched: it started to leave by the book, and has left; else exit 1, and why."""
-    view = look(admin)
+    view = fetch_queue(admin)
     held = next((one for one in view.requests if one.machine == machine and one.state is not RequestState.ENDED), None)
     if held is None or held.state is not RequestState.OUT:
-        failed(f"{machine} is not out: " + (held.state.value if held is not None else "no request"))
+        exit_with_error(f"{machine} is not out: " + (held.state.value if held is not None else "no request"))
     if any(one.name == machine and one.healthy for one in view.machines):
-        failed(f"{machine} is on its way out")
+        exit_with_error(f"{machine} is on its way out")
     click.echo(f"{machine} may be touched, by {held.request_id}, token {held.token}")
 
 
@@ -193,7 +191,7 @@
 @ADMIN
 def cancel(request: str, admin: str) -> None:
     """Cancel a request that has not started."""
-    tell(admin, CancelRequest(request))
+    submit(admin, CancelRequest(request))
 
 
 @maintenance.command("done", epilog=example("martenstep maintenance done kernel-d004 --admin 127.0.0.1:9080"))
@@ -202,18 +200,18 @@
 @ADMIN
 def done(request: str, why: str | None, admin: str) -> None:
     """Tell that the work is done.  A door that is started again tells it by itself."""
-    tell(admin, FinishMaintenance(request, _token(look(admin), request), why is None, why or ""))
+    submit(admin, FinishMaintenance(request, _token(fetch_queue(admin), request), why is None, why or ""))
 
 
 @maintenance.command(
     "extend", epilog=example("martenstep maintenance extend kernel-d004 --for 30m --admin 127.0.0.1:9080")
 )
 @click.argument("request")
-@click.option("--for", "for_ms", type=Span(), required=True, help="From now.")
+@click.option("--for", "for_ms", type=Duration(), required=True, help="From now.")
 @ADMIN
 def extend(request: str, for_ms: float, admin: str) -> None:
     """Let a machine stay out longer."""
-    tell(admin, ExtendMaintenance(request, _token(look(admin), request), for_ms))
+    submit(admin, ExtendMaintenance(request, _token(fetch_queue(admin), request), for_ms))
 
 
 @maintenance.command("give-up", epilog=example("martenstep maintenance give-up kernel-d004 --admin 127.0.0.1:9080"))
@@ -221,7 +219,7 @@
 @ADMIN
 def give_up(request: str, admin: str) -> None:
     """End a request whose machine will not come back."""
-    tell(admin, AbandonRequest(request))
+    submit(admin, AbandonRequest(request))
 
 
 @maintenance.command("pause", epilog=example("martenstep maintenance pause --why night --admin 127.0.0.1:9080"))
@@ -230,7 +228,7 @@
 @ADMIN
 def pause(plan: str, why: str, admin: str) -> None:
     """Grant nobody, or nobody of a plan; who is out stays out."""
-    tell(admin, SetPaused(True, why, plan))
+    submit(admin, SetPaused(True, why, plan))
 
 
 @maintenance.command("resume", epilog=example("martenstep maintenance resume --admin 127.0.0.1:9080"))
@@ -238,7 +236,7 @@
 @ADMIN
 def resume(plan: str, admin: str) -> None:
     """Grant again."""
-    tell(admin, SetPaused(False, "", plan))
+    submit(admin, SetPaused(False, "", plan))
 
 
 @maintenance.command("limits", epilog=example("martenstep maintenance limits --most-out 2 --admin 127.0.0.1:9080"))
@@ -247,14 +245,14 @@
 @click.option("--most-share", "max_capacity_share", type=click.FloatRange(0, 1))
 @click.option("--by-zone/--spread", "zone_by_zone", default=None)
 @click.option("--overdue-holds/--overdue-goes-on", "overdue_blocks", default=None)
-@click.option("--lease", "lease_ms", type=Span())
-@click.option("--grace", "grace_ms", type=Span())
-@click.option("--starve", "starvation_ms", type=Span())
+@click.option("--lease", "lease_ms", type=Duration())
+@click.option("--grace", "grace_ms", type=Duration())
+@click.option("--starve", "starvation_ms", type=Duration())
 @ADMIN
-def limits(admin: str, **given: Any) -> None:
+def limits(admin: str, **given: object) -> None:
     """Change limits; those that are not given stay."""
-    held: MaintenanceLimits = look(admin).limits
-    tell(
+    held: MaintenanceLimits = fetch_queue(admin).limits
+    submit(
         admin,
         SetLimits(msgspec.structs.replace(held, **{name: value for name, value in given.items() if value is not None})),
     )
@@ -267,7 +265,7 @@
     """Print the book, and again with each change."""
     before, printed = "", 0
     while not times or printed < times:
-        now = table(look(admin), False)
+        now = format_table(fetch_queue(admin), False)
         if now != before:
             click.echo(now + "\n")
             sys.stdout.flush()
--- a/martenstep/cli/members.py
+++ b/martenstep/cli/members.py
@@ -1,4 +1,4 @@
-"""`martenstep members`: what a door holds of its fleet, asked over its admin listener."""
+"""`martenstep members`: the membership as one gateway sees it, from its admin listener."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 import click
 import msgspec
 
-from martenstep.cli.asking import ask
-from martenstep.cli.words import example
+from martenstep.cli.admin_client import send_request
+from martenstep.cli.common import example
 
-WAIT_MS = 20_000  # one question of `watch`
+LONG_POLL_MS = 20_000  # of one request of `watch`
 COLUMNS = ("name", "state", "zone", "address", "incarnation", "for_s", "says", "by")
 
 
-def table(view: dict[str, Any]) -> str:
-    """A view as staff read it."""
+def format_table(view: dict[str, Any]) -> str:
+    """Format a view as a table for operators."""
     rows = [COLUMNS]
     for one in view["members"]:
         says = " ".join(word for word in ("deaf", "unheard") if one[word])
@@ -41,7 +41,7 @@
 
 @click.group()
 def members() -> None:
-    """The fleet as one door holds it."""
+    """The membership as one gateway sees it."""
 
 
 ADMIN = click.option("--admin", required=True, help="HOST:PORT of the door's admin listener.")
@@ -52,8 +52,8 @@
 @click.option("--json", "as_json", is_flag=True, help="The whole view as JSON.")
 def show(admin: str, as_json: bool) -> None:
     """Print the view once."""
-    view = ask(admin, "GET", "/members")
-    click.echo(msgspec.json.encode(view) if as_json else table(view))
+    view = send_request(admin, "GET", "/members")
+    click.echo(msgspec.json.encode(view) if as_json else format_table(view))
 
 
 @members.command("watch", epilog=example("martenstep members watch --admin 127.0.0.1:9080 --times 10"))
@@ -63,16 +63,16 @@
     """Print the view, and again with each change."""
     version, printed = -1, 0
     while not times or printed < times:
-        view = ask(admin, "GET", f"/members?after={version}&wait_ms={WAIT_MS}")
+        view = send_request(admin, "GET", f"/members?after={version}&wait_ms={LONG_POLL_MS}")
         if view.get("version", 0) != version:
             version = view.get("version", 0)
-            click.echo(table(view) + "\n")
+            click.echo(format_table(view) + "\n")
             printed += 1
 
 
 @members.command("leave", epilog=example("martenstep members leave --admin 127.0.0.1:9080"))
 @ADMIN
 def leave(admin: str) -> None:
-    """Let the door leave the fleet; it goes on serving."""
-    view = ask(admin, "POST", "/members/leave")
+    """Let the gateway leave the cluster; it goes on serving."""
+    view = send_request(admin, "POST", "/members/leave")
     click.echo(f"{view['me']} is {view['stage']}")
--- a/tests/test_formats_maintenance.py
+++ b/tests/test_formats_maintenance.py
@@ -232,7 +232,7 @@
         asked.append((method, target))
         return json.loads(page) if method == "GET" else {"ok": True}
 
-    monkeypatch.setattr(command, "asked", answer)
+    monkeypatch.setattr(command, "send_request", answer)
     expected = stored("maintenance-cli.json")
     for line, printed in expected["printed"].items():
         done = CliRunner().invoke(cli, ["maintenance", *line.split(), "--admin", "h:1"])
--- a/tests/test_formats_membership.py
+++ b/tests/test_formats_membership.py
@@ -183,7 +183,7 @@
 
 def test_the_command_line_shows_the_page_as_before(monkeypatch: pytest.MonkeyPatch) -> None:
     page = stored("members-page.json")
-    monkeypatch.setattr(command, "ask", lambda admin, method, target: page)
+    monkeypatch.setattr(command, "send_request", lambda admin, method, target: page)
     done = CliRunner().invoke(cli, ["members", "show", "--admin", "h:1"])
     assert done.exit_code == 0 and done.output == (FORMATS / "members-cli.txt").read_text()
     done = CliRunner().invoke(cli, ["members", "show", "--json", "--admin", "h:1"])
--- a/tests/test_formats_replica_views.py
+++ b/tests/test_formats_replica_views.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from martenstep.cli.copies import COLUMNS, table
+from martenstep.cli.copies import COLUMNS, format_table
 from martenstep.membership.keyring import Keyring
 from martenstep.replication.messages import AppendEntriesResponse, VoteResponse
 from martenstep.replication.node_disk import derive_replica_id
@@ -78,7 +78,7 @@
     async def test() -> None:
         view, gauges, led = await shown(tmp_path)
         assert msgspec.json.encode(view) == (FORMATS / "view.json").read_bytes()
-        assert table(view) == (FORMATS / "table.txt").read_text()
+        assert format_table(view) == (FORMATS / "table.txt").read_text()
         assert led == [["g-0", ["a", "b", "c"], False]]
         assert gauges == {
             "copies_held": 2,
