--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -49,11 +49,11 @@
 class Connection:
     """One connection from a door to a server, both ends of it."""
 
-    __slots__ = ("_door", "attempt", "back", "ended", "forth", "job", "reached", "server", "ticket", "up")
+    __slots__ = ("_door", "attempt", "back", "ended", "forth", "job", "reached", "request_id", "server", "up")
 
     def __init__(self, door: EmuDoor, server: EmuServer, forth: Pipe, back: Pipe) -> None:
         self._door, self.server, self.forth, self.back = door, server, forth, back
-        self.ticket = self.attempt = -1  # of the attempt that it carries
+        self.request_id = self.attempt = -1  # of the attempt that it carries
         self.job: Job | None = None
         self.up = False
         self.reached = True  # what was written last has come to the server
@@ -83,7 +83,7 @@
         if how in ("reset", "cut"):
             self.ended = True
             self.server.callers.pop(self, None)
-        self.back.send(self._door.answered, self, self.ticket, self.attempt, how, size=size)
+        self.back.send(self._door.answered, self, self.request_id, self.attempt, how, size=size)
 
     def dropped(self) -> None:
         """The server drops it, with what it carries."""
@@ -124,11 +124,11 @@
         self.follower = Follower()
         self.listening = False
         self._callers: dict[int, Caller] = {}
-        self._tickets = 0
+        self._last_request_id = 0
         self._busy_until = 0.0
         self._idle: dict[int, list[Connection]] = {}
         self._number: dict[int, int] = {}  # connections of a server, dialled or standing
-        self._out: dict[int, Connection] = {}  # by ticket
+        self._out: dict[int, Connection] = {}  # by request_id
         self._actions: deque[ev.Action] = deque()
         self._acting = False
         self._timer: Timer | None = None
@@ -207,21 +207,21 @@
         return self.alive and not self.stopping
 
     def asked(self, caller: Caller, method: bytes, target: bytes, headers: ev.Headers) -> int:
-        """A client's request has come; gives its ticket."""
-        self._tickets += 1
-        ticket = self._tickets
-        self._callers[ticket] = caller
-        self._in_turn(self._costs.request_ms, self._arrived, ticket, method, target, headers)
-        return ticket
-
-    def _arrived(self, ticket: int, method: bytes, target: bytes, headers: ev.Headers) -> None:
-        if ticket in self._callers:
-            self.act(ev.RequestReceived(ticket, method, target, headers, "127.0.0.1"))
-
-    def client_left(self, ticket: int) -> None:
+        """A client's request has come; gives its request_id."""
+        self._last_request_id += 1
+        request_id = self._last_request_id
+        self._callers[request_id] = caller
+        self._in_turn(self._costs.request_ms, self._arrived, request_id, method, target, headers)
+        return request_id
+
+    def _arrived(self, request_id: int, method: bytes, target: bytes, headers: ev.Headers) -> None:
+        if request_id in self._callers:
+            self.act(ev.RequestReceived(request_id, method, target, headers, "127.0.0.1"))
+
+    def client_left(self, request_id: int) -> None:
         """The client is gone."""
-        if self._callers.pop(ticket, None) is not None:
-            self.act(ev.ClientDisconnected(ticket))
+        if self._callers.pop(request_id, None) is not None:
+            self.act(ev.ClientDisconnected(request_id))
 
     def _reply(self, action: ev.SendLocalReply) -> None:
         caller = self._callers.pop(action.request_id, None)
@@ -256,7 +256,7 @@
         self._number[action.endpoint] = held + 1
         there = Place(f"server-{action.endpoint}", self._zone_of(action.endpoint))
         connection = Connection(self, server, Pipe(self._net, self.place, there), Pipe(self._net, there, self.place))
-        connection.ticket, connection.attempt = action.request_id, action.attempt
+        connection.request_id, connection.attempt = action.request_id, action.attempt
         self._out[action.request_id] = connection
         connection.forth.send(self._knock, connection, action, size=60)
 
@@ -286,7 +286,7 @@
             self.act(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.NOT_CONNECTED))
 
     def _begin(self, connection: Connection, action: ev.OpenAttempt) -> None:
-        connection.ticket, connection.attempt = action.request_id, action.attempt
+        connection.request_id, connection.attempt = action.request_id, action.attempt
         self._out[action.request_id] = connection
         self.act(ev.AttemptWritten(action.request_id, action.attempt))
         if self._out.get(action.request_id) is not connection:
@@ -333,41 +333,41 @@
 
     def lost(self, connection: Connection) -> None:
         """The server has dropped it."""
-        if not connection.up and connection.ticket not in self._out:
+        if not connection.up and connection.request_id not in self._out:
             return
         connection.up = False
         self._uncount(connection)
-        if self._out.get(connection.ticket) is connection:
-            del self._out[connection.ticket]
-            self.act(ev.AttemptFailed(connection.ticket, connection.attempt, AttemptFailure.CLOSED))
+        if self._out.get(connection.request_id) is connection:
+            del self._out[connection.request_id]
+            self.act(ev.AttemptFailed(connection.request_id, connection.attempt, AttemptFailure.CLOSED))
         else:
             idle = self._idle.get(connection.server.config.id, [])
             if connection in idle:
                 idle.remove(connection)
 
-    def answered(self, connection: Connection, ticket: int, attempt: int, how: str) -> None:
+    def answered(self, connection: Connection, request_id: int, attempt: int, how: str) -> None:
         """A server's answer has come."""
-        if self._out.get(ticket) is not connection or connection.attempt != attempt:
+        if self._out.get(request_id) is not connection or connection.attempt != attempt:
             return
-        self._in_turn(self._costs.answer_ms, self._read, connection, ticket, attempt, how)
+        self._in_turn(self._costs.answer_ms, self._read, connection, request_id, attempt, how)
 
-    def _read(self, connection: Connection, ticket: int, attempt: int, how: str) -> None:
-        if self._out.get(ticket) is not connection or connection.attempt != attempt or not self.alive:
+    def _read(self, connection: Connection, request_id: int, attempt: int, how: str) -> None:
+        if self._out.get(request_id) is not connection or connection.attempt != attempt or not self.alive:
             return
         if how in ("reset", "cut"):
             connection.up = False
             self._uncount(connection)
-            del self._out[ticket]
-            self.act(ev.AttemptFailed(ticket, attempt, AttemptFailure.CLOSED))
+            del self._out[request_id]
+            self.act(ev.AttemptFailed(request_id, attempt, AttemptFailure.CLOSED))
             return
         upstream = self.settings.upstream
         status = {"error": 500, "refused": upstream.refusal_status}.get(how, 200)
         headers: ev.Headers = [(upstream.refusal_header.encode(), b"1")] if how == "refused" else []
-        self.act(ev.ResponseHeadReceived(ticket, attempt, status, headers))
-        if self._out.get(ticket) is connection:  # else the engine has given the attempt up
-            del self._out[ticket]
+        self.act(ev.ResponseHeadReceived(request_id, attempt, status, headers))
+        if self._out.get(request_id) is connection:  # else the engine has given the attempt up
+            del self._out[request_id]
             self._idle.setdefault(connection.server.config.id, []).append(connection)
-            self.act(ev.ResponseCompleted(ticket, attempt))
+            self.act(ev.ResponseCompleted(request_id, attempt))
 
     # Store ----------------------------------------------------------------------------------------------
 
--- a/martenstep/lab/emulate/limited.py
+++ b/martenstep/lab/emulate/limited.py
@@ -29,14 +29,14 @@
         self._default = day.customers[0].plan
         super().__init__(*words)
 
-    def _arrived(self, ticket: int, method: bytes, target: bytes, headers: ev.Headers) -> None:
-        if ticket not in self._callers or not self.alive:
+    def _arrived(self, request_id: int, method: bytes, target: bytes, headers: ev.Headers) -> None:
+        if request_id not in self._callers or not self.alive:
             return
         customer = (get_header(headers, b"x-customer") or b"").decode()
         plan_name, doors = self._known.get(customer, (self._default, self.settings.instances))
         plan = self._plans[plan_name]
         units = self._units[target.decode().split("/")[1]]
-        event = ev.RequestReceived(ticket, method, target, headers, "127.0.0.1")
+        event = ev.RequestReceived(request_id, method, target, headers, "127.0.0.1")
         if plan.rate <= 0:
             self.act(event)
         elif self._kind.startswith("central"):
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -34,7 +34,7 @@
 from martenstep.node.counter import Counter
 from martenstep.node.discovery import AGENT, SERVICE, Discovery, DiscoveryError, Follower
 from martenstep.node.pending_signals import PendingSignals
-from martenstep.node.protocol import Requests, make_dependencies
+from martenstep.node.protocol import NodeRequestReader, make_dependencies
 from martenstep.policy.messages import CallResult, EndpointListScope
 from martenstep.proxy.clock import now_ms
 from martenstep.proxy.engine import Engine
@@ -104,8 +104,8 @@
         self._ended = False
         self._event_logger = EventLogger()
         self.drain_plan = drain_plan_of(config.settings)
-        self._requests = Requests(config.settings, now_ms)
-        self.engine = Engine(make_dependencies(config, self._requests), config.seed)
+        self._request_reader = NodeRequestReader(config.settings, now_ms)
+        self.engine = Engine(make_dependencies(config, self._request_reader), config.seed)
         self.driver = ProxyServer(config.listener, config.upstream, self.engine, self._event_logger.log, clock=selector)
         self.driver.pool.reuse_delay_ms = REST_MS
         self._follower = Follower()
@@ -227,7 +227,7 @@
         if not await self._first_list_within(max(FIRST_LIST_MS - self._timing.hold_ms, 0.0)):
             self._event_logger.log("ready without discovery", {})
         if not self._stop.is_set():
-            self._requests.ready = True
+            self._request_reader.ready = True
             self._event_logger.log("ready", {"servers": len(self._follower.addresses)})
         self._telling = standing(self._tell, self.driver.log_task_failure)
         return port
--- a/martenstep/node/protocol.py
+++ b/martenstep/node/protocol.py
@@ -1,15 +1,15 @@
-"""The platform's protocol: its heads to and from the engine's terms, and what an answer's status proves.  No I/O.
+"""The platform's protocol: its heads to and from the engine's terms, and what a response's status proves.  No I/O.
 
-A request that is not in the protocol's form is the client's fault and never reaches the module: whatever of it could be
-guessed would be charged to a customer, or sent to a backend under an id that nobody gave.
+A request that is not in the protocol's form is the client's fault and never reaches the policy: whatever of it could be
+guessed would be charged to a customer, or sent to an endpoint under an id that nobody gave.
 
-| what comes back | verdict | has it run? |
+| what comes back | result | was it executed? |
 | --- | --- | --- |
 | 200 and a body | OK | yes |
-| 503 or 504 with `X-Never-Ran: 1` | FULL | never |
-| any other status, or a length that no answer has | ERROR | it may have |
+| 503 or 504 with `X-Never-Ran: 1` | OVERLOADED | never |
+| any other status, or a length that no response has | ERROR | it may have been |
 
-What ends without a status is in door.verdicts, which holds here as well.
+What ends without a status is in proxy.attempt_outcomes, which holds here as well.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 import re
 from collections import OrderedDict
 from collections.abc import Callable
+from typing import NamedTuple
 
 from martenstep.node.config import ANSWER_BYTES, MARGIN_MS, Config
 from martenstep.policy import messages as api
@@ -32,156 +33,228 @@
 from martenstep.proxy.headers import get_header
 from martenstep.proxy.targets import NormalizedTarget, TargetRejection
 
-ID, CLASS, PLAN, DEADLINE, RETRY, QUOTA, KEY = (
-    b"x-trace-id",
-    b"x-qos",
-    b"x-plan",
-    b"x-expires-in-ms",
-    b"x-second-try",
-    b"x-quota",
-    b"idempotency-key",
+# The protocol's headers, by what they state.
+ID_HEADER = b"x-trace-id"
+CLASS_HEADER = b"x-qos"
+PLAN_HEADER = b"x-plan"
+DEADLINE_HEADER = b"x-expires-in-ms"
+RETRY_HEADER = b"x-second-try"
+QUOTA_HEADER = b"x-quota"
+KEY_HEADER = b"idempotency-key"
+NEVER_EXECUTED_HEADER = b"x-never-ran"
+LENGTH_HEADER, CODING_HEADER = b"content-length", b"transfer-encoding"
+FORWARDED_HEADERS = frozenset((b"host", ID_HEADER, KEY_HEADER, LENGTH_HEADER))
+# Those that a request may have once.
+PROTOCOL_HEADERS = frozenset(
+    (ID_HEADER, CLASS_HEADER, PLAN_HEADER, DEADLINE_HEADER, RETRY_HEADER, QUOTA_HEADER, KEY_HEADER)
 )
-LENGTH, CODING, NEVER_RAN = b"content-length", b"transfer-encoding", b"x-never-ran"
-PASSED = frozenset((b"host", ID, KEY, LENGTH))  # of a client's headers those that go on
-OWN = frozenset((ID, CLASS, PLAN, DEADLINE, RETRY, QUOTA, KEY))
 READY_PATH = b"/_health"
 CUSTOMER = re.compile(rb"[0-9a-f]{16}")
-MOST_CUSTOMER = 1 << 33
+MAX_CUSTOMER = 1 << 33
 TOKEN = re.compile(rb"[0-9A-Za-z._~-]{1,64}")  # an id or a key: anything else could not be told from a fault
-SHARE = re.compile(rb"units=(\d{1,9}(?:\.\d{1,9})?), ?spread=(\d{1,6}), ?first=(\d{1,6})")
+QUOTA = re.compile(rb"units=(\d{1,9}(?:\.\d{1,9})?), ?spread=(\d{1,6}), ?first=(\d{1,6})")
 DIGITS = re.compile(rb"\d{1,9}")
-ATTEMPTED = ("failed", "timed out")  # reasons of final answers that promise nothing
-IDS_SPARE_MS = 1000.0  # an id is remembered for so much longer than any client waits for its answer
-MOST_IDS = 20_000  # of those: what more would take is memory that a stray client decides on
-SECOND_MS = 1000.0
+MIN_PATH_SEGMENTS = 3
+REASONS_WITHOUT_PROMISE = ("failed", "timed out")  # of final responses to requests that may have been executed
+ID_RETENTION_MARGIN_MS = 1000.0  # an id is remembered for so much longer than any client waits for its response
+MAX_RECENT_IDS = 20_000  # what more would take is memory that a stray client decides on
+OK, BAD_REQUEST, CONFLICT, UNAVAILABLE, GATEWAY_TIMEOUT = 200, 400, 409, 503, 504
+MS_PER_S = 1000.0
 
 
-class Ids:
-    """Ids met lately: a request under one that is open is not the client's own.
+class RecentIds:
+    """The ids of recent requests: a request under one that is in flight is not the client's own.
 
-    Two attempts under one id would count as two copies of it.
+    Two attempts under one id would count as two copies of one request.
     """
 
-    def __init__(self, clock: Callable[[], float], keep_ms: float) -> None:
-        self._clock, self._keep_ms = clock, keep_ms
-        self._met: OrderedDict[bytes, float] = OrderedDict()
-
-    def new(self, label: bytes) -> bool:
-        """Note an id; False where it was met."""
-        now, met = self._clock(), self._met
-        while met:
-            oldest = next(iter(met))
-            if now - met[oldest] < self._keep_ms and len(met) < MOST_IDS:
+    def __init__(self, clock: Callable[[], float], retention_ms: float) -> None:
+        """`clock` in milliseconds."""
+        self._clock, self._retention_ms = clock, retention_ms
+        self._seen_at: OrderedDict[bytes, float] = OrderedDict()  # the oldest first
+
+    def add(self, request_id: bytes) -> bool:
+        """Remember an id; False where it is known already."""
+        now, seen_at = self._clock(), self._seen_at
+        while seen_at:
+            oldest = next(iter(seen_at))
+            if now - seen_at[oldest] < self._retention_ms and len(seen_at) < MAX_RECENT_IDS:
                 break
-            del met[oldest]
-        if label in met:
+            del seen_at[oldest]
+        if request_id in seen_at:
             return False
-        met[label] = now
+        seen_at[request_id] = now
         return True
 
 
-class Requests:
-    """What a request's head tells of it (door.parts.RouteTable), and the target that asks after the door itself."""
+class _InvalidRequestError(Exception):
+    """A request that is not in the protocol's form."""
+
+    def __init__(self, reason: str, status: int = BAD_REQUEST) -> None:
+        super().__init__(reason)
+        self.rejection = RouteRejection(status, reason)
+
+
+class _Fields(NamedTuple):
+    """The protocol's headers of a request, and whether it has a body."""
+
+    values: dict[bytes, bytes]
+    has_body: bool
+
+    def get(self, name: bytes) -> bytes:
+        """A header's value; empty where there is none."""
+        return self.values.get(name, b"")
+
+
+class _Quota(NamedTuple):
+    """A request's cost, and through which gateways its customer comes."""
+
+    units: float
+    instances: int
+    first_instance: int
+
+
+def _read_fields(headers: Headers) -> _Fields:
+    values: dict[bytes, bytes] = {}
+    has_body = False
+    for name, value in headers:
+        if name in PROTOCOL_HEADERS:
+            if name in values:
+                raise _InvalidRequestError(f"{name.decode()} told twice")
+            values[name] = value
+        elif name == CODING_HEADER or (name == LENGTH_HEADER and value.strip(b"0") != b""):
+            has_body = True
+    return _Fields(values, has_body)
+
+
+def _read_customer(target: bytes, class_name: bytes) -> bytes:
+    """The customer's key, which is the last segment of the path."""
+    segments = target.partition(b"?")[0].split(b"/")
+    customer_key = segments[-1]
+    is_valid = len(segments) >= MIN_PATH_SEGMENTS and segments[1] == class_name
+    if not is_valid or CUSTOMER.fullmatch(customer_key) is None:
+        raise _InvalidRequestError("bad path")
+    if int(customer_key, 16) >= MAX_CUSTOMER:
+        raise _InvalidRequestError("bad customer")
+    return customer_key
+
+
+def _check_method(method: bytes, request_class: api.RequestClass, fields: _Fields) -> None:
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
+        if method != b"GET" or fields.has_body:
+            raise _InvalidRequestError("bad method")
+        return
+    needs_key = request_class.idempotency is Idempotency.KEYED
+    if method != b"POST" or (needs_key and TOKEN.fullmatch(fields.get(KEY_HEADER)) is None):
+        raise _InvalidRequestError("bad method or key")
+
+
+class NodeRequestReader:
+    """What a request's head states (RouteTable), and the target that asks whether this node is ready."""
 
     def __init__(self, settings: api.Settings, clock: Callable[[], float]) -> None:
-        self._classes = {cls.name.encode(): cls for cls in settings.classes}
+        """`clock` in milliseconds."""
+        self._classes = {request_class.name.encode(): request_class for request_class in settings.classes}
         self._plans = {plan.name.encode(): plan for plan in settings.plans}
-        self._doors, self._most_units = settings.instances, settings.max_units
-        self._ids = Ids(clock, max((cls.deadline_ms for cls in settings.classes), default=0.0) + IDS_SPARE_MS)
+        self._instances, self._max_units = settings.instances, settings.max_units
+        longest_ms = max((request_class.deadline_ms for request_class in settings.classes), default=0.0)
+        self._recent_ids = RecentIds(clock, longest_ms + ID_RETENTION_MARGIN_MS)
         self.ready = False
 
     def normalize(self, method: bytes, target: bytes, headers: Headers) -> NormalizedTarget | TargetRejection:
-        """Whether a target is one that goes on; what asks whether the door is ready is answered here."""
+        """Whether a target is forwarded; the health check of this node itself is answered here."""
         if target == READY_PATH and method == b"GET":
-            return TargetRejection(200, "ready", []) if self.ready else TargetRejection(503, "not ready", [])
+            if self.ready:
+                return TargetRejection(OK, "ready", [])
+            return TargetRejection(UNAVAILABLE, "not ready", [])
         if target[:1] != b"/":
-            return TargetRejection(400, "bad target", [])
+            return TargetRejection(BAD_REQUEST, "bad target", [])
         return NormalizedTarget(target, headers)
 
     def route(
         self, method: bytes, target: bytes, headers: Headers
     ) -> RoutedRequest | UnauthenticatedRequest | RouteRejection:
-        """Where a request belongs, all that the protocol has it tell checked."""
-        told: dict[bytes, bytes] = {}
-        length = coded = False
-        for name, value in headers:
-            if name in OWN:
-                if name in told:
-                    return RouteRejection(400, f"{name.decode()} told twice")
-                told[name] = value
-            elif name == LENGTH:
-                length = value.strip(b"0") != b""
-            elif name == CODING:
-                coded = True
-        cls, plan = self._classes.get(told.get(CLASS, b"")), self._plans.get(told.get(PLAN, b""))
-        if cls is None or plan is None:
-            return RouteRejection(400, "unknown class" if cls is None else "unknown plan")
-        parts = target.partition(b"?")[0].split(b"/")
-        customer = parts[-1]
-        if len(parts) < 3 or parts[1] != told[CLASS] or CUSTOMER.fullmatch(customer) is None:
-            return RouteRejection(400, "bad path")
-        number = int(customer, 16)
-        if number >= MOST_CUSTOMER:
-            return RouteRejection(400, "bad customer")
-        keyed = cls.idempotency is Idempotency.KEYED
-        if cls.idempotency is Idempotency.IDEMPOTENT:
-            if method != b"GET" or length or coded:
-                return RouteRejection(400, "bad method")
-        elif method != b"POST" or (keyed and TOKEN.fullmatch(told.get(KEY, b"")) is None):
-            return RouteRejection(400, "bad method or key")
-        share = SHARE.fullmatch(told.get(QUOTA, b""))
-        if share is None:
-            return RouteRejection(400, "bad quota")
-        units, spread, first = float(share[1]), int(share[2]), int(share[3])
-        if not 0 < units <= self._most_units or not 1 <= spread <= self._doors or first >= self._doors:
-            return RouteRejection(400, "bad quota")
-        retry, label = told.get(RETRY), told.get(ID, b"")
-        if retry not in (None, b"1") or DIGITS.fullmatch(told.get(DEADLINE, b"")) is None:
-            return RouteRejection(400, "bad retry or deadline")
-        if TOKEN.fullmatch(label) is None:
-            return RouteRejection(400, "bad id")
-        if not self._ids.new(label):
-            return RouteRejection(409, "id met before")
-        return RoutedRequest(cls, plan, number, customer.decode(), units, spread, first, retry is not None)
-
-    def deadline_ms(self, cls: api.RequestClass, headers: Headers) -> float | None:
-        """How long the client waits, never longer than its class allows."""
-        asked = int(get_header(headers, DEADLINE) or 0)  # digits: a request with others has no route
-        return min(float(asked), cls.deadline_ms) if asked > 0 else None
-
-    def identify(self, guarded: UnauthenticatedRequest, key: str, plan: str) -> RoutedRequest | RouteRejection:
-        """No request here is guarded: its customer is in its path."""
-        return RouteRejection(400, "bad path")
-
-    def anonymous(self, guarded: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
+        """Where a request belongs, all that the protocol has it state checked."""
+        try:
+            return self._route(method, target, headers)
+        except _InvalidRequestError as error:
+            return error.rejection
+
+    def _route(self, method: bytes, target: bytes, headers: Headers) -> RoutedRequest:
+        fields = _read_fields(headers)
+        request_class = self._classes.get(fields.get(CLASS_HEADER))
+        plan = self._plans.get(fields.get(PLAN_HEADER))
+        if request_class is None or plan is None:
+            raise _InvalidRequestError("unknown class" if request_class is None else "unknown plan")
+        customer_key = _read_customer(target, fields.get(CLASS_HEADER))
+        _check_method(method, request_class, fields)
+        quota = self._read_quota(fields)
+        is_retry = RETRY_HEADER in fields.values
+        if is_retry and fields.get(RETRY_HEADER) != b"1":
+            raise _InvalidRequestError("bad retry or deadline")
+        if DIGITS.fullmatch(fields.get(DEADLINE_HEADER)) is None:
+            raise _InvalidRequestError("bad retry or deadline")
+        self._check_id(fields.get(ID_HEADER))
+        customer = int(customer_key, 16)
+        return RoutedRequest(request_class, plan, customer, customer_key.decode(), *quota, is_retry)
+
+    def _read_quota(self, fields: _Fields) -> _Quota:
+        match = QUOTA.fullmatch(fields.get(QUOTA_HEADER))
+        if match is None:
+            raise _InvalidRequestError("bad quota")
+        quota = _Quota(float(match[1]), int(match[2]), int(match[3]))
+        has_valid_units = 0 < quota.units <= self._max_units
+        has_valid_instances = 1 <= quota.instances <= self._instances and quota.first_instance < self._instances
+        if not has_valid_units or not has_valid_instances:
+            raise _InvalidRequestError("bad quota")
+        return quota
+
+    def _check_id(self, request_id: bytes) -> None:
+        if TOKEN.fullmatch(request_id) is None:
+            raise _InvalidRequestError("bad id")
+        if not self._recent_ids.add(request_id):
+            raise _InvalidRequestError("id met before", CONFLICT)
+
+    def deadline_ms(self, request_class: api.RequestClass, headers: Headers) -> float | None:
+        """How long the client waits, never longer than its class allows; None where it does not wait."""
+        asked_ms = int(get_header(headers, DEADLINE_HEADER) or 0)  # digits: a request with others has no route
+        return min(float(asked_ms), request_class.deadline_ms) if asked_ms > 0 else None
+
+    def identify(
+        self, unauthenticated: UnauthenticatedRequest, customer_key: str, plan: str
+    ) -> RoutedRequest | RouteRejection:
+        """No request here is authenticated: its customer is in its path."""
+        return RouteRejection(BAD_REQUEST, "bad path")
+
+    def anonymous(self, unauthenticated: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
         """As above."""
-        return RouteRejection(400, "bad path")
+        return RouteRejection(BAD_REQUEST, "bad path")
 
 
 class NodeStatusClassifier:
-    """What the status of a backend's answer proves (door.parts.StatusReader)."""
+    """What the status of an endpoint's response proves (proxy.dependencies.StatusClassifier)."""
 
     def classify(self, status: int, headers: Headers) -> CallResult:
-        """OK, FULL or ERROR, by the table above."""
-        if status == 200:
+        """OK, OVERLOADED or ERROR, by the table above."""
+        if status == OK:
             for name, value in headers:
-                if name == LENGTH and int(value) > ANSWER_BYTES:
-                    return CallResult.ERROR  # it would be read to its end, and is nobody's answer
+                if name == LENGTH_HEADER and int(value) > ANSWER_BYTES:
+                    return CallResult.ERROR  # it would be read to its end, and is nobody's response
             return CallResult.OK
-        if status in (503, 504) and (NEVER_RAN, b"1") in headers:
+        if status in (UNAVAILABLE, GATEWAY_TIMEOUT) and (NEVER_EXECUTED_HEADER, b"1") in headers:
             return CallResult.OVERLOADED
         return CallResult.ERROR
 
 
 class NodeMessageBuilder:
-    """How attempts and answers are worded (door.parts.Wording).
+    """Builds attempts and responses (proxy.dependencies.MessageBuilder).
 
     No more than the protocol asks for, since every header is work at both ends.
     """
 
     sends_rate_limits = False
 
-    def identity_headers(self, label: str) -> Headers:
+    def identity_headers(self, correlation_id: str) -> Headers:
         """Nothing."""
         return []
 
@@ -191,43 +264,43 @@
 
     def request_headers(self, request: UpstreamRequest) -> Headers:
         """The client's id and key, and how long the gateway waits."""
-        headers = [pair for pair in request.client_headers if pair[0] in PASSED]
+        headers = [pair for pair in request.client_headers if pair[0] in FORWARDED_HEADERS]
         headers.append(self.deadline_header(request.remaining_ms))
         return headers
 
-    def deadline_header(self, left_ms: float) -> tuple[bytes, bytes]:
-        """In whole milliseconds; none left would read as no bound."""
-        return DEADLINE, b"%d" % max(left_ms, 1)
+    def deadline_header(self, remaining_ms: float) -> tuple[bytes, bytes]:
+        """In whole milliseconds; 0 would read as no limit."""
+        return DEADLINE_HEADER, b"%d" % max(remaining_ms, 1)
 
     def response_headers(self, headers: Headers) -> Headers:
-        """The length alone, where it is told."""
-        return [pair for pair in headers if pair[0] == LENGTH]
+        """The length alone, where it is stated."""
+        return [pair for pair in headers if pair[0] == LENGTH_HEADER]
 
-    def local_reply(self, reason: str, label: str, wait_ms: float | None) -> tuple[Headers, bytes]:
+    def local_reply(self, reason: str, correlation_id: str, retry_after_ms: float | None) -> tuple[Headers, bytes]:
         """The reason as text, and when to come back.
 
         A fault of the client's ends its connection: strays ask once and stay, by hundreds, and nobody else has faults.
         """
         body = reason.encode()
-        headers = [(LENGTH, b"%d" % len(body))]
-        if wait_ms is not None:
-            headers.append((b"retry-after", b"%.3f" % (wait_ms / SECOND_MS)))
-        elif reason not in ATTEMPTED:
+        headers = [(LENGTH_HEADER, b"%d" % len(body))]
+        if retry_after_ms is not None:
+            headers.append((b"retry-after", b"%.3f" % (retry_after_ms / MS_PER_S)))
+        elif reason not in REASONS_WITHOUT_PROMISE:
             headers.append((b"connection", b"close"))
         return headers, body
 
 
-def make_dependencies(config: Config, requests: Requests) -> EngineDependencies:
+def make_dependencies(config: Config, request_reader: NodeRequestReader) -> EngineDependencies:
     """An engine's parts by the platform's protocol."""
     settings = config.settings
     return EngineDependencies(
         name=config.name,
         settings=settings,
-        route_table=requests,
-        targets=requests,
+        route_table=request_reader,
+        targets=request_reader,
         status_classifier=NodeStatusClassifier(),
         message_builder=NodeMessageBuilder(),
-        request_id_header=ID,
+        request_id_header=ID_HEADER,
         deadline_margin_ms=MARGIN_MS,
         max_in_flight=config.max_open,
         connect_timeout_ms=config.upstream.connect_ms,
--- a/tests/door_rig.py
+++ b/tests/engine_rig.py
@@ -61,7 +61,7 @@
         self.engine = make_engine(settings(text), seed, shelf)
         self.now = START
         self.did: list[ev.Action] = []
-        self._ticket = 0
+        self._request_id = 0
         self.tell(listed(*servers, scope=EndpointListScope.CACHED))
 
     def tell(self, event: ev.Event) -> list[ev.Action]:
@@ -80,41 +80,42 @@
         return out
 
     def ask(self, path: str = "/read/1", customer: str = "free", method: str = "GET", **headers: str) -> int:
-        """A client request; gives its ticket."""
-        self._ticket += 1
+        """A client request; gives its request_id."""
+        self._request_id += 1
         told = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
         told.append((b"x-customer", customer.encode()))
-        self.tell(ev.RequestReceived(self._ticket, method.encode(), path.encode(), told, "10.0.0.1"))
-        return self._ticket
+        self.tell(ev.RequestReceived(self._request_id, method.encode(), path.encode(), told, "10.0.0.1"))
+        return self._request_id
 
-    def of(self, kind: type[A], ticket: int | None = None) -> list[A]:
+    def of(self, kind: type[A], request_id: int | None = None) -> list[A]:
         """All actions of a kind so far, of one request or of all."""
         return [
             action
             for action in self.did
-            if isinstance(action, kind) and (ticket is None or getattr(action, "request_id", ticket) == ticket)
+            if isinstance(action, kind)
+            and (request_id is None or getattr(action, "request_id", request_id) == request_id)
         ]
 
-    def opened(self, ticket: int) -> ev.OpenAttempt:
+    def opened(self, request_id: int) -> ev.OpenAttempt:
         """The last attempt of a request."""
-        return self.of(ev.OpenAttempt, ticket)[-1]
+        return self.of(ev.OpenAttempt, request_id)[-1]
 
-    def write(self, ticket: int) -> None:
+    def write(self, request_id: int) -> None:
         """The last attempt's first bytes are written."""
-        self.tell(ev.AttemptWritten(ticket, self.opened(ticket).attempt))
+        self.tell(ev.AttemptWritten(request_id, self.opened(request_id).attempt))
 
-    def serve(self, ticket: int, status: int = 200, headers: ev.Headers | None = None) -> list[ev.Action]:
+    def serve(self, request_id: int, status: int = 200, headers: ev.Headers | None = None) -> list[ev.Action]:
         """The last attempt is written and answered whole."""
-        number = self.opened(ticket).attempt
-        self.write(ticket)
-        out = self.tell(ev.ResponseHeadReceived(ticket, number, status, headers or []))
-        return out + self.tell(ev.ResponseCompleted(ticket, number))
+        number = self.opened(request_id).attempt
+        self.write(request_id)
+        out = self.tell(ev.ResponseHeadReceived(request_id, number, status, headers or []))
+        return out + self.tell(ev.ResponseCompleted(request_id, number))
 
-    def end(self, ticket: int, how: ev.AttemptFailure, written: bool = True) -> list[ev.Action]:
+    def end(self, request_id: int, how: ev.AttemptFailure, written: bool = True) -> list[ev.Action]:
         """The last attempt ends without an answer."""
         if written:
-            self.write(ticket)
-        return self.tell(ev.AttemptFailed(ticket, self.opened(ticket).attempt, how))
+            self.write(request_id)
+        return self.tell(ev.AttemptFailed(request_id, self.opened(request_id).attempt, how))
 
     def count_all(self, total: float) -> None:
         """The store answers every Add that is out, and those that follow."""
@@ -123,17 +124,17 @@
             answered.add(todo[0])
             self.tell(ev.CounterReplied(todo[0], CallResult.OK, total))
 
-    def finals(self, ticket: int) -> list[ev.SendLocalReply | ev.RelayResponse | ev.ResetClientConnection]:
+    def finals(self, request_id: int) -> list[ev.SendLocalReply | ev.RelayResponse | ev.ResetClientConnection]:
         """The final answers of a request: there must be one."""
         return [
             action
             for action in self.did
-            if isinstance(action, ev.SendLocalReply | ev.RelayResponse) and action.request_id == ticket
+            if isinstance(action, ev.SendLocalReply | ev.RelayResponse) and action.request_id == request_id
         ]
 
-    def reply(self, ticket: int) -> ev.SendLocalReply:
+    def reply(self, request_id: int) -> ev.SendLocalReply:
         """The door's own answer to a request."""
-        [found] = self.of(ev.SendLocalReply, ticket)
+        [found] = self.of(ev.SendLocalReply, request_id)
         return found
 
     def quiet(self) -> dict[str, int]:
--- a/tests/hook_rig.py
+++ b/tests/hook_rig.py
@@ -10,7 +10,7 @@
 from martenstep.hooks.releases import Shelf
 from martenstep.hooks.runner import Limits
 from martenstep.hooks.vm import NEVER
-from tests.door_rig import Rig
+from tests.engine_rig import Rig
 
 
 def release(
--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -16,7 +16,7 @@
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine_factory import make_engine, make_server
 from martenstep.proxy.server import ProxyServer
-from tests.door_rig import settings
+from tests.engine_rig import settings
 
 BOUND_S = 15.0
 LONG_S = 120.0  # for what waits for elections and the filling of copies, on a machine that does much else
--- a/tests/test_auth_door.py
+++ b/tests/test_auth_proxy.py
@@ -13,7 +13,7 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
-from tests.door_rig import DOOR, QUIET, Rig, head
+from tests.engine_rig import DOOR, QUIET, Rig, head
 from tests.socket_rig import Back, House, Peer, Script, get, house, run
 
 AUTH = """
@@ -45,7 +45,7 @@
 
 def test_nothing_goes_to_a_server_without_a_verdict_and_identity_is_the_services() -> None:
     rig = Door()
-    ticket = rig.ask(
+    request_id = rig.ask(
         "/safe/1",
         authorization="Bearer t",
         cookie="c=1",
@@ -63,26 +63,26 @@
     rig.verdict()
     assert rig.of(ev.AddToCounter)  # anna's plan has a quota: the module decides on her
     rig.count_all(1.0)
-    sent = rig.opened(ticket)
+    sent = rig.opened(request_id)
     names = [(name, value) for name, value in sent.headers if name in (b"x-auth-customer", b"x-role", b"x-secret")]
     assert names == [(b"x-auth-customer", b"anna"), (b"x-role", b"owner")]  # by the allow list, and only the service's
-    rig.serve(ticket)
-    assert len(rig.finals(ticket)) == 1 and rig.quiet() == QUIET and rig.engine.held["auth_passed"] == 0
+    rig.serve(request_id)
+    assert len(rig.finals(request_id)) == 1 and rig.quiet() == QUIET and rig.engine.held["auth_passed"] == 0
 
 
 def test_underscored_twins_of_identity_headers_do_not_pass() -> None:
     rig = Door()
-    ticket = rig._ticket = 1
+    request_id = rig._request_id = 1
     rig.tell(ev.RequestReceived(1, b"GET", b"/safe/1", [(b"x_auth_customer", b"eve"), (b"x_role", b"admin")]))
     rig.verdict(headers=[(b"x-auth-customer", b"free")])
-    assert head(rig.opened(ticket), "x_auth_customer") is None and head(rig.opened(ticket), "x_role") is None
+    assert head(rig.opened(request_id), "x_auth_customer") is None and head(rig.opened(request_id), "x_role") is None
 
 
 def test_anything_but_2xx_is_the_clients_answer() -> None:
     rig = Door()
-    ticket = rig.ask("/safe/1", authorization="bad")
+    request_id = rig.ask("/safe/1", authorization="bad")
     rig.verdict(401, [(b"www-authenticate", b"Bearer"), (b"server", b"x")], b"log in")
-    reply = rig.reply(ticket)
+    reply = rig.reply(request_id)
     assert (reply.status, reply.body) == (401, b"log in")
     assert head(reply, "www-authenticate") == "Bearer" and head(reply, "server") is None
     redirected = rig.ask("/safe/1", authorization="none")
@@ -93,18 +93,18 @@
 
 def test_a_check_that_eats_its_part_of_the_time_is_answered_with_the_true_reason_and_uncharged() -> None:
     rig = Door("auth { attempt_ms: 5000 }")
-    ticket = rig.ask("/safe/1", x_deadline_ms="1500", authorization="t")
+    request_id = rig.ask("/safe/1", x_deadline_ms="1500", authorization="t")
     rig.pass_time(749)
-    assert not rig.finals(ticket)
+    assert not rig.finals(request_id)
     rig.pass_time(1)
-    reply = rig.reply(ticket)
+    reply = rig.reply(request_id)
     assert reply.status == 503 and json.loads(reply.body)["reason"] == "check late" and head(reply, "retry-after")
     rig.pass_time(650)  # 1.4 s of 1.5: too late, and nobody's
     rig.verdict()
     assert (
         not rig.of(ev.OpenAttempt)
         and not rig.of(ev.AddToCounter)
-        and len(rig.finals(ticket)) == 1
+        and len(rig.finals(request_id)) == 1
         and rig.quiet() == QUIET
     )
 
@@ -126,19 +126,19 @@
 
 def test_a_5xx_of_the_service_is_no_verdict() -> None:
     rig = Door()
-    ticket = rig.ask("/safe/1")
+    request_id = rig.ask("/safe/1")
     rig.verdict(500, [])
-    assert not rig.finals(ticket) and len(rig.of(ev.StartAuthCheck)) == 2
+    assert not rig.finals(request_id) and len(rig.of(ev.StartAuthCheck)) == 2
     rig.verdict()
     rig.count_all(1.0)
-    assert rig.opened(ticket)
+    assert rig.opened(request_id)
 
 
 def test_an_unknown_plan_in_the_answer_fails_rather_than_passes() -> None:
     rig = Door()
-    ticket = rig.ask("/safe/1")
+    request_id = rig.ask("/safe/1")
     rig.verdict(200, [(b"x-auth-customer", b"anna"), (b"x-auth-plan", b"gold")])
-    assert rig.reply(ticket).status == 502 and not rig.of(ev.OpenAttempt)
+    assert rig.reply(request_id).status == 502 and not rig.of(ev.OpenAttempt)
     nobody = rig.ask("/safe/1", authorization="x")
     rig.verdict(200, [])
     assert rig.reply(nobody).status == 403
@@ -158,21 +158,21 @@
 
 def test_the_client_leaves_while_its_check_is_out() -> None:
     rig = Door()
-    ticket = rig.ask("/safe/1")
-    rig.tell(ev.ClientDisconnected(ticket))
+    request_id = rig.ask("/safe/1")
+    rig.tell(ev.ClientDisconnected(request_id))
     assert rig.of(ev.StopAuthCheck) and rig.quiet() == QUIET and rig.engine.held["auth_checks"] == 0
     rig.verdict()
-    assert not rig.finals(ticket) and not rig.of(ev.OpenAttempt)
+    assert not rig.finals(request_id) and not rig.of(ev.OpenAttempt)
 
 
 def test_a_stampede_asks_once_and_is_answered_each_once() -> None:
     rig = Door("listener { max_open: 9000 }")
-    tickets = [rig.ask("/safe/1", authorization="same") for _ in range(5000)]
+    request_ids = [rig.ask("/safe/1", authorization="same") for _ in range(5000)]
     assert len(rig.of(ev.StartAuthCheck)) == 1
     rig.verdict(200, [(b"x-auth-customer", b"anna")])
     rig.count_all(1000.0)
     rig.pass_time(10_000)
-    assert all(len(rig.finals(ticket)) == 1 for ticket in tickets[::50]) and rig.quiet() == QUIET
+    assert all(len(rig.finals(request_id)) == 1 for request_id in request_ids[::50]) and rig.quiet() == QUIET
     assert len(rig.of(ev.SendLocalReply)) + len(rig.of(ev.RelayResponse)) == 5000
 
 
@@ -185,16 +185,16 @@
             rig.count_all(1.0)
     rig.ask("/safe/1", authorization="first")  # the one check that may be out
     waits = {name: rig.ask("/safe/2", authorization=name) for name in ("p1", "p2", "o1", "o2", "o3", "o4", "o5", "o6")}
-    shed = {name for name, ticket in waits.items() if rig.finals(ticket)}
+    shed = {name for name, request_id in waits.items() if rig.finals(request_id)}
     assert shed == {"o1", "o2"} and all(b"check shed" in rig.reply(waits[name]).body for name in shed)
 
 
 def test_an_unsafe_request_is_checked_once_for_all_its_attempts() -> None:
     rig = Door()
-    ticket = rig.ask("/bill/1", authorization="t")
+    request_id = rig.ask("/bill/1", authorization="t")
     rig.verdict(200, [(b"x-auth-customer", b"free")])
-    rig.end(ticket, AttemptFailure.NOT_CONNECTED, written=False)
-    assert len(rig.of(ev.OpenAttempt, ticket)) == 2 and len(rig.of(ev.StartAuthCheck)) == 1
+    rig.end(request_id, AttemptFailure.NOT_CONNECTED, written=False)
+    assert len(rig.of(ev.OpenAttempt, request_id)) == 2 and len(rig.of(ev.StartAuthCheck)) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner, Result
 
 from martenstep.cli.main import cli
-from tests.door_rig import DOOR
+from tests.engine_rig import DOOR
 
 
 def call(*words: str) -> Result:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,7 +17,7 @@
 from martenstep.config.policy_settings import build_policy_settings, customer_id
 from martenstep.config.text_format import SettingsError
 from martenstep.policy.messages import DeduplicationScope, Idempotency
-from tests.door_rig import DOOR
+from tests.engine_rig import DOOR
 
 
 def faults(text: str) -> list[str]:
--- a/tests/test_config_changes.py
+++ b/tests/test_config_changes.py
@@ -9,7 +9,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.changes import LIVE, PARTS, differences
-from tests.door_rig import settings
+from tests.engine_rig import settings
 
 
 def fields(descriptor: Any = pb.Door.DESCRIPTOR, prefix: str = "") -> list[tuple[str, Any]]:
--- a/tests/test_counter_shards.py
+++ b/tests/test_counter_shards.py
@@ -16,7 +16,7 @@
 from martenstep.counter.shards import Shards, owner
 from martenstep.counter.state import Limits
 from martenstep.policy.messages import CallResult
-from tests.door_rig import DOOR
+from tests.engine_rig import DOOR
 from tests.socket_rig import run
 from tests.test_counter_service import served
 
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -256,7 +256,9 @@
 
 def _ungoverned(asked: Any) -> Any:
     def other(self: EmuDoor, caller: Any, method: bytes, target: bytes, headers: ev.Headers) -> Any:
-        spread = [(name, b"free-%d" % self._tickets if name == b"x-customer" else value) for name, value in headers]
+        spread = [
+            (name, b"free-%d" % self._last_request_id if name == b"x-customer" else value) for name, value in headers
+        ]
         return asked(self, caller, method, target, spread)
 
     return other
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,21 +10,21 @@
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine.timers import RequestDeadline
 from martenstep.proxy.engine_messages import AttemptFailure
-from tests.door_rig import QUIET, Rig, head, listed
+from tests.engine_rig import QUIET, Rig, head, listed
 
 
 def test_a_request_is_sent_on_and_served_as_it_came() -> None:
     rig = Rig()
-    ticket = rig.ask(x_request_id="mine", connection="close, x-hop", x_hop="1", te="trailers", accept="image/*")
-    sent = rig.opened(ticket)
+    request_id = rig.ask(x_request_id="mine", connection="close, x-hop", x_hop="1", te="trailers", accept="image/*")
+    sent = rig.opened(request_id)
     assert (sent.attempt, sent.method, sent.target) == (0, b"GET", b"/read/1")
     names = {name for name, _ in sent.headers}
     assert not names & {b"connection", b"x-hop", b"te"}
     assert head(sent, "x-request-id") == "mine" and head(sent, "x-attempt") == "0"
     assert head(sent, "via") == "1.1 door-0" and head(sent, "accept") == "image/*"
     assert head(sent, "x-forwarded-for") == "10.0.0.1"
-    rig.serve(ticket, 201, [(b"etag", b"1"), (b"connection", b"keep-alive"), (b"keep-alive", b"timeout=5")])
-    [passed] = rig.of(ev.RelayResponse, ticket)
+    rig.serve(request_id, 201, [(b"etag", b"1"), (b"connection", b"keep-alive"), (b"keep-alive", b"timeout=5")])
+    [passed] = rig.of(ev.RelayResponse, request_id)
     assert (passed.status, passed.complete) == (201, True)
     assert head(passed, "etag") == "1" and head(passed, "keep-alive") is None
     assert head(passed, "x-request-id") == "mine"
@@ -58,16 +58,16 @@
     path: str, customer: str, method: str, status: int, reason: str
 ) -> None:
     rig = Rig()
-    ticket = rig.ask(path, customer, method)
-    reply = rig.reply(ticket)
+    request_id = rig.ask(path, customer, method)
+    reply = rig.reply(request_id)
     assert reply.status == status and json.loads(reply.body)["reason"] == reason
     assert not rig.of(ev.OpenAttempt) and rig.quiet() == QUIET
 
 
 def test_the_customer_can_stand_in_the_path() -> None:
     rig = Rig()
-    ticket = rig.ask("/write/fr%65e/1?x=../..", "anna", "POST")
-    assert rig.opened(ticket).target == b"/write/fr%65e/1?x=../.."
+    request_id = rig.ask("/write/fr%65e/1?x=../..", "anna", "POST")
+    assert rig.opened(request_id).target == b"/write/fr%65e/1?x=../.."
 
 
 def test_an_absolute_target_is_routed_by_its_path() -> None:
@@ -99,69 +99,69 @@
 
 def test_at_the_deadline_the_attempt_is_given_up_and_the_answer_goes_out_at_once() -> None:
     rig = Rig("upstream { cancel: false }")
-    ticket = rig.ask(x_deadline_ms="700")
-    rig.write(ticket)
+    request_id = rig.ask(x_deadline_ms="700")
+    rig.write(request_id)
     rig.pass_time(699)
-    assert not rig.finals(ticket)
+    assert not rig.finals(request_id)
     actions = rig.pass_time(1)
     assert isinstance(actions[0], ev.AbortAttempt)  # before the answer: nothing may follow it
-    assert rig.reply(ticket).status == 503  # safe to repeat: a refusal says so
+    assert rig.reply(request_id).status == 503  # safe to repeat: a refusal says so
     assert rig.quiet() == QUIET
 
 
 def test_a_time_out_of_an_unsafe_request_is_a_failure_and_promises_nothing() -> None:
     rig = Rig()
-    ticket = rig.ask("/pay/1")
-    rig.write(ticket)
+    request_id = rig.ask("/pay/1")
+    rig.write(request_id)
     rig.pass_time(4000)
-    reply = rig.reply(ticket)
+    reply = rig.reply(request_id)
     assert reply.status == 504 and head(reply, "retry-after") is None
-    assert len(rig.of(ev.OpenAttempt, ticket)) == 1
+    assert len(rig.of(ev.OpenAttempt, request_id)) == 1
 
 
 def test_the_deadline_between_connect_and_write_proves_that_it_never_ran() -> None:
     rig = Rig("upstream { connect_ms: 60000 }")
-    ticket = rig.ask("/pay/1", x_deadline_ms="300")
+    request_id = rig.ask("/pay/1", x_deadline_ms="300")
     rig.pass_time(300)  # connected or not: nothing was written
-    assert rig.of(ev.AbortAttempt, ticket)
-    assert rig.reply(ticket).status == 503  # may be repeated: it never ran
-    assert rig.tell(ev.AttemptWritten(ticket, 0)) == []  # the driver is late: the attempt is no more
+    assert rig.of(ev.AbortAttempt, request_id)
+    assert rig.reply(request_id).status == 503  # may be repeated: it never ran
+    assert rig.tell(ev.AttemptWritten(request_id, 0)) == []  # the driver is late: the attempt is no more
 
 
 def test_no_connection_within_the_time_out_goes_elsewhere() -> None:
     rig = Rig()
-    ticket = rig.ask("/pay/1")
+    request_id = rig.ask("/pay/1")
     rig.pass_time(200)
-    first, second = rig.of(ev.OpenAttempt, ticket)
+    first, second = rig.of(ev.OpenAttempt, request_id)
     assert second.attempt == 1 and head(second, "x-attempt") == "1"
-    assert rig.of(ev.AbortAttempt, ticket)[0].attempt == 0
-    rig.serve(ticket)
-    assert len(rig.finals(ticket)) == 1 and first.endpoint != second.endpoint
+    assert rig.of(ev.AbortAttempt, request_id)[0].attempt == 0
+    rig.serve(request_id)
+    assert len(rig.finals(request_id)) == 1 and first.endpoint != second.endpoint
 
 
 def test_an_answer_after_its_attempt_was_called_off_is_nobodys() -> None:
     rig = Rig()
-    ticket = rig.ask()
-    rig.end(ticket, AttemptFailure.CLOSED)
-    assert [open_.attempt for open_ in rig.of(ev.OpenAttempt, ticket)] == [0, 1]
-    assert rig.tell(ev.ResponseHeadReceived(ticket, 0, 200, [])) == []
-    assert rig.tell(ev.ResponseCompleted(ticket, 0)) == []
-    rig.serve(ticket)
-    assert len(rig.finals(ticket)) == 1 and rig.quiet() == QUIET
-    assert rig.tell(ev.ResponseCompleted(ticket, 1)) == []
+    request_id = rig.ask()
+    rig.end(request_id, AttemptFailure.CLOSED)
+    assert [open_.attempt for open_ in rig.of(ev.OpenAttempt, request_id)] == [0, 1]
+    assert rig.tell(ev.ResponseHeadReceived(request_id, 0, 200, [])) == []
+    assert rig.tell(ev.ResponseCompleted(request_id, 0)) == []
+    rig.serve(request_id)
+    assert len(rig.finals(request_id)) == 1 and rig.quiet() == QUIET
+    assert rig.tell(ev.ResponseCompleted(request_id, 1)) == []
 
 
 def test_a_silent_server_is_given_up_by_the_module_and_another_tried() -> None:
     rig = Rig()
     for _ in range(12):  # answers are quick, so that silence tells
-        ticket = rig.ask()
+        request_id = rig.ask()
         rig.pass_time(10)
-        rig.serve(ticket)
-    ticket = rig.ask()
-    rig.write(ticket)
+        rig.serve(request_id)
+    request_id = rig.ask()
+    rig.write(request_id)
     rig.pass_time(450)
-    assert [abandon.attempt for abandon in rig.of(ev.AbortAttempt, ticket)] == [0]
-    assert [open_.attempt for open_ in rig.of(ev.OpenAttempt, ticket)] == [0, 1]
+    assert [abandon.attempt for abandon in rig.of(ev.AbortAttempt, request_id)] == [0]
+    assert [open_.attempt for open_ in rig.of(ev.OpenAttempt, request_id)] == [0, 1]
 
 
 @pytest.mark.parametrize(
@@ -180,11 +180,11 @@
     path: str, how: AttemptFailure, written: bool, attempts: int
 ) -> None:
     rig = Rig()
-    ticket = rig.ask(path)
-    rig.end(ticket, how, written)
-    assert len(rig.of(ev.OpenAttempt, ticket)) == attempts
+    request_id = rig.ask(path)
+    rig.end(request_id, how, written)
+    assert len(rig.of(ev.OpenAttempt, request_id)) == attempts
     if attempts == 1:
-        assert rig.reply(ticket).status == 502
+        assert rig.reply(request_id).status == 502
 
 
 def test_a_refusal_needs_status_and_header() -> None:
@@ -201,9 +201,9 @@
 
 def test_a_keyed_request_carries_one_key_through_its_attempts() -> None:
     rig = Rig()
-    ticket = rig.ask("/write/free/1", method="POST")
-    rig.end(ticket, AttemptFailure.CLOSED)
-    first, second = rig.of(ev.OpenAttempt, ticket)
+    request_id = rig.ask("/write/free/1", method="POST")
+    rig.end(request_id, AttemptFailure.CLOSED)
+    first, second = rig.of(ev.OpenAttempt, request_id)
     assert head(first, "idempotency-key") and head(first, "idempotency-key") == head(second, "idempotency-key")
     assert first.endpoint % 2 == second.endpoint % 2  # the zone that drops repeats
     own = rig.ask("/write/free/1", method="POST", idempotency_key="k1")
@@ -225,49 +225,49 @@
 
 def test_an_answer_that_has_begun_belongs_to_the_client() -> None:
     rig = Rig()
-    ticket = rig.ask(x_deadline_ms="500")
-    rig.write(ticket)
-    rig.tell(ev.ResponseHeadReceived(ticket, 0, 200, []))
-    rig.tell(ev.ResponseBufferExceeded(ticket, 0))
-    [passed] = rig.of(ev.RelayResponse, ticket)
+    request_id = rig.ask(x_deadline_ms="500")
+    rig.write(request_id)
+    rig.tell(ev.ResponseHeadReceived(request_id, 0, 200, []))
+    rig.tell(ev.ResponseBufferExceeded(request_id, 0))
+    [passed] = rig.of(ev.RelayResponse, request_id)
     assert not passed.complete
     assert not rig.pass_time(10_000)  # neither its time-out nor the deadline runs any more
-    rig.tell(ev.ResponseCompleted(ticket, 0))
-    assert len(rig.finals(ticket)) == 1 and rig.quiet() == QUIET
+    rig.tell(ev.ResponseCompleted(request_id, 0))
+    assert len(rig.finals(request_id)) == 1 and rig.quiet() == QUIET
 
 
 def test_a_begun_answer_that_breaks_breaks_the_clients_connection() -> None:
     rig = Rig()
-    ticket = rig.ask()
-    rig.write(ticket)
-    rig.tell(ev.ResponseHeadReceived(ticket, 0, 200, []))
-    rig.tell(ev.ResponseBufferExceeded(ticket, 0))
-    rig.end(ticket, AttemptFailure.CLOSED)
-    assert rig.of(ev.ResetClientConnection, ticket) and len(rig.of(ev.OpenAttempt, ticket)) == 1
+    request_id = rig.ask()
+    rig.write(request_id)
+    rig.tell(ev.ResponseHeadReceived(request_id, 0, 200, []))
+    rig.tell(ev.ResponseBufferExceeded(request_id, 0))
+    rig.end(request_id, AttemptFailure.CLOSED)
+    assert rig.of(ev.ResetClientConnection, request_id) and len(rig.of(ev.OpenAttempt, request_id)) == 1
     assert rig.quiet() == QUIET
 
 
 def test_the_client_leaves_while_its_counter_call_is_out() -> None:
     rig = Rig()
-    ticket = rig.ask(customer="anna")
+    request_id = rig.ask(customer="anna")
     assert rig.of(ev.AddToCounter) and not rig.of(ev.OpenAttempt)
-    rig.tell(ev.ClientDisconnected(ticket))
+    rig.tell(ev.ClientDisconnected(request_id))
     rig.count_all(1.0)
-    assert not rig.of(ev.OpenAttempt) and not rig.finals(ticket)
+    assert not rig.of(ev.OpenAttempt) and not rig.finals(request_id)
     assert rig.quiet() == QUIET
 
 
 def test_the_client_leaves_while_an_attempt_is_out() -> None:
     rig = Rig()
-    ticket = rig.ask()
-    rig.write(ticket)
-    rig.tell(ev.ClientDisconnected(ticket))
-    assert rig.of(ev.AbortAttempt, ticket) and rig.quiet() == QUIET
-    assert not rig.finals(ticket)
+    request_id = rig.ask()
+    rig.write(request_id)
+    rig.tell(ev.ClientDisconnected(request_id))
+    assert rig.of(ev.AbortAttempt, request_id) and rig.quiet() == QUIET
+    assert not rig.finals(request_id)
     kept = Rig("upstream { cancel: false }")
-    ticket = kept.ask(x_deadline_ms="900")
-    kept.write(ticket)
-    kept.tell(ev.ClientDisconnected(ticket))
+    request_id = kept.ask(x_deadline_ms="900")
+    kept.write(request_id)
+    kept.tell(ev.ClientDisconnected(request_id))
     assert not kept.of(ev.AbortAttempt)  # calling off is not allowed: its outcome is waited for, to the deadline
     kept.pass_time(900)
     assert kept.of(ev.AbortAttempt) and kept.quiet() == QUIET
@@ -289,9 +289,9 @@
 
 def test_a_refusal_tells_the_wait_in_seconds_and_exactly() -> None:
     rig = Rig()
-    ticket = rig.ask(customer="anna")
+    request_id = rig.ask(customer="anna")
     rig.count_all(500.0)
-    reply = rig.reply(ticket)
+    reply = rig.reply(request_id)
     told = json.loads(reply.body)
     assert reply.status == 429 and told["reason"] == "quota"
     exact = float(head(reply, "retry-after-ms") or "")
@@ -340,11 +340,11 @@
 
 def test_a_held_request_is_answered_at_its_deadline_even_if_the_module_holds_it() -> None:
     rig = Rig()
-    ticket = rig.ask(customer="anna")  # the counter is asked; nothing answers, and the engine's own timer is lost
+    request_id = rig.ask(customer="anna")  # the counter is asked; nothing answers, and the engine's own timer is lost
     timers = rig.engine._state.timers
     timers._heap = [entry for entry in timers._heap if isinstance(entry[2], RequestDeadline)]
     rig.pass_time(4000)
-    assert rig.reply(ticket).status == 504 and rig.engine.open == 0
+    assert rig.reply(request_id).status == 504 and rig.engine.open == 0
 
 
 def test_timers_keep_no_finished_request_alive() -> None:
@@ -359,10 +359,10 @@
 def test_a_try_is_told_for_the_record_once_when_it_is_first_sent_on() -> None:
     rig = Rig()
     rig.engine._state.dependencies.records_usage = True
-    ticket = rig.ask("/pay/1", x_request_id="t1")
-    rig.end(ticket, AttemptFailure.NOT_CONNECTED, written=False)  # a further attempt is no further try
+    request_id = rig.ask("/pay/1", x_request_id="t1")
+    rig.end(request_id, AttemptFailure.NOT_CONNECTED, written=False)  # a further attempt is no further try
     refused = rig.ask(customer="nobody")
-    rig.serve(ticket)
+    rig.serve(request_id)
     assert rig.of(ev.RecordUsage) == [ev.RecordUsage("t1", "free", "open", "pay", 2.0, False, 1)] and rig.reply(refused)
 
 
@@ -389,12 +389,12 @@
 def test_a_timer_whose_cause_has_passed_wakes_nobody() -> None:
     """Of 2,400 wakings in 20 s of a calm day most were for connections made, calls answered and requests served."""
     rig = Rig()
-    ticket = rig.ask("/pay/1")
+    request_id = rig.ask("/pay/1")
     assert rig.engine.next_at() == rig.now + 200.0, "no connection within its time"
-    rig.write(ticket)
+    rig.write(request_id)
     silence = rig.engine.next_at()  # the module's own look at what may be silent
     assert silence is not None and rig.now + 200.0 < silence < rig.now + 4000.0
-    rig.serve(ticket)
+    rig.serve(request_id)
     rig.now = silence
     rig.tell(ev.Tick())
     assert rig.engine.next_at() is None and rig.engine.held["timers"] == 0, "nor its deadline"
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -9,8 +9,8 @@
 from martenstep.policy.messages import CallResult, EndpointListScope, EndpointState
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
-from tests.door_rig import QUIET, Rig, listed
-from tests.test_auth_door import Door as Guarded
+from tests.engine_rig import QUIET, Rig, listed
+from tests.test_auth_proxy import Door as Guarded
 
 PATHS = ("/read/1", "/write/free/1", "/pay/1")
 
@@ -22,8 +22,8 @@
         super().__init__()
         self.rig: Rig = Rig()
         self.seen = 0
-        self.tickets: list[int] = []
-        self.out: dict[int, int] = {}  # attempts that the driver holds, by ticket
+        self.request_ids: list[int] = []
+        self.out: dict[int, int] = {}  # attempts that the driver holds, by request_id
         self.calls: list[int] = []
         self.over: set[int] = set()
         self.begun: set[int] = set()
@@ -33,22 +33,22 @@
         """Carry out what the engine did, and check each step of it."""
         for action in self.rig.did[self.seen :]:
             match action:
-                case ev.OpenAttempt(request_id=ticket, attempt=number):
-                    assert ticket not in self.over, "an attempt after the final answer"
-                    assert ticket not in self.out, "two attempts out at once"
-                    self.out[ticket] = number
-                case ev.AbortAttempt(request_id=ticket, attempt=number):
-                    assert self.out.get(ticket) == number
-                    del self.out[ticket]
-                case ev.SendLocalReply(request_id=ticket):
-                    assert ticket not in self.over and ticket not in self.left, "a second final answer"
-                    assert ticket not in self.out, "answered while an attempt is out"
-                    self.over.add(ticket)
-                case ev.RelayResponse(request_id=ticket):
-                    assert ticket not in self.over and ticket not in self.left, "a second final answer"
-                    self.over.add(ticket)
-                case ev.ResetClientConnection(request_id=ticket):
-                    assert ticket in self.begun
+                case ev.OpenAttempt(request_id=request_id, attempt=number):
+                    assert request_id not in self.over, "an attempt after the final answer"
+                    assert request_id not in self.out, "two attempts out at once"
+                    self.out[request_id] = number
+                case ev.AbortAttempt(request_id=request_id, attempt=number):
+                    assert self.out.get(request_id) == number
+                    del self.out[request_id]
+                case ev.SendLocalReply(request_id=request_id):
+                    assert request_id not in self.over and request_id not in self.left, "a second final answer"
+                    assert request_id not in self.out, "answered while an attempt is out"
+                    self.over.add(request_id)
+                case ev.RelayResponse(request_id=request_id):
+                    assert request_id not in self.over and request_id not in self.left, "a second final answer"
+                    self.over.add(request_id)
+                case ev.ResetClientConnection(request_id=request_id):
+                    assert request_id in self.begun
                 case ev.AddToCounter(call_id=call):
                     self.calls.append(call)
         self.seen = len(self.rig.did)
@@ -59,17 +59,17 @@
         deadline=st.sampled_from(("50", "400", "4000")),
     )
     def arrive(self, path: str, customer: str, deadline: str) -> None:
-        self.tickets.append(self.rig.ask(path, customer, "POST", x_deadline_ms=deadline))
+        self.request_ids.append(self.rig.ask(path, customer, "POST", x_deadline_ms=deadline))
         self._look()
 
     @precondition(lambda self: self.out)
     @rule(data=st.data(), how=st.sampled_from(list(AttemptFailure)))
     def attempt_ends(self, data: st.DataObject, how: AttemptFailure) -> None:
-        ticket = data.draw(st.sampled_from(sorted(self.out)))
-        number = self.out.pop(ticket)
+        request_id = data.draw(st.sampled_from(sorted(self.out)))
+        number = self.out.pop(request_id)
         if how not in (AttemptFailure.NOT_CONNECTED, AttemptFailure.CONNECTION_LIMIT, AttemptFailure.NOT_WRITTEN):
-            self.rig.tell(ev.AttemptWritten(ticket, number))
-        self.rig.tell(ev.AttemptFailed(ticket, number, how))
+            self.rig.tell(ev.AttemptWritten(request_id, number))
+        self.rig.tell(ev.AttemptFailed(request_id, number, how))
         self._look()
 
     @precondition(lambda self: self.out)
@@ -81,28 +81,30 @@
         ends=st.booleans(),
     )
     def answer(self, data: st.DataObject, status: int, refused: bool, begins: bool, ends: bool) -> None:
-        ticket = data.draw(st.sampled_from(sorted(self.out)))
-        number = self.out[ticket]
-        self.rig.tell(ev.AttemptWritten(ticket, number))
-        if ticket not in self.begun:
-            self.rig.tell(ev.ResponseHeadReceived(ticket, number, status, [(b"x-not-run", b"1")] if refused else []))
+        request_id = data.draw(st.sampled_from(sorted(self.out)))
+        number = self.out[request_id]
+        self.rig.tell(ev.AttemptWritten(request_id, number))
+        if request_id not in self.begun:
+            self.rig.tell(
+                ev.ResponseHeadReceived(request_id, number, status, [(b"x-not-run", b"1")] if refused else [])
+            )
             self._look()
-        if self.out.get(ticket) != number:
+        if self.out.get(request_id) != number:
             return  # it was no answer to pass on
-        if begins and ticket not in self.begun and ticket not in self.left:
-            self.begun.add(ticket)
-            self.rig.tell(ev.ResponseBufferExceeded(ticket, number))
+        if begins and request_id not in self.begun and request_id not in self.left:
+            self.begun.add(request_id)
+            self.rig.tell(ev.ResponseBufferExceeded(request_id, number))
         if ends:
-            del self.out[ticket]
-            self.rig.tell(ev.ResponseCompleted(ticket, number))
+            del self.out[request_id]
+            self.rig.tell(ev.ResponseCompleted(request_id, number))
         self._look()
 
-    @precondition(lambda self: self.tickets)
+    @precondition(lambda self: self.request_ids)
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
-        ticket = data.draw(st.sampled_from(self.tickets))
-        self.rig.tell(ev.ClientDisconnected(ticket))
-        self.left.add(ticket)
+        request_id = data.draw(st.sampled_from(self.request_ids))
+        self.rig.tell(ev.ClientDisconnected(request_id))
+        self.left.add(request_id)
         self._look()
 
     @precondition(lambda self: self.calls)
@@ -134,18 +136,18 @@
     def books_agree(self) -> None:
         # A begun answer is final for the client, and stays open until its last byte.
         half = self.begun & self.over & set(self.out) - self.left
-        assert self.rig.engine.open == len(set(self.tickets) - self.over - self.left) + len(half)
+        assert self.rig.engine.open == len(set(self.request_ids) - self.over - self.left) + len(half)
 
     def teardown(self) -> None:
-        for ticket, number in list(self.out.items()):
-            if ticket in self.begun:
-                self.rig.tell(ev.ResponseCompleted(ticket, number))
-                del self.out[ticket]
+        for request_id, number in list(self.out.items()):
+            if request_id in self.begun:
+                self.rig.tell(ev.ResponseCompleted(request_id, number))
+                del self.out[request_id]
         self.rig.pass_time(20_000)
         self._look()
         assert self.rig.quiet() == QUIET
-        for ticket in self.tickets:
-            assert ticket in self.over or ticket in self.left, "a request without its final answer"
+        for request_id in self.request_ids:
+            assert request_id in self.over or request_id in self.left, "a request without its final answer"
         assert not self.out
 
 
@@ -161,7 +163,7 @@
         self.rig = Guarded()
         self.seen = 0
         self.checks: dict[int, int] = {}
-        self.credential: dict[int, str] = {}  # by ticket, of guarded requests
+        self.credential: dict[int, str] = {}  # by request_id, of guarded requests
         self.given: set[str] = set()  # credentials with a positive verdict
 
     def _look(self) -> None:
@@ -172,8 +174,8 @@
                     self.checks[check] = attempt
                 case ev.StopAuthCheck(check_id=check, attempt=attempt):
                     assert self.checks.pop(check) == attempt
-                case ev.OpenAttempt(request_id=ticket) if ticket in self.credential:
-                    assert self.credential[ticket] in self.given, "sent on without a positive verdict"
+                case ev.OpenAttempt(request_id=request_id) if request_id in self.credential:
+                    assert self.credential[request_id] in self.given, "sent on without a positive verdict"
         super()._look()
 
     @rule(
@@ -183,8 +185,8 @@
     )
     def arrive_guarded(self, path: str, who: str, deadline: str) -> None:
         if path != "/loose/1":
-            self.credential[self.rig._ticket + 1] = who
-        self.tickets.append(self.rig.ask(path, method="POST", authorization=who, x_deadline_ms=deadline))
+            self.credential[self.rig._request_id + 1] = who
+        self.request_ids.append(self.rig.ask(path, method="POST", authorization=who, x_deadline_ms=deadline))
         self._look()
 
     @precondition(lambda self: self.checks)
--- a/tests/test_fault_calls.py
+++ b/tests/test_fault_calls.py
@@ -18,7 +18,7 @@
 from martenstep.lab.soak.faults import SHORT_COUNT, Call, FaultControl
 from tests.node_rig import request
 from tests.socket_rig import Peer
-from tests.test_node_door import serves
+from tests.test_node_gateway import serves
 from tests.test_node_processes import Process, doors, lists, play
 
 SHORT_DEADLINE_MS = 400
--- a/tests/test_fault_clocks.py
+++ b/tests/test_fault_clocks.py
@@ -17,7 +17,7 @@
 from martenstep.lab.soak.faults import FaultControl
 from tests.node_rig import SETTINGS, request, target
 from tests.socket_rig import Back, Peer, Script
-from tests.test_node_door import serves
+from tests.test_node_gateway import serves
 from tests.test_node_processes import Process, doors, play
 
 HOUR_S = 3600.0
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -19,7 +19,7 @@
 from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.proxy.daemon import Daemon
 from martenstep.proxy.headers import REASON_TEXTS, REJECTION_STATUS, local_reply
-from tests.door_rig import Rig, settings
+from tests.engine_rig import Rig, settings
 from tests.hook_rig import HookRig, release
 from tests.socket_rig import Peer, get, house, run
 
--- a/tests/test_formats_supervise.py
+++ b/tests/test_formats_supervise.py
@@ -18,7 +18,7 @@
 from martenstep.supervise.notify import Notifier
 from martenstep.supervise.service import Reloader
 from martenstep.supervise.workers import worker_door
-from tests.door_rig import settings
+from tests.engine_rig import settings
 
 STORED = Path(__file__).parent / "formats" / "supervise"
 
--- a/tests/test_auth_answerer.py
+++ b/tests/test_forward_auth.py
@@ -17,7 +17,7 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_factory import make_engine
-from tests.door_rig import DOOR, QUIET, Rig, head
+from tests.engine_rig import DOOR, QUIET, Rig, head
 
 LINES = [line for line in DOOR.split("\n") if not line.startswith("members")]
 SAFE = "\n".join(LINES).replace("effect: KEYED group: ZONE window_ms: 3000", "").replace("effect: UNSAFE", "")
@@ -31,10 +31,10 @@
         door = parse_door(FORWARDED, "d")
         text_format.Merge(more, door)
         self.engine = make_engine(door, 1)
-        self.now, self.did, self._ticket = 100_000.0, [], 0
+        self.now, self.did, self._request_id = 100_000.0, [], 0
 
     def sub(self, uri: str = "/read/1", customer: str = "free", peer: str = "10.0.0.1", **more: str) -> int:
-        self._ticket += 1
+        self._request_id += 1
         headers = {
             "x-forwarded-method": "GET",
             "x-forwarded-uri": uri,
@@ -43,21 +43,21 @@
         }
         self.tell(
             ev.RequestReceived(
-                self._ticket,
+                self._request_id,
                 b"GET",
                 b"/auth",
                 [(name.encode(), value.encode()) for name, value in headers.items() if value],
                 peer,
             )
         )
-        return self._ticket
+        return self._request_id
 
 
 def test_a_request_that_may_pass_is_answered_at_once_with_what_is_left() -> None:
     rig = Asked()
-    ticket = rig.sub(customer="anna")
+    request_id = rig.sub(customer="anna")
     rig.count_all(1.0)
-    reply = rig.reply(ticket)
+    reply = rig.reply(request_id)
     assert reply.status == 200 and reply.body == b"" and head(reply, "x-customer") == "anna"
     assert head(reply, "ratelimit-policy") == '"plain";q=20;w=2' and head(reply, "ratelimit")
     assert not rig.of(ev.OpenAttempt) and rig.quiet() == QUIET
@@ -65,17 +65,17 @@
 
 def test_one_beyond_its_quota_is_told_when_to_come_back() -> None:
     rig = Asked()
-    ticket = rig.sub(customer="anna")
+    request_id = rig.sub(customer="anna")
     rig.count_all(500.0)
-    reply = rig.reply(ticket)
+    reply = rig.reply(request_id)
     assert reply.status == 429 and float(head(reply, "retry-after-ms") or "0") > 0
     assert json.loads(reply.body)["reason"] == "quota"
 
 
 def test_each_send_has_its_outcome_so_that_the_module_never_closes_its_brake() -> None:
     rig = Asked()
-    tickets = [rig.sub() for _ in range(500)]
-    assert all(rig.reply(ticket).status == 200 for ticket in tickets) and rig.quiet() == QUIET
+    request_ids = [rig.sub() for _ in range(500)]
+    assert all(rig.reply(request_id).status == 200 for request_id in request_ids) and rig.quiet() == QUIET
     assert rig.engine._policy.gateway._cluster.limit.in_flight == 0
 
 
--- a/tests/test_hooks_points.py
+++ b/tests/test_hooks_points.py
@@ -9,7 +9,7 @@
 from martenstep.hooks.runner import Limits
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
-from tests.door_rig import QUIET, START, head
+from tests.engine_rig import QUIET, START, head
 from tests.hook_rig import HookRig, release, words
 
 LOOP = words("text(for x in range(100000), n = 0 { n + 1 })")
@@ -22,12 +22,12 @@
 def refused(rig: HookRig, customer: str = "anna") -> ev.SendLocalReply:
     """The first request of a customer that is refused for its quota."""
     for _ in range(40):
-        ticket = rig.ask(customer=customer, accept_language="de-AT, en;q=0.5", accept="text/html;q=1, */*")
+        request_id = rig.ask(customer=customer, accept_language="de-AT, en;q=0.5", accept="text/html;q=1, */*")
         rig.count_all(0.0)
-        found = rig.of(ev.SendLocalReply, ticket)
+        found = rig.of(ev.SendLocalReply, request_id)
         if found:
             return found[0]
-        rig.serve(ticket)
+        rig.serve(request_id)
     raise AssertionError("nothing was refused")
 
 
@@ -96,20 +96,20 @@
     rig = HookRig(release(1, LOOP), limits=Limits(least_runs=1000))
     refusals = 0
     for _ in range(200):
-        ticket = rig.ask(customer="anna")
+        request_id = rig.ask(customer="anna")
         rig.count_all(0.0)
-        if rig.of(ev.OpenAttempt, ticket):
-            rig.serve(ticket)
-        refusals += bool(rig.of(ev.SendLocalReply, ticket))
-        assert len(rig.finals(ticket)) == 1
+        if rig.of(ev.OpenAttempt, request_id):
+            rig.serve(request_id)
+        refusals += bool(rig.of(ev.SendLocalReply, request_id))
+        assert len(rig.finals(request_id)) == 1
     assert refusals >= 150 and rig.shelf.counts["refusal steps"] == 10  # then it is left alone
     assert rig.shelf.counts["refusal left alone"] == refusals - 10 and rig.quiet() == QUIET
 
 
 def test_classify_moves_a_request_within_what_the_settings_leave_open() -> None:
     rig = HookRig(release(1, 'on classify(r) { Class { class: "pay", customer: "free", units: 3 } }'), text=OPEN)
-    ticket = rig.ask(customer="anna")
-    rig.serve(ticket)
+    request_id = rig.ask(customer="anna")
+    rig.serve(request_id)
     [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "answer"]
     assert (line["class"], line["customer"], line["plan"]) == ("pay", "free", "open")
 
@@ -128,8 +128,8 @@
 )
 def test_classify_loosens_nothing(made: str) -> None:
     rig = HookRig(release(1, f"on classify(r) {{ Class {{ {made} }} }}"), text=OPEN)
-    ticket = rig.ask("/pay/1", customer="free")
-    rig.end(ticket, AttemptFailure.CLOSED)  # an attempt that may have run
+    request_id = rig.ask("/pay/1", customer="free")
+    rig.end(request_id, AttemptFailure.CLOSED)  # an attempt that may have run
     [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "answer"]
     assert (line["class"], line["customer"], line["plan"], line["attempts"]) == ("pay", "free", "open", 1)
     assert rig.shelf.counts == {"classify border": 1}
@@ -143,10 +143,10 @@
         rig = HookRig(
             release(1, f'on classify(r) {{ Class {{ class: "{name}" }} }}'), text=text + f' hooks {{ class: "{name}" }}'
         )
-        ticket = rig.ask(customer="free")
-        assert head(rig.opened(ticket), "x-deadline-ms") == f"{ends:.0f}"
+        request_id = rig.ask(customer="free")
+        assert head(rig.opened(request_id), "x-deadline-ms") == f"{ends:.0f}"
         rig.pass_time(ends)
-        assert rig.reply(ticket).status in (503, 504) and rig.quiet() == QUIET
+        assert rig.reply(request_id).status in (503, 504) and rig.quiet() == QUIET
 
 
 def test_what_is_sent_is_the_same_at_each_attempt() -> None:
@@ -159,13 +159,13 @@
         ),
         text=OPEN,
     )
-    ticket = rig.ask(accept="image/png")
-    first = rig.opened(ticket)
-    rig.end(ticket, AttemptFailure.CLOSED)
-    second = rig.opened(ticket)
+    request_id = rig.ask(accept="image/png")
+    first = rig.opened(request_id)
+    rig.end(request_id, AttemptFailure.CLOSED)
+    second = rig.opened(request_id)
     assert (first.attempt, second.attempt) == (0, 1) and first.target == second.target == b"/inside/1"
     assert head(second, "x-studio") == "free" and [v for n, v in second.headers if n == b"accept"] == [b"a/b"]
-    rig.serve(ticket)
+    rig.serve(request_id)
     assert rig.shelf.counts == {"sending good": 1}
 
 
@@ -200,9 +200,9 @@
             'on log(r, a) { [Field { name: "studio", value: "${r.customer} ${a.status} ${a.attempts}" }] }',
         )
     )
-    ticket = rig.ask()
-    rig.serve(ticket, 201, [(b"etag", b"e")])
-    [passed] = rig.of(ev.RelayResponse, ticket)
+    request_id = rig.ask()
+    rig.serve(request_id, 201, [(b"etag", b"e")])
+    [passed] = rig.of(ev.RelayResponse, request_id)
     assert [value for name, value in passed.headers if name == b"etag"] == [b"e!"]
     [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "answer"]
     assert line["hook_studio"] == "free 201 1"
@@ -222,15 +222,17 @@
 def test_a_thousand_requests_keep_the_hooks_that_they_began_with() -> None:
     source = 'on answer(r, a) {{ [Header {{ name: "x-release", value: "{}" }}] }}'
     rig = HookRig(release(1, source.format("one")), servers=tuple(range(1, 301)))
-    tickets = [rig.ask() for _ in range(1000)]
-    inside = [ticket for ticket in tickets if rig.of(ev.OpenAttempt, ticket) and not rig.finals(ticket)]
+    request_ids = [rig.ask() for _ in range(1000)]
+    inside = [
+        request_id for request_id in request_ids if rig.of(ev.OpenAttempt, request_id) and not rig.finals(request_id)
+    ]
     rig.shelf.stock([release(1, source.format("one")), release(2, source.format("two"))])
     late = rig.ask()
-    for ticket in [*inside, late]:
-        if not rig.finals(ticket):
-            rig.serve(ticket)
+    for request_id in [*inside, late]:
+        if not rig.finals(request_id):
+            rig.serve(request_id)
     made = {action.request_id: head(action, "x-release") for action in rig.of(ev.RelayResponse)}
-    assert len(inside) > 100 and all(made[ticket] == "one" for ticket in inside) and rig.quiet() == QUIET
+    assert len(inside) > 100 and all(made[request_id] == "one" for request_id in inside) and rig.quiet() == QUIET
     newest = rig.ask()
     rig.serve(newest)
     assert head(rig.of(ev.RelayResponse, newest)[0], "x-release") == "two"
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -21,7 +21,7 @@
     ROTATION_PROBABILITY,
     LoadBalancer,
 )
-from tests.door_rig import settings
+from tests.engine_rig import settings
 
 FAILURES = (
     api.CallResult.ERROR,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
 from martenstep.membership.transport import Membership
 from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.storage.files import DISK_FAULTS_VARIABLE, Disk
-from tests.door_rig import DOOR
+from tests.engine_rig import DOOR
 from tests.socket_rig import run
 
 OLD, NEW = "ab" * 32, "cd" * 32
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -15,7 +15,7 @@
 
 from martenstep.discovery.endpoint_list import Listed
 from martenstep.node.config import ConfigError, drain_plan_of, read_config
-from martenstep.node.protocol import Requests, make_dependencies
+from martenstep.node.protocol import NodeRequestReader, make_dependencies
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine import Engine
 from martenstep.proxy.engine_messages import RequestReceived, Tick
@@ -149,7 +149,7 @@
         except ConfigError as error:
             assert str(error), "names what is wrong"
             continue
-        requests = Requests(made.settings, lambda: 0.0)
+        requests = NodeRequestReader(made.settings, lambda: 0.0)
         engine = Engine(make_dependencies(made, requests), made.seed)
         engine.handle(
             0.0,
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -29,7 +29,7 @@
 from martenstep.proxy.transport import DISCONNECTED_EVENTS, READ_BYTES
 from tests.node_rig import SETTINGS, request, target
 from tests.socket_rig import Back, Peer, Script, run
-from tests.test_node_door import Place, place, serves
+from tests.test_node_gateway import Place, place, serves
 
 LONG_MS = 60_000.0  # longer than any test runs
 
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -17,7 +17,7 @@
 
 from tests.node_rig import SETTINGS, request, target
 from tests.socket_rig import Back, Peer
-from tests.test_node_door import agent
+from tests.test_node_gateway import agent
 from tests.test_node_processes import Process, doors, play
 
 PLAY_S = 4.0
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -28,7 +28,7 @@
 from martenstep.node.discovery import Discovery, Timing
 from tests.node_rig import SETTINGS, raw, request, target
 from tests.socket_rig import Back, Peer, Script, run
-from tests.test_node_door import agent, counting, serves
+from tests.test_node_gateway import agent, counting, serves
 
 BOUND_S = 60.0
 LONG_MS = 60_000.0  # longer than any test runs
--- a/tests/test_node_protocol.py
+++ b/tests/test_node_protocol.py
@@ -6,7 +6,13 @@
 
 import pytest
 
-from martenstep.node.protocol import IDS_SPARE_MS, MOST_IDS, NodeMessageBuilder, NodeStatusClassifier, Requests
+from martenstep.node.protocol import (
+    ID_RETENTION_MARGIN_MS,
+    MAX_RECENT_IDS,
+    NodeMessageBuilder,
+    NodeRequestReader,
+    NodeStatusClassifier,
+)
 from martenstep.policy.messages import CallResult
 from martenstep.proxy.dependencies import RoutedRequest, RouteRejection, UpstreamRequest
 from martenstep.proxy.http1.message_head import parse_request_head
@@ -24,10 +30,10 @@
         return self.now
 
 
-def routed(text: str, requests: Requests | None = None) -> Any:
+def routed(text: str, requests: NodeRequestReader | None = None) -> Any:
     """What a request's head is taken for."""
     head = parse_request_head(text.partition("\r\n\r\n")[0].encode() + b"\r\n\r\n")
-    return (requests or Requests(config().settings, Clock())).route(head.method, head.target, head.headers)
+    return (requests or NodeRequestReader(config().settings, Clock())).route(head.method, head.target, head.headers)
 
 
 def test_a_request_tells_all_that_the_module_is_told() -> None:
@@ -89,38 +95,38 @@
 
 def test_an_id_is_taken_once() -> None:
     clock = Clock()
-    requests = Requests(config().settings, clock)
+    requests = NodeRequestReader(config().settings, clock)
     assert isinstance(routed(request(1), requests), RoutedRequest)
     again = routed(request(1, customer="00000000000000ff"), requests)
     assert isinstance(again, RouteRejection) and again.status == 409
     assert isinstance(routed(request(2), requests), RoutedRequest)
-    clock.now += 3000.0 + IDS_SPARE_MS  # the longest deadline there is
+    clock.now += 3000.0 + ID_RETENTION_MARGIN_MS  # the longest deadline there is
     assert isinstance(routed(request(1), requests), RoutedRequest), "no client waits so long: memory is bounded by time"
 
 
 def test_a_faulty_request_does_not_take_an_id() -> None:
-    requests = Requests(config().settings, Clock())
+    requests = NodeRequestReader(config().settings, Clock())
     assert isinstance(routed(request(1, X_Quota="units=9,spread=3,first=0"), requests), RouteRejection)
     assert isinstance(routed(request(1), requests), RoutedRequest)
 
 
 def test_ids_are_bounded_in_number() -> None:
-    requests = Requests(config().settings, Clock())
-    for number in range(MOST_IDS + 10):
-        requests._ids.new(b"%d" % number)
-    assert len(requests._ids._met) <= MOST_IDS
+    requests = NodeRequestReader(config().settings, Clock())
+    for number in range(MAX_RECENT_IDS + 10):
+        requests._recent_ids.add(b"%d" % number)
+    assert len(requests._recent_ids._seen_at) <= MAX_RECENT_IDS
 
 
 def test_a_client_waits_no_longer_than_its_class_allows() -> None:
     settings = config().settings
-    requests, cls = Requests(settings, Clock()), settings.classes[0]
+    requests, cls = NodeRequestReader(settings, Clock()), settings.classes[0]
     assert requests.deadline_ms(cls, [(b"x-expires-in-ms", b"480")]) == 480.0
     assert requests.deadline_ms(cls, [(b"x-expires-in-ms", b"900000")]) == cls.deadline_ms
     assert requests.deadline_ms(cls, [(b"x-expires-in-ms", b"0")]) is None
 
 
 def test_the_door_tells_when_it_is_ready() -> None:
-    requests = Requests(config().settings, Clock())
+    requests = NodeRequestReader(config().settings, Clock())
     before = requests.normalize(b"GET", b"/_health", [])
     assert isinstance(before, TargetRejection) and before.status == 503
     requests.ready = True
--- a/tests/test_node_sites.py
+++ b/tests/test_node_sites.py
@@ -16,7 +16,7 @@
 from martenstep.config.generate import ROOT
 from tests.node_rig import request
 from tests.socket_rig import Peer
-from tests.test_node_door import agent
+from tests.test_node_gateway import agent
 from tests.test_node_processes import Process, doors, play
 
 AGAIN_MOST = 10  # times that a customer is told to come again
--- a/tests/test_traces.py
+++ b/tests/test_proxy_traces.py
@@ -12,8 +12,8 @@
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
 from martenstep.proxy.traces import Exporter, Sampler, Trace
-from tests.door_rig import Rig, head
-from tests.test_auth_door import Door
+from tests.engine_rig import Rig, head
+from tests.test_auth_proxy import Door
 
 TRACING = 'tracing { file: "x" share: 1 }'
 PARENT = "00-" + "ab" * 16 + "-" + "cd" * 8 + "-01"
@@ -25,15 +25,15 @@
 
 def test_a_request_makes_one_tree_with_all_its_parts() -> None:
     rig = Door(TRACING)
-    ticket = rig.ask("/safe/1?token=secret", authorization="Bearer secret", x_request_id="r1")
+    request_id = rig.ask("/safe/1?token=secret", authorization="Bearer secret", x_request_id="r1")
     rig.pass_time(7)
     rig.verdict()
     rig.pass_time(3)
     rig.count_all(1.0)
     rig.pass_time(5)
-    rig.end(ticket, AttemptFailure.CLOSED)
+    rig.end(request_id, AttemptFailure.CLOSED)
     rig.pass_time(20)
-    rig.serve(ticket)
+    rig.serve(request_id)
     [trace] = traces(rig)
     assert [(span.name, span.start - 100_000.0, span.end - 100_000.0) for span in (trace.root, *trace.parts)] == [
         ("request", 0, 35),
@@ -55,7 +55,7 @@
     }
     assert [span.attributes["verdict"] for span in trace.parts[2:]] == ["reset", "ok"]
     assert "secret" not in repr(trace)
-    for sent, span in zip(rig.of(ev.OpenAttempt, ticket), trace.parts[2:], strict=True):
+    for sent, span in zip(rig.of(ev.OpenAttempt, request_id), trace.parts[2:], strict=True):
         assert head(sent, "traceparent") == f"00-{trace.id:032x}-{span.id:016x}-01"
 
 
@@ -96,11 +96,11 @@
 
 def test_a_time_line_is_printed_from_the_file(tmp_path: Path) -> None:
     rig = Rig(TRACING)
-    ticket = rig.ask(x_request_id="r1", traceparent=PARENT)
+    request_id = rig.ask(x_request_id="r1", traceparent=PARENT)
     rig.pass_time(4)
-    rig.end(ticket, AttemptFailure.CLOSED)
+    rig.end(request_id, AttemptFailure.CLOSED)
     rig.pass_time(6)
-    rig.serve(ticket)
+    rig.serve(request_id)
     file = tmp_path / "traces.jsonl"
     exporter = Exporter(file, "door-0", lambda: 1_700_000_000_000.0, lambda: 100_000.0)
     for trace in traces(rig):
@@ -127,11 +127,11 @@
     def played(text: str) -> list[int]:
         rig = Rig(text, seed=5)
         for number in range(60):
-            ticket = rig.ask(customer="anna" if number % 3 else "free")
+            request_id = rig.ask(customer="anna" if number % 3 else "free")
             rig.count_all(1.0)
             rig.pass_time(3)
-            if rig.of(ev.OpenAttempt, ticket):
-                rig.serve(ticket)
+            if rig.of(ev.OpenAttempt, request_id):
+                rig.serve(request_id)
         return [opened.endpoint for opened in rig.of(ev.OpenAttempt)]
 
     assert played(f'tracing {{ file: "x" share: {share} }}') == played("")
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -26,7 +26,7 @@
 from martenstep.supervise.service import Reloader, fit
 from martenstep.supervise.supervisor import Supervisor
 from martenstep.supervise.workers import worker_door
-from tests.door_rig import settings
+from tests.engine_rig import settings
 from tests.hook_rig import words
 
 ASKED = """
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -22,7 +22,7 @@
 from martenstep.config.tls import ClientContext, ServerContext, TlsError, client_context
 from martenstep.counter.client import CounterClient, Journal
 from martenstep.policy.messages import CallResult
-from tests.door_rig import DOOR
+from tests.engine_rig import DOOR
 from tests.socket_rig import BOUND_S, House, Peer, get, house, run
 from tests.test_counter_service import served
 
--- a/tests/test_promised.py
+++ b/tests/test_usage_recording.py
@@ -9,7 +9,7 @@
 from martenstep.lab.rules import Traffic, Try, Visit, recorded
 from martenstep.proxy import engine_messages as ev
 from tests.socket_rig import Peer, get, house, run
-from tests.test_sockets import good
+from tests.test_proxy_sockets import good
 
 
 class Promising:
