--- a/martenstep/node/config.py
+++ b/martenstep/node/config.py
@@ -1,13 +1,14 @@
-"""What the platform tells a front door at its start, and again on SIGHUP: NODE_CONFIG, a JSON file.
+"""The platform's configuration of a gateway at its start, and again on SIGHUP: NODE_CONFIG, a JSON file.
 
-The settings in it are those of the simulator's wire, read by the same reader.  What the transport is held to is
-reckoned here from the limits that the file tells.
+The settings in it are those of the simulator's wire, read by the same decoder.  The limits of the server are computed
+here from those that the file states.
 """
 
 from __future__ import annotations
 
 import errno
 import json
+from collections.abc import Iterator
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -15,31 +16,33 @@
 from martenstep.policy import messages as api
 from martenstep.simulator.settings_codec import decode_settings
 
-BODY_BYTES = 65_536  # of a request: the protocol allows no more
-ANSWER_BYTES = 8 << 20  # of an answer: backends send some of hundreds of KB, and what says it has GB is spoilt
-HOLD_BYTES = 256 << 10  # of an answer, before it is passed on: until then another attempt can replace it
-HEAD_BYTES = 8192  # of a request's head: the platform's are below 1 KB
-HEAD_MS = 1500.0  # a request must be whole within this: who does not speak is owed a close within 3 s
-IDLE_MS = 2000.0  # a connection without a request is closed: the protocol allows no sooner
+MAX_BODY_BYTES = 65_536  # of a request: the protocol allows no more
+MAX_RESPONSE_BYTES = 8 << 20  # endpoints send some of hundreds of KB, and what states GB is broken
+RESPONSE_BUFFER_BYTES = 256 << 10  # of a response, before it is relayed: until then another attempt can replace it
+MAX_HEAD_BYTES = 8192  # of a request: the platform's are below 1 KB
+REQUEST_TIMEOUT_MS = 1500.0  # a request must be complete within this: a silent client must be closed within 3 s
+IDLE_TIMEOUT_MS = 2000.0  # a connection without a request is closed: the protocol allows no sooner
 # Of the descriptors: streams, loop, listener, discovery and the counter, twice where they move, and a turn's accepts
-# and turned-away ones.  Else clients could fill them while a dial fails for want of one.
+# and rejected ones.  Else clients could fill them while a connect fails for want of one.
 RESERVED_SOCKETS = 46
-CLIENT_SHARE = 0.72  # of the others for clients' connections: they hold a third for requests, the rest are strays
-SERVER_SHARE = 0.6  # of those that go to one backend at most: one that hangs must leave room to the others
-LEAST_SOCKETS = 64  # with fewer no front door can serve
-IDLE_PART = 0.8  # of the time after which a backend closes an idle connection: what is written later is lost
-REST_MS = 20.0  # a second answer comes some ms behind the first: no request is to be written before it
-GRACE_MOST_MS, GRACE_MORE_MS = 3000.0, 700.0  # SIGKILL comes the longest deadline, 3 s at most, and 0.7 s after SIGTERM
-LAST_MS = 300.0  # before it all is answered
-TAIL_MS = 800.0  # and before that no more is taken: most answers come sooner
-LEAVE_MS = 600.0  # after SIGTERM new connections come for up to 0.4 s, ...
-LEAVE_LEAST_MS = 450.0  # ... and so long at least they are accepted, however short the grace
-MOST_FIGURE = 1e30  # of any setting: beyond it, sums and products are none
-MARGIN_MS = 8.0  # a request ends so much before its client's time is up: about the way of its answer
-
-
-# What a system call fails with where something is short, or down, for a moment (socket(2), bind(2), open(2)).
-PASSING_ERRORS = frozenset(
+CLIENT_SHARE = 0.72  # of the others for clients' connections, of which a third carry requests
+ENDPOINT_SHARE = 0.6  # of those to endpoints for one of them at most: one that hangs must leave some to the others
+MIN_SOCKETS = 64  # with fewer no gateway can serve
+IDLE_TIMEOUT_SHARE = 0.8  # of the time after which an endpoint closes an idle connection: what is written later is lost
+REUSE_DELAY_MS = 20.0  # a second response may come some ms behind the first: no request is written before it
+MAX_GRACE_MS, EXTRA_GRACE_MS = 3000.0, 700.0  # SIGKILL comes the longest deadline, 3 s at most, and 0.7 s after SIGTERM
+KILL_MARGIN_MS = 300.0  # before SIGKILL all is answered
+LAST_REQUESTS_MS = 800.0  # before that no more is accepted: most responses come sooner
+ACCEPT_MS = 600.0  # after SIGTERM new connections come for up to 0.4 s, ...
+MIN_SERVE_MS = 450.0  # ... and requests are served for so long at least, however short the grace period
+MAX_SETTING = 1e30  # of any setting: beyond it, sums and products overflow
+MAX_NUMBER = 1e15  # of any limit
+MAX_PORT = 65_535
+DEADLINE_MARGIN_MS = 8.0  # a request ends so much before its client's deadline: about the transit of its response
+
+
+# Errors of system calls where something is short, or down, for a moment (socket(2), bind(2), open(2)).
+TRANSIENT_ERRORS = frozenset(
     (
         errno.EADDRINUSE,
         errno.EADDRNOTAVAIL,
@@ -59,190 +62,195 @@
 class ConfigError(Exception):
     """A configuration that cannot be used: names the field."""
 
-    def __init__(self, text: str, passing: bool = False) -> None:
-        """`passing` where reading it again in a moment may find it well."""
+    def __init__(self, text: str, transient: bool = False) -> None:
+        """`transient` where another try in a moment may succeed."""
         super().__init__(text)
-        self.passing = passing
+        self.transient = transient
 
 
 @dataclass(frozen=True, slots=True)
 class Listener:
-    """What clients are held to (door.parts.ListenerBounds)."""
+    """What clients are held to (proxy.dependencies.ListenerLimits)."""
 
     host: str
     port: int
     max_connections: int
-    head_bytes: int = HEAD_BYTES
-    body_bytes: int = BODY_BYTES
-    idle_ms: float = IDLE_MS
-    head_ms: float = HEAD_MS
+    head_bytes: int = MAX_HEAD_BYTES
+    body_bytes: int = MAX_BODY_BYTES
+    idle_ms: float = IDLE_TIMEOUT_MS
+    head_ms: float = REQUEST_TIMEOUT_MS
     leave_on_half_close: bool = True
     whole_body: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """What connections to backends are held to (door.parts.UpstreamBounds)."""
+    """What connections to endpoints are held to (proxy.dependencies.UpstreamLimits)."""
 
     connections: int
     all_connections: int
     idle_ms: float
     connect_ms: float
     answer_idle_ms: float = 1000.0
-    keep_body_bytes: int = BODY_BYTES
-    hold_answer_bytes: int = HOLD_BYTES
-    answer_bytes: int = ANSWER_BYTES
+    keep_body_bytes: int = MAX_BODY_BYTES
+    hold_answer_bytes: int = RESPONSE_BUFFER_BYTES
+    answer_bytes: int = MAX_RESPONSE_BYTES
 
 
 @dataclass(frozen=True, slots=True)
 class DrainPlan:
-    """What a door does between SIGTERM and SIGKILL, in milliseconds after the first."""
+    """What a gateway does between SIGTERM and SIGKILL, in milliseconds after the first."""
 
     accept_ms: float  # connections are accepted
-    serve_ms: float  # requests are taken on those that stand, each of which ends with its answer
-    answer_ms: float  # all are answered, whatever is out
+    serve_ms: float  # requests are served on those that stand, each of which closes with its response
+    answer_ms: float  # all are answered, whatever is in flight
 
 
-NOTHING_TAKEN = DrainPlan(0.0, 0.0, 0.0)  # of a door that never listened
+EMPTY_DRAIN_PLAN = DrainPlan(0.0, 0.0, 0.0)  # of a gateway that never listened
 
 
-def drain_plan_of(settings: api.Settings) -> DrainPlan:
-    """By the longest deadline that the settings have, as the platform reckons when it kills."""
-    longest = max((cls.deadline_ms for cls in settings.classes), default=GRACE_MOST_MS)
-    answer_ms = min(longest, GRACE_MOST_MS) + GRACE_MORE_MS - LAST_MS
-    serve_ms = max(answer_ms - min(TAIL_MS, longest), LEAVE_LEAST_MS)
-    return DrainPlan(min(LEAVE_MS, serve_ms), serve_ms, max(answer_ms, serve_ms))
+def make_drain_plan(settings: api.Settings) -> DrainPlan:
+    """By the longest deadline that the settings have, as the platform does for SIGKILL."""
+    longest = max((cls.deadline_ms for cls in settings.classes), default=MAX_GRACE_MS)
+    answer_ms = min(longest, MAX_GRACE_MS) + EXTRA_GRACE_MS - KILL_MARGIN_MS
+    serve_ms = max(answer_ms - min(LAST_REQUESTS_MS, longest), MIN_SERVE_MS)
+    return DrainPlan(min(ACCEPT_MS, serve_ms), serve_ms, max(answer_ms, serve_ms))
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One front door."""
+    """One gateway."""
 
     name: str
     listener: Listener
     upstream: Upstream
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
-    known: Any  # the list as last had, in discovery's form, not read yet
+    cached_list: Any  # the endpoint list as last known, in discovery's form, not decoded yet
     seed: int
     settings: api.Settings
-    max_open: int
+    max_in_flight: int
 
 
-def address_of(raw: Any, field: str) -> tuple[str, int]:
+def parse_address(raw: object, field: str) -> tuple[str, int]:
     """`host:port`; raises ConfigError."""
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ConfigError(f"{field}: expected host:port, got {raw!r}")
     return host.strip("[]"), int(port)
 
 
-def _table(raw: Any, field: str) -> dict[str, Any]:
+def _table(raw: object, field: str) -> dict[str, Any]:
     if not isinstance(raw, dict):
         raise ConfigError(f"{field}: expected an object, got {raw!r}")
     return raw
 
 
-def _figure(table: dict[str, Any], field: str, default: float, least: float) -> float:
+def _number(table: dict[str, Any], field: str, default: float, minimum: float) -> float:
     value = table.get(field.rpartition(".")[2], default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 1e15:
-        raise ConfigError(f"{field}: expected a number of at least {least:g}, got {value!r}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < MAX_NUMBER:
+        raise ConfigError(f"{field}: expected a number of at least {minimum:g}, got {value!r}")
     return value
 
 
-def _finite(value: Any, field: str) -> None:
-    """Raises ConfigError where a figure is none: JSON as it is read here has infinities."""
-    if isinstance(value, int | float) and not abs(value) < MOST_FIGURE:
+def _check_finite(value: object, field: str) -> None:
+    """Raise ConfigError where a number is infinite: JSON as it is decoded here has infinities."""
+    if isinstance(value, int | float) and not abs(value) < MAX_SETTING:
         raise ConfigError(f"{field}: expected a finite number, got {value!r}")
-    for name, part in value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ():
-        _finite(part, f"{field}.{name}")
-
-
-def _within(settings: api.Settings) -> None:
-    """Raises ConfigError where a figure is out of the range in which anything could be decided by it."""
-    for name in (settings.zone, *(cls.name for cls in settings.classes), *(plan.name for plan in settings.plans)):
+    entries = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    for name, entry in entries:
+        _check_finite(entry, f"{field}.{name}")
+
+
+def _minimums(settings: api.Settings) -> Iterator[tuple[str, float, float]]:
+    """Names of settings, as the file has them, with their values and the least values that they may have."""
+    yield "instances", settings.instances, 1.0
+    yield "me", settings.instance, 0.0
+    yield "try_limit", settings.max_attempts, 1.0
+    yield "counter_timeout_ms", settings.counter_timeout_ms, 0.0
+    yield "warm_within_ms", settings.slow_start_window_ms, 0.0
+    yield "overload_for_ms", settings.overload_window_ms, 0.0
+    yield "cold_from", settings.slow_start_initial_share, 0.0
+    yield "tick_ms", settings.tick_ms, 0.0
+    for request_class in settings.classes:
+        yield f"classes[{request_class.name}].window_ms", request_class.deduplication_window_ms, 0.0
+    for plan in settings.plans:
+        yield f"contracts[{plan.name}].units_per_s", plan.rate, 0.0
+        yield f"contracts[{plan.name}].most_at_once", plan.burst, 0.0
+        yield f"contracts[{plan.name}].open", plan.concurrency_limit, 0.0
+        yield f"contracts[{plan.name}].hard_rate", plan.ceiling_rate, 0.0
+        yield f"contracts[{plan.name}].cap_depth", plan.ceiling_burst, 0.0
+        yield f"contracts[{plan.name}].tolerance", plan.ceiling_slack, 0.0
+
+
+def _positives(settings: api.Settings) -> Iterator[tuple[str, float]]:
+    """Names of settings, as the file has them, with their values, which must be above 0."""
+    yield "max_units", settings.max_units
+    yield "fall_multiple", settings.overload_multiple
+    for request_class in settings.classes:
+        yield f"classes[{request_class.name}].slo_ms", request_class.latency_objective_ms
+        yield f"classes[{request_class.name}].deadline_ms", request_class.deadline_ms
+
+
+def _check_ranges(settings: api.Settings) -> None:
+    """Raise ConfigError where a setting is out of the range in which anything could be decided by it."""
+    for name in (settings.zone, *(one.name for one in settings.classes), *(one.name for one in settings.plans)):
         if not isinstance(name, str):
             raise ConfigError(f"settings: expected a name of a zone, class or plan, got {name!r}")
-    least = [
-        (settings.instances, "instances", 1.0),
-        (settings.instance, "me", 0.0),
-        (settings.max_attempts, "try_limit", 1.0),
-        (settings.counter_timeout_ms, "counter_timeout_ms", 0.0),
-        (settings.slow_start_window_ms, "warm_within_ms", 0.0),
-        (settings.overload_window_ms, "overload_for_ms", 0.0),
-        (settings.slow_start_initial_share, "cold_from", 0.0),
-        (settings.tick_ms, "tick_ms", 0.0),
-    ]
-    above = [(settings.max_units, "max_units"), (settings.overload_multiple, "fall_multiple")]
-    for cls in settings.classes:
-        above += [
-            (cls.latency_objective_ms, f"classes[{cls.name}].slo_ms"),
-            (cls.deadline_ms, f"classes[{cls.name}].deadline_ms"),
-        ]
-        least += [(cls.deduplication_window_ms, f"classes[{cls.name}].window_ms", 0.0)]
-    for plan in settings.plans:
-        least += [
-            (value, f"contracts[{plan.name}].{name}", 0.0)
-            for value, name in (
-                (plan.rate, "units_per_s"),
-                (plan.burst, "most_at_once"),
-                (plan.concurrency_limit, "open"),
-                (plan.ceiling_rate, "hard_rate"),
-                (plan.ceiling_burst, "cap_depth"),
-                (plan.ceiling_slack, "tolerance"),
-            )
-        ]
-    for value, field, bound in least:
-        if value < bound:
-            raise ConfigError(f"settings.{field}: expected at least {bound:g}, got {value!r}")
-    for value, field in above:
+    for field, value, minimum in _minimums(settings):
+        if value < minimum:
+            raise ConfigError(f"settings.{field}: expected at least {minimum:g}, got {value!r}")
+    for field, value in _positives(settings):
         if value <= 0:
             raise ConfigError(f"settings.{field}: expected more than 0, got {value!r}")
     if not settings.classes or not settings.plans:
         raise ConfigError("settings.classes and settings.contracts: expected one at least of each")
 
 
+def _read_seed(raw: object) -> int:
+    try:
+        return int(str(raw), 16)
+    except ValueError:
+        raise ConfigError(f"seed: expected hex digits, got {raw!r}") from None
+
+
 def read_config(text: str) -> Config:
     """A configuration from its text; raises ConfigError with the field at fault."""
     try:
         raw = _table(json.loads(text), "the file")
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"not JSON: {error}") from None
-    told = _table(raw.get("settings"), "settings")
-    _finite(told, "settings")
+    raw_settings = _table(raw.get("settings"), "settings")
+    _check_finite(raw_settings, "settings")
     try:
-        settings = decode_settings(told)
-    except (ValueError, AttributeError, OverflowError) as error:  # a table or a list where there should be a figure
+        settings = decode_settings(raw_settings)
+    except (ValueError, AttributeError, OverflowError) as error:  # a table or a list where a number should be
         raise ConfigError(f"settings: {error}") from None
-    _within(settings)
-    policy = _table(told.get("policy_limits"), "settings.policy_limits")
-    sockets = int(_figure(_table(raw.get("limits", {}), "limits"), "limits.sockets", 1024, LEAST_SOCKETS))
+    _check_ranges(settings)
+    policy = _table(raw_settings.get("policy_limits"), "settings.policy_limits")
+    sockets = int(_number(_table(raw.get("limits", {}), "limits"), "limits.sockets", 1024, MIN_SOCKETS))
     clients = int((sockets - RESERVED_SOCKETS) * CLIENT_SHARE)
-    to_backends = sockets - RESERVED_SOCKETS - clients
-    host, port = address_of(raw.get("listen"), "listen")
-    seed = raw.get("seed")
-    try:
-        number = int(str(seed), 16)
-    except ValueError:
-        raise ConfigError(f"seed: expected hex digits, got {seed!r}") from None
-    counter = address_of(raw["counter"], "counter") if raw.get("counter") else None
+    to_endpoints = sockets - RESERVED_SOCKETS - clients
+    host, port = parse_address(raw.get("listen"), "listen")
+    seed = _read_seed(raw.get("seed"))
+    counter = parse_address(raw["counter"], "counter") if raw.get("counter") else None
     if settings.has_counter and counter is None:
         raise ConfigError("counter: missing, and the settings have one")
     return Config(
         name=str(raw.get("name", "")),
         listener=Listener(host, port, clients),
         upstream=Upstream(
-            connections=max(int(to_backends * SERVER_SHARE), 1),
-            all_connections=to_backends,
-            idle_ms=IDLE_PART * _figure(policy, "settings.policy_limits.conn_idle_ms", 30_000.0, 0.0),
-            connect_ms=_figure(policy, "settings.policy_limits.dial_timeout_ms", 250.0, 1.0),
+            connections=max(int(to_endpoints * ENDPOINT_SHARE), 1),
+            all_connections=to_endpoints,
+            idle_ms=IDLE_TIMEOUT_SHARE * _number(policy, "settings.policy_limits.conn_idle_ms", 30_000.0, 0.0),
+            connect_ms=_number(policy, "settings.policy_limits.dial_timeout_ms", 250.0, 1.0),
         ),
-        discovery=address_of(raw.get("discovery"), "discovery"),
+        discovery=parse_address(raw.get("discovery"), "discovery"),
         counter=counter,
-        known=raw.get("known"),
-        seed=number,
+        cached_list=raw.get("known"),
+        seed=seed,
         settings=settings,
-        max_open=int(_figure(policy, "settings.policy_limits.max_open", 20_000, 1)),
+        max_in_flight=int(_number(policy, "settings.policy_limits.max_open", 20_000, 1)),
     )
 
 
@@ -251,6 +259,6 @@
     try:
         return read_config(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise ConfigError(f"cannot be read: {error}", error.errno in PASSING_ERRORS) from None
+        raise ConfigError(f"cannot be read: {error}", error.errno in TRANSIENT_ERRORS) from None
     except UnicodeDecodeError as error:
         raise ConfigError(f"cannot be read: {error}") from None
--- /dev/null
+++ b/martenstep/node/endpoint_list.py
@@ -0,0 +1,164 @@
+"""The endpoint list as discovery tells it: the whole list, then changes.  No I/O."""
+
+from __future__ import annotations
+
+import json
+import math
+import re
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from ipaddress import ip_address
+from typing import Any
+
+from martenstep.discovery.endpoint_list import Listed
+from martenstep.node.config import ConfigError, parse_address
+from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
+from martenstep.policy.start_times import StartTimes
+from martenstep.proxy.clock import now_ms, wall_clock_ms
+
+PATH = "/catalog/members"
+_OCTET = r"(?:25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)"
+IPV4 = re.compile(rf"(?:{_OCTET}\.){{3}}{_OCTET}", re.ASCII)  # the usual address, as the library would write it
+STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
+
+
+class DiscoveryError(Exception):
+    """A response that cannot be used."""
+
+
+class RejectedError(DiscoveryError):
+    """Discovery rejected a poll: what it told before stands."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Reading:
+    """When a list is read, in milliseconds."""
+
+    now: float  # on the gateway's clock
+    wall_ms: float  # in Unix time
+    unseen_ms: float  # since a list was complete that did not have what this one tells
+
+
+@dataclass(slots=True)
+class _Entry:
+    """One endpoint of a response that was read to its end, without its number."""
+
+    uid: str
+    zone: str
+    kind: str
+    cell: int
+    state: EndpointState
+    size: float
+    started_ms: float
+    address: tuple[str, int]
+
+
+class EndpointListFollower:
+    """The list as told so far.  Endpoints are numbered in the order in which they appear."""
+
+    def __init__(self, clock: Callable[[], float] = now_ms, wall_clock: Callable[[], float] = wall_clock_ms) -> None:
+        """`clock` is the gateway's own, `wall_clock` Unix time as it is read now, both in milliseconds."""
+        self._clock, self._wall_clock = clock, wall_clock
+        self._starts = StartTimes()
+        self._complete_at = -math.inf  # when discovery last told all that it had
+        self.revision: int | None = None  # None: the whole list has to be polled
+        self._numbers: dict[str, int] = {}
+        self._last_number = 0
+        self.addresses: dict[int, tuple[str, int]] = {}
+        self._endpoints: dict[int, Endpoint] = {}
+
+    def full_list(self) -> Listed:
+        """The list as told so far."""
+        return Listed(EndpointListScope.FULL, tuple(self._endpoints.values()), dict(self.addresses))
+
+    def draining_list(self) -> Listed:
+        """The same where any of them may be draining: none accepts anything new."""
+        return Listed(
+            EndpointListScope.DELTA,
+            tuple(replace(endpoint, state=EndpointState.DRAINING) for endpoint in self._endpoints.values()),
+            dict(self.addresses),
+        )
+
+    def next_target(self, wait_ms: float = 0.0) -> str:
+        """The target of the next poll; a watch may wait for so long."""
+        return PATH if self.revision is None else f"{PATH}?after={self.revision}&wait_ms={wait_ms:.0f}"
+
+    def take_response(self, body: bytes) -> Listed | None:
+        """Take a response in; returns the update, None where nothing changed.  Raises DiscoveryError."""
+        try:
+            raw = json.loads(body)
+        except (ValueError, RecursionError) as error:
+            raise DiscoveryError(f"not JSON: {error}") from None
+        return self.take_list(raw)
+
+    def take_list(self, raw: Any, scope: EndpointListScope | None = None) -> Listed | None:  # noqa: ANN401  # JSON
+        """Take in a list that is decoded already; `scope` in place of its own, and then no watch goes on from it.
+
+        Nothing is taken in of one that cannot be read to its end.  Raises DiscoveryError.
+        """
+        now = self._clock()
+        reading = _Reading(now, self._wall_clock(), now - self._complete_at)
+        try:
+            revision, is_full = int(raw["rev"]), raw["all"]
+            if not isinstance(is_full, bool):
+                raise TypeError(f"all is {is_full!r}")
+            entries = [self._read_entry(entry, reading) for entry in raw["targets"]]
+        except (ValueError, KeyError, TypeError, OverflowError, ConfigError) as error:
+            raise DiscoveryError(f"not a list of backends: {error!r}") from None
+        if self.revision is None and not is_full:
+            raise DiscoveryError("changes without the list that they apply to")
+        if scope is None:
+            if self.revision is not None and not is_full and revision < self.revision:
+                raise DiscoveryError(f"a watch that goes back, from {self.revision} to {revision}")
+            self.revision, self._complete_at = revision, now
+        if not is_full and not entries:
+            return None
+        endpoints = self._apply(entries, is_full)
+        self._starts.trim(self._numbers)
+        addresses = {one.id: self.addresses[one.id] for one in endpoints if one.id in self.addresses}
+        own_scope = EndpointListScope.FULL if is_full else EndpointListScope.DELTA
+        return Listed(scope or own_scope, tuple(endpoints), addresses)
+
+    def _apply(self, entries: list[_Entry], is_full: bool) -> list[Endpoint]:
+        """Take in entries that were all read, at a cost of the entries, not of the whole list."""
+        known_numbers = self._numbers
+        if is_full:
+            self._numbers, self.addresses, self._endpoints = {}, {}, {}
+        endpoints = []
+        for entry in entries:
+            number = self._numbers.get(entry.uid) or (known_numbers.pop(entry.uid, None) if is_full else None)
+            if number is None:
+                self._last_number += 1
+                number = self._last_number
+            endpoint = Endpoint(number, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_ms)
+            endpoints.append(endpoint)
+            if endpoint.state is EndpointState.REMOVED:  # one that comes back, in this response too, is another
+                self._numbers.pop(entry.uid, None)
+                self.addresses.pop(number, None)
+                self._endpoints.pop(number, None)
+            else:
+                self._numbers[entry.uid], self.addresses[number] = number, entry.address
+                self._endpoints[number] = endpoint
+        return endpoints
+
+    def _read_entry(self, entry: dict[str, Any], reading: _Reading) -> _Entry:
+        uid = entry["uid"]
+        if not isinstance(uid, str):
+            raise TypeError(f"uid is {uid!r}")
+        size, boot_ms = float(entry.get("capacity_hint", 1.0)), float(entry.get("boot_ms", 0.0))
+        if not (0 <= size < math.inf and 0 <= boot_ms < math.inf):
+            raise ValueError("capacity_hint or boot_ms is no figure")
+        started = self._starts.local_start(uid, boot_ms, reading.wall_ms - boot_ms, reading.now, reading.unseen_ms)
+        host, port = parse_address(entry.get("endpoint"), "endpoint")
+        if IPV4.fullmatch(host) is None:
+            host = str(ip_address(host))  # without DNS a name would be looked up for seconds
+        return _Entry(
+            uid,
+            str(entry.get("az", "")),
+            str(entry.get("model", "")),
+            int(entry.get("pod_group", 0)),
+            STATES[entry["state"]],
+            size,
+            started,
+            (host, port),
+        )
--- a/martenstep/node/protocol.py
+++ b/martenstep/node/protocol.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from martenstep.node.config import ANSWER_BYTES, MARGIN_MS, Config
+from martenstep.node.config import DEADLINE_MARGIN_MS, MAX_RESPONSE_BYTES, Config
 from martenstep.policy import messages as api
 from martenstep.policy.messages import CallResult, Idempotency
 from martenstep.proxy.dependencies import (
@@ -238,7 +238,7 @@
         """OK, OVERLOADED or ERROR, by the table above."""
         if status == OK:
             for name, value in headers:
-                if name == LENGTH_HEADER and int(value) > ANSWER_BYTES:
+                if name == LENGTH_HEADER and int(value) > MAX_RESPONSE_BYTES:
                     return CallResult.ERROR  # it would be read to its end, and is nobody's response
             return CallResult.OK
         if status in (UNAVAILABLE, GATEWAY_TIMEOUT) and (NEVER_EXECUTED_HEADER, b"1") in headers:
@@ -301,8 +301,8 @@
         status_classifier=NodeStatusClassifier(),
         message_builder=NodeMessageBuilder(),
         request_id_header=ID_HEADER,
-        deadline_margin_ms=MARGIN_MS,
-        max_in_flight=config.max_open,
+        deadline_margin_ms=DEADLINE_MARGIN_MS,
+        max_in_flight=config.max_in_flight,
         connect_timeout_ms=config.upstream.connect_ms,
         can_cancel=settings.can_cancel,
         max_retry_after_ms=settings.max_retry_after_ms,
--- a/martenstep/proxy/engine/admission.py
+++ b/martenstep/proxy/engine/admission.py
@@ -42,28 +42,30 @@
     def request_received(self, event: ev.RequestReceived) -> None:
         """A client's request head is complete."""
         policy_id = f"{self._state.next_serial():x}"
-        ids = RequestIds(policy_id, self._correlation_id(event, policy_id))
-        line = self._request_line(event, ids.correlation_id)
+        correlation_id = self._correlation_id(event, policy_id)
+        ids = policy_id, correlation_id
+        line = self._request_line(event, correlation_id)
         if line is None:
             return
         route_table = self._state.route_table
-        route = route_table.route(line.method, line.target, event.headers)
+        route = route_table.route(*line, event.headers)
         if isinstance(route, RouteRejection):
-            self._reject(event, ids, Rejection(route.status, route.reason))
+            self._responses.reject_unaccepted(event, correlation_id, Rejection(route.status, route.reason))
             return
         remaining_ms = route_table.deadline_ms(route.request_class, event.headers)
         if remaining_ms is None:
-            self._reject(event, ids, Rejection(BAD_REQUEST, "bad deadline"))
+            self._responses.reject_unaccepted(event, correlation_id, Rejection(BAD_REQUEST, "bad deadline"))
         elif self._state.stopped:
-            self._reject(event, ids, Rejection(UNAVAILABLE, "stopping", OVERLOAD_RETRY_AFTER_MS))
+            self._responses.reject_unaccepted(
+                event, correlation_id, Rejection(UNAVAILABLE, "stopping", OVERLOAD_RETRY_AFTER_MS)
+            )
         elif self._state.unanswered >= self._state.max_in_flight:
-            self._reject(event, ids, Rejection(UNAVAILABLE, "full house", OVERLOAD_RETRY_AFTER_MS))
+            self._responses.reject_unaccepted(
+                event, correlation_id, Rejection(UNAVAILABLE, "full house", OVERLOAD_RETRY_AFTER_MS)
+            )
         else:
             self._accept(event, line, route, ids, remaining_ms)
 
-    def _reject(self, event: ev.RequestReceived, ids: RequestIds, rejection: Rejection) -> None:
-        self._responses.reject_unaccepted(event, ids.correlation_id, rejection)
-
     def _correlation_id(self, event: ev.RequestReceived, policy_id: str) -> str:
         """The id that the client gave the request, or one that no other gateway gives."""
         own = get_header(event.headers, self._dependencies.request_id_header)
@@ -81,7 +83,7 @@
             self._responses.reject_unaccepted(event, correlation_id, rejection)
             return None
         event.target, event.headers = normalized.target, normalized.headers
-        return RequestLine(event.method, normalized.target)
+        return event.method, normalized.target
 
     def _accept(
         self,
@@ -122,8 +124,8 @@
             self._state.now,
             request=request.correlation_id,
             door=self._dependencies.name,
-            method=line.method.decode("latin-1"),
-            path=line.target.partition(b"?")[0].decode("latin-1"),
+            method=line[0].decode("latin-1"),
+            path=line[1].partition(b"?")[0].decode("latin-1"),
         )
         if request.trace is not None:
             request.trace.root.attributes["class"] = request.route.request_class.name
--- a/martenstep/proxy/engine/attempts.py
+++ b/martenstep/proxy/engine/attempts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from martenstep.policy import messages as api
 from martenstep.policy.messages import CallResult, Idempotency
@@ -18,6 +18,11 @@
 from martenstep.proxy.engine.timers import ConnectTimeout
 from martenstep.proxy.permission import AttemptFacts, Denial, may_begin
 
+if TYPE_CHECKING:  # a gateway without hooks does not load them
+    from martenstep.hooks.runner import Runner
+
+NO_HEADERS: ev.Headers = []
+
 
 class Attempts:
     """Starts, follows and ends attempts."""
@@ -46,16 +51,19 @@
         if request.trace is not None:
             request.trace.end("counter", state.now)
         if number == 0:
-            self._first_attempt(request, action.over_quota)
+            if self._dependencies.records_usage:
+                self.record_usage(request, action.over_quota)
+            if self.on_first_attempt is not None:
+                self.on_first_attempt(request.request_id)
         address = self._endpoints.addresses.get(action.endpoint)
-        attempt = request.attempt = Attempt(number, action.endpoint, state.now)
+        attempt = request.attempt = Attempt(request, number, action.endpoint, state.now)
         if request.finished or address is None:
             attempt.open = False
             self._policy.submit(
                 api.AttemptEnded(action.id, number, action.endpoint, CallResult.NOT_SENT, 0.0, request.finished)
             )
             return
-        target, headers = self._upstream_message(request, attempt)
+        target, headers = self._upstream_message(attempt)
         connect_by = min(state.now + self._dependencies.connect_timeout_ms, request.deadline)
         state.timers.schedule(connect_by, ConnectTimeout(request.request_id, number))
         state.actions.append(
@@ -73,9 +81,7 @@
         )
 
     def record_usage(self, request: InFlightRequest, over_quota: bool) -> None:
-        """Have the counter service keep that a request was forwarded, where it does."""
-        if not self._dependencies.records_usage:
-            return
+        """Have the counter service keep that a request was forwarded."""
         route = request.route
         self._state.actions.append(
             ev.RecordUsage(
@@ -89,17 +95,15 @@
             )
         )
 
-    def _first_attempt(self, request: InFlightRequest, over_quota: bool) -> None:
-        self.record_usage(request, over_quota)
-        if self.on_first_attempt is not None:
-            self.on_first_attempt(request.request_id)
-
-    def _upstream_message(self, request: InFlightRequest, attempt: Attempt) -> UpstreamTarget:
+    def _upstream_message(self, attempt: Attempt) -> UpstreamTarget:
         """The target and the headers of an attempt."""
-        now, received, messages = self._state.now, request.received, self._messages
+        request, now, messages = attempt.request, self._state.now, self._messages
+        received = request.received
         auth_response = request.auth_response
         auth_headers = messages.copied_auth_headers(list(auth_response.headers)) if auth_response is not None else []
-        target, hook_headers = self._hooked_target(request)
+        target, hook_headers = received.target, NO_HEADERS
+        if request.hook_runner is not None:
+            target, hook_headers = self._hooked_target(request, request.hook_runner)
         traceparent = b""
         if request.trace is not None:
             span = request.trace.begin("attempt", now, attempt=attempt.number, server=attempt.endpoint)
@@ -118,17 +122,16 @@
                 request.route.request_class.idempotency is Idempotency.KEYED,
             )
         )
-        return UpstreamTarget(target, headers)
+        return target, headers
 
-    def _hooked_target(self, request: InFlightRequest) -> UpstreamTarget:
+    def _hooked_target(self, request: InFlightRequest, runner: Runner) -> UpstreamTarget:
         """The target and the additional headers of all attempts, as a hook may have set them."""
-        runner = request.hook_runner
-        if runner is None or not runner.has("sending"):
-            return UpstreamTarget(request.received.target, [])
+        if not runner.has("sending"):
+            return request.received.target, NO_HEADERS
         if request.upstream_target is None:
             points = self._state.extension_points
             assert points is not None
-            request.upstream_target = UpstreamTarget(*points.sending(self._state.now, runner, request))
+            request.upstream_target = points.sending(self._state.now, runner, request)
         return request.upstream_target
 
     @staticmethod
@@ -186,86 +189,87 @@
 
     def written(self, event: ev.AttemptWritten) -> None:
         """The first bytes of an attempt are being written."""
-        found = self._state.requests.open_attempt(event.request_id, event.attempt)
-        if found is not None:
-            found.attempt.written = True
+        attempt = self._state.requests.find_open_attempt(event.request_id, event.attempt)
+        if attempt is not None:
+            attempt.written = True
 
     def response_head_received(self, event: ev.ResponseHeadReceived) -> None:
         """The head of an attempt's response is complete."""
-        found = self._state.requests.open_attempt(event.request_id, event.attempt)
-        if found is None:
+        attempt = self._state.requests.find_open_attempt(event.request_id, event.attempt)
+        if attempt is None:
             return
         result = self._classify(event.status, event.headers)
         if result is not CallResult.OK:
-            found.attempt.open = False
+            attempt.open = False
             self._state.actions.append(ev.AbortAttempt(event.request_id, event.attempt))
-            self._end_without_response(found.request, found.attempt, result)
+            self._end_without_response(attempt, result)
             return
-        found.attempt.status, found.attempt.headers = event.status, event.headers
+        attempt.status, attempt.headers = event.status, event.headers
 
     def response_buffer_exceeded(self, event: ev.ResponseBufferExceeded) -> None:
         """More of a response has come than is buffered: it belongs to the client from now on."""
-        found = self._state.requests.open_attempt(event.request_id, event.attempt)
-        if found is None or found.attempt.streaming or found.request.finished:
+        attempt = self._state.requests.find_open_attempt(event.request_id, event.attempt)
+        if attempt is None or attempt.streaming or attempt.request.finished:
             return
-        found.attempt.streaming = True
-        self._policy.submit(api.ResponseStarted(found.request.policy_id))
-        self._responses.relay(found.request, found.attempt, complete=False)
+        attempt.streaming = True
+        self._policy.submit(api.ResponseStarted(attempt.request.policy_id))
+        self._responses.relay(attempt, complete=False)
 
     def response_completed(self, event: ev.ResponseCompleted) -> None:
         """The last byte of an attempt's response has come."""
-        found = self._state.requests.open_attempt(event.request_id, event.attempt)
-        if found is None:
+        attempt = self._state.requests.find_open_attempt(event.request_id, event.attempt)
+        if attempt is None:
             return
-        request, attempt = found.request, found.attempt
+        request = attempt.request
         if not request.finished:
             if not attempt.streaming:
-                self._responses.relay(request, attempt, complete=True)
+                self._responses.relay(attempt, complete=True)
             self._responses.finish(request, attempt.status, "served")
-        self._end(request, attempt, CallResult.OK, request_complete=True)
+        self._end(attempt, CallResult.OK, request_complete=True)
         self._responses.release(request)
 
     # End ----------------------------------------------------------------------------------------------------
 
     def failed(self, event: ev.AttemptFailed) -> None:
         """An attempt ended without a complete response."""
-        found = self._state.requests.open_attempt(event.request_id, event.attempt)
-        if found is not None:
-            found.attempt.open = False
-            self._end_without_response(found.request, found.attempt, classify_failure(event.failure))
+        attempt = self._state.requests.find_open_attempt(event.request_id, event.attempt)
+        if attempt is not None:
+            attempt.open = False
+            self._end_without_response(attempt, classify_failure(event.failure))
 
     def cancel(self, action: api.CancelAttempt) -> None:
         """The policy cancels an attempt."""
         request = self._state.requests.of_policy(action.id)
         attempt = request.attempt
         if attempt is not None and attempt.number == action.attempt and attempt.open and not attempt.streaming:
-            self.stop(request, attempt, CallResult.CANCELLED)
+            self.stop(attempt, CallResult.CANCELLED)
 
     def connect_timed_out(self, timer: ConnectTimeout) -> None:
         """An attempt was not written in time."""
-        found = self._state.requests.open_attempt(timer.request_id, timer.attempt)
-        if found is not None and not found.attempt.written:
-            self.stop(found.request, found.attempt, CallResult.CONNECT_FAILED)
+        attempt = self._state.requests.find_open_attempt(timer.request_id, timer.attempt)
+        if attempt is not None and not attempt.written:
+            self.stop(attempt, CallResult.CONNECT_FAILED)
 
     def connect_timeout_is_obsolete(self, timer: ConnectTimeout) -> bool:
         """Whether an attempt has been written, or has ended."""
-        found = self._state.requests.open_attempt(timer.request_id, timer.attempt)
-        return found is None or found.attempt.written
+        attempt = self._state.requests.find_open_attempt(timer.request_id, timer.attempt)
+        return attempt is None or attempt.written
 
-    def stop(self, request: InFlightRequest, attempt: Attempt, result: CallResult) -> None:
+    def stop(self, attempt: Attempt, result: CallResult) -> None:
         """Stop an attempt by the gateway's own decision; `result` counts where it has been written."""
         attempt.open = False  # nothing that still comes from it counts
-        self._state.actions.append(ev.AbortAttempt(request.request_id, attempt.number))
-        self._end_without_response(request, attempt, classify_stop(result, attempt.written))
+        self._state.actions.append(ev.AbortAttempt(attempt.request.request_id, attempt.number))
+        self._end_without_response(attempt, classify_stop(result, attempt.written))
 
-    def withdraw(self, request: InFlightRequest, attempt: Attempt) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         """Never begin an attempt that is not written yet: that is no failure of its endpoint."""
         attempt.open = False
-        self._state.actions.append(ev.AbortAttempt(request.request_id, attempt.number))
-        self._end(request, attempt, CallResult.NOT_SENT, request.finished)
+        self._state.actions.append(ev.AbortAttempt(attempt.request.request_id, attempt.number))
+        self._end(attempt, CallResult.NOT_SENT, attempt.request.finished)
 
-    def _end(self, request: InFlightRequest, attempt: Attempt, result: CallResult, request_complete: bool) -> None:
+    def _end(self, attempt: Attempt, result: CallResult, request_complete: bool) -> None:
         """Report the end of an attempt; the one place that does."""
+        request = attempt.request
         attempt.open = False
         self.result_counts[result.value] = self.result_counts.get(result.value, 0) + 1
         now = self._state.now
@@ -278,8 +282,9 @@
             api.AttemptEnded(request.policy_id, attempt.number, attempt.endpoint, result, rtt_ms, request_complete)
         )
 
-    def _end_without_response(self, request: InFlightRequest, attempt: Attempt, result: CallResult) -> None:
+    def _end_without_response(self, attempt: Attempt, result: CallResult) -> None:
         """An attempt ended without a response that can be relayed."""
+        request = attempt.request
         if not request.finished:
             if attempt.streaming:
                 self._responses.finish(request, 0, "broken answer")
@@ -289,6 +294,6 @@
                 idempotent = request.route.request_class.idempotency is Idempotency.IDEMPOTENT
                 self._responses.give_up(request, idempotent or result.never_executed, "spent")
         request_complete = request.finished
-        self._end(request, attempt, result, request_complete)
+        self._end(attempt, result, request_complete)
         if request_complete:
             self._responses.release(request)
--- a/martenstep/proxy/engine/deadlines.py
+++ b/martenstep/proxy/engine/deadlines.py
@@ -40,7 +40,7 @@
         is_open = attempt is not None and attempt.open
         if attempt is not None and is_open:
             # Also where the client has disconnected, and the attempt could not be cancelled then.
-            self._attempts.stop(request, attempt, CallResult.TIMEOUT)
+            self._attempts.stop(attempt, CallResult.TIMEOUT)
         if request.finished:
             return
         # No attempt was open: the policy holds the request, and cannot be waited for any longer.
@@ -59,9 +59,9 @@
         attempt = request.attempt
         if attempt is not None and attempt.open:
             if not attempt.written:
-                self._attempts.withdraw(request, attempt)
+                self._attempts.withdraw(attempt)
             elif self._dependencies.can_cancel or attempt.streaming:
-                self._attempts.stop(request, attempt, CallResult.CANCELLED)
+                self._attempts.stop(attempt, CallResult.CANCELLED)
         self._responses.release(request)
 
     def body_not_replayable(self, event: ev.RequestBodyNotReplayable) -> None:
@@ -91,4 +91,4 @@
         request.timed_out = True
         self._responses.give_up(request, not may_have_run or idempotent, "stopping")
         if open_attempt is not None:
-            self._attempts.stop(request, open_attempt, CallResult.TIMEOUT)
+            self._attempts.stop(open_attempt, CallResult.TIMEOUT)
--- a/martenstep/proxy/engine/engine.py
+++ b/martenstep/proxy/engine/engine.py
@@ -252,4 +252,4 @@
             if attempt is None or not attempt.open or attempt.written or attempt.endpoint in accepting:
                 continue
             if is_full or attempt.endpoint in changed:
-                self._attempts.withdraw(request, attempt)
+                self._attempts.withdraw(attempt)
--- a/martenstep/proxy/engine/forward_auth.py
+++ b/martenstep/proxy/engine/forward_auth.py
@@ -42,7 +42,7 @@
             rejection = Rejection(subject.status, subject.reason)
             self._responses.reject_unaccepted(event, correlation_id, rejection)
             return None
-        return RequestLine(subject.method, subject.target)
+        return subject.method, subject.target
 
     def allow(self, action: api.StartAttempt) -> None:
         """The edge proxy may forward a request: that is the sub-request's response, and its attempt has ended.
@@ -56,7 +56,7 @@
         request.endpoints.append(action.endpoint)
         if request.trace is not None:
             request.trace.end("counter", state.now)
-        if number == 0:
+        if number == 0 and state.dependencies.records_usage:
             self._attempts.record_usage(request, action.over_quota)
         route = request.route
         headers: ev.Headers = [
--- a/martenstep/proxy/engine/request.py
+++ b/martenstep/proxy/engine/request.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.dependencies import RoutedRequest, UnauthenticatedRequest
@@ -16,38 +15,26 @@
     from martenstep.proxy.traces import Trace
 
 
-class RequestLine(NamedTuple):
-    """What a request is routed by."""
-
-    method: bytes
-    target: bytes
-
-
-class RequestIds(NamedTuple):
-    """What names a request to the policy, and what names it in logs and to endpoints."""
-
-    policy_id: str
-    correlation_id: str
+RequestLine = tuple[bytes, bytes]  # method and target, by which a request is routed
+RequestIds = tuple[str, str]  # what names a request to the policy, and what names it in logs and to endpoints
 
 
 class Attempt:
     """One attempt of a request, from the policy's StartAttempt to its AttemptEnded."""
 
-    __slots__ = ("endpoint", "headers", "number", "open", "started_at", "status", "streaming", "written")
+    __slots__ = ("endpoint", "headers", "number", "open", "request", "started_at", "status", "streaming", "written")
 
-    def __init__(self, number: int, endpoint: int, started_at: float) -> None:
+    def __init__(self, request: InFlightRequest, number: int, endpoint: int, started_at: float) -> None:
         """`number` counts a request's attempts from 0."""
+        self.request = request
         self.number, self.endpoint, self.started_at = number, endpoint, started_at
         self.open, self.written, self.streaming = True, False, False
         self.status = 0
         self.headers: ev.Headers = []
 
 
-class UpstreamTarget(NamedTuple):
-    """The target of a request as a hook rewrote it, and the headers that the hook set."""
-
-    target: bytes
-    headers: ev.Headers
+# The target of a request as a hook rewrote it, and the headers that the hook set.
+UpstreamTarget = tuple[bytes, ev.Headers]
 
 
 class InFlightRequest:
@@ -113,14 +100,6 @@
         self.upstream_target: UpstreamTarget | None = None  # of all attempts, where a hook rewrote it
 
 
-@dataclass(slots=True)
-class OpenAttempt:
-    """A request together with its attempt that is still open."""
-
-    request: InFlightRequest
-    attempt: Attempt
-
-
 class RequestTable:
     """All requests in flight, by both of their ids."""
 
@@ -159,10 +138,12 @@
         """The request that the policy names; raises KeyError where it is no longer in flight."""
         return self._by_policy_id[policy_id]
 
-    def open_attempt(self, request_id: int, number: int) -> OpenAttempt | None:
+    def find_open_attempt(self, request_id: int, number: int) -> Attempt | None:
         """The attempt with a number, where it is its request's last one and still open."""
         request = self._by_request_id.get(request_id)
-        attempt = request.attempt if request is not None else None
-        if request is None or attempt is None or attempt.number != number or not attempt.open:
+        if request is None:
+            return None
+        attempt = request.attempt
+        if attempt is None or attempt.number != number or not attempt.open:
             return None
-        return OpenAttempt(request, attempt)
+        return attempt
--- a/martenstep/proxy/engine/responses.py
+++ b/martenstep/proxy/engine/responses.py
@@ -131,18 +131,19 @@
 
     # Of endpoints -------------------------------------------------------------------------------------------
 
-    def relay(self, request: InFlightRequest, attempt: Attempt, complete: bool) -> None:
+    def relay(self, attempt: Attempt, complete: bool) -> None:
         """Pass an attempt's response on to the client; `complete` where all of it has come."""
-        headers = self._messages.response_headers(attempt.headers)
+        request, headers = attempt.request, self._messages.response_headers(attempt.headers)
         runner = request.hook_runner
         if runner is not None and runner.has("answer"):
-            headers = override_headers(headers, self._hook_headers(request, attempt, headers))
+            headers = override_headers(headers, self._hook_headers(attempt, headers))
         headers += [*self.rate_limits(request.route), *self._messages.identity_headers(request.correlation_id)]
         self._state.actions.append(
             ev.RelayResponse(request.request_id, attempt.number, attempt.status, headers, complete)
         )
 
-    def _hook_headers(self, request: InFlightRequest, attempt: Attempt, headers: ev.Headers) -> ev.Headers:
+    def _hook_headers(self, attempt: Attempt, headers: ev.Headers) -> ev.Headers:
+        request = attempt.request
         points, runner, now = self._state.extension_points, request.hook_runner, self._state.now
         assert points is not None and runner is not None
         response = ResponseSummary(attempt.status, len(request.endpoints), now - request.arrived_at)
@@ -206,6 +207,7 @@
         if not request.finished or (request.attempt is not None and request.attempt.open):
             return
         self._state.requests.remove(request)
+        request.attempt = None  # they refer to each other
         if request.trace is not None:
             trace, request.trace = request.trace, None
             self._state.actions.append(ev.ExportTrace(trace))
--- a/martenstep/proxy/transport.py
+++ b/martenstep/proxy/transport.py
@@ -13,7 +13,7 @@
 from collections import deque
 from collections.abc import Callable
 from contextlib import suppress
-from typing import Any, NamedTuple, cast
+from typing import Any, cast
 
 from martenstep.proxy.loop_lag import LoopClock
 
@@ -29,13 +29,6 @@
 READ_BYTES = 65_536  # of one read, and what a stream buffers before it stops reading
 
 
-class _Arrival(NamedTuple):
-    """Bytes up to a count, and when the last of them came at the earliest."""
-
-    byte_count: int
-    at: float
-
-
 class WatchedReader(asyncio.StreamReader):
     """A stream reader that remembers whether anything came since it was last asked.
 
@@ -46,7 +39,7 @@
         """`clock` tells when bytes that the loop hands on now came at the earliest; None: nobody asks."""
         super().__init__(limit=READ_BYTES)
         self._clock = clock
-        self._arrivals: deque[_Arrival] = deque()
+        self._arrivals: deque[tuple[int, float]] = deque()  # bytes up to a count, and when the last of them came
         self._received = 0
         # When the connection was made at the earliest, and when it was accepted.
         self.connect_times: tuple[float, float] | None = None
@@ -86,9 +79,9 @@
             if clock.looked_ms - accepted_at < ACCEPT_ARRIVAL_MS:  # they may have come before it was accepted
                 at = min(at, connected_at)
             self.connect_times = None
-        if arrivals and at - arrivals[-1].at < ARRIVAL_MERGE_MS:
-            at = arrivals.pop().at
-        arrivals.append(_Arrival(self._received, at))
+        if arrivals and at - arrivals[-1][1] < ARRIVAL_MERGE_MS:
+            at = arrivals.pop()[1]
+        arrivals.append((self._received, at))
 
     def arrival_time(self, byte_count: int) -> float | None:
         """When the last of the first `byte_count` bytes came, at the earliest; None where that is not kept.
@@ -96,9 +89,9 @@
         To be asked for in rising order.
         """
         arrivals = self._arrivals
-        while len(arrivals) > 1 and arrivals[0].byte_count < byte_count:
+        while len(arrivals) > 1 and arrivals[0][0] < byte_count:
             arrivals.popleft()
-        return arrivals[0].at if arrivals else None
+        return arrivals[0][1] if arrivals else None
 
     def discard_excess(self) -> None:
         """From now on, until `discards_excess` is cleared, discard what is more than the buffer holds.
--- a/tests/test_formats_node.py
+++ b/tests/test_formats_node.py
@@ -17,9 +17,14 @@
 import pytest
 
 from martenstep.node.config import Config, ConfigError, load_config, read_config
-from martenstep.node.counter import Counter
-from martenstep.node.daemon import Node
-from martenstep.node.discovery import Discovery, Follower
+from martenstep.node.counter import CounterClient
+from martenstep.node.daemon import GatewayNode
+from martenstep.node.discovery import (
+    DiscoveryClient,
+)
+from martenstep.node.endpoint_list import (
+    EndpointListFollower,
+)
 from tests.node_rig import raw, request, target
 from tests.socket_rig import Back, Peer, run
 
@@ -73,13 +78,13 @@
 
 def test_what_node_config_is_read_as() -> None:
     config = load_config(NODE_CONFIG)
-    assert (config.name, config.seed, config.max_open) == ("n7", 0x2F, 123)
+    assert (config.name, config.seed, config.max_in_flight) == ("n7", 0x2F, 123)
     assert (config.discovery, config.counter) == (("127.0.0.9", 8501), ("127.0.0.8", 6401))
     assert (config.listener.host, config.listener.port, config.listener.max_connections) == ("127.0.0.7", 8082, 470)
     upstream = config.upstream
     assert (upstream.connections, upstream.all_connections) == (110, 184)
     assert (upstream.idle_ms, upstream.connect_ms) == (16_800.0, 210.0)
-    assert config.known == {"rev": 4, "all": True, "targets": []}
+    assert config.cached_list == {"rev": 4, "all": True, "targets": []}
 
 
 @pytest.mark.parametrize(
@@ -125,7 +130,7 @@
                 await peer.write(b"$1\r\n5\r\n")
 
         back, answers = Back(counter), list[tuple[Any, ...]]()
-        calls = Counter(("127.0.0.1", await back.start()), lambda *answer: answers.append(answer))
+        calls = CounterClient(("127.0.0.1", await back.start()), lambda *answer: answers.append(answer))
         calls.start()
         for number, call in enumerate(((12, -2.5, 4000.2), (9876543210, 1e-6, 0.2), (3, 0.0, 60_000.0)), 1):
             while True:
@@ -155,7 +160,9 @@
 
         back, lists = Back(agent), list[Any]()
         ports.append(await back.start())
-        discovery = Discovery(("127.0.0.1", ports[0]), Follower(), lists.append, lambda event, fields: None)
+        discovery = DiscoveryClient(
+            ("127.0.0.1", ports[0]), EndpointListFollower(), lists.append, lambda event, fields: None
+        )
         discovery.start()
         await until(lambda: len(received) >= 3)
         discovery.stop()
@@ -237,7 +244,7 @@
         addresses = {name: f"127.0.0.1:{await of.start()}" for name, of in (("discovery", lists), ("counter", counter))}
         path.write_text(json.dumps(raw(**addresses)), encoding="utf-8")
         config = load_config(path)
-        node = Node(replace(config, listener=replace(config.listener, port=0)), path)
+        node = GatewayNode(replace(config, listener=replace(config.listener, port=0)), path)
         port = await node.start()
         for text in requests:
             received.append(await exchange(port, text))
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -12,8 +12,10 @@
 from unittest.mock import Mock
 
 from martenstep.discovery.endpoint_list import Listed
-from martenstep.node.daemon import Node
-from martenstep.node.discovery import Follower
+from martenstep.node.daemon import GatewayNode
+from martenstep.node.endpoint_list import (
+    EndpointListFollower,
+)
 from martenstep.policy import messages as api
 from martenstep.policy.gateway import Gateway
 from martenstep.policy.messages import EndpointListScope
@@ -50,9 +52,9 @@
 
 def of_follower(whole: bytes) -> Callable[[bytes], None]:
     """The list as discovery tells it."""
-    follower = Follower()
-    follower.take(whole)
-    return lambda body: assert_taken(follower.take(body))
+    follower = EndpointListFollower()
+    follower.take_response(whole)
+    return lambda body: assert_taken(follower.take_response(body))
 
 
 def assert_taken(listed: Listed | None) -> None:
@@ -62,10 +64,10 @@
 
 def of_module(whole: bytes) -> Callable[[bytes], None]:
     """And as the module takes it in."""
-    follower, gateway = Follower(), Gateway(config().settings, 1)
+    follower, gateway = EndpointListFollower(), Gateway(config().settings, 1)
 
     def take(body: bytes) -> None:
-        listed = follower.take(body)
+        listed = follower.take_response(body)
         assert listed is not None
         gateway.handle(0.0, api.EndpointListUpdate(listed.scope, listed.servers))
 
@@ -81,13 +83,13 @@
 def test_a_change_costs_the_same_at_a_whole_door() -> None:
     async def test() -> None:
         def of_node(whole: bytes) -> Callable[[bytes], None]:
-            node, follower = Node(config(), Mock()), Follower()
-            node._listed(follower.take(whole) or Listed(EndpointListScope.FULL))
+            node, follower = GatewayNode(config(), Mock()), EndpointListFollower()
+            node._endpoints_updated(follower.take_response(whole) or Listed(EndpointListScope.FULL))
 
             def take(body: bytes) -> None:
-                listed = follower.take(body)
+                listed = follower.take_response(body)
                 assert listed is not None
-                node._listed(listed)
+                node._endpoints_updated(listed)
 
             return take
 
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -14,7 +14,7 @@
 import pytest
 
 from martenstep.discovery.endpoint_list import Listed
-from martenstep.node.config import ConfigError, drain_plan_of, read_config
+from martenstep.node.config import ConfigError, make_drain_plan, read_config
 from martenstep.node.protocol import NodeRequestReader, make_dependencies
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine import Engine
@@ -33,7 +33,7 @@
     )
     assert (made.listener.host, made.listener.port) == ("127.0.0.1", 8081)
     assert made.settings.instances == 3 and made.settings.max_units == 3
-    assert made.upstream.connect_ms == 200.0 and made.max_open == 500
+    assert made.upstream.connect_ms == 200.0 and made.max_in_flight == 500
     assert made.upstream.idle_ms < 20_000.0, "a backend closes what idles so long"
 
 
@@ -118,7 +118,7 @@
         {**SETTINGS["classes"][0], "name": f"c{number}", "deadline_ms": deadline}
         for number, deadline in enumerate(deadlines)
     ]
-    leaving = drain_plan_of(config(settings={**SETTINGS, "classes": classes}).settings)
+    leaving = make_drain_plan(config(settings={**SETTINGS, "classes": classes}).settings)
     assert leaving.accept_ms >= 400.0, "new connections come for so long"
     assert leaving.accept_ms <= leaving.serve_ms <= leaving.answer_ms <= grace - CLOSE_MS - 100.0
 
--- a/tests/test_node_counter.py
+++ b/tests/test_node_counter.py
@@ -7,25 +7,25 @@
 import pytest
 
 from martenstep.node import counter as counters
-from martenstep.node.counter import Counter, Lane, UnreadableError, worded
+from martenstep.node.counter import CounterClient, InvalidReplyError, ReplyReader, encode_call
 from martenstep.policy.messages import CallResult
 from tests.socket_rig import Back, Peer, run
 
 Answers = list[tuple[int, CallResult, float]]
 
 
-def lane(*calls: int) -> tuple[Lane, Answers]:
+def lane(*calls: int) -> tuple[ReplyReader, Answers]:
     """A connection with calls out."""
     answers: Answers = []
-    made = Lane(lambda call, verdict, total: answers.append((call, verdict, total)))
-    made.out.extend(calls)
+    made = ReplyReader(lambda call, verdict, total: answers.append((call, verdict, total)))
+    made.pending.extend(calls)
     return made, answers
 
 
 def test_a_call_has_its_parts_written_out() -> None:
-    assert worded(12, -2.5, 4000.2) == b"*4\r\n$6\r\nADDGET\r\n$2\r\n12\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n"
-    assert b"$8\r\n0.000001\r\n" in worded(1, 1e-6, 1.0), "an exponent is no decimal number"
-    assert worded(1, 0.0, 0.2).endswith(b"$1\r\n0\r\n$1\r\n1\r\n")
+    assert encode_call(12, -2.5, 4000.2) == b"*4\r\n$6\r\nADDGET\r\n$2\r\n12\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n"
+    assert b"$8\r\n0.000001\r\n" in encode_call(1, 1e-6, 1.0), "an exponent is no decimal number"
+    assert encode_call(1, 0.0, 0.2).endswith(b"$1\r\n0\r\n$1\r\n1\r\n")
 
 
 def test_answers_come_in_order_and_in_pieces() -> None:
@@ -59,22 +59,22 @@
 def test_what_is_no_answer_leaves_all_that_is_out_in_doubt(noise: bytes) -> None:
     made, answers = lane(1, 2, 3)
     made.feed(b"$1\r\n5\r\n")
-    with pytest.raises(UnreadableError):
+    with pytest.raises(InvalidReplyError):
         made.feed(noise)
-    made.lost()
+    made.connection_lost()
     assert answers == [(1, CallResult.OK, 5.0), (2, CallResult.TIMEOUT, 0.0), (3, CallResult.TIMEOUT, 0.0)]
     assert not CallResult.TIMEOUT.never_executed
 
 
 def test_an_answer_that_nobody_asked_for_ends_the_connection() -> None:
     made, answers = lane(1)
-    with pytest.raises(UnreadableError):
+    with pytest.raises(InvalidReplyError):
         made.feed(b"$1\r\n5\r\n$1\r\n6\r\n")
     assert answers == [(1, CallResult.OK, 5.0)]
 
 
-async def _connected(made: Counter) -> None:
-    while len(made._links) < counters.LANES:
+async def _connected(made: CounterClient) -> None:
+    while len(made._connections) < counters.MAX_CONNECTIONS:
         await asyncio.sleep(0.001)
 
 
@@ -87,7 +87,7 @@
     async def test() -> None:
         back = Back(serves)
         answers: Answers = []
-        made = Counter(("127.0.0.1", await back.start()), lambda *answer: answers.append(answer))
+        made = CounterClient(("127.0.0.1", await back.start()), lambda *answer: answers.append(answer))
         made.start()
         await _connected(made)
         for call in range(1, 9):
@@ -104,7 +104,7 @@
 def test_without_a_connection_a_call_was_never_made() -> None:
     async def test() -> None:
         answers: Answers = []
-        made = Counter(("127.0.0.1", 1), lambda *answer: answers.append(answer))
+        made = CounterClient(("127.0.0.1", 1), lambda *answer: answers.append(answer))
         made.start()
         made.add(1, 5, 1.0, 1000.0, False)
         assert answers == [], "told in the midst of the call, the module would be asked anew while it decides"
@@ -135,7 +135,7 @@
 
         before, after = Back(old), Back(new)
         answers: Answers = []
-        made = Counter(("127.0.0.1", await before.start()), lambda *answer: answers.append(answer))
+        made = CounterClient(("127.0.0.1", await before.start()), lambda *answer: answers.append(answer))
         made.start()
         await _connected(made)
         made.add(1, 5, 1.0, 1000.0, False)
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -17,8 +17,13 @@
 
 import pytest
 
-from martenstep.node.config import REST_MS, DrainPlan
-from martenstep.node.discovery import Discovery, Follower
+from martenstep.node.config import REUSE_DELAY_MS, DrainPlan
+from martenstep.node.discovery import (
+    DiscoveryClient,
+)
+from martenstep.node.endpoint_list import (
+    EndpointListFollower,
+)
 from martenstep.proxy import graceful_shutdown
 from martenstep.proxy.acceptor import MAX_REJECTING, MIN_AGE_TO_CLOSE_MS
 from martenstep.proxy.client_connection import ClientConnection
@@ -70,8 +75,8 @@
 
 async def only(door: Place) -> ClientConnection:
     """The one client that the door has."""
-    await until(lambda: len(door.node.driver.clients) == 1)
-    return next(iter(door.node.driver.clients))
+    await until(lambda: len(door.node.server.clients) == 1)
+    return next(iter(door.node.server.clients))
 
 
 def settings(**policy: Any) -> dict[str, Any]:
@@ -150,14 +155,14 @@
 
     async def test() -> None:
         async with place(tmp_path, twice) as door:
-            assert door.node.driver.pool.reuse_delay_ms == REST_MS
-            door.node.driver.pool.reuse_delay_ms = LONG_MS if rests else 0.0
+            assert door.node.server.pool.reuse_delay_ms == REUSE_DELAY_MS
+            door.node.server.pool.reuse_delay_ms = LONG_MS if rests else 0.0
             peer = await door.client()
             for number in (1, 2):
                 await peer.write(request(number))
                 body = (await peer.response())[2]
             assert body == (b"%016x" % (2 if rests else 1)), "and without its rest the connection is reused"
-            assert door.node.driver.pool.opened == (2 if rests else 1)
+            assert door.node.server.pool.opened == (2 if rests else 1)
             peer.close()
 
     run(test())
@@ -166,10 +171,10 @@
 def test_connections_that_rest_leave_room_for_a_new_one(tmp_path: Path) -> None:
     async def test() -> None:
         async with place(tmp_path, serves, limits={"sockets": 64}) as door:
-            door.node.driver.pool.reuse_delay_ms = LONG_MS
+            door.node.server.pool.reuse_delay_ms = LONG_MS
             for number in range(3 * door.node.config.upstream.all_connections):
                 assert (await door.ask(request(number)))[0] == 200
-            assert door.node.driver.pool.connections <= door.node.config.upstream.connections
+            assert door.node.server.pool.connections <= door.node.config.upstream.connections
 
     run(test())
 
@@ -226,7 +231,7 @@
             peer = await door.client()
             await peer.write(request(1))
             assert (await peer.response())[0] == 200
-            client, pool = await only(door), door.node.driver.pool
+            client, pool = await only(door), door.node.server.pool
             [[upstream]] = pool._idle.values()
             for writer in (client.writer, upstream.writer):
                 assert writer.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -248,7 +253,7 @@
 
     async def test() -> None:
         async with place(tmp_path, holds) as door:
-            driver = door.node.driver
+            driver = door.node.server
             raw = Raw(door.port, request(1))
             await until(lambda: [flight for flight in driver.requests.values() if flight.upstream])
             [flight] = driver.requests.values()
@@ -273,12 +278,12 @@
         async with place(tmp_path, holds) as door:
             peer = await door.client()
             await peer.write(request(1) + "x" * (8 * READ_BYTES))
-            await until(lambda: door.node.driver.counts["attempts"])
+            await until(lambda: door.node.server.counts["attempts"])
             client = await only(door)
             assert client.reader.buffered <= READ_BYTES
             peer.close()
             await until(lambda: door.node.engine.answers == {"client left": 1})
-            await until(lambda: not door.node.driver.clients)
+            await until(lambda: not door.node.server.clients)
 
     run(test())
 
@@ -304,7 +309,7 @@
 
     async def test() -> None:
         async with place(tmp_path, notes, settings=settings(cancelling=False, dial_timeout_ms=LONG_MS)) as door:
-            pool, gate, ended = door.node.driver.pool, asyncio.Event(), asyncio.Event()
+            pool, gate, ended = door.node.server.pool, asyncio.Event(), asyncio.Event()
             real = pool.connect
 
             async def late(address: tuple[str, int]) -> Any:
@@ -320,12 +325,12 @@
             pool.connect = late  # type: ignore[method-assign]
             peer = await door.client()
             await peer.write(request(1))
-            await until(lambda: door.node.driver.counts["attempts"])
+            await until(lambda: door.node.server.counts["attempts"])
             peer.close()
             await until(lambda: door.node.engine.answers == {"client left": 1})
             gate.set()
             await ended.wait()
-            await until(lambda: not door.node.driver.requests)
+            await until(lambda: not door.node.server.requests)
             assert heads == [] and pool.connections == 0
 
     run(test())
@@ -336,7 +341,7 @@
 
     async def test() -> None:
         async with place(tmp_path, serves) as door:
-            driver = door.node.driver
+            driver = door.node.server
             raw, real = Raw(door.port), driver.pool.connect
 
             async def crossed(address: tuple[str, int]) -> Any:
@@ -367,7 +372,7 @@
             "classes": [{**one, "deadline_ms": LONG_MS} for one in SETTINGS["classes"]],
         }
         async with place(tmp_path, notes, settings=patient) as door:
-            driver, real, came = door.node.driver, door.node.driver.pool.connect, list[float]()
+            driver, real, came = door.node.server, door.node.server.pool.connect, list[float]()
 
             async def late(address: tuple[str, int]) -> Any:
                 came.append(now_ms())  # the request is the door's by now
@@ -399,7 +404,7 @@
     async def test() -> None:
         async with place(tmp_path, backend("s-0"), backend("s-1"), settings=settings(dial_timeout_ms=LONG_MS)) as door:
             node, gate, dialled = door.node, asyncio.Event(), list[tuple[str, int]]()
-            real = node.driver.pool.connect
+            real = node.server.pool.connect
 
             async def late(address: tuple[str, int]) -> Any:
                 dialled.append(address)
@@ -407,11 +412,11 @@
                     try:
                         await gate.wait()
                     except asyncio.CancelledError:
-                        node.driver.pool.release_slot(address)
+                        node.server.pool.release_slot(address)
                         raise
                 return await real(address)
 
-            node.driver.pool.connect = late  # type: ignore[method-assign]
+            node.server.pool.connect = late  # type: ignore[method-assign]
             peer = await door.client()
             await peer.write(request(1))
             await until(lambda: dialled)
@@ -427,9 +432,9 @@
                 told = {"rev": 2, "all": True, "targets": [target(uids[stays], stays)]}
             else:
                 told = {"rev": 2, "all": False, "targets": [target(uids[left], left, state=how)]}
-            listed = node._follower.told(told)
+            listed = node._follower.take_list(told)
             assert listed is not None
-            node._listed(listed)
+            node._endpoints_updated(listed)
             assert (await peer.response())[2].decode() == uids[stays] and len(taken) == 1
             gate.set()
             assert node.engine.verdicts == {"moot": 1, "ok": 1}, "held against nobody"
@@ -449,7 +454,7 @@
             await peer.rest()
 
         async with place(tmp_path, holds) as door:
-            driver = door.node.driver
+            driver = door.node.server
             driver.state.upstream = _Impatient(driver.state.upstream)
             peer = await door.client()
             await peer.write(request(1))
@@ -486,7 +491,7 @@
     while not answer.endswith(b"|"):
         answer += await asyncio.get_running_loop().run_in_executor(None, raw.socket.recv, 65536)
     client = await only(door)
-    await until(lambda: client in door.node.driver.state.idle_clients)
+    await until(lambda: client in door.node.server.state.idle_clients)
     return raw, client
 
 
@@ -496,7 +501,7 @@
 
     async def test() -> None:
         async with place(tmp_path, serves) as door:
-            driver = door.node.driver
+            driver = door.node.server
             raw, client = await known(door)
             raw.send(request(2))
             if way == "idle":
@@ -524,7 +529,7 @@
             client = await only(door)
             client.waiting_since -= 2 * MIN_AGE_TO_CLOSE_MS
             raw.send(request(1))
-            assert not door.node.driver._acceptor.free_slot()
+            assert not door.node.server._acceptor.free_slot()
             peer = await raw.peer()
             assert (await peer.response())[0] == 200
             peer.close()
@@ -548,7 +553,7 @@
             assert status == 408 and "connection: close" in head
             assert await peer.reader.read() == b"", "an end, and no reset"
             peer.close()
-            await until(lambda: not door.node.driver.clients)
+            await until(lambda: not door.node.server.clients)
             assert not door.node.engine.answers, "nobody has it"
 
     run(test())
@@ -566,7 +571,7 @@
             await until(lambda: client.has_partial_request)
             door.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
             stopping = asyncio.create_task(door.node.stop())
-            await until(lambda: door.node.driver.state.stopping)
+            await until(lambda: door.node.server.state.stopping)
             done, _ = await asyncio.wait({stopping}, timeout=0.2)
             assert not done, "it is owed an answer once it is whole"
             await peer.write(whole[-3:])
@@ -604,7 +609,7 @@
             assert await peer.reader.read() == b"", "an end, and no reset"
             assert len(heads) == 1 and raw.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
             peer.close()
-            await until(lambda: not door.node.driver.clients)
+            await until(lambda: not door.node.server.clients)
 
     run(test())
 
@@ -640,8 +645,8 @@
         async with place(tmp_path, serves, limits={"sockets": 64}) as door:
             most = door.node.config.listener.max_connections
             young = [await door.client() for _ in range(most)]
-            await until(lambda: len(door.node.driver.clients) == most)
-            for client in door.node.driver.state.new_clients:
+            await until(lambda: len(door.node.server.clients) == most)
+            for client in door.node.server.state.new_clients:
                 client.waiting_since += LONG_MS
             peer = await Raw(door.port, request(1)).peer()
             assert (await peer.response())[0] == 503
@@ -662,7 +667,7 @@
 
     async def test() -> None:
         async with place(tmp_path, holds) as door:
-            driver = door.node.driver
+            driver = door.node.server
             safe, keyed = await door.client(), await door.client()
             await safe.write(request(1))
             await keyed.write(request(2, "book", method="POST", body="x"))
@@ -694,7 +699,7 @@
 def test_a_standing_task_that_fails_is_told_of_and_goes_on(tmp_path: Path) -> None:
     async def test() -> None:
         async with place(tmp_path, serves) as door:
-            driver, lines = door.node.driver, list[tuple[str, dict[str, Any]]]()
+            driver, lines = door.node.server, list[tuple[str, dict[str, Any]]]()
             driver.state.log_event = lambda event, fields: lines.append((event, fields))
             real, swept = driver.pool.close_expired, list[int]()
 
@@ -717,7 +722,7 @@
 def test_an_attempt_whose_dial_fails_unexpectedly_ends(tmp_path: Path) -> None:
     async def test() -> None:
         async with place(tmp_path, serves, settings=settings(dial_timeout_ms=LONG_MS)) as door:
-            pool = door.node.driver.pool
+            pool = door.node.server.pool
 
             async def fails(address: tuple[str, int]) -> Any:
                 pool.release_slot(address)
@@ -735,7 +740,7 @@
 
     async def test() -> None:
         async with place(tmp_path, serves, limits={"sockets": 128}) as door:
-            driver, most = door.node.driver, door.node.config.listener.max_connections
+            driver, most = door.node.server, door.node.config.listener.max_connections
             with contextlib.ExitStack() as stack:
                 for _ in range(3 * most):
                     one = stack.enter_context(socket.socket())
@@ -772,14 +777,14 @@
 
     async def test() -> None:
         async with place(tmp_path, serves) as door:
-            pool, node = door.node.driver.pool, door.node
+            pool, node = door.node.server.pool, door.node
             assert (await door.ask(request(1)))[0] == 200
             [(_, port)] = node.engine.addresses.values()
             for told, idle in (({}, 1), (change, 0)):
                 entry = target("s-0", **{"port": port, **told})
-                listed = node._follower.told({"rev": 2, "all": False, "targets": [entry]})
+                listed = node._follower.take_list({"rev": 2, "all": False, "targets": [entry]})
                 assert listed is not None
-                node._listed(listed)
+                node._endpoints_updated(listed)
                 assert pool.connections == idle
 
     run(test())
@@ -792,15 +797,15 @@
         gate = asyncio.Event()
 
         async with place(tmp_path, holding(gate)) as door:
-            node, pool = door.node, door.node.driver.pool
+            node, pool = door.node, door.node.server.pool
             peer = await door.client()
             await peer.write(request(1))
-            await until(lambda: [flight for flight in node.driver.requests.values() if flight.upstream])
+            await until(lambda: [flight for flight in node.server.requests.values() if flight.upstream])
             [(_, port)] = node.engine.addresses.values()
             told = [target("s-0", port, state="gone"), target("s-new", port)]
-            listed = node._follower.told({"rev": 2, "all": False, "targets": told})
+            listed = node._follower.take_list({"rev": 2, "all": False, "targets": told})
             assert listed is not None
-            node._listed(listed)
+            node._endpoints_updated(listed)
             gate.set()
             assert (await peer.response())[0] == 200
             assert pool.connections == 0 and not pool._retired_at
@@ -847,7 +852,7 @@
                 assert (await peer.response())[0] in (200, 503), "served or refused, and not reset"
                 peer.close()
             stopping.cancel()
-            door.node.driver.state.stopping = False
+            door.node.server.state.stopping = False
 
     run(test())
 
@@ -862,14 +867,14 @@
             node = door.node
             peer = await door.client()
             await peer.write(request(1))
-            await until(lambda: [flight for flight in node.driver.requests.values() if flight.upstream])
-            node._listed(node._follower.doubted())
+            await until(lambda: [flight for flight in node.server.requests.values() if flight.upstream])
+            node._endpoints_updated(node._follower.draining_list())
             status, head, _ = await door.ask(request(2))
-            assert status == 503 and "retry-after" in head and node.driver.counts["attempts"] == 1
+            assert status == 503 and "retry-after" in head and node.server.counts["attempts"] == 1
             gate.set()
             assert (await peer.response())[0] == 200
-            node._listed(node._follower.whole())
-            assert (await door.ask(request(3)))[0] == 200 and node.driver.pool.opened <= 2
+            node._endpoints_updated(node._follower.full_list())
+            assert (await door.ask(request(3)))[0] == 200 and node.server.pool.opened <= 2
             peer.close()
 
     run(test())
@@ -888,7 +893,9 @@
             await peer.rest()
 
         back = Back(told)
-        made = Discovery(("127.0.0.1", 1), Follower(), lambda listed: None, lambda event, fields: None)
+        made = DiscoveryClient(
+            ("127.0.0.1", 1), EndpointListFollower(), lambda listed: None, lambda event, fields: None
+        )
         made.move(("127.0.0.1", await back.start()))
         made.start()
         await until(lambda: len(asked) == 2)
@@ -911,7 +918,7 @@
 
     async def test() -> None:
         async with place(tmp_path, cuts, settings={**settings(dial_timeout_ms=LONG_MS), "classes": classes}) as door:
-            driver, real, dials = door.node.driver, door.node.driver.pool.connect, list[float]()
+            driver, real, dials = door.node.server, door.node.server.pool.connect, list[float]()
 
             async def late(address: tuple[str, int]) -> Any:
                 dials.append(now_ms())
@@ -934,7 +941,7 @@
 
     async def test() -> None:
         async with place(tmp_path, serves) as door:
-            driver = door.node.driver
+            driver = door.node.server
             driver.state.upstream = _Impatient(driver.state.upstream)
             raw = Raw(door.port)
             client = await only(door)
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -13,26 +13,30 @@
 import pytest
 
 from martenstep.discovery.endpoint_list import Listed
-from martenstep.node import discovery
+from martenstep.node import discovery, poll_timing
 from martenstep.node.discovery import (
-    AGENT,
-    CONNECT_S,
-    QUEUE_MS,
-    SERVICE,
-    TOLD_MS,
-    Discovery,
+    CONNECT_TIMEOUT_S,
+    DiscoveryClient,
+)
+from martenstep.node.endpoint_list import (
     DiscoveryError,
-    Follower,
-    Freshness,
-    Pace,
-    Timing,
+    EndpointListFollower,
+)
+from martenstep.node.poll_timing import (
+    AGENT_TIMING,
+    NOTIFIED_AFTER_MS,
+    SERVICE_QUEUE_MS,
+    SERVICE_TIMING,
+    DiscoveryTiming,
+    ListFreshness,
+    PollPace,
 )
 from martenstep.policy.messages import EndpointListScope, EndpointState
 from tests.node_rig import target
 from tests.socket_rig import Back, Peer, run
 
 NOW_MS = 1_700_000_000_000.0  # by all clocks of a test that names them
-SHORT = Timing(60.0, 60.0, 60.0, 10.0, 1.0, 20.0)  # for what must be waited for
+SHORT = DiscoveryTiming(60.0, 60.0, 60.0, 10.0, 1.0, 20.0)  # for what must be waited for
 
 
 def told(rev: int, whole: bool, *targets: dict[str, Any]) -> bytes:
@@ -41,35 +45,35 @@
 
 
 def test_the_whole_list_then_a_watch_of_what_changed() -> None:
-    follower = Follower(lambda: NOW_MS, lambda: NOW_MS)
-    assert follower.target() == "/catalog/members"
-    listed = follower.take(told(4, True, target("s-b", 11), target("s-a", 12, boot_ms=NOW_MS - 7000)))
+    follower = EndpointListFollower(lambda: NOW_MS, lambda: NOW_MS)
+    assert follower.next_target() == "/catalog/members"
+    listed = follower.take_response(told(4, True, target("s-b", 11), target("s-a", 12, boot_ms=NOW_MS - 7000)))
     assert listed is not None and listed.scope is EndpointListScope.FULL
     first, second = listed.servers
     assert listed.addresses == {first.id: ("127.0.0.1", 11), second.id: ("127.0.0.1", 12)}
     assert (first.started_ms, second.started_ms) == (0.0, NOW_MS - 7000)
-    assert "after=4&" in follower.target()
-    listed = follower.take(told(5, False, target("s-a", 12, state="draining")))
+    assert "after=4&" in follower.next_target()
+    listed = follower.take_response(told(5, False, target("s-a", 12, state="draining")))
     assert listed is not None and listed.scope is EndpointListScope.DELTA
     assert [(server.id, server.state) for server in listed.servers] == [(second.id, EndpointState.DRAINING)]
-    assert follower.take(told(5, False)) is None, "the wait was over"
+    assert follower.take_response(told(5, False)) is None, "the wait was over"
 
 
 def test_a_new_backend_at_an_old_address_is_another_one() -> None:
-    follower = Follower()
-    listed = follower.take(told(1, True, target("s-a", 11)))
+    follower = EndpointListFollower()
+    listed = follower.take_response(told(1, True, target("s-a", 11)))
     assert listed is not None
     old = listed.servers[0].id
-    listed = follower.take(told(2, False, target("s-a", 11, state="gone"), target("s-n", 11)))
+    listed = follower.take_response(told(2, False, target("s-a", 11, state="gone"), target("s-n", 11)))
     assert listed is not None
     assert [server.state for server in listed.servers] == [EndpointState.REMOVED, EndpointState.UP]
     assert listed.servers[1].id != old and follower.addresses == {listed.servers[1].id: ("127.0.0.1", 11)}
 
 
 def test_who_has_gone_is_forgotten() -> None:
-    follower = Follower()
+    follower = EndpointListFollower()
     for rev in range(200):
-        follower.take(told(rev, True, target(f"s-{rev}")))
+        follower.take_response(told(rev, True, target(f"s-{rev}")))
     assert len(follower._numbers) == len(follower.addresses) == 1
 
 
@@ -88,13 +92,15 @@
 )
 def test_what_is_no_list_is_told(body: bytes) -> None:
     with pytest.raises(DiscoveryError):
-        Follower().take(body)
+        EndpointListFollower().take_response(body)
 
 
 def test_the_known_list_does_not_begin_a_watch() -> None:
-    follower = Follower()
-    listed = follower.told(json.loads(told(9, True, target("s-a"))), EndpointListScope.CACHED)
-    assert listed is not None and listed.scope is EndpointListScope.CACHED and follower.target() == "/catalog/members"
+    follower = EndpointListFollower()
+    listed = follower.take_list(json.loads(told(9, True, target("s-a"))), EndpointListScope.CACHED)
+    assert (
+        listed is not None and listed.scope is EndpointListScope.CACHED and follower.next_target() == "/catalog/members"
+    )
 
 
 def answer(body: bytes) -> bytes:
@@ -120,8 +126,11 @@
         first, second = Back(agent), Back(other)
         lists: list[Listed] = []
         notes: list[str] = []
-        made = Discovery(
-            ("127.0.0.1", await first.start()), Follower(), lists.append, lambda event, fields: notes.append(event)
+        made = DiscoveryClient(
+            ("127.0.0.1", await first.start()),
+            EndpointListFollower(),
+            lists.append,
+            lambda event, fields: notes.append(event),
         )
         made.start()
         while len(lists) < 2:
@@ -140,8 +149,8 @@
 
 def test_a_silent_connection_is_given_up_well_within_a_drains_second() -> None:
     """Broken on the users' bench: a watch was reset, the next connection silent, and a drain told meanwhile."""
-    assert AGENT.wait_ms + AGENT.timeout_ms < 2000.0
-    assert 2 * (CONNECT_S * 1000.0 + AGENT.timeout_ms) < 1000.0, "two in a row"
+    assert AGENT_TIMING.watch_ms + AGENT_TIMING.response_timeout_ms < 2000.0
+    assert 2 * (CONNECT_TIMEOUT_S * 1000.0 + AGENT_TIMING.response_timeout_ms) < 1000.0, "two in a row"
     asked: list[str] = []
 
     async def test() -> None:
@@ -157,7 +166,9 @@
 
         back = Back(agent)
         lists: list[Listed] = []
-        made = Discovery(("127.0.0.1", await back.start()), Follower(), lists.append, lambda event, fields: None, SHORT)
+        made = DiscoveryClient(
+            ("127.0.0.1", await back.start()), EndpointListFollower(), lists.append, lambda event, fields: None, SHORT
+        )
         made.start()
         while len(lists) < 2:
             await asyncio.sleep(0.001)
@@ -188,28 +199,28 @@
     ],
 )
 def test_of_what_cannot_be_read_nothing_is_taken_in(body: str) -> None:
-    follower = Follower()
-    follower.take(told(4, True, target("s-a", 11)))
+    follower = EndpointListFollower()
+    follower.take_response(told(4, True, target("s-a", 11)))
     with pytest.raises(DiscoveryError):
-        follower.take(body.encode())
-    assert follower.addresses == {1: ("127.0.0.1", 11)} and follower.rev == 4
-    listed = follower.take(told(5, False, target("s-n", 12)))
+        follower.take_response(body.encode())
+    assert follower.addresses == {1: ("127.0.0.1", 11)} and follower.revision == 4
+    listed = follower.take_response(told(5, False, target("s-n", 12)))
     assert listed is not None and listed.servers[0].id == 2, "no number was spent on it"
 
 
 def test_a_watch_that_goes_back_is_begun_anew() -> None:
-    follower = Follower()
-    follower.take(told(4, True, target("s-a", state="draining")))
+    follower = EndpointListFollower()
+    follower.take_response(told(4, True, target("s-a", state="draining")))
     with pytest.raises(DiscoveryError, match="goes back"):
-        follower.take(told(3, False, target("s-a")))
-    assert follower.rev == 4
-    assert follower.take(told(2, True, target("s-a"))) is not None, "the whole list is what discovery has now"
+        follower.take_response(told(3, False, target("s-a")))
+    assert follower.revision == 4
+    assert follower.take_response(told(2, True, target("s-a"))) is not None, "the whole list is what discovery has now"
 
 
 def test_who_goes_and_comes_back_in_one_answer_is_another() -> None:
-    follower = Follower()
-    follower.take(told(1, True, target("s-a", 11)))
-    listed = follower.take(told(2, False, target("s-a", 11, state="gone"), target("s-a", 12, boot_ms=5)))
+    follower = EndpointListFollower()
+    follower.take_response(told(1, True, target("s-a", 11)))
+    listed = follower.take_response(told(2, False, target("s-a", 11, state="gone"), target("s-a", 12, boot_ms=5)))
     assert listed is not None
     assert [(server.id, server.state) for server in listed.servers] == [
         (1, EndpointState.REMOVED),
@@ -220,9 +231,9 @@
 
 def test_the_known_list_and_discoverys_name_a_backend_alike() -> None:
     """By two followers number 1 was one backend at first, and another once discovery's list came."""
-    follower = Follower()
-    follower.told(json.loads(told(9, True, target("s-a", 11), target("s-b", 12))), EndpointListScope.CACHED)
-    listed = follower.take(told(10, True, target("s-b", 12), target("s-c", 13)))
+    follower = EndpointListFollower()
+    follower.take_list(json.loads(told(9, True, target("s-a", 11), target("s-b", 12))), EndpointListScope.CACHED)
+    listed = follower.take_response(told(10, True, target("s-b", 12), target("s-c", 13)))
     assert listed is not None and listed.scope is EndpointListScope.FULL
     assert listed.addresses == {2: ("127.0.0.1", 12), 3: ("127.0.0.1", 13)}
 
@@ -231,7 +242,7 @@
     script: Callable[[Peer], Awaitable[None]],
     wanted: int,
     tell: Callable[[Listed], None] | None = None,
-    timing: Timing = AGENT,
+    timing: DiscoveryTiming = AGENT_TIMING,
 ) -> tuple[list[Listed], list[str]]:
     """What is told of an agent until so many lists have come, and what is noted."""
     back = Back(script)
@@ -243,8 +254,12 @@
         if tell is not None:
             tell(listed)
 
-    made = Discovery(
-        ("127.0.0.1", await back.start()), Follower(), take, lambda event, fields: notes.append(event), timing
+    made = DiscoveryClient(
+        ("127.0.0.1", await back.start()),
+        EndpointListFollower(),
+        take,
+        lambda event, fields: notes.append(event),
+        timing,
     )
     made.start()
     while len(lists) < wanted:
@@ -257,7 +272,7 @@
 @pytest.mark.parametrize("half", [b"", b"HTTP/1.1 200 OK\r\nContent-Le", answer(told(9, True, target("s-z")))[:-9]])
 def test_half_an_answer_and_then_silence_is_given_up(monkeypatch: pytest.MonkeyPatch, half: bytes) -> None:
     """The rest never comes; neither does a watch that has waited forget that its own time is over."""
-    monkeypatch.setattr(discovery, "WHOLE_MS", 60_000.0)
+    monkeypatch.setattr(discovery, "MAX_RESPONSE_MS", 60_000.0)
     turns: list[str] = []
 
     async def agent(peer: Peer) -> None:
@@ -283,7 +298,7 @@
 
 def test_an_answer_that_comes_byte_by_byte_is_bounded_in_all(monkeypatch: pytest.MonkeyPatch) -> None:
     """No two bytes stand apart for long enough to tell of silence."""
-    monkeypatch.setattr(discovery, "WHOLE_MS", -59_900.0)
+    monkeypatch.setattr(discovery, "MAX_RESPONSE_MS", -59_900.0)
     turns: list[str] = []
 
     async def agent(peer: Peer) -> None:
@@ -298,7 +313,7 @@
         await peer.rest()
 
     async def test() -> None:
-        lists, _ = await _followed(agent, 1, timing=Timing(60_000.0, 60_000.0, 60_000.0, 1500.0, 1.0, 1.0))
+        lists, _ = await _followed(agent, 1, timing=DiscoveryTiming(60_000.0, 60_000.0, 60_000.0, 1500.0, 1.0, 1.0))
         assert len(turns) == 2 and len(lists) == 1
 
     run(test())
@@ -346,10 +361,10 @@
 
         first, second = Back(old), Back(new)
         lists: list[Listed] = []
-        follower = Follower()
-        made = Discovery(("127.0.0.1", await first.start()), follower, lists.append, lambda event, fields: None)
+        follower = EndpointListFollower()
+        made = DiscoveryClient(("127.0.0.1", await first.start()), follower, lists.append, lambda event, fields: None)
         elsewhere = ("127.0.0.1", await second.start())
-        real = made._answer
+        real = made._read_response
 
         async def crossed(*args: Any) -> bytes:
             body = await real(*args)
@@ -358,7 +373,7 @@
                 await asyncio.sleep(0)
             return body
 
-        monkeypatch.setattr(made, "_answer", crossed)
+        monkeypatch.setattr(made, "_read_response", crossed)
         made.start()
         while not first.connections:
             await asyncio.sleep(0.001)
@@ -376,10 +391,10 @@
 def test_a_discovery_that_answers_late_is_waited_for() -> None:
     """Broken on a site of our own whose lists are asked for: no answer came within the agent's 250 ms, each was given
     up and asked for anew, and drains stayed unheard for 8 s.  Then again: what was given up counts as told."""
-    assert SERVICE.timeout_ms > 2000.0, "its queue is so long"
-    again = 1.5 * SERVICE.backoff_ms * (1 + 2)
-    assert SERVICE.wait_ms + SERVICE.timeout_ms + again < 6000.0, "a silent watch is found"
-    assert SERVICE.wait_ms > SERVICE.timeout_ms, "one that is over before its turn says nothing"
+    assert SERVICE_TIMING.response_timeout_ms > 2000.0, "its queue is so long"
+    again = 1.5 * SERVICE_TIMING.min_backoff_ms * (1 + 2)
+    assert SERVICE_TIMING.watch_ms + SERVICE_TIMING.response_timeout_ms + again < 6000.0, "a silent watch is found"
+    assert SERVICE_TIMING.watch_ms > SERVICE_TIMING.response_timeout_ms, "one that is over before its turn says nothing"
     asked: list[str] = []
 
     async def late(peer: Peer) -> None:
@@ -389,7 +404,7 @@
         await peer.rest()
 
     async def test() -> None:
-        lists, notes = await _followed(late, 1, timing=Timing(0.0, 60_000.0, 10.0, 1500.0, 1.0, 1.0))
+        lists, notes = await _followed(late, 1, timing=DiscoveryTiming(0.0, 60_000.0, 10.0, 1500.0, 1.0, 1.0))
         assert len(lists) == 1 and len(asked) == 1 and not notes, "however short the rest of an answer may stand still"
 
     run(test())
@@ -414,8 +429,12 @@
 
     async def test() -> None:
         back, lists = Back(refuses), list[Listed]()
-        made = Discovery(
-            ("127.0.0.1", await back.start()), Follower(), lists.append, lambda event, fields: None, SERVICE
+        made = DiscoveryClient(
+            ("127.0.0.1", await back.start()),
+            EndpointListFollower(),
+            lists.append,
+            lambda event, fields: None,
+            SERVICE_TIMING,
         )
         monkeypatch.setattr(asyncio, "sleep", sleep)
         made.start()
@@ -424,7 +443,7 @@
         monkeypatch.undo()
         made.stop()
         back.stop()
-        least, most = SERVICE.backoff_ms, SERVICE.backoff_most_ms
+        least, most = SERVICE_TIMING.min_backoff_ms, SERVICE_TIMING.max_backoff_ms
         gaps = [min(least * 2**turn, most) for turn in range(7)]
         assert all(0.5 * gap <= waited <= 1.5 * gap for gap, waited in zip(gaps, waits, strict=True))
 
@@ -446,7 +465,7 @@
                 await peer.write(answer(told(len(asked), len(asked) == 1, target(f"s-{len(asked)}"))))
 
     async def test() -> None:
-        lists, notes = await _followed(refuses, 2, timing=Timing(250.0, 250.0, 250.0, 1500.0, 1.0, 1.0))
+        lists, notes = await _followed(refuses, 2, timing=DiscoveryTiming(250.0, 250.0, 250.0, 1500.0, 1.0, 1.0))
         assert [listed.scope for listed in lists] == [EndpointListScope.FULL, EndpointListScope.DELTA]
         assert asked[0] == "/catalog/members" and all("after=1&" in target for target in asked[1:4])
         assert notes[:2] == ["discovery lost", "discovery back"]
@@ -455,24 +474,24 @@
 
 
 def test_a_crowd_at_discovery_makes_calls_rarer_and_an_agent_is_called_as_ever() -> None:
-    pace = Pace(SERVICE, random.Random(1))
-    pace.answered(1.0)
-    assert pace.wait_ms == SERVICE.wait_ms
-    pace.answered(SERVICE.crowded_ms + 1)
-    assert pace.wait_ms == 2 * SERVICE.wait_ms, "an answer that was late"
+    pace = PollPace(SERVICE_TIMING, random.Random(1))
+    pace.succeeded(1.0)
+    assert pace.watch_ms == SERVICE_TIMING.watch_ms
+    pace.succeeded(SERVICE_TIMING.overload_delay_ms + 1)
+    assert pace.watch_ms == 2 * SERVICE_TIMING.watch_ms, "an answer that was late"
     for _ in range(20):
-        assert pace.refused(0.0) >= SERVICE.spare_ms / 4, "whose list is new"
-        assert pace.refused(1e9) <= 1.5 * SERVICE.backoff_most_ms, "and whose list is old"
-        pace.answered(None)  # it had to come again
-    assert pace.wait_ms == SERVICE.wait_most_ms
+        assert pace.rejected(0.0) >= SERVICE_TIMING.yield_age_ms / 4, "whose list is new"
+        assert pace.rejected(1e9) <= 1.5 * SERVICE_TIMING.max_backoff_ms, "and whose list is old"
+        pace.succeeded(None)  # it had to come again
+    assert pace.watch_ms == SERVICE_TIMING.max_watch_ms
     for _ in range(40):
-        pace.answered(None)  # at the first call each time: there is room
-    assert pace.wait_ms == SERVICE.wait_ms
-    agent = Pace(AGENT, random.Random(1))
+        pace.succeeded(None)  # at the first call each time: there is room
+    assert pace.watch_ms == SERVICE_TIMING.watch_ms
+    agent = PollPace(AGENT_TIMING, random.Random(1))
     for _ in range(20):
         agent.failed()
-        assert agent.refused(0.0) <= 1.5 * AGENT.backoff_most_ms
-    assert agent.wait_ms == AGENT.wait_ms
+        assert agent.rejected(0.0) <= 1.5 * AGENT_TIMING.max_backoff_ms
+    assert agent.watch_ms == AGENT_TIMING.watch_ms
 
 
 class Crowd:
@@ -480,7 +499,7 @@
     own would take longer than `queue_s`.  Nothing is drawn but the doors' gaps."""
 
     def __init__(self, doors: int, calls_a_s: float, changes: list[float], queue_s: float = 2.0) -> None:
-        self.paces = [Pace(SERVICE, random.Random(number)) for number in range(doors)]
+        self.paces = [PollPace(SERVICE_TIMING, random.Random(number)) for number in range(doors)]
         self.told = [0.0] * doors  # when each had its last answer
         self.answers, self.ages = 0, list[float]()  # and how long ago what was new in each had come to be
         self._work, self._queue, self._free, self._changes = 1 / calls_a_s, queue_s, 0.0, changes
@@ -494,22 +513,22 @@
             now, door, watch, over = heapq.heappop(self._events)
             pace, again = self.paces[door], (0.0, watch)
             if over is None and max(self._free, now) + self._work - now > self._queue:
-                again = now + pace.refused((now - self.told[door]) * 1000) / 1000, watch
+                again = now + pace.rejected((now - self.told[door]) * 1000) / 1000, watch
             elif over is None:
-                over = now + (pace.wait_ms / 1000 if watch else 0.0)
+                over = now + (pace.watch_ms / 1000 if watch else 0.0)
                 change = next((at for at in self._changes if at > self.told[door]), math.inf)
                 heapq.heappush(self._events, (min(max(change, now), over), door, watch, over))
                 continue
             else:
                 self._free = max(self._free, now) + self._work
                 late_ms = (self._free - over) * 1000
-                if late_ms > SERVICE.timeout_ms:
-                    again = over + (SERVICE.timeout_ms + pace.failed()) / 1000, False
+                if late_ms > SERVICE_TIMING.response_timeout_ms:
+                    again = over + (SERVICE_TIMING.response_timeout_ms + pace.failed()) / 1000, False
                 else:
                     new = next((at for at in self._changes if at > self.told[door]), self._free)
                     self.ages.append(self._free - new)
                     self.told[door], self.answers = self._free, self.answers + 1
-                    pace.answered(late_ms if late_ms >= 0 else None)
+                    pace.succeeded(late_ms if late_ms >= 0 else None)
                     again = self._free, True
             heapq.heappush(self._events, (max(again[0], now), door, again[1], None))
 
@@ -537,35 +556,41 @@
 
 
 def test_a_list_that_is_refused_for_too_long_is_in_doubt() -> None:
-    fresh = Freshness()
-    fresh.answered(0.0)
-    fresh.asked(100.0, watch=True)
-    assert not fresh.doubtful(1e9) and fresh.next_at(100.0) is None, "discovery that is silent tells nothing"
-    fresh.ended(refused=False)
-    assert not fresh.doubtful(1e9)
-    fresh.ended(refused=True)
-    assert not fresh.doubtful(TOLD_MS - 1) and fresh.doubtful(TOLD_MS) and fresh.next_at(5.0) == TOLD_MS
-    fresh.asked(TOLD_MS + 10.0, watch=True)
-    assert fresh.doubtful(TOLD_MS + 11.0), "the call may be refused yet, or have something to tell"
-    taken = fresh.next_at(TOLD_MS + 11.0)
-    assert taken == TOLD_MS + 10.0 + QUEUE_MS and not fresh.doubtful(taken), "what was new would have come"
-    fresh.ended(refused=False)
-    assert not fresh.doubtful(1e9), "a service that fell silent cannot be reached"
-    fresh.ended(refused=True)
-    assert fresh.doubtful(taken + 1.0), "until it refuses again: what was new has not come"
-    fresh.asked(taken + 2.0, watch=False)
-    assert fresh.doubtful(taken + 2.0 + QUEUE_MS), "a whole list is always new"
-    fresh.answered(taken + 3.0)
-    assert not fresh.doubtful(1e9) and fresh.next_at(taken + 3.0) is None
+    fresh = ListFreshness()
+    fresh.poll_succeeded(0.0)
+    fresh.poll_started(100.0, watch=True)
+    assert not fresh.is_stale(1e9) and fresh.next_at(100.0) is None, "discovery that is silent tells nothing"
+    fresh.poll_failed(rejected=False)
+    assert not fresh.is_stale(1e9)
+    fresh.poll_failed(rejected=True)
+    assert (
+        not fresh.is_stale(NOTIFIED_AFTER_MS - 1)
+        and fresh.is_stale(NOTIFIED_AFTER_MS)
+        and fresh.next_at(5.0) == NOTIFIED_AFTER_MS
+    )
+    fresh.poll_started(NOTIFIED_AFTER_MS + 10.0, watch=True)
+    assert fresh.is_stale(NOTIFIED_AFTER_MS + 11.0), "the call may be refused yet, or have something to tell"
+    taken = fresh.next_at(NOTIFIED_AFTER_MS + 11.0)
+    assert taken == NOTIFIED_AFTER_MS + 10.0 + SERVICE_QUEUE_MS and not fresh.is_stale(taken), (
+        "what was new would have come"
+    )
+    fresh.poll_failed(rejected=False)
+    assert not fresh.is_stale(1e9), "a service that fell silent cannot be reached"
+    fresh.poll_failed(rejected=True)
+    assert fresh.is_stale(taken + 1.0), "until it refuses again: what was new has not come"
+    fresh.poll_started(taken + 2.0, watch=False)
+    assert fresh.is_stale(taken + 2.0 + SERVICE_QUEUE_MS), "a whole list is always new"
+    fresh.poll_succeeded(taken + 3.0)
+    assert not fresh.is_stale(1e9) and fresh.next_at(taken + 3.0) is None
 
 
 def test_a_list_of_unknown_age_is_in_doubt_once_discovery_refuses_another() -> None:
     """Broken on a site of our own: a restarted door sent by the list that its process before had last had."""
-    fresh = Freshness()
-    fresh.asked(0.0, watch=False)
-    assert not fresh.doubtful(1e9) and not fresh.refused, "where it says nothing, there is nothing else to go by"
-    fresh.ended(refused=True)
-    assert fresh.doubtful(1.0) and fresh.refused
+    fresh = ListFreshness()
+    fresh.poll_started(0.0, watch=False)
+    assert not fresh.is_stale(1e9) and not fresh.rejected, "where it says nothing, there is nothing else to go by"
+    fresh.poll_failed(rejected=True)
+    assert fresh.is_stale(1.0) and fresh.rejected
 
 
 @pytest.mark.parametrize("ends", ["answered", "held"])
@@ -573,8 +598,8 @@
     monkeypatch: pytest.MonkeyPatch, ends: str
 ) -> None:
     """Broken on a site of our own, 47 times: whatever a service that can be reached has counts as told 6 s later."""
-    monkeypatch.setattr(discovery, "TOLD_MS", 30.0)
-    monkeypatch.setattr(discovery, "QUEUE_MS", 60.0 if ends == "held" else 60_000.0)
+    monkeypatch.setattr(poll_timing, "NOTIFIED_AFTER_MS", 30.0)
+    monkeypatch.setattr(poll_timing, "SERVICE_QUEUE_MS", 60.0 if ends == "held" else 60_000.0)
     gate = asyncio.Event()
     turns: list[str] = []
 
@@ -599,7 +624,7 @@
     lists: list[Listed] = []
 
     async def test() -> None:
-        _, notes = await _followed(refuses, 3, take, Timing(0.0, 60_000.0, 60_000.0, 1500.0, 5.0, 5.0))
+        _, notes = await _followed(refuses, 3, take, DiscoveryTiming(0.0, 60_000.0, 60_000.0, 1500.0, 5.0, 5.0))
         first, doubted, again = lists
         assert [server.state for server in first.servers] == [EndpointState.UP, EndpointState.DRAINING]
         assert (doubted.scope, [server.state for server in doubted.servers]) == (
--- a/tests/test_node_gateway.py
+++ b/tests/test_node_gateway.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from martenstep.node.config import DrainPlan, load_config
-from martenstep.node.daemon import Node
+from martenstep.node.daemon import GatewayNode
 from martenstep.proxy.acceptor import MIN_AGE_TO_CLOSE_MS
 from tests.node_rig import raw, request, target
 from tests.socket_rig import Back, Peer, Script, run
@@ -20,7 +20,7 @@
 class Place:
     """The door and what stands around it."""
 
-    def __init__(self, node: Node, path: Path) -> None:
+    def __init__(self, node: GatewayNode, path: Path) -> None:
         self.node, self.path = node, path
         self.port = 0
 
@@ -72,7 +72,7 @@
         encoding="utf-8",
     )
     config = load_config(path)  # a file names its port; a test takes any that is free
-    made = Place(Node(replace(config, listener=replace(config.listener, port=0)), path), path)
+    made = Place(GatewayNode(replace(config, listener=replace(config.listener, port=0)), path), path)
     made.port = await made.node.start()
     try:
         yield made
@@ -118,7 +118,7 @@
     async def test() -> None:
         async with place(tmp_path, serves) as door:
             lines: list[tuple[str, dict[str, Any]]] = []
-            door.node.driver.state.log_event = lambda event, fields: lines.append((event, fields))
+            door.node.server.state.log_event = lambda event, fields: lines.append((event, fields))
             assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
             assert (await door.ask("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 400
             assert [fields["status"] for event, fields in lines if event == "turned away"] == [400]
@@ -190,13 +190,13 @@
         async with place(tmp_path, huge) as door:
             status, _, _ = await door.ask(request(1))
             assert status == 503, "safe to repeat: refused once no attempt is left"
-            assert door.node.driver.counts["attempts"] == 3
+            assert door.node.server.counts["attempts"] == 3
         async with place(tmp_path, endless) as door:
             peer = await door.client()
             await peer.write(request(2))
             assert (await peer.head()).startswith("http/1.1 200")
             assert not (await peer.rest()).endswith(b"0\r\n\r\n"), "its client sees that it is not whole"
-            assert door.node.driver.counts["broken"] == 1
+            assert door.node.server.counts["broken"] == 1
 
     run(test())
 
@@ -247,7 +247,7 @@
             await asyncio.sleep(0)
             status, head, _ = await door.ask(request(2))
             assert status == 200 and "connection: close" in head, "new connections still come"
-            listener = door.node.driver._acceptor.listener
+            listener = door.node.server._acceptor.listener
             assert listener is not None
             while listener.accepting:
                 await asyncio.sleep(0.001)
@@ -263,7 +263,7 @@
 def test_who_says_nothing_gives_way_to_who_asks(tmp_path: Path) -> None:
     async def test() -> None:
         async with place(tmp_path, serves, limits={"sockets": 64}) as door:
-            driver, most = door.node.driver, door.node.config.listener.max_connections
+            driver, most = door.node.server, door.node.config.listener.max_connections
             usual = await door.client()
             await usual.write(request(1))
             assert (await usual.response())[0] == 200
@@ -296,9 +296,9 @@
         async with place(tmp_path, serves, limits={"sockets": 64}) as door:
             most = door.node.config.listener.max_connections
             young = [await door.client() for _ in range(most)]
-            while len(door.node.driver.clients) < most:
+            while len(door.node.server.clients) < most:
                 await asyncio.sleep(0.001)
-            for client in door.node.driver.state.new_clients:
+            for client in door.node.server.state.new_clients:
                 client.waiting_since += 60_000.0
             assert (await (await door.client()).rest()).startswith(b"HTTP/1.1 503")
             await young[0].write(request(1))
--- a/tests/test_node_imports.py
+++ b/tests/test_node_imports.py
@@ -87,7 +87,9 @@
     "martenstep.node.counter",
     "martenstep.node.daemon",
     "martenstep.node.discovery",
+    "martenstep.node.endpoint_list",
     "martenstep.node.pending_signals",
+    "martenstep.node.poll_timing",
     "martenstep.node.protocol",
     "martenstep.tasks",
 }
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -23,16 +23,21 @@
 
 from martenstep.lab.ports import held_ports
 from martenstep.node import daemon
-from martenstep.node.config import NOTHING_TAKEN, load_config
-from martenstep.node.daemon import Node
-from martenstep.node.discovery import Discovery, Timing
+from martenstep.node.config import EMPTY_DRAIN_PLAN, load_config
+from martenstep.node.daemon import GatewayNode
+from martenstep.node.discovery import (
+    DiscoveryClient,
+)
+from martenstep.node.poll_timing import (
+    DiscoveryTiming,
+)
 from tests.node_rig import SETTINGS, raw, request, target
 from tests.socket_rig import Back, Peer, Script, run
 from tests.test_node_gateway import agent, counting, serves
 
 BOUND_S = 60.0
 LONG_MS = 60_000.0  # longer than any test runs
-LONG = Timing(LONG_MS, LONG_MS, LONG_MS, LONG_MS, 1.0, 1.0)
+LONG = DiscoveryTiming(LONG_MS, LONG_MS, LONG_MS, LONG_MS, 1.0, 1.0)
 
 
 class Process:
@@ -309,14 +314,16 @@
             ),
             encoding="utf-8",
         )
-        node = Node(load_config(path), path)
+        node = GatewayNode(load_config(path), path)
         node._timing = LONG  # of the wait for the agent; the agent itself is not given up either
-        node._discovery = Discovery(node.config.discovery, node._follower, node._listed, node._event_logger.log, LONG)
+        node._discovery = DiscoveryClient(
+            node.config.discovery, node._follower, node._endpoints_updated, node._event_logger.log, LONG
+        )
         starting = asyncio.create_task(node.start())
         await asked.wait()
         for _ in range(20):  # turns of the loop in which a listener would come up
             await asyncio.sleep(0)
-        assert not node.driver.listening
+        assert not node.server.listening
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", port)
         gate.set()
@@ -325,7 +332,7 @@
         await peer.write(request(1))
         assert (await peer.response())[2] == b"s-1" and backs == ["s-1"]
         peer.close()
-        node.drain_plan = NOTHING_TAKEN
+        node.drain_plan = EMPTY_DRAIN_PLAN
         await node.stop()
         for back in made:
             back.stop()
@@ -382,10 +389,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], stops: bool
 ) -> None:
     """And one that is told to end waits for it no longer."""
-    monkeypatch.setattr(daemon, "IN_USE_MS", LONG_MS if stops else 30.0)
+    monkeypatch.setattr(daemon, "BIND_TIMEOUT_MS", LONG_MS if stops else 30.0)
 
-    def told(node: Node) -> None:
-        node._end()
+    def told(node: GatewayNode) -> None:
+        node._terminate()
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
@@ -402,7 +409,7 @@
         )
 
         async def test() -> None:
-            node = Node(load_config(path), path)
+            node = GatewayNode(load_config(path), path)
             real = node._event_logger.log
 
             def note(event: str, fields: dict[str, Any]) -> None:
@@ -444,10 +451,10 @@
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
     with os.fdopen(writing, "w") as pipe, os.fdopen(reading, "rb") as log:  # a write that waits ends with the reader
         monkeypatch.setattr(sys, "stdout", pipe)
-        event_logger = daemon.EventLogger(most_a_second=1000)
+        event_logger = daemon.EventLogger(max_lines_per_s=1000)
         event_logger.log("read", {"long": "x" * 10_000})
         line = json.loads(log.readline())
-        assert line["event"] == "read" and len(line["cut"]) < daemon.LINE_BYTES
+        assert line["event"] == "read" and len(line["cut"]) < daemon.MAX_LINE_BYTES
 
         def fill() -> None:
             for number in range(100):
