--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -38,10 +38,10 @@
 class MembershipAdmin(Protocol):
     """What the listener asks of the membership."""
 
-    def view(self) -> dict[str, Any]:
-        """What this gateway knows of the others."""
+    def view(self) -> object:
+        """What this gateway knows of the others; encoded as JSON."""
 
-    async def newer(self, version: int, wait_s: float) -> None:
+    async def wait_newer(self, version: int, wait_s: float) -> None:
         """Wait until the view is newer."""
 
     async def leave(self) -> None:
@@ -162,7 +162,7 @@
                 return _text(BAD_REQUEST, "after and wait_ms are numbers")
             if not 0 <= wait_ms <= MAX_VIEW_WAIT_MS:
                 return _text(BAD_REQUEST, f"wait_ms: expected 0 to {MAX_VIEW_WAIT_MS:.0f}")
-            await self.membership.newer(after, wait_ms / MS_PER_S)
+            await self.membership.wait_newer(after, wait_ms / MS_PER_S)
         return _json(self.membership.view())
 
     def _respond_replication(self, method: str, path: str, query: str) -> AdminResponse:
--- a/martenstep/proxy/cluster.py
+++ b/martenstep/proxy/cluster.py
@@ -18,7 +18,7 @@
     from martenstep.counter.pending_increments import Try
     from martenstep.counter.sharded_counter import HeldByDoors
     from martenstep.maintenance.coordinator import Orders
-    from martenstep.membership.transport import Membership
+    from martenstep.membership.service import MembershipService
 
 
 class Cluster:
@@ -29,18 +29,18 @@
     ) -> None:
         """`admin` shows what is started here; `is_ready` tells whether this gateway serves."""
         self._settings, self._admin, self._is_ready, self._log_event = gateway_settings, admin, is_ready, log_event
-        self.membership: Membership | None = None
+        self.membership: MembershipService | None = None
         self.replicas: HeldByDoors | None = None
         self.maintenance: Orders | None = None
 
     async def start(self, deliver: Callable[[Try], bool]) -> dict[str, int]:
         """Join the others; returns the ports by name.  `deliver` takes what a ledger that this gateway leads has."""
-        from martenstep.membership.keys import KeyFileError
-        from martenstep.membership.transport import Membership
+        from martenstep.membership.keyring import KeyFileError
+        from martenstep.membership.service import MembershipService
 
         ports: dict[str, int] = {}
         try:
-            self.membership = Membership(
+            self.membership = MembershipService(
                 self._settings.fleet, self._settings.name, self._settings.zone, self._log_event
             )
             ports["fleet"] = await self.membership.start()
@@ -53,7 +53,7 @@
             ports.update(await self._start_replicas(self.membership, deliver))
         return ports
 
-    async def _start_replicas(self, membership: Membership, deliver: Callable[[Try], bool]) -> dict[str, int]:
+    async def _start_replicas(self, membership: MembershipService, deliver: Callable[[Try], bool]) -> dict[str, int]:
         from martenstep.counter.sharded_counter import HeldByDoors
         from martenstep.replication.errors import ReplicaManagerError
         from martenstep.storage.files import LockedError
@@ -107,7 +107,7 @@
         """Totals by metric name."""
         counts: dict[str, float] = {}
         if self.membership is not None:
-            counts.update(self.membership.counts())
+            counts.update(self.membership.counters())
         replicas = self.replicas
         if replicas is not None:
             counts.update({f"copies_{name}": count for name, count in replicas.keeper.counts.items()})
--- a/martenstep/replication/placement.py
+++ b/martenstep/replication/placement.py
@@ -17,7 +17,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from martenstep.membership.ownership import holders
+from martenstep.membership.ownership import select_owners
 from martenstep.replication.messages import Configuration
 
 UNKNOWN_ZONE_PREFIX = "?"
@@ -83,9 +83,9 @@
     owners = {node for replica, node in configuration.locations if replica in configuration.voters}
     candidates = {node: zones.get(node, f"{UNKNOWN_ZONE_PREFIX}{node}") for node in (set(present) | owners) - set(lost)}
     if preferred is None or preferred not in candidates:
-        return holders(group, candidates.items(), replication_factor)
+        return select_owners(group, candidates.items(), replication_factor)
     preferred_zone = candidates.pop(preferred)
-    ranked = holders(group, candidates.items(), len(candidates))
+    ranked = select_owners(group, candidates.items(), len(candidates))
     ranked.sort(key=lambda node: candidates[node] == preferred_zone)  # stable: the order among the others stays
     return [preferred, *ranked[: replication_factor - 1]]
 
--- a/tests/test_formats_replica_views.py
+++ b/tests/test_formats_replica_views.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from martenstep.cli.copies import COLUMNS, table
-from martenstep.membership.codec import Keys
+from martenstep.membership.keyring import Keyring
 from martenstep.replication.messages import AppendEntriesResponse, VoteResponse
 from martenstep.replication.node_disk import derive_replica_id
 from martenstep.replication.raft import DurableWrite, Role
@@ -64,7 +64,7 @@
         lambda: NODES,
         lambda event, fields: None,
     )
-    await keeper.start(Transport("fleet", "a", lambda: Keys([bytes(32)]), lambda place: None))
+    await keeper.start(Transport("fleet", "a", lambda: Keyring([bytes(32)]), lambda place: None))
     host = keeper.replica("g-0")
     assert host is not None
     lead(host)
@@ -110,7 +110,7 @@
         keeper = ReplicaManager(
             "d", tmp_path / "d", tmp_path / "w", HOLDING, lambda group: Sum(), lambda: NODES, lambda event, fields: None
         )
-        await keeper.start(Transport("fleet", "d", lambda: Keys([bytes(32)]), lambda place: None))
+        await keeper.start(Transport("fleet", "d", lambda: Keyring([bytes(32)]), lambda place: None))
         assert (await keeper.create_own_group("g-9")) is not None
         keeper.abandon_group("g-9")
         assert dict(keeper.counts) == {"let_go": 1}
