--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -196,7 +196,7 @@
         self._sim.at(self._busy_until, call, *args)
 
     def _log_event(self, action: ev.LogEvent) -> None:
-        if action.event in ("answer", "turned away"):
+        if action.event in ("request finished", "request rejected"):
             reason = action.fields["reason"]
             self.answers[reason] = self.answers.get(reason, 0) + 1
 
--- a/martenstep/node/counter.py
+++ b/martenstep/node/counter.py
@@ -46,7 +46,7 @@
     """The replies of one connection.  Each call ends once: by its reply, or indeterminate with the connection."""
 
     def __init__(self, replied: ReplyCallback) -> None:
-        """`replied` is told of the end of each call."""
+        """`replied` is called with the end of each call."""
         self._replied = replied
         self._data = bytearray()
         self.pending: deque[int] = deque()  # ids of calls, in the order of their replies
@@ -141,7 +141,7 @@
         replied: ReplyCallback,
         task_failed: Callable[[str, BaseException], None] = lambda where, error: None,
     ) -> None:
-        """`task_failed` is told where a background task ended by an error that nobody expected."""
+        """`task_failed` is called where a background task ended by an error that nobody expected."""
         self._address, self.replied, self._task_failed = address, replied, task_failed
         self._connections: list[_Connection] = []
         self._retired: list[_Connection] = []  # to an address that has been left: their replies still count
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -144,14 +144,14 @@
     def _endpoint_list_is_stale(self) -> bool:
         """Whether the process stood still and discovery has not answered since: what it sent counts as notified.
 
-        An agent that does not answer is silent, and has told nothing.
+        An agent that does not answer is silent, and has sent nothing.
         """
         assert self._selector is not None
         if self._selector.stalled_at > self._poll_restarted_at:
             self._poll_restarted_at, now = self._selector.stalled_at, now_ms()
             self._stale_until = now + AGENT_TIMING.start_wait_ms
             self._stalled_at = now
-            self._event_logger.log("stood still", {"ms": round(self._selector.stalled_ms, 1)})
+            self._event_logger.log("process stalled", {"ms": round(self._selector.stalled_ms, 1)})
             if self._timing is AGENT_TIMING:
                 self._discovery.restart_poll()
         if self._stale_until == -math.inf:
@@ -200,7 +200,7 @@
         try:
             cached = self._follower.take_list(self.config.cached_list, EndpointListScope.CACHED)
         except DiscoveryError as error:
-            self._event_logger.log("known list not taken up", {"error": str(error)})
+            self._event_logger.log("cached endpoint list unusable", {"error": str(error)})
             cached = None
         self.server.handle(cached if cached is not None else Listed(EndpointListScope.CACHED))
 
@@ -267,7 +267,7 @@
                     raise ConfigError(f"listen: {error}") from None
                 if not logged:
                     in_use = error.errno == errno.EADDRINUSE
-                    self._event_logger.log("address in use" if in_use else "cannot listen yet", {"error": str(error)})
+                    self._event_logger.log("address in use" if in_use else "listen retried", {"error": str(error)})
                 logged = True
             await asyncio.sleep(BIND_RETRY_MS / MS_PER_S)
         return 0
@@ -334,7 +334,7 @@
             config = load_config(self._path)
         except ConfigError as error:
             if len(retry_delays_s) == len(REREAD_DELAYS_S):
-                self._event_logger.log("configuration not taken up", {"error": str(error)})
+                self._event_logger.log("configuration rejected", {"error": str(error)})
             if retry_delays_s:
                 loop = asyncio.get_running_loop()
                 self._rereading = loop.call_later(retry_delays_s[0], self._reload, retry_delays_s[1:])
@@ -353,7 +353,7 @@
         waits = [name for name, changed in changes.items() if changed]
         if (self._counter is None) != (config.counter is None):
             waits.append("counter")
-        self._event_logger.log("configuration taken up", {"after_a_restart": waits} if waits else {})
+        self._event_logger.log("configuration applied", {"after_a_restart": waits} if waits else {})
 
 
 def _is_transient(error: Exception) -> bool:
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -77,7 +77,7 @@
     def restart_poll(self) -> None:
         """Poll at once, in place of the poll that is under way.
 
-        Its answer may have been given up while the process did not run, and what it told counts as told.
+        Its answer may have been given up while the process did not run, and what it sent counts as notified.
         """
         if self._task is not None:
             self._task.cancel()
@@ -91,7 +91,7 @@
 
     @property
     def rejected(self) -> bool:
-        """Whether discovery could be reached at the last poll, and told nothing."""
+        """Whether discovery could be reached at the last poll, and sent nothing."""
         return self._freshness.rejected
 
     def stop(self) -> None:
@@ -116,7 +116,7 @@
                 self._poll_failed(error)
                 gap_ms = self._pace.failed()
                 # Of a connection that broke the last response stands: what changed since is polled, at once, and the
-                # whole list only where that cannot be told.
+                # whole list only where discovery cannot tell the changes.
                 self._poll_at_once = isinstance(error, OSError)
                 if not self._poll_at_once:
                     self._follower.revision = None
@@ -127,7 +127,7 @@
 
     def _poll_failed(self, error: Exception, rejected: bool = False) -> None:
         if not self._lost:
-            self._log_event("discovery lost", {"error": repr(error)})
+            self._log_event("discovery connection lost", {"error": repr(error)})
         self._lost = True
         self._freshness.poll_failed(rejected)
         self._check_freshness()
@@ -137,7 +137,7 @@
         now = now_ms()
         is_stale = self._freshness.is_stale(now)
         if is_stale is not self._is_stale:
-            self._log_event("list in doubt" if is_stale else "list no longer in doubt", {})
+            self._log_event("endpoint list stale" if is_stale else "endpoint list fresh", {})
             self._updated(self._follower.draining_list() if is_stale else self._follower.full_list())
             self._is_stale = is_stale
         if self._freshness_timer is not None:
@@ -187,7 +187,7 @@
         pace.succeeded(late_ms if late_ms >= 0 else None)
         if self._lost:
             self._lost = False
-            self._log_event("discovery back", {"rev": self._follower.revision})
+            self._log_event("discovery connection recovered", {"rev": self._follower.revision})
         if update is not None and not self._is_stale:
             self._updated(update)
         self._check_freshness()  # which reports all of it, if it was stale
--- a/martenstep/node/endpoint_list.py
+++ b/martenstep/node/endpoint_list.py
@@ -27,7 +27,7 @@
 
 
 class RejectedError(DiscoveryError):
-    """Discovery rejected a poll: what it told before stands."""
+    """Discovery rejected a poll: what it sent before stands."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,13 +54,13 @@
 
 
 class EndpointListFollower:
-    """The list as told so far.  Endpoints are numbered in the order in which they appear."""
+    """The list as received so far.  Endpoints are numbered in the order in which they appear."""
 
     def __init__(self, clock: Callable[[], float] = now_ms, wall_clock: Callable[[], float] = wall_clock_ms) -> None:
         """`clock` is the gateway's own, `wall_clock` Unix time as it is read now, both in milliseconds."""
         self._clock, self._wall_clock = clock, wall_clock
         self._starts = StartTimes()
-        self._complete_at = -math.inf  # when discovery last told all that it had
+        self._complete_at = -math.inf  # when discovery last sent all that it had
         self.revision: int | None = None  # None: the whole list has to be polled
         self._numbers: dict[str, int] = {}
         self._last_number = 0
@@ -68,7 +68,7 @@
         self._endpoints: dict[int, Endpoint] = {}
 
     def full_list(self) -> Listed:
-        """The list as told so far."""
+        """The list as received so far."""
         return Listed(EndpointListScope.FULL, tuple(self._endpoints.values()), dict(self.addresses))
 
     def draining_list(self) -> Listed:
--- a/martenstep/node/poll_timing.py
+++ b/martenstep/node/poll_timing.py
@@ -92,7 +92,7 @@
     def __init__(self) -> None:
         """Of a list that has never been polled."""
         self._answered_at = -math.inf
-        self.rejected = False  # by the last poll since then: discovery could be reached, and told nothing
+        self.rejected = False  # by the last poll since then: discovery could be reached, and sent nothing
         self._watch_started_at: float | None = None  # of the watch that is under way
 
     @property
--- a/martenstep/proxy/acceptor.py
+++ b/martenstep/proxy/acceptor.py
@@ -71,7 +71,7 @@
 
     def _handshake_failed(self, client_address: str, reason: str) -> None:
         self._state.counts["handshakes_refused"] += 1
-        self._state.log_event("handshake refused", {"peer": client_address, "reason": reason})
+        self._state.log_event("handshake failed", {"peer": client_address, "reason": reason})
 
     def _connected(self, reader: WatchedReader, writer: asyncio.StreamWriter, protocol: WatchedProtocol) -> None:
         state = self._state
--- a/martenstep/proxy/attempt_sender.py
+++ b/martenstep/proxy/attempt_sender.py
@@ -26,7 +26,7 @@
     def __init__(self, state: ServerState, pool: ConnectionPool, relay: ResponseRelay) -> None:
         """`relay` takes what comes back."""
         self._state, self._pool, self._relay = state, pool, relay
-        # Whether the endpoint list may lack what counts as told: then attempts wait, for a bounded time.
+        # Whether the endpoint list may lack what counts as notified: then attempts wait, for a bounded time.
         self.endpoint_list_is_stale: Callable[[], bool] = lambda: False
 
     def open(self, action: ev.OpenAttempt) -> None:
--- a/martenstep/proxy/certificates.py
+++ b/martenstep/proxy/certificates.py
@@ -25,10 +25,10 @@
             try:
                 context.reload()
             except TlsError as error:
-                self._log_event("certificate not taken up", {"error": str(error)})
+                self._log_event("certificate not reloaded", {"error": str(error)})
                 continue
             fields = {"days_left": round(context.days_left(), 1)} if isinstance(context, ServerContext) else {}
-            self._log_event("certificate taken up", fields)
+            self._log_event("certificate reloaded", fields)
 
     def warn_of_expiry(self) -> None:
         """Warn of a certificate that ends soon, now and each hour."""
@@ -36,5 +36,5 @@
             return
         days_left = self._server.tls.days_left()
         if days_left < EXPIRY_WARNING_DAYS:
-            self._log_event("certificate ends soon", {"days_left": round(days_left, 1)})
+            self._log_event("certificate expires soon", {"days_left": round(days_left, 1)})
         self._server.loop.call_later(EXPIRY_CHECK_S, self.warn_of_expiry)
--- a/martenstep/proxy/cluster.py
+++ b/martenstep/proxy/cluster.py
@@ -45,7 +45,7 @@
             )
             ports["fleet"] = await self.membership.start()
         except (KeyFileError, OSError) as error:
-            self._log_event("fleet not joined", {"error": str(error)})
+            self._log_event("membership not started", {"error": str(error)})
             self.membership = None
             return ports
         self._admin.membership = self.membership
@@ -63,7 +63,7 @@
         try:
             ports.update(await self.replicas.start())
         except (ReplicaManagerError, LockedError, OSError) as error:
-            self._log_event("copies not held", {"error": str(error)})
+            self._log_event("replicas not started", {"error": str(error)})
             await self.replicas.stop()
         self._admin.replication = self.replicas.keeper
         if self._settings.HasField("maintenance"):
@@ -93,7 +93,7 @@
 
     def _leave_for_maintenance(self, request: str) -> None:
         """This machine's turn: the gateway stops as on SIGTERM, answers what is in flight, hands over, and ends."""
-        self._log_event("maintenance leaves", {"request": request})
+        self._log_event("maintenance shutdown", {"request": request})
         os.kill(os.getpid(), signal.SIGTERM)
 
     async def stop(self) -> None:
--- a/martenstep/proxy/connection_pool.py
+++ b/martenstep/proxy/connection_pool.py
@@ -31,7 +31,7 @@
     ) -> None:
         """`max_connections` to all addresses together (0: no such limit).
 
-        `handshake_rejected` is told where TLS rejects the other side.
+        `handshake_rejected` is called where TLS rejects the other side.
         """
         self._max_per_address, self._idle_timeout_ms = max_per_address, idle_timeout_ms
         self._max_connections = max_connections
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -160,7 +160,7 @@
 
     def _endpoints_updated(self, update: Listed) -> None:
         if update.scope is not EndpointListScope.DELTA:
-            self._log_event("members", {"scope": update.scope.value, "servers": len(update.servers)})
+            self._log_event("endpoint list", {"scope": update.scope.value, "servers": len(update.servers)})
         self.server.handle(update)
 
     def _feed_problem(self, event: str, text: str) -> None:
--- a/martenstep/proxy/engine/attempts.py
+++ b/martenstep/proxy/engine/attempts.py
@@ -35,7 +35,7 @@
         self._dependencies = state.dependencies
         self._messages = state.dependencies.message_builder
         self._classify = state.dependencies.status_classifier.classify
-        # Told the request id of each request whose first attempt starts.
+        # Called with the id of each request whose first attempt starts.
         self.on_first_attempt: Callable[[int], None] | None = None
         self.result_counts: dict[str, int] = {}
         self.denial_counts: dict[str, int] = {}  # of attempts at the moment of their first byte, by name
--- a/martenstep/proxy/engine/endpoints.py
+++ b/martenstep/proxy/engine/endpoints.py
@@ -7,7 +7,7 @@
 
 
 class EndpointAddresses:
-    """The endpoints as the last updates of the list told them."""
+    """The endpoints as the last updates of the list have them."""
 
     def __init__(self, accepts_all: bool = False) -> None:
         """`accepts_all` where the endpoints are not those of a list."""
--- a/martenstep/proxy/engine/engine.py
+++ b/martenstep/proxy/engine/engine.py
@@ -121,12 +121,14 @@
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
         """Take one event in; returns what is to be done, in order."""
         state = self._state
-        state.advance(now)
-        due_at = self.next_at()
+        if now > state.now:  # it never goes back
+            state.now = now
+        due_at = state.timers.next_at() if self._authorization is None else self.next_at()
         if due_at is not None and due_at <= state.now and type(event) is not ev.Tick:
             self._fire_timers()  # what was due before this event goes first, however late the driver is
         self._event_handlers[type(event)](event)
-        return state.take_actions()
+        actions, state.actions = state.actions, []
+        return actions
 
     def next_at(self) -> float | None:
         """When the next Tick is due; None where nothing is waited for."""
@@ -154,9 +156,11 @@
 
     def stop(self, now: float) -> list[ev.Action]:
         """The process ends: every request that is still in flight gets its response now, and no further attempt."""
-        self._state.advance(now)
+        state = self._state
+        state.now = max(now, state.now)
         self._termination.stop_all()
-        return self._state.take_actions()
+        actions, state.actions = state.actions, []
+        return actions
 
     # Observation --------------------------------------------------------------------------------------------
 
@@ -211,7 +215,7 @@
         self._state.actions.append(ev.SubscribeEndpoints())
 
     def _log(self, action: api.Log) -> None:
-        self._state.actions.append(ev.LogEvent("module", {"text": action.text}))
+        self._state.actions.append(ev.LogEvent("policy", {"text": action.text}))
 
     # Time and endpoints -------------------------------------------------------------------------------------
 
--- a/martenstep/proxy/engine/policy_driver.py
+++ b/martenstep/proxy/engine/policy_driver.py
@@ -14,7 +14,7 @@
 
 
 class PolicyDriver:
-    """The policy's Gateway, and what is still to be told to it."""
+    """The policy's Gateway, and what is still to be submitted to it."""
 
     def __init__(self, state: EngineState) -> None:
         """Makes a Gateway by the settings of the engine's dependencies."""
--- a/martenstep/proxy/engine/responses.py
+++ b/martenstep/proxy/engine/responses.py
@@ -49,7 +49,7 @@
         self._messages = state.dependencies.message_builder
         self._max_retry_after_ms = state.dependencies.max_retry_after_ms
         self._logs_responses = state.dependencies.logs_responses
-        self.on_finished: Callable[[int], None] | None = None  # told the request id of each request that is finished
+        self.on_finished: Callable[[int], None] | None = None  # called with the id of each finished request
         self.counts: dict[str, int] = {}  # final responses, by reason
 
     # The gateway's own --------------------------------------------------------------------------------------
@@ -117,7 +117,7 @@
         all_headers = [*own_headers, *headers, *self._messages.identity_headers(correlation_id)]
         if status >= FIRST_ERROR_STATUS:  # health checks of a quiet gateway would be most of its lines
             fields = {"request": correlation_id, "status": status, "reason": reason}
-            self._state.actions.append(ev.LogEvent("turned away", fields))
+            self._state.actions.append(ev.LogEvent("request rejected", fields))
         self._state.actions.append(ev.SendLocalReply(received.request_id, status, all_headers, body))
 
     def rate_limits(self, route: RoutedRequest) -> ev.Headers:
@@ -200,7 +200,7 @@
                 assert points is not None
                 response = ResponseSummary(status, len(request.endpoints), took_ms)
                 fields.update(points.fields(self._state.now, runner, request, response))
-        self._state.actions.append(ev.LogEvent("answer", fields))
+        self._state.actions.append(ev.LogEvent("request finished", fields))
 
     def release(self, request: InFlightRequest) -> None:
         """Forget a request that is finished and has no attempt open."""
--- a/martenstep/proxy/engine/state.py
+++ b/martenstep/proxy/engine/state.py
@@ -34,12 +34,3 @@
         """A number that no request and no counter call of this engine has had."""
         self._serial += 1
         return self._serial
-
-    def advance(self, now: float) -> None:
-        """Set the time, which never goes back."""
-        self.now = max(now, self.now)
-
-    def take_actions(self) -> list[ev.Action]:
-        """The actions so far, which are then the caller's."""
-        actions, self.actions = self.actions, []
-        return actions
--- a/martenstep/proxy/event_logger.py
+++ b/martenstep/proxy/event_logger.py
@@ -27,7 +27,7 @@
         """Write a line that needs attention."""
 
 
-LIMITED_EVENTS = ("answer", "turned away", "module")
+LIMITED_EVENTS = ("request finished", "request rejected", "policy")
 
 
 def configure(form: pb.Log.Form) -> None:
@@ -73,7 +73,7 @@
             second = int(self._clock())
             if second != self._second:
                 if self._left_out:
-                    self._logger.warning("lines left out", lines=self._left_out)
+                    self._logger.warning("log lines dropped", lines=self._left_out)
                 self._second, self._written, self._left_out = second, 0, 0
             if self._written >= self._max_lines_per_s:
                 self._left_out += 1
--- a/martenstep/proxy/hook_service.py
+++ b/martenstep/proxy/hook_service.py
@@ -60,10 +60,10 @@
         try:
             releases, problems = await asyncio.to_thread(read_directory, Path(directory), self._settings.trusted_key)
         except OSError as error:
-            self._log_event("hooks not taken up", {"error": f"{directory}: {error.strerror}"})
+            self._log_event("hooks not loaded", {"error": f"{directory}: {error.strerror}"})
             return
         for problem in problems:
-            self._log_event("hooks not taken up", {"error": problem})
+            self._log_event("hooks not loaded", {"error": problem})
         self.releases.stock(releases)
 
     def reconfigure(self, settings: pb.Hooks) -> None:
--- a/martenstep/proxy/listener.py
+++ b/martenstep/proxy/listener.py
@@ -1,7 +1,8 @@
 """Accepts connections on a listening socket, through the failures that accept(2) documents.
 
-The event loop's own server pauses for a second where descriptors or memory run short for a moment, and cannot be told
-otherwise; requests of little time in the queue would be lost meanwhile, and with the queue's end those in it.
+The event loop's own server pauses for a second where descriptors or memory run short for a moment, and cannot be
+configured otherwise; requests of little time in the queue would be lost meanwhile, and with the queue's end those in
+it.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
     ) -> None:
         """`make_protocol` is given when a connection was made at the earliest, by `clock`.
 
-        `accept_failed` is told of each accept that failed for want of descriptors or memory.
+        `accept_failed` is called with each accept that failed for want of descriptors or memory.
         """
         self._socket, self._make_protocol, self._accept_failed = sock, make_protocol, accept_failed
         self._clock = clock
--- a/martenstep/proxy/server.py
+++ b/martenstep/proxy/server.py
@@ -150,7 +150,7 @@
         self._relay.record_usage, self._relay.record_timeout_ms = record_usage, timeout_ms
 
     def set_staleness_check(self, endpoint_list_is_stale: Callable[[], bool]) -> None:
-        """Set what tells whether the endpoint list may lack what counts as told: attempts wait then."""
+        """Set what tells whether the endpoint list may lack what counts as notified: attempts wait then."""
         self._sender.endpoint_list_is_stale = endpoint_list_is_stale
 
     # Observation --------------------------------------------------------------------------------------------
@@ -188,7 +188,7 @@
 
     def log_rejected_server(self, address: str, reason: str) -> None:
         """Log that a server is not the one that its certificate must show."""
-        self.state.log_event("server refused", {"address": address, "reason": reason})
+        self.state.log_event("upstream certificate rejected", {"address": address, "reason": reason})
 
     # Actions ------------------------------------------------------------------------------------------------
 
--- a/martenstep/proxy/server_state.py
+++ b/martenstep/proxy/server_state.py
@@ -107,12 +107,11 @@
                 self._action_handlers[type(action)](action)
         finally:
             self._carrying_out = False
-        self._schedule_tick()
-
-    def _schedule_tick(self) -> None:
         at = self.engine.next_at()
-        if at is None or (self._tick_timer is not None and at >= self._tick_at):
-            return
+        if at is not None and (self._tick_timer is None or at < self._tick_at):
+            self._schedule_tick(at)
+
+    def _schedule_tick(self, at: float) -> None:
         if self._tick_timer is not None:
             self._tick_timer.cancel()
         self._tick_at = at
--- a/martenstep/proxy/usage_recorder.py
+++ b/martenstep/proxy/usage_recorder.py
@@ -135,7 +135,7 @@
         )
         if not written:
             self._log_event(
-                "try not recorded",
+                "usage not recorded",
                 {
                     "request": usage.correlation_id,
                     "customer": usage.customer,
--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -134,7 +134,7 @@
 
     def answers(self) -> list[dict[str, Any]]:
         """The lines of final answers."""
-        return [fields for event, fields in self.notes if event == "answer"]
+        return [fields for event, fields in self.notes if event == "request finished"]
 
     async def until(self, test: Callable[[], bool]) -> None:
         """Wait for something that must come to be."""
--- a/tests/test_fault_calls.py
+++ b/tests/test_fault_calls.py
@@ -127,11 +127,11 @@
             text = door.path.read_text(encoding="utf-8")
             door.path.write_text(text[: len(text) // 2], encoding="utf-8")  # whoever writes it is not done
             door.signal(signal.SIGHUP)
-            await door.until("configuration not taken up")
+            await door.until("configuration rejected")
             aside = tmp_path / "aside.json"
             aside.write_text(text, encoding="utf-8")
             os.replace(aside, door.path)
-            await door.until("configuration taken up")
+            await door.until("configuration applied")
 
     play(test())
 
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -25,7 +25,10 @@
 
 FORMATS = Path(__file__).parent / "formats" / "proxy"
 HEAD_END = b"\r\n\r\n"
-FINAL, REJECTED = "answer", "turned away"  # names of events, which are not held here: only their fields are
+FINAL, REJECTED = (
+    "request finished",
+    "request rejected",
+)  # names of events, which are not held here: only their fields are
 
 
 def stored(name: str) -> str:
--- a/tests/test_hooks_points.py
+++ b/tests/test_hooks_points.py
@@ -47,7 +47,7 @@
     own = refused(HookRig())
     assert head(reply, "retry-after-ms") == head(own, "retry-after-ms")  # 1 ms would be earlier
     assert float(head(own, "retry-after-ms") or 0) > 1
-    [line] = [note for note in rig.of(ev.LogEvent) if note.event == "answer" and note.fields["status"] == 429]
+    [line] = [note for note in rig.of(ev.LogEvent) if note.event == "request finished" and note.fields["status"] == 429]
     assert line.fields["hooks"] == 3 and rig.quiet() == QUIET
 
 
@@ -110,7 +110,7 @@
     rig = HookRig(release(1, 'on classify(r) { Class { class: "pay", customer: "free", units: 3 } }'), text=OPEN)
     request_id = rig.ask(customer="anna")
     rig.serve(request_id)
-    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "answer"]
+    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "request finished"]
     assert (line["class"], line["customer"], line["plan"]) == ("pay", "free", "open")
 
 
@@ -130,7 +130,7 @@
     rig = HookRig(release(1, f"on classify(r) {{ Class {{ {made} }} }}"), text=OPEN)
     request_id = rig.ask("/pay/1", customer="free")
     rig.end(request_id, AttemptFailure.CLOSED)  # an attempt that may have run
-    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "answer"]
+    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "request finished"]
     assert (line["class"], line["customer"], line["plan"], line["attempts"]) == ("pay", "free", "open", 1)
     assert rig.shelf.counts == {"classify border": 1}
 
@@ -204,7 +204,7 @@
     rig.serve(request_id, 201, [(b"etag", b"e")])
     [passed] = rig.of(ev.RelayResponse, request_id)
     assert [value for name, value in passed.headers if name == b"etag"] == [b"e!"]
-    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "answer"]
+    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "request finished"]
     assert line["hook_studio"] == "free 201 1"
 
 
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -136,7 +136,7 @@
         while len(lists) < 2:
             await asyncio.sleep(0.001)
         assert asked[0] == "/catalog/members" and asked[1].startswith("/catalog/members?after=1&")
-        assert asked[2] == "/catalog/members?after=1&wait_ms=0" and "discovery lost" in notes
+        assert asked[2] == "/catalog/members?after=1&wait_ms=0" and "discovery connection lost" in notes
         made.move(("127.0.0.1", await second.start()))
         while all(listed.servers[0].id != 2 for listed in lists):
             await asyncio.sleep(0.001)
@@ -291,7 +291,7 @@
         watch = next(place for place, turn in enumerate(turns) if "after=1" in turn)
         assert watch >= 2 and set(turns[:watch]) == {"/catalog/members"}, "there was no list yet"
         assert turns[watch + 1] == "/catalog/members?after=1&wait_ms=0", "what changed since the list that there is"
-        assert notes.count("discovery lost") == 2
+        assert notes.count("discovery connection lost") == 2
 
     run(test())
 
@@ -337,7 +337,7 @@
     async def test() -> None:
         lists, notes = await _followed(agent, 2, fails)
         assert lists[1].scope is EndpointListScope.FULL, "the whole list, since the first may not have been taken in"
-        assert notes == ["fault", "discovery back"]
+        assert notes == ["fault", "discovery connection recovered"]
 
     run(test())
 
@@ -468,7 +468,7 @@
         lists, notes = await _followed(refuses, 2, timing=DiscoveryTiming(250.0, 250.0, 250.0, 1500.0, 1.0, 1.0))
         assert [listed.scope for listed in lists] == [EndpointListScope.FULL, EndpointListScope.DELTA]
         assert asked[0] == "/catalog/members" and all("after=1&" in target for target in asked[1:4])
-        assert notes[:2] == ["discovery lost", "discovery back"]
+        assert notes[:2] == ["discovery connection lost", "discovery connection recovered"]
 
     run(test())
 
@@ -635,8 +635,8 @@
         assert [server.state for server in again.servers] == [EndpointState.UP, EndpointState.DRAINING] + [
             EndpointState.UP
         ] * (ends != "held")
-        assert notes == ["discovery lost", "list in doubt"] + ["discovery back"] * (ends != "held") + [
-            "list no longer in doubt"
-        ]
+        assert notes == ["discovery connection lost", "endpoint list stale"] + ["discovery connection recovered"] * (
+            ends != "held"
+        ) + ["endpoint list fresh"]
 
     run(test())
--- a/tests/test_node_gateway.py
+++ b/tests/test_node_gateway.py
@@ -121,7 +121,7 @@
             door.node.server.state.log_event = lambda event, fields: lines.append((event, fields))
             assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
             assert (await door.ask("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 400
-            assert [fields["status"] for event, fields in lines if event == "turned away"] == [400]
+            assert [fields["status"] for event, fields in lines if event == "request rejected"] == [400]
 
     run(test())
 
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -219,7 +219,7 @@
 
             await door.start()
             await write_to(door.path, text, crosses)
-            await door.until("configuration taken up")
+            await door.until("configuration applied")
             await door.until("ready")
             assert asked and asked[0].startswith("get /catalog/members ")
             door.signal(signal.SIGTERM)
@@ -247,7 +247,7 @@
                 await asyncio.sleep(0)
             door.signal(number)
             if number == signal.SIGHUP:
-                await door.until("configuration taken up")
+                await door.until("configuration applied")
                 door.signal(signal.SIGTERM)
             assert await door.end() == 0
             assert number == signal.SIGHUP or "ready" not in door.events()
@@ -360,7 +360,7 @@
             await door.start()
             while len(refusals) < 8:  # longer than a discovery that says nothing would be waited for
                 await asyncio.sleep(0.005)
-            assert "ready" not in door.events() and "list in doubt" in door.events()
+            assert "ready" not in door.events() and "endpoint list stale" in door.events()
             gate.set()
             assert (await door.until("ready"))["servers"] == 1
             assert "ready without discovery" not in door.events()
@@ -508,7 +508,7 @@
                 changed = {**json.loads(door.path.read_text(encoding="utf-8")), "discovery": elsewhere}
                 door.path.write_text(json.dumps(changed), encoding="utf-8")
                 door.signal(signal.SIGHUP)
-                await door.until("configuration taken up")
+                await door.until("configuration applied")
                 while not asked:
                     await asyncio.sleep(0.005)
                 gates[0].set()
@@ -532,13 +532,13 @@
             for number, changed in enumerate(({**good, "discovery": "nowhere"}, {**good, "settings": 5})):
                 door.path.write_text(json.dumps(changed), encoding="utf-8")
                 door.signal(signal.SIGHUP)
-                while door.events().count("configuration not taken up") <= number:
+                while door.events().count("configuration rejected") <= number:
                     await asyncio.sleep(0.005)
-            errors = [line["error"] for line in door.lines if line["event"] == "configuration not taken up"]
+            errors = [line["error"] for line in door.lines if line["event"] == "configuration rejected"]
             assert errors[0].startswith("discovery:") and errors[1].startswith("settings:")
             door.path.write_text(json.dumps({**good, "limits": {"sockets": 300}}), encoding="utf-8")
             door.signal(signal.SIGHUP)
-            assert (await door.until("configuration taken up"))["after_a_restart"] == ["listener", "upstream"]
+            assert (await door.until("configuration applied"))["after_a_restart"] == ["listener", "upstream"]
             assert (await door.ask(request(1)))[0] == 200
             door.signal(signal.SIGTERM)
             assert await door.end() == 0
@@ -573,7 +573,7 @@
                 assert (await door.ask(request(1, X_Plan="small")))[0] in (200, 503), "served, or told of a full house"
                 back = Back(lists(targets, []))
                 back._server = await asyncio.start_server(back._serve, "127.0.0.1", port)
-                await door.until("discovery back")
+                await door.until("discovery connection recovered")
                 while True:  # who came in the same burst is young, and keeps others out for a while
                     status, _, body = await door.ask(
                         request(len(heads) + 2, X_Plan="free", X_Trace_Id=os.urandom(8).hex())
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -107,8 +107,8 @@
             plain = await door.client()
             await plain.write(get())
             assert not (await plain.rest()).startswith(b"HTTP")
-            await door.until(lambda: any(event == "handshake refused" for event, _ in door.notes))
-            [told] = [fields for event, fields in door.notes if event == "handshake refused"]
+            await door.until(lambda: any(event == "handshake failed" for event, _ in door.notes))
+            [told] = [fields for event, fields in door.notes if event == "handshake failed"]
             assert told["peer"] == "127.0.0.1" and "HTTP_REQUEST" in told["reason"].upper()
 
     run(test())
@@ -127,7 +127,7 @@
                     refused = await secured(door, trusting(issuer, shown))
                     await refused.write(get())
                     await refused.response()
-            await door.until(lambda: sum(event == "handshake refused" for event, _ in door.notes) == 3)
+            await door.until(lambda: sum(event == "handshake failed" for event, _ in door.notes) == 3)
 
     run(test())
 
@@ -187,7 +187,7 @@
                 assert (status, body) == (200, b"secret")
             else:
                 assert status == 503 and not heads
-                [told] = [fields for event, fields in door.notes if event == "server refused"]
+                [told] = [fields for event, fields in door.notes if event == "upstream certificate rejected"]
                 assert reason in told["reason"]
         server.close()
 
@@ -216,7 +216,7 @@
         async with house(good, text=text) as door:
             status, _, _ = await door.ask("/safe/1", "authorization: anna\r\n")
             assert status == 503 and not heads
-            [told] = [fields for event, fields in door.notes if event == "server refused"]
+            [told] = [fields for event, fields in door.notes if event == "upstream certificate rejected"]
             assert told["address"] == f"127.0.0.1:{port}" and "IP address mismatch" in told["reason"]
         service.close()
 
