--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -521,7 +521,9 @@
         self._leaving(self._sim.now + self.settings.stop_ms, done)
 
     def _leaving(self, until: float, done: Callable[[], None]) -> None:
-        if (self.engine.open or self._callers) and self._sim.now < until:  # those in turn are not the engine's yet
+        if (
+            self.engine.unanswered or self._callers
+        ) and self._sim.now < until:  # those in turn are not the engine's yet
             self._sim.after(10.0, self._leaving, until, done)
             return
         self._run(self.engine.stop(self._sim.now))
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -279,10 +279,10 @@
             self._event_logger.log(
                 "totals",
                 {
-                    "answers": self.engine.answers,
-                    "verdicts": self.engine.verdicts,
-                    "denials": self.engine.denials,
-                    **self.engine.held,
+                    "answers": self.engine.response_counts,
+                    "verdicts": self.engine.attempt_result_counts,
+                    "denials": self.engine.denial_counts,
+                    **self.engine.held_counts,
                     **self.server.counts,
                     "clients": len(self.server.clients),
                     "upstream": self.server.pool.connections,
@@ -291,7 +291,7 @@
 
     async def stop(self) -> None:
         """Serve on for a while, answer what is in flight, end."""
-        self._event_logger.log("stopping", {"open": self.engine.open})
+        self._event_logger.log("stopping", {"open": self.engine.unanswered})
         if self._totals_task is not None:
             self._totals_task.cancel()
         plan = self.drain_plan if self.server.listening else EMPTY_DRAIN_PLAN
@@ -304,10 +304,10 @@
             "stopped",
             {
                 "clean": clean,
-                "answers": self.engine.answers,
-                "denials": self.engine.denials,
+                "answers": self.engine.response_counts,
+                "denials": self.engine.denial_counts,
                 **self.server.counts,
-                **self.engine.held,
+                **self.engine.held_counts,
             },
         )
 
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -130,7 +130,7 @@
     async def stop(self) -> bool:
         """Shut down gracefully in a bounded time; True where all that was in flight was answered by itself."""
         self.ready = False
-        self._log_event("stopping", {"open": self.engine.open})
+        self._log_event("stopping", {"open": self.engine.unanswered})
         membership = self.cluster.membership
         leaving = asyncio.create_task(membership.leave()) if membership is not None else None
         clean = await self.server.stop(self.settings.stop_ms)
@@ -147,7 +147,7 @@
             await leaving
             await membership.stop()
         self._admin.stop()
-        self._log_event("stopped", {"clean": clean, **self.engine.held})
+        self._log_event("stopped", {"clean": clean, **self.engine.held_counts})
         return clean
 
     # Counter and endpoints ----------------------------------------------------------------------------------
@@ -190,7 +190,7 @@
 
     def gauges(self) -> dict[str, float]:
         """Present values by metric name."""
-        gauges: dict[str, float] = {f"held_{name}": value for name, value in self.engine.held.items()}
+        gauges: dict[str, float] = {f"held_{name}": value for name, value in self.engine.held_counts.items()}
         releases = self._hook_releases
         if releases is not None:
             gauges.update({f"hooks_version_{name}": version for name, version in releases.acting.items()})
--- a/martenstep/proxy/engine/authorization.py
+++ b/martenstep/proxy/engine/authorization.py
@@ -49,7 +49,7 @@
         self._plan_by_credential: OrderedDict[bytes, str] = OrderedDict()  # as a service named it last
 
     @property
-    def held(self) -> dict[str, int]:
+    def held_counts(self) -> dict[str, int]:
         """Numbers of what is held in memory, by name."""
         return self._checks.held
 
--- a/martenstep/proxy/engine/engine.py
+++ b/martenstep/proxy/engine/engine.py
@@ -165,7 +165,7 @@
     # Observation --------------------------------------------------------------------------------------------
 
     @property
-    def open(self) -> int:
+    def unanswered(self) -> int:
         """Requests that are owed a final response."""
         return self._state.unanswered
 
@@ -175,22 +175,22 @@
         return self._endpoints.addresses
 
     @property
-    def answers(self) -> dict[str, int]:
+    def response_counts(self) -> dict[str, int]:
         """Final responses, by reason."""
         return self._responses.counts
 
     @property
-    def verdicts(self) -> dict[str, int]:
+    def attempt_result_counts(self) -> dict[str, int]:
         """Ended attempts, by result."""
         return self._attempts.result_counts
 
     @property
-    def denials(self) -> dict[str, int]:
+    def denial_counts(self) -> dict[str, int]:
         """Attempts that were denied at the moment of their first byte, by the denial's name."""
         return self._attempts.denial_counts
 
     @property
-    def held(self) -> dict[str, int]:
+    def held_counts(self) -> dict[str, int]:
         """Numbers of what is held in memory, under the names that the metrics have."""
         held = {
             "exchanges": len(self._state.requests),
@@ -200,7 +200,7 @@
             "open": self._state.unanswered,
         }
         if self._authorization is not None:
-            held.update({f"auth_{name}": count for name, count in self._authorization.held.items()})
+            held.update({f"auth_{name}": count for name, count in self._authorization.held_counts.items()})
         return held
 
     # Policy actions -----------------------------------------------------------------------------------------
--- a/martenstep/proxy/graceful_shutdown.py
+++ b/martenstep/proxy/graceful_shutdown.py
@@ -42,10 +42,10 @@
         while True:
             # A client that stays has a request, or bytes that may become one and that nobody has read yet.
             staying = [client for client in state.clients if not (client.closing or client.close_idle())]
-            if now_ms() >= until or not (state.engine.open or staying):
+            if now_ms() >= until or not (state.engine.unanswered or staying):
                 break
             await asyncio.sleep(POLL_S)
-        all_answered = not state.engine.open
+        all_answered = not state.engine.unanswered
         state.perform(state.engine.stop(now_ms()))
         return all_answered
 
--- a/tests/engine_rig.py
+++ b/tests/engine_rig.py
@@ -139,7 +139,7 @@
 
     def quiet(self) -> dict[str, int]:
         """What is still kept when all is quiet, but for timers and servers."""
-        return {name: self.engine.held[name] for name in ("exchanges", "calls", "open")}
+        return {name: self.engine.held_counts[name] for name in ("exchanges", "calls", "open")}
 
 
 QUIET = {"exchanges": 0, "calls": 0, "open": 0}
--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -167,4 +167,4 @@
         await driver.stop(1000.0)
         for back in backs:
             back.stop()
-    assert driver.engine.open == 0
+    assert driver.engine.unanswered == 0
--- a/tests/test_auth_proxy.py
+++ b/tests/test_auth_proxy.py
@@ -67,7 +67,7 @@
     names = [(name, value) for name, value in sent.headers if name in (b"x-auth-customer", b"x-role", b"x-secret")]
     assert names == [(b"x-auth-customer", b"anna"), (b"x-role", b"owner")]  # by the allow list, and only the service's
     rig.serve(request_id)
-    assert len(rig.finals(request_id)) == 1 and rig.quiet() == QUIET and rig.engine.held["auth_passed"] == 0
+    assert len(rig.finals(request_id)) == 1 and rig.quiet() == QUIET and rig.engine.held_counts["auth_passed"] == 0
 
 
 def test_underscored_twins_of_identity_headers_do_not_pass() -> None:
@@ -160,7 +160,7 @@
     rig = Door()
     request_id = rig.ask("/safe/1")
     rig.tell(ev.ClientDisconnected(request_id))
-    assert rig.of(ev.StopAuthCheck) and rig.quiet() == QUIET and rig.engine.held["auth_checks"] == 0
+    assert rig.of(ev.StopAuthCheck) and rig.quiet() == QUIET and rig.engine.held_counts["auth_checks"] == 0
     rig.verdict()
     assert not rig.finals(request_id) and not rig.of(ev.OpenAttempt)
 
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -212,7 +212,7 @@
     assert result["figures"]["requests_served"] > 0.6 * result["figures"]["requests"]
     assert ("verdicts" in result["rules"]) == day.HasField("auth_services")
     for door in world.doors.values():  # all books are balanced once all is quiet
-        assert {name: door.engine.held[name] for name in ("exchanges", "open")} == {"exchanges": 0, "open": 0}
+        assert {name: door.engine.held_counts[name] for name in ("exchanges", "open")} == {"exchanges": 0, "open": 0}
         assert not door._out and not door._callers
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -335,7 +335,7 @@
     rig.write(out)
     rig.did += rig.engine.stop(rig.now)
     assert len(rig.finals(out)) == 1 and len(rig.finals(held)) == 1
-    assert rig.engine.open == 0
+    assert rig.engine.unanswered == 0
 
 
 def test_a_held_request_is_answered_at_its_deadline_even_if_the_module_holds_it() -> None:
@@ -344,7 +344,7 @@
     timers = rig.engine._state.timers
     timers._heap = [entry for entry in timers._heap if isinstance(entry[2], RequestDeadline)]
     rig.pass_time(4000)
-    assert rig.reply(request_id).status == 504 and rig.engine.open == 0
+    assert rig.reply(request_id).status == 504 and rig.engine.unanswered == 0
 
 
 def test_timers_keep_no_finished_request_alive() -> None:
@@ -353,7 +353,7 @@
         rig.serve(rig.ask())
     assert rig.quiet() == QUIET
     rig.pass_time(5000)
-    assert rig.engine.held["timers"] == 0
+    assert rig.engine.held_counts["timers"] == 0
 
 
 def test_a_try_is_told_for_the_record_once_when_it_is_first_sent_on() -> None:
@@ -383,7 +383,7 @@
     for number in range(3, 200):
         rig.tell(listed(number, scope=EndpointListScope.DELTA))
         rig.tell(listed(number - 2, scope=EndpointListScope.DELTA, state=EndpointState.REMOVED))
-    assert rig.engine.held["servers"] == 2
+    assert rig.engine.held_counts["servers"] == 2
 
 
 def test_a_timer_whose_cause_has_passed_wakes_nobody() -> None:
@@ -397,7 +397,7 @@
     rig.serve(request_id)
     rig.now = silence
     rig.tell(ev.Tick())
-    assert rig.engine.next_at() is None and rig.engine.held["timers"] == 0, "nor its deadline"
+    assert rig.engine.next_at() is None and rig.engine.held_counts["timers"] == 0, "nor its deadline"
     counted = rig.ask(customer="anna")
     assert rig.of(ev.AddToCounter)
     rig.count_all(1.0)
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -136,7 +136,7 @@
     def books_agree(self) -> None:
         # A begun answer is final for the client, and stays open until its last byte.
         half = self.begun & self.over & set(self.out) - self.left
-        assert self.rig.engine.open == len(set(self.request_ids) - self.over - self.left) + len(half)
+        assert self.rig.engine.unanswered == len(set(self.request_ids) - self.over - self.left) + len(half)
 
     def teardown(self) -> None:
         for request_id, number in list(self.out.items()):
@@ -207,7 +207,9 @@
 
     def teardown(self) -> None:
         super().teardown()
-        assert all(self.rig.engine.held[f"auth_{name}"] == 0 for name in ("asks", "checks", "queued", "out", "passed"))
+        assert all(
+            self.rig.engine.held_counts[f"auth_{name}"] == 0 for name in ("asks", "checks", "queued", "out", "passed")
+        )
 
 
 GuardedDoor.TestCase.settings = hypo(max_examples=120, stateful_step_count=40, deadline=None, derandomize=True)
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -161,4 +161,4 @@
             engine.handle(1.0, RequestReceived(number, b"GET", b"/read/00000000000000a1", headers, ""))
         engine.handle(20_000.0, Tick())
         engine.stop(30_000.0)
-        assert engine.open == 0
+        assert engine.unanswered == 0
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -100,7 +100,7 @@
         async with place(tmp_path, cuts) as door:
             status, _, body = await door.ask(request(1))
             assert status == 503 and b"half" not in body, "safe to repeat: tried again, then refused"
-            assert door.node.engine.verdicts == {"reset": 3}
+            assert door.node.engine.attempt_result_counts == {"reset": 3}
 
     run(test())
 
@@ -135,7 +135,7 @@
             peer = await door.client()
             await peer.write(request(1))
             assert not (await peer.rest()).endswith(b"0\r\n\r\n")
-            assert door.node.engine.verdicts.get("ok") is None
+            assert door.node.engine.attempt_result_counts.get("ok") is None
 
     run(test())
 
@@ -261,7 +261,7 @@
                 raw.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             raw.socket.close()
             driver._relay.fail(flight, AttemptFailure.CLOSED)
-            assert driver.counts["attempts"] == 1 and door.node.engine.answers == {"client left": 1}
+            assert driver.counts["attempts"] == 1 and door.node.engine.response_counts == {"client left": 1}
             await until(lambda: not driver.requests)
 
     run(test())
@@ -282,7 +282,7 @@
             client = await only(door)
             assert client.reader.buffered <= READ_BYTES
             peer.close()
-            await until(lambda: door.node.engine.answers == {"client left": 1})
+            await until(lambda: door.node.engine.response_counts == {"client left": 1})
             await until(lambda: not door.node.server.clients)
 
     run(test())
@@ -327,7 +327,7 @@
             await peer.write(request(1))
             await until(lambda: door.node.server.counts["attempts"])
             peer.close()
-            await until(lambda: door.node.engine.answers == {"client left": 1})
+            await until(lambda: door.node.engine.response_counts == {"client left": 1})
             gate.set()
             await ended.wait()
             await until(lambda: not door.node.server.requests)
@@ -351,8 +351,10 @@
 
             driver.pool.connect = crossed  # type: ignore[method-assign]
             raw.send(request(1))
-            await until(lambda: door.node.engine.answers == {"client left": 1})
-            assert door.node.engine.verdicts == {"moot": 1}, "nothing was written, and nothing is held against it"
+            await until(lambda: door.node.engine.response_counts == {"client left": 1})
+            assert door.node.engine.attempt_result_counts == {"moot": 1}, (
+                "nothing was written, and nothing is held against it"
+            )
             assert driver.pool.connections == 1
 
     run(test())
@@ -437,7 +439,7 @@
             node._endpoints_updated(listed)
             assert (await peer.response())[2].decode() == uids[stays] and len(taken) == 1
             gate.set()
-            assert node.engine.verdicts == {"moot": 1, "ok": 1}, "held against nobody"
+            assert node.engine.attempt_result_counts == {"moot": 1, "ok": 1}, "held against nobody"
             peer.close()
 
     run(test())
@@ -554,7 +556,7 @@
             assert await peer.reader.read() == b"", "an end, and no reset"
             peer.close()
             await until(lambda: not door.node.server.clients)
-            assert not door.node.engine.answers, "nobody has it"
+            assert not door.node.engine.response_counts, "nobody has it"
 
     run(test())
 
@@ -730,7 +732,7 @@
 
             pool.connect = fails  # type: ignore[method-assign]
             assert (await door.ask(request(1)))[0] == 503
-            assert door.node.engine.verdicts == {"connect failed": 3}
+            assert door.node.engine.attempt_result_counts == {"connect failed": 3}
 
     run(test())
 
@@ -832,7 +834,9 @@
             peer = await door.client()
             await peer.write(request(1, X_Expires_In_Ms="1500"))
             assert not (await peer.rest()).endswith(b"0\r\n\r\n"), "it can tell that this is not whole"
-            assert door.node.engine.answers == {"broken answer": 1} and door.node.engine.verdicts == {"timeout": 1}
+            assert door.node.engine.response_counts == {
+                "broken answer": 1
+            } and door.node.engine.attempt_result_counts == {"timeout": 1}
 
     run(test())
 
@@ -929,7 +933,7 @@
             driver.pool.connect = late  # type: ignore[method-assign]
             status, _, _ = await door.ask(request(1, "book", method="POST", body="x"))
             assert status == 503 and len(heads) == 1 and len(dials) == 2
-            assert door.node.engine.verdicts == {"reset": 1, "connect failed": 1}
+            assert door.node.engine.attempt_result_counts == {"reset": 1, "connect failed": 1}
 
     run(test())
 
--- a/tests/test_node_gateway.py
+++ b/tests/test_node_gateway.py
@@ -81,7 +81,7 @@
         await made.node.stop()
         for back in [*backs, told, counter]:
             back.stop()
-    assert made.node.engine.open == 0
+    assert made.node.engine.unanswered == 0
 
 
 async def serves(peer: Peer) -> None:
@@ -217,7 +217,7 @@
             for number, size in enumerate((100_000, 400_000)):
                 status, _, body = await door.ask(request(number))
                 assert status == 200 and body == b"x" * size
-            assert door.node.engine.verdicts == {"ok": 2}
+            assert door.node.engine.attempt_result_counts == {"ok": 2}
 
     run(test())
 
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -86,7 +86,7 @@
             await peer.write(get(method="POST", more="transfer-encoding: chunked\r\n"))
             await peer.write("7d0\r\n" + "x" * 2000 + "\r\n")
             assert (await peer.rest()).startswith(b"HTTP/1.1 413")
-            assert not door.driver.engine.open
+            assert not door.driver.engine.unanswered
 
     run(test())
 
@@ -233,9 +233,9 @@
         async with house(silent, text="listener { leave_on_half_close: true }") as door:
             peer = await door.client()
             await peer.write(get())
-            await door.until(lambda: door.driver.engine.open == 1)
+            await door.until(lambda: door.driver.engine.unanswered == 1)
             peer.writer.write_eof()
-            await door.until(lambda: door.driver.engine.open == 0)
+            await door.until(lambda: door.driver.engine.unanswered == 0)
             assert door.answers()[0]["reason"] == "client left"
 
     run(test())
@@ -255,7 +255,7 @@
             peer = await door.client()
             await peer.write(get())
             await got.wait()  # a client that goes before leaves the server with nothing
-            assert door.driver.requests and door.driver.engine.open == 1
+            assert door.driver.requests and door.driver.engine.unanswered == 1
             peer.reset()
             await ended.wait()  # the server sees its connection end
             assert door.answers()[0]["reason"] == "client left" and not door.driver.requests
@@ -463,7 +463,7 @@
         async with house(waits) as door:
             idle, busy = await door.client(), await door.client()
             await busy.write(get())
-            await door.until(lambda: door.driver.engine.open == 1)
+            await door.until(lambda: door.driver.engine.unanswered == 1)
             stopping = asyncio.create_task(door.driver.stop(10_000.0))
             assert await idle.rest() == b""
             with pytest.raises(OSError):
@@ -501,7 +501,7 @@
             held = [await door.client() for _ in range(3)]
             for peer in held:
                 await peer.write(get())
-            await door.until(lambda: door.driver.engine.open == 3)
+            await door.until(lambda: door.driver.engine.unanswered == 3)
             more = await door.client()
             assert (await more.rest()).startswith(b"HTTP/1.1 503")
             release.set()
