--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any, TextIO, TypeVar
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.node.config import (
     EMPTY_DRAIN_PLAN,
     REUSE_DELAY_MS,
@@ -164,10 +164,10 @@
         # A service that all gateways share is not polled out of turn: what it has sent by now is waited for.
         return self._discovery.has_unread
 
-    def _endpoints_updated(self, update: Listed) -> None:
+    def _endpoints_updated(self, update: EndpointListEvent) -> None:
         if update.scope is EndpointListScope.FULL:
             self._first_list.set()
-        starts = {endpoint.id: endpoint.started_ms for endpoint in update.servers}
+        starts = {endpoint.id: endpoint.started_ms for endpoint in update.endpoints}
         concerned_numbers = starts if update.scope is EndpointListScope.DELTA else self.engine.addresses
         before = {
             number: self.engine.addresses[number] for number in concerned_numbers if number in self.engine.addresses
@@ -202,7 +202,7 @@
         except DiscoveryError as error:
             self._event_logger.log("cached endpoint list unusable", {"error": str(error)})
             cached = None
-        self.server.handle(cached if cached is not None else Listed(EndpointListScope.CACHED))
+        self.server.handle(cached if cached is not None else EndpointListEvent(EndpointListScope.CACHED))
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -10,7 +10,7 @@
 import select
 from collections.abc import Callable
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.event_log import EventLog
 from martenstep.node.endpoint_list import DiscoveryError, EndpointListFollower, RejectedError
 from martenstep.node.poll_timing import AGENT_TIMING, DiscoveryTiming, ListFreshness, PollPace
@@ -38,7 +38,7 @@
         self,
         address: tuple[str, int],
         follower: EndpointListFollower,
-        updated: Callable[[Listed], None],
+        updated: Callable[[EndpointListEvent], None],
         log_event: EventLog,
         timing: DiscoveryTiming = AGENT_TIMING,
     ) -> None:
--- a/martenstep/node/endpoint_list.py
+++ b/martenstep/node/endpoint_list.py
@@ -10,7 +10,7 @@
 from ipaddress import ip_address
 from typing import Any
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.node.config import ConfigError, parse_address
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.policy.start_times import StartTimes
@@ -67,13 +67,13 @@
         self.addresses: dict[int, tuple[str, int]] = {}
         self._endpoints: dict[int, Endpoint] = {}
 
-    def full_list(self) -> Listed:
+    def full_list(self) -> EndpointListEvent:
         """The list as received so far."""
-        return Listed(EndpointListScope.FULL, tuple(self._endpoints.values()), dict(self.addresses))
+        return EndpointListEvent(EndpointListScope.FULL, tuple(self._endpoints.values()), dict(self.addresses))
 
-    def draining_list(self) -> Listed:
+    def draining_list(self) -> EndpointListEvent:
         """The same where any of them may be draining: none accepts anything new."""
-        return Listed(
+        return EndpointListEvent(
             EndpointListScope.DELTA,
             tuple(replace(endpoint, state=EndpointState.DRAINING) for endpoint in self._endpoints.values()),
             dict(self.addresses),
@@ -83,7 +83,7 @@
         """The target of the next poll; a watch may wait for so long."""
         return PATH if self.revision is None else f"{PATH}?after={self.revision}&wait_ms={wait_ms:.0f}"
 
-    def take_response(self, body: bytes) -> Listed | None:
+    def take_response(self, body: bytes) -> EndpointListEvent | None:
         """Take a response in; returns the update, None where nothing changed.  Raises DiscoveryError."""
         try:
             raw = json.loads(body)
@@ -91,7 +91,7 @@
             raise DiscoveryError(f"not JSON: {error}") from None
         return self.take_list(raw)
 
-    def take_list(self, raw: Any, scope: EndpointListScope | None = None) -> Listed | None:  # noqa: ANN401  # JSON
+    def take_list(self, raw: Any, scope: EndpointListScope | None = None) -> EndpointListEvent | None:  # noqa: ANN401  # JSON
         """Take in a list that is decoded already; `scope` in place of its own, and then no watch goes on from it.
 
         Nothing is taken in of one that cannot be read to its end.  Raises DiscoveryError.
@@ -117,7 +117,7 @@
         self._starts.trim(self._numbers)
         addresses = {one.id: self.addresses[one.id] for one in endpoints if one.id in self.addresses}
         own_scope = EndpointListScope.FULL if is_full else EndpointListScope.DELTA
-        return Listed(scope or own_scope, tuple(endpoints), addresses)
+        return EndpointListEvent(scope or own_scope, tuple(endpoints), addresses)
 
     def _apply(self, entries: list[_Entry], is_full: bool) -> list[Endpoint]:
         """Take in entries that were all read, at a cost of the entries, not of the whole list."""
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from unittest.mock import Mock
 
-from martenstep.discovery.endpoint_list import Listed
+from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.node.daemon import GatewayNode
 from martenstep.node.endpoint_list import (
     EndpointListFollower,
@@ -57,9 +57,9 @@
     return lambda body: assert_taken(follower.take_response(body))
 
 
-def assert_taken(listed: Listed | None) -> None:
+def assert_taken(listed: EndpointListEvent | None) -> None:
     """A change was told."""
-    assert listed is not None and listed.scope is EndpointListScope.DELTA and len(listed.servers) == 1
+    assert listed is not None and listed.scope is EndpointListScope.DELTA and len(listed.endpoints) == 1
 
 
 def of_module(whole: bytes) -> Callable[[bytes], None]:
@@ -69,7 +69,7 @@
     def take(body: bytes) -> None:
         listed = follower.take_response(body)
         assert listed is not None
-        gateway.handle(0.0, api.EndpointListUpdate(listed.scope, listed.servers))
+        gateway.handle(0.0, api.EndpointListUpdate(listed.scope, listed.endpoints))
 
     take(whole)
     return take
@@ -84,7 +84,7 @@
     async def test() -> None:
         def of_node(whole: bytes) -> Callable[[bytes], None]:
             node, follower = GatewayNode(config(), Mock()), EndpointListFollower()
-            node._endpoints_updated(follower.take_response(whole) or Listed(EndpointListScope.FULL))
+            node._endpoints_updated(follower.take_response(whole) or EndpointListEvent(EndpointListScope.FULL))
 
             def take(body: bytes) -> None:
                 listed = follower.take_response(body)
