--- a/martenstep/node/counter.py
+++ b/martenstep/node/counter.py
@@ -15,7 +15,7 @@
 from martenstep.backoff import Backoff
 from martenstep.policy.messages import CallResult
 from martenstep.proxy.clock import MS_PER_S, now_ms
-from martenstep.tasks import standing
+from martenstep.tasks import start_supervised
 
 MAX_CONNECTIONS = 4  # the counter accepts 32 of a gateway
 MAX_CALLS_PER_CONNECTION = 256  # what stands behind more would be answered long after its time
@@ -152,7 +152,7 @@
 
     def start(self) -> None:
         """Connect."""
-        self._sweeper = standing(self._sweep, self._task_failed)
+        self._sweeper = start_supervised(self._sweep, self._task_failed)
         self._ensure_connecting()
 
     def stop(self) -> None:
@@ -214,7 +214,7 @@
 
     def _ensure_connecting(self) -> None:
         if self._connect_task is None or self._connect_task.done():
-            self._connect_task = standing(self._connect, self._task_failed)
+            self._connect_task = start_supervised(self._connect, self._task_failed)
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -52,7 +52,7 @@
 from martenstep.proxy.loop_lag import LagSelector
 from martenstep.proxy.server import ProxyServer
 from martenstep.proxy.transport import poll_descriptor
-from martenstep.tasks import standing
+from martenstep.tasks import start_supervised
 
 FIRST_LIST_TIMEOUT_MS = 1500.0  # without discovery the gateway is ready after this: it has the cached list
 # The process before it at this address may still be ending.  What is not free in this time never will be, and nine in
@@ -247,7 +247,7 @@
         if not self._stop.is_set():
             self._request_reader.ready = True
             self._event_logger.log("ready", {"servers": len(self._follower.addresses)})
-        self._totals_task = standing(self._log_totals, self.server.log_task_failure)
+        self._totals_task = start_supervised(self._log_totals, self.server.log_task_failure)
         return port
 
     async def _first_list_within(self, ms: float) -> bool:
--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -19,7 +19,7 @@
 from martenstep.proxy.http1.message_head import ProtocolError, ResponseHead
 from martenstep.proxy.http1.message_reader import Data, EndOfMessage
 from martenstep.proxy.transport import READ_BYTES, WatchedProtocol, WatchedReader, is_ready
-from martenstep.tasks import standing
+from martenstep.tasks import start_supervised
 
 # The agent is on this machine and answers at once.  What it wrote to a connection that broke counts as notified, and a
 # drain binds within a second of that: a new connection that is silent as well must be given up well before.
@@ -54,7 +54,7 @@
 
     def start(self) -> None:
         """Poll from now on."""
-        self._task = standing(self._run, self._log_failure)
+        self._task = start_supervised(self._run, self._log_failure)
 
     def move(self, address: tuple[str, int]) -> None:
         """Poll discovery at another address from now on; its revisions there may be others."""
