--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -61,7 +61,7 @@
 class MaintenanceAdmin(Protocol):
     """What the listener asks of the maintenance queue."""
 
-    async def submit(self, what: Command) -> object:
+    async def submit(self, command: Command) -> object:
         """Submit a change."""
 
     async def fetch(self) -> object:
--- a/martenstep/proxy/engine/engine.py
+++ b/martenstep/proxy/engine/engine.py
@@ -121,12 +121,14 @@
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
         """Take one event in; returns what is to be done, in order."""
         state = self._state
-        state.advance(now)
-        due_at = self.next_at()
+        if now > state.now:  # it never goes back
+            state.now = now
+        due_at = state.timers.next_at() if self._authorization is None else self.next_at()
         if due_at is not None and due_at <= state.now and type(event) is not ev.Tick:
             self._fire_timers()  # what was due before this event goes first, however late the driver is
         self._event_handlers[type(event)](event)
-        return state.take_actions()
+        actions, state.actions = state.actions, []
+        return actions
 
     def next_at(self) -> float | None:
         """When the next Tick is due; None where nothing is waited for."""
@@ -154,14 +156,16 @@
 
     def stop(self, now: float) -> list[ev.Action]:
         """The process ends: every request that is still in flight gets its response now, and no further attempt."""
-        self._state.advance(now)
+        state = self._state
+        state.now = max(now, state.now)
         self._termination.stop_all()
-        return self._state.take_actions()
+        actions, state.actions = state.actions, []
+        return actions
 
     # Observation --------------------------------------------------------------------------------------------
 
     @property
-    def open(self) -> int:
+    def unanswered(self) -> int:
         """Requests that are owed a final response."""
         return self._state.unanswered
 
@@ -171,22 +175,22 @@
         return self._endpoints.addresses
 
     @property
-    def answers(self) -> dict[str, int]:
+    def response_counts(self) -> dict[str, int]:
         """Final responses, by reason."""
         return self._responses.counts
 
     @property
-    def verdicts(self) -> dict[str, int]:
+    def attempt_result_counts(self) -> dict[str, int]:
         """Ended attempts, by result."""
         return self._attempts.result_counts
 
     @property
-    def denials(self) -> dict[str, int]:
+    def denial_counts(self) -> dict[str, int]:
         """Attempts that were denied at the moment of their first byte, by the denial's name."""
         return self._attempts.denial_counts
 
     @property
-    def held(self) -> dict[str, int]:
+    def held_counts(self) -> dict[str, int]:
         """Numbers of what is held in memory, under the names that the metrics have."""
         held = {
             "exchanges": len(self._state.requests),
@@ -196,7 +200,7 @@
             "open": self._state.unanswered,
         }
         if self._authorization is not None:
-            held.update({f"auth_{name}": count for name, count in self._authorization.held.items()})
+            held.update({f"auth_{name}": count for name, count in self._authorization.held_counts.items()})
         return held
 
     # Policy actions -----------------------------------------------------------------------------------------
@@ -211,7 +215,7 @@
         self._state.actions.append(ev.SubscribeEndpoints())
 
     def _log(self, action: api.Log) -> None:
-        self._state.actions.append(ev.LogEvent("module", {"text": action.text}))
+        self._state.actions.append(ev.LogEvent("policy", {"text": action.text}))
 
     # Time and endpoints -------------------------------------------------------------------------------------
 
@@ -252,4 +256,4 @@
             if attempt is None or not attempt.open or attempt.written or attempt.endpoint in accepting:
                 continue
             if is_full or attempt.endpoint in changed:
-                self._attempts.withdraw(request, attempt)
+                self._attempts.withdraw(attempt)
--- a/martenstep/proxy/engine/responses.py
+++ b/martenstep/proxy/engine/responses.py
@@ -49,7 +49,7 @@
         self._messages = state.dependencies.message_builder
         self._max_retry_after_ms = state.dependencies.max_retry_after_ms
         self._logs_responses = state.dependencies.logs_responses
-        self.on_finished: Callable[[int], None] | None = None  # told the request id of each request that is finished
+        self.on_finished: Callable[[int], None] | None = None  # called with the id of each finished request
         self.counts: dict[str, int] = {}  # final responses, by reason
 
     # The gateway's own --------------------------------------------------------------------------------------
@@ -117,7 +117,7 @@
         all_headers = [*own_headers, *headers, *self._messages.identity_headers(correlation_id)]
         if status >= FIRST_ERROR_STATUS:  # health checks of a quiet gateway would be most of its lines
             fields = {"request": correlation_id, "status": status, "reason": reason}
-            self._state.actions.append(ev.LogEvent("turned away", fields))
+            self._state.actions.append(ev.LogEvent("request rejected", fields))
         self._state.actions.append(ev.SendLocalReply(received.request_id, status, all_headers, body))
 
     def rate_limits(self, route: RoutedRequest) -> ev.Headers:
@@ -131,18 +131,19 @@
 
     # Of endpoints -------------------------------------------------------------------------------------------
 
-    def relay(self, request: InFlightRequest, attempt: Attempt, complete: bool) -> None:
+    def relay(self, attempt: Attempt, complete: bool) -> None:
         """Pass an attempt's response on to the client; `complete` where all of it has come."""
-        headers = self._messages.response_headers(attempt.headers)
+        request, headers = attempt.request, self._messages.response_headers(attempt.headers)
         runner = request.hook_runner
         if runner is not None and runner.has("answer"):
-            headers = override_headers(headers, self._hook_headers(request, attempt, headers))
+            headers = override_headers(headers, self._hook_headers(attempt, headers))
         headers += [*self.rate_limits(request.route), *self._messages.identity_headers(request.correlation_id)]
         self._state.actions.append(
             ev.RelayResponse(request.request_id, attempt.number, attempt.status, headers, complete)
         )
 
-    def _hook_headers(self, request: InFlightRequest, attempt: Attempt, headers: ev.Headers) -> ev.Headers:
+    def _hook_headers(self, attempt: Attempt, headers: ev.Headers) -> ev.Headers:
+        request = attempt.request
         points, runner, now = self._state.extension_points, request.hook_runner, self._state.now
         assert points is not None and runner is not None
         response = ResponseSummary(attempt.status, len(request.endpoints), now - request.arrived_at)
@@ -199,13 +200,14 @@
                 assert points is not None
                 response = ResponseSummary(status, len(request.endpoints), took_ms)
                 fields.update(points.fields(self._state.now, runner, request, response))
-        self._state.actions.append(ev.LogEvent("answer", fields))
+        self._state.actions.append(ev.LogEvent("request finished", fields))
 
     def release(self, request: InFlightRequest) -> None:
         """Forget a request that is finished and has no attempt open."""
         if not request.finished or (request.attempt is not None and request.attempt.open):
             return
         self._state.requests.remove(request)
+        request.attempt = None  # they refer to each other
         if request.trace is not None:
             trace, request.trace = request.trace, None
             self._state.actions.append(ev.ExportTrace(trace))
--- a/tests/test_counter_shards.py
+++ b/tests/test_counter_shards.py
@@ -17,7 +17,7 @@
 from martenstep.counter.shards import ShardedClient, owning_service
 from martenstep.counter.state import CounterLimits
 from martenstep.policy.messages import CallResult
-from tests.door_rig import DOOR
+from tests.engine_rig import DOOR
 from tests.socket_rig import run
 from tests.test_counter_service import served
 
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -24,7 +24,7 @@
 from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
 from martenstep.storage.files import Disk
-from tests.door_rig import DOOR
+from tests.engine_rig import DOOR
 from tests.socket_rig import run
 
 OLD, NEW = "ab" * 32, "cd" * 32
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -23,16 +23,21 @@
 
 from martenstep.lab.ports import held_ports
 from martenstep.node import daemon
-from martenstep.node.config import NOTHING_TAKEN, load_config
-from martenstep.node.daemon import Node
-from martenstep.node.discovery import Discovery, Timing
+from martenstep.node.config import EMPTY_DRAIN_PLAN, load_config
+from martenstep.node.daemon import GatewayNode
+from martenstep.node.discovery import (
+    DiscoveryClient,
+)
+from martenstep.node.poll_timing import (
+    DiscoveryTiming,
+)
 from tests.node_rig import SETTINGS, raw, request, target
 from tests.socket_rig import Back, Peer, Script, run
-from tests.test_node_door import agent, counting, serves
+from tests.test_node_gateway import agent, counting, serves
 
 BOUND_S = 60.0
 LONG_MS = 60_000.0  # longer than any test runs
-LONG = Timing(LONG_MS, LONG_MS, LONG_MS, LONG_MS, 1.0, 1.0)
+LONG = DiscoveryTiming(LONG_MS, LONG_MS, LONG_MS, LONG_MS, 1.0, 1.0)
 
 
 class Process:
@@ -214,7 +219,7 @@
 
             await door.start()
             await write_to(door.path, text, crosses)
-            await door.until("configuration taken up")
+            await door.until("configuration applied")
             await door.until("ready")
             assert asked and asked[0].startswith("get /catalog/members ")
             door.signal(signal.SIGTERM)
@@ -242,7 +247,7 @@
                 await asyncio.sleep(0)
             door.signal(number)
             if number == signal.SIGHUP:
-                await door.until("configuration taken up")
+                await door.until("configuration applied")
                 door.signal(signal.SIGTERM)
             assert await door.end() == 0
             assert number == signal.SIGHUP or "ready" not in door.events()
@@ -309,14 +314,16 @@
             ),
             encoding="utf-8",
         )
-        node = Node(load_config(path), path)
+        node = GatewayNode(load_config(path), path)
         node._timing = LONG  # of the wait for the agent; the agent itself is not given up either
-        node._discovery = Discovery(node.config.discovery, node._follower, node._listed, node._event_logger.log, LONG)
+        node._discovery = DiscoveryClient(
+            node.config.discovery, node._follower, node._endpoints_updated, node._event_logger.log, LONG
+        )
         starting = asyncio.create_task(node.start())
         await asked.wait()
         for _ in range(20):  # turns of the loop in which a listener would come up
             await asyncio.sleep(0)
-        assert not node.driver.listening
+        assert not node.server.listening
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", port)
         gate.set()
@@ -325,7 +332,7 @@
         await peer.write(request(1))
         assert (await peer.response())[2] == b"s-1" and backs == ["s-1"]
         peer.close()
-        node.drain_plan = NOTHING_TAKEN
+        node.drain_plan = EMPTY_DRAIN_PLAN
         await node.stop()
         for back in made:
             back.stop()
@@ -353,7 +360,7 @@
             await door.start()
             while len(refusals) < 8:  # longer than a discovery that says nothing would be waited for
                 await asyncio.sleep(0.005)
-            assert "ready" not in door.events() and "list in doubt" in door.events()
+            assert "ready" not in door.events() and "endpoint list stale" in door.events()
             gate.set()
             assert (await door.until("ready"))["servers"] == 1
             assert "ready without discovery" not in door.events()
@@ -382,10 +389,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], stops: bool
 ) -> None:
     """And one that is told to end waits for it no longer."""
-    monkeypatch.setattr(daemon, "IN_USE_MS", LONG_MS if stops else 30.0)
+    monkeypatch.setattr(daemon, "BIND_TIMEOUT_MS", LONG_MS if stops else 30.0)
 
-    def told(node: Node) -> None:
-        node._end()
+    def told(node: GatewayNode) -> None:
+        node._terminate()
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
@@ -402,7 +409,7 @@
         )
 
         async def test() -> None:
-            node = Node(load_config(path), path)
+            node = GatewayNode(load_config(path), path)
             real = node._event_logger.log
 
             def note(event: str, fields: dict[str, Any]) -> None:
@@ -444,10 +451,10 @@
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
     with os.fdopen(writing, "w") as pipe, os.fdopen(reading, "rb") as log:  # a write that waits ends with the reader
         monkeypatch.setattr(sys, "stdout", pipe)
-        event_logger = daemon.EventLogger(most_a_second=1000)
+        event_logger = daemon.EventLogger(max_lines_per_s=1000)
         event_logger.log("read", {"long": "x" * 10_000})
         line = json.loads(log.readline())
-        assert line["event"] == "read" and len(line["cut"]) < daemon.LINE_BYTES
+        assert line["event"] == "read" and len(line["cut"]) < daemon.MAX_LINE_BYTES
 
         def fill() -> None:
             for number in range(100):
@@ -501,7 +508,7 @@
                 changed = {**json.loads(door.path.read_text(encoding="utf-8")), "discovery": elsewhere}
                 door.path.write_text(json.dumps(changed), encoding="utf-8")
                 door.signal(signal.SIGHUP)
-                await door.until("configuration taken up")
+                await door.until("configuration applied")
                 while not asked:
                     await asyncio.sleep(0.005)
                 gates[0].set()
@@ -525,13 +532,13 @@
             for number, changed in enumerate(({**good, "discovery": "nowhere"}, {**good, "settings": 5})):
                 door.path.write_text(json.dumps(changed), encoding="utf-8")
                 door.signal(signal.SIGHUP)
-                while door.events().count("configuration not taken up") <= number:
+                while door.events().count("configuration rejected") <= number:
                     await asyncio.sleep(0.005)
-            errors = [line["error"] for line in door.lines if line["event"] == "configuration not taken up"]
+            errors = [line["error"] for line in door.lines if line["event"] == "configuration rejected"]
             assert errors[0].startswith("discovery:") and errors[1].startswith("settings:")
             door.path.write_text(json.dumps({**good, "limits": {"sockets": 300}}), encoding="utf-8")
             door.signal(signal.SIGHUP)
-            assert (await door.until("configuration taken up"))["after_a_restart"] == ["listener", "upstream"]
+            assert (await door.until("configuration applied"))["after_a_restart"] == ["listener", "upstream"]
             assert (await door.ask(request(1)))[0] == 200
             door.signal(signal.SIGTERM)
             assert await door.end() == 0
@@ -566,7 +573,7 @@
                 assert (await door.ask(request(1, X_Plan="small")))[0] in (200, 503), "served, or told of a full house"
                 back = Back(lists(targets, []))
                 back._server = await asyncio.start_server(back._serve, "127.0.0.1", port)
-                await door.until("discovery back")
+                await door.until("discovery connection recovered")
                 while True:  # who came in the same burst is young, and keeps others out for a while
                     status, _, body = await door.ask(
                         request(len(heads) + 2, X_Plan="free", X_Trace_Id=os.urandom(8).hex())
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -36,7 +36,7 @@
 )
 from martenstep.supervise.supervisor import Supervisor
 from martenstep.supervise.worker_settings import build_worker_settings
-from tests.door_rig import settings
+from tests.engine_rig import settings
 from tests.hook_rig import words
 
 ASKED = """
