--- a/martenstep/replication/raft/append.py
+++ b/martenstep/replication/raft/append.py
@@ -119,23 +119,20 @@
 
     def _entries_to_send(self, progress: Progress) -> tuple[LogEntry, ...]:
         """The next entries for one replica, within the bounds of a message and of what is in flight."""
-        if progress.next_index > self.log.last_index:
-            return ()
         last = min(
             self.log.last_index,
             progress.match_index + MAX_INFLIGHT_ENTRIES,
             progress.next_index + MAX_APPEND_ENTRIES - 1,
         )
-        entries: list[LogEntry] = []
+        if last < progress.next_index:
+            return ()
+        entries = self.log.slice(progress.next_index, last)
         size = 0
-        for index in range(progress.next_index, last + 1):
+        for count, entry in enumerate(entries):
             if size >= MAX_APPEND_BYTES:
-                break
-            entry = self.log.entry(index)
-            assert entry is not None
-            entries.append(entry)
+                return entries[:count]
             size += len(entry.data)
-        return tuple(entries)
+        return entries
 
     def _handle_append_entries_response(self, now: float, source: int, response: AppendEntriesResponse) -> None:
         """Advance a replica's progress, or go back to where its log fits."""
--- a/martenstep/replication/raft/log.py
+++ b/martenstep/replication/raft/log.py
@@ -53,6 +53,10 @@
         offset = index - self.snapshot_index - 1
         return self.entries[offset] if 0 <= offset < len(self.entries) else None
 
+    def slice(self, first: int, last: int) -> tuple[LogEntry, ...]:
+        """The entries from one index to another, both after the snapshot."""
+        return tuple(self.entries[first - self.snapshot_index - 1 : last - self.snapshot_index])
+
     def term_at(self, index: int) -> int | None:
         """The term of an entry; None where it is not held."""
         if index == 0:
--- a/martenstep/replication/raft/timers.py
+++ b/martenstep/replication/raft/timers.py
@@ -7,6 +7,7 @@
 from typing import NamedTuple
 
 TimerCallback = Callable[[float], None]  # is given the time, in ms
+NEVER = float("inf")
 
 
 class Timer(NamedTuple):
@@ -22,6 +23,7 @@
 
     def __init__(self) -> None:
         """Begin without timers."""
+        self.next_due_at = NEVER
         self._timers: list[Timer] = []
         self._order = 0
 
@@ -29,12 +31,12 @@
         """Add a timer."""
         self._order += 1
         heapq.heappush(self._timers, Timer(due_at, self._order, callback))
-
-    @property
-    def next_due_at(self) -> float:
-        """When the next timer is due; infinity where there is none."""
-        return self._timers[0].due_at if self._timers else float("inf")
+        self.next_due_at = self._timers[0].due_at
 
     def pop_due(self, now: float) -> Timer | None:
         """Remove and give the next timer that is due; None where none is."""
-        return heapq.heappop(self._timers) if self._timers and self._timers[0].due_at <= now else None
+        if self.next_due_at > now:
+            return None
+        timer = heapq.heappop(self._timers)
+        self.next_due_at = self._timers[0].due_at if self._timers else NEVER
+        return timer
--- a/martenstep/replication/replica.py
+++ b/martenstep/replication/replica.py
@@ -229,8 +229,9 @@
             self._disk_verified_by = max((write.sequence for write in self._queued_writes), default=0)
         if self._timer is not None:
             self._timer.cancel()
-        if raft.next_timer_at < float("inf") and not raft.halted:
-            self._timer = asyncio.get_running_loop().call_at(raft.next_timer_at / 1000, self._run_timers)
+        next_timer_at = raft.next_timer_at
+        if next_timer_at < float("inf") and not raft.halted:
+            self._timer = asyncio.get_running_loop().call_at(next_timer_at / 1000, self._run_timers)
         self._changed.set()
         self._changed = asyncio.Event()
 
