--- a/martenstep/proxy/cluster.py
+++ b/martenstep/proxy/cluster.py
@@ -15,8 +15,8 @@
 from martenstep.proxy.admin import AdminListener
 
 if TYPE_CHECKING:  # a gateway without them loads none of it
-    from martenstep.counter.pending_increments import Try
-    from martenstep.counter.sharded_counter import HeldByDoors
+    from martenstep.counter.pending_increments import AttemptRecord
+    from martenstep.counter.sharded_counter import ShardedCounter
     from martenstep.maintenance.coordinator import MaintenanceCoordinator
     from martenstep.membership.service import MembershipService
 
@@ -30,10 +30,10 @@
         """`admin` shows what is started here; `is_ready` tells whether this gateway serves."""
         self._settings, self._admin, self._is_ready, self._log_event = gateway_settings, admin, is_ready, log_event
         self.membership: MembershipService | None = None
-        self.replicas: HeldByDoors | None = None
+        self.replicas: ShardedCounter | None = None
         self.maintenance: MaintenanceCoordinator | None = None
 
-    async def start(self, deliver: Callable[[Try], bool]) -> dict[str, int]:
+    async def start(self, deliver: Callable[[AttemptRecord], bool]) -> dict[str, int]:
         """Join the others; returns the ports by name.  `deliver` takes what a ledger that this gateway leads has."""
         from martenstep.membership.keyring import KeyFileError
         from martenstep.membership.service import MembershipService
@@ -53,24 +53,26 @@
             ports.update(await self._start_replicas(self.membership, deliver))
         return ports
 
-    async def _start_replicas(self, membership: MembershipService, deliver: Callable[[Try], bool]) -> dict[str, int]:
-        from martenstep.counter.sharded_counter import HeldByDoors
+    async def _start_replicas(
+        self, membership: MembershipService, deliver: Callable[[AttemptRecord], bool]
+    ) -> dict[str, int]:
+        from martenstep.counter.sharded_counter import ShardedCounter
         from martenstep.replication.errors import ReplicaManagerError
         from martenstep.storage.files import LockedError
 
         ports: dict[str, int] = {}
-        self.replicas = HeldByDoors(self._settings, membership, self._log_event, deliver)
+        self.replicas = ShardedCounter(self._settings, membership, self._log_event, deliver)
         try:
             ports.update(await self.replicas.start())
         except (ReplicaManagerError, LockedError, OSError) as error:
             self._log_event("copies not held", {"error": str(error)})
             await self.replicas.stop()
-        self._admin.replication = self.replicas.keeper
+        self._admin.replication = self.replicas.replica_manager
         if self._settings.HasField("maintenance"):
             self._start_maintenance(self.replicas)
         return ports
 
-    def _start_maintenance(self, replicas: HeldByDoors) -> None:
+    def _start_maintenance(self, replicas: ShardedCounter) -> None:
         from martenstep.maintenance.coordinator import LocalInstance, MaintenanceCoordinator
 
         instance = LocalInstance(
@@ -80,7 +82,9 @@
             self._is_ready,
             self._leave_for_maintenance,
         )
-        self.maintenance = MaintenanceCoordinator(instance, replicas.keeper, self._known_gateways, self._log_event)
+        self.maintenance = MaintenanceCoordinator(
+            instance, replicas.replica_manager, self._known_gateways, self._log_event
+        )
         self.maintenance.start()
         self._admin.maintenance = self.maintenance
 
@@ -108,10 +112,10 @@
             counts.update(self.membership.counters())
         replicas = self.replicas
         if replicas is not None:
-            counts.update({f"copies_{name}": count for name, count in replicas.keeper.counts.items()})
-            if replicas.books is not None:
-                counts.update({f"books_{name}": count for name, count in replicas.books.counts.items()})
-            counts.update({f"copies_links_{name}": count for name, count in replicas.links.counts.items()})
+            counts.update({f"copies_{name}": count for name, count in replicas.replica_manager.counts.items()})
+            if replicas.ledger is not None:
+                counts.update({f"books_{name}": count for name, count in replicas.ledger.counts.items()})
+            counts.update({f"copies_links_{name}": count for name, count in replicas.transport.counts.items()})
         return counts
 
     def gauges(self) -> dict[str, float]:
@@ -121,9 +125,9 @@
             gauges.update(self.membership.gauges())
         replicas = self.replicas
         if replicas is not None:
-            gauges.update(replicas.keeper.gauges())
-            if replicas.books is not None:
-                gauges.update(replicas.books.gauges())
+            gauges.update(replicas.replica_manager.gauges())
+            if replicas.ledger is not None:
+                gauges.update(replicas.ledger.gauges())
             if self.maintenance is not None:
                 gauges.update(self.maintenance.gauges())
         return gauges
