--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -26,9 +26,9 @@
 )
 from martenstep.replication.replica_manager import ReplicaManager
 from martenstep.replication.transport import Transport
+from tests.replica_fleet_rig import KEYS, QUICK, ReplicaFleet
+from tests.replica_rig import Sum
 from tests.socket_rig import LONG_S, run
-from tests.test_keeper import KEYS, QUICK, Fleet
-from tests.test_replication_host import Sum
 
 
 def made(request: str) -> AttemptRecord:
@@ -92,11 +92,11 @@
         PendingIncrements().restore(b"\x01")
 
 
-class BookFleet(Fleet):
+class BookFleet(ReplicaFleet):
     """Places with books; the counter is a list here."""
 
     def __init__(self, folder: Path, names: str, final_ms: float) -> None:
-        super().__init__(folder, names, groups=(), final_ms=final_ms)
+        super().__init__(folder, names, groups=(), node_lost_after_ms=final_ms)
         self.books: dict[str, IncrementLedger] = {}
         self.counter: dict[str, list[str]] = {}  # request: who delivered it
         self.down = False  # the counter is
@@ -106,33 +106,33 @@
         for name in names:
 
             def owner(group: str, name: str = name) -> str | None:
-                host = self.keepers[name].replica(group)
+                host = self.managers[name].replica(group)
                 return (
                     (host.state_machine.owner or None)
                     if host is not None and isinstance(host.state_machine, PendingIncrements)
                     else None
                 )
 
-            keeper = self.keepers[name] = ReplicaManager(
+            keeper = self.managers[name] = ReplicaManager(
                 name,
                 self.folder / name,
                 self.folder / f"{name}-witness",
-                self.holding,
+                self.replication,
                 lambda group: PendingIncrements() if is_ledger_group(group) else Sum(),
-                self.places,
-                lambda event, fields: self.notes.append((event, fields)),
+                self.cluster_nodes,
+                lambda event, fields: self.events.append((event, fields)),
                 QUICK,
                 is_own_group=is_ledger_group,
                 preferred_node=owner,
             )
-            links = self.links[name] = Transport(
-                "f", name, lambda: KEYS, self.where.get, keeper.receive, keeper.report_unknown_replica
+            links = self.transports[name] = Transport(
+                "f", name, lambda: KEYS, self.addresses.get, keeper.receive, keeper.report_unknown_replica
             )
-            host, port = self.where.get(name, ("127.0.0.1", 0))
-            self.where[name] = host, await links.start(host, port)
+            host, port = self.addresses.get(name, ("127.0.0.1", 0))
+            self.addresses[name] = host, await links.start(host, port)
             await keeper.start(links)
             books = self.books[name] = IncrementLedger(
-                name, keeper, partial(self.deliver, name), lambda event, fields: self.notes.append((event, fields))
+                name, keeper, partial(self.deliver, name), lambda event, fields: self.events.append((event, fields))
             )
             await books.start()
 
@@ -153,7 +153,7 @@
             await asyncio.sleep(0.02)
 
     def state(self, name: str, group: str) -> Any:
-        keeper = self.keepers.get(name)
+        keeper = self.managers.get(name)
         host = keeper.replica(group) if keeper is not None else None
         return host.state_machine if host is not None else None
 
@@ -162,11 +162,11 @@
         books = self.books[name]
         await self.until(
             lambda: (
-                len(self.at(books.own_group)) == 3
+                len(self.voter_nodes(books.own_group)) == 3
                 and name
                 in [
                     one
-                    for one in self.keepers
+                    for one in self.managers
                     if any(led.replica.group == books.own_group for led in self.books[one].led_groups())
                 ]
             )
@@ -188,7 +188,7 @@
         assert all(len(by) == 1 and by[0] in "bcd" for by in fleet.counter.values())
         # Lost for good: sealed, and when all is recorded it is let go everywhere.
         await fleet.until(lambda: all(fleet.state(name, own) is None for name in "bcd"))
-        assert any(event == "increment group fenced" for event, _ in fleet.notes)
+        assert any(event == "increment group fenced" for event, _ in fleet.events)
         await fleet.start("a")
         assert fleet.books["a"].own_group != own
         await fleet.whole("a")
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -35,8 +35,8 @@
 from martenstep.replication.errors import IndeterminateError, NotLeaderError
 from martenstep.replication.replica import Replica
 from martenstep.replication.replica_storage import ReplicaStorage
+from tests.replica_rig import KEYS, ReplicaGroup
 from tests.socket_rig import LONG_S, run
-from tests.test_replication_host import KEYS, Group
 
 NOW = 1_000_000.0
 SMALL = CounterLimits(deduplication_window=6, attempt_window_ms=4000.0, max_attempts=5, max_keys=4, period_ms=1000.0)
@@ -122,10 +122,10 @@
         ReplicatedCounter().restore(b"\x93\x01\x02\x03")
 
 
-class CountingGroup(Group):
+class CountingGroup(ReplicaGroup):
     """Copies of a counter with their listeners, and a door that asks until it knows."""
 
-    machine = ReplicatedCounter
+    make_state_machine = ReplicatedCounter
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
@@ -135,8 +135,8 @@
     def address(self, group: str, copy: int | None) -> str | None:
         return f"127.0.0.1:{self.ports[copy]}" if copy in self.ports else None
 
-    async def run(self, store: ReplicaStorage, keys: Keyring = KEYS) -> Replica:
-        host = await super().run(store, keys)
+    async def start(self, store: ReplicaStorage, keys: Keyring = KEYS) -> Replica:
+        host = await super().start(store, keys)
         service = self.services[store.replica_id] = ReplicatedService(
             lambda group: host, self.address, clock=lambda: NOW / 1000
         )
@@ -148,7 +148,7 @@
         await super().kill(number)
 
     def client(self, answer: Any, first: int) -> CounterClient:
-        order = [*self.first.voters[first:], *self.first.voters[:first]]
+        order = [*self.bootstrap.voters[first:], *self.bootstrap.voters[:first]]
         addresses = [("127.0.0.1", self.ports[copy]) for copy in order]
         journal = AttemptJournal(self.folder / "journal", 1000)
         return CounterClient(addresses, "door", journal, answer, lambda event, fields: None, timeout_ms=300.0)
@@ -167,7 +167,7 @@
 
     async def test() -> None:
         group = CountingGroup(tmp_path)
-        await group.begin("a", "b", "c")
+        await group.start_all("a", "b", "c")
         draw, replies = random.Random(5), list[Reply]()
 
         async def load() -> None:
@@ -186,11 +186,11 @@
             lost = (await group.leader()).raft.replica_id
             await group.kill(lost)
             await asyncio.sleep(0.1 * draw.random())
-            await group.run(group.store("abc"[group.first.voters.index(lost)]))
+            await group.start(group.open_storage("abc"[group.bootstrap.voters.index(lost)]))
         await loading
         leader = await group.leader()
         await leader.confirm_leadership()
-        counter = group.machines[leader.raft.replica_id].state
+        counter = group.state_machines[leader.raft.replica_id].state
         assert counter.total(7) == 60.0
         assert sum(use.attempts for use in counter.usage().values()) == 60
         assert [reply.total for reply in replies if isinstance(reply, TotalReply)] == [float(n) for n in range(1, 61)]
@@ -204,7 +204,7 @@
 def test_a_door_finds_the_leader_whichever_copy_it_asks_first(tmp_path: Path, first: int) -> None:
     async def test() -> None:
         group, told = CountingGroup(tmp_path), dict[int, tuple[CallResult, float]]()
-        await group.begin("a", "b", "c")
+        await group.start_all("a", "b", "c")
         await group.leader()
         client = group.client(lambda call, verdict, total, kept: told.update({call: (verdict, total)}), first)
         client.start()
@@ -223,7 +223,7 @@
 def test_a_doors_adds_and_tries_come_through_lost_leaders_once(tmp_path: Path) -> None:
     async def test() -> None:
         group, told = CountingGroup(tmp_path), list[CallResult]()
-        await group.begin("a", "b", "c")
+        await group.start_all("a", "b", "c")
         client = group.client(lambda call, verdict, total, kept: told.append(verdict), 0)
         client.start()
         for number in range(150):
@@ -233,11 +233,11 @@
             if number in (40, 90):
                 lost = (await group.leader()).raft.replica_id
                 await group.kill(lost)
-                await group.run(group.store("abc"[group.first.voters.index(lost)]))
+                await group.start(group.open_storage("abc"[group.bootstrap.voters.index(lost)]))
         assert await client.flush(20_000)
         leader = await group.leader()
         await leader.confirm_leadership()
-        counter = group.machines[leader.raft.replica_id].state
+        counter = group.state_machines[leader.raft.replica_id].state
         # What the door was told is certain, or in doubt until it came through; what never left it was not added.
         assert len(told) == 150 and set(told) <= {CallResult.OK, CallResult.TIMEOUT, CallResult.CONNECT_FAILED}
         assert counter.total(7) == 150 - told.count(CallResult.CONNECT_FAILED)
@@ -251,10 +251,10 @@
 def test_a_copy_that_cannot_say_names_the_leader_and_strangers_are_not_gone_to(tmp_path: Path) -> None:
     async def test() -> None:
         group = CountingGroup(tmp_path)
-        await group.begin("a", "b", "c")
+        await group.start_all("a", "b", "c")
         leader = (await group.leader()).raft.replica_id
-        await group.until(lambda: all(host.raft.leader == leader for host in group.hosts.values()))
-        other = next(copy for copy in group.first.voters if copy != leader)
+        await group.until(lambda: all(host.raft.leader == leader for host in group.replicas.values()))
+        other = next(copy for copy in group.bootstrap.voters if copy != leader)
         reader, writer = await asyncio.open_connection("127.0.0.1", group.ports[other])
         writer.write(encode(Hello("door", 1)) + encode(Add(1, 7, 1.0, 60_000.0)))
         [payload] = FrameDecoder().feed(await reader.read())
--- a/tests/test_formats_replica_views.py
+++ b/tests/test_formats_replica_views.py
@@ -18,8 +18,8 @@
 from martenstep.replication.replica_manager import ReplicaManager
 from martenstep.replication.settings import BootstrapMember, ClusterNode, ReplicationSettings
 from martenstep.replication.transport import Transport
+from tests.replica_rig import Sum
 from tests.socket_rig import run
-from tests.test_replication_host import Sum
 
 FORMATS = Path(__file__).parent / "formats" / "replication"
 HOLDING = ReplicationSettings(
