--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -53,6 +53,7 @@
 from martenstep.proxy.server import ProxyServer
 from martenstep.proxy.transport import poll_descriptor
 from martenstep.tasks import start_supervised
+from martenstep.transient_errors import retry_transient
 
 FIRST_LIST_TIMEOUT_MS = 1500.0  # without discovery the gateway is ready after this: it has the cached list
 # The process before it at this address may still be ending.  What is not free in this time never will be, and nine in
@@ -363,15 +364,8 @@
 
 
 def _retry_transient(make: Callable[[], Made]) -> Made:
-    """What `make` returns, once nothing is short for a moment any more; raises ConfigError and OSError."""
-    until = time.monotonic() + TRANSIENT_TIMEOUT_S
-    while True:
-        try:
-            return make()
-        except (ConfigError, OSError) as error:
-            if not _is_transient(error) or time.monotonic() >= until:
-                raise
-        time.sleep(TRANSIENT_RETRY_S)
+    """Return what `make` returns once no resource is short any more; raises ConfigError and OSError."""
+    return retry_transient(make, _is_transient, within_s=TRANSIENT_TIMEOUT_S, interval_s=TRANSIENT_RETRY_S)
 
 
 def main(pending: PendingSignals | None = None) -> None:
--- a/tests/test_node_imports.py
+++ b/tests/test_node_imports.py
@@ -96,6 +96,7 @@
     "martenstep.node.poll_timing",
     "martenstep.node.protocol",
     "martenstep.tasks",
+    "martenstep.transient_errors",
 }
 LIBRARIES = {"h11", "httptools", "msgspec", "typing_extensions"}  # the last by msgspec, where a developer has it
 LOOK = (
