--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -749,7 +749,10 @@
                     one.setblocking(False)
                     one.connect_ex(("127.0.0.1", door.port))
                 before = peak = len(os.listdir("/proc/self/fd"))
-                while driver.counts["connections_turned_away"] < 2 * most:
+                # A loop that is held up takes those behind the limit in place of older ones, which make room after 0.3 s.
+                while (
+                    driver.counts["connections_turned_away"] + driver.counts["connections_closed_for_room"] < 2 * most
+                ):
                     await asyncio.sleep(0)
                     peak = max(peak, len(os.listdir("/proc/self/fd")))
                 assert peak - before <= most + MAX_REJECTING + 5 * MAX_ACCEPTS, "and no more of those that are reserved"
