--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -749,7 +749,7 @@
                     one.setblocking(False)
                     one.connect_ex(("127.0.0.1", door.port))
                 before = peak = len(os.listdir("/proc/self/fd"))
-                # A loop that is held up takes those behind the limit in place of older ones, which make room after 0.3 s.
+                # A loop that is held up gives later connections the place of older ones, which make room after 0.3 s.
                 while (
                     driver.counts["connections_turned_away"] + driver.counts["connections_closed_for_room"] < 2 * most
                 ):
