--- a/bench/rolling_upgrade.py
+++ b/bench/rolling_upgrade.py
@@ -20,7 +20,7 @@
 
 import click
 
-from martenstep.counter.client import CounterClient
+from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.protocol import FrameDecoder, Hello, Read, TotalReply, decode, encode
 from martenstep.lab.copies import Copies
@@ -213,11 +213,10 @@
     replicas = Replicas(folder, old)
     client = CounterClient(
         replicas.addresses,
-        "client",
         AttemptJournal(folder / "journal", JOURNAL_RECORDS),
         load.answered,
         lambda event, fields: None,
-        timeout_ms=CLIENT_TIMEOUT_MS,
+        ClientOptions("client", timeout_ms=CLIENT_TIMEOUT_MS),
     )
     client.start()
     loading = asyncio.create_task(load.run(client))
--- a/martenstep/counter/client.py
+++ b/martenstep/counter/client.py
@@ -18,11 +18,12 @@
 import time
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from martenstep.backoff import Backoff
 from martenstep.counter.errors import CounterError
 from martenstep.counter.journal import AttemptJournal as AttemptJournal
+from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.counter.protocol import (
     Add,
     Command,
@@ -54,6 +55,14 @@
 Answer = Callable[[int, CallResult, float, float], None]  # call, result, total, ms for which nothing was lost
 
 
+def _direct_route(address: Address) -> Address:
+    return address
+
+
+def _ignore_acknowledgement(request_id: str) -> None:
+    pass
+
+
 class _MovedError(CounterError):
     """Another replica leads, at the address that is named, if any is."""
 
@@ -62,45 +71,46 @@
         self.leader = leader
 
 
+@dataclass(frozen=True, slots=True)
+class ClientOptions:
+    """How a client speaks to its service."""
+
+    gateway: str  # its name
+    timeout_ms: float = 50.0  # of an add
+    max_pending: int = 10_000  # commands without an answer; more adds are rejected
+    map_version: int = 1
+    tls: ssl.SSLContext | None = None
+    server_name: str = ""  # in the service's certificate
+    group: str = ""  # of replicas that is meant, where a listener serves several
+    route: Callable[[Address], Address] = _direct_route  # gives the address that leads to one
+    on_acknowledged: Callable[[str], None] = _ignore_acknowledgement  # called with each attempt's request id
+
+
 class CounterClient:
     """A client of one counter service, or of the replicas that hold one."""
 
     def __init__(
         self,
         addresses: Sequence[Address] | Callable[[], Sequence[Address]],
-        gateway: str,
         journal: AttemptJournal,
         answer: Answer,
         log_event: EventLog,
-        *,
-        timeout_ms: float = 50.0,
-        max_pending: int = 10_000,
-        map_version: int = 1,
-        tls: ssl.SSLContext | None = None,
-        server_name: str = "",
-        group: str = "",
-        route: Callable[[Address], Address] = lambda address: address,
-        on_acknowledged: Callable[[str], None] = lambda request_id: None,
+        options: ClientOptions,
     ) -> None:
-        """Several `addresses` are those of the replicas that hold the counter: one of them leads at a time.  If they
-        change, a function gives those of now, the likeliest first; `group` is the one that is meant there, and `route`
-        gives the address that leads to one.  `on_acknowledged` is called with each attempt's request id."""
-        self._tls = tls
-        self._server_name = server_name
-        self._group = group
+        """Connect to one service, or to the replicas that hold the counter, of which one leads at a time.
+
+        If the replicas change, `addresses` is a function that gives those of now, the likeliest first.  `answer` is
+        called once for each add.
+        """
+        self._options = options
         self._addresses = addresses if callable(addresses) else lambda: addresses
-        self._route = route
-        self._on_acknowledged = on_acknowledged
         self._hops = 0
         self._address: Address | None = None  # that is asked, once one was
-        self._gateway = gateway
         self._silence_timeout_s = SILENCE_TIMEOUT_S if callable(addresses) or len(addresses) > 1 else None
         self._journal = journal
         self._answer = answer
         self._log_event = log_event
-        self._timeout_s = timeout_ms / 1000
-        self._max_pending = max_pending
-        self._map_version = map_version
+        self._timeout_s = options.timeout_ms / 1000
         self.backoff = Backoff(MIN_RECONNECT_MS, MAX_RECONNECT_MS)
         self._sequence = 0
         self._pending: OrderedDict[int, Command] = OrderedDict()  # in order of sequence
@@ -146,7 +156,7 @@
 
         The proof begins with the connection: another one may lead to a service that was promoted, or lost its tail.
         """
-        if len(self._pending) >= self._max_pending:
+        if len(self._pending) >= self._options.max_pending:
             self._answer(call, CallResult.OVERLOADED, 0.0, 0.0)
             return
         sequence = self._next_sequence()
@@ -164,27 +174,29 @@
             self._pending.pop(sequence, None)
             self._answer(call, CallResult.CONNECT_FAILED, 0.0, 0.0)
 
-    def record(
-        self,
-        time_ms: float,
-        units: float,
-        over_quota: bool,
-        request_id: str,
-        customer: str,
-        plan: str,
-        request_class: str,
-    ) -> bool:
+    def record(self, record: AttemptRecord) -> bool:
         """Journal an attempt and send it; False if the journal is full, and nothing is kept."""
-        attempt = RecordAttempt(0, time_ms, units, over_quota, request_id, customer, plan, request_class)
+        attempt = RecordAttempt(
+            0,
+            record.time_ms,
+            record.units,
+            record.over_quota,
+            record.request_id,
+            record.customer,
+            record.plan,
+            record.request_class,
+        )
         if not self._journal.append(attempt):
             return False
-        self._journaled_now.add(request_id)
+        self._journaled_now.add(record.request_id)
         self._send_attempt(attempt)
         return True
 
     def _on_record_reply(self, command: RecordAttempt, status: Status) -> None:
-        """An attempt needs nothing more, unless its time alone was refused: clocks were stepped, and it is sent anew as
-        of now.  One of an earlier epoch is not: the service may have recorded it, and forgotten that."""
+        """Drop an attempt, unless its time alone was refused: clocks were stepped, and it is sent anew as of now.
+
+        One of an earlier epoch is not: the service may have recorded it, and forgotten that.
+        """
         request_id = command.request_id
         if status is Status.TOO_OLD and request_id in self._journaled_now:
             self._journaled_now.discard(request_id)
@@ -194,7 +206,7 @@
             self._log_lost_attempt(command, status)
         self._journaled_now.discard(request_id)
         self._journal.acknowledge(request_id)
-        self._on_acknowledged(request_id)
+        self._options.on_acknowledged(request_id)
 
     def _log_lost_attempt(self, command: RecordAttempt, status: Status) -> None:
         self._log_event(
@@ -281,11 +293,12 @@
             self._choose_address("")
         if self._address is None:
             raise ConnectionError("nobody is known who may hold it")
-        host, port = self._route(self._address)
-        server_name = (self._server_name or None) if self._tls else None
+        host, port = self._options.route(self._address)
+        tls = self._options.tls
+        server_name = (self._options.server_name or None) if tls else None
         try:
             async with asyncio.timeout(self._silence_timeout_s):
-                return await asyncio.open_connection(host, port, ssl=self._tls, server_hostname=server_name)
+                return await asyncio.open_connection(host, port, ssl=tls, server_hostname=server_name)
         except TimeoutError:
             raise ConnectionError("no connection in time") from None
 
@@ -293,7 +306,10 @@
         """Connect and handle frames until the connection ends; raises _MovedError, OSError, ProtocolError."""
         reader, writer = await self._connect()
         self._writer = writer
-        hello = Hello(self._gateway, self._journal.epoch, self._map_version, term=self._journal.term, group=self._group)
+        options = self._options
+        hello = Hello(
+            options.gateway, self._journal.epoch, options.map_version, term=self._journal.term, group=options.group
+        )
         writer.write(encode(hello))
         decoder = FrameDecoder()
         while data := await self._read(reader):
--- a/martenstep/counter/commit_pipeline.py
+++ b/martenstep/counter/commit_pipeline.py
@@ -33,6 +33,16 @@
 AddressedReply = tuple[Client, Reply]  # a plain pair: one is made for each command
 
 
+@dataclass(frozen=True, slots=True)
+class LogOptions:
+    """How the log is written."""
+
+    segment_bytes: int = DEFAULT_SEGMENT_BYTES
+    durable: bool = True  # whether groups are synced
+    snapshot_records: int = 0  # a snapshot is due each so many records; 0: never
+    retention_ms: float = 0.0  # of segments that a snapshot makes useless
+
+
 @dataclass(slots=True)
 class Session:
     """The gateway of one connection, and its epoch."""
@@ -84,27 +94,15 @@
 class CommitPipeline(Generic[Client]):
     """The counter over a directory."""
 
-    def __init__(
-        self,
-        files: Files,
-        limits: CounterLimits,
-        segment_bytes: int = DEFAULT_SEGMENT_BYTES,
-        durable: bool = True,
-        snapshot_records: int = 0,
-        retention_ms: float = 0.0,
-    ) -> None:
-        """Read the log.  A snapshot is due each `snapshot_records`, 0: never; segments that it makes useless are kept
-        for `retention_ms`.  Raises LogError, OSError."""
+    def __init__(self, files: Files, limits: CounterLimits, options: LogOptions | None = None) -> None:
+        """Read the log; raises LogError, OSError."""
         self._files = files
-        self._durable = durable
-        self._snapshot_records = snapshot_records
-        self._retention_ms = retention_ms
         self._limits = limits
-        self._segment_bytes = segment_bytes
+        self._options = options or LogOptions()
         opened = open_log(files)
         self.truncated_bytes = opened.torn_bytes  # of a torn tail
         self.state = rebuild_state(opened, limits)
-        self._writer = LogWriter(files, opened, segment_bytes)
+        self._writer = LogWriter(files, opened, self._options.segment_bytes)
         self._last_snapshot_records = opened.start
         self._snapshot_marks: list[_SnapshotMark] = []  # for retention
         self.pending_group: CommitGroup[Client] = CommitGroup()
@@ -180,7 +178,7 @@
         if not group.entries:
             return ""
         try:
-            group.first_index, group.records = self._writer.write(group.entries, self._durable)
+            group.first_index, group.records = self._writer.write(group.entries, self._options.durable)
         except OSError as error:
             return error.strerror or str(error)
         return ""
@@ -231,7 +229,7 @@
             else:
                 self._files.append(segment.name, end).close()  # it is no longer the last, which alone may be torn
         fresh = OpenedLog(None, record_count, iter(()), 0, None, 0)
-        return RecoveredLog(state, LogWriter(self._files, fresh, self._segment_bytes), record_count)
+        return RecoveredLog(state, LogWriter(self._files, fresh, self._options.segment_bytes), record_count)
 
     def resume(self, recovered: RecoveredLog) -> None:
         """Go on with what was recovered; every session has to begin anew."""
@@ -247,9 +245,9 @@
     def snapshot_due(self) -> bool:
         """Whether enough records came since the last snapshot."""
         return (
-            bool(self._snapshot_records)
+            bool(self._options.snapshot_records)
             and not self.failure
-            and (self.record_count - self._last_snapshot_records >= self._snapshot_records)
+            and (self.record_count - self._last_snapshot_records >= self._options.snapshot_records)
         )
 
     def encode_snapshot(self) -> tuple[int, bytes]:
@@ -258,7 +256,7 @@
         Only with no group pending; raises OSError if what was written cannot be made durable.
         """
         assert not self.pending_group.entries, "a snapshot holds only what is durable"
-        if not self._durable:
+        if not self._options.durable:
             self._writer.sync()
         return self._writer.synced, self.state.snapshot()
 
@@ -270,7 +268,7 @@
         write_snapshot(self._files, record_count, body)
         self._last_snapshot_records = record_count
         self._snapshot_marks.append(_SnapshotMark(self.state.now_ms, record_count))
-        oldest_ms = self.state.now_ms - self._retention_ms
+        oldest_ms = self.state.now_ms - self._options.retention_ms
         expired = [mark.record_count for mark in self._snapshot_marks if mark.time_ms <= oldest_ms]
         return compact(self._files, expired[-1]) if expired else []
 
--- a/martenstep/counter/increment_ledger.py
+++ b/martenstep/counter/increment_ledger.py
@@ -76,8 +76,10 @@
     def __init__(
         self, instance: str, manager: ReplicaManager, deliver: Callable[[AttemptRecord], bool], log_event: EventLog
     ) -> None:
-        """`deliver` hands an attempt to the counter's client, False if that has no capacity; `on_acknowledged` is to be
-        called when the counter has it."""
+        """Begin without a group; `deliver` hands an attempt to the counter's client, False if that has no capacity.
+
+        `on_acknowledged` is to be called when the counter has it.
+        """
         self.instance = instance
         self._manager = manager
         self._deliver = deliver
--- a/martenstep/counter/journal.py
+++ b/martenstep/counter/journal.py
@@ -13,7 +13,6 @@
 from collections import OrderedDict
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
@@ -63,7 +62,7 @@
     )
 
 
-def _convert_attempt(line: Any) -> RecordAttempt:
+def _convert_attempt(line: object) -> RecordAttempt:
     """Read a decoded line; sequences are of an earlier epoch, so they are not read."""
     stored = msgspec.convert(line, _StoredAttempt)
     return RecordAttempt(
--- a/martenstep/counter/protocol.py
+++ b/martenstep/counter/protocol.py
@@ -27,6 +27,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import Any
 
 import google_crc32c
 
@@ -244,31 +245,31 @@
     return head + _encode_strings(frame.gateway)
 
 
+_ENCODERS: dict[type[Frame], Callable[[Any], bytes]] = {
+    RecordAttempt: _encode_record,
+    RecordReply: lambda frame: _STORED.pack(STORED, frame.sequence, frame.status),
+    Hello: _encode_hello,
+    Welcome: lambda frame: _WELCOME.pack(WELCOME, frame.version, frame.map_version, frame.term, frame.highest_sequence),
+    LogRecords: lambda frame: _ENTRIES.pack(ENTRIES, frame.first_index) + frame.data,
+    FollowRequest: lambda frame: _FOLLOW.pack(
+        FOLLOW, frame.version, frame.term, frame.next_index, frame.previous_checksum
+    ),
+    FollowAck: lambda frame: _ACK.pack(ACK, frame.next_index),
+    Rejection: lambda frame: _REFUSED.pack(REFUSED, frame.status) + _encode_strings(frame.reason),
+}
+
+
 def encode(frame: Frame) -> bytes:
     """Encode a frame, header included; raises ProtocolError if it is too large."""
-    match frame:
-        case Add():
-            payload = _ADD.pack(ADD, frame.sequence, frame.key, frame.units, frame.ttl_ms)
-        case TotalReply():
-            payload = _TOTAL.pack(TOTAL, frame.sequence, frame.status, frame.total)
-        case Read():
-            payload = _READ.pack(READ, frame.sequence, frame.key)
-        case RecordAttempt():
-            payload = _encode_record(frame)
-        case RecordReply():
-            payload = _STORED.pack(STORED, frame.sequence, frame.status)
-        case Hello():
-            payload = _encode_hello(frame)
-        case Welcome():
-            payload = _WELCOME.pack(WELCOME, frame.version, frame.map_version, frame.term, frame.highest_sequence)
-        case LogRecords():
-            payload = _ENTRIES.pack(ENTRIES, frame.first_index) + frame.data
-        case FollowRequest():
-            payload = _FOLLOW.pack(FOLLOW, frame.version, frame.term, frame.next_index, frame.previous_checksum)
-        case FollowAck():
-            payload = _ACK.pack(ACK, frame.next_index)
-        case Rejection():
-            payload = _REFUSED.pack(REFUSED, frame.status) + _encode_strings(frame.reason)
+    # The types of the hot path in line: adds, their replies and reads.
+    if isinstance(frame, Add):
+        payload = _ADD.pack(ADD, frame.sequence, frame.key, frame.units, frame.ttl_ms)
+    elif isinstance(frame, TotalReply):
+        payload = _TOTAL.pack(TOTAL, frame.sequence, frame.status, frame.total)
+    elif isinstance(frame, Read):
+        payload = _READ.pack(READ, frame.sequence, frame.key)
+    else:
+        payload = _ENCODERS[type(frame)](frame)
     if len(payload) > MAX_PAYLOAD_BYTES:
         raise ProtocolError(f"a frame of {len(payload)} bytes: {MAX_PAYLOAD_BYTES} are allowed")
     return frame_payload(payload)
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -67,9 +67,12 @@
         limits: ServiceLimits | None = None,
         clock: Callable[[], float] | None = None,
     ) -> None:
-        """`find_replica` gives the replica of a group that is here, its machine a ReplicatedCounter; `find_address` the
-        address for gateways, as HOST:PORT, of one replica of a group, or of any that may know the leader; `clock` Unix
-        seconds, if it is not to be the wall clock as of now, carried on steadily."""
+        """Serve the replicas of this machine.
+
+        `find_replica` gives the replica of a group that is here, its state machine a ReplicatedCounter; `find_address`
+        the address for gateways, as HOST:PORT, of one replica of a group, or of any that may know the leader; `clock`
+        Unix seconds, if it is not to be the wall clock as of now, carried on steadily.
+        """
         self.find_replica = find_replica
         self.limits = limits or ServiceLimits()
         self.connections: set[_Connection] = set()
--- a/martenstep/counter/service.py
+++ b/martenstep/counter/service.py
@@ -17,7 +17,7 @@
 
 from martenstep.config.tls import ServerContext, TlsError
 from martenstep.counter import counter_pb2 as pb
-from martenstep.counter.commit_pipeline import AddressedReply, CommitPipeline, Session
+from martenstep.counter.commit_pipeline import AddressedReply, CommitPipeline, LogOptions, Session
 from martenstep.counter.connection import GatewayConnection, close_idle_connections
 from martenstep.counter.log_output import log_event
 from martenstep.counter.log_shipping import FollowerLink, LogShipper
@@ -51,7 +51,7 @@
     disk = Disk(Path(log.directory))
     try:
         pipeline: CommitPipeline[ClientConnection] = CommitPipeline(
-            disk, build_limits(settings), log.segment_bytes, log.durable, log.snapshot_records, log.keep_ms
+            disk, build_limits(settings), LogOptions(log.segment_bytes, log.durable, log.snapshot_records, log.keep_ms)
         )
     except BaseException:
         disk.close()
--- a/martenstep/counter/shards.py
+++ b/martenstep/counter/shards.py
@@ -17,6 +17,7 @@
 import xxhash
 
 from martenstep.counter.client import CounterClient
+from martenstep.counter.pending_increments import AttemptRecord
 
 
 def owning_service(services: Sequence[str], key: str) -> str:
@@ -47,19 +48,9 @@
         """Request one add of the key's service."""
         self._client(f"n{key:x}").add(call, key, units, ttl_ms, bounds_ceiling)
 
-    def record(
-        self,
-        time_ms: float,
-        units: float,
-        over_quota: bool,
-        request_id: str,
-        customer: str,
-        plan: str,
-        request_class: str,
-    ) -> bool:
+    def record(self, record: AttemptRecord) -> bool:
         """Journal an attempt for its customer's service; False if its journal is full."""
-        client = self._client(f"c{customer}")
-        return client.record(time_ms, units, over_quota, request_id, customer, plan, request_class)
+        return self._client(f"c{record.customer}").record(record)
 
     async def flush(self, within_ms: float) -> bool:
         """Wait until all is acknowledged; False if it was not in time."""
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -26,6 +26,7 @@
 from martenstep.proxy.headers import get_header
 from martenstep.redis_counter import messages as store
 from martenstep.redis_counter.core import Core
+from martenstep.redis_counter.messages import AddCall
 
 STORE_NODE = "store"
 ZONE_OF_STORE = "store"
@@ -374,7 +375,9 @@
 
     def _add(self, action: ev.AddToCounter) -> None:
         assert self._core is not None
-        self._core.add(self._sim.now, action.call_id, action.key, action.units, action.expire_ms, action.bounds_ceiling)
+        self._core.add(
+            self._sim.now, AddCall(action.call_id, action.key, action.units, action.expire_ms, action.bounds_ceiling)
+        )
         self._store_act()
 
     def _store_act(self) -> None:
--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -19,8 +19,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from martenstep.counter.client import Address, CounterClient
+from martenstep.counter.client import Address, ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.counter.replicated_counter import ReplicatedCounter
 from martenstep.counter.shards import ShardedClient, owning_service
 from martenstep.policy.messages import CallResult
@@ -53,14 +54,12 @@
             {
                 f"counter-{slot}": CounterClient(
                     likely,
-                    name,
                     AttemptJournal(folder / f"counter-{slot}", 1_000_000),
                     self._answered,
                     self._log_event,
-                    timeout_ms=TIMEOUT_MS,
-                    max_pending=100_000,
-                    map_version=slots,
-                    group=f"counter-{slot}",
+                    ClientOptions(
+                        name, timeout_ms=TIMEOUT_MS, max_pending=100_000, map_version=slots, group=f"counter-{slot}"
+                    ),
                 )
                 for slot in range(slots)
             }
@@ -78,7 +77,9 @@
         self.sent[name] += 1
         self.shards.add(self._call, name, 1.0, EXPIRE_MS)
         request = f"{self.name}-{self._call}"
-        if self.shards.record(time.time() * 1000, 1.0, False, request, f"c{self._call % 50}", "p", "read"):
+        if self.shards.record(
+            AttemptRecord(request, time.time() * 1000, 1.0, False, f"c{self._call % 50}", "p", "read")
+        ):
             self.tries.add(request)
 
     def _answered(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
--- a/martenstep/proxy/usage_recorder.py
+++ b/martenstep/proxy/usage_recorder.py
@@ -7,21 +7,18 @@
 from collections.abc import Callable
 from functools import partial
 from pathlib import Path
-from typing import TYPE_CHECKING
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.tls import ClientContext
-from martenstep.counter.client import CounterClient
+from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.counter.shards import ShardedClient
 from martenstep.event_log import EventLog
 from martenstep.policy.messages import CallResult
 from martenstep.proxy.cluster import Cluster
 from martenstep.proxy.engine_messages import RecordUsage
 
-if TYPE_CHECKING:  # a gateway that holds no replicas does not load them
-    from martenstep.counter.pending_increments import AttemptRecord
-
 FLUSH_TIMEOUT_MS = 2000.0  # at a stop: what is not acknowledged by then stays in the journal
 MS_PER_S = 1000.0
 CounterReplied = Callable[[int, CallResult, float, float], None]
@@ -77,15 +74,17 @@
         return {
             name: CounterClient(
                 service_addresses,
-                self._gateway_settings.name,
                 self._journal(name),
                 self._replied,
                 self._log_event,
-                timeout_ms=settings.timeout_ms,
-                max_pending=settings.waiting,
-                map_version=settings.map_version,
-                tls=tls,
-                server_name=settings.tls.server_name,
+                ClientOptions(
+                    self._gateway_settings.name,
+                    timeout_ms=settings.timeout_ms,
+                    max_pending=settings.waiting,
+                    map_version=settings.map_version,
+                    tls=tls,
+                    server_name=settings.tls.server_name,
+                ),
             )
             for name, service_addresses in (addresses or {"": [(settings.host, settings.port)]}).items()
         }
@@ -101,16 +100,18 @@
         return {
             slot: CounterClient(
                 partial(self._replica_addresses, slot),
-                self._gateway_settings.name,
                 self._journal(slot),
                 self._replied,
                 self._log_event,
-                timeout_ms=settings.timeout_ms,
-                max_pending=settings.waiting,
-                map_version=self._gateway_settings.copies.slots,
-                group=slot,
-                route=membership.route if membership is not None else lambda address: address,
-                on_acknowledged=self._recorded,
+                ClientOptions(
+                    self._gateway_settings.name,
+                    timeout_ms=settings.timeout_ms,
+                    max_pending=settings.waiting,
+                    map_version=self._gateway_settings.copies.slots,
+                    group=slot,
+                    route=membership.route if membership is not None else lambda address: address,
+                    on_acknowledged=self._recorded,
+                ),
             )
             for slot in slot_groups(self._gateway_settings.copies)
         }
@@ -126,13 +127,15 @@
         assert self._shards is not None
         recorded = self._record_pending(usage)
         written = self._shards.record(
-            time.time() * MS_PER_S,
-            usage.units,
-            usage.over_quota,
-            usage.correlation_id,
-            usage.customer,
-            usage.plan,
-            usage.request_class,
+            AttemptRecord(
+                usage.correlation_id,
+                time.time() * MS_PER_S,
+                usage.units,
+                usage.over_quota,
+                usage.customer,
+                usage.plan,
+                usage.request_class,
+            )
         )
         if not written:
             self._log_event(
@@ -152,8 +155,6 @@
         replicas = self._cluster.replicas
         if replicas is None or replicas.ledger is None:
             return None
-        from martenstep.counter.pending_increments import AttemptRecord
-
         recorded = replicas.ledger.replicate(
             AttemptRecord(
                 usage.correlation_id,
@@ -169,15 +170,7 @@
 
     def deliver(self, pending: AttemptRecord) -> bool:
         """Record a request out of a ledger that this gateway leads; False where it can't be taken now."""
-        return self._shards is not None and self._shards.record(
-            pending.time_ms,
-            pending.units,
-            pending.over_quota,
-            pending.request_id,
-            pending.customer,
-            pending.plan,
-            pending.request_class,
-        )
+        return self._shards is not None and self._shards.record(pending)
 
     def _recorded(self, correlation_id: str) -> None:
         replicas = self._cluster.replicas
--- a/martenstep/redis_counter/batch_writer.py
+++ b/martenstep/redis_counter/batch_writer.py
@@ -6,12 +6,10 @@
 
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter.call_queue import CallQueue
-from martenstep.redis_counter.messages import CoreOptions, OpenConnection, Operation, WriteOperations
+from martenstep.redis_counter.core_parts import CoreParts
+from martenstep.redis_counter.messages import OpenConnection, Operation, WriteOperations
 from martenstep.redis_counter.node_state import ConnectionState
-from martenstep.redis_counter.outbox import Outbox
 from martenstep.redis_counter.recovery import Recovery
-from martenstep.redis_counter.registers import RegisterTable
-from martenstep.redis_counter.routing import Routing
 
 MAX_BATCH = 64  # statements in one write: more would make the last wait for the first
 MAX_RESTATED = 32  # of those, statements made anew after a loss: calls keep their share
@@ -20,22 +18,14 @@
 class BatchWriter:
     """Opens connections, and writes batches of operations."""
 
-    def __init__(
-        self,
-        options: CoreOptions,
-        routing: Routing,
-        registers: RegisterTable,
-        recovery: Recovery,
-        queue: CallQueue,
-        outbox: Outbox,
-    ) -> None:
+    def __init__(self, parts: CoreParts, recovery: Recovery, queue: CallQueue) -> None:
         """All arguments are shared with the core's other modules."""
-        self._options = options
-        self._routing = routing
-        self._registers = registers
+        self._options = parts.options
+        self._routing = parts.routing
+        self._registers = parts.registers
         self._recovery = recovery
         self._queue = queue
-        self._outbox = outbox
+        self._outbox = parts.outbox
 
     def advance(self, now_ms: float) -> None:
         """Let every connection do what it can."""
--- a/martenstep/redis_counter/call_queue.py
+++ b/martenstep/redis_counter/call_queue.py
@@ -72,8 +72,10 @@
             self.put(now_ms, self.unrouted.popleft())
 
     def _is_cut_off(self, now_ms: float, connection: ConnectionState, operation: Operation) -> bool:
-        """Whether a call is not to wait for its node: a node whose circuit is open is tried by a statement of what it
-        had, if there is any, and no request waits for that."""
+        """Whether a call is not to wait for its node.
+
+        A node whose circuit is open is tried by a statement of what it had, if there is any: no request waits for it.
+        """
         node = connection.node
         if not node.circuit_open or operation.call is None:
             return False
--- a/martenstep/redis_counter/core.py
+++ b/martenstep/redis_counter/core.py
@@ -35,8 +35,10 @@
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter.batch_writer import BatchWriter
 from martenstep.redis_counter.call_queue import CallQueue
+from martenstep.redis_counter.core_parts import CoreParts
 from martenstep.redis_counter.messages import (
     Action,
+    AddCall,
     CloseConnection,
     ConnectionId,
     CoreOptions,
@@ -65,11 +67,12 @@
         self._outbox = outbox = Outbox()
         self._registers = registers = RegisterTable()
         self._routing = routing = Routing(options, rng, outbox)
+        parts = CoreParts(options, routing, registers, outbox)
         self._recovery = recovery = Recovery(routing, registers, outbox, rng)
         self._failures = failures = NodeFailures(routing, outbox, rng)
         self._queue = queue = CallQueue(options, routing, recovery, failures, outbox)
-        self._writer = BatchWriter(options, routing, registers, recovery, queue, outbox)
-        self._replies = ReplyHandler(options, routing, registers, recovery, failures, queue, outbox)
+        self._writer = BatchWriter(parts, recovery, queue)
+        self._replies = ReplyHandler(parts, recovery, failures, queue)
         self._swept_at_ms = -math.inf
 
     @property
@@ -102,15 +105,16 @@
             for key in connection.restate:
                 self._recovery.restate(key)
 
-    def add(self, now_ms: float, call: int, key: int, units: float, ttl_ms: float, needs_proof: bool = False) -> None:
+    def add(self, now_ms: float, call: AddCall) -> None:
         """Take one call: it is answered once, within the time-out."""
-        if key not in self._registers:
+        if call.key not in self._registers:
             if self._registers.full:
-                self._outbox.answer(call, CallResult.OVERLOADED)
+                self._outbox.answer(call.call, CallResult.OVERLOADED)
                 return
-            self._registers.create(key, now_ms + ttl_ms)
+            self._registers.create(call.key, now_ms + call.ttl_ms)
         deadline_ms = now_ms + self._options.timeout_ms
-        self._queue.put(now_ms, Operation(key, units, call, deadline_ms, needs_proof=needs_proof))
+        operation = Operation(call.key, call.units, call.call, deadline_ms, needs_proof=call.needs_proof)
+        self._queue.put(now_ms, operation)
         self._writer.advance(now_ms)
 
     def on_opened(self, now_ms: float, connection_id: ConnectionId) -> None:
--- a/martenstep/redis_counter/messages.py
+++ b/martenstep/redis_counter/messages.py
@@ -29,6 +29,17 @@
     dynamic_topology: bool = False  # whether the nodes can change, and are to be queried
 
 
+@dataclass(frozen=True, slots=True)
+class AddCall:
+    """One call: units to add to a key, whose time to live applies if it is new."""
+
+    call: int
+    key: int
+    units: float
+    ttl_ms: float
+    needs_proof: bool = False
+
+
 @dataclass(slots=True, eq=False)
 class Operation:
     """One statement, or one plain add, on its way."""
--- a/martenstep/redis_counter/redis_client.py
+++ b/martenstep/redis_counter/redis_client.py
@@ -22,6 +22,7 @@
 from martenstep.redis_counter import script
 from martenstep.redis_counter.core import Core
 from martenstep.redis_counter.messages import (
+    AddCall,
     AnswerCall,
     CloseConnection,
     ConnectionId,
@@ -109,7 +110,7 @@
 
     def add(self, call: int, key: int, units: float, ttl_ms: float, bounds_ceiling: bool = False) -> None:
         """Request one add; `answer` is called once for it, within the time-out."""
-        self.core.add(now_ms(), call, key, units, ttl_ms, bounds_ceiling)
+        self.core.add(now_ms(), AddCall(call, key, units, ttl_ms, bounds_ceiling))
         self._perform_actions()
 
     async def stop(self) -> None:
@@ -270,7 +271,7 @@
         return StatementReply(float(results[0]), -1)
 
     @staticmethod
-    async def _read_reply(connection: Connection) -> Any:
+    async def _read_reply(connection: Connection) -> Any:  # noqa: ANN401  what the library decoded
         """Read one reply; an error that the store answered with is a StoreError."""
         try:
             return await connection.read_response()
--- a/martenstep/redis_counter/replies.py
+++ b/martenstep/redis_counter/replies.py
@@ -4,13 +4,12 @@
 
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter.call_queue import CallQueue
-from martenstep.redis_counter.messages import CoreOptions, Operation, StatementReply, StoreError
+from martenstep.redis_counter.core_parts import CoreParts
+from martenstep.redis_counter.messages import Operation, StatementReply, StoreError
 from martenstep.redis_counter.node_failures import NodeFailures
 from martenstep.redis_counter.node_state import ConnectionState, NodeState
-from martenstep.redis_counter.outbox import Outbox
 from martenstep.redis_counter.recovery import Recovery
-from martenstep.redis_counter.registers import Register, RegisterTable
-from martenstep.redis_counter.routing import Routing
+from martenstep.redis_counter.registers import Register
 
 MAX_ATTEMPTS = 5  # a call is redirected or asked to come again so often
 MOVING_SLOT_RETRY_MS = 5.0
@@ -23,24 +22,15 @@
 class ReplyHandler:
     """Handles the replies to operations."""
 
-    def __init__(
-        self,
-        options: CoreOptions,
-        routing: Routing,
-        registers: RegisterTable,
-        recovery: Recovery,
-        failures: NodeFailures,
-        queue: CallQueue,
-        outbox: Outbox,
-    ) -> None:
+    def __init__(self, parts: CoreParts, recovery: Recovery, failures: NodeFailures, queue: CallQueue) -> None:
         """All arguments are shared with the core's other modules."""
-        self._options = options
-        self._routing = routing
-        self._registers = registers
+        self._options = parts.options
+        self._routing = parts.routing
+        self._registers = parts.registers
         self._recovery = recovery
         self._failures = failures
         self._queue = queue
-        self._outbox = outbox
+        self._outbox = parts.outbox
 
     # Totals
 
--- a/martenstep/supervise/reloader.py
+++ b/martenstep/supervise/reloader.py
@@ -5,6 +5,7 @@
 import asyncio
 import time
 from collections.abc import Callable, Coroutine
+from dataclasses import dataclass
 from typing import Any
 
 from martenstep.config import door_pb2 as pb
@@ -23,6 +24,15 @@
     return time.clock_gettime_ns(time.CLOCK_MONOTONIC) // NS_PER_US
 
 
+@dataclass(frozen=True, slots=True)
+class ReloadTarget:
+    """What is reloaded: a gateway in this process, or its workers."""
+
+    current: Callable[[], pb.Door]
+    apply: Callable[[pb.Door], Coroutine[Any, Any, str]]  # returns why the settings were not applied
+    reload_files: Callable[[], None]  # hooks and certificates, which stand in files of their own
+
+
 class Reloader:
     """Reads the settings anew and has them applied."""
 
@@ -31,18 +41,13 @@
         load: Callable[[], pb.Door] | None,
         log_event: EventLog,
         notifier: Notifier,
-        current: Callable[[], pb.Door],
-        apply: Callable[[pb.Door], Coroutine[Any, Any, str]],
-        reload_files: Callable[[], None],
+        target: ReloadTarget,
     ) -> None:
-        """`load` reads the settings and raises SettingsError; `apply` returns why they were not applied; `reload_files`
-        loads hooks and certificates anew, which stand in files of their own."""
+        """`load` reads the settings and raises SettingsError; None if they are not to be read again."""
         self._load = load
         self._log_event = log_event
         self._notifier = notifier
-        self._current = current
-        self._apply = apply
-        self._reload_files = reload_files
+        self._target = target
         self._lock = asyncio.Lock()
         self._task: asyncio.Task[None] | None = None
 
@@ -56,7 +61,7 @@
             # systemd requires the time with Type=notify-reload.
             self._notifier.notify(RELOADING=1, MONOTONIC_USEC=monotonic_us())
             await self._reload_settings()
-            self._reload_files()
+            self._target.reload_files()
             self._notifier.notify(READY=1)
 
     async def _reload_settings(self) -> None:
@@ -69,14 +74,14 @@
             return
         allowed = self._allowed_connections(settings)
         settings.listener.max_connections = min(settings.listener.max_connections, allowed)
-        changes = differences(self._current(), settings)
+        changes = differences(self._target.current(), settings)
         need_restart = [change.describe() for change in changes if not change.live]
         if need_restart:
             self._reject({"need_a_restart": need_restart[:MAX_LISTED_CHANGES]})
             return
         if not changes:
             return
-        error_text = await self._apply(settings)
+        error_text = await self._target.apply(settings)
         if error_text:
             self._reject({"errors": [error_text]})
         else:
@@ -91,7 +96,7 @@
         try:
             resources.apply_limits(copy, lambda event, fields: None)
         except resources.ResourceError:
-            return self._current().listener.max_connections
+            return self._target.current().listener.max_connections
         return copy.listener.max_connections
 
     def _reject(self, fields: LogFields) -> None:
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -20,7 +20,7 @@
 from martenstep.supervise import early_signals, resources
 from martenstep.supervise.pid_file import PidFile, PidFileLockedError
 from martenstep.supervise.process_manager import Notifier
-from martenstep.supervise.reloader import Reloader
+from martenstep.supervise.reloader import Reloader, ReloadTarget
 from martenstep.supervise.supervisor import EXIT_GAVE_UP, Supervisor
 
 EXIT_CANNOT_START = 1
@@ -60,7 +60,9 @@
         daemon.reconfigure(new_settings)
         return ""
 
-    reloader = Reloader(load, daemon.event_logger.log, notifier, lambda: daemon.settings, apply, daemon.renew)
+    reloader = Reloader(
+        load, daemon.event_logger.log, notifier, ReloadTarget(lambda: daemon.settings, apply, daemon.renew)
+    )
     await daemon.start()
     _write_ready(daemon.ports)
     notifier.notify(READY=1, STATUS=f"serves at port {daemon.ports['listener']}")
@@ -107,9 +109,7 @@
         load,
         event_logger.log,
         notifier,
-        lambda: supervisor.settings,
-        supervisor.apply_settings,
-        supervisor.reload_files,
+        ReloadTarget(lambda: supervisor.settings, supervisor.apply_settings, supervisor.reload_files),
     )
     supervisor.start(_SupervisorStatus(supervisor, notifier).update)
     stopping = asyncio.create_task(_wait_for_stop(stop, notifier, reloader))
--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -11,6 +11,7 @@
 from martenstep.redis_counter.core import Core
 from martenstep.redis_counter.messages import (
     Action,
+    AddCall,
     AnswerCall,
     CloseConnection,
     ConnectionId,
@@ -71,7 +72,7 @@
         """One call; gives its number."""
         call = len(self.calls) + 1
         self.calls[call] = door, name, units, self.now
-        self.cores[door].add(self.now, call, name, units, expire_ms, proof)
+        self.cores[door].add(self.now, AddCall(call, name, units, expire_ms, proof))
         self._act(door)
         return call
 
--- a/tests/test_counter_copied.py
+++ b/tests/test_counter_copied.py
@@ -11,8 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martenstep.counter.client import CounterClient
+from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.counter.protocol import (
     Add,
     FrameDecoder,
@@ -151,7 +152,9 @@
         order = [*self.first.voters[first:], *self.first.voters[:first]]
         addresses = [("127.0.0.1", self.ports[copy]) for copy in order]
         journal = AttemptJournal(self.folder / "journal", 1000)
-        return CounterClient(addresses, "door", journal, answer, lambda event, fields: None, timeout_ms=300.0)
+        return CounterClient(
+            addresses, journal, answer, lambda event, fields: None, ClientOptions("door", timeout_ms=300.0)
+        )
 
     async def command(self, epoch: int, command: Add | RecordAttempt) -> Reply:
         while True:
@@ -208,7 +211,9 @@
         await group.leader()
         client = group.client(lambda call, verdict, total, kept: told.update({call: (verdict, total)}), first)
         client.start()
-        assert client.record(NOW, 1.0, False, "r1", "c", "p", "k")  # waits until the leader has been found
+        assert client.record(
+            AttemptRecord("r1", NOW, 1.0, False, "c", "p", "k")
+        )  # waits until the leader has been found
         assert await client.flush(10_000)
         for call in range(5):
             client.add(call, 7, 2.0, 60_000.0)
@@ -228,7 +233,7 @@
         client.start()
         for number in range(150):
             client.add(number, 7, 1.0, 3_600_000.0)
-            client.record(NOW + number, 1.0, False, f"r{number}", "c", "p", "k")
+            client.record(AttemptRecord(f"r{number}", NOW + number, 1.0, False, "c", "p", "k"))
             await asyncio.sleep(0.005)
             if number in (40, 90):
                 lost = (await group.leader()).raft.replica_id
--- a/tests/test_counter_follow.py
+++ b/tests/test_counter_follow.py
@@ -12,6 +12,7 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.counter import log_shipping
 from martenstep.counter import protocol as fr
+from martenstep.counter.commit_pipeline import LogOptions
 from martenstep.counter.follower import Follower, LeaderRejectedError, promote
 from martenstep.counter.log_inspection import rebuild_from_log, verify
 from martenstep.counter.settings import parse_service
@@ -134,7 +135,8 @@
 def test_a_leader_that_does_not_sync_ships_each_record_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with served(tmp_path / "a") as (service, port):
-            service.pipeline._durable, service.pipeline._writer._segment_bytes = False, 4096
+            service.pipeline._options = LogOptions(durable=False)
+            service.pipeline._writer._segment_bytes = 4096
             follower = Follower(tmp_path / "b")
             task = asyncio.create_task(follower.follow("127.0.0.1", port))
             wire = await Wire.to(port, fr.Hello("door", 1))
--- a/tests/test_counter_log.py
+++ b/tests/test_counter_log.py
@@ -12,7 +12,7 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.counter.commit_pipeline import CommitPipeline, Session, rebuild_state
+from martenstep.counter.commit_pipeline import CommitPipeline, LogOptions, Session, rebuild_state
 from martenstep.counter.protocol import Add, Read, RecordAttempt, RecordReply, Reply, Status, TotalReply
 from martenstep.counter.state import CounterLimits, CounterState
 from martenstep.storage.log import HEADER, LogError, open_log, segments, snapshots
@@ -39,7 +39,9 @@
 
     def open(self) -> CommitPipeline[Any]:
         if self.keeper is None:
-            made: CommitPipeline[Any] = CommitPipeline(self.files, LIMITS, self._segment_bytes, True, self._snapshots)
+            made: CommitPipeline[Any] = CommitPipeline(
+                self.files, LIMITS, LogOptions(self._segment_bytes, True, self._snapshots)
+            )
             made.state.advance_clock(self.now)
             self.keeper = made
         return self.keeper
--- a/tests/test_counter_processes.py
+++ b/tests/test_counter_processes.py
@@ -11,8 +11,9 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.counter.client import CounterClient
+from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.lab.copies import Copies
 from martenstep.policy.messages import CallResult
 from tests.socket_rig import LONG_S, run
@@ -21,11 +22,10 @@
 def door(copies: Copies, told: list[CallResult]) -> CounterClient:
     return CounterClient(
         copies.addresses,
-        "door",
         AttemptJournal(copies.folder / "journal", 5000),
         lambda call, verdict, total, kept: told.append(verdict),
         lambda event, fields: None,
-        timeout_ms=300.0,
+        ClientOptions("door", timeout_ms=300.0),
     )
 
 
@@ -40,7 +40,7 @@
             nonlocal sent
             while not stop.is_set():
                 client.add(sent, 7, 1.0, 86_400_000.0)
-                assert client.record(time.time() * 1000, 1.0, False, f"r{sent}", "c", "p", "k")
+                assert client.record(AttemptRecord(f"r{sent}", time.time() * 1000, 1.0, False, "c", "p", "k"))
                 sent += 1
                 await asyncio.sleep(0.01)
 
--- a/tests/test_counter_service.py
+++ b/tests/test_counter_service.py
@@ -19,9 +19,10 @@
 
 from martenstep.cli.main import cli
 from martenstep.counter import protocol as fr
-from martenstep.counter.client import CounterClient
+from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.log_inspection import iterate_attempts, rebuild_from_log, verify
+from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.counter.service import Service, open_pipeline
 from martenstep.counter.settings import parse_service
 from martenstep.counter.state import CounterLimits
@@ -245,11 +246,10 @@
         self.notes: list[str] = []
         self.client = CounterClient(
             [("127.0.0.1", port)],
-            name,
             AttemptJournal(journal, 100_000),
             self._answer,
             lambda event, fields: self.notes.append(event),
-            **words,
+            ClientOptions(name, **words),
         )
         self.client.start()
         self._call = 0
@@ -273,7 +273,7 @@
         async with served(tmp_path / "log") as (_, port):
             desk = Desk(port, tmp_path / "door", timeout_ms=5000.0)
             calls = [desk.add(5) for _ in range(50)]
-            assert desk.client.record(time.time() * 1000, 1.0, False, "r1", "ada", "basic", "read")
+            assert desk.client.record(AttemptRecord("r1", time.time() * 1000, 1.0, False, "ada", "basic", "read"))
             await desk.quiet()
             assert [desk.answers[call] for call in calls] == [(CallResult.OK, n + 1.0) for n in range(50)]
             await desk.client.stop()
@@ -289,7 +289,7 @@
         desk = Desk(port, tmp_path / "door", timeout_ms=30.0)
         call = desk.add(5)
         now = time.time() * 1000
-        assert desk.client.record(now, 2.0, True, "r1", "ada", "basic", "read")
+        assert desk.client.record(AttemptRecord("r1", now, 2.0, True, "ada", "basic", "read"))
         while call not in desk.answers:
             await asyncio.sleep(0.005)
         assert desk.answers[call] == (CallResult.CONNECT_FAILED, 0.0)
@@ -361,7 +361,7 @@
                         sent[tries % 3] = sent.get(tries % 3, 0.0) + 1.0
                     # Every other try is sent by both doors, as by a client that repeats.
                     request = f"r{tries}" if tries % 2 else f"r{number}-{tries}"
-                    desk.client.record(time.time() * 1000, 1.0, False, request, "ada", "basic", "read")
+                    desk.client.record(AttemptRecord(request, time.time() * 1000, 1.0, False, "ada", "basic", "read"))
                     requests.add(request)
                     tries += 1
                 await asyncio.sleep(0.002)
--- a/tests/test_counter_shards.py
+++ b/tests/test_counter_shards.py
@@ -11,9 +11,10 @@
 
 from martenstep.config.loading import parse_door
 from martenstep.config.text_format import SettingsError
-from martenstep.counter.client import CounterClient
+from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.log_inspection import iterate_attempts, rebuild_from_log
+from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.counter.shards import ShardedClient, owning_service
 from martenstep.counter.state import CounterLimits
 from martenstep.policy.messages import CallResult
@@ -44,11 +45,10 @@
                     {
                         service: CounterClient(
                             [("127.0.0.1", port)],
-                            name,
                             AttemptJournal(tmp_path / name / service, 1000),
                             lambda call, verdict, total, kept: answers.__setitem__(call, (verdict, total)),
                             lambda event, fields: None,
-                            timeout_ms=5000.0,
+                            ClientOptions(name, timeout_ms=5000.0),
                         )
                         for service, port in (("a", a), ("b", b))
                     }
@@ -61,7 +61,9 @@
             for number in range(200):
                 (one if number % 2 else two).add(number, number // 4, 1.0, 1e9)
                 for door in (one, two):  # the same try from both
-                    assert door.record(now, 1.0, False, f"r{number}", f"customer-{number % 9}", "basic", "read")
+                    assert door.record(
+                        AttemptRecord(f"r{number}", now, 1.0, False, f"customer-{number % 9}", "basic", "read")
+                    )
             assert all(await asyncio.gather(one.flush(9000.0), two.flush(9000.0)))
             await asyncio.gather(one.stop(), two.stop())
             assert sorted(total for _, total in answers.values()) == sorted([1.0, 2.0, 3.0, 4.0] * 50)
@@ -85,11 +87,10 @@
             notes: list[str] = []
             client = CounterClient(
                 [("127.0.0.1", port)],
-                "door-0",
                 AttemptJournal(tmp_path / "door", 10),
                 lambda call, verdict, total, kept: None,
                 lambda event, fields: notes.append(str(fields)),
-                map_version=1,
+                ClientOptions("door-0", map_version=1),
             )
             client.start()
             client.add(1, 1, 1.0, 1e9)
--- a/tests/test_fault_counter.py
+++ b/tests/test_fault_counter.py
@@ -11,6 +11,7 @@
 
 from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.log_inspection import iterate_attempts
+from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
 from tests.socket_rig import run
 from tests.test_counter_service import Desk, served
@@ -64,7 +65,7 @@
             desk = Desk(port, folder / "door", timeout_ms=5000.0)
             for number in range(5):
                 at_ms = (time.time() + step_s) * 1000
-                assert desk.client.record(at_ms, 1.0, False, f"r{number}", "ada", "basic", "read")
+                assert desk.client.record(AttemptRecord(f"r{number}", at_ms, 1.0, False, "ada", "basic", "read"))
             async with asyncio.timeout(5):
                 await desk.quiet()
             await desk.client.stop()
@@ -92,7 +93,7 @@
             assert desk.answers[first][1] == 3.0
             faults.write_text(json.dumps({fault: 1}))
             lost = desk.add(5)
-            assert desk.client.record(time.time() * 1000, 1.0, False, "r1", "ada", "basic", "read")
+            assert desk.client.record(AttemptRecord("r1", time.time() * 1000, 1.0, False, "ada", "basic", "read"))
             while lost not in desk.answers:
                 await asyncio.sleep(0.005)
             faults.write_text("{}")
--- a/tests/test_formats_counter_log.py
+++ b/tests/test_formats_counter_log.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.counter.commit_pipeline import CommitPipeline
+from martenstep.counter.commit_pipeline import CommitPipeline, LogOptions
 from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.log_inspection import iterate_attempts, rebuild_from_log, verify
 from martenstep.counter.protocol import Add, RecordAttempt, RecordReply, Status, TotalReply
@@ -37,7 +37,7 @@
 def write_log(directory: Path) -> None:
     """The same commands each time: two doors, adds, tries, a snapshot, a term, several segments."""
     with Disk(directory) as disk:
-        keeper: CommitPipeline[int | None] = CommitPipeline(disk, LIMITS, 700, True, 5, 1e12)
+        keeper: CommitPipeline[int | None] = CommitPipeline(disk, LIMITS, LogOptions(700, True, 5, 1e12))
         keeper.state.advance_clock(NOW_MS)
         first, second = keeper.open_session("door-0", 11), keeper.open_session("döor-1", 12)
         assert first is not None and second is not None
@@ -90,7 +90,7 @@
     if without_snapshot:
         (directory / "snap-0000000000000009.snap").unlink()
     with Disk(directory) as disk:
-        keeper: CommitPipeline[int | None] = CommitPipeline(disk, LIMITS, 700)
+        keeper: CommitPipeline[int | None] = CommitPipeline(disk, LIMITS, LogOptions(700))
         counter = keeper.state
         assert (counter.now_ms, counter.term, counter.applied_entries, keeper.truncated_bytes) == (
             NOW_MS + 2000.0,
--- a/tests/test_formats_redis.py
+++ b/tests/test_formats_redis.py
@@ -15,7 +15,7 @@
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter import script
 from martenstep.redis_counter.core import Core
-from martenstep.redis_counter.messages import CoreOptions, StatementReply, WriteOperations
+from martenstep.redis_counter.messages import AddCall, CoreOptions, StatementReply, WriteOperations
 from martenstep.redis_counter.redis_client import RedisCounter
 from martenstep.redis_counter.slots import slot_of
 from tests.socket_rig import run
@@ -144,7 +144,7 @@
     core = Core(CoreOptions(connections_per_node=1, gather_ms=1.0), random.Random(5))
     core.set_topology(0.0, ["n:1"])
     for call, (name, units, proof) in enumerate([(3, 1.0, False), (4, 2.0, True), (3, 0.5, False)]):
-        core.add(0.0, call, name, units, 600.0, proof)
+        core.add(0.0, AddCall(call, name, units, 600.0, proof))
     [opening] = list(core.take_actions())
     core.on_opened(0.5, opening.connection)  # type: ignore[union-attr]
     core.on_timer(2.0)
@@ -164,8 +164,8 @@
     """Metrics show these names of what became of calls."""
     core = Core(CoreOptions(connections_per_node=1, timeout_ms=10.0, max_pending=1), random.Random(5))
     core.set_topology(0.0, ["n:1"])
-    core.add(0.0, 1, 3, 1.0, 600.0)
-    core.add(0.0, 2, 3, 1.0, 600.0)  # no place
+    core.add(0.0, AddCall(1, 3, 1.0, 600.0))
+    core.add(0.0, AddCall(2, 3, 1.0, 600.0))  # no place
     assert core.counts == {"FULL": 1}
     [opening, *_] = list(core.take_actions())
     lane = opening.connection  # type: ignore[union-attr]
--- a/tests/test_formats_supervise.py
+++ b/tests/test_formats_supervise.py
@@ -23,7 +23,7 @@
     StartWorker,
     WorkerMessage,
 )
-from martenstep.supervise.reloader import Reloader
+from martenstep.supervise.reloader import Reloader, ReloadTarget
 from martenstep.supervise.worker_settings import build_worker_settings
 from tests.door_rig import settings
 
@@ -102,7 +102,10 @@
             return ""
 
         reloader = Reloader(
-            None, lambda event, fields: lines.append((event, fields)), notifier, lambda: door, take_up, lambda: None
+            None,
+            lambda event, fields: lines.append((event, fields)),
+            notifier,
+            ReloadTarget(lambda: door, take_up, lambda: None),
         )
         asyncio.run(reloader.reload())
         assert heard.recv(1000) == b"RELOADING=1\nMONOTONIC_USEC=123456\n"
--- a/tests/test_store_core.py
+++ b/tests/test_store_core.py
@@ -6,7 +6,7 @@
 
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter.core import Core
-from martenstep.redis_counter.messages import AnswerCall, ConnectionId, CoreOptions, WriteOperations
+from martenstep.redis_counter.messages import AddCall, AnswerCall, ConnectionId, CoreOptions, WriteOperations
 from martenstep.redis_counter.slots import SLOTS, slot_of
 from tests.store_world import World
 
@@ -16,8 +16,8 @@
     slots = ["one:1"] * SLOTS
     slots[slot_of(core.store_key(2))] = "two:2"
     core.set_topology(0.0, slots)
-    core.add(1.0, 1, 1, 1.0, 60_000.0)
-    core.add(1.0, 2, 2, 1.0, 60_000.0)  # its lane is not open yet: it waits there, and the lane is full
+    core.add(1.0, AddCall(1, 1, 1.0, 60_000.0))
+    core.add(1.0, AddCall(2, 2, 1.0, 60_000.0))  # its lane is not open yet: it waits there, and the lane is full
     core.on_opened(2.0, ConnectionId("one:1", 0))
     assert any(isinstance(action, WriteOperations) for action in core.take_actions())
     core.set_topology(3.0, ["two:2"] * SLOTS)
@@ -86,7 +86,7 @@
     core = Core(CoreOptions(connections_per_node=1, dynamic_topology=True), random.Random(1))
     core.set_topology(0.0, ["one:1"] * 100 + ["two:2"] * (SLOTS - 100))
     name = next(n for n in range(100_000) if slot_of(core.store_key(n)) < 100)
-    core.add(1.0, 1, name, 1.0, 60_000.0, True)
+    core.add(1.0, AddCall(1, name, 1.0, 60_000.0, True))
     core.on_opened(2.0, ConnectionId("one:1", 0))
     [write] = [action for action in core.take_actions() if isinstance(action, WriteOperations)]
     assert [slot_of(core.store_key(op.key)) < 100 for op in write.operations] == [True, True] and write.operations[
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -23,7 +23,7 @@
 from martenstep.supervise import resources
 from martenstep.supervise.pid_file import PidFile, PidFileLockedError
 from martenstep.supervise.process_manager import Notifier
-from martenstep.supervise.reloader import Reloader
+from martenstep.supervise.reloader import Reloader, ReloadTarget
 from martenstep.supervise.restart_policy import (
     CRASH_LOOP_DELAY_MS,
     CRASH_LOOP_EXITS,
@@ -299,9 +299,11 @@
                 lambda: load_door(file),
                 lambda event, fields: notes.append((event, fields)),
                 Notifier({}),
-                lambda: made.supervisor.settings,
-                made.supervisor.apply_settings,
-                made.supervisor.reload_files,
+                ReloadTarget(
+                    lambda: made.supervisor.settings,
+                    made.supervisor.apply_settings,
+                    made.supervisor.reload_files,
+                ),
             )
             stop = False
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -20,7 +20,7 @@
 from martenstep.config.loading import parse_door
 from martenstep.config.text_format import SettingsError
 from martenstep.config.tls import ClientContext, ServerContext, TlsError, client_context
-from martenstep.counter.client import CounterClient
+from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
 from martenstep.policy.messages import CallResult
 from tests.door_rig import DOOR
@@ -279,12 +279,10 @@
                 answers: list[CallResult] = []
                 client = CounterClient(
                     [("127.0.0.1", port)],
-                    "door-0",
                     AttemptJournal(tmp_path / f"j{verdict.name}", 10),
                     lambda call, got, total, kept: answers.append(got),  # noqa: B023
                     lambda event, fields: None,
-                    timeout_ms=5000.0 if shown else 300.0,
-                    tls=trusting(issuer, shown),
+                    ClientOptions("door-0", timeout_ms=5000.0 if shown else 300.0, tls=trusting(issuer, shown)),
                 )
                 client.start()
                 client.add(1, 7, 1.0, 1e9)
