--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -16,7 +16,7 @@
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine_factory import make_engine, make_server
 from martenstep.proxy.server import ProxyServer
-from tests.door_rig import settings
+from tests.engine_rig import settings
 
 BOUND_S = 15.0
 LONG_S = 120.0  # for what waits for elections and the filling of copies, on a machine that does much else
@@ -134,7 +134,7 @@
 
     def answers(self) -> list[dict[str, Any]]:
         """The lines of final answers."""
-        return [fields for event, fields in self.notes if event == "answer"]
+        return [fields for event, fields in self.notes if event == "request finished"]
 
     async def until(self, test: Callable[[], bool]) -> None:
         """Wait for something that must come to be."""
@@ -169,4 +169,4 @@
         await driver.stop(1000.0)
         for back in backs:
             back.stop()
-    assert driver.engine.open == 0
+    assert driver.engine.unanswered == 0
--- a/tests/test_counter_shards.py
+++ b/tests/test_counter_shards.py
@@ -18,7 +18,7 @@
 from martenstep.counter.shards import ShardedClient, owning_service
 from martenstep.counter.state import CounterLimits
 from martenstep.policy.messages import CallResult
-from tests.door_rig import DOOR
+from tests.engine_rig import DOOR
 from tests.socket_rig import run
 from tests.test_counter_service import served
 
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -212,7 +212,7 @@
     assert result["figures"]["requests_served"] > 0.6 * result["figures"]["requests"]
     assert ("verdicts" in result["rules"]) == day.HasField("auth_services")
     for door in world.doors.values():  # all books are balanced once all is quiet
-        assert {name: door.engine.held[name] for name in ("exchanges", "open")} == {"exchanges": 0, "open": 0}
+        assert {name: door.engine.held_counts[name] for name in ("exchanges", "open")} == {"exchanges": 0, "open": 0}
         assert not door._out and not door._callers
 
 
@@ -256,7 +256,9 @@
 
 def _ungoverned(asked: Any) -> Any:
     def other(self: EmuDoor, caller: Any, method: bytes, target: bytes, headers: ev.Headers) -> Any:
-        spread = [(name, b"free-%d" % self._tickets if name == b"x-customer" else value) for name, value in headers]
+        spread = [
+            (name, b"free-%d" % self._last_request_id if name == b"x-customer" else value) for name, value in headers
+        ]
         return asked(self, caller, method, target, spread)
 
     return other
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -19,13 +19,16 @@
 from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.proxy.daemon import Daemon
 from martenstep.proxy.headers import REASON_TEXTS, REJECTION_STATUS, local_reply
-from tests.door_rig import Rig, settings
+from tests.engine_rig import Rig, settings
 from tests.hook_rig import HookRig, release
 from tests.socket_rig import Peer, get, house, run
 
 FORMATS = Path(__file__).parent / "formats" / "proxy"
 HEAD_END = b"\r\n\r\n"
-FINAL, REJECTED = "answer", "turned away"  # names of events, which are not held here: only their fields are
+FINAL, REJECTED = (
+    "request finished",
+    "request rejected",
+)  # names of events, which are not held here: only their fields are
 
 
 def stored(name: str) -> str:
