--- a/tests/test_ceiling_schedules.py
+++ b/tests/test_ceiling_schedules.py
@@ -15,7 +15,7 @@
 from martenstep.policy import messages as api
 from martenstep.policy.ceiling import CeilingLimiter
 from martenstep.policy.gcra import Gcra
-from tests.test_store_ceiling import STEP_MS, Doors, most_beyond
+from tests.test_redis_counter_ceiling import STEP_MS, Doors, most_beyond
 
 LATE_STEPS = 14  # of 2 ms: nearly the time-out, so that answers come late and not too late
 PLANS = tuple(
--- a/tests/test_counter_log.py
+++ b/tests/test_counter_log.py
@@ -16,7 +16,7 @@
 from martenstep.counter.protocol import Add, Read, RecordAttempt, RecordReply, Reply, Status, TotalReply
 from martenstep.counter.state import CounterLimits, CounterState
 from martenstep.storage.log import HEADER, LogError, open_log, segments, snapshots
-from tests.counter_rig import Crash, FaultFiles
+from tests.faulty_files import Crash, FaultFiles
 
 LIMITS = CounterLimits(deduplication_window=64, attempt_window_ms=60_000.0)
 HOUR = 3_600_000.0
--- a/tests/test_books.py
+++ b/tests/test_increment_ledger.py
@@ -1,4 +1,4 @@
-"""Books of tries: what a lost door had promised is delivered by another, once, and its book comes to an end."""
+"""Pending increments: what a lost gateway had replicated is delivered by another, once, and its group comes to an end."""
 
 from __future__ import annotations
 
--- a/tests/test_store_ceiling.py
+++ b/tests/test_redis_counter_ceiling.py
@@ -22,7 +22,7 @@
 from martenstep.redis_counter.messages import Action, AnswerCall
 from martenstep.redis_counter.replies import ReplyHandler
 from tests.policy_events import CAPPED, SETTINGS, endpoint
-from tests.store_world import World
+from tests.redis_counter_world import World
 
 DOORS, CUSTOMERS, STEP_MS = 3, 2, 2.0
 FAULTS = ("paused", "emptied", "back", "cut", "loading", "refused", "evicted", "none")
--- a/tests/test_store_core.py
+++ b/tests/test_redis_counter_core.py
@@ -8,7 +8,7 @@
 from martenstep.redis_counter.core import Core
 from martenstep.redis_counter.messages import AddCall, AnswerCall, ConnectionId, CoreOptions, WriteOperations
 from martenstep.redis_counter.slots import SLOTS, slot_of
-from tests.store_world import World
+from tests.redis_counter_world import World
 
 
 def test_a_call_that_was_written_is_never_told_as_not_added_though_its_new_lane_is_full() -> None:
--- a/tests/test_store_model.py
+++ b/tests/test_redis_counter_model.py
@@ -17,7 +17,7 @@
 from martenstep.redis_counter.recovery import Recovery
 from martenstep.redis_counter.replies import ReplyHandler
 from martenstep.standins.redis.keyspace import Value
-from tests.store_world import TIMEOUT_MS, World
+from tests.redis_counter_world import TIMEOUT_MS, World
 
 DOORS, NAMES = 3, 2
 ERRORS = (
--- a/tests/test_replica_storage.py
+++ b/tests/test_replica_storage.py
@@ -20,7 +20,7 @@
     encode_write,
 )
 from martenstep.replication.witness import WITNESS_FILE, WITNESS_SLOT_BYTES, WitnessMark, read_witness_mark
-from tests.counter_rig import Crash, FaultFiles
+from tests.faulty_files import Crash, FaultFiles
 
 
 def entry(index: int, term: int = 1, size: int = 3) -> LogEntry:
