--- a/tests/test_increment_ledger.py
+++ b/tests/test_increment_ledger.py
@@ -1,4 +1,4 @@
-"""Pending increments: what a lost gateway had replicated is delivered by another, once, and its group comes to an end."""
+"""Pending increments: what a lost gateway replicated is delivered by another, once, and its group comes to an end."""
 
 from __future__ import annotations
 
