--- a/martenstep/auth/answerer.py
+++ b/martenstep/auth/answerer.py
@@ -78,8 +78,8 @@
     def _has_secret(self, headers: Headers) -> bool:
         if not self._secret_header:
             return True
-        shown = single_value(headers, (self._secret_header,)) or b""
-        return hmac.compare_digest(shown, self._secret)  # in a time that reveals nothing of how much fits
+        presented = single_value(headers, (self._secret_header,)) or b""
+        return hmac.compare_digest(presented, self._secret)  # in a time that reveals nothing of how much fits
 
     def _checked(self, method: bytes, target: bytes) -> About | Unasked:
         if len(target) > self._max_target_bytes:
--- a/martenstep/auth/core.py
+++ b/martenstep/auth/core.py
@@ -3,7 +3,7 @@
 No I/O and no clock; chance comes from a generator that is given.
 
 One *check* is one question at a service, shared by all requests with the same credential in flight.  Every request
-that waits ends in exactly one of Allow, Deny and Unsure, no later than its part of the client's deadline; one whose
+that waits ends in exactly one of Allow, Deny and NoVerdict, no later than its part of the client's deadline; one whose
 client disconnected ends in none.  A check never has two attempts in flight.
 
 Verdicts are cached as long as the service's Cache-Control allows, within bounds.  A verdict against a credential also
@@ -18,9 +18,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from martenstep.auth.messages import Action, Allow, Answer, Deny, Reason, Rules, Start, Stop, Unasked, Unsure
+from martenstep.auth.messages import Action, Allow, Answer, Deny, NoVerdict, Reason, Rules, Start, Stop, Unasked
 from martenstep.auth.service_health import ServiceHealth
-from martenstep.auth.verdict_cache import AllowedRequests, VerdictCache, keep_of
+from martenstep.auth.verdict_cache import AllowedRequests, VerdictCache, parse_cache_lifetime_ms
 from martenstep.auth.wait_queue import GroupedWaitQueue, WaitingRequest
 
 __all__ = [
@@ -29,13 +29,13 @@
     "Answer",
     "Core",
     "Deny",
+    "NoVerdict",
     "Reason",
     "Rules",
     "Start",
     "Stop",
     "Unasked",
-    "Unsure",
-    "keep_of",
+    "parse_cache_lifetime_ms",
 ]
 
 RETRY_AFTER_MS = 100.0  # of a request whose check could not be made: about one check
@@ -50,7 +50,7 @@
     requests: dict[int, WaitingRequest] = field(default_factory=dict)
     attempt: int = -1
     service: int | None = None  # where an attempt is in flight
-    tried: set[int] = field(default_factory=set)
+    attempted_services: set[int] = field(default_factory=set)
     attempt_started_at: float = 0.0
 
 
@@ -218,7 +218,7 @@
         if request.fail_open:
             self._actions.append(Allow(request.request_id, None))
         else:
-            self._actions.append(Unsure(request.request_id, reason, RETRY_AFTER_MS))
+            self._actions.append(NoVerdict(request.request_id, reason, RETRY_AFTER_MS))
         self._drop(request)
 
     def _shed(self) -> None:
@@ -247,7 +247,7 @@
         """Start what may start, the oldest first."""
         while self._queue and self._attempts_in_flight() < self._rules.total:
             check = next(iter(self._queue.values()))
-            service = self._choose_service(now, check.tried)
+            service = self._choose_service(now, check.attempted_services)
             if service is None:
                 return
             del self._queue[check.number]
@@ -258,20 +258,20 @@
     def _start_attempt(self, now: float, check: _Check, service: int) -> None:
         check.attempt += 1
         check.service = service
-        check.tried.add(service)
+        check.attempted_services.add(service)
         check.attempt_started_at = now
         self._services[service].in_flight += 1
         self._set_timer(now + self._rules.attempt_ms, _AttemptTimeout(check.number, check.attempt))
         self._actions.append(Start(check.number, check.attempt, service, check.payload))
 
-    def _choose_service(self, now: float, tried: set[int]) -> int | None:
-        """The service with the least expected wait among those that admit a check; one not tried yet goes first."""
+    def _choose_service(self, now: float, attempted_services: set[int]) -> int | None:
+        """The service with the least expected wait among those that admit a check; one not asked yet goes first."""
         admitting = [number for number, service in enumerate(self._services) if service.admits(now)]
-        untried = [number for number in admitting if number not in tried]
+        not_attempted = [number for number in admitting if number not in attempted_services]
         if not admitting:
             return None
         return min(
-            untried or admitting, key=lambda number: (self._services[number].expected_wait(), self._rng.random())
+            not_attempted or admitting, key=lambda number: (self._services[number].expected_wait(), self._rng.random())
         )
 
     def _attempts_in_flight(self) -> int:
--- a/martenstep/auth/messages.py
+++ b/martenstep/auth/messages.py
@@ -79,7 +79,7 @@
 class Allow:
     """The request is allowed; `answer` is None where it passes without a verdict (fail open)."""
 
-    ticket: int
+    request_id: int
     answer: Answer | None
 
 
@@ -87,17 +87,17 @@
 class Deny:
     """The request is denied: the service's answer is the client's."""
 
-    ticket: int
+    request_id: int
     answer: Answer
 
 
 @dataclass(slots=True)
-class Unsure:
+class NoVerdict:
     """No verdict, and the route fails closed."""
 
-    ticket: int
+    request_id: int
     reason: Reason
-    wait_ms: float
+    retry_after_ms: float
 
 
-Action = Start | Stop | Allow | Deny | Unsure
+Action = Start | Stop | Allow | Deny | NoVerdict
--- a/martenstep/auth/verdict_cache.py
+++ b/martenstep/auth/verdict_cache.py
@@ -77,7 +77,7 @@
         return sorted(self._requests.get(credential, ()))
 
 
-def keep_of(headers: Sequence[tuple[bytes, bytes]]) -> float:
+def parse_cache_lifetime_ms(headers: Sequence[tuple[bytes, bytes]]) -> float:
     """How long Cache-Control lets a shared cache store a response, in milliseconds; 0 where it does not say.
 
     Source: RFC 9111, 5.2.2.
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -33,10 +33,10 @@
     return tuple(f"counter-{number}" for number in range(copies.slots))
 
 
-def replica_requirements(door: pb.Door) -> ReplicationSettings:
+def replica_requirements(settings: pb.Door) -> ReplicationSettings:
     """Return what the settings require of each gateway."""
-    copies = door.copies
-    more = (QUEUE_GROUP,) if door.HasField("maintenance") else ()
+    copies = settings.copies
+    more = (QUEUE_GROUP,) if settings.HasField("maintenance") else ()
     return ReplicationSettings(
         slot_groups(copies) + more,
         tuple(BootstrapMember(founder.door, founder.disk) for founder in copies.founder),
@@ -50,20 +50,20 @@
 
     def __init__(
         self,
-        door: pb.Door,
+        settings: pb.Door,
         membership: MembershipService,
         log_event: EventLog,
         deliver: Callable[[AttemptRecord], bool],
     ) -> None:
         """`deliver` hands an attempt of a group that is led here to this gateway's clients of the counter."""
-        self._copies = door.copies
+        self._copies = settings.copies
         self._membership = membership
-        self._host = door.fleet.host
+        self._host = settings.fleet.host
         self.replica_manager = ReplicaManager(
-            door.name,
-            Path(door.copies.directory),
-            Path(door.copies.witness),
-            replica_requirements(door),
+            settings.name,
+            Path(settings.copies.directory),
+            Path(settings.copies.witness),
+            replica_requirements(settings),
             self._build_machine,
             self._nodes,
             log_event,
@@ -71,19 +71,19 @@
             preferred_node=self._group_owner,
         )
         self.ledger = (
-            IncrementLedger(door.name, self.replica_manager, deliver, log_event)
-            if door.copies.HasField("book")
+            IncrementLedger(settings.name, self.replica_manager, deliver, log_event)
+            if settings.copies.HasField("book")
             else None
         )
         self.transport = Transport(
-            door.fleet.cluster,
-            door.name,
+            settings.fleet.cluster,
+            settings.name,
             lambda: membership.keyring,
             self._transport_address,
             self.replica_manager.receive,
             self.replica_manager.report_unknown_replica,
         )
-        limits = ServiceLimits(map_version=door.copies.slots)
+        limits = ServiceLimits(map_version=settings.copies.slots)
         self.service = ReplicatedService(self._find_replica, self._gateway_address, limits)
 
     async def start(self) -> dict[str, int]:
--- a/martenstep/policy/endpoint_set.py
+++ b/martenstep/policy/endpoint_set.py
@@ -47,12 +47,12 @@
             for endpoint in event.endpoints:
                 self._apply_change(endpoint)
             return
-        listed = {endpoint.id: endpoint for endpoint in event.endpoints}
+        endpoints_by_id = {endpoint.id: endpoint for endpoint in event.endpoints}
         if event.scope in (EndpointListScope.FULL, EndpointListScope.CACHED):
             for endpoint_id, stats in self.by_id.items():
-                if endpoint_id not in listed:
+                if endpoint_id not in endpoints_by_id:
                     stats.endpoint = replace(stats.endpoint, state=EndpointState.REMOVED)
-        for endpoint_id, endpoint in listed.items():
+        for endpoint_id, endpoint in endpoints_by_id.items():
             self._put(endpoint_id, endpoint)
         self.by_id = {
             endpoint_id: stats
@@ -87,12 +87,12 @@
 
     def _take_out(self, stats: EndpointStats) -> None:
         """Take an endpoint out of the order, if it is in it."""
-        place = bisect_left(self.up, stats.rank, key=by_rank)
-        while place < len(self.up) and self.up[place].rank == stats.rank:
-            if self.up[place] is stats:
-                del self.up[place]
+        index = bisect_left(self.up, stats.rank, key=by_rank)
+        while index < len(self.up) and self.up[index].rank == stats.rank:
+            if self.up[index] is stats:
+                del self.up[index]
                 return
-            place += 1
+            index += 1
 
     def move(self, stats: EndpointStats, rank: float) -> None:
         """Give an endpoint another place in the order."""
--- a/martenstep/policy/load_balancing.py
+++ b/martenstep/policy/load_balancing.py
@@ -60,14 +60,14 @@
         attempts = rate * INFORMATIVE_MS / max(1, min(size, len(self._endpoints.up)))
         return max(1 - attempts / INFORMATIVE_ATTEMPTS, MIN_RANDOMNESS)
 
-    def pick(self, now: float, eligible: EndpointFilter, tried: list[int]) -> tuple[Endpoint, float] | None:
+    def pick(self, now: float, eligible: EndpointFilter, attempted: list[int]) -> tuple[Endpoint, float] | None:
         """The endpoint with the least expected delay, and the latency expected there; None where none may be used.
 
-        `tried` holds the ids of endpoints that this request was sent to before.
+        `attempted` holds the ids of endpoints that this request was sent to before.
         """
         size = self.aperture_size(now)
         candidates, draws = self._candidates(now, size, eligible)
-        best = self._cheapest(now, candidates, draws, tried)
+        best = self._cheapest(now, candidates, draws, attempted)
         default_ms = self._endpoints.default_latency_ms
         if candidates and size <= len(candidates) and self._rng.random() < ROTATION_PROBABILITY:
             self.demote(now, max(candidates, key=lambda stats: stats.attempt_cost(now, default_ms)))
@@ -98,7 +98,7 @@
         now: float,
         candidates: list[EndpointStats],
         draws: list[float],
-        tried: list[int],
+        attempted: list[int],
     ) -> EndpointStats | None:
         """The candidate of least cost, each cost varied by its draw: where nothing is known, with odds as 1/cost.
 
@@ -117,7 +117,7 @@
             cost = stats.attempt_cost(now, default_ms) * (-math.log(1 - drawn)) ** randomness
             if stats.endpoint.zone != self._zone:
                 cost *= OTHER_ZONE_COST_FACTOR
-            if stats.endpoint.id in tried:
+            if stats.endpoint.id in attempted:
                 cost *= FAILURE_COST_FACTOR
             if now - stats.last_response_at >= CONNECTION_IDLE_MS:
                 cost *= connect_factor
@@ -126,8 +126,8 @@
                 best_cost = cost
                 # From this draw on not even the quickest endpoint could cost less.
                 is_proof = min_latency_ms > 0 and cost < min_latency_ms * MAX_COST_RATIO
-                least = (cost / min_latency_ms) ** (1 / randomness) if is_proof else math.inf
-                winning_draw = 1 - math.exp(-least * (1 + DRAW_MARGIN)) + DRAW_MARGIN
+                min_exponent = (cost / min_latency_ms) ** (1 / randomness) if is_proof else math.inf
+                winning_draw = 1 - math.exp(-min_exponent * (1 + DRAW_MARGIN)) + DRAW_MARGIN
         return best
 
     def demote(self, now: float, stats: EndpointStats) -> None:
--- a/martenstep/policy/upstream_cluster.py
+++ b/martenstep/policy/upstream_cluster.py
@@ -52,9 +52,9 @@
         """Whether as many attempts are in flight as may be."""
         return self.limit.is_reached(len(self.endpoints.up))
 
-    def pick(self, now: float, eligible: EndpointFilter, tried: list[int]) -> tuple[Endpoint, float] | None:
+    def pick(self, now: float, eligible: EndpointFilter, attempted: list[int]) -> tuple[Endpoint, float] | None:
         """See `LoadBalancer.pick`."""
-        return self._balancer.pick(now, eligible, tried)
+        return self._balancer.pick(now, eligible, attempted)
 
     def silence_timeout_ms(self, now: float, endpoint_id: int, objective_ms: float) -> float:
         """How long without a response of an endpoint is silence."""
--- a/martenstep/proxy/engine/authorization.py
+++ b/martenstep/proxy/engine/authorization.py
@@ -128,7 +128,9 @@
             # A fault of the service says nothing about the credential.
             self._perform(self._checks.failed(self._state.now, event.check_id, event.attempt))
             return
-        answer = auth.Answer(event.status, tuple(event.headers), event.body, auth.keep_of(event.headers))
+        answer = auth.Answer(
+            event.status, tuple(event.headers), event.body, auth.parse_cache_lifetime_ms(event.headers)
+        )
         self._perform(self._checks.answered(self._state.now, event.check_id, event.attempt, answer))
 
     def check_failed(self, event: ev.AuthCheckFailed) -> None:
@@ -144,11 +146,11 @@
                     self._state.actions.append(ev.StartAuthCheck(check, attempt, address, settings.path, headers))
                 case auth.Stop(check=check, attempt=attempt):
                     self._state.actions.append(ev.StopAuthCheck(check, attempt))
-                case auth.Allow(ticket=request_id, answer=answer):
+                case auth.Allow(request_id=request_id, answer=answer):
                     self._allow(requests.get(request_id), answer)
-                case auth.Deny(ticket=request_id, answer=answer):
+                case auth.Deny(request_id=request_id, answer=answer):
                     self._deny(requests.get(request_id), answer)
-                case auth.Unsure(ticket=request_id, reason=reason, wait_ms=retry_after_ms):
+                case auth.NoVerdict(request_id=request_id, reason=reason, retry_after_ms=retry_after_ms):
                     request = requests.get(request_id)
                     self._responses.send_local_reply(request, UNAVAILABLE, reason.value, retry_after_ms)
 
--- a/tests/test_auth_core.py
+++ b/tests/test_auth_core.py
@@ -15,12 +15,12 @@
     Answer,
     Core,
     Deny,
+    NoVerdict,
     Reason,
     Rules,
     Start,
     Stop,
-    Unsure,
-    keep_of,
+    parse_cache_lifetime_ms,
 )
 from martenstep.auth.wait_queue import GroupedWaitQueue
 
@@ -69,7 +69,7 @@
         bench.ask(ticket)
     [start] = bench.starts()
     done = bench.answer(start)
-    assert sorted(a.ticket for a in done if isinstance(a, Allow)) == list(range(5000))
+    assert sorted(a.request_id for a in done if isinstance(a, Allow)) == list(range(5000))
     assert bench.ask(9000) == [Allow(9000, YES)] and len(bench.starts()) == 1
 
 
@@ -88,7 +88,7 @@
     bench = Bench(attempt_ms=5000.0)
     bench.ask(1, left=1500.0)
     assert bench.wait(749.0) == []
-    assert bench.wait(1.0) == [Unsure(1, Reason.LATE, 100.0), Stop(1, 0)]
+    assert bench.wait(1.0) == [NoVerdict(1, Reason.LATE, 100.0), Stop(1, 0)]
     assert bench.answer(bench.starts()[0]) == []  # after 1.4 s: nobody's
     assert bench.core.held["asks"] == bench.core.held["checks"] == 0
 
@@ -110,14 +110,14 @@
     did = bench.wait(100.0)
     assert did[0] == Stop(first.check, 0) and isinstance(did[1], Start) and did[1].service != first.service
     assert bench.answer(first) == []
-    assert bench.fail(did[1]) == [Unsure(1, Reason.FAILED, 100.0)]
+    assert bench.fail(did[1]) == [NoVerdict(1, Reason.FAILED, 100.0)]
 
 
 def test_fail_open_passes_without_a_verdict_only_where_it_is_set() -> None:
     bench = Bench(attempts=1)
     bench.ask(1, "a", fail_open=True)
     bench.ask(2, "a")
-    assert bench.fail(bench.starts()[0]) == [Allow(1, None), Unsure(2, Reason.FAILED, 100.0)]
+    assert bench.fail(bench.starts()[0]) == [Allow(1, None), NoVerdict(2, Reason.FAILED, 100.0)]
 
 
 def test_verdicts_are_kept_no_longer_than_both_allow() -> None:
@@ -185,9 +185,9 @@
         bench.ask(ticket, f"small-{ticket}", group="small")
     for ticket in range(100, 1100):
         bench.ask(ticket, f"big-{ticket}", group="big")
-    shed = [action.ticket for action in bench.did if isinstance(action, Unsure)]
+    shed = [action.request_id for action in bench.did if isinstance(action, NoVerdict)]
     assert len(shed) == 905 and min(shed) == 100 and bench.core.held["queued"] == 100
-    assert {a.reason for a in bench.did if isinstance(a, Unsure)} == {Reason.SHED}
+    assert {a.reason for a in bench.did if isinstance(a, NoVerdict)} == {Reason.SHED}
 
 
 def test_a_check_that_waits_once_more_keeps_the_bound() -> None:
@@ -232,8 +232,8 @@
     ],
 )
 def test_cache_control_is_read_as_a_shared_cache_must(value: str, ms: float) -> None:
-    assert keep_of([(b"Cache-Control", value.encode())]) == ms
-    assert keep_of([]) == 0.0
+    assert parse_cache_lifetime_ms([(b"Cache-Control", value.encode())]) == ms
+    assert parse_cache_lifetime_ms([]) == 0.0
 
 
 class Anything(RuleBasedStateMachine):
@@ -256,14 +256,14 @@
                     self.out[check] = attempt
                 case Stop(check=check, attempt=attempt):
                     assert self.out.pop(check) == attempt
-                case Allow(ticket=ticket):
+                case Allow(request_id=ticket):
                     del self.waiting[ticket]  # a KeyError: a second end
                     self.held.add(ticket)
-                case Deny(ticket=ticket):
+                case Deny(request_id=ticket):
                     assert (ticket in self.waiting) != (ticket in self.held)
                     self.waiting.pop(ticket, None)
                     self.held.discard(ticket)
-                case Unsure(ticket=ticket):
+                case NoVerdict(request_id=ticket):
                     del self.waiting[ticket]
         self.seen = len(self.bench.did)
 
