--- a/bench/hooks.py
+++ b/bench/hooks.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from martenstep.hooks.code import compile_source
-from martenstep.hooks.fast import translate
-from martenstep.hooks.vm import STEPS, HookError, Machine
+from martenstep.hooks.bytecode import compile_source
+from martenstep.hooks.translation import translate
+from martenstep.hooks.virtual_machine import STEPS, HookError, Machine
 
 ROUNDS = 3000
 REQUEST = ("GET", "/p/1", "h", "anna", "studio", "read", 1.0, "de", "text/html", [("accept", "text/html")], 0.0)
--- a/bench/languages.py
+++ b/bench/languages.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from bench.hooks import LOOP, REFUSAL, REQUEST, TYPICAL, loop, timed, typical
-from martenstep.hooks.code import compile_source
-from martenstep.hooks.fast import translate
-from martenstep.hooks.vm import Machine
+from martenstep.hooks.bytecode import compile_source
+from martenstep.hooks.translation import translate
+from martenstep.hooks.virtual_machine import Machine
 
 LANGUAGE, ACCEPT, CUSTOMER, WAIT_S = REQUEST[7], REQUEST[8], REQUEST[3], REFUSAL[2] / 1000
 CHOICE = (
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep.hooks.files import publish
+from martenstep.hooks.release_files import publish
 
 DOOR = """
 name: "door-0" instance: 0 instances: 1 zone: "a"
--- a/martenstep/cli/hooks.py
+++ b/martenstep/cli/hooks.py
@@ -11,14 +11,14 @@
 import msgspec
 
 from martenstep.cli.words import example
-from martenstep.hooks import files
-from martenstep.hooks.code import Program, compile_source
-from martenstep.hooks.fast import translate
-from martenstep.hooks.fmt import format_file
-from martenstep.hooks.releases import choose
-from martenstep.hooks.syntax import HookFault, parse
+from martenstep.hooks import release_files as files
+from martenstep.hooks.bytecode import Program, compile_source
+from martenstep.hooks.formatter import format_file
+from martenstep.hooks.release_manager import choose
+from martenstep.hooks.syntax_tree import HookFault, parse
+from martenstep.hooks.translation import translate
 from martenstep.hooks.types import POINTS, RECORDS, ZERO, Type
-from martenstep.hooks.vm import BYTES, STEPS, HookError, Machine
+from martenstep.hooks.virtual_machine import BYTES, STEPS, HookError, Machine
 
 FILE = click.Path(path_type=Path)
 ROUNDS = 2000  # of `hook bench`
--- a/martenstep/hooks/code.py
+++ b/martenstep/hooks/bytecode.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from martenstep.hooks import syntax as syn
-from martenstep.hooks.check import MOST_SLOTS, check
-from martenstep.hooks.syntax import Expr
+from martenstep.hooks import syntax_tree as syn
+from martenstep.hooks.syntax_tree import Expr
+from martenstep.hooks.type_checker import MOST_SLOTS, check
 from martenstep.hooks.types import BUILT_IN, BUILT_INS, DURATION, POINTS, RECORDS, TEXT, ZERO, Type
 
 FORMAT = 1  # raised with each change of what the bytes mean
--- a/martenstep/hooks/fmt.py
+++ b/martenstep/hooks/formatter.py
@@ -3,8 +3,8 @@
 
 from __future__ import annotations
 
-from martenstep.hooks import syntax as syn
-from martenstep.hooks.syntax import Expr
+from martenstep.hooks import syntax_tree as syn
+from martenstep.hooks.syntax_tree import Expr
 
 WIDTH = 100
 INDENT = "  "
--- a/martenstep/hooks/release.py
+++ b/martenstep/hooks/release.py
@@ -6,8 +6,8 @@
 
 import xxhash
 
-from martenstep.hooks.code import Program
-from martenstep.hooks.fast import Fast, translate
+from martenstep.hooks.bytecode import Program
+from martenstep.hooks.translation import Fast, translate
 
 HASH_RANGE = 2**64
 
--- a/martenstep/hooks/files.py
+++ b/martenstep/hooks/release_files.py
@@ -34,9 +34,9 @@
 from martenstep.config.loading import parse_checked
 from martenstep.config.text_format import FieldPosition, SettingsError
 from martenstep.hooks import manifest_pb2 as pb
-from martenstep.hooks.code import compile_source
+from martenstep.hooks.bytecode import compile_source
 from martenstep.hooks.release import Hook, Release
-from martenstep.hooks.syntax import MOST_BYTES, HookFault
+from martenstep.hooks.syntax_tree import MOST_BYTES, HookFault
 from martenstep.hooks.types import POINTS
 
 MANIFEST, SIGNATURE = "manifest.txtpb", "manifest.sig"
--- a/martenstep/hooks/releases.py
+++ b/martenstep/hooks/release_manager.py
@@ -18,7 +18,7 @@
 from martenstep.event_log import EventLog
 from martenstep.hooks.release import Release
 from martenstep.hooks.runner import Limits, Runner
-from martenstep.hooks.vm import NEVER
+from martenstep.hooks.virtual_machine import NEVER
 
 
 def choose(releases: Iterable[Release], withdrawn: Collection[int]) -> tuple[Release | None, Release | None]:
--- a/martenstep/hooks/runner.py
+++ b/martenstep/hooks/runner.py
@@ -15,9 +15,9 @@
 from typing import Any, TypeVar
 
 from martenstep.event_log import EventLog
-from martenstep.hooks.border import BorderError
 from martenstep.hooks.release import Hook, Release
-from martenstep.hooks.vm import BYTES, NEVER, STEPS, Counters, HookError, Machine
+from martenstep.hooks.result_validation import BorderError
+from martenstep.hooks.virtual_machine import BYTES, NEVER, STEPS, Counters, HookError, Machine
 
 FAILURES = 10  # within a window: the hook is left alone
 WINDOW_MS = 10_000.0
--- a/martenstep/hooks/fast.py
+++ b/martenstep/hooks/translation.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from martenstep.hooks.code import Function, Program, heights_of
+from martenstep.hooks.bytecode import Function, Program, heights_of
 from martenstep.hooks.types import BUILT_INS
-from martenstep.hooks.vm import FIELDS, ITEM_BYTES, OP, SIGNS_A_STEP, shown
+from martenstep.hooks.virtual_machine import FIELDS, ITEM_BYTES, OP, SIGNS_A_STEP, shown
 
 MOST_BLOCKS = 48
 MOST_CODE = 1500  # instructions: Python's compiler lets nothing else run while it reads one function
--- a/martenstep/hooks/check.py
+++ b/martenstep/hooks/type_checker.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from martenstep.hooks import syntax as syn
+from martenstep.hooks import syntax_tree as syn
 from martenstep.hooks.regex import Pattern, PatternError
-from martenstep.hooks.syntax import Expr, HookFault, Place
+from martenstep.hooks.syntax_tree import Expr, HookFault, Place
 from martenstep.hooks.types import (
     BOOL,
     BUILT_IN,
--- a/martenstep/hooks/vm.py
+++ b/martenstep/hooks/virtual_machine.py
@@ -15,7 +15,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from martenstep.hooks.code import RECORD_LIST, Op, Program
+from martenstep.hooks.bytecode import RECORD_LIST, Op, Program
 from martenstep.hooks.regex import Pattern, PatternError
 from martenstep.hooks.types import BUILT_INS, RECORDS
 
--- a/martenstep/lab/day.py
+++ b/martenstep/lab/day.py
@@ -16,8 +16,8 @@
 from martenstep.config.checks.request_classes import check_class, check_plan, check_rules
 from martenstep.config.loading import parse_checked, read_text
 from martenstep.config.text_format import FieldPosition
-from martenstep.hooks.code import compile_source
-from martenstep.hooks.syntax import HookFault
+from martenstep.hooks.bytecode import compile_source
+from martenstep.hooks.syntax_tree import HookFault
 from martenstep.lab import day_pb2 as pb
 from martenstep.redis_counter.slots import SLOTS
 from martenstep.standins.clients import Planned
--- a/martenstep/lab/play.py
+++ b/martenstep/lab/play.py
@@ -19,7 +19,7 @@
 from google.protobuf import text_format
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.hooks import files
+from martenstep.hooks import release_files as files
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import (
     door_settings,
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -11,7 +11,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.discovery.feed import EndpointFeed
-from martenstep.hooks.releases import Shelf
+from martenstep.hooks.release_manager import Shelf
 from martenstep.policy.messages import CallResult, EndpointListScope
 from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.proxy.certificates import Certificates
--- a/martenstep/proxy/dependencies.py
+++ b/martenstep/proxy/dependencies.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:  # loaded only where the settings ask for them
     from martenstep.auth import core as auth
     from martenstep.auth.answerer import Answerer
-    from martenstep.hooks import border
+    from martenstep.hooks import result_validation
     from martenstep.hooks.runner import Runner
     from martenstep.proxy.traces import Sampler
 
@@ -175,7 +175,7 @@
 
     def refusal(
         self, now: float, runner: Runner, subject: HookSubject, rejection: RejectionSummary
-    ) -> border.Words | None:
+    ) -> result_validation.Words | None:
         """The response to a rejected request; None: the gateway's own."""
 
     def answer(
--- a/martenstep/proxy/engine/admission.py
+++ b/martenstep/proxy/engine/admission.py
@@ -16,7 +16,7 @@
 from martenstep.proxy.targets import TargetRejection
 
 if TYPE_CHECKING:  # loaded only where the settings ask for them
-    from martenstep.hooks.releases import Shelf
+    from martenstep.hooks.release_manager import Shelf
     from martenstep.proxy.engine.authorization import Authorization
     from martenstep.proxy.engine.forward_auth import ForwardAuth
 
--- a/martenstep/proxy/engine/engine.py
+++ b/martenstep/proxy/engine/engine.py
@@ -21,7 +21,7 @@
 from martenstep.proxy.permission import Denial
 
 if TYPE_CHECKING:  # loaded only where the settings ask for them
-    from martenstep.hooks.releases import Shelf
+    from martenstep.hooks.release_manager import Shelf
     from martenstep.proxy.engine.authorization import Authorization
 
 
--- a/martenstep/proxy/engine/request.py
+++ b/martenstep/proxy/engine/request.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:  # a gateway without hooks and traces does not load them
     from martenstep.auth import core as auth
-    from martenstep.hooks.releases import Edition
+    from martenstep.hooks.release_manager import Edition
     from martenstep.hooks.runner import Runner
     from martenstep.proxy.traces import Trace
 
--- a/martenstep/proxy/engine/responses.py
+++ b/martenstep/proxy/engine/responses.py
@@ -21,7 +21,7 @@
 )
 
 if TYPE_CHECKING:  # a gateway without hooks does not load them
-    from martenstep.hooks import border
+    from martenstep.hooks import result_validation
 
 GATEWAY_ERROR, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 NO_CONTENT = 204
@@ -97,7 +97,9 @@
         self._state.actions.append(ev.SendLocalReply(request.request_id, status, headers, body))
         self.release(request)
 
-    def _custom_rejection(self, request: InFlightRequest, rejection: RejectionSummary) -> border.Words | None:
+    def _custom_rejection(
+        self, request: InFlightRequest, rejection: RejectionSummary
+    ) -> result_validation.Words | None:
         """The response that a hook gives in place of the gateway's own; None where none does."""
         runner = request.hook_runner
         if runner is None and request.hook_edition is not None:
--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -10,7 +10,7 @@
 from martenstep.config.policy_settings import DEFAULT_ERROR_STATUSES, build_policy_settings
 from martenstep.config.tls import ClientContext, ServerContext
 from martenstep.event_log import EventLog
-from martenstep.hooks.releases import Shelf
+from martenstep.hooks.release_manager import Shelf
 from martenstep.proxy.attempt_outcomes import StatusTable
 from martenstep.proxy.auth_requests import AuthClient
 from martenstep.proxy.dependencies import AuthorizationSettings, EngineDependencies
--- a/martenstep/proxy/extension_points.py
+++ b/martenstep/proxy/extension_points.py
@@ -1,6 +1,6 @@
 """Where hooks act on a request: what each hook is given, and what becomes of what it returns.
 
-No I/O.  The limits come from the settings; `hooks.border` holds what a hook returns within them.
+No I/O.  The limits come from the settings; `hooks.result_validation` holds what a hook returns within them.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from typing import Any, TypeVar
 
 from martenstep.config import door_pb2 as pb
-from martenstep.hooks import border
+from martenstep.hooks import result_validation
 from martenstep.hooks.runner import Runner
 from martenstep.proxy.dependencies import HookSubject, RejectionSummary, ResponseSummary, RoutedRequest
 from martenstep.proxy.engine_messages import Headers
@@ -72,14 +72,16 @@
         self._has_min_units = settings.HasField("least_units")
         self._plans, self._customers = frozenset(settings.plan), frozenset(settings.customer)
         self._path_prefixes = tuple(settings.path_prefix)
-        self._protected_headers = border.KEPT_HEADERS | {
+        self._protected_headers = result_validation.KEPT_HEADERS | {
             name.decode("latin-1").replace("_", "-") for name in credential_headers | protected_headers
         }
         classes = route_table.classes
-        self._bounds_cache: dict[tuple[str, float], border.Bounds] = {}
+        self._bounds_cache: dict[tuple[str, float], result_validation.Bounds] = {}
         self._allowed_classes = {
             name: frozenset(
-                other for other in getattr(settings, "class") if border.may_become(request_class, classes[other])
+                other
+                for other in getattr(settings, "class")
+                if result_validation.may_become(request_class, classes[other])
             )
             for name, request_class in classes.items()
         }
@@ -89,7 +91,7 @@
     def classify(self, now: float, runner: Runner, subject: HookSubject) -> RoutedRequest:
         """Class, customer, plan and units."""
         route = subject.route
-        before = border.Placed(route.request_class.name, route.customer_key, route.plan.name, route.units)
+        before = result_validation.Placed(route.request_class.name, route.customer_key, route.plan.name, route.units)
         bounds = self._bounds(route)
         placed = self._call(
             now,
@@ -97,7 +99,7 @@
             subject,
             "classify",
             lambda: (self._request_record(subject),),
-            lambda returned: border.placed(returned, before, bounds),
+            lambda returned: result_validation.placed(returned, before, bounds),
             before,
         )
         if placed == before:
@@ -110,13 +112,15 @@
         bounds, before = self._bounds(route), origin_form(received.target)
 
         def accept(returned: object) -> tuple[bytes, Headers]:
-            path, headers = border.sending(returned, before, bounds)
+            path, headers = result_validation.sending(returned, before, bounds)
             if path == before:
                 return received.target, encode_headers(headers)
             target = path.encode("latin-1")
             # A path of another class could be one whose retries do what this one's may not.
             if parse_path(target) is None or not self._may_rewrite(received.method, target, route):
-                raise border.BorderError(f"path {path[:64]!r}: is of another class, and below no path_prefix")
+                raise result_validation.BorderError(
+                    f"path {path[:64]!r}: is of another class, and below no path_prefix"
+                )
             return target, encode_headers(headers)
 
         unchanged: tuple[bytes, Headers] = received.target, []
@@ -129,15 +133,15 @@
 
     def refusal(
         self, now: float, runner: Runner, subject: HookSubject, rejection: RejectionSummary
-    ) -> border.Words | None:
+    ) -> result_validation.Words | None:
         """The response to a rejected request; None: the gateway's own."""
         bounds = self._bounds(subject.route)
         status, reason, retry_after_ms = rejection
 
-        def accept(returned: Any) -> border.Words | None:  # noqa: ANN401  # what a hook returned  # what a hook returned
+        def accept(returned: Any) -> result_validation.Words | None:  # noqa: ANN401  # what a hook returned
             body, content_type, retry_after, headers = returned
             words = (body, content_type or DEFAULT_CONTENT_TYPE, retry_after, headers)
-            return border.words(words, retry_after_ms, bounds)
+            return result_validation.words(words, retry_after_ms, bounds)
 
         return self._call(
             now,
@@ -160,7 +164,7 @@
             subject,
             "answer",
             lambda: (self._request_record(subject), _response_record(response, _visible_headers(headers))),
-            lambda returned: encode_headers(border.headers(returned, bounds)),
+            lambda returned: encode_headers(result_validation.headers(returned, bounds)),
             [],
         )
 
@@ -172,7 +176,7 @@
             subject,
             "log",
             lambda: (self._request_record(subject), _response_record(response, [])),
-            border.log_fields,
+            result_validation.log_fields,
             {},
         )
 
@@ -192,16 +196,16 @@
         route = subject.route
         return runner.call(now, point, route.customer_key, route.plan.name, arguments, accept, default)
 
-    def _bounds(self, route: RoutedRequest) -> border.Bounds:
+    def _bounds(self, route: RoutedRequest) -> result_validation.Bounds:
         key = route.request_class.name, route.units
         bounds = self._bounds_cache.get(key)
         if bounds is None:  # as many as there are routes
             bounds = self._bounds_cache[key] = self._make_bounds(route)
         return bounds
 
-    def _make_bounds(self, route: RoutedRequest) -> border.Bounds:
+    def _make_bounds(self, route: RoutedRequest) -> result_validation.Bounds:
         min_units = min(route.units, self._min_units) if self._has_min_units else route.units
-        return border.Bounds(
+        return result_validation.Bounds(
             self._allowed_classes[route.request_class.name],
             self._plans,
             self._customers,
--- a/martenstep/proxy/hook_service.py
+++ b/martenstep/proxy/hook_service.py
@@ -9,8 +9,8 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.event_log import EventLog, LogFields
-from martenstep.hooks.files import History, read_directory
-from martenstep.hooks.releases import Shelf
+from martenstep.hooks.release_files import History, read_directory
+from martenstep.hooks.release_manager import Shelf
 from martenstep.hooks.runner import Limits
 
 # Events that go into the history as well.
--- a/tests/door_rig.py
+++ b/tests/door_rig.py
@@ -7,7 +7,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.loading import parse_door
 from martenstep.discovery.endpoint_list import EndpointListEvent
-from martenstep.hooks.releases import Shelf
+from martenstep.hooks.release_manager import Shelf
 from martenstep.policy.messages import CallResult, Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_factory import make_engine
--- a/tests/hook_programs.py
+++ b/tests/hook_programs.py
@@ -8,10 +8,10 @@
 
 from hypothesis import strategies as st
 
-from martenstep.hooks import syntax as syn
+from martenstep.hooks import syntax_tree as syn
 from martenstep.hooks.regex import Pattern
 from martenstep.hooks.types import BOOL, DURATION, NUMBER, RECORDS, REFUSAL, REQUEST, TEXT, Type, list_of
-from martenstep.hooks.vm import shown
+from martenstep.hooks.virtual_machine import shown
 
 P = syn.Place(1, 1)
 PLAIN = (NUMBER, TEXT, BOOL, DURATION)
--- a/tests/hook_rig.py
+++ b/tests/hook_rig.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from martenstep.hooks.code import compile_source
+from martenstep.hooks.bytecode import compile_source
 from martenstep.hooks.release import Hook, Release
-from martenstep.hooks.releases import Shelf
+from martenstep.hooks.release_manager import Shelf
 from martenstep.hooks.runner import Limits
-from martenstep.hooks.vm import NEVER
+from martenstep.hooks.virtual_machine import NEVER
 from tests.door_rig import Rig
 
 
--- a/tests/test_formats_hooks.py
+++ b/tests/test_formats_hooks.py
@@ -8,9 +8,9 @@
 import pytest
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from martenstep.hooks.files import History, key_of, publish, read_directory, read_release
 from martenstep.hooks.release import Release
-from martenstep.hooks.releases import Shelf, choose
+from martenstep.hooks.release_files import History, key_of, publish, read_directory, read_release
+from martenstep.hooks.release_manager import Shelf, choose
 from martenstep.hooks.runner import Limits
 
 STORED = Path(__file__).parent / "formats" / "hooks"
--- a/tests/test_hooks_border.py
+++ b/tests/test_hooks_border.py
@@ -7,7 +7,7 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.hooks.border import (
+from martenstep.hooks.result_validation import (
     KEPT_HEADERS,
     MOST_BODY,
     BorderError,
--- a/tests/test_hooks_cli.py
+++ b/tests/test_hooks_cli.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.hooks.files import History
+from martenstep.hooks.release_files import History
 
 GOOD = """# Words for the studios.
 fn words(r: Request) -> text {
--- a/tests/test_hooks_docs.py
+++ b/tests/test_hooks_docs.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from martenstep.hooks.code import compile_source
-from martenstep.hooks.fast import translate
-from martenstep.hooks.fmt import format_file
-from martenstep.hooks.syntax import MOST_BYTES, MOST_DEPTH, parse
+from martenstep.hooks.bytecode import compile_source
+from martenstep.hooks.formatter import format_file
+from martenstep.hooks.syntax_tree import MOST_BYTES, MOST_DEPTH, parse
+from martenstep.hooks.translation import translate
 from martenstep.hooks.types import BUILT_IN, POINTS, RECORDS
-from martenstep.hooks.vm import BYTES, MOST_CALLS, MOST_COUNTERS, STEPS, Machine
+from martenstep.hooks.virtual_machine import BYTES, MOST_CALLS, MOST_COUNTERS, STEPS, Machine
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 PAGES = ("hooks-language.md", "hooks-cookbook.md")
@@ -47,7 +47,7 @@
 
 def test_the_grammar_in_the_reference_is_the_parsers() -> None:
     text = (DOCS / "hooks-language.md").read_text(encoding="utf-8")
-    source = (DOCS.parent / "martenstep/hooks/syntax.py").read_text(encoding="utf-8")
+    source = (DOCS.parent / "martenstep/hooks/syntax_tree.py").read_text(encoding="utf-8")
     [told] = re.findall(r"```\n(file .*?)```", text, re.S)
     assert [line.strip() for line in told.strip().splitlines()] == [
         line.strip() for line in source[source.index("file     =") : source.index("A TEXT holds")].strip().splitlines()
--- a/tests/test_hooks_fast.py
+++ b/tests/test_hooks_fast.py
@@ -9,8 +9,8 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.hooks import syntax as syn
-from martenstep.hooks.code import (
+from martenstep.hooks import syntax_tree as syn
+from martenstep.hooks.bytecode import (
     CodeError,
     Function,
     Op,
@@ -21,8 +21,8 @@
     unpack,
     verify,
 )
-from martenstep.hooks.fast import MOST_BLOCKS, translate
-from martenstep.hooks.vm import MOST_CALLS, STEPS, Counters, HookError, Machine
+from martenstep.hooks.translation import MOST_BLOCKS, translate
+from martenstep.hooks.virtual_machine import MOST_CALLS, STEPS, Counters, HookError, Machine
 from tests.hook_programs import files
 
 REQUEST = ("GET", "/p", "h", "c", "p", "k", 1.0, "de", "a/b", [("x-a", "1"), ("X-B", "2")], 5.0)
--- a/tests/test_hooks_language.py
+++ b/tests/test_hooks_language.py
@@ -9,13 +9,13 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.hooks import syntax as syn
-from martenstep.hooks.check import check
-from martenstep.hooks.code import CodeError, Program, compile_file, compile_source, pack, unpack, verify
-from martenstep.hooks.fmt import format_file
+from martenstep.hooks import syntax_tree as syn
+from martenstep.hooks.bytecode import CodeError, Program, compile_file, compile_source, pack, unpack, verify
+from martenstep.hooks.formatter import format_file
 from martenstep.hooks.regex import Pattern, PatternError
-from martenstep.hooks.syntax import HookFault, parse
-from martenstep.hooks.vm import BYTES, STEPS, Counters, HookError, Machine
+from martenstep.hooks.syntax_tree import HookFault, parse
+from martenstep.hooks.type_checker import check
+from martenstep.hooks.virtual_machine import BYTES, STEPS, Counters, HookError, Machine
 from tests.hook_programs import Undefined, evaluate, files
 
 RUNS = hypo(max_examples=50, deadline=None, derandomize=True)
--- a/tests/test_hooks_releases.py
+++ b/tests/test_hooks_releases.py
@@ -10,11 +10,11 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.hooks import files
+from martenstep.hooks import release_files as files
 from martenstep.hooks.release import Release
-from martenstep.hooks.releases import Shelf, choose
+from martenstep.hooks.release_manager import Shelf, choose
 from martenstep.hooks.runner import ALONE_MS, FAILURES, Limits, Runner
-from martenstep.hooks.vm import STEPS
+from martenstep.hooks.virtual_machine import STEPS
 from tests.hook_rig import release, words
 
 GOOD = words('"well"')
--- a/tests/test_hooks_runner.py
+++ b/tests/test_hooks_runner.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from martenstep.hooks import border
-from martenstep.hooks.code import Program, compile_source
+from martenstep.hooks import result_validation
+from martenstep.hooks.bytecode import Program, compile_source
 from martenstep.hooks.release import Hook, Release
 from martenstep.hooks.runner import ALONE_MS, FAILURES, NOTES, WINDOW_MS, Runner
-from martenstep.hooks.vm import STEPS, HookError, Machine
+from martenstep.hooks.virtual_machine import STEPS, HookError, Machine
 
 REQUEST: tuple[Any, ...] = ("GET", "/p/1", "h", "anna", "studio", "read", 1.0, "de", "text/html", [], 0.0)
 REFUSAL = (429.0, "quota", 2500.0)
 LONG = 'Words { body: text(for x in range(1000), n = 0 { n + 1 }), content_type: "text/plain" }'
-DEFAULT = border.Words(b"too much", "text/plain", 2500.0, ())
+DEFAULT = result_validation.Words(b"too much", "text/plain", 2500.0, ())
 
 
 class Desk:
@@ -29,14 +29,14 @@
         release = Release(1, "", (Hook("refusal", "words.hook", program),))
         self.runner = Runner(release, lambda what, fields: self.notes.append(what), **changes)
 
-    def refuse(self, given: tuple[Any, ...] = (REQUEST, REFUSAL)) -> border.Words:
+    def refuse(self, given: tuple[Any, ...] = (REQUEST, REFUSAL)) -> result_validation.Words:
         return self.runner.call(
             self.now,
             "refusal",
             "anna",
             "studio",
             lambda: given,
-            lambda made: border.words(made, 2500.0, border.Bounds()),
+            lambda made: result_validation.words(made, 2500.0, result_validation.Bounds()),
             DEFAULT,
         )
 
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -18,7 +18,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.loading import load_door, parse_door
 from martenstep.config.text_format import SettingsError
-from martenstep.hooks import files
+from martenstep.hooks import release_files as files
 from martenstep.supervise import frames, resources
 from martenstep.supervise.lock import LockedError, PidFile
 from martenstep.supervise.notify import Notifier
