--- a/bench/hooks.py
+++ b/bench/hooks.py
@@ -6,9 +6,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from martenstep.hooks.bytecode import compile_source
+from martenstep.hooks.compiler import compile_source
+from martenstep.hooks.run_context import HookRunError
 from martenstep.hooks.translation import translate
-from martenstep.hooks.virtual_machine import STEPS, HookError, Machine
+from martenstep.hooks.virtual_machine import VirtualMachine
 
 ROUNDS = 3000
 REQUEST = ("GET", "/p/1", "h", "anna", "studio", "read", 1.0, "de", "text/html", [("accept", "text/html")], 0.0)
@@ -83,12 +84,12 @@
         for fast in (translate(program), None):
             took = []
             for _ in range(300):
-                machine = Machine(program, fast=fast)
+                machine = VirtualMachine(program, translated=fast)
                 begin = time.perf_counter()
                 try:
                     machine.run(program.points["refusal"], given)
                     ends = "itself"
-                except HookError as error:
+                except HookRunError as error:
                     ends = error.kind
                 took.append((time.perf_counter() - begin) * 1e3)
             took.sort()
@@ -110,12 +111,12 @@
     ):
         program = compile_source(source)
         fast = translate(program)
-        machine = Machine(program, fast=fast)
+        machine = VirtualMachine(program, translated=fast)
         machine.run(program.points["refusal"], (REQUEST, REFUSAL))
-        steps = STEPS - machine.steps
+        steps = machine.used_steps
         ours, slow = (
             timed(
-                lambda program=program, fast=each: Machine(program, fast=fast).run(  # type: ignore[misc]
+                lambda program=program, fast=each: VirtualMachine(program, translated=fast).run(  # type: ignore[misc]
                     program.points["refusal"], (REQUEST, REFUSAL)
                 )
             )
--- a/bench/languages.py
+++ b/bench/languages.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from bench.hooks import LOOP, REFUSAL, REQUEST, TYPICAL, loop, timed, typical
-from martenstep.hooks.bytecode import compile_source
+from martenstep.hooks.compiler import compile_source
 from martenstep.hooks.translation import translate
-from martenstep.hooks.virtual_machine import Machine
+from martenstep.hooks.virtual_machine import VirtualMachine
 
 LANGUAGE, ACCEPT, CUSTOMER, WAIT_S = REQUEST[7], REQUEST[8], REQUEST[3], REFUSAL[2] / 1000
 CHOICE = (
@@ -61,7 +61,7 @@
         program = compile_source(source)
         fast = None if interpreted else translate(program)
         made.append(
-            lambda program=program, fast=fast: Machine(program, fast=fast).run(
+            lambda program=program, fast=fast: VirtualMachine(program, translated=fast).run(
                 program.points["refusal"], (REQUEST, REFUSAL)
             )
         )
--- a/martenstep/cli/hooks.py
+++ b/martenstep/cli/hooks.py
@@ -11,14 +11,21 @@
 import msgspec
 
 from martenstep.cli.words import example
-from martenstep.hooks import release_files as files
-from martenstep.hooks.bytecode import Program, compile_source
+from martenstep.hooks.bounded_files import ReleaseError
+from martenstep.hooks.bytecode import Program
+from martenstep.hooks.compiler import compile_source
 from martenstep.hooks.formatter import format_file
-from martenstep.hooks.release_manager import choose
-from martenstep.hooks.syntax_tree import HookFault, parse
+from martenstep.hooks.parser import parse
+from martenstep.hooks.release_files import Rollout, read_directory
+from martenstep.hooks.release_files import publish as publish_release
+from martenstep.hooks.release_history import ReleaseHistory
+from martenstep.hooks.release_manager import select_releases
+from martenstep.hooks.run_context import MAX_BYTES, MAX_STEPS, HookRunError
+from martenstep.hooks.signing import create_private_key, load_private_key, parse_public_key
+from martenstep.hooks.source import HookSourceError
 from martenstep.hooks.translation import translate
-from martenstep.hooks.types import POINTS, RECORDS, ZERO, Type
-from martenstep.hooks.virtual_machine import BYTES, STEPS, HookError, Machine
+from martenstep.hooks.types import DEFAULT_VALUES, EXTENSION_POINTS, RECORDS, Type
+from martenstep.hooks.virtual_machine import VirtualMachine
 
 FILE = click.Path(path_type=Path)
 ROUNDS = 2000  # of `hook bench`
@@ -35,8 +42,8 @@
     source = _source(file)
     try:
         return compile_source(source)
-    except HookFault as fault:
-        click.echo(fault.shown(source, str(file)), err=True)
+    except HookSourceError as fault:
+        click.echo(fault.format_with_source(source, str(file)), err=True)
         sys.exit(2)
 
 
@@ -45,8 +52,8 @@
     if kind.name == "list":
         if not isinstance(given, list):
             raise ValueError(f"{where}: expected a list")
-        assert kind.of is not None
-        return [value_of(kind.of, one, f"{where}[{number}]") for number, one in enumerate(given)]
+        assert kind.item_type is not None
+        return [value_of(kind.item_type, one, f"{where}[{number}]") for number, one in enumerate(given)]
     if kind in RECORDS:
         if not isinstance(given, dict):
             raise ValueError(f"{where}: expected fields")
@@ -54,7 +61,7 @@
         if odd:
             raise ValueError(f"{where}: no field {sorted(odd)[0]!r}")
         return tuple(
-            value_of(of, given.get(name, [] if of.name == "list" else ZERO.get(of.name)), f"{where}.{name}")
+            value_of(of, given.get(name, [] if of.name == "list" else DEFAULT_VALUES.get(of.name)), f"{where}.{name}")
             for name, of in RECORDS[kind]
         )
     wanted = {"text": str, "bool": bool}.get(kind.name, float)
@@ -68,8 +75,8 @@
 def told(kind: Type, value: Any) -> Any:
     """A value of a type as JSON."""
     if kind.name == "list":
-        assert kind.of is not None
-        return [told(kind.of, one) for one in value]
+        assert kind.item_type is not None
+        return [told(kind.item_type, one) for one in value]
     if kind in RECORDS:
         return {name: told(of, one) for (name, of), one in zip(RECORDS[kind], value, strict=True)}
     return value
@@ -85,7 +92,7 @@
 
 def _given(point: str, file: Path | None) -> tuple[Any, ...]:
     """The point's values from a JSON object: its fields are the records' names in small letters."""
-    kinds = POINTS[point][0]
+    kinds = EXTENSION_POINTS[point].parameters
     held: Any = {}
     try:
         if file is not None:
@@ -126,8 +133,8 @@
         source = _source(file)
         try:
             made = format_file(parse(source))
-        except HookFault as fault:
-            click.echo(fault.shown(source, str(file)), err=True)
+        except HookSourceError as fault:
+            click.echo(fault.format_with_source(source, str(file)), err=True)
             sys.exit(2)
         if made != source:
             changed = True
@@ -147,14 +154,17 @@
     """Run one hook of FILE on an example and tell what it gives and costs."""
     program = _compiled(file)
     point = _point(program, point, file)
-    machine = Machine(program, fast=translate(program))
+    machine = VirtualMachine(program, translated=translate(program))
     try:
         made = machine.run(program.points[point], _given(point, request))
-    except HookError as error:
+    except HookRunError as error:
         click.echo(f"{file}: {point}: {error}", err=True)
         sys.exit(1)
-    click.echo(msgspec.json.format(msgspec.json.encode(told(POINTS[point][1], made)), indent=2).decode())
-    click.echo(f"{STEPS - machine.steps} of {STEPS} steps, {BYTES - machine.bytes} of {BYTES} bytes", err=True)
+    click.echo(msgspec.json.format(msgspec.json.encode(told(EXTENSION_POINTS[point].result, made)), indent=2).decode())
+    click.echo(
+        f"{machine.used_steps} of {MAX_STEPS} steps, {MAX_BYTES - machine.remaining_bytes} of {MAX_BYTES} bytes",
+        err=True,
+    )
 
 
 @hook.command("test", epilog=example("martenstep hook test hooks/*.hook"))
@@ -168,8 +178,8 @@
         for title, number in program.tests:
             count += 1
             try:
-                good, why = Machine(program, fast=fast).run(number, ()) is True, "false"
-            except HookError as error:
+                good, why = VirtualMachine(program, translated=fast).run(number, ()) is True, "false"
+            except HookRunError as error:
                 good, why = False, str(error)
             if not good:
                 failed += 1
@@ -186,7 +196,7 @@
 def key(file: Path) -> None:
     """Write a new signing key to FILE and print its public key, for trusted_key in the door's settings."""
     try:
-        click.echo(files.new_key(file))
+        click.echo(create_private_key(file))
     except OSError as error:
         raise click.UsageError(f"{file}: {error.strerror}") from None
 
@@ -216,16 +226,14 @@
 ) -> None:
     """Put the hooks of SOURCE, all or those that its manifest names, into DIRECTORY as one release."""
     try:
-        made = files.publish(
+        made = publish_release(
             source,
             directory,
             version,
-            share=share,
-            about=about,
-            customers=customers,
-            key=files.load_key(signing) if signing is not None else None,
+            Rollout(share, customers, about),
+            key=load_private_key(signing) if signing is not None else None,
         )
-    except files.ReleaseError as error:
+    except ReleaseError as error:
         raise click.UsageError(str(error)) from None
     except OSError as error:
         raise click.UsageError(f"{error.filename or directory}: {error.strerror}") from None
@@ -241,22 +249,22 @@
     """Tell what stands in DIRECTORY, and what of it acts; exit 1 where something there cannot be taken."""
     try:
         for one in keys:
-            files.key_of(one)
-        releases, wrong = files.read_directory(directory, keys)
-        withdrawn = files.History(history, "").withdrawn() if history is not None else set()
+            parse_public_key(one)
+        contents = read_directory(directory, keys)
+        withdrawn = ReleaseHistory(history, "").rolled_back_versions() if history is not None else set()
     except ValueError as error:
         raise click.UsageError(f"--key: {error}") from None
     except OSError as error:
         raise click.UsageError(f"{error.filename}: {error.strerror}") from None
-    acting = choose(releases, withdrawn)
-    for release in sorted(releases, key=lambda one: one.version):
+    acting = select_releases(contents.releases, withdrawn)
+    for release in sorted(contents.releases, key=lambda one: one.version):
         state = (
             "withdrawn"
             if release.version in withdrawn
             else "acts"
-            if release is acting[0]
+            if release is acting.full
             else "on trial"
-            if release is acting[1]
+            if release is acting.canary
             else "not acting"
         )
         points = ", ".join(f"{one.point} ({one.name})" for one in release.hooks) or "no hooks"
@@ -265,12 +273,12 @@
             f"{release.version}: {state}; share {release.share:g}; {points}{signed}"
             f"{'; ' + release.about if release.about else ''}"
         )
-    for text in wrong:
-        click.echo(f"cannot be taken: {text}", err=True)
+    for problem in contents.problems:
+        click.echo(f"cannot be taken: {problem}", err=True)
     if customer is not None:
-        held = next((one for one in reversed(acting) if one is not None and one.holds(customer)), None)
+        held = next((one for one in reversed(acting) if one is not None and one.includes(customer)), None)
         click.echo(f"{customer}: {held.version if held else 'none'}")
-    sys.exit(1 if wrong else 0)
+    sys.exit(1 if contents.problems else 0)
 
 
 @hook.command("history", epilog=example("martenstep hook history /var/lib/martenstep/hooks.jsonl"))
@@ -280,7 +288,7 @@
     if not file.is_file():
         raise click.UsageError(f"{file}: there is no such file")
     try:
-        lines = files.History(file, "").lines()
+        lines = ReleaseHistory(file, "").lines()
     except OSError as error:
         raise click.UsageError(f"{file}: {error.strerror}") from None
     for line in lines:
@@ -301,12 +309,12 @@
     steps, fast = 0, translate(program)
     try:
         for _ in range(ROUNDS):
-            machine = Machine(program, fast=fast)
+            machine = VirtualMachine(program, translated=fast)
             begin = time.perf_counter()
             machine.run(program.points[point], given)
             took.append((time.perf_counter() - begin) * 1e6)
-            steps = STEPS - machine.steps
-    except HookError as error:
+            steps = MAX_STEPS - machine.remaining_steps
+    except HookRunError as error:
         click.echo(f"{file}: {point}: {error}", err=True)
         sys.exit(1)
     took.sort()
--- a/martenstep/hooks/release.py
+++ b/martenstep/hooks/release.py
@@ -1,4 +1,4 @@
-"""What a release holds: hooks, whom each acts for, and whom the release is tried on."""
+"""A release: its hooks, whom each applies to, and which customers it is rolled out to."""
 
 from __future__ import annotations
 
@@ -7,51 +7,58 @@
 import xxhash
 
 from martenstep.hooks.bytecode import Program
-from martenstep.hooks.translation import Fast, translate
+from martenstep.hooks.translation import translate
+from martenstep.hooks.virtual_machine import TranslatedFunctions
 
 HASH_RANGE = 2**64
 
 
 @dataclass(frozen=True, slots=True)
 class Hook:
-    """One hook of a release: where it stands, and for whom."""
+    """One hook of a release: its extension point, and whom it applies to."""
 
     point: str
     name: str
     program: Program
     customers: frozenset[str] = frozenset()
     plans: frozenset[str] = frozenset()
-    fast: Fast = field(init=False, compare=False, repr=False)  # made with it: it takes its time
+    translated: TranslatedFunctions = field(init=False, compare=False, repr=False)
 
     def __post_init__(self) -> None:
-        object.__setattr__(self, "fast", translate(self.program))
+        # Here rather than at the first run: a request is not to wait for it.
+        object.__setattr__(self, "translated", translate(self.program))
 
-    def fits(self, customer: str, plan: str) -> bool:
-        """Whether it acts for this customer; a list that is empty names all."""
+    @property
+    def applies_to_all(self) -> bool:
+        """Whether it applies to every customer."""
+        return not self.customers and not self.plans
+
+    def applies_to(self, customer: str, plan: str) -> bool:
+        """Whether it applies to a customer; an empty set names all."""
         return (not self.customers or customer in self.customers) and (not self.plans or plan in self.plans)
 
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """A whole, checked release."""
+    """A complete, checked release."""
 
     version: int
-    digest: str  # of its manifest
+    digest: str  # SHA-256 of its manifest
     hooks: tuple[Hook, ...]
-    share: float = 1.0
+    share: float = 1.0  # of the customers
     trial_customers: frozenset[str] = frozenset()
     about: str = ""
-    signer: str = ""  # the key that vouches for it, where one does
+    signer: str = ""  # the public key that vouches for it, where one does
 
     @property
-    def whole(self) -> bool:
-        """Whether it is for all customers."""
-        return self.share >= 1.0
+    def is_canary(self) -> bool:
+        """Whether it is rolled out to a part of the customers only."""
+        return self.share < 1.0
 
-    def holds(self, customer: str) -> bool:
-        """Whether a customer belongs to it: the same word at every door."""
+    def includes(self, customer: str) -> bool:
+        """Whether it is rolled out to a customer: the same at every gateway."""
         return (
-            self.whole
+            not self.is_canary
             or customer in self.trial_customers
             or xxhash.xxh64_intdigest(customer.encode("utf-8", "replace")) < self.share * HASH_RANGE
         )
--- a/martenstep/hooks/release_manager.py
+++ b/martenstep/hooks/release_manager.py
@@ -1,12 +1,12 @@
-"""Which release of hooks acts for whom, and when one is taken back.
+"""Which release of hooks is in service for whom, and when one is rolled back.
 
 No I/O, no clock.
 
-The newest whole release acts for all customers but those of the newest trial beyond it.  Who belongs to a trial is
-told by a hash of the customer alone, so that all doors agree without a word between them, and a wider trial keeps the
-customers of the narrower one.  A release that fails or costs too much is withdrawn at this door: a trial at the first
-hook that has to be left alone, a whole one once a hook has failed at each of its trials in a row, and either by its
-share of failures or its steps a run.  What was withdrawn stays so until a release of a higher version comes.
+The newest full release is in service for all customers but those of a canary release beyond it.  Who belongs to a
+canary follows from a hash of the customer alone, so that all gateways agree without a message between them, and a wider
+canary keeps the customers of a narrower one.  A release that fails or costs too much is rolled back at this gateway: a
+canary when the circuit breaker of a hook opens, a full one once that has happened several times in a row, and either by
+its share of failures or its mean steps.  It stays rolled back; a release of a higher version takes its place.
 """
 
 from __future__ import annotations
@@ -14,101 +14,115 @@
 from collections import Counter
 from collections.abc import Callable, Collection, Iterable, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from martenstep.event_log import EventLog
 from martenstep.hooks.release import Release
-from martenstep.hooks.runner import Limits, Runner
-from martenstep.hooks.virtual_machine import NEVER
+from martenstep.hooks.run_context import never_overdue
+from martenstep.hooks.runner import HealthLimits, Runner, RunnerContext
 
 
-def choose(releases: Iterable[Release], withdrawn: Collection[int]) -> tuple[Release | None, Release | None]:
-    """The whole release that acts, and the trial beside it."""
-    left = sorted((one for one in releases if one.version not in withdrawn), key=lambda one: one.version)
-    whole = next((one for one in reversed(left) if one.whole), None)
-    newest = left[-1] if left else None
-    return whole, newest if newest is not None and not newest.whole else None
+class SelectedReleases(NamedTuple):
+    """The full release that is to be in service, and the canary beside it."""
 
+    full: Release | None
+    canary: Release | None
 
-@dataclass(frozen=True, slots=True)
-class Edition:
-    """What acts at one moment; a request keeps the one that it began with."""
 
-    whole: Runner | None = None
-    trial: Runner | None = None
+def select_releases(releases: Iterable[Release], rolled_back: Collection[int]) -> SelectedReleases:
+    """Which of some releases are to be in service; `rolled_back` has versions that are not."""
+    candidates = sorted(
+        (release for release in releases if release.version not in rolled_back), key=lambda release: release.version
+    )
+    full = next((release for release in reversed(candidates) if not release.is_canary), None)
+    newest = candidates[-1] if candidates else None
+    return SelectedReleases(full, newest if newest is not None and newest.is_canary else None)
 
-    def runner(self, customer: str) -> Runner | None:
-        """The release that acts for a customer."""
-        trial = self.trial
-        return trial if trial is not None and trial.release.holds(customer) else self.whole
 
+@dataclass(frozen=True, slots=True)
+class ActiveReleases:
+    """What is in service at one moment; a request keeps the one that it began with."""
+
+    full: Runner | None = None
+    canary: Runner | None = None
 
-EMPTY = Edition()
+    def runner(self, customer: str) -> Runner | None:
+        """The runner of the release that is in service for a customer."""
+        canary = self.canary
+        return canary if canary is not None and canary.release.includes(customer) else self.full
 
 
-class Shelf:
-    """The releases that one door knows."""
+class ReleaseManager:
+    """The releases that one gateway knows."""
 
     def __init__(
         self,
-        limits: Limits,
+        limits: HealthLimits,
         log_event: EventLog,
         *,
-        withdrawn: Iterable[int] = (),
-        late: Callable[[], Callable[[], bool]] = lambda: NEVER,
+        rolled_back: Iterable[int] = (),
+        begin_deadline: Callable[[], Callable[[], bool]] = lambda: never_overdue,
     ) -> None:
-        """`log_event` is told of each change, `late` asked for a backstop at the begin of each run."""
-        self._limits, self._log_event, self._late = limits, log_event, late
+        """`rolled_back` has versions that were rolled back before; `begin_deadline` begins the deadline of a run."""
+        self._limits = limits
+        self._log_event = log_event
         self._known: dict[int, Release] = {}
         self._runners: dict[int, Runner] = {}
-        self.withdrawn = set(withdrawn)
-        self.edition = EMPTY
+        self.rolled_back = set(rolled_back)
+        self.active = ActiveReleases()
         self.counts: Counter[str] = Counter()  # over all releases
+        self._runner_context = RunnerContext(log_event, self.counts, begin_deadline, self._roll_back)
 
     @property
-    def acting(self) -> dict[str, int]:
-        """The versions that act, for metrics; 0 where none does."""
-        made = self.edition
+    def active_versions(self) -> dict[str, int]:
+        """The versions in service, under the names that metrics and log lines have for them; 0 where there is none."""
+        full, canary = self.active.full, self.active.canary
         return {
-            "whole": made.whole.release.version if made.whole else 0,
-            "trial": made.trial.release.version if made.trial else 0,
+            "whole": full.release.version if full else 0,
+            "trial": canary.release.version if canary else 0,
         }
 
-    def limit(self, limits: Limits) -> None:
-        """Other bounds on what a release may fail and cost."""
+    def set_limits(self, limits: HealthLimits) -> None:
+        """Take over other limits, also for the releases in service."""
         self._limits = limits
         for runner in self._runners.values():
             runner.limits = limits
 
-    def stock(self, releases: Sequence[Release]) -> None:
-        """Take up what there is now, at one stroke.  A version keeps the contents under which it is known."""
+    def replace_releases(self, releases: Sequence[Release]) -> None:
+        """Take up the releases that there are now.  A version keeps the contents under which it is known."""
         found: dict[int, Release] = {}
         for release in releases:
             known = self._known.get(release.version)
             if known is not None and known.digest != release.digest:
                 self._log_event("hooks changed under a known version", {"version": release.version})
-                release = known
-            found[release.version] = release
+                found[release.version] = known
+            else:
+                found[release.version] = release
         self._known = found
-        self._choose("loaded")
-
-    def _choose(self, why: str) -> None:
-        whole, trial = choose(self._known.values(), self.withdrawn)
-        before = self.edition
-        acting = [one for one in (whole, trial) if one is not None]
-        self._runners = {one.version: self._runners.get(one.version) or self._runner(one) for one in acting}
-        made = Edition(self._runners[whole.version] if whole else None, self._runners[trial.version] if trial else None)
-        if made != before:
-            self.edition = made
-            self._log_event("hooks", {"why": why, "share": trial.share if trial else 0.0, **self.acting})
-
-    def _runner(self, release: Release) -> Runner:
-        return Runner(release, self._log_event, self._limits, counts=self.counts, late=self._late, bad=self._bad)
-
-    def _bad(self, release: Release, reason: str) -> None:
-        """A release has passed a bound: it goes, and what was before it acts again."""
-        if release.version in self.withdrawn:
+        self._activate("loaded")
+
+    def _activate(self, cause: str) -> None:
+        """Put the releases into service that are to be there."""
+        full, canary = select_releases(self._known.values(), self.rolled_back)
+        selected = [release for release in (full, canary) if release is not None]
+        self._runners = {release.version: self._runner_of(release) for release in selected}
+        active = ActiveReleases(
+            self._runners[full.version] if full else None, self._runners[canary.version] if canary else None
+        )
+        if active != self.active:
+            self.active = active
+            share = canary.share if canary else 0.0
+            self._log_event("hooks", {"why": cause, "share": share, **self.active_versions})
+
+    def _runner_of(self, release: Release) -> Runner:
+        known = self._runners.get(release.version)
+        return known if known is not None else Runner(release, self._limits, self._runner_context)
+
+    def _roll_back(self, release: Release, reason: str) -> None:
+        """Take an unhealthy release out of service, so that the one before it is in service again."""
+        if release.version in self.rolled_back:
             return
-        self.withdrawn.add(release.version)
+        self.rolled_back.add(release.version)
         self.counts["withdrawn"] += 1
         self._log_event("hooks withdrawn", {"version": release.version, "reason": reason})
-        self._choose("withdrawn")
+        self._activate("withdrawn")
--- a/martenstep/hooks/result_validation.py
+++ b/martenstep/hooks/result_validation.py
@@ -1,8 +1,7 @@
-"""What a hook may change at each point: its value is taken in here, piece by piece, or not at all.
+"""What a hook may change at each extension point: its result is accepted as a whole, or not at all.
 
-No I/O.  The module's decisions stand: a refusal stays one with its status, and no retry-after gets earlier; a class, a
-plan or a customer must be one of those that the settings leave open; units stay between the route's bounds.  A value
-that breaks a bound is refused whole, so that nothing half-changed goes on.
+No I/O.  The gateway's decisions stand: a rejection stays one with its status, and no Retry-After gets earlier; a class,
+a plan or a customer must be one of those that the settings leave open; units stay between the route's limits.
 """
 
 from __future__ import annotations
@@ -10,23 +9,24 @@
 import re
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass
-from typing import Any
 
 from martenstep.policy.messages import Idempotency, RequestClass
 
-MOST_BODY = 16_384  # characters of a refusal's body
-MOST_HEADERS = 16
-MOST_VALUE = 1024  # characters of one header's value, or of one field of the log
-MOST_FIELDS = 16
-MOST_RETRY_MS = 3_600_000.0
-MOST_PATH = 4096
-TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}")
-VALUE = re.compile(r"[\x21-\x7e\x80-\uffff](?:[\x20\t\x21-\x7e\x80-\uffff]*[\x21-\x7e\x80-\uffff])?")
-MEDIA = re.compile(r"(?:text/(?:plain|html)|application/(?:json|problem\+json))(?:; charset=utf-8)?")
+MAX_BODY_CHARACTERS = 16_384
+MAX_HEADERS = 16
+MAX_VALUE_CHARACTERS = 1024  # of one header, or of one field of the log
+MAX_LOG_FIELDS = 16
+MAX_RETRY_AFTER_MS = 3_600_000.0
+MAX_PATH_CHARACTERS = 4096
+MAX_SHOWN_CHARACTERS = 64  # of a wrong value, in a message
+HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}")
+HEADER_VALUE = re.compile(r"[\x21-\x7e\x80-\uffff](?:[\x20\t\x21-\x7e\x80-\uffff]*[\x21-\x7e\x80-\uffff])?")
+CONTENT_TYPE = re.compile(r"(?:text/(?:plain|html)|application/(?:json|problem\+json))(?:; charset=utf-8)?")
 PATH = re.compile(r"/[\x21-\x22\x24-\x7e]*")  # no blank, no fragment, nothing that is not ASCII
-FIELD = re.compile(r"[a-z][a-z0-9_]{0,31}")
-# What frames the message, what the door says itself, and what proves things to others: never a hook's.
-KEPT_HEADERS = frozenset(
+LOG_FIELD_NAME = re.compile(r"[a-z][a-z0-9_]{0,31}")
+LOG_FIELD_PREFIX = "hook_"
+# What frames the message, what the gateway says itself, and what proves something to others.
+PROTECTED_HEADERS = frozenset(
     {
         "connection",
         "content-encoding",
@@ -61,25 +61,33 @@
 )
 
 
-class BorderError(Exception):
-    """A value that may not pass: what, and why."""
+# Records as hooks return them (see `types`).
+HeaderRecords = Sequence[tuple[str, str]]
+RejectionContentRecord = tuple[str, str, float, HeaderRecords]
+ClassificationRecord = tuple[str, str, str, float]
+ForwardedRequestRecord = tuple[str, HeaderRecords]
+LogFieldRecords = Sequence[tuple[str, str]]
+
+
+class InvalidResultError(Exception):
+    """A hook's result that is not accepted: what, and why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ResultLimits:
     """What the settings leave open to hooks."""
 
     classes: Collection[str] = ()
     plans: Collection[str] = ()
     customers: Collection[str] = ()
-    least_units: float = 1.0
-    most_units: float = 1.0
-    kept_headers: frozenset[str] = KEPT_HEADERS
+    min_units: float = 1.0
+    max_units: float = 1.0
+    protected_headers: frozenset[str] = PROTECTED_HEADERS
 
 
 @dataclass(frozen=True, slots=True)
-class Words:
-    """A refusal as it is worded."""
+class RejectionContent:
+    """The content of a rejection's response."""
 
     body: bytes
     content_type: str
@@ -88,63 +96,74 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class Classification:
     """A request's class, customer, plan and units."""
 
-    cls: str
+    class_name: str
     customer: str
     plan: str
     units: float
 
 
-def _header(name: str, value: str, kept: frozenset[str]) -> tuple[str, str]:
-    if not TOKEN.fullmatch(name):
-        raise BorderError(f"header {name[:64]!r}: not a header's name")
-    if name.lower().replace("_", "-") in kept:  # some servers read x_customer as x-customer
-        raise BorderError(f"header {name!r}: is not a hook's to set")
-    if len(value) > MOST_VALUE or not VALUE.fullmatch(value):
-        raise BorderError(f"header {name!r}: its value is too long, empty, or holds a control sign")
+@dataclass(frozen=True, slots=True)
+class ForwardedRequest:
+    """The path of a forwarded request, and its additional headers."""
+
+    path: str
+    headers: tuple[tuple[str, str], ...]
+
+
+def _validate_header(name: str, value: str, protected: frozenset[str]) -> tuple[str, str]:
+    if not HEADER_NAME.fullmatch(name):
+        raise InvalidResultError(f"header {name[:MAX_SHOWN_CHARACTERS]!r}: not a header's name")
+    if name.lower().replace("_", "-") in protected:  # some endpoints read x_customer as x-customer
+        raise InvalidResultError(f"header {name!r}: is not a hook's to set")
+    if len(value) > MAX_VALUE_CHARACTERS or not HEADER_VALUE.fullmatch(value):
+        raise InvalidResultError(f"header {name!r}: its value is too long, empty, or holds a control sign")
     try:
         value.encode("latin-1")
     except UnicodeEncodeError:
-        raise BorderError(f"header {name!r}: its value holds a sign beyond Latin-1") from None
+        raise InvalidResultError(f"header {name!r}: its value holds a sign beyond Latin-1") from None
     return name.lower(), value
 
 
-def headers(made: Sequence[Any], bounds: Bounds) -> tuple[tuple[str, str], ...]:
-    """Headers that a hook adds; raises BorderError."""
-    if not made:
+def validate_headers(returned: HeaderRecords, limits: ResultLimits) -> tuple[tuple[str, str], ...]:
+    """Headers that a hook adds; raises InvalidResultError."""
+    if not returned:
         return ()
-    if len(made) > MOST_HEADERS:
-        raise BorderError(f"{len(made)} headers, at most {MOST_HEADERS}")
-    found = tuple(_header(name, value, bounds.kept_headers) for name, value in made)
-    names = [name for name, _ in found]
-    if len(set(names)) < len(names):
-        raise BorderError("a header is given twice")
-    return found
-
-
-def words(made: Any, retry_after_ms: float, bounds: Bounds) -> Words:
-    """A refusal's words: never an earlier retry-after than the module's; raises BorderError."""
-    body, content_type, retry, given = made
-    if len(body) > MOST_BODY:
-        raise BorderError(f"a body of {len(body)} signs, at most {MOST_BODY}")
-    if not MEDIA.fullmatch(content_type):
-        raise BorderError(
-            f"content type {content_type[:64]!r}: expected text/plain, text/html, application/json or "
-            "application/problem+json"
+    if len(returned) > MAX_HEADERS:
+        raise InvalidResultError(f"{len(returned)} headers, at most {MAX_HEADERS}")
+    headers = tuple(_validate_header(name, value, limits.protected_headers) for name, value in returned)
+    names = {name for name, _ in headers}
+    if len(names) < len(headers):
+        raise InvalidResultError("a header is given twice")
+    return headers
+
+
+def validate_rejection(
+    returned: RejectionContentRecord, retry_after_ms: float, limits: ResultLimits
+) -> RejectionContent:
+    """The content of a rejection, never with an earlier Retry-After than the gateway's; raises InvalidResultError."""
+    body, content_type, hook_retry_after_ms, headers = returned
+    if len(body) > MAX_BODY_CHARACTERS:
+        raise InvalidResultError(f"a body of {len(body)} signs, at most {MAX_BODY_CHARACTERS}")
+    if not CONTENT_TYPE.fullmatch(content_type):
+        raise InvalidResultError(
+            f"content type {content_type[:MAX_SHOWN_CHARACTERS]!r}: expected text/plain, text/html, "
+            "application/json or application/problem+json"
         )
-    if not 0 <= retry <= max(MOST_RETRY_MS, retry_after_ms):
-        raise BorderError(f"a retry-after of {retry:g} ms")
+    if not 0 <= hook_retry_after_ms <= max(MAX_RETRY_AFTER_MS, retry_after_ms):
+        raise InvalidResultError(f"a retry-after of {hook_retry_after_ms:g} ms")
     try:
-        encoded = body.encode()
+        encoded_body = body.encode()
     except UnicodeEncodeError:
-        raise BorderError("a body that is no text") from None
-    return Words(encoded, content_type, max(retry, retry_after_ms), headers(given, bounds))
+        raise InvalidResultError("a body that is no text") from None
+    later_retry_after_ms = max(hook_retry_after_ms, retry_after_ms)
+    return RejectionContent(encoded_body, content_type, later_retry_after_ms, validate_headers(headers, limits))
 
 
-def may_become(before: RequestClass, after: RequestClass) -> bool:
-    """Whether a request of one class may be handled as of another: never one that lets more of it be repeated."""
+def may_change_class(before: RequestClass, after: RequestClass) -> bool:
+    """Whether a request of one class may be handled as of another: never one that allows more retries."""
     if after.idempotency is Idempotency.AT_MOST_ONCE or after == before:
         return True
     if after.idempotency is not before.idempotency:
@@ -155,42 +174,51 @@
     )
 
 
-def placed(made: Any, before: Placed, bounds: Bounds) -> Placed:
-    """A request's place: what is empty stays as it was; raises BorderError."""
-    cls, customer, plan, units = made
-    for what, got, was, known in (
-        ("class", cls, before.cls, bounds.classes),
-        ("plan", plan, before.plan, bounds.plans),
-        ("customer", customer, before.customer, bounds.customers),
-    ):
-        if got and got != was and got not in known:
-            raise BorderError(f"{what} {got[:64]!r} is not one that hooks may choose")
-    if units and not bounds.least_units <= units <= bounds.most_units:
-        raise BorderError(f"{units:g} units, expected {bounds.least_units:g} to {bounds.most_units:g}")
-    return Placed(cls or before.cls, customer or before.customer, plan or before.plan, units or before.units)
-
-
-def sending(made: Any, before: str, bounds: Bounds) -> tuple[str, tuple[tuple[str, str], ...]]:
-    """Path and headers of what goes to a server; raises BorderError."""
-    path, given = made
-    if path and (len(path) > MOST_PATH or not PATH.fullmatch(path)):
-        raise BorderError(f"path {path[:64]!r}: expected one that begins with '/' and holds no blank")
-    if path and any(part in (".", "..") for part in path.partition("?")[0].split("/")):
-        raise BorderError(f"path {path[:64]!r}: goes up or stays")
-    return path or before, headers(given, bounds)
-
-
-def log_fields(made: Sequence[Any]) -> dict[str, str]:
-    """Fields of a log line, under names of their own; raises BorderError."""
-    if not made:
+def _validate_choice(field: str, chosen: str, before: str, allowed: Collection[str]) -> str:
+    """The chosen value, or the one from before where none is chosen."""
+    if chosen and chosen != before and chosen not in allowed:
+        raise InvalidResultError(f"{field} {chosen[:MAX_SHOWN_CHARACTERS]!r} is not one that hooks may choose")
+    return chosen or before
+
+
+def validate_classification(
+    returned: ClassificationRecord, before: Classification, limits: ResultLimits
+) -> Classification:
+    """A request's classification, in which what is empty stays as it was; raises InvalidResultError."""
+    class_name, customer, plan, units = returned
+    class_name = _validate_choice("class", class_name, before.class_name, limits.classes)
+    plan = _validate_choice("plan", plan, before.plan, limits.plans)
+    customer = _validate_choice("customer", customer, before.customer, limits.customers)
+    if units and not limits.min_units <= units <= limits.max_units:
+        raise InvalidResultError(f"{units:g} units, expected {limits.min_units:g} to {limits.max_units:g}")
+    return Classification(class_name, customer, plan, units or before.units)
+
+
+def validate_forwarded_request(
+    returned: ForwardedRequestRecord, path_before: str, limits: ResultLimits
+) -> ForwardedRequest:
+    """Path and headers of what goes to an endpoint; raises InvalidResultError."""
+    path, headers = returned
+    shown_path = path[:MAX_SHOWN_CHARACTERS]
+    if path and (len(path) > MAX_PATH_CHARACTERS or not PATH.fullmatch(path)):
+        raise InvalidResultError(f"path {shown_path!r}: expected one that begins with '/' and holds no blank")
+    if path and any(segment in (".", "..") for segment in path.partition("?")[0].split("/")):
+        raise InvalidResultError(f"path {shown_path!r}: goes up or stays")
+    return ForwardedRequest(path or path_before, validate_headers(headers, limits))
+
+
+def validate_log_fields(returned: LogFieldRecords) -> dict[str, str]:
+    """Fields of a log line, under names of their own; raises InvalidResultError."""
+    if not returned:
         return {}
-    if len(made) > MOST_FIELDS:
-        raise BorderError(f"{len(made)} fields, at most {MOST_FIELDS}")
-    found: dict[str, str] = {}
-    for name, value in made:
-        if not FIELD.fullmatch(name) or name in found:
-            raise BorderError(f"field {name[:64]!r}: expected a new name of small letters")
-        if len(value) > MOST_VALUE:
-            raise BorderError(f"field {name!r}: too long")
-        found[name] = value
-    return {f"hook_{name}": value for name, value in found.items()}
+    if len(returned) > MAX_LOG_FIELDS:
+        raise InvalidResultError(f"{len(returned)} fields, at most {MAX_LOG_FIELDS}")
+    fields: dict[str, str] = {}
+    for name, value in returned:
+        if not LOG_FIELD_NAME.fullmatch(name) or name in fields:
+            shown_name = name[:MAX_SHOWN_CHARACTERS]
+            raise InvalidResultError(f"field {shown_name!r}: expected a new name of small letters")
+        if len(value) > MAX_VALUE_CHARACTERS:
+            raise InvalidResultError(f"field {name!r}: too long")
+        fields[name] = value
+    return {f"{LOG_FIELD_PREFIX}{name}": value for name, value in fields.items()}
--- a/martenstep/hooks/runner.py
+++ b/martenstep/hooks/runner.py
@@ -1,170 +1,204 @@
-"""Runs the hooks of one release at their points, and keeps what goes wrong in them from the requests.
+"""Runs the hooks of one release at their extension points, and keeps their failures from the requests.
 
 No I/O, no clock.
 
-A hook that fails in any way (its budget, its time, its values, the border) costs its request nothing but the default;
-it is counted, told of within a bound, and left alone for a while once it has failed too often.  The release as a whole
-is watched as well: see `Limits`.
+A hook that fails in any way (its budget, its deadline, its result) costs its request nothing but the default.  The
+failure is counted and, within a bound, logged; a circuit breaker stops the hook for a while once it has failed too
+often.  The health of the release as a whole is watched as well: see `HealthLimits`.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
 from martenstep.event_log import EventLog
 from martenstep.hooks.release import Hook, Release
-from martenstep.hooks.result_validation import BorderError
-from martenstep.hooks.virtual_machine import BYTES, NEVER, STEPS, Counters, HookError, Machine
+from martenstep.hooks.result_validation import InvalidResultError
+from martenstep.hooks.run_context import HookRunError, never_overdue
+from martenstep.hooks.virtual_machine import VirtualMachine
 
-FAILURES = 10  # within a window: the hook is left alone
-WINDOW_MS = 10_000.0
-ALONE_MS = 30_000.0  # then one run is its trial
-NOTES = 3  # told of a hook within a window; the rest are counted
-BREAKS = 3  # in a row, with no good run between: a whole release is bad.  A trial is at the first
+MAX_FAILURES = 10  # within a window, then the circuit breaker opens
+FAILURE_WINDOW_MS = 10_000.0
+OPEN_MS = 30_000.0  # of the circuit breaker; then one run is a trial
+MAX_LOGGED_FAILURES = 3  # of a hook within a window
+MAX_OPENINGS = 3  # in a row, without a good run between, of a full release
+MAX_ERROR_CHARACTERS = 300  # in a log line
+INVALID_RESULT_KIND = "border"  # in metrics and log lines
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """What a release may fail and cost before it is bad, over all its hooks within a window."""
+class HealthLimits:
+    """What all runs of a release may fail and cost within a window before it is unhealthy."""
 
-    failure_share: float = 0.05
-    mean_steps: float = 400.0
-    least_runs: int = 100  # fewer prove nothing
+    max_failure_share: float = 0.05
+    max_mean_steps: float = 400.0
+    min_runs: int = 100  # fewer prove nothing
     window_ms: float = 60_000.0
 
 
 @dataclass(slots=True)
-class _Standing:
-    """What is known of one hook."""
+class RunnerContext:
+    """What a runner is given by its gateway.
+
+    `begin_deadline` begins the deadline of a run, `on_unhealthy` is called once with the release and the reason.
+    """
+
+    log_event: EventLog
+    counts: Counter[str] = field(default_factory=Counter)
+    begin_deadline: Callable[[], Callable[[], bool]] = lambda: never_overdue
+    on_unhealthy: Callable[[Release, str], None] = lambda release, reason: None
+
+
+@dataclass(slots=True)
+class _InstalledHook:
+    """A hook with its machine and its circuit breaker."""
 
     hook: Hook
-    machine: Machine
+    machine: VirtualMachine
     function: int
-    for_all: bool
-    good: str  # under which its good runs are counted
-    window: float = 0.0  # when the present one began
+    applies_to_all: bool
+    good_runs_key: str  # of the counts
+    window_began: float = 0.0
+    failures: int = 0  # within the window
+    open_until: float = 0.0
+    is_half_open: bool = False
+    openings: int = 0  # in a row
+
+    def begin_window(self, now: float) -> None:
+        self.window_began = now
+        self.failures = 0
+
+
+@dataclass(slots=True)
+class _WindowTotals:
+    """Of all hooks of the release, within one window."""
+
+    began: float = 0.0
+    runs: int = 0
     failures: int = 0
-    alone_until: float = 0.0
-    trial: bool = False
-    breaks: int = 0  # in a row
+    steps: int = 0
 
 
 class Runner:
     """The hooks of one release; a request keeps the runner that it began with."""
 
-    def __init__(
-        self,
-        release: Release,
-        log_event: EventLog,
-        limits: Limits | None = None,
-        *,
-        steps: int = STEPS,
-        bytes_: int = BYTES,
-        counts: Counter[str] | None = None,
-        late: Callable[[], Callable[[], bool]] = lambda: NEVER,
-        bad: Callable[[Release, str], None] = lambda release, reason: None,
-    ) -> None:
-        """`late` is asked for a backstop at the begin of each run; `bad` is told, once, that the release must go."""
+    def __init__(self, release: Release, limits: HealthLimits, context: RunnerContext) -> None:
+        """`limits` may be replaced at any time."""
         self.release = release
-        self._at: dict[str, list[_Standing]] = {}
+        self.limits = limits
+        self.steps_used = 0
+        self._context = context
+        self._counts = context.counts
+        self._totals = _WindowTotals()
+        self._is_unhealthy = False
+        self._hooks_by_point: dict[str, list[_InstalledHook]] = {}
         for hook in release.hooks:
-            self._at.setdefault(hook.point, []).append(
-                _Standing(
-                    hook,
-                    Machine(hook.program, Counters(), fast=hook.fast),
-                    hook.program.points[hook.point],
-                    not hook.customers and not hook.plans,
-                    f"{hook.point} good",
-                )
+            installed = _InstalledHook(
+                hook,
+                VirtualMachine(hook.program, translated=hook.translated),
+                hook.program.points[hook.point],
+                hook.applies_to_all,
+                f"{hook.point} good",
             )
-        self.limits = limits or Limits()
-        self._log_event, self._steps, self._bytes = log_event, steps, bytes_
-        self._late, self._told_bad = late, bad
-        self.counts: Counter[str] = Counter() if counts is None else counts
-        self.steps_used = 0
-        self._window = 0.0  # of the whole release
-        self._runs = self._failures = self._window_steps = 0
-        self._bad = False
+            self._hooks_by_point.setdefault(hook.point, []).append(installed)
+
+    @property
+    def counts(self) -> Counter[str]:
+        """Runs, failures and openings, by extension point."""
+        return self._counts
 
     def has(self, point: str) -> bool:
-        """Whether a hook stands at a point."""
-        return point in self._at
+        """Whether there is a hook at an extension point."""
+        return point in self._hooks_by_point
 
-    def call(
+    def call(  # noqa: PLR0913  # once for each request and point: no object is made for its arguments
         self,
         now: float,
         point: str,
         customer: str,
         plan: str,
-        given: Callable[[], tuple[Any, ...]],
-        take: Callable[[Any], T],
-        default: T,
-    ) -> T:
-        """What the hook at a point gives for a customer, taken in by the border; the default where there is none, or
-        it fails."""
-        for standing in self._at.get(point, ()):
-            if standing.for_all or standing.hook.fits(customer, plan):
+        make_arguments: Callable[[], tuple[Any, ...]],
+        accept: Callable[[Any], Result],
+        default: Result,
+    ) -> Result:
+        """What `accept` makes of the result of the hook for a customer; the default where there is none, or it fails.
+
+        `accept` raises InvalidResultError; times are in milliseconds.
+        """
+        for installed in self._hooks_by_point.get(point, ()):
+            if installed.applies_to_all or installed.hook.applies_to(customer, plan):
                 break
         else:
             return default
-        if standing.alone_until > now:
-            self.counts[f"{point} left alone"] += 1
+        if installed.open_until > now:
+            self._counts[f"{point} left alone"] += 1
             return default
-        if now - standing.window >= WINDOW_MS:
-            standing.window, standing.failures = now, 0
-        if now - self._window >= self.limits.window_ms:
-            self._window = now
-            self._runs = self._failures = self._window_steps = 0
-        machine = standing.machine
-        machine.again(self._steps, self._bytes, self._late())
-        self._runs += 1
+        if now - installed.window_began >= FAILURE_WINDOW_MS:
+            installed.begin_window(now)
+        if now - self._totals.began >= self.limits.window_ms:
+            self._totals = _WindowTotals(now)
+        machine = installed.machine
+        machine.begin(self._context.begin_deadline())
+        self._totals.runs += 1
         try:
-            made = take(machine.run(standing.function, given()))
-        except (HookError, BorderError, TypeError, ValueError, AttributeError) as error:
-            self._failures += 1
-            self._failed(now, point, standing, error)
-            made = default
+            result = accept(machine.run(installed.function, make_arguments()))
+        except (HookRunError, InvalidResultError, TypeError, ValueError, AttributeError) as error:
+            self._record_failure(now, installed, error)
+            result = default
         else:
-            standing.trial, standing.breaks = False, 0
-            self.counts[standing.good] += 1
-        used = self._steps - max(machine.steps, 0)
-        self.steps_used += used
-        self._window_steps += used
-        if self._runs >= self.limits.least_runs:
-            self._weigh()
-        return made
-
-    def _failed(self, now: float, point: str, standing: _Standing, error: Exception) -> None:
-        kind = error.kind if isinstance(error, HookError) else "border"
-        self.counts[f"{point} {kind}"] += 1
-        standing.failures += 1
-        told = {"version": self.release.version, "point": point, "hook": standing.hook.name}
-        if standing.failures <= NOTES:
-            self._log_event("hook failed", {**told, "error": str(error)[:300]})
-        if standing.trial or standing.failures >= FAILURES:
-            standing.alone_until, standing.trial, standing.failures = now + ALONE_MS, True, 0
-            standing.breaks += 1
-            self.counts[f"{point} breaks"] += 1
-            self._log_event("hook left alone", {**told, "for_ms": ALONE_MS})
-            if not self.release.whole or standing.breaks >= BREAKS:
-                self._now_bad(f"{standing.hook.name}: {error}"[:300])
-
-    def _weigh(self) -> None:
-        """Whether the release as a whole has passed its bounds."""
-        limits, runs = self.limits, self._runs
-        if self._bad:
-            return
-        if self._failures > limits.failure_share * runs:
-            self._now_bad(f"{self._failures} of {runs} runs failed")
-        elif self._window_steps > limits.mean_steps * runs:
-            self._now_bad(f"{self._window_steps / runs:.0f} steps a run, at most {limits.mean_steps:g}")
-
-    def _now_bad(self, reason: str) -> None:
-        if not self._bad:
-            self._bad = True
-            self._told_bad(self.release, reason)
+            installed.is_half_open = False
+            installed.openings = 0
+            self._counts[installed.good_runs_key] += 1
+        self._record_cost(machine.used_steps)
+        return result
+
+    def _record_cost(self, steps: int) -> None:
+        self.steps_used += steps
+        self._totals.steps += steps
+        if self._totals.runs >= self.limits.min_runs:
+            self._check_health()
+
+    def _record_failure(self, now: float, installed: _InstalledHook, error: Exception) -> None:
+        hook = installed.hook
+        kind = error.kind if isinstance(error, HookRunError) else INVALID_RESULT_KIND
+        self._totals.failures += 1
+        self._counts[f"{hook.point} {kind}"] += 1
+        installed.failures += 1
+        message = str(error)[:MAX_ERROR_CHARACTERS]
+        if installed.failures <= MAX_LOGGED_FAILURES:
+            self._context.log_event("hook failed", {**self._log_fields(hook), "error": message})
+        if installed.is_half_open or installed.failures >= MAX_FAILURES:
+            self._open_circuit(now, installed, error)
+
+    def _open_circuit(self, now: float, installed: _InstalledHook, error: Exception) -> None:
+        hook = installed.hook
+        installed.open_until = now + OPEN_MS
+        installed.is_half_open = True
+        installed.failures = 0
+        installed.openings += 1
+        self._counts[f"{hook.point} breaks"] += 1
+        self._context.log_event("hook left alone", {**self._log_fields(hook), "for_ms": OPEN_MS})
+        if self.release.is_canary or installed.openings >= MAX_OPENINGS:
+            self._set_unhealthy(f"{hook.name}: {error}"[:MAX_ERROR_CHARACTERS])
+
+    def _log_fields(self, hook: Hook) -> dict[str, Any]:
+        return {"version": self.release.version, "point": hook.point, "hook": hook.name}
+
+    def _check_health(self) -> None:
+        limits = self.limits
+        totals = self._totals
+        if totals.failures > limits.max_failure_share * totals.runs:
+            self._set_unhealthy(f"{totals.failures} of {totals.runs} runs failed")
+        elif totals.steps > limits.max_mean_steps * totals.runs:
+            mean_steps = totals.steps / totals.runs
+            self._set_unhealthy(f"{mean_steps:.0f} steps a run, at most {limits.max_mean_steps:g}")
+
+    def _set_unhealthy(self, reason: str) -> None:
+        if not self._is_unhealthy:
+            self._is_unhealthy = True
+            self._context.on_unhealthy(self.release, reason)
--- a/martenstep/hooks/translation.py
+++ b/martenstep/hooks/translation.py
@@ -1,201 +1,255 @@
-"""Turns a program's code into Python functions that do the same at a fraction of the cost.
+"""Translates a program's functions to Python functions that do the same at a fraction of the cost.
 
-The machine interprets about one instruction in 0.7 us.  Here each function of a program becomes a Python function: a
-slot is a local variable, and the instructions between two jumps are straight lines, charged together at their begin.  A
-run that ends costs the same steps and bytes as in the machine, to the last one; one that runs out is cut off up to a
-block earlier.  A function of very many blocks is left to the machine, since going from one block to another walks past
-those between them.
+A local becomes a variable, and the instructions between two jumps become straight lines, charged together at their
+beginning.  A run that ends costs the same steps and bytes as an interpreted one; one that runs out of its budget is cut
+off up to a block earlier.  A function of very many blocks is left to the interpreter, since going from one block to
+another walks past those between them.
 
-The text is made from instructions that the verifier has let pass; values of the program never stand in it.
+The text is made of verified instructions only; values of the program never stand in it.  Its names: `m` the machine,
+`b` the next block, `p` a position in a list, `v` locals, `s` the stack between two blocks, `t` other values, `k`
+constants, `f` functions, `i` built-in functions, `o` operators.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from typing import Any
 
-from martenstep.hooks.bytecode import Function, Program, heights_of
-from martenstep.hooks.types import BUILT_INS
-from martenstep.hooks.virtual_machine import FIELDS, ITEM_BYTES, OP, SIGNS_A_STEP, shown
+from martenstep.hooks.built_ins import BUILT_IN_FUNCTIONS
+from martenstep.hooks.bytecode import Function, Opcode, Program
+from martenstep.hooks.operators import OPERATORS, format_value, require_finite
+from martenstep.hooks.run_context import CHARACTERS_PER_STEP, ITEM_BYTES, ITEMS_PER_STEP
+from martenstep.hooks.verifier import stack_heights
+from martenstep.hooks.virtual_machine import FIELD_COUNTS, TranslatedFunctions
 
-MOST_BLOCKS = 48
-MOST_CODE = 1500  # instructions: Python's compiler lets nothing else run while it reads one function
-MOST_ADDED = 8  # in one expression: Python's compiler goes down as deep as a sum is long
-ENDS = (OP.JUMP, OP.JUMP_FALSE, OP.NEXT, OP.RETURN)
-Fast = Sequence[Callable[..., Any] | None]
-PAIRS = {OP.ADD: "+", OP.SUB: "-", OP.MUL: "*"}
+MAX_BLOCKS = 48
+MAX_TRANSLATED_INSTRUCTIONS = 1500  # Python's compiler lets nothing else run while it compiles one function
+MAX_SUMMANDS = 8  # Python's compiler recurses as deep as a sum is long
+BLOCK_ENDS = (Opcode.JUMP, Opcode.JUMP_IF_FALSE, Opcode.FOR_NEXT, Opcode.RETURN)
+ARITHMETIC = {Opcode.ADD: "+", Opcode.SUBTRACT: "-", Opcode.MULTIPLY: "*"}
+COMPARISONS = {Opcode.EQUAL: "==", Opcode.LESS: "<", Opcode.LESS_EQUAL: "<="}
 
 
-class _Writer:
-    """One function's text."""
+class _FunctionTranslator:
+    """Writes the Python text of one function."""
 
     def __init__(self, program: Program, function: Function, number: int) -> None:
-        self._constants, self._function, self._number = program.constants, function, number
-        code = function.code
-        starts = {0}
-        for at, (op, one, other) in enumerate(code):
-            if op in ENDS:
-                starts.add(at + 1)
-                if op in (OP.JUMP, OP.JUMP_FALSE):
-                    starts.add(one)
-                elif op == OP.NEXT:
-                    starts.add(other)
-        self.starts = sorted(start for start in starts if start < len(code))
-        self._block = {start: number for number, start in enumerate(self.starts)}
-        self._heights = heights_of(program, function)
-        self._stack: list[str] = []
+        self._constants = program.constants
+        self._function = function
+        self._number = number
+        self.block_starts = _find_block_starts(function)
+        self._block_numbers = {start: block for block, start in enumerate(self.block_starts)}
+        self._heights = stack_heights(program, function)
+        self._stack: list[str] = []  # the expressions of the values on the stack
         self._lines: list[str] = []
-        self._names = 0
+        self._value_count = 0
+        self._value_rules: dict[Opcode, Callable[[int, int], object]] = {
+            Opcode.LOAD_CONSTANT: lambda a, b: self._stack.append(f"k{a}"),
+            Opcode.LOAD_LOCAL: lambda a, b: self._stack.append(f"v{a}"),
+            Opcode.STORE_LOCAL: self._store_local,
+            Opcode.LOAD_FIELD: lambda a, b: self._push(f"{self._pop()}[{a}]"),
+            Opcode.NOT: lambda a, b: self._push(f"not {self._pop()}"),
+            Opcode.NEGATE: lambda a, b: self._push(f"-{self._pop()}"),
+            Opcode.JOIN_TEXTS: self._join_texts,
+            Opcode.FORMAT_VALUE: self._format_value,
+            Opcode.BUILD_RECORD: self._build_record,
+            Opcode.BUILD_LIST: self._build_list,
+            Opcode.CALL: lambda a, b: self._push(f"m.call({a}, ({_each_with_comma(self._pop_values(b))}))"),
+            Opcode.CALL_BUILT_IN: lambda a, b: self._push(f"i{a}(m, [{', '.join(self._pop_values(b))}])"),
+        }
 
     def text(self) -> str:
-        """The whole function."""
-        params = [f"v{slot}" for slot in range(self._function.params)]
-        rest = [f"v{slot}" for slot in range(self._function.params, self._function.slots)]
-        out = [f"def f{self._number}({', '.join(['m', *params])}):"]
-        if rest:
-            out.append(f"    {' = '.join(rest)} = 0.0")
+        """The text of the whole function."""
+        parameters = [f"v{local}" for local in range(self._function.parameter_count)]
+        other_locals = [f"v{local}" for local in range(self._function.parameter_count, self._function.local_count)]
+        out = [f"def f{self._number}({', '.join(['m', *parameters])}):"]
+        if other_locals:
+            out.append(f"    {' = '.join(other_locals)} = 0.0")
         out += ["    b = 0", "    while True:"]
-        for number, start in enumerate(self.starts):
-            end = self.starts[number + 1] if number + 1 < len(self.starts) else len(self._function.code)
+        ends = [*self.block_starts[1:], len(self._function.instructions)]
+        for block, (start, end) in enumerate(zip(self.block_starts, ends, strict=True)):
             self._lines = []
             if start in self._heights:  # else nothing leads here
                 self._stack = [f"s{place}" for place in range(self._heights[start])]
-                self._straight(start, end)
-            out.append(f"        if b == {number}:")
+                self._translate_block(start, end)
+            out.append(f"        if b == {block}:")
             out += [f"            {line}" for line in self._lines or ["pass"]]
         return "\n".join(out) + "\n"
 
-    def _name(self, made: str) -> None:
-        """A new value on the stack."""
-        self._names += 1
-        self._lines.append(f"t{self._names} = {made}")
-        self._stack.append(f"t{self._names}")
+    # The stack ----------------------------------------------------------------------------------------------
 
-    def _pop(self, count: int) -> list[str]:
+    def _push(self, expression: str) -> str:
+        """Push a new value; returns its variable."""
+        self._value_count += 1
+        variable = f"t{self._value_count}"
+        self._lines.append(f"{variable} = {expression}")
+        self._stack.append(variable)
+        return variable
+
+    def _pop(self) -> str:
+        return self._stack.pop()
+
+    def _pop_values(self, count: int) -> list[str]:
         if not count:
             return []
-        found = self._stack[-count:]
+        values = self._stack[-count:]
         del self._stack[-count:]
-        return found
-
-    def _spill(self) -> None:
-        """Put the stack where the next block looks for it."""
-        moved = [(f"s{place}", name) for place, name in enumerate(self._stack) if name != f"s{place}"]
-        if moved:
-            self._lines.append(f"{', '.join(to for to, _ in moved)} = {', '.join(name for _, name in moved)}")
-
-    def _goto(self, target: int, here: int, indent: str = "") -> None:
-        block = self._block[target]
+        return values
+
+    def _spill_stack(self) -> None:
+        """Put the stack where the next block expects it."""
+        moves = [(f"s{place}", name) for place, name in enumerate(self._stack) if name != f"s{place}"]
+        if moves:
+            targets = ", ".join(target for target, _ in moves)
+            self._lines.append(f"{targets} = {', '.join(source for _, source in moves)}")
+
+    # Blocks -------------------------------------------------------------------------------------------------
+
+    def _translate_block(self, start: int, end: int) -> None:
+        here = self._block_numbers[start]
+        self._lines.append(f"m.remaining_steps -= {end - start}")
+        self._lines.append("if m.remaining_steps <= m.next_check: m.charge_steps(0)")
+        for number, a, b in self._function.instructions[start : end - 1]:
+            self._translate_value(Opcode(number), a, b)
+        number, a, b = self._function.instructions[end - 1]
+        match Opcode(number):
+            case Opcode.JUMP:
+                self._spill_stack()
+                self._go_to(a, here)
+            case Opcode.JUMP_IF_FALSE:
+                self._jump_if_false(a, end, here)
+            case Opcode.FOR_NEXT:
+                self._for_next(a, b, end, here)
+            case Opcode.RETURN:
+                self._lines.append(f"return {self._pop()}")
+            case opcode:
+                self._translate_value(opcode, a, b)
+                self._spill_stack()
+                self._go_to(end, here)
+
+    def _go_to(self, target: int, here: int, indent: str = "") -> None:
+        block = self._block_numbers[target]
         self._lines.append(f"{indent}b = {block}")
         if block <= here:
             self._lines.append(f"{indent}continue")
 
-    def _straight(self, start: int, end: int) -> None:
-        here = self._block[start]
-        self._lines.append(f"m.steps -= {end - start}")
-        self._lines.append("if m.steps <= m.look: m._cost(0)")
-        for at in range(start, end):
-            op, one, other = self._function.code[at]
-            if op == OP.JUMP:
-                self._spill()
-                self._goto(one, here)
-                return
-            if op == OP.JUMP_FALSE:
-                [test] = self._pop(1)
-                self._names += 1
-                self._lines.append(f"t{self._names} = {test}")  # the spill may write over where it stood
-                kept = f"t{self._names}"
-                self._spill()
-                self._lines.append(f"if not {kept}:")
-                self._goto(one, here, "    ")
-                self._lines.append("else:")
-                self._goto(at + 1, here, "    ")
-                return
-            if op == OP.NEXT:
-                self._spill()
-                height = len(self._stack)
-                self._lines.append(f"p = int(v{one + 1})")
-                self._lines.append(f"if p < len(v{one}):")
-                self._lines.append(f"    v{one + 1} = p + 1.0; s{height} = v{one}[p]")
-                self._goto(at + 1, here, "    ")
-                self._lines.append("else:")
-                self._goto(other, here, "    ")
-                return
-            if op == OP.RETURN:
-                self._lines.append(f"return {self._stack.pop()}")
-                return
-            self._one(op, one, other)
-        self._spill()
-        self._goto(end, here)
-
-    def _one(self, op: int, one: int, other: int) -> None:
-        stack = self._stack
-        if op == OP.CONST:
-            stack.append(f"k{one}")
-        elif op == OP.LOAD:
-            stack.append(f"v{one}")
-        elif op == OP.STORE:
-            [value] = self._pop(1)
-            if f"v{one}" in stack:  # what was loaded stays as it was
-                self._names += 1
-                self._lines.append(f"t{self._names} = v{one}")
-                stack[:] = [f"t{self._names}" if name == f"v{one}" else name for name in stack]
-            self._lines.append(f"v{one} = {value}")
-        elif op == OP.FIELD:
-            self._name(f"{self._pop(1)[0]}[{one}]")
-        elif op in (OP.NOT, OP.NEG):
-            self._name(f"{'not ' if op == OP.NOT else '-'}{self._pop(1)[0]}")
-        elif op in PAIRS:
-            left, right = self._pop(2)
-            self._name(f"{left} {PAIRS[op]} {right}")
-            self._lines.append(f"if {stack[-1]} - {stack[-1]} != 0.0: m._finite({stack[-1]})")  # infinite, or none
-        elif op in (OP.EQUAL, OP.LESS, OP.LESS_EQUAL):
-            left, right = self._pop(2)
-            if not self._small(right):
-                self._lines.append(f"if {right}.__class__ is not float: m._cost(m._size({right}))")
-            self._name(f"{left} {'==' if op == OP.EQUAL else '<' if op == OP.LESS else '<='} {right}")
-        elif op == OP.TEXT:
-            parts = self._pop(one)
-            if len(parts) > MOST_ADDED:
-                self._lines.append(f"m._room(sum(map(len, ({', '.join(parts)}))))")
-            else:
-                self._lines.append(f"m._room({' + '.join(f'len({part})' for part in parts) or 0})")
-            self._name(f"''.join(({''.join(f'{part}, ' for part in parts)}))")
-        elif op == OP.SHOW:
-            self._name(f"shown({self._pop(1)[0]}, {bool(one)})")
-            self._lines.append(f"m._room(len({stack[-1]}))")
-        elif op == OP.MAKE:
-            self._lines.append(f"m._built({ITEM_BYTES * FIELDS[one]})")
-            self._name(f"({''.join(f'{part}, ' for part in self._pop(FIELDS[one]))})")
-        elif op == OP.LIST:
-            self._lines.append(f"m._items({one})")
-            self._name(f"[{', '.join(self._pop(one))}]")
-        elif op == OP.CALL:
-            self._name(f"m.call({one}, ({''.join(f'{part}, ' for part in self._pop(other))}))")
-        elif op == OP.BUILT_IN:
-            self._name(f"m._built_in({BUILT_INS[one]!r}, [{', '.join(self._pop(other))}])")
+    def _jump_if_false(self, target: int, next_position: int, here: int) -> None:
+        condition = self._push(self._pop())  # a variable of its own: the spill may overwrite where it stood
+        self._pop()
+        self._spill_stack()
+        self._lines.append(f"if not {condition}:")
+        self._go_to(target, here, "    ")
+        self._lines.append("else:")
+        self._go_to(next_position, here, "    ")
+
+    def _for_next(self, list_local: int, target: int, next_position: int, here: int) -> None:
+        self._spill_stack()
+        items = f"v{list_local}"
+        position = f"v{list_local + 1}"
+        self._lines.append(f"p = int({position})")
+        self._lines.append(f"if p < len({items}):")
+        self._lines.append(f"    {position} = p + 1.0")
+        self._lines.append(f"    s{len(self._stack)} = {items}[p]")
+        self._go_to(next_position, here, "    ")
+        self._lines.append("else:")
+        self._go_to(target, here, "    ")
+
+    # Values -------------------------------------------------------------------------------------------------
+
+    def _translate_value(self, opcode: Opcode, a: int, b: int) -> None:
+        """An instruction that is no jump."""
+        if opcode in self._value_rules:
+            self._value_rules[opcode](a, b)
+            return
+        left, right = self._pop_values(2)
+        if opcode in ARITHMETIC:
+            result = self._push(f"{left} {ARITHMETIC[opcode]} {right}")
+            # Differs from zero only for an infinite number and for none: cheaper than a call.
+            self._lines.append(f"if {result} - {result} != 0.0: require_finite({result})")
+        elif opcode in COMPARISONS:
+            if not self._is_free_to_compare(right):
+                self._lines.append(f"if {right}.__class__ is not float: m.charge_comparison({right})")
+            self._push(f"{left} {COMPARISONS[opcode]} {right}")
+        else:
+            self._push(f"o{int(opcode)}(m, {left}, {right})")
+
+    def _store_local(self, local: int, _b: int) -> None:
+        value = self._pop()
+        variable = f"v{local}"
+        if variable in self._stack:  # what was loaded stays as it was
+            self._value_count += 1
+            copy = f"t{self._value_count}"
+            self._lines.append(f"{copy} = {variable}")
+            self._stack[:] = [copy if name == variable else name for name in self._stack]
+        self._lines.append(f"{variable} = {value}")
+
+    def _join_texts(self, count: int, _b: int) -> None:
+        parts = self._pop_values(count)
+        if len(parts) > MAX_SUMMANDS:
+            length = f"sum(map(len, ({', '.join(parts)})))"
+        else:
+            length = " + ".join(f"len({part})" for part in parts) or "0"
+        self._lines.append(f"m.charge_text({length})")
+        self._push(f"''.join(({_each_with_comma(parts)}))")
+
+    def _format_value(self, is_duration: int, _b: int) -> None:
+        text = self._push(f"format_value({self._pop()}, {bool(is_duration)})")
+        self._lines.append(f"m.charge_text(len({text}))")
+
+    def _build_record(self, record: int, _b: int) -> None:
+        self._charge_bytes(ITEM_BYTES * FIELD_COUNTS[record])
+        self._push(f"({_each_with_comma(self._pop_values(FIELD_COUNTS[record]))})")
+
+    def _build_list(self, count: int, _b: int) -> None:
+        if count < ITEMS_PER_STEP:
+            self._charge_bytes(ITEM_BYTES * (count + 1))
         else:
-            left, right = self._pop(2)
-            self._name(f"m._two({op}, {left}, {right})")
+            self._lines.append(f"m.charge_list({count})")
+        self._push(f"[{', '.join(self._pop_values(count))}]")
 
-    def _small(self, name: str) -> bool:
-        """Whether comparing with it is free: a constant number, or a short text."""
-        if name[0] != "k":
+    def _charge_bytes(self, size: int) -> None:
+        """As RunContext.charge_bytes, without a call as long as there are bytes left."""
+        self._lines.append(f"m.remaining_bytes -= {size}")
+        self._lines.append("if m.remaining_bytes < 0: m.charge_bytes(0)")
+
+    def _is_free_to_compare(self, name: str) -> bool:
+        """Whether comparing costs no steps: with a constant number, bool or short text."""
+        if not name.startswith("k"):
             return False
         value = self._constants[int(name[1:])]
-        return not isinstance(value, str) or len(value) < SIGNS_A_STEP
+        return not isinstance(value, str) or len(value) < CHARACTERS_PER_STEP
+
+
+def _each_with_comma(expressions: list[str]) -> str:
+    """The inside of a tuple, also of one item."""
+    return "".join(f"{expression}, " for expression in expressions)
+
+
+def _find_block_starts(function: Function) -> list[int]:
+    starts = {0}
+    for position, (opcode, a, b) in enumerate(function.instructions):
+        if opcode in BLOCK_ENDS:
+            starts.add(position + 1)
+        if opcode in (Opcode.JUMP, Opcode.JUMP_IF_FALSE):
+            starts.add(a)
+        elif opcode == Opcode.FOR_NEXT:
+            starts.add(b)
+    return sorted(start for start in starts if start < len(function.instructions))
 
 
-def translate(program: Program) -> Fast:
-    """The functions of a verified program; None for those that are left to the machine."""
-    names: dict[str, Any] = {f"k{number}": value for number, value in enumerate(program.constants)}
-    names["shown"] = shown
-    made: list[Callable[..., Any] | None] = []
+def translate(program: Program) -> TranslatedFunctions:
+    """The functions of a verified program; None for those that are left to the interpreter."""
+    names: dict[str, Any] = {"format_value": format_value, "require_finite": require_finite}
+    names |= {f"k{number}": value for number, value in enumerate(program.constants)}
+    names |= {f"i{number}": built_in for number, built_in in enumerate(BUILT_IN_FUNCTIONS)}
+    names |= {f"o{opcode}": operator for opcode, operator in OPERATORS.items()}
+    translated: list[Callable[..., Any] | None] = []
     for number, function in enumerate(program.functions):
-        writer = _Writer(program, function, number)
-        if len(writer.starts) > MOST_BLOCKS or len(function.code) > MOST_CODE:
-            made.append(None)
+        translator = _FunctionTranslator(program, function, number)
+        is_too_long = len(function.instructions) > MAX_TRANSLATED_INSTRUCTIONS
+        if is_too_long or len(translator.block_starts) > MAX_BLOCKS:
+            translated.append(None)
             continue
-        exec(compile(writer.text(), f"<hook {number}>", "exec"), names)
-        made.append(names[f"f{number}"])
-    return made
+        exec(compile(translator.text(), f"<hook {number}>", "exec"), names)
+        translated.append(names[f"f{number}"])
+    return translated
--- a/martenstep/hooks/type_checker.py
+++ b/martenstep/hooks/type_checker.py
@@ -1,31 +1,39 @@
-"""Checks a hook's tree: every name, every type, no recursion.  What passes cannot go wrong by its types."""
+"""Checks the names and types of a syntax tree, and that no function calls itself.
+
+A program that passes has no type errors at run time.
+"""
 
 from __future__ import annotations
 
-from martenstep.hooks import syntax_tree as syn
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any
+
+from martenstep.hooks import syntax_tree as tree
 from martenstep.hooks.regex import Pattern, PatternError
-from martenstep.hooks.syntax_tree import Expr, HookFault, Place
+from martenstep.hooks.source import MAX_NESTING, HookSourceError, SourceLocation
 from martenstep.hooks.types import (
     BOOL,
-    BUILT_IN,
-    BY_NAME,
+    BUILT_INS,
     DURATION,
+    EXTENSION_POINTS,
     NOTHING,
     NUMBER,
-    PLAIN,
-    POINTS,
     RECORDS,
+    SCALARS,
     TEXT,
+    TYPES_BY_NAME,
+    Signature,
     Type,
-    fits,
-    joined,
+    common_type,
+    is_assignable,
     list_of,
 )
 
-MOST_SLOTS = 200  # names in one function
-ORDERED = (NUMBER, DURATION, TEXT)
-# Signs on two plain types, and what they make.
-MADE: dict[tuple[str, Type, Type], Type] = {
+MAX_LOCALS = 200  # of one function
+MAX_LISTED_NAMES = 20  # in a message
+MAX_FOLD_ROUNDS = 4  # until the accumulator has its type: an empty list at the start becomes that of the body
+ORDERED_TYPES = (NUMBER, DURATION, TEXT)
+ARITHMETIC_RESULTS: dict[tuple[str, Type, Type], Type] = {
     ("+", NUMBER, NUMBER): NUMBER,
     ("-", NUMBER, NUMBER): NUMBER,
     ("*", NUMBER, NUMBER): NUMBER,
@@ -39,283 +47,320 @@
     ("/", DURATION, NUMBER): DURATION,
     ("/", DURATION, DURATION): NUMBER,
 }
+Scope = dict[str, Type]
 
 
-def _near(among: list[str]) -> str:
-    listed = ", ".join(sorted(among)[:20])
+def _known_names(names: Iterable[str]) -> str:
+    listed = ", ".join(sorted(names)[:MAX_LISTED_NAMES])
     return f"(there are: {listed})" if listed else "(there are none)"
 
 
-class Checker:
-    """One file; `types` holds what each part of the tree was found to be, by its identity."""
+class TypeChecker:
+    """Checks one file; `types` has the type of each expression by its identity."""
 
-    def __init__(self, file: syn.File) -> None:
+    def __init__(self, file: tree.SourceFile) -> None:
+        """`file` is checked by `check`."""
         self._file = file
         self.types: dict[int, Type] = {}
-        self.functions: dict[str, tuple[tuple[Type, ...], Type]] = {}
-        self._calls: dict[str, dict[str, Place]] = {}
-        self._inside = ""
-        self._slots = 0
+        self._functions: dict[str, Signature] = {}
+        self._calls: dict[str, dict[str, SourceLocation]] = {}  # caller to callees, with the first call of each
+        self._current_function = ""  # empty in a hook or a test
+        self._local_count = 0
+        self._rules: dict[type, Callable[[Any, Scope], Type]] = {
+            tree.NumberLiteral: lambda node, scope: DURATION if node.is_duration else NUMBER,
+            tree.BoolLiteral: lambda node, scope: BOOL,
+            tree.TextLiteral: self._text,
+            tree.NameReference: self._name,
+            tree.ListLiteral: self._list,
+            tree.RecordLiteral: self._record,
+            tree.FieldAccess: self._field,
+            tree.IndexAccess: self._index,
+            tree.UnaryOperation: self._unary,
+            tree.BinaryOperation: self._binary,
+            tree.Block: self._block,
+            tree.Conditional: self._conditional,
+            tree.Match: self._match,
+            tree.Fold: self._fold,
+            tree.Call: self._call,
+        }
+
+    # Definitions --------------------------------------------------------------------------------------------
 
     def check(self) -> None:
-        """Raises HookFault at the first thing that is wrong."""
+        """Check the file; raises HookSourceError at the first error."""
+        self._declare_functions()
         for function in self._file.functions:
-            if function.name in self.functions or function.name in BUILT_IN:
-                raise HookFault(function.place, f"the function {function.name!r} is there already")
-            self.functions[function.name] = (
-                tuple(self._written(made) for _, made in function.params),
-                self._written(function.gives),
-            )
-        for function in self._file.functions:
-            params, gives = self.functions[function.name]
-            names = [name for name, _ in function.params]
-            self._body(function.place, names, params, function.body, gives, function.name)
-        self._no_recursion()
-        seen: set[str] = set()
-        for hook in self._file.hooks:
-            if hook.point not in POINTS:
-                raise HookFault(hook.place, f"no point is named {hook.point!r} {_near(list(POINTS))}")
-            if hook.point in seen:
-                raise HookFault(hook.place, f"a second hook at {hook.point!r}")
-            seen.add(hook.point)
-            given, gives = POINTS[hook.point]
-            if len(hook.params) != len(given):
-                raise HookFault(
-                    hook.place,
-                    f"{hook.point} is given {len(given)} values ("
-                    f"{', '.join(map(str, given))}), named are {len(hook.params)}",
-                )
-            self._body(hook.place, hook.params, given, hook.body, gives, "")
+            self._current_function = function.name
+            names = [name for name, _ in function.parameters]
+            self._check_body(function, names, self._functions[function.name])
+        self._current_function = ""
+        self._reject_recursion()
+        self._check_hooks()
         for test in self._file.tests:
-            self._body(test.place, [], (), test.body, BOOL, "")
-
-    def _no_recursion(self) -> None:
-        """No function comes back to itself: each ends by its shape, but for what the budget cuts off."""
-        done: set[str] = set()
-
-        def visit(name: str, under: tuple[str, ...]) -> None:
-            for called, place in self._calls.get(name, {}).items():
-                if called in (*under, name):
-                    raise HookFault(place, f"{called!r} calls itself, here or over others")
-                if called not in done:
-                    if len(under) > syn.MOST_DEPTH:
-                        raise HookFault(place, f"calls nested deeper than {syn.MOST_DEPTH}")
-                    visit(called, (*under, name))
-            done.add(name)
+            self._check_body(test, [], Signature((), BOOL))
 
+    def _declare_functions(self) -> None:
         for function in self._file.functions:
-            visit(function.name, ())
+            if function.name in self._functions or function.name in BUILT_INS:
+                raise HookSourceError(function.location, f"the function {function.name!r} is there already")
+            parameters = tuple(self._resolve(reference) for _, reference in function.parameters)
+            self._functions[function.name] = Signature(parameters, self._resolve(function.result_type))
 
-    def _written(self, made: syn.TypeName) -> Type:
-        if made.name == "list":
-            if made.of is None:
-                raise HookFault(made.place, "expected what the list holds, such as list<text>")
-            return list_of(self._written(made.of))
-        found = BY_NAME.get(made.name)
-        if found is None or made.of is not None:
-            raise HookFault(made.place, f"no type is named {made.name!r} {_near([*BY_NAME, 'list'])}")
+    def _resolve(self, reference: tree.TypeReference) -> Type:
+        if reference.name == "list":
+            if reference.item_type is None:
+                raise HookSourceError(reference.location, "expected what the list holds, such as list<text>")
+            return list_of(self._resolve(reference.item_type))
+        found = TYPES_BY_NAME.get(reference.name)
+        if found is None or reference.item_type is not None:
+            known = _known_names([*TYPES_BY_NAME, "list"])
+            raise HookSourceError(reference.location, f"no type is named {reference.name!r} {known}")
         return found
 
-    def _body(
-        self, place: Place, names: list[str], given: tuple[Type, ...], body: syn.Block, gives: Type, inside: str
-    ) -> None:
+    def _reject_recursion(self) -> None:
+        """No function calls itself, so that a run ends even without a budget."""
+        checked: set[str] = set()
+
+        def visit(name: str, callers: tuple[str, ...]) -> None:
+            for callee, location in self._calls.get(name, {}).items():
+                if callee in (*callers, name):
+                    raise HookSourceError(location, f"{callee!r} calls itself, here or over others")
+                if callee in checked:
+                    continue
+                if len(callers) > MAX_NESTING:
+                    raise HookSourceError(location, f"calls nested deeper than {MAX_NESTING}")
+                visit(callee, (*callers, name))
+            checked.add(name)
+
+        for function in self._file.functions:
+            visit(function.name, ())
+
+    def _check_hooks(self) -> None:
+        checked: set[str] = set()
+        for hook in self._file.hooks:
+            if hook.point not in EXTENSION_POINTS:
+                known = _known_names(EXTENSION_POINTS)
+                raise HookSourceError(hook.location, f"no point is named {hook.point!r} {known}")
+            if hook.point in checked:
+                raise HookSourceError(hook.location, f"a second hook at {hook.point!r}")
+            checked.add(hook.point)
+            signature = EXTENSION_POINTS[hook.point]
+            if len(hook.parameters) != len(signature.parameters):
+                given = ", ".join(map(str, signature.parameters))
+                message = (
+                    f"{hook.point} is given {len(signature.parameters)} values ({given}), "
+                    f"named are {len(hook.parameters)}"
+                )
+                raise HookSourceError(hook.location, message)
+            self._check_body(hook, hook.parameters, signature)
+
+    def _check_body(self, definition: tree.Definition, names: Sequence[str], signature: Signature) -> None:
         if len(set(names)) < len(names):
-            raise HookFault(place, "two parameters of one name")
-        self._inside, self._slots = inside, len(names)
-        self._want(body, gives, dict(zip(names, given, strict=True)), "")
-
-    def _want(self, made: Expr, wanted: Type, names: dict[str, Type], what: str) -> None:
-        got = self.type(made, names)
-        if not fits(got, wanted):
-            at = made.value if isinstance(made, syn.Block) else made
-            raise HookFault(at.place, f"{what}expected {wanted}, got {got}")
-
-    def type(self, made: Expr, names: dict[str, Type]) -> Type:
-        """What a part is; kept for the compiler."""
-        found = self._type(made, names)
-        self.types[id(made)] = found
-        return found
+            raise HookSourceError(definition.location, "two parameters of one name")
+        self._local_count = len(names)
+        scope = dict(zip(names, signature.parameters, strict=True))
+        self._require(definition.body, signature.result, scope)
+
+    # Expressions --------------------------------------------------------------------------------------------
 
-    def _type(self, made: Expr, names: dict[str, Type]) -> Type:
-        match made:
-            case syn.Number():
-                return DURATION if made.duration else NUMBER
-            case syn.Bool():
-                return BOOL
-            case syn.Text():
-                for part in made.parts:
-                    if not isinstance(part, str) and self.type(part, names) not in PLAIN.values():
-                        raise HookFault(
-                            part.place, f"expected something plain to put into a text, got {self.types[id(part)]}"
-                        )
-                return TEXT
-            case syn.Name():
-                if made.name not in names:
-                    raise HookFault(made.place, f"nothing is named {made.name!r} {_near(list(names))}")
-                return names[made.name]
-            case syn.Items():
-                of = NOTHING
-                for item in made.items:
-                    both = joined(of, self.type(item, names)) if of != NOTHING else self.type(item, names)
-                    if both is None:
-                        raise HookFault(item.place, f"expected {of} as the others, got {self.types[id(item)]}")
-                    of = both
-                return list_of(of)
-            case syn.Make():
-                return self._record(made, names)
-            case syn.Field():
-                of = self.type(made.of, names)
-                for name, kind in RECORDS.get(of, ()):
-                    if name == made.name:
-                        return kind
-                known = [name for name, _ in RECORDS.get(of, ())]
-                raise HookFault(made.place, f"{of} has no field {made.name!r} {_near(known)}")
-            case syn.Index():
-                of = self.type(made.of, names)
-                if of.name != "list" or of.of is None or of.of == NOTHING:
-                    raise HookFault(made.of.place, f"expected a list, got {of}")
-                self._want(made.at, NUMBER, names, "")
-                return of.of
-            case syn.Unary():
-                if made.sign == "not":
-                    self._want(made.of, BOOL, names, "")
-                    return BOOL
-                got = self.type(made.of, names)
-                if got not in (NUMBER, DURATION):
-                    raise HookFault(made.of.place, f"expected number or duration, got {got}")
-                return got
-            case syn.Binary():
-                return self._binary(made, names)
-            case syn.Block():
-                inner = dict(names)
-                for name, value in made.lets:
-                    inner[name] = self.type(value, inner)
-                    self._slot(value.place)
-                return self.type(made.value, inner)
-            case syn.If():
-                self._want(made.test, BOOL, names, "")
-                return self._both(made.then, made.other, names)
-            case syn.Match():
-                return self._match(made, names)
-            case syn.For():
-                return self._for(made, names)
-            case syn.Call():
-                return self._call(made, names)
-
-    def _slot(self, place: Place) -> None:
-        self._slots += 1
-        if self._slots > MOST_SLOTS:
-            raise HookFault(place, f"more than {MOST_SLOTS} names in one function")
-
-    def _record(self, made: syn.Make, names: dict[str, Type]) -> Type:
-        found = BY_NAME.get(made.name)
-        if found is None or found not in RECORDS:
-            known = [record.name for record in RECORDS]
-            raise HookFault(made.place, f"no record is named {made.name!r} {_near(known)}")
-        fields = dict(RECORDS[found])
-        seen: set[str] = set()
-        for name, value in made.fields:
-            if name not in fields:
-                raise HookFault(value.place, f"{found} has no field {name!r} {_near(list(fields))}")
-            if name in seen:
-                raise HookFault(value.place, f"{name!r} is given twice")
-            seen.add(name)
-            self._want(value, fields[name], names, f"{found}.{name}: ")
+    def _infer(self, expression: tree.Expression, scope: Scope) -> Type:
+        """The type of an expression, recorded for the compiler."""
+        found = self._rules[type(expression)](expression, scope)
+        self.types[id(expression)] = found
         return found
 
-    def _binary(self, made: syn.Binary, names: dict[str, Type]) -> Type:
-        if made.sign in ("and", "or"):
-            self._want(made.left, BOOL, names, "")
-            self._want(made.right, BOOL, names, "")
+    def _require(self, expression: tree.Expression, expected: Type, scope: Scope, context: str = "") -> None:
+        """The expression must have a type; `context` begins the message."""
+        actual = self._infer(expression, scope)
+        if not is_assignable(actual, expected):
+            message = f"{context}expected {expected}, got {actual}"
+            raise HookSourceError(tree.result_location(expression), message)
+
+    def _add_local(self, location: SourceLocation) -> None:
+        self._local_count += 1
+        if self._local_count > MAX_LOCALS:
+            raise HookSourceError(location, f"more than {MAX_LOCALS} names in one function")
+
+    def _text(self, text: tree.TextLiteral, scope: Scope) -> Type:
+        for part in text.parts:
+            if isinstance(part, str):
+                continue
+            actual = self._infer(part, scope)
+            if actual not in SCALARS.values():
+                message = f"expected something plain to put into a text, got {actual}"
+                raise HookSourceError(part.location, message)
+        return TEXT
+
+    def _name(self, reference: tree.NameReference, scope: Scope) -> Type:
+        if reference.name not in scope:
+            message = f"nothing is named {reference.name!r} {_known_names(scope)}"
+            raise HookSourceError(reference.location, message)
+        return scope[reference.name]
+
+    def _list(self, literal: tree.ListLiteral, scope: Scope) -> Type:
+        item_type = NOTHING
+        for item in literal.items:
+            actual = self._infer(item, scope)
+            common = common_type(item_type, actual) if item_type != NOTHING else actual
+            if common is None:
+                raise HookSourceError(item.location, f"expected {item_type} as the others, got {actual}")
+            item_type = common
+        return list_of(item_type)
+
+    def _record(self, literal: tree.RecordLiteral, scope: Scope) -> Type:
+        record = TYPES_BY_NAME.get(literal.type_name)
+        if record is None or record not in RECORDS:
+            known = _known_names(each.name for each in RECORDS)
+            raise HookSourceError(literal.location, f"no record is named {literal.type_name!r} {known}")
+        field_types = dict(RECORDS[record])
+        given: set[str] = set()
+        for name, value in literal.fields:
+            if name not in field_types:
+                message = f"{record} has no field {name!r} {_known_names(field_types)}"
+                raise HookSourceError(value.location, message)
+            if name in given:
+                raise HookSourceError(value.location, f"{name!r} is given twice")
+            given.add(name)
+            self._require(value, field_types[name], scope, f"{record}.{name}: ")
+        return record
+
+    def _field(self, access: tree.FieldAccess, scope: Scope) -> Type:
+        record = self._infer(access.record, scope)
+        field_types = dict(RECORDS.get(record, ()))
+        if access.field_name not in field_types:
+            message = f"{record} has no field {access.field_name!r} {_known_names(field_types)}"
+            raise HookSourceError(access.location, message)
+        return field_types[access.field_name]
+
+    def _index(self, access: tree.IndexAccess, scope: Scope) -> Type:
+        actual = self._infer(access.list_value, scope)
+        if actual.item_type is None or actual.item_type == NOTHING:
+            raise HookSourceError(access.list_value.location, f"expected a list, got {actual}")
+        self._require(access.index, NUMBER, scope)
+        return actual.item_type
+
+    def _unary(self, operation: tree.UnaryOperation, scope: Scope) -> Type:
+        if operation.operator == "not":
+            self._require(operation.operand, BOOL, scope)
             return BOOL
-        left, right = self.type(made.left, names), self.type(made.right, names)
-        if made.sign in ("==", "!="):
-            if joined(left, right) is not None:
-                return BOOL
-        elif made.sign in ("<", "<=", ">", ">="):
-            if left == right and left in ORDERED:
-                return BOOL
-        elif made.sign == "in":
-            if (left == right == TEXT) or (right.name == "list" and fits(list_of(left), right)):
-                return BOOL
-        elif made.sign == "+" and left.name == right.name == "list":
-            both = joined(left, right)
-            if both is not None:
-                return both
-        elif (made.sign, left, right) in MADE:
-            return MADE[made.sign, left, right]
-        raise HookFault(made.place, f"{left} {made.sign} {right} is nothing")
-
-    def _both(self, one: Expr, other: Expr, names: dict[str, Type]) -> Type:
-        first, second = self.type(one, names), self.type(other, names)
-        both = joined(first, second)
-        if both is None:
-            at = other.value if isinstance(other, syn.Block) else other
-            raise HookFault(at.place, f"expected {first} as in the first way, got {second}")
-        return both
-
-    def _match(self, made: syn.Match, names: dict[str, Type]) -> Type:
-        of = self.type(made.of, names)
-        if of not in PLAIN.values():
-            raise HookFault(made.of.place, f"expected something plain to match, got {of}")
-        if not made.arms or made.arms[-1].values or any(not arm.values for arm in made.arms[:-1]):
-            raise HookFault(made.place, "expected '_' as the last arm, and only there")
+        actual = self._infer(operation.operand, scope)
+        if actual not in (NUMBER, DURATION):
+            raise HookSourceError(operation.operand.location, f"expected number or duration, got {actual}")
+        return actual
+
+    def _binary(self, operation: tree.BinaryOperation, scope: Scope) -> Type:
+        if operation.operator in ("and", "or"):
+            self._require(operation.left, BOOL, scope)
+            self._require(operation.right, BOOL, scope)
+            return BOOL
+        left = self._infer(operation.left, scope)
+        right = self._infer(operation.right, scope)
+        found = _operation_result(operation.operator, left, right)
+        if found is None:
+            raise HookSourceError(operation.location, f"{left} {operation.operator} {right} is nothing")
+        return found
+
+    def _block(self, block: tree.Block, scope: Scope) -> Type:
+        inner = dict(scope)
+        for name, value in block.bindings:
+            inner[name] = self._infer(value, inner)
+            self._add_local(value.location)
+        return self._infer(block.result, inner)
+
+    def _conditional(self, conditional: tree.Conditional, scope: Scope) -> Type:
+        self._require(conditional.condition, BOOL, scope)
+        first = self._infer(conditional.then_branch, scope)
+        second = self._infer(conditional.else_branch, scope)
+        found = common_type(first, second)
+        if found is None:
+            message = f"expected {first} as in the first way, got {second}"
+            raise HookSourceError(tree.result_location(conditional.else_branch), message)
+        return found
+
+    def _match(self, match: tree.Match, scope: Scope) -> Type:
+        subject = self._infer(match.subject, scope)
+        if subject not in SCALARS.values():
+            raise HookSourceError(match.subject.location, f"expected something plain to match, got {subject}")
+        if not match.arms or match.arms[-1].literals or any(not arm.literals for arm in match.arms[:-1]):
+            raise HookSourceError(match.location, "expected '_' as the last arm, and only there")
         found: Type | None = None
-        for arm in made.arms:
-            for value in arm.values:
-                self._want(value, of, names, "")
-            got = self.type(arm.then, names)
-            both = got if found is None else joined(found, got)
-            if both is None:
-                raise HookFault(arm.then.place, f"expected {found} as in the first arm, got {got}")
-            found = both
-        assert found is not None
+        for arm in match.arms:
+            for literal in arm.literals:
+                self._require(literal, subject, scope)
+            actual = self._infer(arm.result, scope)
+            common = actual if found is None else common_type(found, actual)
+            if common is None:
+                raise HookSourceError(arm.result.location, f"expected {found} as in the first arm, got {actual}")
+            found = common
+        assert found is not None  # there is at least one arm
         return found
 
-    def _for(self, made: syn.For, names: dict[str, Type]) -> Type:
-        over = self.type(made.over, names)
-        if over.name != "list" or over.of is None:
-            raise HookFault(made.over.place, f"expected a list, got {over}")
-        carried = self.type(made.start, names)
-        if made.item == made.carried:
-            raise HookFault(made.place, "the item and what is carried along have one name")
-        for _ in range(4):  # an empty list at the start becomes the body's
-            self._slot(made.place)
-            inner = {**names, made.item: over.of, made.carried: carried}
-            got = self.type(made.body, inner)
-            both = joined(carried, got)
-            if both is None:
-                raise HookFault(made.body.value.place, f"expected {carried} as it began, got {got}")
-            if both == carried:
-                return carried
-            carried = both
-        raise HookFault(made.place, "what is carried along has no one type")
-
-    def _call(self, made: syn.Call, names: dict[str, Type]) -> Type:
-        known = self.functions.get(made.name) or BUILT_IN.get(made.name)
-        if known is None:
-            raise HookFault(made.place, f"no function is named {made.name!r} {_near([*self.functions, *BUILT_IN])}")
-        if made.name in self.functions and self._inside:
-            self._calls.setdefault(self._inside, {}).setdefault(made.name, made.place)
-        params, gives = known
-        if len(params) != len(made.args):
-            raise HookFault(made.place, f"{made.name} takes {len(params)} values, got {len(made.args)}")
-        for number, (arg, wanted) in enumerate(zip(made.args, params, strict=True), 1):
-            self._want(arg, wanted, names, f"{made.name}, value {number}: ")
-        if made.name in ("matches", "count"):
-            last = made.args[-1]
-            if not isinstance(last, syn.Text) or len(last.parts) != 1 or not isinstance(last.parts[0], str):
-                raise HookFault(last.place, f"{made.name}: expected a plain text, known before the hook runs")
-            if made.name == "matches":
-                try:
-                    Pattern(last.parts[0])
-                except PatternError as error:
-                    raise HookFault(last.place, f"matches: {error}") from None
-        return gives
-
-
-def check(file: syn.File) -> Checker:
-    """Check a whole file; raises HookFault."""
-    made = Checker(file)
-    made.check()
-    return made
+    def _fold(self, fold: tree.Fold, scope: Scope) -> Type:
+        items = self._infer(fold.items, scope)
+        if items.item_type is None:
+            raise HookSourceError(fold.items.location, f"expected a list, got {items}")
+        accumulator = self._infer(fold.initial, scope)
+        if fold.item_name == fold.accumulator_name:
+            raise HookSourceError(fold.location, "the item and what is carried along have one name")
+        for _ in range(MAX_FOLD_ROUNDS):
+            self._add_local(fold.location)
+            inner = {**scope, fold.item_name: items.item_type, fold.accumulator_name: accumulator}
+            actual = self._infer(fold.body, inner)
+            common = common_type(accumulator, actual)
+            if common is None:
+                message = f"expected {accumulator} as it began, got {actual}"
+                raise HookSourceError(fold.body.result.location, message)
+            if common == accumulator:
+                return accumulator
+            accumulator = common
+        raise HookSourceError(fold.location, "what is carried along has no one type")
+
+    def _call(self, call: tree.Call, scope: Scope) -> Type:
+        name = call.function_name
+        signature = self._functions.get(name) or BUILT_INS.get(name)
+        if signature is None:
+            known = _known_names([*self._functions, *BUILT_INS])
+            raise HookSourceError(call.location, f"no function is named {name!r} {known}")
+        if name in self._functions and self._current_function:
+            self._calls.setdefault(self._current_function, {}).setdefault(name, call.location)
+        if len(signature.parameters) != len(call.arguments):
+            message = f"{name} takes {len(signature.parameters)} values, got {len(call.arguments)}"
+            raise HookSourceError(call.location, message)
+        for number, argument in enumerate(call.arguments, 1):
+            self._require(argument, signature.parameters[number - 1], scope, f"{name}, value {number}: ")
+        if name in ("matches", "count"):
+            _require_constant_text(name, call.arguments[-1])
+        return signature.result
+
+
+def _operation_result(operator: str, left: Type, right: Type) -> Type | None:
+    """The type of a binary operation other than `and` and `or`; None where there is no such operation."""
+    if operator in ("==", "!="):
+        return BOOL if common_type(left, right) is not None else None
+    if operator in ("<", "<=", ">", ">="):
+        return BOOL if left == right and left in ORDERED_TYPES else None
+    if operator == "in":
+        is_substring_test = left == right == TEXT
+        return BOOL if is_substring_test or is_assignable(list_of(left), right) else None
+    if operator == "+" and left.is_list and right.is_list:
+        return common_type(left, right)
+    return ARITHMETIC_RESULTS.get((operator, left, right))
+
+
+def _require_constant_text(function_name: str, argument: tree.Expression) -> None:
+    """The argument must be known at compile time, and a pattern one that can be compiled."""
+    parts = argument.parts if isinstance(argument, tree.TextLiteral) else []
+    if len(parts) != 1 or not isinstance(parts[0], str):
+        raise HookSourceError(argument.location, f"{function_name}: expected a plain text, known before the hook runs")
+    if function_name == "matches":
+        try:
+            Pattern(parts[0])
+        except PatternError as error:
+            raise HookSourceError(argument.location, f"matches: {error}") from None
+
+
+def check_types(file: tree.SourceFile) -> dict[int, Type]:
+    """The type of each expression of a file, by its identity; raises HookSourceError."""
+    checker = TypeChecker(file)
+    checker.check()
+    return checker.types
--- a/martenstep/hooks/types.py
+++ b/martenstep/hooks/types.py
@@ -1,42 +1,60 @@
-"""The types of hooks: plain ones, lists, and the records that the points give and take."""
+"""The types of the hook language: scalars, lists, and the records of the extension points."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 
 @dataclass(frozen=True, slots=True)
 class Type:
-    """A type; a list's is that of its items, `nothing` for those of an empty one."""
+    """A type; a list has the type of its items, which is NOTHING for an empty one."""
 
     name: str
-    of: Type | None = None
+    item_type: Type | None = None
 
     def __str__(self) -> str:
-        return self.name if self.of is None else f"{self.name}<{self.of}>"
+        return self.name if self.item_type is None else f"{self.name}<{self.item_type}>"
 
     @property
-    def depth(self) -> int:
-        """How deep lists stand in one another."""
-        return 0 if self.of is None else 1 + self.of.depth
+    def is_list(self) -> bool:
+        """Whether it is a type of lists."""
+        return self.name == "list"
 
 
-NUMBER, TEXT, BOOL, DURATION, NOTHING = (Type(name) for name in ("number", "text", "bool", "duration", "nothing"))
-PLAIN = {made.name: made for made in (NUMBER, TEXT, BOOL, DURATION)}
+class Signature(NamedTuple):
+    """What a function takes, and the type of its result."""
 
+    parameters: tuple[Type, ...]
+    result: Type
 
-def list_of(made: Type) -> Type:
-    """The type of a list of these."""
-    return Type("list", made)
 
+NUMBER = Type("number")
+TEXT = Type("text")
+BOOL = Type("bool")
+DURATION = Type("duration")
+NOTHING = Type("nothing")
+SCALARS = {scalar.name: scalar for scalar in (NUMBER, TEXT, BOOL, DURATION)}
 
-HEADER, REQUEST, REFUSAL, WORDS = (Type(name) for name in ("Header", "Request", "Refusal", "Words"))
-ANSWER, PLACE, SENDING, ENTRY = (Type(name) for name in ("Answer", "Class", "Sending", "Field"))
+
+def list_of(item_type: Type) -> Type:
+    """The type of lists of such items."""
+    return Type("list", item_type)
+
+
+HEADER = Type("Header")
+REQUEST = Type("Request")
+REJECTION = Type("Refusal")
+REJECTION_CONTENT = Type("Words")
+RESPONSE = Type("Answer")
+CLASSIFICATION = Type("Class")
+FORWARDED_REQUEST = Type("Sending")
+LOG_FIELD = Type("Field")
 HEADERS = list_of(HEADER)
 
 RECORDS: dict[Type, tuple[tuple[str, Type], ...]] = {
     HEADER: (("name", TEXT), ("value", TEXT)),
-    ENTRY: (("name", TEXT), ("value", TEXT)),
+    LOG_FIELD: (("name", TEXT), ("value", TEXT)),
     REQUEST: (
         ("method", TEXT),
         ("path", TEXT),
@@ -50,68 +68,69 @@
         ("headers", HEADERS),
         ("time", NUMBER),
     ),
-    REFUSAL: (("status", NUMBER), ("reason", TEXT), ("retry_after", DURATION)),
-    WORDS: (("body", TEXT), ("content_type", TEXT), ("retry_after", DURATION), ("headers", HEADERS)),
-    ANSWER: (("status", NUMBER), ("attempts", NUMBER), ("took", DURATION), ("headers", HEADERS)),
-    PLACE: (("class", TEXT), ("customer", TEXT), ("plan", TEXT), ("units", NUMBER)),
-    SENDING: (("path", TEXT), ("headers", HEADERS)),
+    REJECTION: (("status", NUMBER), ("reason", TEXT), ("retry_after", DURATION)),
+    REJECTION_CONTENT: (("body", TEXT), ("content_type", TEXT), ("retry_after", DURATION), ("headers", HEADERS)),
+    RESPONSE: (("status", NUMBER), ("attempts", NUMBER), ("took", DURATION), ("headers", HEADERS)),
+    CLASSIFICATION: (("class", TEXT), ("customer", TEXT), ("plan", TEXT), ("units", NUMBER)),
+    FORWARDED_REQUEST: (("path", TEXT), ("headers", HEADERS)),
 }
-BY_NAME = PLAIN | {made.name: made for made in RECORDS}
-
-# What a hook at each point is given, and what it gives.
-POINTS: dict[str, tuple[tuple[Type, ...], Type]] = {
-    "classify": ((REQUEST,), PLACE),
-    "sending": ((REQUEST,), SENDING),
-    "refusal": ((REQUEST, REFUSAL), WORDS),
-    "answer": ((REQUEST, ANSWER), HEADERS),
-    "log": ((REQUEST, ANSWER), list_of(ENTRY)),
+TYPES_BY_NAME = SCALARS | {record.name: record for record in RECORDS}
+
+EXTENSION_POINTS: dict[str, Signature] = {
+    "classify": Signature((REQUEST,), CLASSIFICATION),
+    "sending": Signature((REQUEST,), FORWARDED_REQUEST),
+    "refusal": Signature((REQUEST, REJECTION), REJECTION_CONTENT),
+    "answer": Signature((REQUEST, RESPONSE), HEADERS),
+    "log": Signature((REQUEST, RESPONSE), list_of(LOG_FIELD)),
 }
 
-ZERO: dict[str, float | str | bool] = {"number": 0.0, "duration": 0.0, "text": "", "bool": False}  # what is not given
-
-BOTH = Type("list or text")
-SHOWN = Type("number, text, bool or duration")
-BUILT_IN: dict[str, tuple[tuple[Type, ...], Type]] = {
-    "len": ((BOTH,), NUMBER),
-    "text": ((SHOWN,), TEXT),
-    "number": ((TEXT, NUMBER), NUMBER),
-    "lower": ((TEXT,), TEXT),
-    "upper": ((TEXT,), TEXT),
-    "trim": ((TEXT,), TEXT),
-    "starts_with": ((TEXT, TEXT), BOOL),
-    "ends_with": ((TEXT, TEXT), BOOL),
-    "replace": ((TEXT, TEXT, TEXT), TEXT),
-    "split": ((TEXT, TEXT), list_of(TEXT)),
-    "join": ((list_of(TEXT), TEXT), TEXT),
-    "part": ((TEXT, NUMBER, NUMBER), TEXT),
-    "matches": ((TEXT, TEXT), BOOL),
-    "hash": ((TEXT,), NUMBER),
-    "header": ((HEADERS, TEXT), TEXT),
-    "round": ((NUMBER,), NUMBER),
-    "floor": ((NUMBER,), NUMBER),
-    "abs": ((NUMBER,), NUMBER),
-    "min": ((NUMBER, NUMBER), NUMBER),
-    "max": ((NUMBER, NUMBER), NUMBER),
-    "range": ((NUMBER,), list_of(NUMBER)),
-    "seconds": ((DURATION,), NUMBER),
-    "count": ((TEXT,), NUMBER),
+# The value of a record's field that is left out, by the name of its type.
+DEFAULT_VALUES: dict[str, float | str | bool] = {"number": 0.0, "duration": 0.0, "text": "", "bool": False}
+
+# Parameters of built-in functions that take several types.
+ANY_LIST_OR_TEXT = Type("list or text")
+ANY_SCALAR = Type("number, text, bool or duration")
+
+BUILT_INS: dict[str, Signature] = {
+    "len": Signature((ANY_LIST_OR_TEXT,), NUMBER),
+    "text": Signature((ANY_SCALAR,), TEXT),
+    "number": Signature((TEXT, NUMBER), NUMBER),
+    "lower": Signature((TEXT,), TEXT),
+    "upper": Signature((TEXT,), TEXT),
+    "trim": Signature((TEXT,), TEXT),
+    "starts_with": Signature((TEXT, TEXT), BOOL),
+    "ends_with": Signature((TEXT, TEXT), BOOL),
+    "replace": Signature((TEXT, TEXT, TEXT), TEXT),
+    "split": Signature((TEXT, TEXT), list_of(TEXT)),
+    "join": Signature((list_of(TEXT), TEXT), TEXT),
+    "part": Signature((TEXT, NUMBER, NUMBER), TEXT),
+    "matches": Signature((TEXT, TEXT), BOOL),
+    "hash": Signature((TEXT,), NUMBER),
+    "header": Signature((HEADERS, TEXT), TEXT),
+    "round": Signature((NUMBER,), NUMBER),
+    "floor": Signature((NUMBER,), NUMBER),
+    "abs": Signature((NUMBER,), NUMBER),
+    "min": Signature((NUMBER, NUMBER), NUMBER),
+    "max": Signature((NUMBER, NUMBER), NUMBER),
+    "range": Signature((NUMBER,), list_of(NUMBER)),
+    "seconds": Signature((DURATION,), NUMBER),
+    "count": Signature((TEXT,), NUMBER),
 }
-BUILT_INS = tuple(BUILT_IN)
 
 
-def fits(got: Type, wanted: Type) -> bool:
-    """Whether a value of one type may stand where the other is wanted."""
-    if wanted is BOTH:
-        return got in (TEXT,) or got.name == "list"
-    if wanted is SHOWN:
-        return got in PLAIN.values()
-    if got.name == wanted.name == "list" and got.of is not None and wanted.of is not None:
-        return got.of == NOTHING or fits(got.of, wanted.of)
-    return got == wanted
+def is_assignable(actual: Type, expected: Type) -> bool:
+    """Whether a value of one type may stand where the other is expected."""
+    if expected is ANY_LIST_OR_TEXT:
+        return actual == TEXT or actual.is_list
+    if expected is ANY_SCALAR:
+        return actual in SCALARS.values()
+    if actual.item_type is not None and expected.item_type is not None:
+        return actual.item_type == NOTHING or is_assignable(actual.item_type, expected.item_type)
+    return actual == expected
 
 
-def joined(one: Type, other: Type) -> Type | None:
-    """The type that holds both; None where there is none."""
-    if fits(one, other):
-        return other
-    return one if fits(other, one) else None
+def common_type(first: Type, second: Type) -> Type | None:
+    """The type that holds the values of both; None where there is none."""
+    if is_assignable(first, second):
+        return second
+    return first if is_assignable(second, first) else None
--- a/martenstep/lab/day.py
+++ b/martenstep/lab/day.py
@@ -16,8 +16,8 @@
 from martenstep.config.checks.request_classes import check_class, check_plan, check_rules
 from martenstep.config.loading import parse_checked, read_text
 from martenstep.config.text_format import FieldPosition
-from martenstep.hooks.bytecode import compile_source
-from martenstep.hooks.syntax_tree import HookFault
+from martenstep.hooks.compiler import compile_source
+from martenstep.hooks.source import HookSourceError
 from martenstep.lab import day_pb2 as pb
 from martenstep.redis_counter.slots import SLOTS
 from martenstep.standins.clients import Planned
@@ -170,7 +170,7 @@
             check.report(at.at("share"), f"expected above 0, to 1, got {release.share:g}")
         try:
             compile_source(release.source)
-        except HookFault as fault:
+        except HookSourceError as fault:
             check.report(at.at("source"), str(fault))
     if day.HasField("held_by_doors"):
         node = root.at("held_by_doors")
--- a/martenstep/lab/play.py
+++ b/martenstep/lab/play.py
@@ -19,7 +19,7 @@
 from google.protobuf import text_format
 
 from martenstep.config import door_pb2 as cfg
-from martenstep.hooks import release_files as files
+from martenstep.hooks import release_files
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import (
     door_settings,
@@ -229,9 +229,11 @@
         drafts = self._out / "drafts"
         drafts.mkdir(exist_ok=True)
         (drafts / "day.hook").write_text(release.source, encoding="utf-8")
-        made = files.publish(drafts, self._out / "hooks", number + 1, share=release.share)
+        made = release_files.publish(
+            drafts, self._out / "hooks", number + 1, release_files.Rollout(share=release.share)
+        )
         if release.broken:
-            manifest = made / files.MANIFEST
+            manifest = made / release_files.MANIFEST_FILE
             manifest.write_bytes(manifest.read_bytes()[: manifest.stat().st_size // 2])
         self._events.write("hooks", version=number + 1, share=release.share, broken=release.broken)
 
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -11,7 +11,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.discovery.feed import EndpointFeed
-from martenstep.hooks.release_manager import Shelf
+from martenstep.hooks.release_manager import ReleaseManager
 from martenstep.policy.messages import CallResult, EndpointListScope
 from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.proxy.certificates import Certificates
@@ -62,7 +62,7 @@
         self.ports: dict[str, int] = {}
 
     @property
-    def _hook_releases(self) -> Shelf | None:
+    def _hook_releases(self) -> ReleaseManager | None:
         return self._hooks.releases if self._hooks is not None else None
 
     @staticmethod
@@ -193,7 +193,7 @@
         gauges: dict[str, float] = {f"held_{name}": value for name, value in self.engine.held.items()}
         releases = self._hook_releases
         if releases is not None:
-            gauges.update({f"hooks_version_{name}": version for name, version in releases.acting.items()})
+            gauges.update({f"hooks_version_{name}": version for name, version in releases.active_versions.items()})
         return {
             **gauges,
             **self.cluster.gauges(),
--- a/martenstep/proxy/dependencies.py
+++ b/martenstep/proxy/dependencies.py
@@ -175,7 +175,7 @@
 
     def refusal(
         self, now: float, runner: Runner, subject: HookSubject, rejection: RejectionSummary
-    ) -> result_validation.Words | None:
+    ) -> result_validation.RejectionContent | None:
         """The response to a rejected request; None: the gateway's own."""
 
     def answer(
--- a/martenstep/proxy/engine/admission.py
+++ b/martenstep/proxy/engine/admission.py
@@ -16,7 +16,7 @@
 from martenstep.proxy.targets import TargetRejection
 
 if TYPE_CHECKING:  # loaded only where the settings ask for them
-    from martenstep.hooks.release_manager import Shelf
+    from martenstep.hooks.release_manager import ReleaseManager
     from martenstep.proxy.engine.authorization import Authorization
     from martenstep.proxy.engine.forward_auth import ForwardAuth
 
@@ -30,7 +30,7 @@
     """Accepts requests, or rejects them before the policy learns of them."""
 
     def __init__(
-        self, state: EngineState, policy: PolicyDriver, responses: Responses, hook_releases: Shelf | None
+        self, state: EngineState, policy: PolicyDriver, responses: Responses, hook_releases: ReleaseManager | None
     ) -> None:
         """`hook_releases` has the hooks, where there are any."""
         self._state, self._policy, self._responses = state, policy, responses
@@ -103,7 +103,7 @@
         if self._dependencies.trace_sampler is not None:
             self._sample(request, line)
         if self._hook_releases is not None:
-            request.hook_edition = self._hook_releases.edition
+            request.active_hooks = self._hook_releases.active
         state.requests.add(request)
         state.unanswered += 1
         state.timers.schedule(request.deadline, RequestDeadline(event.request_id))
@@ -133,8 +133,8 @@
         now = self._state.now
         if request.trace is not None:
             request.trace.end("auth", now)
-        edition = request.hook_edition
-        runner = request.hook_runner = edition.runner(route.customer_key) if edition is not None else None
+        active_hooks = request.active_hooks
+        runner = request.hook_runner = active_hooks.runner(route.customer_key) if active_hooks is not None else None
         if runner is not None and runner.has("classify"):
             route = self._reclassify(request, route)
         request.route, request.submitted = route, True
--- a/martenstep/proxy/engine/engine.py
+++ b/martenstep/proxy/engine/engine.py
@@ -21,14 +21,16 @@
 from martenstep.proxy.permission import Denial
 
 if TYPE_CHECKING:  # loaded only where the settings ask for them
-    from martenstep.hooks.release_manager import Shelf
+    from martenstep.hooks.release_manager import ReleaseManager
     from martenstep.proxy.engine.authorization import Authorization
 
 
 class Engine:
     """One gateway: its policy, its requests and its timers.  Times are milliseconds on the driver's clock."""
 
-    def __init__(self, dependencies: EngineDependencies, seed: int, hook_releases: Shelf | None = None) -> None:
+    def __init__(
+        self, dependencies: EngineDependencies, seed: int, hook_releases: ReleaseManager | None = None
+    ) -> None:
         """`hook_releases` has the hooks, where there are any."""
         self.settings = dependencies.settings
         self._state = EngineState(dependencies, seed)
--- a/martenstep/proxy/engine/request.py
+++ b/martenstep/proxy/engine/request.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:  # a gateway without hooks and traces does not load them
     from martenstep.auth import core as auth
-    from martenstep.hooks.release_manager import Edition
+    from martenstep.hooks.release_manager import ActiveReleases
     from martenstep.hooks.runner import Runner
     from martenstep.proxy.traces import Trace
 
@@ -57,6 +57,7 @@
     """
 
     __slots__ = (
+        "active_hooks",
         "arrived_at",
         "attempt",
         "auth_response",
@@ -65,7 +66,6 @@
         "deadline",
         "endpoints",
         "finished",
-        "hook_edition",
         "hook_record",
         "hook_record_route",
         "hook_runner",
@@ -106,7 +106,7 @@
         self.auth_response: auth.Answer | None = None
         self.credential_digest = b""
         self.trace: Trace | None = None
-        self.hook_edition: Edition | None = None  # the hooks that were in service when it arrived
+        self.active_hooks: ActiveReleases | None = None  # the hooks that were in service when it arrived
         self.hook_runner: Runner | None = None  # those of them that apply to its customer
         self.hook_record: tuple[Any, ...] | None = None  # the record that hooks are given,
         self.hook_record_route: RoutedRequest | None = None  # and the route that it was made for
--- a/martenstep/proxy/engine/responses.py
+++ b/martenstep/proxy/engine/responses.py
@@ -99,11 +99,11 @@
 
     def _custom_rejection(
         self, request: InFlightRequest, rejection: RejectionSummary
-    ) -> result_validation.Words | None:
+    ) -> result_validation.RejectionContent | None:
         """The response that a hook gives in place of the gateway's own; None where none does."""
         runner = request.hook_runner
-        if runner is None and request.hook_edition is not None:
-            runner = request.hook_edition.runner(request.route.customer_key)
+        if runner is None and request.active_hooks is not None:
+            runner = request.active_hooks.runner(request.route.customer_key)
         if runner is None or not runner.has("refusal"):
             return None
         points = self._state.extension_points
--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -10,7 +10,7 @@
 from martenstep.config.policy_settings import DEFAULT_ERROR_STATUSES, build_policy_settings
 from martenstep.config.tls import ClientContext, ServerContext
 from martenstep.event_log import EventLog
-from martenstep.hooks.release_manager import Shelf
+from martenstep.hooks.release_manager import ReleaseManager
 from martenstep.proxy.attempt_outcomes import StatusTable
 from martenstep.proxy.auth_requests import AuthClient
 from martenstep.proxy.dependencies import AuthorizationSettings, EngineDependencies
@@ -82,7 +82,7 @@
 
 
 def make_dependencies(
-    gateway: pb.Door, seed: int, hook_releases: Shelf | None = None, epoch_ms: float = 0.0
+    gateway: pb.Door, seed: int, hook_releases: ReleaseManager | None = None, epoch_ms: float = 0.0
 ) -> EngineDependencies:
     """All that an engine needs of the settings.
 
@@ -116,7 +116,9 @@
     )
 
 
-def make_engine(gateway: pb.Door, seed: int, hook_releases: Shelf | None = None, epoch_ms: float = 0.0) -> Engine:
+def make_engine(
+    gateway: pb.Door, seed: int, hook_releases: ReleaseManager | None = None, epoch_ms: float = 0.0
+) -> Engine:
     """An engine by a gateway's settings (see `make_dependencies`)."""
     return Engine(make_dependencies(gateway, seed, hook_releases, epoch_ms), seed, hook_releases)
 
--- a/martenstep/proxy/extension_points.py
+++ b/martenstep/proxy/extension_points.py
@@ -72,16 +72,16 @@
         self._has_min_units = settings.HasField("least_units")
         self._plans, self._customers = frozenset(settings.plan), frozenset(settings.customer)
         self._path_prefixes = tuple(settings.path_prefix)
-        self._protected_headers = result_validation.KEPT_HEADERS | {
+        self._protected_headers = result_validation.PROTECTED_HEADERS | {
             name.decode("latin-1").replace("_", "-") for name in credential_headers | protected_headers
         }
         classes = route_table.classes
-        self._bounds_cache: dict[tuple[str, float], result_validation.Bounds] = {}
+        self._bounds_cache: dict[tuple[str, float], result_validation.ResultLimits] = {}
         self._allowed_classes = {
             name: frozenset(
                 other
                 for other in getattr(settings, "class")
-                if result_validation.may_become(request_class, classes[other])
+                if result_validation.may_change_class(request_class, classes[other])
             )
             for name, request_class in classes.items()
         }
@@ -91,7 +91,9 @@
     def classify(self, now: float, runner: Runner, subject: HookSubject) -> RoutedRequest:
         """Class, customer, plan and units."""
         route = subject.route
-        before = result_validation.Placed(route.request_class.name, route.customer_key, route.plan.name, route.units)
+        before = result_validation.Classification(
+            route.request_class.name, route.customer_key, route.plan.name, route.units
+        )
         bounds = self._bounds(route)
         placed = self._call(
             now,
@@ -99,26 +101,27 @@
             subject,
             "classify",
             lambda: (self._request_record(subject),),
-            lambda returned: result_validation.placed(returned, before, bounds),
+            lambda returned: result_validation.validate_classification(returned, before, bounds),
             before,
         )
         if placed == before:
             return route
-        return self._route_table.reclassified(route, placed.cls, placed.customer, placed.plan, placed.units)
+        return self._route_table.reclassified(route, placed.class_name, placed.customer, placed.plan, placed.units)
 
     def sending(self, now: float, runner: Runner, subject: HookSubject) -> tuple[bytes, Headers]:
         """Target and additional headers of what goes to an endpoint: the same at each attempt."""
         received, route = subject.received, subject.route
         bounds, before = self._bounds(route), origin_form(received.target)
 
-        def accept(returned: object) -> tuple[bytes, Headers]:
-            path, headers = result_validation.sending(returned, before, bounds)
+        def accept(returned: Any) -> tuple[bytes, Headers]:  # noqa: ANN401  # what a hook returned
+            forwarded = result_validation.validate_forwarded_request(returned, before, bounds)
+            path, headers = forwarded.path, forwarded.headers
             if path == before:
                 return received.target, encode_headers(headers)
             target = path.encode("latin-1")
             # A path of another class could be one whose retries do what this one's may not.
             if parse_path(target) is None or not self._may_rewrite(received.method, target, route):
-                raise result_validation.BorderError(
+                raise result_validation.InvalidResultError(
                     f"path {path[:64]!r}: is of another class, and below no path_prefix"
                 )
             return target, encode_headers(headers)
@@ -133,15 +136,15 @@
 
     def refusal(
         self, now: float, runner: Runner, subject: HookSubject, rejection: RejectionSummary
-    ) -> result_validation.Words | None:
+    ) -> result_validation.RejectionContent | None:
         """The response to a rejected request; None: the gateway's own."""
         bounds = self._bounds(subject.route)
         status, reason, retry_after_ms = rejection
 
-        def accept(returned: Any) -> result_validation.Words | None:  # noqa: ANN401  # what a hook returned
+        def accept(returned: Any) -> result_validation.RejectionContent | None:  # noqa: ANN401  # what a hook returned
             body, content_type, retry_after, headers = returned
             words = (body, content_type or DEFAULT_CONTENT_TYPE, retry_after, headers)
-            return result_validation.words(words, retry_after_ms, bounds)
+            return result_validation.validate_rejection(words, retry_after_ms, bounds)
 
         return self._call(
             now,
@@ -164,7 +167,7 @@
             subject,
             "answer",
             lambda: (self._request_record(subject), _response_record(response, _visible_headers(headers))),
-            lambda returned: encode_headers(result_validation.headers(returned, bounds)),
+            lambda returned: encode_headers(result_validation.validate_headers(returned, bounds)),
             [],
         )
 
@@ -176,7 +179,7 @@
             subject,
             "log",
             lambda: (self._request_record(subject), _response_record(response, [])),
-            result_validation.log_fields,
+            result_validation.validate_log_fields,
             {},
         )
 
@@ -196,16 +199,16 @@
         route = subject.route
         return runner.call(now, point, route.customer_key, route.plan.name, arguments, accept, default)
 
-    def _bounds(self, route: RoutedRequest) -> result_validation.Bounds:
+    def _bounds(self, route: RoutedRequest) -> result_validation.ResultLimits:
         key = route.request_class.name, route.units
         bounds = self._bounds_cache.get(key)
         if bounds is None:  # as many as there are routes
             bounds = self._bounds_cache[key] = self._make_bounds(route)
         return bounds
 
-    def _make_bounds(self, route: RoutedRequest) -> result_validation.Bounds:
+    def _make_bounds(self, route: RoutedRequest) -> result_validation.ResultLimits:
         min_units = min(route.units, self._min_units) if self._has_min_units else route.units
-        return result_validation.Bounds(
+        return result_validation.ResultLimits(
             self._allowed_classes[route.request_class.name],
             self._plans,
             self._customers,
--- a/martenstep/proxy/hook_service.py
+++ b/martenstep/proxy/hook_service.py
@@ -9,9 +9,10 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.event_log import EventLog, LogFields
-from martenstep.hooks.release_files import History, read_directory
-from martenstep.hooks.release_manager import Shelf
-from martenstep.hooks.runner import Limits
+from martenstep.hooks.release_files import read_directory
+from martenstep.hooks.release_history import ReleaseHistory
+from martenstep.hooks.release_manager import ReleaseManager
+from martenstep.hooks.runner import HealthLimits
 
 # Events that go into the history as well.
 RECORDED_EVENTS = ("hooks", "hooks withdrawn", "hook left alone", "hooks changed under a known version")
@@ -31,8 +32,8 @@
         return lambda: time.perf_counter() > until
 
 
-def _limits(settings: pb.Hooks) -> Limits:
-    return Limits(settings.failure_share, settings.mean_steps, settings.least_runs)
+def _limits(settings: pb.Hooks) -> HealthLimits:
+    return HealthLimits(settings.failure_share, settings.mean_steps, settings.least_runs)
 
 
 class HookService:
@@ -45,37 +46,37 @@
     def __init__(self, settings: pb.Hooks, gateway: str, log_event: EventLog) -> None:
         """Reads the history, where the settings name one."""
         self._settings, self._log_event = settings, log_event
-        self._history = History(Path(settings.history), gateway) if settings.history else None
+        self._history = ReleaseHistory(Path(settings.history), gateway) if settings.history else None
         self._run_deadline = RunDeadline(settings.backstop_ms)
-        self.releases = Shelf(
+        self.releases = ReleaseManager(
             _limits(settings),
             self._log_and_record,
-            withdrawn=self._read_withdrawn(),
-            late=self._run_deadline.begin,
+            rolled_back=self._read_rolled_back(),
+            begin_deadline=self._run_deadline.begin,
         )
 
     async def load(self) -> None:
         """Take up the releases that stand in the directory."""
         directory = self._settings.directory
         try:
-            releases, problems = await asyncio.to_thread(read_directory, Path(directory), self._settings.trusted_key)
+            contents = await asyncio.to_thread(read_directory, Path(directory), self._settings.trusted_key)
         except OSError as error:
             self._log_event("hooks not taken up", {"error": f"{directory}: {error.strerror}"})
             return
-        for problem in problems:
+        for problem in contents.problems:
             self._log_event("hooks not taken up", {"error": problem})
-        self.releases.stock(releases)
+        self.releases.replace_releases(contents.releases)
 
     def reconfigure(self, settings: pb.Hooks) -> None:
         """Take over settings that differ only in what may change in service."""
         self._settings = settings
-        self.releases.limit(_limits(settings))
+        self.releases.set_limits(_limits(settings))
         self._run_deadline.max_ms = settings.backstop_ms
 
-    def _read_withdrawn(self) -> set[int]:
-        """The versions that were withdrawn before."""
+    def _read_rolled_back(self) -> set[int]:
+        """The versions that were rolled back before."""
         try:
-            return self._history.withdrawn() if self._history is not None else set()
+            return self._history.rolled_back_versions() if self._history is not None else set()
         except OSError as error:
             self._log_event("hooks history not read", {"error": error.strerror or str(error)})
             return set()
--- a/tests/door_rig.py
+++ b/tests/door_rig.py
@@ -7,7 +7,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.loading import parse_door
 from martenstep.discovery.endpoint_list import EndpointListEvent
-from martenstep.hooks.release_manager import Shelf
+from martenstep.hooks.release_manager import ReleaseManager
 from martenstep.policy.messages import CallResult, Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_factory import make_engine
@@ -56,7 +56,11 @@
     """The engine, its clock and all actions so far."""
 
     def __init__(
-        self, text: str = "", servers: tuple[int, ...] = (1, 2, 3, 4), seed: int = 1, shelf: Shelf | None = None
+        self,
+        text: str = "",
+        servers: tuple[int, ...] = (1, 2, 3, 4),
+        seed: int = 1,
+        shelf: ReleaseManager | None = None,
     ) -> None:
         self.engine = make_engine(settings(text), seed, shelf)
         self.now = START
--- a/tests/hook_programs.py
+++ b/tests/hook_programs.py
@@ -8,20 +8,21 @@
 
 from hypothesis import strategies as st
 
-from martenstep.hooks import syntax_tree as syn
+from martenstep.hooks import syntax_tree as tree
+from martenstep.hooks.operators import format_value
 from martenstep.hooks.regex import Pattern
-from martenstep.hooks.types import BOOL, DURATION, NUMBER, RECORDS, REFUSAL, REQUEST, TEXT, Type, list_of
-from martenstep.hooks.virtual_machine import shown
+from martenstep.hooks.source import SourceLocation
+from martenstep.hooks.types import BOOL, DURATION, NUMBER, RECORDS, REJECTION, REQUEST, TEXT, Type, list_of
 
-P = syn.Place(1, 1)
-PLAIN = (NUMBER, TEXT, BOOL, DURATION)
-KINDS = (*PLAIN, list_of(NUMBER), list_of(TEXT), REFUSAL)
+LOCATION = SourceLocation(1, 1)
+SCALARS = (NUMBER, TEXT, BOOL, DURATION)
+TYPES = (*SCALARS, list_of(NUMBER), list_of(TEXT), REJECTION)
 WORDS = st.text('ab "\\\n${}é', max_size=6)
 NUMBERS = st.sampled_from((0.0, 1.0, 2.0, 7.0, 0.5, 100.0, 1e9))
 
 
 @st.composite
-def value(draw: Any, kind: Type, names: dict[str, Type], depth: int) -> syn.Expr:
+def value(draw: Any, kind: Type, names: dict[str, Type], depth: int) -> tree.Expression:
     """A part of a type, out of the names that are there."""
     known = [name for name, got in names.items() if got == kind]
     ways = ["plain"] + ["name"] * (2 if known else 0)
@@ -29,61 +30,72 @@
         ways += ["if", "match", "for", "block", "made", "made", "made", "index", "field"]
     way = draw(st.sampled_from(ways))
 
-    def part(wanted: Type, more: dict[str, Type] | None = None) -> syn.Expr:
-        made: syn.Expr = draw(value(wanted, names if more is None else more, depth - 1))
+    def part(wanted: Type, more: dict[str, Type] | None = None) -> tree.Expression:
+        made: tree.Expression = draw(value(wanted, names if more is None else more, depth - 1))
         return made
 
-    def block(more: dict[str, Type] | None = None) -> syn.Block:
+    def block(more: dict[str, Type] | None = None) -> tree.Block:
         inner = dict(names if more is None else more)
         lets = []
         for number in range(draw(st.integers(0, 1))):
-            of = draw(st.sampled_from(KINDS))
+            of = draw(st.sampled_from(TYPES))
             name = f"v{depth}{number}"
             lets.append((name, part(of, inner)))
             inner[name] = of
-        return syn.Block(lets, part(kind, inner), place=P)
+        return tree.Block(lets, part(kind, inner), location=LOCATION)
 
     if way == "name":
-        return syn.Name(draw(st.sampled_from(known)), place=P)
+        return tree.NameReference(draw(st.sampled_from(known)), location=LOCATION)
     if way in ("if", "block"):
-        return syn.If(part(BOOL), block(), block(), place=P)
+        return tree.Conditional(part(BOOL), block(), block(), location=LOCATION)
     if way == "match":
-        of = draw(st.sampled_from(PLAIN))
-        arms = [syn.Arm([_plain(draw, of)], part(kind), place=P), syn.Arm([], part(kind), place=P)]
-        return syn.Match(part(of), arms, place=P)
+        of = draw(st.sampled_from(SCALARS))
+        arms = [
+            tree.MatchArm([_plain(draw, of)], part(kind), location=LOCATION),
+            tree.MatchArm([], part(kind), location=LOCATION),
+        ]
+        return tree.Match(part(of), arms, location=LOCATION)
     if way == "for":
         item = draw(st.sampled_from((NUMBER, TEXT)))
-        return syn.For("it", part(list_of(item)), "acc", part(kind), block({**names, "it": item, "acc": kind}), place=P)
+        return tree.Fold(
+            "it", part(list_of(item)), "acc", part(kind), block({**names, "it": item, "acc": kind}), location=LOCATION
+        )
     if way == "index":
-        return syn.Index(part(list_of(kind)), part(NUMBER), place=P) if kind in (NUMBER, TEXT) else _plain(draw, kind)
-    if way == "field" and kind in PLAIN and kind != BOOL:
+        return (
+            tree.IndexAccess(part(list_of(kind)), part(NUMBER), location=LOCATION)
+            if kind in (NUMBER, TEXT)
+            else _plain(draw, kind)
+        )
+    if way == "field" and kind in SCALARS and kind != BOOL:
         field = {NUMBER: "status", TEXT: "reason", DURATION: "retry_after"}[kind]
-        return syn.Field(part(REFUSAL), field, place=P)
+        return tree.FieldAccess(part(REJECTION), field, location=LOCATION)
     if way == "made":
-        made: syn.Expr = _made(draw, kind, part)
+        made: tree.Expression = _made(draw, kind, part)
         return made
     return _plain(draw, kind)
 
 
-def _plain(draw: Any, kind: Type) -> syn.Expr:
+def _plain(draw: Any, kind: Type) -> tree.Expression:
     if kind in (NUMBER, DURATION):
-        return syn.Number(draw(NUMBERS), kind == DURATION, place=P)
+        return tree.NumberLiteral(draw(NUMBERS), kind == DURATION, location=LOCATION)
     if kind == TEXT:
-        return syn.Text([draw(WORDS)], place=P)
+        return tree.TextLiteral([draw(WORDS)], location=LOCATION)
     if kind == BOOL:
-        return syn.Bool(draw(st.booleans()), place=P)
+        return tree.BoolLiteral(draw(st.booleans()), location=LOCATION)
     if kind.name == "list":
-        assert kind.of is not None
-        return syn.Items([_plain(draw, kind.of) for _ in range(draw(st.integers(1, 3)))], place=P)
-    return syn.Make(kind.name, [], place=P)
+        assert kind.item_type is not None
+        return tree.ListLiteral(
+            [_plain(draw, kind.item_type) for _ in range(draw(st.integers(1, 3)))], location=LOCATION
+        )
+    return tree.RecordLiteral(kind.name, [], location=LOCATION)
 
 
 def _made(draw: Any, kind: Type, part: Any) -> Any:
-    def call(name: str, *kinds: Type) -> syn.Expr:
-        return syn.Call(name, [part(of) for of in kinds], place=P)
+    def call(name: str, *kinds: Type) -> tree.Expression:
+        return tree.Call(name, [part(of) for of in kinds], location=LOCATION)
 
-    def two(sign: str, left: Type, right: Type) -> syn.Expr:
-        return syn.Binary(sign, part(left), part(right), place=P)
+    def two(sign: str, left: Type, right: Type) -> tree.Expression:
+        return tree.BinaryOperation(sign, part(left), part(right), location=LOCATION)
 
     if kind == NUMBER:
         return draw(
@@ -91,7 +103,7 @@
                 (
                     lambda: two(draw(st.sampled_from("+-*/%")), NUMBER, NUMBER),
                     lambda: two("/", DURATION, DURATION),
-                    lambda: syn.Unary("-", part(NUMBER), place=P),
+                    lambda: tree.UnaryOperation("-", part(NUMBER), location=LOCATION),
                     lambda: call("len", TEXT),
                     lambda: call("len", list_of(TEXT)),
                     lambda: call("number", TEXT, NUMBER),
@@ -111,8 +123,10 @@
                     lambda: call("replace", TEXT, TEXT, TEXT),
                     lambda: call("join", list_of(TEXT), TEXT),
                     lambda: call("part", TEXT, NUMBER, NUMBER),
-                    lambda: call("text", draw(st.sampled_from(PLAIN))),
-                    lambda: syn.Text(["x", part(draw(st.sampled_from(PLAIN))), draw(WORDS) + "y"], place=P),
+                    lambda: call("text", draw(st.sampled_from(SCALARS))),
+                    lambda: tree.TextLiteral(
+                        ["x", part(draw(st.sampled_from(SCALARS))), draw(WORDS) + "y"], location=LOCATION
+                    ),
                 )
             )
         )()
@@ -123,12 +137,14 @@
                 (
                     lambda: two(draw(st.sampled_from(("<", "<=", ">", ">=", "==", "!="))), of, of),
                     lambda: two(draw(st.sampled_from(("and", "or"))), BOOL, BOOL),
-                    lambda: two("==", REFUSAL, REFUSAL),
-                    lambda: syn.Unary("not", part(BOOL), place=P),
+                    lambda: two("==", REJECTION, REJECTION),
+                    lambda: tree.UnaryOperation("not", part(BOOL), location=LOCATION),
                     lambda: two("in", TEXT, TEXT),
                     lambda: two("in", NUMBER, list_of(NUMBER)),
                     lambda: call("starts_with", TEXT, TEXT),
-                    lambda: syn.Call("matches", [part(TEXT), syn.Text(["^a*(b|é)?.$"], place=P)], place=P),
+                    lambda: tree.Call(
+                        "matches", [part(TEXT), tree.TextLiteral(["^a*(b|é)?.$"], location=LOCATION)], location=LOCATION
+                    ),
                 )
             )
         )()
@@ -138,7 +154,7 @@
                 (
                     lambda: two("+", DURATION, DURATION),
                     lambda: two("*", DURATION, NUMBER),
-                    lambda: syn.Unary("-", part(DURATION), place=P),
+                    lambda: tree.UnaryOperation("-", part(DURATION), location=LOCATION),
                 )
             )
         )()
@@ -146,22 +162,24 @@
         return draw(st.sampled_from((lambda: two("+", kind, kind), lambda: call("range", NUMBER))))()
     if kind == list_of(TEXT):
         return draw(st.sampled_from((lambda: two("+", kind, kind), lambda: call("split", TEXT, TEXT))))()
-    return syn.Make("Refusal", [("reason", part(TEXT)), ("status", part(NUMBER))], place=P)
+    return tree.RecordLiteral("Refusal", [("reason", part(TEXT)), ("status", part(NUMBER))], location=LOCATION)
 
 
 @st.composite
-def files(draw: Any) -> syn.File:
+def files(draw: Any) -> tree.SourceFile:
     """A function and a few checks that use it."""
-    kind = draw(st.sampled_from(KINDS))
+    kind = draw(st.sampled_from(TYPES))
     params = {"a": NUMBER, "b": TEXT, "r": REQUEST}
-    body = syn.Block([], draw(value(kind, params, 3)), place=P)
+    body = tree.Block([], draw(value(kind, params, 3)), location=LOCATION)
 
-    def name(of: Type) -> syn.TypeName:
-        return syn.TypeName(of.name, name(of.of) if of.of is not None else None, place=P)
+    def name(of: Type) -> tree.TypeReference:
+        return tree.TypeReference(of.name, name(of.item_type) if of.item_type is not None else None, location=LOCATION)
 
-    function = syn.Function("f", [(param, name(of)) for param, of in params.items()], name(kind), body, place=P)
-    test = syn.Test("t", syn.Block([], draw(value(BOOL, {}, 3)), place=P), place=P)
-    return syn.File([function], [], [test])
+    function = tree.FunctionDefinition(
+        "f", [(param, name(of)) for param, of in params.items()], name(kind), body, location=LOCATION
+    )
+    test = tree.TestDefinition("t", tree.Block([], draw(value(BOOL, {}, 3)), location=LOCATION), location=LOCATION)
+    return tree.SourceFile([function], [], [test])
 
 
 class Undefined(Exception):
@@ -174,46 +192,47 @@
     return made
 
 
-def evaluate(made: syn.Expr, names: dict[str, Any], types: dict[int, Type]) -> Any:
+def evaluate(made: tree.Expression, names: dict[str, Any], types: dict[int, Type]) -> Any:
     """The tree's value, plainly."""
 
-    def of(part: syn.Expr, more: dict[str, Any] | None = None) -> Any:
+    def of(part: tree.Expression, more: dict[str, Any] | None = None) -> Any:
         return evaluate(part, names if more is None else more, types)
 
     match made:
-        case syn.Number() | syn.Bool():
+        case tree.NumberLiteral() | tree.BoolLiteral():
             return made.value
-        case syn.Text():
+        case tree.TextLiteral():
             return "".join(
-                part if isinstance(part, str) else shown(of(part), types[id(part)] == DURATION) for part in made.parts
+                part if isinstance(part, str) else format_value(of(part), types[id(part)] == DURATION)
+                for part in made.parts
             )
-        case syn.Name():
+        case tree.NameReference():
             return names[made.name]
-        case syn.Items():
+        case tree.ListLiteral():
             return [of(item) for item in made.items]
-        case syn.Make():
+        case tree.RecordLiteral():
             given = dict(made.fields)
             zero: dict[str, Any] = {"text": "", "bool": False, "list": []}
             return tuple(
                 of(given[name]) if name in given else zero.get(kind.name, 0.0)
                 for name, kind in RECORDS[types[id(made)]]
             )
-        case syn.Field():
-            fields = [name for name, _ in RECORDS[types[id(made.of)]]]
-            return of(made.of)[fields.index(made.name)]
-        case syn.Index():
-            held, at = of(made.of), of(made.at)
+        case tree.FieldAccess():
+            fields = [name for name, _ in RECORDS[types[id(made.record)]]]
+            return of(made.record)[fields.index(made.field_name)]
+        case tree.IndexAccess():
+            held, at = of(made.list_value), of(made.index)
             if not 0 <= at < len(held):
                 raise Undefined
             return held[int(at)]
-        case syn.Unary():
-            return not of(made.of) if made.sign == "not" else -of(made.of)
-        case syn.Binary():
-            if made.sign in ("and", "or"):
+        case tree.UnaryOperation():
+            return not of(made.operand) if made.operator == "not" else -of(made.operand)
+        case tree.BinaryOperation():
+            if made.operator in ("and", "or"):
                 left = of(made.left)
-                return of(made.right) if left == (made.sign == "and") else left
+                return of(made.right) if left == (made.operator == "and") else left
             left, right = of(made.left), of(made.right)
-            match made.sign:
+            match made.operator:
                 case "+":
                     return finite(left + right) if isinstance(left, float) else left + right
                 case "-":
@@ -223,7 +242,7 @@
                 case "/" | "%":
                     if not right:
                         raise Undefined
-                    return finite(left / right if made.sign == "/" else math.fmod(left, right))
+                    return finite(left / right if made.operator == "/" else math.fmod(left, right))
                 case "in":
                     return left in right
             return {
@@ -233,29 +252,29 @@
                 "<=": lambda: left <= right,
                 ">": lambda: left > right,
                 ">=": lambda: left >= right,
-            }[made.sign]()
-        case syn.Block():
+            }[made.operator]()
+        case tree.Block():
             inner = dict(names)
-            for name, part in made.lets:
+            for name, part in made.bindings:
                 inner[name] = of(part, inner)
-            return of(made.value, inner)
-        case syn.If():
-            return of(made.then if of(made.test) else made.other)
-        case syn.Match():
-            held = of(made.of)
-            arm = next(a for a in made.arms if not a.values or any(of(v) == held for v in a.values))
-            return of(arm.then)
-        case syn.For():
-            over, carried = of(made.over), of(made.start)
-            for item in over:
-                carried = of(made.body, {**names, made.item: item, made.carried: carried})
-            return carried
-        case syn.Call():
-            return _call(made, [of(arg) for arg in made.args], types)
+            return of(made.result, inner)
+        case tree.Conditional():
+            return of(made.then_branch if of(made.condition) else made.else_branch)
+        case tree.Match():
+            subject = of(made.subject)
+            arm = next(a for a in made.arms if not a.literals or any(of(v) == subject for v in a.literals))
+            return of(arm.result)
+        case tree.Fold():
+            accumulator = of(made.initial)
+            for item in of(made.items):
+                accumulator = of(made.body, {**names, made.item_name: item, made.accumulator_name: accumulator})
+            return accumulator
+        case tree.Call():
+            return _call(made, [of(argument) for argument in made.arguments], types)
 
 
-def _call(made: syn.Call, args: list[Any], types: dict[int, Type]) -> Any:
-    match made.name, args:
+def _call(made: tree.Call, args: list[Any], types: dict[int, Type]) -> Any:
+    match made.function_name, args:
         case "len", [held]:
             return float(len(held))
         case "number", [text, other]:
@@ -282,7 +301,7 @@
             low, high = (int(min(max(at, 0), len(text))) for at in (begin, end))
             return text[low : max(low, high)]
         case "text", [plain]:
-            return shown(plain, types[id(made.args[0])] == DURATION)
+            return format_value(plain, types[id(made.arguments[0])] == DURATION)
         case "starts_with", [text, other]:
             return text.startswith(other)
         case "matches", [text, pattern]:
@@ -293,4 +312,4 @@
             return [float(n) for n in range(int(max(number, 0)))]
         case "split", [text, sign]:
             return text.split(sign) if sign else [text]
-    raise AssertionError(made.name)
+    raise AssertionError(made.function_name)
--- a/tests/hook_rig.py
+++ b/tests/hook_rig.py
@@ -1,15 +1,15 @@
-"""Releases of hooks for tests, and a door in virtual time that runs them."""
+"""Releases of hooks for tests, and a gateway in virtual time that runs them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
-from martenstep.hooks.bytecode import compile_source
+from martenstep.hooks.compiler import compile_source
 from martenstep.hooks.release import Hook, Release
-from martenstep.hooks.release_manager import Shelf
-from martenstep.hooks.runner import Limits
-from martenstep.hooks.virtual_machine import NEVER
+from martenstep.hooks.release_manager import ReleaseManager
+from martenstep.hooks.run_context import never_overdue
+from martenstep.hooks.runner import HealthLimits
 from tests.door_rig import Rig
 
 
@@ -31,21 +31,25 @@
 
 
 class HookRig(Rig):
-    """A door with a shelf."""
+    """A gateway with a release manager."""
 
     def __init__(
         self,
         *releases: Release,
         text: str = "",
-        limits: Limits | None = None,
-        late: Callable[[], Callable[[], bool]] = lambda: NEVER,
+        limits: HealthLimits | None = None,
+        begin_deadline: Callable[[], Callable[[], bool]] = lambda: never_overdue,
         servers: tuple[int, ...] = (1, 2, 3, 4),
     ) -> None:
-        self.told: list[tuple[str, dict[str, Any]]] = []
-        self.shelf = Shelf(limits or Limits(), lambda event, fields: self.told.append((event, fields)), late=late)
-        self.shelf.stock(releases)
-        super().__init__('hooks { directory: "hooks" } ' + text, servers, shelf=self.shelf)
+        self.logged: list[tuple[str, dict[str, Any]]] = []
+        self.hook_releases = ReleaseManager(
+            limits or HealthLimits(),
+            lambda event, fields: self.logged.append((event, fields)),
+            begin_deadline=begin_deadline,
+        )
+        self.hook_releases.replace_releases(releases)
+        super().__init__('hooks { directory: "hooks" } ' + text, servers, shelf=self.hook_releases)
 
     def events(self) -> list[str]:
-        """What was told, in a word each."""
-        return [event for event, _ in self.told]
+        """The names of the logged events."""
+        return [event for event, _ in self.logged]
--- a/tests/test_formats_hooks.py
+++ b/tests/test_formats_hooks.py
@@ -9,9 +9,11 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from martenstep.hooks.release import Release
-from martenstep.hooks.release_files import History, key_of, publish, read_directory, read_release
-from martenstep.hooks.release_manager import Shelf, choose
-from martenstep.hooks.runner import Limits
+from martenstep.hooks.release_files import Rollout, publish, read_directory, read_release
+from martenstep.hooks.release_history import ReleaseHistory
+from martenstep.hooks.release_manager import ReleaseManager, select_releases
+from martenstep.hooks.runner import HealthLimits
+from martenstep.hooks.signing import parse_public_key
 
 STORED = Path(__file__).parent / "formats" / "hooks"
 PUBLIC_KEY = "8a88e3dd7409f195fd52db2d3cba5d72ca6709bf1d94121bf3748801b40f6f5c"
@@ -29,9 +31,7 @@
 
 def publish_trial(directory: Path) -> Path:
     """A signed trial of the hooks of the committed drafts."""
-    return publish(
-        STORED / "drafts", directory, 7, share=0.25, about="a triäl", customers=("ada", "bob"), key=private_key()
-    )
+    return publish(STORED / "drafts", directory, 7, Rollout(0.25, ("ada", "bob"), "a triäl"), key=private_key())
 
 
 def test_a_release_is_published_as_committed(tmp_path: Path) -> None:
@@ -41,31 +41,31 @@
 
 def test_the_committed_release_is_read() -> None:
     release = read_release(STORED / "releases" / "7", (PUBLIC_KEY,))
-    assert key_of(PUBLIC_KEY) == private_key().public_key()
+    assert parse_public_key(PUBLIC_KEY) == private_key().public_key()
     assert (release.version, release.share, release.about, release.signer) == (7, 0.25, "a triäl", PUBLIC_KEY)
     assert release.trial_customers == {"ada", "bob"}
     assert [(hook.point, hook.name) for hook in release.hooks] == [("log", "log.hook"), ("refusal", "words.hook")]
     assert release.digest == "3335071a3dbf62ac938da3c727dcfe92ceb9ab86d41a02124480e4692a042b11"
-    assert [release.holds(customer) for customer in ("ada", "carl", "dora", "emil", "fritz")] == [
+    assert [release.includes(customer) for customer in ("ada", "carl", "dora", "emil", "fritz")] == [
         True,
         False,
         True,
         True,
         True,
     ]
-    found, wrong = read_directory(STORED / "releases", (PUBLIC_KEY,))
-    assert [one.version for one in found] == [7] and not wrong
-    assert choose(found, ()) == (None, found[0])
+    contents = read_directory(STORED / "releases", (PUBLIC_KEY,))
+    assert [one.version for one in contents.releases] == [7] and not contents.problems
+    assert select_releases(contents.releases, ()) == (None, contents.releases[0])
 
 
 def write_history(path: Path) -> None:
-    """What a shelf tells of releases that come, change and are taken back."""
-    history = History(path, "door-0")
-    shelf = Shelf(Limits(), history.add)
+    """What a manager tells of releases that come, change and are taken back."""
+    history = ReleaseHistory(path, "door-0")
+    manager = ReleaseManager(HealthLimits(), history.add)
     empty = {version: Release(version, f"digest {version}", (), share) for version, share in ((1, 1.0), (2, 0.5))}
-    shelf.stock([empty[1]])
-    shelf.stock(list(empty.values()))
-    shelf.stock([empty[1], Release(2, "another", (), 0.5)])
+    manager.replace_releases([empty[1]])
+    manager.replace_releases(list(empty.values()))
+    manager.replace_releases([empty[1], Release(2, "another", (), 0.5)])
     history.add("hooks withdrawn", {"version": 2, "reason": "hook words.hook of point refusal failed"})
     history.add("hooks withdrawn", {"version": 1, "reason": "3 of 4 runs fäiled"})
 
@@ -77,8 +77,8 @@
 
 
 def test_the_committed_history_is_read() -> None:
-    history = History(STORED / "history.jsonl", "door-0")
-    assert history.withdrawn() == {1, 2}
+    history = ReleaseHistory(STORED / "history.jsonl", "door-0")
+    assert history.rolled_back_versions() == {1, 2}
     lines = history.lines()
     assert [line["event"] for line in lines] == [
         "hooks",
@@ -99,7 +99,7 @@
 
 
 def test_what_was_withdrawn_stays_so() -> None:
-    withdrawn = History(STORED / "history.jsonl", "door-0").withdrawn()
-    shelf = Shelf(Limits(), lambda event, fields: None, withdrawn=withdrawn)
-    shelf.stock([Release(version, f"digest {version}", (), 1.0) for version in (1, 2)])
-    assert shelf.acting == {"whole": 0, "trial": 0}
+    withdrawn = ReleaseHistory(STORED / "history.jsonl", "door-0").rolled_back_versions()
+    manager = ReleaseManager(HealthLimits(), lambda event, fields: None, rolled_back=withdrawn)
+    manager.replace_releases([Release(version, f"digest {version}", (), 1.0) for version in (1, 2)])
+    assert manager.active_versions == {"whole": 0, "trial": 0}
--- a/tests/test_hooks_cli.py
+++ b/tests/test_hooks_cli.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.hooks.release_files import History
+from martenstep.hooks.release_history import ReleaseHistory
 
 GOOD = """# Words for the studios.
 fn words(r: Request) -> text {
@@ -114,7 +114,7 @@
     status, told = call("list", hooks, "--key", public)
     assert status == 1 and "cannot be taken: 2: is not signed" in told
     history = str(tmp_path / "h.jsonl")
-    History(tmp_path / "h.jsonl", "door-0").add("hooks withdrawn", {"version": 2, "reason": "it failed"})
+    ReleaseHistory(tmp_path / "h.jsonl", "door-0").add("hooks withdrawn", {"version": 2, "reason": "it failed"})
     assert "2: withdrawn" in call("list", hooks, "--history", history)[1]
     assert "door-0: hooks withdrawn: version 2, reason it failed" in call("history", history)[1]
 
--- a/tests/test_hooks_docs.py
+++ b/tests/test_hooks_docs.py
@@ -7,12 +7,14 @@
 
 import pytest
 
-from martenstep.hooks.bytecode import compile_source
+from martenstep.hooks.compiler import compile_source
 from martenstep.hooks.formatter import format_file
-from martenstep.hooks.syntax_tree import MOST_BYTES, MOST_DEPTH, parse
+from martenstep.hooks.parser import parse
+from martenstep.hooks.run_context import MAX_BYTES, MAX_CALL_DEPTH, MAX_COUNTERS, MAX_STEPS
+from martenstep.hooks.source import MAX_NESTING, MAX_SOURCE_BYTES
 from martenstep.hooks.translation import translate
-from martenstep.hooks.types import BUILT_IN, POINTS, RECORDS
-from martenstep.hooks.virtual_machine import BYTES, MOST_CALLS, MOST_COUNTERS, STEPS, Machine
+from martenstep.hooks.types import BUILT_INS, EXTENSION_POINTS, RECORDS
+from martenstep.hooks.virtual_machine import VirtualMachine
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 PAGES = ("hooks-language.md", "hooks-cookbook.md")
@@ -28,26 +30,26 @@
     program = compile_source(source)
     assert program.points and program.tests, page
     assert format_file(parse(source)) == source
-    fast = translate(program)
+    translated = translate(program)
     for title, number in program.tests:
-        assert Machine(program).run(number, ()) is True, title
-        assert Machine(program, fast=fast).run(number, ()) is True, title
+        assert VirtualMachine(program).run(number, ()) is True, title
+        assert VirtualMachine(program, translated=translated).run(number, ()) is True, title
 
 
 def test_the_reference_tells_all_that_there_is() -> None:
     text = (DOCS / "hooks-language.md").read_text(encoding="utf-8")
-    assert all(f"`{name}(" in text for name in (*BUILT_IN, *POINTS))
+    assert all(f"`{name}(" in text for name in (*BUILT_INS, *EXTENSION_POINTS))
     table = {line.split("|")[1]: line.split("|")[2] for line in text.splitlines() if line.count("|") == 3}
     for record, fields in RECORDS.items():
         [row] = [cells for names, cells in table.items() if f"`{record}`" in names and "(" not in names]
         assert re.findall(r"[a-z_]+", re.sub(r": (number|duration|list<Header>)", "", row)) == [n for n, _ in fields]
-    assert f"{STEPS:,}" in text and f"{BYTES // 1024} KiB" in text and f"{MOST_BYTES // 1024} KiB" in text
-    assert f"nested {MOST_DEPTH} deep" in text and f"| {MOST_CALLS} |" in text and f"{MOST_COUNTERS} names" in text
+    assert f"{MAX_STEPS:,}" in text and f"{MAX_BYTES // 1024} KiB" in text and f"{MAX_SOURCE_BYTES // 1024} KiB" in text
+    assert f"nested {MAX_NESTING} deep" in text and f"| {MAX_CALL_DEPTH} |" in text and f"{MAX_COUNTERS} names" in text
 
 
 def test_the_grammar_in_the_reference_is_the_parsers() -> None:
     text = (DOCS / "hooks-language.md").read_text(encoding="utf-8")
-    source = (DOCS.parent / "martenstep/hooks/syntax_tree.py").read_text(encoding="utf-8")
+    source = (DOCS.parent / "martenstep/hooks/parser.py").read_text(encoding="utf-8")
     [told] = re.findall(r"```\n(file .*?)```", text, re.S)
     assert [line.strip() for line in told.strip().splitlines()] == [
         line.strip() for line in source[source.index("file     =") : source.index("A TEXT holds")].strip().splitlines()
--- a/tests/test_hooks_points.py
+++ b/tests/test_hooks_extension_points.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martenstep.hooks.runner import Limits
+from martenstep.hooks.runner import HealthLimits
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
 from tests.door_rig import QUIET, START, head
@@ -83,17 +83,17 @@
     rig = HookRig(release(1, source))
     reply = refused(rig)
     assert reply.status == 429 and json.loads(reply.body)["reason"] == "quota"
-    assert rig.shelf.counts == {f"refusal {kind}": 1} and rig.quiet() == QUIET
+    assert rig.hook_releases.counts == {f"refusal {kind}": 1} and rig.quiet() == QUIET
     assert len(rig.finals(reply.request_id)) == 1
 
 
 def test_a_hook_that_stands_still_ends_at_the_hosts_backstop() -> None:
-    rig = HookRig(release(1, words('for x in range(1000), s = "" { s }')), late=lambda: lambda: True)
-    assert json.loads(refused(rig).body)["reason"] == "quota" and rig.shelf.counts == {"refusal late": 1}
+    rig = HookRig(release(1, words('for x in range(1000), s = "" { s }')), begin_deadline=lambda: lambda: True)
+    assert json.loads(refused(rig).body)["reason"] == "quota" and rig.hook_releases.counts == {"refusal late": 1}
 
 
 def test_every_refusal_fails_and_each_request_still_has_its_one_answer() -> None:
-    rig = HookRig(release(1, LOOP), limits=Limits(least_runs=1000))
+    rig = HookRig(release(1, LOOP), limits=HealthLimits(min_runs=1000))
     refusals = 0
     for _ in range(200):
         ticket = rig.ask(customer="anna")
@@ -102,8 +102,8 @@
             rig.serve(ticket)
         refusals += bool(rig.of(ev.SendLocalReply, ticket))
         assert len(rig.finals(ticket)) == 1
-    assert refusals >= 150 and rig.shelf.counts["refusal steps"] == 10  # then it is left alone
-    assert rig.shelf.counts["refusal left alone"] == refusals - 10 and rig.quiet() == QUIET
+    assert refusals >= 150 and rig.hook_releases.counts["refusal steps"] == 10  # then it is left alone
+    assert rig.hook_releases.counts["refusal left alone"] == refusals - 10 and rig.quiet() == QUIET
 
 
 def test_classify_moves_a_request_within_what_the_settings_leave_open() -> None:
@@ -132,7 +132,7 @@
     rig.end(ticket, AttemptFailure.CLOSED)  # an attempt that may have run
     [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "answer"]
     assert (line["class"], line["customer"], line["plan"], line["attempts"]) == ("pay", "free", "open", 1)
-    assert rig.shelf.counts == {"classify border": 1}
+    assert rig.hook_releases.counts == {"classify border": 1}
 
 
 def test_a_class_with_an_earlier_end_ends_earlier_and_never_later() -> None:
@@ -166,7 +166,7 @@
     assert (first.attempt, second.attempt) == (0, 1) and first.target == second.target == b"/inside/1"
     assert head(second, "x-studio") == "free" and [v for n, v in second.headers if n == b"accept"] == [b"a/b"]
     rig.serve(ticket)
-    assert rig.shelf.counts == {"sending good": 1}
+    assert rig.hook_releases.counts == {"sending good": 1}
 
 
 @pytest.mark.parametrize(
@@ -175,7 +175,7 @@
 def test_a_path_of_another_class_is_not_sent(path: str) -> None:
     rig = HookRig(release(1, f'on sending(r) {{ Sending {{ path: "{path}" }} }}'), text=OPEN)
     assert rig.opened(rig.ask("/read/7?a=b")).target == b"/read/7?a=b"
-    assert rig.shelf.counts == {"sending border": 1}
+    assert rig.hook_releases.counts == {"sending border": 1}
 
 
 def test_a_path_of_the_same_class_may_be_sent() -> None:
@@ -189,7 +189,7 @@
 def test_headers_that_say_who_and_how_often_are_no_hooks(name: str) -> None:
     rig = HookRig(release(1, f'on sending(r) {{ Sending {{ headers: [Header {{ name: "{name}", value: "1" }}] }} }}'))
     rig.ask("/write/free/1", method="POST")
-    assert rig.shelf.counts == {"sending border": 1}
+    assert rig.hook_releases.counts == {"sending border": 1}
 
 
 def test_answers_get_headers_and_lines_get_fields() -> None:
@@ -224,7 +224,7 @@
     rig = HookRig(release(1, source.format("one")), servers=tuple(range(1, 301)))
     tickets = [rig.ask() for _ in range(1000)]
     inside = [ticket for ticket in tickets if rig.of(ev.OpenAttempt, ticket) and not rig.finals(ticket)]
-    rig.shelf.stock([release(1, source.format("one")), release(2, source.format("two"))])
+    rig.hook_releases.replace_releases([release(1, source.format("one")), release(2, source.format("two"))])
     late = rig.ask()
     for ticket in [*inside, late]:
         if not rig.finals(ticket):
@@ -240,4 +240,4 @@
     rig = HookRig(release(1, words('"for anna"'), customers=("anna",)))
     assert refused(rig).body == b"for anna"
     other = HookRig(release(1, words('"for bert"'), customers=("bert",)))
-    assert json.loads(refused(other).body)["reason"] == "quota" and not other.shelf.counts
+    assert json.loads(refused(other).body)["reason"] == "quota" and not other.hook_releases.counts
--- a/tests/test_hooks_language.py
+++ b/tests/test_hooks_language.py
@@ -9,13 +9,17 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.hooks import syntax_tree as syn
-from martenstep.hooks.bytecode import CodeError, Program, compile_file, compile_source, pack, unpack, verify
+from martenstep.hooks import syntax_tree as tree
+from martenstep.hooks.bytecode import BytecodeError, Program, encode_program
+from martenstep.hooks.compiler import compile_file, compile_source
 from martenstep.hooks.formatter import format_file
+from martenstep.hooks.parser import parse
 from martenstep.hooks.regex import Pattern, PatternError
-from martenstep.hooks.syntax_tree import HookFault, parse
-from martenstep.hooks.type_checker import check
-from martenstep.hooks.virtual_machine import BYTES, STEPS, Counters, HookError, Machine
+from martenstep.hooks.run_context import MAX_BYTES, MAX_STEPS, Budget, Counters, HookRunError
+from martenstep.hooks.source import HookSourceError
+from martenstep.hooks.type_checker import check_types
+from martenstep.hooks.verifier import decode_verified, verify_program
+from martenstep.hooks.virtual_machine import VirtualMachine
 from tests.hook_programs import Undefined, evaluate, files
 
 RUNS = hypo(max_examples=50, deadline=None, derandomize=True)
@@ -25,41 +29,41 @@
 def truth(source: str, **budget: int) -> object:
     """What the first test of a source gives."""
     program = compile_source(source)
-    return Machine(program, **budget).run(program.tests[0][1], ())  # type: ignore[arg-type]
+    return VirtualMachine(program, **budget).run(program.tests[0][1], ())  # type: ignore[arg-type]
 
 
 @given(files())
 @RUNS
-def test_what_is_written_reads_as_the_same_tree(file: syn.File) -> None:
+def test_what_is_written_reads_as_the_same_tree(file: tree.SourceFile) -> None:
     written = format_file(file)
     again = parse(written)
     assert _plain(again) == _plain(file)
     assert format_file(again) == written
 
 
-def _plain(file: syn.File) -> str:
+def _plain(file: tree.SourceFile) -> str:
     """Without places, and with texts and minus signs in one form."""
-    text = re.sub(r"place=Place\(line=\d+, column=\d+\),? ?", "", repr(file))
+    text = re.sub(r"location=SourceLocation\(line=\d+, column=\d+\),? ?", "", repr(file))
     return re.sub(r"Text\(parts=\[(''(, )?)?", "Text(parts=[", text).replace(", ''])", "])")
 
 
 @given(files())
 @RUNS
-def test_a_program_right_by_its_types_runs_as_a_plain_reading_says(file: syn.File) -> None:
-    program = unpack(pack(compile_file(file)))
-    types = check(file).types
+def test_a_program_right_by_its_types_runs_as_a_plain_reading_says(file: tree.SourceFile) -> None:
+    program = decode_verified(encode_program(compile_file(file)))
+    types = check_types(file)
     function = file.functions[0]
     given_ = (3.0, "ab", REQUEST)
     for body, number, values in ((function.body, 0, given_), (file.tests[0].body, 1, ())):
-        machine = Machine(program)
+        machine = VirtualMachine(program)
         try:
             got: object = machine.run(number, values)
-        except HookError as error:
+        except HookRunError as error:
             assert error.kind != "ill-typed", error
             got = error.kind
         if got in ("steps", "bytes"):  # what costs too much is refused before it is done
             continue
-        assert 0 <= machine.steps < STEPS and 0 <= machine.bytes <= BYTES
+        assert 0 <= machine.remaining_steps < MAX_STEPS and 0 <= machine.remaining_bytes <= MAX_BYTES
         try:
             wanted: object = evaluate(body, dict(zip(("a", "b", "r"), values, strict=False)), types)
         except Undefined:
@@ -73,8 +77,8 @@
 def test_any_text_is_a_program_or_a_fault_with_its_place(source: str) -> None:
     try:
         compile_source(source)
-    except HookFault as fault:
-        assert fault.place.line >= 1 and fault.shown(source, "f").startswith("f:")
+    except HookSourceError as fault:
+        assert fault.location.line >= 1 and fault.format_with_source(source, "f").startswith("f:")
 
 
 PIECES = st.sampled_from(
@@ -128,26 +132,28 @@
 def test_any_row_of_words_is_a_program_or_a_fault(words: list[str]) -> None:
     try:
         compile_source(" ".join(words))
-    except HookFault as fault:
-        assert fault.place.column >= 1
+    except HookSourceError as fault:
+        assert fault.location.column >= 1
 
 
 @given(files(), st.data())
 @RUNS
-def test_bytes_that_were_changed_are_refused_or_run_within_their_budget(file: syn.File, data: st.DataObject) -> None:
-    packed = bytearray(pack(compile_file(file)))
+def test_bytes_that_were_changed_are_refused_or_run_within_their_budget(
+    file: tree.SourceFile, data: st.DataObject
+) -> None:
+    packed = bytearray(encode_program(compile_file(file)))
     for _ in range(data.draw(st.integers(1, 4))):
         packed[data.draw(st.integers(0, len(packed) - 1))] = data.draw(st.integers(0, 255))
     try:
-        program = unpack(bytes(packed))
-    except CodeError:
+        program = decode_verified(bytes(packed))
+    except BytecodeError:
         return
     for number, function in enumerate(program.functions):
-        machine = Machine(program, steps=2000, bytes_=20_000)
+        machine = VirtualMachine(program, budget=Budget(2000, 20_000))
         try:
-            machine.run(number, (3.0, "ab", REQUEST)[: function.params])
-        except HookError:
-            assert machine.bytes > -(10**9)
+            machine.run(number, (3.0, "ab", REQUEST)[: function.parameter_count])
+        except HookRunError:
+            assert machine.remaining_bytes > -(10**9)
 
 
 @pytest.mark.parametrize(
@@ -167,10 +173,10 @@
 def test_what_goes_too_far_is_cut_off(body: str, kind: str | None) -> None:
     source = f'test "t" {{ {body} }}'
     if kind is None:
-        with pytest.raises(HookFault, match="expected a number, or one with"):
+        with pytest.raises(HookSourceError, match="expected a number, or one with"):
             truth(source)
         return
-    with pytest.raises(HookError) as cut:
+    with pytest.raises(HookRunError) as cut:
         truth(source)
     assert cut.value.kind == kind
 
@@ -178,18 +184,18 @@
 def test_the_backstop_ends_a_run_that_has_steps_left() -> None:
     program = compile_source('test "t" { (for x in range(3000), a = 0 { a + 1 }) == 3000 }')
     asked = iter([False, True])
-    with pytest.raises(HookError, match="late"):
-        Machine(program, steps=10**9, late=lambda: next(asked)).run(0, ())
+    with pytest.raises(HookRunError, match="late"):
+        VirtualMachine(program, budget=Budget(steps=10**9), is_overdue=lambda: next(asked)).run(0, ())
 
 
 def test_counters_are_bounded() -> None:
     program = compile_source("".join(f'test "{n}" {{ count("c{n}") == 1 }}\n' for n in range(101)))
     counters = Counters()
     for _, number in program.tests[:100]:
-        assert Machine(program, counters).run(number, ()) is True
-    with pytest.raises(HookError, match="counters"):
-        Machine(program, counters).run(program.tests[100][1], ())
-    assert Machine(program, counters).run(program.tests[0][1], ()) is False  # it is 2 now
+        assert VirtualMachine(program, counters).run(number, ()) is True
+    with pytest.raises(HookRunError, match="counters"):
+        VirtualMachine(program, counters).run(program.tests[100][1], ())
+    assert VirtualMachine(program, counters).run(program.tests[0][1], ()) is False  # it is 2 now
 
 
 @pytest.mark.parametrize(
@@ -226,10 +232,10 @@
     ],
 )
 def test_each_fault_is_told_at_its_place(source: str, told: str) -> None:
-    with pytest.raises(HookFault) as fault:
+    with pytest.raises(HookSourceError) as fault:
         compile_source(source)
     assert told in str(fault.value)
-    shown = fault.value.shown(source, "a.hook").split("\n")
+    shown = fault.value.format_with_source(source, "a.hook").split("\n")
     assert shown[0].startswith("a.hook:") and len(shown[1]) < 110 and shown[2].endswith("^")
 
 
@@ -248,7 +254,7 @@
 
 
 def test_a_pattern_made_to_explode_takes_no_longer_than_its_length() -> None:
-    with pytest.raises(HookError, match="steps"):
+    with pytest.raises(HookRunError, match="steps"):
         truth('test "t" { matches(join(split(text(1), "x"), "a") + "' + "a" * 9000 + '!", "(a|a)*(a|a)*(a|a)*$") }')
     assert truth('test "t" { not matches("' + "a" * 30 + '!", "^(a+)+$") }') is True
     with pytest.raises(PatternError, match="states"):
@@ -257,5 +263,5 @@
 
 def test_a_program_of_another_format_is_refused() -> None:
     made = compile_source('test "t" { true }')
-    with pytest.raises(CodeError, match="format 2"):
-        verify(Program(2, made.constants, made.functions, made.points, made.tests))
+    with pytest.raises(BytecodeError, match="format 2"):
+        verify_program(Program(2, made.constants, made.functions, made.points, made.tests))
--- a/tests/test_hooks_border.py
+++ b/tests/test_hooks_result_validation.py
@@ -1,4 +1,4 @@
-"""What a hook gives passes the border within its bounds, or not at all."""
+"""A hook's result is accepted within its limits, or not at all."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from hypothesis import strategies as st
 
 from martenstep.hooks.result_validation import (
-    KEPT_HEADERS,
-    MOST_BODY,
-    BorderError,
-    Bounds,
-    Placed,
-    headers,
-    log_fields,
-    placed,
-    sending,
-    words,
+    MAX_BODY_CHARACTERS,
+    PROTECTED_HEADERS,
+    Classification,
+    ForwardedRequest,
+    InvalidResultError,
+    ResultLimits,
+    validate_classification,
+    validate_forwarded_request,
+    validate_headers,
+    validate_log_fields,
+    validate_rejection,
 )
 
-BOUNDS = Bounds(classes={"read"}, plans={"studio"}, customers={"anna"}, least_units=1.0, most_units=4.0)
-BEFORE = Placed("write", "bert", "basic", 2.0)
+LIMITS = ResultLimits(classes={"read"}, plans={"studio"}, customers={"anna"}, min_units=1.0, max_units=4.0)
+BEFORE = Classification("write", "bert", "basic", 2.0)
 NASTY = st.text(st.sampled_from("aZ-:/ \r\n\t\0\x7f\x85é\u2028€\ud800%?#"), max_size=8)
 
 
@@ -29,18 +30,18 @@
 @hypo(max_examples=300, deadline=None, derandomize=True)
 def test_no_header_breaks_out_of_its_line(made: list[tuple[str, str]]) -> None:
     try:
-        found = headers(made, BOUNDS)
-    except BorderError:
+        found = validate_headers(made, LIMITS)
+    except InvalidResultError:
         return
     for name, value in found:
         line = f"{name}: {value}".encode("latin-1")
-        assert not {0x0A, 0x0D, 0x00, 0x7F} & set(line) and name not in KEPT_HEADERS and ":" not in name
+        assert not {0x0A, 0x0D, 0x00, 0x7F} & set(line) and name not in PROTECTED_HEADERS and ":" not in name
 
 
 @pytest.mark.parametrize("name", ["Content-Length", "transfer-encoding", "Retry-After", "x-reason", "Via", "HOST"])
 def test_headers_that_the_door_sets_are_not_a_hooks(name: str) -> None:
-    with pytest.raises(BorderError, match="not a hook's"):
-        headers([(name, "1")], BOUNDS)
+    with pytest.raises(InvalidResultError, match="not a hook's"):
+        validate_headers([(name, "1")], LIMITS)
 
 
 @pytest.mark.parametrize(
@@ -58,16 +59,16 @@
     ],
 )
 def test_headers_that_are_none_are_refused(made: list[tuple[str, str]], told: str) -> None:
-    with pytest.raises(BorderError, match=told):
-        headers(made, BOUNDS)
+    with pytest.raises(InvalidResultError, match=told):
+        validate_headers(made, LIMITS)
 
 
 @given(st.floats(allow_nan=True, allow_infinity=True), st.floats(0, 1e7))
 @hypo(max_examples=200, deadline=None, derandomize=True)
 def test_a_retry_after_never_gets_earlier(retry: float, modules: float) -> None:
     try:
-        made = words(("no", "text/plain", retry, []), modules, BOUNDS)
-    except BorderError:
+        made = validate_rejection(("no", "text/plain", retry, []), modules, LIMITS)
+    except InvalidResultError:
         return
     assert modules <= made.retry_after_ms <= max(3_600_000.0, modules)
 
@@ -75,7 +76,7 @@
 @pytest.mark.parametrize(
     ("made", "told"),
     [
-        (("x" * (MOST_BODY + 1), "text/plain", 0.0, []), "at most"),
+        (("x" * (MAX_BODY_CHARACTERS + 1), "text/plain", 0.0, []), "at most"),
         (("x", "text/xml", 0.0, []), "content type"),
         (("x", "text/plain\r\nx: y", 0.0, []), "content type"),
         (("\ud800", "text/plain", 0.0, []), "no text"),
@@ -84,19 +85,21 @@
     ],
 )
 def test_words_that_may_not_pass(made: tuple[str, str, float, list[tuple[str, str]]], told: str) -> None:
-    with pytest.raises(BorderError, match=told):
-        words(made, 100.0, BOUNDS)
+    with pytest.raises(InvalidResultError, match=told):
+        validate_rejection(made, 100.0, LIMITS)
 
 
 def test_words_that_pass() -> None:
-    made = words(("né", "text/html; charset=utf-8", 5000.0, [("X-Hint", "later")]), 2500.0, BOUNDS)
+    made = validate_rejection(("né", "text/html; charset=utf-8", 5000.0, [("X-Hint", "later")]), 2500.0, LIMITS)
     assert (made.body, made.retry_after_ms, made.headers) == ("né".encode(), 5000.0, (("x-hint", "later"),))
 
 
 def test_a_place_is_one_that_is_left_open() -> None:
-    assert placed(("", "", "", 0.0), BEFORE, BOUNDS) == BEFORE
-    assert placed(("read", "anna", "studio", 4.0), BEFORE, BOUNDS) == Placed("read", "anna", "studio", 4.0)
-    assert placed(("write", "bert", "basic", 1.0), BEFORE, BOUNDS).units == 1.0
+    assert validate_classification(("", "", "", 0.0), BEFORE, LIMITS) == BEFORE
+    assert validate_classification(("read", "anna", "studio", 4.0), BEFORE, LIMITS) == Classification(
+        "read", "anna", "studio", 4.0
+    )
+    assert validate_classification(("write", "bert", "basic", 1.0), BEFORE, LIMITS).units == 1.0
     for made in (
         ("pay", "", "", 0.0),
         ("", "carl", "", 0.0),
@@ -107,20 +110,20 @@
         ("", "", "", float("inf")),
         ("", "", "", -1.0),
     ):
-        with pytest.raises(BorderError):
-            placed(made, BEFORE, BOUNDS)
+        with pytest.raises(InvalidResultError):
+            validate_classification(made, BEFORE, LIMITS)
 
 
 def test_paths_stay_paths() -> None:
-    assert sending(("", []), "/a", BOUNDS) == ("/a", ())
-    assert sending(("/b?c=%20d", []), "/a", BOUNDS)[0] == "/b?c=%20d"
+    assert validate_forwarded_request(("", []), "/a", LIMITS) == ForwardedRequest("/a", ())
+    assert validate_forwarded_request(("/b?c=%20d", []), "/a", LIMITS).path == "/b?c=%20d"
     for path in ("b", "/b c", "/b\r\nx", "/é", "/a/../b", "/a/./b", "/..", "/a#b", "/" + "a" * 4096, "http://x/"):
-        with pytest.raises(BorderError, match="path"):
-            sending((path, []), "/a", BOUNDS)
+        with pytest.raises(InvalidResultError, match="path"):
+            validate_forwarded_request((path, []), "/a", LIMITS)
 
 
 def test_fields_of_the_log_have_names_of_their_own() -> None:
-    assert log_fields([("room", "a\nb")]) == {"hook_room": "a\nb"}
+    assert validate_log_fields([("room", "a\nb")]) == {"hook_room": "a\nb"}
     for made in (
         [("Room", "")],
         [("a", ""), ("a", "")],
@@ -128,5 +131,5 @@
         [("a.b", "")],
         [(f"a{n}", "") for n in range(17)],
     ):
-        with pytest.raises(BorderError):
-            log_fields(made)
+        with pytest.raises(InvalidResultError):
+            validate_log_fields(made)
--- a/tests/test_hooks_runner.py
+++ b/tests/test_hooks_runner.py
@@ -8,44 +8,55 @@
 import pytest
 
 from martenstep.hooks import result_validation
-from martenstep.hooks.bytecode import Program, compile_source
+from martenstep.hooks.bytecode import Program
+from martenstep.hooks.compiler import compile_source
 from martenstep.hooks.release import Hook, Release
-from martenstep.hooks.runner import ALONE_MS, FAILURES, NOTES, WINDOW_MS, Runner
-from martenstep.hooks.virtual_machine import STEPS, HookError, Machine
+from martenstep.hooks.run_context import MAX_STEPS, Budget, HookRunError
+from martenstep.hooks.runner import (
+    FAILURE_WINDOW_MS,
+    MAX_FAILURES,
+    MAX_LOGGED_FAILURES,
+    OPEN_MS,
+    HealthLimits,
+    Runner,
+    RunnerContext,
+)
+from martenstep.hooks.virtual_machine import VirtualMachine
 
 REQUEST: tuple[Any, ...] = ("GET", "/p/1", "h", "anna", "studio", "read", 1.0, "de", "text/html", [], 0.0)
 REFUSAL = (429.0, "quota", 2500.0)
 LONG = 'Words { body: text(for x in range(1000), n = 0 { n + 1 }), content_type: "text/plain" }'
-DEFAULT = result_validation.Words(b"too much", "text/plain", 2500.0, ())
+DEFAULT = result_validation.RejectionContent(b"too much", "text/plain", 2500.0, ())
 
 
-class Desk:
+class RunnerFixture:
     """A runner with one hook at refusals."""
 
     def __init__(self, body: str, **changes: Any) -> None:
-        self.notes: list[str] = []
+        self.events: list[str] = []
         self.now = 1_000_000.0
         program = compile_source(f"on refusal(r, why) {{ {body} }}")
         release = Release(1, "", (Hook("refusal", "words.hook", program),))
-        self.runner = Runner(release, lambda what, fields: self.notes.append(what), **changes)
+        context = RunnerContext(lambda event, fields: self.events.append(event), **changes)
+        self.runner = Runner(release, HealthLimits(), context)
 
-    def refuse(self, given: tuple[Any, ...] = (REQUEST, REFUSAL)) -> result_validation.Words:
+    def refuse(self, given: tuple[Any, ...] = (REQUEST, REFUSAL)) -> result_validation.RejectionContent:
         return self.runner.call(
             self.now,
             "refusal",
             "anna",
             "studio",
             lambda: given,
-            lambda made: result_validation.words(made, 2500.0, result_validation.Bounds()),
+            lambda made: result_validation.validate_rejection(made, 2500.0, result_validation.ResultLimits()),
             DEFAULT,
         )
 
 
 def test_a_good_hook_words_the_refusal_and_no_earlier_return() -> None:
-    desk = Desk('Words { body: "wait ${why.retry_after}", content_type: "text/plain", retry_after: 1ms }')
-    made = desk.refuse()
+    fixture = RunnerFixture('Words { body: "wait ${why.retry_after}", content_type: "text/plain", retry_after: 1ms }')
+    made = fixture.refuse()
     assert made.body == b"wait 2.5s" and made.retry_after_ms == 2500.0
-    assert desk.runner.counts == {"refusal good": 1} and not desk.notes
+    assert fixture.runner.counts == {"refusal good": 1} and not fixture.events
 
 
 @pytest.mark.parametrize(
@@ -69,56 +80,60 @@
     ],
 )
 def test_a_hook_that_fails_leaves_the_default(body: str, kind: str) -> None:
-    desk = Desk(body)
-    assert desk.refuse() == DEFAULT and desk.runner.counts == {f"refusal {kind}": 1}
-    assert desk.notes == ["hook failed"]
+    fixture = RunnerFixture(body)
+    assert fixture.refuse() == DEFAULT and fixture.runner.counts == {f"refusal {kind}": 1}
+    assert fixture.events == ["hook failed"]
 
 
 def test_the_backstop_is_the_hosts() -> None:
     looks: list[int] = []
 
-    def late() -> Callable[[], bool]:
+    def begin_deadline() -> Callable[[], bool]:
         looks.append(0)
         return lambda: True
 
-    desk = Desk('Words { body: for x in range(1000), s = "" { s }, content_type: "text/plain" }', late=late)
-    assert desk.refuse() == DEFAULT and desk.runner.counts == {"refusal late": 1} and looks == [0]
+    fixture = RunnerFixture(
+        'Words { body: for x in range(1000), s = "" { s }, content_type: "text/plain" }', begin_deadline=begin_deadline
+    )
+    assert fixture.refuse() == DEFAULT and fixture.runner.counts == {"refusal late": 1} and looks == [0]
 
 
 def test_values_that_are_none_leave_the_default() -> None:
-    desk = Desk('Words { body: "a" + r.path, content_type: "text/plain" }')
-    assert desk.refuse(((), ())) == DEFAULT and desk.runner.counts == {"refusal ill-typed": 1}
+    fixture = RunnerFixture('Words { body: "a" + r.path, content_type: "text/plain" }')
+    assert fixture.refuse(((), ())) == DEFAULT and fixture.runner.counts == {"refusal ill-typed": 1}
 
 
 def test_a_hook_that_fails_too_often_is_left_alone_and_tried_again() -> None:
-    desk = Desk('Words { body: text([0][floor(r.time)]), content_type: "text/plain" }')
+    fixture = RunnerFixture('Words { body: text([0][floor(r.time)]), content_type: "text/plain" }')
     bad, good = (*REQUEST[:-1], 7.0), REQUEST
-    for _ in range(FAILURES):
-        assert desk.refuse((bad, REFUSAL)) == DEFAULT
-    assert desk.notes == ["hook failed"] * NOTES + ["hook left alone"]
-    assert desk.refuse() == DEFAULT and desk.runner.counts["refusal left alone"] == 1  # though it would be good now
-    desk.now += ALONE_MS
-    assert desk.refuse((bad, REFUSAL)) == DEFAULT  # its one trial
-    assert desk.refuse() == DEFAULT and desk.runner.counts["refusal breaks"] == 2
-    desk.now += ALONE_MS
-    assert desk.refuse((good, REFUSAL)).body == b"0"
-    for _ in range(FAILURES - 1):
-        desk.refuse((bad, REFUSAL))
-    desk.now += WINDOW_MS
-    assert desk.refuse().body == b"0" and desk.runner.counts["refusal breaks"] == 2  # failures are forgotten
+    for _ in range(MAX_FAILURES):
+        assert fixture.refuse((bad, REFUSAL)) == DEFAULT
+    assert fixture.events == ["hook failed"] * MAX_LOGGED_FAILURES + ["hook left alone"]
+    assert (
+        fixture.refuse() == DEFAULT and fixture.runner.counts["refusal left alone"] == 1
+    )  # though it would be good now
+    fixture.now += OPEN_MS
+    assert fixture.refuse((bad, REFUSAL)) == DEFAULT  # its one trial
+    assert fixture.refuse() == DEFAULT and fixture.runner.counts["refusal breaks"] == 2
+    fixture.now += OPEN_MS
+    assert fixture.refuse((good, REFUSAL)).body == b"0"
+    for _ in range(MAX_FAILURES - 1):
+        fixture.refuse((bad, REFUSAL))
+    fixture.now += FAILURE_WINDOW_MS
+    assert fixture.refuse().body == b"0" and fixture.runner.counts["refusal breaks"] == 2  # failures are forgotten
 
 
 def test_a_point_without_a_hook_is_its_default() -> None:
-    desk = Desk("Words {}")
-    assert desk.runner.has("refusal") and not desk.runner.has("log")
-    assert desk.runner.call(0.0, "log", "", "", tuple, lambda made: made, "x") == "x" and not desk.runner.counts
+    fixture = RunnerFixture("Words {}")
+    assert fixture.runner.has("refusal") and not fixture.runner.has("log")
+    assert fixture.runner.call(0.0, "log", "", "", tuple, lambda made: made, "x") == "x" and not fixture.runner.counts
 
 
 def test_a_run_that_is_cut_off_is_charged_in_full() -> None:
-    desk = Desk(LONG)
-    desk.refuse()
-    assert desk.runner.steps_used == STEPS
+    fixture = RunnerFixture(LONG)
+    fixture.refuse()
+    assert fixture.runner.steps_used == MAX_STEPS
     program: Program = compile_source('test "t" { true }')
-    machine = Machine(program, steps=1)
-    with pytest.raises(HookError, match="steps"):
+    machine = VirtualMachine(program, budget=Budget(steps=1))
+    with pytest.raises(HookRunError, match="steps"):
         machine.run(0, ())
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -12,7 +12,7 @@
 MAX_MODULE_LINES = 400
 MAX_FUNCTION_LINES = 40
 FLAT_TABLE = "flat table"  # in the docstring of a module or function that is one, and may be longer
-FINISHED = ("auth", "config", "membership", "policy", "proxy", "replication", "simulator", "storage")
+FINISHED = ("auth", "config", "hooks", "membership", "policy", "proxy", "replication", "simulator", "storage")
 PACKAGE = ROOT / "martenstep"
 MODULES = sorted(
     path
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -18,7 +18,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.loading import load_door, parse_door
 from martenstep.config.text_format import SettingsError
-from martenstep.hooks import release_files as files
+from martenstep.hooks import release_files
 from martenstep.supervise import frames, resources
 from martenstep.supervise.lock import LockedError, PidFile
 from martenstep.supervise.notify import Notifier
@@ -231,7 +231,7 @@
     drafts = tmp_path / "drafts"
     drafts.mkdir()
     (drafts / "loop.hook").write_text(words("text(for x in range(100000), n = 0 { n + 1 })"))
-    files.publish(drafts, tmp_path / "hooks", 1)
+    release_files.publish(drafts, tmp_path / "hooks", 1)
     notes: list[tuple[str, dict[str, Any]]] = []
     text = f'workers {{ count: 2 share: {share} }} hooks {{ directory: "{tmp_path / "hooks"}" }}'
 
