--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -1,9 +1,9 @@
-"""The counter held by the doors themselves: names split over slots, each slot a group of copies at some of the doors.
+"""The counter held by the gateways themselves: keys split over slots, each slot a group of replicas at some gateways.
 
-Where a slot's copies should be follows from the membership by rendezvous hashing (`replication.placing`); who holds
-them in truth, each group's own log says.  A door asks at the likeliest places in turn until it is led to the leader; a
-reply of one that does not lead names it.  The number of slots is the map of names: a door with another number is turned
-away, as its names would stand elsewhere.
+Where a slot's replicas should be follows from the membership by rendezvous hashing (`replication.placement`); who holds
+them in truth, each group's own log says.  A gateway asks the likeliest nodes in turn until it is led to the leader; a
+reply of one that does not lead names it.  The number of slots is the map of keys: a gateway with another number is
+rejected, as its keys would be in other slots.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from pathlib import Path
 
 from martenstep.config import door_pb2 as pb
-from martenstep.counter.increment_ledger import Books, is_book
-from martenstep.counter.pending_increments import Book, Try
-from martenstep.counter.replicated_counter import CopiedCounter
-from martenstep.counter.replicated_service import Bounds, CopiedService
+from martenstep.counter.increment_ledger import IncrementLedger, is_ledger_group
+from martenstep.counter.pending_increments import AttemptRecord, PendingIncrements
+from martenstep.counter.replicated_counter import ReplicatedCounter
+from martenstep.counter.replicated_service import ReplicatedService, ServiceLimits
 from martenstep.event_log import EventLog
 from martenstep.maintenance.coordinator import QUEUE_GROUP
 from martenstep.maintenance.queue import MaintenanceQueue
@@ -28,119 +28,125 @@
 Address = tuple[str, int]
 
 
-def slots(copies: pb.Copies) -> tuple[str, ...]:
-    """The groups of the counter."""
+def slot_groups(copies: pb.Copies) -> tuple[str, ...]:
+    """Return the groups of the counter."""
     return tuple(f"counter-{number}" for number in range(copies.slots))
 
 
-def holding(door: pb.Door) -> ReplicationSettings:
-    """What the settings ask of each door."""
+def replica_requirements(door: pb.Door) -> ReplicationSettings:
+    """Return what the settings require of each gateway."""
     copies = door.copies
     more = (QUEUE_GROUP,) if door.HasField("maintenance") else ()
     return ReplicationSettings(
-        slots(copies) + more,
-        tuple(BootstrapMember(one.door, one.disk) for one in copies.founder),
+        slot_groups(copies) + more,
+        tuple(BootstrapMember(founder.door, founder.disk) for founder in copies.founder),
         copies.count,
         copies.final_ms,
     )
 
 
-class HeldByDoors:
-    """One door's part in it: the copies that are here, their links, and the listener for all doors' commands."""
+class ShardedCounter:
+    """One gateway's part in it: the replicas that are here, their transport, and the listener for all commands."""
 
     def __init__(
         self,
         door: pb.Door,
         membership: MembershipService,
         log_event: EventLog,
-        deliver: Callable[[Try], bool],
+        deliver: Callable[[AttemptRecord], bool],
     ) -> None:
-        """`deliver` hands a try of somebody's book to this door's clients of the counter."""
-        self._copies, self._membership = door.copies, membership
+        """`deliver` hands an attempt of a group that is led here to this gateway's clients of the counter."""
+        self._copies = door.copies
+        self._membership = membership
         self._host = door.fleet.host
-        self.keeper = ReplicaManager(
+        self.replica_manager = ReplicaManager(
             door.name,
             Path(door.copies.directory),
             Path(door.copies.witness),
-            holding(door),
-            self._machine,
-            self._places,
+            replica_requirements(door),
+            self._build_machine,
+            self._nodes,
             log_event,
-            is_own_group=is_book,
-            preferred_node=self._owner,
+            is_own_group=is_ledger_group,
+            preferred_node=self._group_owner,
         )
-        self.books = Books(door.name, self.keeper, deliver, log_event) if door.copies.HasField("book") else None
-        self.links = Transport(
+        self.ledger = (
+            IncrementLedger(door.name, self.replica_manager, deliver, log_event)
+            if door.copies.HasField("book")
+            else None
+        )
+        self.transport = Transport(
             door.fleet.cluster,
             door.name,
             lambda: membership.keyring,
-            self._link_address,
-            self.keeper.receive,
-            self.keeper.report_unknown_replica,
+            self._transport_address,
+            self.replica_manager.receive,
+            self.replica_manager.report_unknown_replica,
         )
-        self.service = CopiedService(self._counter, self._where, Bounds(map_version=door.copies.slots))
+        limits = ServiceLimits(map_version=door.copies.slots)
+        self.service = ReplicatedService(self._find_replica, self._gateway_address, limits)
 
     async def start(self) -> dict[str, int]:
-        """Hold what is to be held; gives the ports.  Raises KeeperError, LockedError, OSError."""
-        ports = {"copies": await self.links.start(self._host, self._copies.port)}
-        await self.keeper.start(self.links)
-        if self.books is not None:
-            await self.books.start()
+        """Open the replicas and listen; returns the ports.  Raises ReplicaManagerError, LockedError, OSError."""
+        ports = {"copies": await self.transport.start(self._host, self._copies.port)}
+        await self.replica_manager.start(self.transport)
+        if self.ledger is not None:
+            await self.ledger.start()
         return {**ports, "counter": await self.service.start(self._host, self._copies.counter_port)}
 
     async def stop(self) -> None:
         """Let others lead, and end."""
-        if self.books is not None:
-            await self.books.stop()
-        await self.keeper.stop()
+        if self.ledger is not None:
+            await self.ledger.stop()
+        await self.replica_manager.stop()
         await self.service.stop()
-        self.links.stop()
+        self.transport.stop()
 
     @staticmethod
-    def _machine(group: str) -> CopiedCounter | Book | MaintenanceQueue:
+    def _build_machine(group: str) -> ReplicatedCounter | PendingIncrements | MaintenanceQueue:
         if group == QUEUE_GROUP:
             return MaintenanceQueue()
-        return Book() if is_book(group) else CopiedCounter()
+        return PendingIncrements() if is_ledger_group(group) else ReplicatedCounter()
 
-    def _counter(self, group: str) -> Replica | None:
-        host = self.keeper.replica(group)
-        return host if host is not None and isinstance(host.state_machine, CopiedCounter) else None
+    def _find_replica(self, group: str) -> Replica | None:
+        replica = self.replica_manager.replica(group)
+        return replica if replica is not None and isinstance(replica.state_machine, ReplicatedCounter) else None
 
-    def _owner(self, group: str) -> str | None:
-        host = self.keeper.replica(group)
-        return (host.state_machine.owner or None) if host is not None and isinstance(host.state_machine, Book) else None
+    def _group_owner(self, group: str) -> str | None:
+        replica = self.replica_manager.replica(group)
+        if replica is None or not isinstance(replica.state_machine, PendingIncrements):
+            return None
+        return replica.state_machine.owner or None
 
-    # Who is where.
+    # Nodes and their addresses
 
-    def _places(self) -> Iterable[ClusterNode]:
+    def _nodes(self) -> Iterable[ClusterNode]:
         core = self._membership.core
         return [ClusterNode(fact.name, fact.zone, fact.present) for fact in core.table] if core is not None else []
 
-    def _address(self, place: str | None, port: int) -> Address | None:
-        """As every door knows it: ways to it are each door's own."""
+    def _node_address(self, node: str | None, port: int) -> Address | None:
+        """Return an address as every gateway knows it: ways to it are each gateway's own."""
         core = self._membership.core
-        fact = core.table.get(place) if core is not None and place is not None else None
+        fact = core.table.get(node) if core is not None and node is not None else None
         return (fact.host, port) if fact is not None else None
 
-    def _link_address(self, place: str) -> Address | None:
-        address = self._address(place, self._copies.port)
+    def _transport_address(self, node: str) -> Address | None:
+        address = self._node_address(node, self._copies.port)
         return self._membership.route(address) if address is not None else None
 
-    def _where(self, group: str, copy: int | None) -> str | None:
-        if copy is None:
-            place = next((place for place in self.keeper.desired_nodes(group) if place != self.keeper.node), None)
+    def _gateway_address(self, group: str, replica_id: int | None) -> str | None:
+        if replica_id is None:
+            candidates = self.replica_manager.desired_nodes(group)
+            node = next((node for node in candidates if node != self.replica_manager.node), None)
         else:
-            host: Replica | None = self.keeper.replica(group)
-            place = host.find_node(copy) if host is not None else None
-        address = self._address(place, self._copies.counter_port)
+            replica: Replica | None = self.replica_manager.replica(group)
+            node = replica.find_node(replica_id) if replica is not None else None
+        address = self._node_address(node, self._copies.counter_port)
         return "{}:{}".format(*address) if address is not None else None
 
     def addresses(self, group: str) -> list[Address]:
-        """Where a slot's leader may be: those that should hold it first, then all others."""
-        likely = self.keeper.desired_nodes(group)
-        rest = sorted(place.name for place in self._places() if place.present and place.name not in likely)
-        return [
-            address
-            for place in [*likely, *rest]
-            if (address := self._address(place, self._copies.counter_port)) is not None
-        ]
+        """Return where a slot's leader may be: the nodes that should hold it first, then all others."""
+        likely = self.replica_manager.desired_nodes(group)
+        others = sorted(node.name for node in self._nodes() if node.present and node.name not in likely)
+        addresses = [self._node_address(node, self._copies.counter_port) for node in [*likely, *others]]
+        return [address for address in addresses if address is not None]
--- a/martenstep/hooks/result_validation.py
+++ b/martenstep/hooks/result_validation.py
@@ -18,7 +18,7 @@
 MAX_LOG_FIELDS = 16
 MAX_RETRY_AFTER_MS = 3_600_000.0
 MAX_PATH_CHARACTERS = 4096
-MAX_SHOWN_CHARACTERS = 64  # of a wrong value, in a message
+MAX_QUOTED_CHARACTERS = 64  # of a wrong value, in a message
 HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}")
 HEADER_VALUE = re.compile(r"[\x21-\x7e\x80-\uffff](?:[\x20\t\x21-\x7e\x80-\uffff]*[\x21-\x7e\x80-\uffff])?")
 CONTENT_TYPE = re.compile(r"(?:text/(?:plain|html)|application/(?:json|problem\+json))(?:; charset=utf-8)?")
@@ -115,7 +115,7 @@
 
 def _validate_header(name: str, value: str, protected: frozenset[str]) -> tuple[str, str]:
     if not HEADER_NAME.fullmatch(name):
-        raise InvalidResultError(f"header {name[:MAX_SHOWN_CHARACTERS]!r}: not a header's name")
+        raise InvalidResultError(f"header {name[:MAX_QUOTED_CHARACTERS]!r}: not a header's name")
     if name.lower().replace("_", "-") in protected:  # some endpoints read x_customer as x-customer
         raise InvalidResultError(f"header {name!r}: is not a hook's to set")
     if len(value) > MAX_VALUE_CHARACTERS or not HEADER_VALUE.fullmatch(value):
@@ -149,7 +149,7 @@
         raise InvalidResultError(f"a body of {len(body)} signs, at most {MAX_BODY_CHARACTERS}")
     if not CONTENT_TYPE.fullmatch(content_type):
         raise InvalidResultError(
-            f"content type {content_type[:MAX_SHOWN_CHARACTERS]!r}: expected text/plain, text/html, "
+            f"content type {content_type[:MAX_QUOTED_CHARACTERS]!r}: expected text/plain, text/html, "
             "application/json or application/problem+json"
         )
     if not 0 <= hook_retry_after_ms <= max(MAX_RETRY_AFTER_MS, retry_after_ms):
@@ -177,7 +177,7 @@
 def _validate_choice(field: str, chosen: str, before: str, allowed: Collection[str]) -> str:
     """The chosen value, or the one from before where none is chosen."""
     if chosen and chosen != before and chosen not in allowed:
-        raise InvalidResultError(f"{field} {chosen[:MAX_SHOWN_CHARACTERS]!r} is not one that hooks may choose")
+        raise InvalidResultError(f"{field} {chosen[:MAX_QUOTED_CHARACTERS]!r} is not one that hooks may choose")
     return chosen or before
 
 
@@ -199,11 +199,11 @@
 ) -> ForwardedRequest:
     """Path and headers of what goes to an endpoint; raises InvalidResultError."""
     path, headers = returned
-    shown_path = path[:MAX_SHOWN_CHARACTERS]
+    quoted_path = path[:MAX_QUOTED_CHARACTERS]
     if path and (len(path) > MAX_PATH_CHARACTERS or not PATH.fullmatch(path)):
-        raise InvalidResultError(f"path {shown_path!r}: expected one that begins with '/' and holds no blank")
+        raise InvalidResultError(f"path {quoted_path!r}: expected one that begins with '/' and holds no blank")
     if path and any(segment in (".", "..") for segment in path.partition("?")[0].split("/")):
-        raise InvalidResultError(f"path {shown_path!r}: goes up or stays")
+        raise InvalidResultError(f"path {quoted_path!r}: goes up or stays")
     return ForwardedRequest(path or path_before, validate_headers(headers, limits))
 
 
@@ -216,8 +216,8 @@
     fields: dict[str, str] = {}
     for name, value in returned:
         if not LOG_FIELD_NAME.fullmatch(name) or name in fields:
-            shown_name = name[:MAX_SHOWN_CHARACTERS]
-            raise InvalidResultError(f"field {shown_name!r}: expected a new name of small letters")
+            quoted_name = name[:MAX_QUOTED_CHARACTERS]
+            raise InvalidResultError(f"field {quoted_name!r}: expected a new name of small letters")
         if len(value) > MAX_VALUE_CHARACTERS:
             raise InvalidResultError(f"field {name!r}: too long")
         fields[name] = value
--- a/martenstep/hooks/source.py
+++ b/martenstep/hooks/source.py
@@ -7,8 +7,8 @@
 MAX_SOURCE_BYTES = 65_536
 # Bound on nesting: every pass over the syntax tree recurses this deep on the interpreter's own stack.
 MAX_NESTING = 40
-MAX_SHOWN_CHARACTERS = 100
-SHOWN_CHARACTERS_BEFORE = 60
+MAX_EXCERPT_CHARACTERS = 100
+EXCERPT_CHARACTERS_BEFORE = 60
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -32,7 +32,7 @@
         """The message, the line that it is about, and a mark below the column."""
         lines = source.split("\n")
         line = lines[self.location.line - 1] if self.location.line <= len(lines) else ""
-        start = max(self.location.column - SHOWN_CHARACTERS_BEFORE, 0)
-        excerpt = line[start : start + MAX_SHOWN_CHARACTERS].replace("\t", " ")
+        start = max(self.location.column - EXCERPT_CHARACTERS_BEFORE, 0)
+        excerpt = line[start : start + MAX_EXCERPT_CHARACTERS].replace("\t", " ")
         mark = " " * (self.location.column - 1 - start) + "^"
         return f"{file_name}:{self}\n  {excerpt}\n  {mark}"
--- a/martenstep/hooks/translation.py
+++ b/martenstep/hooks/translation.py
@@ -70,7 +70,7 @@
         for block, (start, end) in enumerate(zip(self.block_starts, ends, strict=True)):
             self._lines = []
             if start in self._heights:  # else nothing leads here
-                self._stack = [f"s{place}" for place in range(self._heights[start])]
+                self._stack = [f"s{index}" for index in range(self._heights[start])]
                 self._translate_block(start, end)
             out.append(f"        if b == {block}:")
             out += [f"            {line}" for line in self._lines or ["pass"]]
@@ -98,7 +98,7 @@
 
     def _spill_stack(self) -> None:
         """Put the stack where the next block expects it."""
-        moves = [(f"s{place}", name) for place, name in enumerate(self._stack) if name != f"s{place}"]
+        moves = [(f"s{index}", name) for index, name in enumerate(self._stack) if name != f"s{index}"]
         if moves:
             targets = ", ".join(target for target, _ in moves)
             self._lines.append(f"{targets} = {', '.join(source for _, source in moves)}")
--- a/martenstep/hooks/type_checker.py
+++ b/martenstep/hooks/type_checker.py
@@ -30,7 +30,7 @@
 )
 
 MAX_LOCALS = 200  # of one function
-MAX_LISTED_NAMES = 20  # in a message
+MAX_SUGGESTED_NAMES = 20  # in a message
 MAX_FOLD_ROUNDS = 4  # until the accumulator has its type: an empty list at the start becomes that of the body
 ORDERED_TYPES = (NUMBER, DURATION, TEXT)
 ARITHMETIC_RESULTS: dict[tuple[str, Type, Type], Type] = {
@@ -51,8 +51,8 @@
 
 
 def _known_names(names: Iterable[str]) -> str:
-    listed = ", ".join(sorted(names)[:MAX_LISTED_NAMES])
-    return f"(there are: {listed})" if listed else "(there are none)"
+    suggestions = ", ".join(sorted(names)[:MAX_SUGGESTED_NAMES])
+    return f"(there are: {suggestions})" if suggestions else "(there are none)"
 
 
 class TypeChecker:
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -23,10 +23,10 @@
 from martenstep.proxy.hook_service import HookService
 from martenstep.proxy.traces import Exporter
 from martenstep.proxy.usage_recorder import UsageRecorder
-from martenstep.redis_counter.redis_store import RedisStore
+from martenstep.redis_counter.redis_client import RedisCounter
 
 if TYPE_CHECKING:  # loaded where the settings have replicas
-    from martenstep.counter.pending_increments import Try
+    from martenstep.counter.pending_increments import AttemptRecord
 
 SEED_BITS = 63
 
@@ -47,9 +47,9 @@
         self.server = make_server(settings, self.engine, self._log_event)
         self._certificates = Certificates(self.server, self._log_event)
         self.ready = False
-        self._redis: RedisStore | None = None
+        self._redis: RedisCounter | None = None
         if settings.HasField("store"):
-            self._redis = RedisStore(settings.store, self._counter_replied, settings.name, self._log_event)
+            self._redis = RedisCounter(settings.store, self._counter_replied, settings.name, self._log_event)
         self._feed = EndpointFeed(settings.members, settings.name, self._endpoints_updated, self._feed_problem, now_ms)
         self._feed_task: asyncio.Task[None] | None = None
         self._admin = AdminListener(GatewayCollector(self.counts, self.gauges), lambda: self.ready)
@@ -155,7 +155,7 @@
     def _counter_replied(self, call_id: int, result: CallResult, total: float, retained_ms: float) -> None:
         self.server.handle(CounterReplied(call_id, result, total, retained_ms))
 
-    def _deliver(self, pending: Try) -> bool:
+    def _deliver(self, pending: AttemptRecord) -> bool:
         return self._usage_recorder is not None and self._usage_recorder.deliver(pending)
 
     def _endpoints_updated(self, update: EndpointListEvent) -> None:
--- a/martenstep/proxy/usage_recorder.py
+++ b/martenstep/proxy/usage_recorder.py
@@ -11,15 +11,16 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.tls import ClientContext
-from martenstep.counter.client import CounterClient, Journal
-from martenstep.counter.shards import Shards
+from martenstep.counter.client import CounterClient
+from martenstep.counter.journal import AttemptJournal
+from martenstep.counter.shards import ShardedClient
 from martenstep.event_log import EventLog
 from martenstep.policy.messages import CallResult
 from martenstep.proxy.cluster import Cluster
 from martenstep.proxy.engine_messages import RecordUsage
 
 if TYPE_CHECKING:  # a gateway that holds no replicas does not load them
-    from martenstep.counter.pending_increments import Try
+    from martenstep.counter.pending_increments import AttemptRecord
 
 FLUSH_TIMEOUT_MS = 2000.0  # at a stop: what is not acknowledged by then stays in the journal
 MS_PER_S = 1000.0
@@ -37,12 +38,12 @@
         self._gateway_settings, self._settings, self._cluster = gateway_settings, gateway_settings.counter, cluster
         self._replied, self._log_event = replied, log_event
         self.client_tls: list[ClientContext] = []
-        self._shards: Shards | None = None
+        self._shards: ShardedClient | None = None
 
     def start(self) -> None:
         """Connect; raises TlsError."""
         clients = self._replica_clients() if self._settings.held_by_doors else self._service_clients()
-        self._shards = Shards(clients)
+        self._shards = ShardedClient(clients)
         self._shards.start()
 
     async def stop(self) -> None:
@@ -58,8 +59,8 @@
 
     # Clients ------------------------------------------------------------------------------------------------
 
-    def _journal(self, name: str) -> Journal:
-        return Journal(Path(self._settings.journal) / name, self._settings.journal_tries, self._log_event)
+    def _journal(self, name: str) -> AttemptJournal:
+        return AttemptJournal(Path(self._settings.journal) / name, self._settings.journal_tries, self._log_event)
 
     def _service_clients(self) -> dict[str, CounterClient]:
         """One client a service, each with a journal of its own."""
@@ -81,7 +82,7 @@
                 self._replied,
                 self._log_event,
                 timeout_ms=settings.timeout_ms,
-                waiting=settings.waiting,
+                max_pending=settings.waiting,
                 map_version=settings.map_version,
                 tls=tls,
                 server_name=settings.tls.server_name,
@@ -94,7 +95,7 @@
 
         A gateway that knows of no other asks nobody, and decides without: as with a counter that is away.
         """
-        from martenstep.counter.sharded_counter import slots
+        from martenstep.counter.sharded_counter import slot_groups
 
         settings, membership = self._settings, self._cluster.membership
         return {
@@ -105,13 +106,13 @@
                 self._replied,
                 self._log_event,
                 timeout_ms=settings.timeout_ms,
-                waiting=settings.waiting,
+                max_pending=settings.waiting,
                 map_version=self._gateway_settings.copies.slots,
                 group=slot,
-                way=membership.route if membership is not None else lambda address: address,
-                recorded=self._recorded,
+                route=membership.route if membership is not None else lambda address: address,
+                on_acknowledged=self._recorded,
             )
-            for slot in slots(self._gateway_settings.copies)
+            for slot in slot_groups(self._gateway_settings.copies)
         }
 
     def _replica_addresses(self, slot: str) -> list[Address]:
@@ -149,12 +150,12 @@
     def _record_pending(self, usage: RecordUsage) -> asyncio.Future[bool] | None:
         """Have the ledger of this gateway's replicas keep the request until the counter has it."""
         replicas = self._cluster.replicas
-        if replicas is None or replicas.books is None:
+        if replicas is None or replicas.ledger is None:
             return None
-        from martenstep.counter.pending_increments import Try
+        from martenstep.counter.pending_increments import AttemptRecord
 
-        recorded = replicas.books.promise(
-            Try(
+        recorded = replicas.ledger.replicate(
+            AttemptRecord(
                 usage.correlation_id,
                 time.time() * MS_PER_S,
                 usage.units,
@@ -166,19 +167,19 @@
         )
         return recorded if self._gateway_settings.copies.book.before_answer else None
 
-    def deliver(self, pending: Try) -> bool:
+    def deliver(self, pending: AttemptRecord) -> bool:
         """Record a request out of a ledger that this gateway leads; False where it can't be taken now."""
         return self._shards is not None and self._shards.record(
             pending.time_ms,
             pending.units,
-            pending.beyond,
-            pending.request,
+            pending.over_quota,
+            pending.request_id,
             pending.customer,
             pending.plan,
-            pending.cls,
+            pending.request_class,
         )
 
     def _recorded(self, correlation_id: str) -> None:
         replicas = self._cluster.replicas
-        if replicas is not None and replicas.books is not None:
-            replicas.books.recorded(correlation_id)
+        if replicas is not None and replicas.ledger is not None:
+            replicas.ledger.on_acknowledged(correlation_id)
