--- a/martenstep/proxy/extension_points.py
+++ b/martenstep/proxy/extension_points.py
@@ -76,7 +76,7 @@
             name.decode("latin-1").replace("_", "-") for name in credential_headers | protected_headers
         }
         classes = route_table.classes
-        self._bounds_cache: dict[tuple[str, float], result_validation.ResultLimits] = {}
+        self._limits_cache: dict[tuple[str, float], result_validation.ResultLimits] = {}
         self._allowed_classes = {
             name: frozenset(
                 other
@@ -94,14 +94,14 @@
         before = result_validation.Classification(
             route.request_class.name, route.customer_key, route.plan.name, route.units
         )
-        bounds = self._bounds(route)
+        limits = self._limits(route)
         placed = self._call(
             now,
             runner,
             subject,
             "classify",
             lambda: (self._request_record(subject),),
-            lambda returned: result_validation.validate_classification(returned, before, bounds),
+            lambda returned: result_validation.validate_classification(returned, before, limits),
             before,
         )
         if placed == before:
@@ -111,10 +111,10 @@
     def sending(self, now: float, runner: Runner, subject: HookSubject) -> tuple[bytes, Headers]:
         """Target and additional headers of what goes to an endpoint: the same at each attempt."""
         received, route = subject.received, subject.route
-        bounds, before = self._bounds(route), origin_form(received.target)
+        limits, before = self._limits(route), origin_form(received.target)
 
         def accept(returned: Any) -> tuple[bytes, Headers]:  # noqa: ANN401  # what a hook returned
-            forwarded = result_validation.validate_forwarded_request(returned, before, bounds)
+            forwarded = result_validation.validate_forwarded_request(returned, before, limits)
             path, headers = forwarded.path, forwarded.headers
             if path == before:
                 return received.target, encode_headers(headers)
@@ -138,13 +138,13 @@
         self, now: float, runner: Runner, subject: HookSubject, rejection: RejectionSummary
     ) -> result_validation.RejectionContent | None:
         """The response to a rejected request; None: the gateway's own."""
-        bounds = self._bounds(subject.route)
+        limits = self._limits(subject.route)
         status, reason, retry_after_ms = rejection
 
         def accept(returned: Any) -> result_validation.RejectionContent | None:  # noqa: ANN401  # what a hook returned
             body, content_type, retry_after, headers = returned
             words = (body, content_type or DEFAULT_CONTENT_TYPE, retry_after, headers)
-            return result_validation.validate_rejection(words, retry_after_ms, bounds)
+            return result_validation.validate_rejection(words, retry_after_ms, limits)
 
         return self._call(
             now,
@@ -160,14 +160,14 @@
         self, now: float, runner: Runner, subject: HookSubject, response: ResponseSummary, headers: Headers
     ) -> Headers:
         """Additional headers of a relayed response."""
-        bounds = self._bounds(subject.route)
+        limits = self._limits(subject.route)
         return self._call(
             now,
             runner,
             subject,
             "answer",
             lambda: (self._request_record(subject), _response_record(response, _visible_headers(headers))),
-            lambda returned: encode_headers(result_validation.validate_headers(returned, bounds)),
+            lambda returned: encode_headers(result_validation.validate_headers(returned, limits)),
             [],
         )
 
@@ -199,14 +199,14 @@
         route = subject.route
         return runner.call(now, point, route.customer_key, route.plan.name, arguments, accept, default)
 
-    def _bounds(self, route: RoutedRequest) -> result_validation.ResultLimits:
+    def _limits(self, route: RoutedRequest) -> result_validation.ResultLimits:
         key = route.request_class.name, route.units
-        bounds = self._bounds_cache.get(key)
-        if bounds is None:  # as many as there are routes
-            bounds = self._bounds_cache[key] = self._make_bounds(route)
-        return bounds
+        limits = self._limits_cache.get(key)
+        if limits is None:  # as many as there are routes
+            limits = self._limits_cache[key] = self._make_limits(route)
+        return limits
 
-    def _make_bounds(self, route: RoutedRequest) -> result_validation.ResultLimits:
+    def _make_limits(self, route: RoutedRequest) -> result_validation.ResultLimits:
         min_units = min(route.units, self._min_units) if self._has_min_units else route.units
         return result_validation.ResultLimits(
             self._allowed_classes[route.request_class.name],
--- a/tests/test_hooks_language.py
+++ b/tests/test_hooks_language.py
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize(
-    ("source", "told"),
+    ("source", "expected_message"),
     [
         ("fn f(a: number) -> text { a }", "1:27: expected text, got number"),
         ('fn f(a: numbr) -> text { "" }', "1:9: no type is named 'numbr'"),
@@ -231,12 +231,12 @@
         ("fn f() -> " + "list<" * 600 + "text" + ">" * 600 + " { [] }", "nested deeper than 40"),
     ],
 )
-def test_each_fault_is_told_at_its_place(source: str, told: str) -> None:
+def test_each_fault_is_told_at_its_place(source: str, expected_message: str) -> None:
     with pytest.raises(HookSourceError) as fault:
         compile_source(source)
-    assert told in str(fault.value)
-    shown = fault.value.format_with_source(source, "a.hook").split("\n")
-    assert shown[0].startswith("a.hook:") and len(shown[1]) < 110 and shown[2].endswith("^")
+    assert expected_message in str(fault.value)
+    message_lines = fault.value.format_with_source(source, "a.hook").split("\n")
+    assert message_lines[0].startswith("a.hook:") and len(message_lines[1]) < 110 and message_lines[2].endswith("^")
 
 
 @given(st.text("ab.*+?|()[]^$\\d{}1,", max_size=12), st.text("ab1c$.", max_size=12))
--- a/tests/test_hooks_releases.py
+++ b/tests/test_hooks_releases.py
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "expected_message"),
     [
         ("version: 1", "version: 0", "version: expected at least 1"),
         ("share: 1", "share: 0", "share: expected above 0"),
@@ -218,14 +218,14 @@
         ("end: true", "end: false", "half-written"),
     ],
 )
-def test_a_manifest_with_a_fault_names_it(tmp_path: Path, old: str, new: str, told: str) -> None:
+def test_a_manifest_with_a_fault_names_it(tmp_path: Path, old: str, new: str, expected_message: str) -> None:
     made = publish(source(tmp_path / "drafts", words=GOOD), tmp_path / "hooks", 1)
     text = (made / "manifest.txtpb").read_text()
     assert old in text
     (made / "manifest.txtpb").write_text(text.replace(old, new, 1))
     contents = read_directory(tmp_path / "hooks")
     [problem] = contents.problems
-    assert not contents.releases and told in problem
+    assert not contents.releases and expected_message in problem
 
 
 def test_two_folders_of_one_version_are_neither_taken(tmp_path: Path) -> None:
--- a/tests/test_hooks_result_validation.py
+++ b/tests/test_hooks_result_validation.py
@@ -28,12 +28,12 @@
 
 @given(st.lists(st.tuples(NASTY, NASTY), max_size=4))
 @hypo(max_examples=300, deadline=None, derandomize=True)
-def test_no_header_breaks_out_of_its_line(made: list[tuple[str, str]]) -> None:
+def test_no_header_breaks_out_of_its_line(returned: list[tuple[str, str]]) -> None:
     try:
-        found = validate_headers(made, LIMITS)
+        accepted = validate_headers(returned, LIMITS)
     except InvalidResultError:
         return
-    for name, value in found:
+    for name, value in accepted:
         line = f"{name}: {value}".encode("latin-1")
         assert not {0x0A, 0x0D, 0x00, 0x7F} & set(line) and name not in PROTECTED_HEADERS and ":" not in name
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("made", "told"),
+    ("returned", "expected_message"),
     [
         ([("x-a", "b\r\nset-cookie: c")], "control sign"),
         ([("x-a", "b\n")], "control sign"),
@@ -58,23 +58,23 @@
         ([("", "b")], "name"),
     ],
 )
-def test_headers_that_are_none_are_refused(made: list[tuple[str, str]], told: str) -> None:
-    with pytest.raises(InvalidResultError, match=told):
-        validate_headers(made, LIMITS)
+def test_headers_that_are_none_are_refused(returned: list[tuple[str, str]], expected_message: str) -> None:
+    with pytest.raises(InvalidResultError, match=expected_message):
+        validate_headers(returned, LIMITS)
 
 
 @given(st.floats(allow_nan=True, allow_infinity=True), st.floats(0, 1e7))
 @hypo(max_examples=200, deadline=None, derandomize=True)
 def test_a_retry_after_never_gets_earlier(retry: float, modules: float) -> None:
     try:
-        made = validate_rejection(("no", "text/plain", retry, []), modules, LIMITS)
+        accepted = validate_rejection(("no", "text/plain", retry, []), modules, LIMITS)
     except InvalidResultError:
         return
-    assert modules <= made.retry_after_ms <= max(3_600_000.0, modules)
+    assert modules <= accepted.retry_after_ms <= max(3_600_000.0, modules)
 
 
 @pytest.mark.parametrize(
-    ("made", "told"),
+    ("returned", "expected_message"),
     [
         (("x" * (MAX_BODY_CHARACTERS + 1), "text/plain", 0.0, []), "at most"),
         (("x", "text/xml", 0.0, []), "content type"),
@@ -84,14 +84,16 @@
         (("x", "text/plain", -1.0, []), "retry-after"),
     ],
 )
-def test_words_that_may_not_pass(made: tuple[str, str, float, list[tuple[str, str]]], told: str) -> None:
-    with pytest.raises(InvalidResultError, match=told):
-        validate_rejection(made, 100.0, LIMITS)
+def test_words_that_may_not_pass(
+    returned: tuple[str, str, float, list[tuple[str, str]]], expected_message: str
+) -> None:
+    with pytest.raises(InvalidResultError, match=expected_message):
+        validate_rejection(returned, 100.0, LIMITS)
 
 
 def test_words_that_pass() -> None:
-    made = validate_rejection(("né", "text/html; charset=utf-8", 5000.0, [("X-Hint", "later")]), 2500.0, LIMITS)
-    assert (made.body, made.retry_after_ms, made.headers) == ("né".encode(), 5000.0, (("x-hint", "later"),))
+    accepted = validate_rejection(("né", "text/html; charset=utf-8", 5000.0, [("X-Hint", "later")]), 2500.0, LIMITS)
+    assert (accepted.body, accepted.retry_after_ms, accepted.headers) == ("né".encode(), 5000.0, (("x-hint", "later"),))
 
 
 def test_a_place_is_one_that_is_left_open() -> None:
@@ -100,7 +102,7 @@
         "read", "anna", "studio", 4.0
     )
     assert validate_classification(("write", "bert", "basic", 1.0), BEFORE, LIMITS).units == 1.0
-    for made in (
+    for returned in (
         ("pay", "", "", 0.0),
         ("", "carl", "", 0.0),
         ("", "", "gold", 0.0),
@@ -111,7 +113,7 @@
         ("", "", "", -1.0),
     ):
         with pytest.raises(InvalidResultError):
-            validate_classification(made, BEFORE, LIMITS)
+            validate_classification(returned, BEFORE, LIMITS)
 
 
 def test_paths_stay_paths() -> None:
@@ -124,7 +126,7 @@
 
 def test_fields_of_the_log_have_names_of_their_own() -> None:
     assert validate_log_fields([("room", "a\nb")]) == {"hook_room": "a\nb"}
-    for made in (
+    for returned in (
         [("Room", "")],
         [("a", ""), ("a", "")],
         [("a", "x" * 1025)],
@@ -132,4 +134,4 @@
         [(f"a{n}", "") for n in range(17)],
     ):
         with pytest.raises(InvalidResultError):
-            validate_log_fields(made)
+            validate_log_fields(returned)
--- a/tests/test_hooks_runner.py
+++ b/tests/test_hooks_runner.py
@@ -30,7 +30,7 @@
 
 
 class RunnerFixture:
-    """A runner with one hook at refusals."""
+    """A runner with one hook at rejections, and the events that it logged."""
 
     def __init__(self, body: str, **changes: Any) -> None:
         self.events: list[str] = []
@@ -40,22 +40,22 @@
         context = RunnerContext(lambda event, fields: self.events.append(event), **changes)
         self.runner = Runner(release, HealthLimits(), context)
 
-    def refuse(self, given: tuple[Any, ...] = (REQUEST, REFUSAL)) -> result_validation.RejectionContent:
+    def reject(self, arguments: tuple[Any, ...] = (REQUEST, REFUSAL)) -> result_validation.RejectionContent:
         return self.runner.call(
             self.now,
             "refusal",
             "anna",
             "studio",
-            lambda: given,
-            lambda made: result_validation.validate_rejection(made, 2500.0, result_validation.ResultLimits()),
+            lambda: arguments,
+            lambda returned: result_validation.validate_rejection(returned, 2500.0, result_validation.ResultLimits()),
             DEFAULT,
         )
 
 
 def test_a_good_hook_words_the_refusal_and_no_earlier_return() -> None:
     fixture = RunnerFixture('Words { body: "wait ${why.retry_after}", content_type: "text/plain", retry_after: 1ms }')
-    made = fixture.refuse()
-    assert made.body == b"wait 2.5s" and made.retry_after_ms == 2500.0
+    content = fixture.reject()
+    assert content.body == b"wait 2.5s" and content.retry_after_ms == 2500.0
     assert fixture.runner.counts == {"refusal good": 1} and not fixture.events
 
 
@@ -81,7 +81,7 @@
 )
 def test_a_hook_that_fails_leaves_the_default(body: str, kind: str) -> None:
     fixture = RunnerFixture(body)
-    assert fixture.refuse() == DEFAULT and fixture.runner.counts == {f"refusal {kind}": 1}
+    assert fixture.reject() == DEFAULT and fixture.runner.counts == {f"refusal {kind}": 1}
     assert fixture.events == ["hook failed"]
 
 
@@ -95,32 +95,32 @@
     fixture = RunnerFixture(
         'Words { body: for x in range(1000), s = "" { s }, content_type: "text/plain" }', begin_deadline=begin_deadline
     )
-    assert fixture.refuse() == DEFAULT and fixture.runner.counts == {"refusal late": 1} and looks == [0]
+    assert fixture.reject() == DEFAULT and fixture.runner.counts == {"refusal late": 1} and looks == [0]
 
 
 def test_values_that_are_none_leave_the_default() -> None:
     fixture = RunnerFixture('Words { body: "a" + r.path, content_type: "text/plain" }')
-    assert fixture.refuse(((), ())) == DEFAULT and fixture.runner.counts == {"refusal ill-typed": 1}
+    assert fixture.reject(((), ())) == DEFAULT and fixture.runner.counts == {"refusal ill-typed": 1}
 
 
 def test_a_hook_that_fails_too_often_is_left_alone_and_tried_again() -> None:
     fixture = RunnerFixture('Words { body: text([0][floor(r.time)]), content_type: "text/plain" }')
     bad, good = (*REQUEST[:-1], 7.0), REQUEST
     for _ in range(MAX_FAILURES):
-        assert fixture.refuse((bad, REFUSAL)) == DEFAULT
+        assert fixture.reject((bad, REFUSAL)) == DEFAULT
     assert fixture.events == ["hook failed"] * MAX_LOGGED_FAILURES + ["hook left alone"]
     assert (
-        fixture.refuse() == DEFAULT and fixture.runner.counts["refusal left alone"] == 1
+        fixture.reject() == DEFAULT and fixture.runner.counts["refusal left alone"] == 1
     )  # though it would be good now
     fixture.now += OPEN_MS
-    assert fixture.refuse((bad, REFUSAL)) == DEFAULT  # its one trial
-    assert fixture.refuse() == DEFAULT and fixture.runner.counts["refusal breaks"] == 2
+    assert fixture.reject((bad, REFUSAL)) == DEFAULT  # its one trial
+    assert fixture.reject() == DEFAULT and fixture.runner.counts["refusal breaks"] == 2
     fixture.now += OPEN_MS
-    assert fixture.refuse((good, REFUSAL)).body == b"0"
+    assert fixture.reject((good, REFUSAL)).body == b"0"
     for _ in range(MAX_FAILURES - 1):
-        fixture.refuse((bad, REFUSAL))
+        fixture.reject((bad, REFUSAL))
     fixture.now += FAILURE_WINDOW_MS
-    assert fixture.refuse().body == b"0" and fixture.runner.counts["refusal breaks"] == 2  # failures are forgotten
+    assert fixture.reject().body == b"0" and fixture.runner.counts["refusal breaks"] == 2  # failures are forgotten
 
 
 def test_a_point_without_a_hook_is_its_default() -> None:
@@ -131,7 +131,7 @@
 
 def test_a_run_that_is_cut_off_is_charged_in_full() -> None:
     fixture = RunnerFixture(LONG)
-    fixture.refuse()
+    fixture.reject()
     assert fixture.runner.steps_used == MAX_STEPS
     program: Program = compile_source('test "t" { true }')
     machine = VirtualMachine(program, budget=Budget(steps=1))
--- a/tests/test_hooks_translation.py
+++ b/tests/test_hooks_translation.py
@@ -1,4 +1,4 @@
-"""Translated hooks do what the interpreting machine does, to the step and the byte."""
+"""Translated hooks do what the interpreter does, to the step and the byte."""
 
 from __future__ import annotations
 
@@ -119,7 +119,7 @@
     assert one == other and one[0] == ends
 
 
-def test_a_function_of_many_blocks_is_left_to_the_machine() -> None:
+def test_a_function_of_many_blocks_is_left_to_the_interpreter() -> None:
     arms = ", ".join(f"{n} -> {n + 1}" for n in range(MAX_BLOCKS))
     program = compile_source(f'fn f(x: number) -> number {{ match x {{ {arms}, _ -> 0 }} }} test "t" {{ f(30) == 31 }}')
     assert [made is None for made in translate(program)] == [True, False]
