--- a/tests/hook_rig.py
+++ b/tests/hook_rig.py
@@ -10,7 +10,7 @@
 from martenstep.hooks.release_manager import ReleaseManager
 from martenstep.hooks.run_context import never_overdue
 from martenstep.hooks.runner import HealthLimits
-from tests.door_rig import Rig
+from tests.engine_rig import Rig
 
 
 def release(
--- a/tests/test_formats_supervise.py
+++ b/tests/test_formats_supervise.py
@@ -25,7 +25,7 @@
 )
 from martenstep.supervise.reloader import Reloader
 from martenstep.supervise.worker_settings import build_worker_settings
-from tests.door_rig import settings
+from tests.engine_rig import settings
 
 STORED = Path(__file__).parent / "formats" / "supervise"
 
--- a/tests/test_node_imports.py
+++ b/tests/test_node_imports.py
@@ -91,9 +91,12 @@
     "martenstep.node.counter",
     "martenstep.node.daemon",
     "martenstep.node.discovery",
+    "martenstep.node.endpoint_list",
     "martenstep.node.pending_signals",
+    "martenstep.node.poll_timing",
     "martenstep.node.protocol",
     "martenstep.tasks",
+    "martenstep.transient_errors",
 }
 LIBRARIES = {"h11", "httptools", "msgspec", "typing_extensions"}  # the last by msgspec, where a developer has it
 LOOK = (
