--- a/martenstep/cli/copies.py
+++ b/martenstep/cli/copies.py
@@ -1,4 +1,4 @@
-"""`martenstep copies`: what the doors hold for each other, asked over a door's admin listener or read from its disk."""
+"""`martenstep copies`: what the gateways hold for each other, from an admin listener or read from disk."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from martenstep.cli.common import example
 
 COLUMNS = ("group", "role", "term", "commit", "leader", "copies", "behind", "notes")
-ADMIN = click.option("--admin", required=True, help="HOST:PORT of the door's admin listener.")
+ADMIN = click.option("--admin", required=True, help="HOST:PORT of the gateway's admin listener.")
 
 
 def describe_state(group: dict[str, Any], count: int) -> str:
@@ -67,13 +67,13 @@
 
 @click.group()
 def copies() -> None:
-    """What the doors hold for each other."""
+    """What the gateways hold for each other."""
 
 
 @copies.command("identity", epilog=example("martenstep copies identity /var/lib/martenstep/copies"))
 @click.argument("directory", type=click.Path(path_type=Path, file_okay=False))
 def identity(directory: Path) -> None:
-    """Tell the number of the copies' disk DIRECTORY, for `founder` in the settings; an empty one gets one."""
+    """Print the number of the replicas' disk DIRECTORY, for `founder` in the settings; an empty one gets one."""
     import contextlib
 
     from martenstep.replication.errors import ReplicaManagerError
@@ -91,17 +91,17 @@
 @ADMIN
 @click.option("--json", "as_json", is_flag=True, help="The whole view as JSON.")
 def show(admin: str, as_json: bool) -> None:
-    """Print the copies that a door holds."""
+    """Print the replicas that a gateway holds."""
     view = send_request(admin, "GET", "/copies")
     click.echo(msgspec.json.encode(view) if as_json else format_table(view))
 
 
 @copies.command("move", epilog=example("martenstep copies move counter-3 --to d002 --admin 127.0.0.1:9080"))
 @click.argument("group")
-@click.option("--to", required=True, help="Name of the door that is to lead.")
+@click.option("--to", required=True, help="Name of the gateway that is to lead.")
 @ADMIN
 def move(group: str, to: str, admin: str) -> None:
-    """Let another door lead GROUP, which the door that is asked leads."""
+    """Let another gateway lead GROUP, which the gateway that is asked leads."""
     send_request(admin, "POST", "/copies/move?" + urlencode({"group": group, "to": to}))
     click.echo(f"{group} is handed to {to}")
 
--- a/martenstep/cli/counter.py
+++ b/martenstep/cli/counter.py
@@ -72,7 +72,7 @@
     help="The copy's witness directory, as in its settings.",
 )
 def counter_identity(directory: Path, witness: Path) -> None:
-    """Tell which copy's disk DIRECTORY is; an empty one becomes a new copy's."""
+    """Print which copy's disk DIRECTORY is; an empty one becomes a new copy's."""
     from martenstep.counter.replica_process import read_identity
 
     with _log_faults():
@@ -95,7 +95,7 @@
 @counter.command("promote", epilog=example("martenstep counter promote /var/lib/martenstep/copy"))
 @DIRECTORY
 def counter_promote(directory: Path) -> None:
-    """Begin a new term in a follower's log.  Serve it then, and point the doors at it: the old leader is fenced."""
+    """Begin a new term in a follower's log.  Serve it then, and point the gateways at it: the old leader is fenced."""
     from martenstep.counter import follower as follow
 
     with _log_faults():
@@ -197,7 +197,7 @@
 @SINCE
 @UNTIL
 def counter_history(directory: Path, customer: str, since: float | None, until: float | None) -> None:
-    """Print the recorded tries of CUSTOMER as JSON lines."""
+    """Print the recorded attempts of CUSTOMER as JSON lines."""
     _export(directory, customer, since, until)
 
 
@@ -206,5 +206,5 @@
 @SINCE
 @UNTIL
 def counter_export(directory: Path, since: float | None, until: float | None) -> None:
-    """Print all recorded tries that the log keeps as JSON lines."""
+    """Print all recorded attempts that the log keeps as JSON lines."""
     _export(directory, None, since, until)
--- a/martenstep/cli/fakes.py
+++ b/martenstep/cli/fakes.py
@@ -16,7 +16,7 @@
 
 @click.group("standin")
 def standin() -> None:
-    """Stand-ins of outside systems, each steered over a control port told when it is ready."""
+    """Fakes of outside systems, each steered over a control port printed when it is ready."""
 
 
 TRACE = click.option("--trace", type=FILE, default=None, help="File that its trace is written to.")
@@ -57,7 +57,7 @@
 )
 @TRACE
 def redis(port: int, kind: str, shards: int, lag_ms: float, trace: Path | None) -> None:
-    """A Redis, as far as a door needs one.  --port is for one server alone; others take ports that are free."""
+    """A Redis, as far as a gateway needs one.  --port is for one server alone; others take ports that are free."""
     from martenstep.standins.redis import fleet
 
     asyncio.run(fleet.run(port, trace, kind, shards, lag_ms))
@@ -65,7 +65,7 @@
 
 @standin.command("feed", epilog=example("martenstep standin feed --lag-ms 300"))
 @PORT
-@click.option("--lag-ms", type=click.FloatRange(min=0), default=0.0, help="Changes are told about so late.")
+@click.option("--lag-ms", type=click.FloatRange(min=0), default=0.0, help="Delay of changes.")
 @TRACE
 def feed(port: int, lag_ms: float, trace: Path | None) -> None:
     """A members feed."""
--- a/martenstep/cli/fleet.py
+++ b/martenstep/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`martenstep lab fleet`: schedules of faults between doors, with real processes and in virtual time."""
+"""`martenstep lab fleet`: schedules of faults between gateways, with real processes and in virtual time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @click.group("fleet")
 def fleet() -> None:
-    """Fleets of doors that break on purpose, judged from what each of them believed."""
+    """Fleets of gateways that break on purpose, judged from what each of them believed."""
 
 
 def _summary(name: str, breaches: list[str], figures: dict[str, Any]) -> str:
@@ -50,7 +50,7 @@
 @click.option("--out", type=FILE, required=True, help="Folder for records, logs and disks; an old play there goes.")
 @click.option("--seed", type=int, default=1, show_default=True)
 def run(file: Path, out: Path, seed: int) -> None:
-    """Play the schedule in FILE between real doors on loopback and judge it; exit 3 where a rule was broken."""
+    """Run the schedule in FILE between real gateways on loopback; exit 3 where an invariant is violated."""
     from martenstep.lab.fleet.judge import judge
     from martenstep.lab.fleet.rig import play_rig
     from martenstep.lab.fleet.schedule import load_schedule
@@ -77,7 +77,7 @@
 @fleet.command("check", epilog=example("martenstep lab fleet check out/halves"))
 @click.argument("folder", type=FILE)
 def check(folder: Path) -> None:
-    """Judge the records in FOLDER again, alone; exit 3 where a rule was broken."""
+    """Check the records in FOLDER again, alone; exit 3 where an invariant is violated."""
     from martenstep.lab.fleet.judge import judge
     from martenstep.lab.fleet.records import RecordError, read_records
     from martenstep.lab.fleet.schedule import load_schedule
@@ -103,7 +103,7 @@
 def emulate(
     files: tuple[Path, ...], seeds: int, first: int, members: int | None, workers: int | None, as_json: bool
 ) -> None:
-    """Play the schedules of FILES in virtual time, each with several seeds; exit 3 where a rule was broken."""
+    """Run the schedules of FILES in virtual time, each with several seeds; exit 3 where an invariant is violated."""
     from google.protobuf import text_format
 
     from martenstep.lab.fleet.plays import play_all
--- a/martenstep/cli/hooks.py
+++ b/martenstep/cli/hooks.py
@@ -119,7 +119,7 @@
 @hook.command("check", epilog=example("martenstep hook check hooks/*.hook"))
 @click.argument("files", type=FILE, nargs=-1, required=True)
 def check(files: tuple[Path, ...]) -> None:
-    """Tell what is wrong with FILES, or what they hold."""
+    """Print what is wrong with FILES, or what they hold."""
     for file in files:
         program = _compiled(file)
         click.echo(f"{file}: good; points: {', '.join(program.points) or 'none'}; {len(program.tests)} tests")
@@ -198,7 +198,7 @@
 @hook.command("key", epilog=example("martenstep hook key signing.pem"))
 @click.argument("file", type=FILE)
 def key(file: Path) -> None:
-    """Write a new signing key to FILE and print its public key, for trusted_key in the door's settings."""
+    """Write a new signing key to FILE and print its public key, for trusted_key in the gateway's settings."""
     try:
         click.echo(create_private_key(file))
     except OSError as error:
@@ -247,10 +247,10 @@
 @hook.command("list", epilog=example("martenstep hook list /etc/martenstep/hooks"))
 @click.argument("directory", type=FILE)
 @KEY
-@click.option("--history", type=FILE, default=None, help="A door's history: what it took back is marked.")
-@click.option("--customer", default=None, help="Tell which release acts for it.")
+@click.option("--history", type=FILE, default=None, help="A gateway's history: what it took back is marked.")
+@click.option("--customer", default=None, help="Print which release acts for it.")
 def list_releases(directory: Path, keys: tuple[str, ...], history: Path | None, customer: str | None) -> None:
-    """Tell what stands in DIRECTORY, and what of it acts; exit 1 where something there cannot be taken."""
+    """Print what stands in DIRECTORY, and what of it acts; exit 1 where something there cannot be taken."""
     try:
         for one in keys:
             parse_public_key(one)
@@ -288,7 +288,7 @@
 @hook.command("history", epilog=example("martenstep hook history /var/lib/martenstep/hooks.jsonl"))
 @click.argument("file", type=FILE)
 def history(file: Path) -> None:
-    """Tell what became of releases at a door, the oldest first."""
+    """Print what became of releases at a gateway, the oldest first."""
     if not file.is_file():
         raise click.UsageError(f"{file}: there is no such file")
     try:
@@ -305,7 +305,7 @@
 @click.option("--point", default="", help="Which hook of the file, where it holds several.")
 @click.option("--request", "request", type=FILE, default=None, help="JSON of what the point is given.")
 def bench(file: Path, point: str, request: Path | None) -> None:
-    """Tell what one run of a hook costs on this machine."""
+    """Print what one run of a hook costs on this machine."""
     program = _compiled(file)
     point = _point(program, point, file)
     given = _given(point, request)
--- a/martenstep/cli/lab.py
+++ b/martenstep/cli/lab.py
@@ -20,7 +20,7 @@
 
 @click.group("lab")
 def lab() -> None:
-    """Days and experiments in virtual time, on models of all that a door rests on."""
+    """Days and experiments in virtual time, on models of all that a gateway rests on."""
 
 
 @lab.command("emulate", epilog=example("martenstep lab emulate days/first.txtpb"))
@@ -28,7 +28,7 @@
 @click.option("--seed", type=int, default=None, help="Of the models' chance; the day's own otherwise.")
 @click.option("--json", "as_json", is_flag=True, help="Print the whole result, a line for each day.")
 def emulate(files: tuple[Path, ...], seed: int | None, as_json: bool) -> None:
-    """Play the days of FILES in virtual time and judge them; exit 3 where a rule is broken."""
+    """Run the scenarios of FILES in virtual time and check them; exit 3 where an invariant is violated."""
     from martenstep.lab import report
     from martenstep.lab.day import load_day
     from martenstep.lab.emulate import judged
--- a/martenstep/cli/load.py
+++ b/martenstep/cli/load.py
@@ -1,4 +1,4 @@
-"""`martenstep load`: requests for a running door, open loop."""
+"""`martenstep load`: requests for a running gateway, open loop."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     max_rate: float,
     failures: float,
 ) -> None:
-    """Load the door at PORT and tell times from each request's own moment.  Exit 1 where a request failed."""
+    """Load the gateway at PORT and tell times from each request's own moment.  Exit 1 where a request failed."""
     from martenstep.lab import load as loading
 
     pairs = []
--- a/martenstep/cli/main.py
+++ b/martenstep/cli/main.py
@@ -37,11 +37,11 @@
 
 @cli.command(epilog=example("martenstep serve door.txtpb"))
 @click.argument("file", type=FILE)
-@click.option("--seed", type=int, default=None, help="Seed of the module's choices, to repeat a run.")
+@click.option("--seed", type=int, default=None, help="Seed of the policy's choices, to repeat a run.")
 @click.option("--uvloop", is_flag=True, help="Run on uvloop, where it is installed.")
 @click.option("--workers", type=click.IntRange(1, 256), default=None, help="In place of the settings' workers.count.")
 def serve(file: Path, seed: int | None, uvloop: bool, workers: int | None) -> None:
-    """Run a door with the settings in FILE until SIGTERM; SIGHUP takes up what changed in it."""
+    """Run a gateway with the settings in FILE until SIGTERM; SIGHUP applies what changed in it."""
 
     def load() -> pb.Door:
         made = load_door(file)
@@ -80,7 +80,7 @@
 @config.command("check", epilog=example("martenstep config check door.txtpb"))
 @click.argument("files", type=FILE, nargs=-1, required=True)
 def config_check(files: tuple[Path, ...]) -> None:
-    """Tell all that is wrong with each of FILES: file, line, column, field."""
+    """Print all that is wrong with each of FILES: file, line, column, field."""
     wrong = False
     for file in files:
         try:
--- a/martenstep/cli/maintenance.py
+++ b/martenstep/cli/maintenance.py
@@ -1,4 +1,4 @@
-"""`martenstep maintenance`: machines taken out for work in an order that the doors settle, asked over any door."""
+"""`martenstep maintenance`: machines taken out for work in an order that the gateways settle, asked over any gateway."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from martenstep.maintenance.model import MaintenanceLimits, RequestState
 from martenstep.maintenance.protocol import QueueView
 
-ADMIN = click.option("--admin", required=True, help="HOST:PORT of any door's admin listener.")
+ADMIN = click.option("--admin", required=True, help="HOST:PORT of any gateway's admin listener.")
 MS_PER_UNIT = {"s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
 COLUMNS = ("id", "machine", "state", "token", "for", "plan", "reason", "waits for / end")
 
@@ -106,14 +106,14 @@
 
 @click.group()
 def maintenance() -> None:
-    """Machines taken out for work, in an order that the doors settle."""
+    """Machines taken out for work, in an order that the gateways settle."""
 
 
 @maintenance.command(
     "ask", epilog=example("martenstep maintenance ask --machine d004 --for 20m --reason kernel --admin 127.0.0.1:9080")
 )
-@click.option("--machine", multiple=True, help="Name of a door; may stand several times.")
-@click.option("--all", "every", is_flag=True, help="All doors, as one plan.")
+@click.option("--machine", multiple=True, help="Name of a gateway; may stand several times.")
+@click.option("--all", "every", is_flag=True, help="All gateways, as one plan.")
 @click.option("--zone", help="With --all: of one zone.")
 @click.option("--for", "for_ms", type=Duration(), required=True, help="How long it will be out, such as 20m.")
 @click.option("--reason", default="")
@@ -154,7 +154,7 @@
 @click.option("--json", "as_json", is_flag=True)
 @ADMIN
 def list_(ended: bool, as_json: bool, admin: str) -> None:
-    """Print the book: who is out, who is next, and what each waits for."""
+    """Print the queue: who is out, who is next, and what each waits for."""
     view = fetch_queue(admin)
     click.echo(msgspec.json.encode(view) if as_json else format_table(view, ended))
 
@@ -176,7 +176,7 @@
 @click.argument("machine")
 @ADMIN
 def ready(machine: str, admin: str) -> None:
-    """Exit 0 where MACHINE may be touched: it started to leave by the book, and has left; else exit 1, and why."""
+    """Exit 0 where MACHINE may be touched: it started to leave by the queue, and has left; else exit 1, and why."""
     view = fetch_queue(admin)
     held = next((one for one in view.requests if one.machine == machine and one.state is not RequestState.ENDED), None)
     if held is None or held.state is not RequestState.OUT:
@@ -199,7 +199,7 @@
 @click.option("--failed", "why", help="The work went wrong, and how: the rest of its plan stands.")
 @ADMIN
 def done(request: str, why: str | None, admin: str) -> None:
-    """Tell that the work is done.  A door that is started again tells it by itself."""
+    """Tell that the work is done.  A gateway that is started again tells it by itself."""
     submit(admin, FinishMaintenance(request, _token(fetch_queue(admin), request), why is None, why or ""))
 
 
@@ -262,7 +262,7 @@
 @click.option("--times", type=click.IntRange(min=0), default=0, help="Tables printed before it ends; 0: until stopped.")
 @ADMIN
 def watch(times: int, admin: str) -> None:
-    """Print the book, and again with each change."""
+    """Print the queue, and again with each change."""
     before, printed = "", 0
     while not times or printed < times:
         now = format_table(fetch_queue(admin), False)
--- a/martenstep/cli/members.py
+++ b/martenstep/cli/members.py
@@ -44,7 +44,7 @@
     """The membership as one gateway sees it."""
 
 
-ADMIN = click.option("--admin", required=True, help="HOST:PORT of the door's admin listener.")
+ADMIN = click.option("--admin", required=True, help="HOST:PORT of the gateway's admin listener.")
 
 
 @members.command("show", epilog=example("martenstep members show --admin 127.0.0.1:9080"))
--- a/martenstep/cli/scenarios.py
+++ b/martenstep/cli/scenarios.py
@@ -38,7 +38,7 @@
 @click.argument("file", type=FILE)
 @click.option("--out", type=FILE, required=True, help="Folder for traces, logs and result.json.")
 def run(file: Path, out: Path) -> None:
-    """Play the day in FILE and judge it; exit 3 where a rule was broken."""
+    """Run the scenario in FILE and check it; exit 3 where an invariant is violated."""
     from martenstep.lab.day import load_day
     from martenstep.lab.play import PlayError, play_day
 
@@ -66,7 +66,7 @@
 @scenarios.command("check", epilog=example("martenstep day check out/first"))
 @click.argument("folder", type=FILE)
 def check(folder: Path) -> None:
-    """Judge the traces in FOLDER again, alone; exit 3 where a rule was broken."""
+    """Check the traces in FOLDER again, alone; exit 3 where an invariant is violated."""
     _check(folder)
 
 
