--- a/martenstep/cli/fleet.py
+++ b/martenstep/cli/fleet.py
@@ -6,7 +6,7 @@
 import signal
 import sys
 from pathlib import Path
-from typing import Any, NoReturn
+from typing import TYPE_CHECKING, Any, NoReturn
 
 import click
 import msgspec
@@ -14,6 +14,9 @@
 from martenstep.cli.common import EXIT_USAGE, EXIT_VIOLATION, example, exit_with_problems
 from martenstep.config.text_format import SettingsError
 
+if TYPE_CHECKING:
+    from martenstep.lab.fleet.plays import Played
+
 FILE = click.Path(path_type=Path)
 MAX_PRINTED_VIOLATIONS = 10  # of one run
 PRINTED_FIGURES = ("false_deaths", "suspicions", "kills", "kills_known_to_all", "sent_a_second", "sent_bytes_a_second")
@@ -104,43 +107,47 @@
     files: tuple[Path, ...], seeds: int, first: int, members: int | None, workers: int | None, as_json: bool
 ) -> None:
     """Run the schedules of FILES in virtual time, each with several seeds; exit 3 where an invariant is violated."""
-    from google.protobuf import text_format
-
     from martenstep.lab.fleet.plays import play_all
-    from martenstep.lab.fleet.schedule import load_schedule
 
-    texts = []
-    for file in files:
-        try:
-            schedule = load_schedule(file)
-        except SettingsError as error:
-            exit_with_problems(error)
-        if members is not None:
-            schedule.members = members
-            schedule.seeds = min(schedule.seeds, members)
-        texts.append((text_format.MessageToString(schedule), str(file)))
+    texts = [(_schedule_text(file, members), str(file)) for file in files]
     all_hold = True
     try:
         for played in play_all(texts, range(first, first + seeds), workers or 0):
             all_hold = all_hold and not played.breaches
-            if as_json:
-                click.echo(
-                    msgspec.json.encode(
-                        {
-                            "name": played.name,
-                            "members": played.members,
-                            "seed": played.seed,
-                            "breaches": played.breaches,
-                            "figures": played.figures,
-                        }
-                    )
-                )
-            else:
-                click.echo(
-                    _summary(
-                        f"{played.name} ({played.members} doors, seed {played.seed})", played.breaches, played.figures
-                    )
-                )
+            click.echo(_to_json(played) if as_json else _describe(played))
     except SettingsError as error:
         exit_with_problems(error)
     sys.exit(0 if all_hold else EXIT_VIOLATION)
+
+
+def _schedule_text(file: Path, members: int | None) -> str:
+    """Load a schedule and return its text, with another number of members where one is given."""
+    from google.protobuf import text_format
+
+    from martenstep.lab.fleet.schedule import load_schedule
+
+    try:
+        schedule = load_schedule(file)
+    except SettingsError as error:
+        exit_with_problems(error)
+    if members is not None:
+        schedule.members = members
+        schedule.seeds = min(schedule.seeds, members)
+    return text_format.MessageToString(schedule)
+
+
+def _to_json(played: Played) -> bytes:
+    return msgspec.json.encode(
+        {
+            "name": played.name,
+            "members": played.members,
+            "seed": played.seed,
+            "breaches": played.breaches,
+            "figures": played.figures,
+        }
+    )
+
+
+def _describe(played: Played) -> str:
+    title = f"{played.name} ({played.members} doors, seed {played.seed})"
+    return _summary(title, played.breaches, played.figures)
--- a/martenstep/cli/load.py
+++ b/martenstep/cli/load.py
@@ -3,11 +3,16 @@
 from __future__ import annotations
 
 import sys
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
 
 import click
 
 from martenstep.cli.common import example
 
+if TYPE_CHECKING:
+    from martenstep.lab.load import Result
+
 
 @click.command("load", epilog=example("martenstep load 8080 --path /read/1 --rate 500 --seconds 10"))
 @click.argument("port", type=click.IntRange(1, 65535))
@@ -53,13 +58,7 @@
     """Load the gateway at PORT and tell times from each request's own moment.  Exit 1 where a request failed."""
     from martenstep.lab import load as loading
 
-    pairs = []
-    for header in headers:
-        name, found, value = header.partition(":")
-        if not found or not name.strip():
-            raise click.UsageError(f"--header {header!r}: expected 'name: value'")
-        pairs.append((name.strip(), value.strip()))
-    target = loading.Aim(host, port, paths, tuple(pairs), customers)
+    target = loading.Aim(host, port, paths, _parse_headers(headers), customers)
     try:
         loading.allowed(host, anywhere)
         loading.bounded(max_rate if until_p99 else rate, seconds)
@@ -71,6 +70,28 @@
             )
     except loading.LoadError as error:
         raise click.UsageError(str(error)) from None
+    _print_steps(steps)
+    if until_p99 is not None:
+        best = max((at for at, held, _ in steps if held), default=0.0)
+        click.echo(f"\nhighest with p99 below {until_p99:g} ms: {best:.0f} a second")
+        sys.exit(0 if best else 1)
+    result = steps[0][2]
+    sys.exit(0 if result.good == sum(result.answers.values()) else 1)
+
+
+def _parse_headers(headers: tuple[str, ...]) -> tuple[tuple[str, str], ...]:
+    """Parse headers given as `name: value`; raises UsageError."""
+    pairs = []
+    for header in headers:
+        name, found, value = header.partition(":")
+        if not found or not name.strip():
+            raise click.UsageError(f"--header {header!r}: expected 'name: value'")
+        pairs.append((name.strip(), value.strip()))
+    return tuple(pairs)
+
+
+def _print_steps(steps: Sequence[tuple[float, bool, Result]]) -> None:
+    """Print a table with a row for each rate: the rate, whether it was sustained, and its figures."""
     click.echo(
         "| requests a second | p50 | p90 | p99 | p99.9 | longest | sent late by | answers |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- |"
@@ -79,9 +100,3 @@
         answers = ", ".join(f"{what} {count}" for what, count in sorted(result.answers.items()))
         cells = " | ".join(f"{result.ms(part):.1f}" for part in (50, 90, 99, 99.9, 100))
         click.echo(f"| {at:.0f}{'' if held else ' (too much)'} | {cells} | {result.late_ms:.1f} | {answers} |")
-    if until_p99 is not None:
-        best = max((at for at, held, _ in steps if held), default=0.0)
-        click.echo(f"\nhighest with p99 below {until_p99:g} ms: {best:.0f} a second")
-        sys.exit(0 if best else 1)
-    result = steps[0][2]
-    sys.exit(0 if result.good == sum(result.answers.values()) else 1)
--- a/martenstep/cli/maintenance.py
+++ b/martenstep/cli/maintenance.py
@@ -1,4 +1,4 @@
-"""`martenstep maintenance`: machines taken out for work in an order that the gateways settle, asked over any gateway."""
+"""`martenstep maintenance`: machines taken out for work in an order that the gateways agree on, over any of them."""
 
 from __future__ import annotations
 
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -1,4 +1,4 @@
-"""Modules and functions of the packages that are brought to the readable form stay small."""
+"""Modules and functions stay small, in all packages but those that are listed as not there yet."""
 
 from __future__ import annotations
 
@@ -12,13 +12,12 @@
 MAX_MODULE_LINES = 400
 MAX_FUNCTION_LINES = 40
 FLAT_TABLE = "flat table"  # in the docstring of a module or function that is one, and may be longer
-FINISHED = ("auth", "config", "hooks", "membership", "node", "policy", "proxy", "replication", "simulator", "storage")
+NOT_YET = {"lab", "standins"}  # packages that are to be brought to the readable form; the list only gets shorter
 PACKAGE = ROOT / "martenstep"
 MODULES = sorted(
     path
-    for part in FINISHED
-    for path in [*(PACKAGE / part).rglob("*.py"), *PACKAGE.glob("*.py")]
-    if not path.name.endswith("_pb2.py")
+    for path in PACKAGE.rglob("*.py")
+    if path.relative_to(PACKAGE).parts[0] not in NOT_YET and not path.name.endswith("_pb2.py")
 )
 
 
