--- a/martenstep/cli/common.py
+++ b/martenstep/cli/common.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import sys
+from collections.abc import Sequence
 from typing import NoReturn
 
 import click
@@ -32,3 +33,9 @@
     if address is None:
         raise click.UsageError(f"{option}: expected HOST:PORT, got {text!r}")
     return address
+
+
+def align_columns(rows: Sequence[Sequence[str]]) -> list[str]:
+    """Format rows of cells as lines whose columns are aligned; the first row is the header."""
+    widths = [max(len(cell) for cell in column) for column in zip(*rows, strict=True)]
+    return ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows]
--- a/martenstep/cli/copies.py
+++ b/martenstep/cli/copies.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from martenstep.cli.admin_client import exit_with_error, send_request
-from martenstep.cli.common import example
+from martenstep.cli.common import align_columns, example
 
 COLUMNS = ("group", "role", "term", "commit", "leader", "copies", "behind", "notes")
 ADMIN = click.option("--admin", required=True, help="HOST:PORT of the gateway's admin listener.")
@@ -58,8 +58,7 @@
                 describe_state(group, view["copies"]),
             )
         )
-    widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
-    lines = ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows]
+    lines = align_columns(rows)
     led = sum(group["role"] == "leader" for group in view["groups"])
     head = f"{view['me']} holds {len(view['groups'])} copies on disk {view['disk']} and leads {led}"
     return "\n".join([head, *lines])
--- a/martenstep/cli/maintenance.py
+++ b/martenstep/cli/maintenance.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from martenstep.cli.admin_client import exit_with_error, send_request
-from martenstep.cli.common import example
+from martenstep.cli.common import align_columns, example
 from martenstep.maintenance.commands import (
     AbandonRequest,
     CancelRequest,
@@ -85,7 +85,6 @@
                 one.outcome or view.waiting_reasons.get(one.request_id, "-"),
             )
         )
-    widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     limits = view.limits
     head = (
         f"{view.leader} leads the book; {limits.max_out} may be out, {limits.max_out_per_zone} in a zone, "
@@ -99,7 +98,7 @@
         [
             head,
             *notes,
-            *("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows),
+            *align_columns(rows),
         ]
     )
 
--- a/martenstep/cli/members.py
+++ b/martenstep/cli/members.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from martenstep.cli.admin_client import send_request
-from martenstep.cli.common import example
+from martenstep.cli.common import align_columns, example
 
 LONG_POLL_MS = 20_000  # of one request of `watch`
 COLUMNS = ("name", "state", "zone", "address", "incarnation", "for_s", "says", "by")
@@ -31,8 +31,7 @@
                 one["by"] or "-",
             )
         )
-    widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
-    lines = ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows]
+    lines = align_columns(rows)
     own = [word for word in ("deaf", "unheard") if view.get(word)]
     head = f"{view.get('me', '')} is {view['stage']}" + (f", and {' and '.join(own)}" if own else "")
     present = sum(one["state"] in ("alive", "suspect") for one in view["members"])
