--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -12,7 +12,6 @@
 from typing import Any
 
 import pytest
-from google.protobuf.descriptor import Descriptor, EnumDescriptor, FileDescriptor
 
 from martenstep.config import door_pb2 as pb
 from martenstep.proxy import engine_messages as ev
@@ -21,6 +20,7 @@
 from martenstep.proxy.headers import REASON_TEXTS, REJECTION_STATUS, local_reply
 from tests.engine_rig import Rig, settings
 from tests.hook_rig import HookRig, release
+from tests.schema_text import file_lines
 from tests.socket_rig import Peer, get, house, run
 
 FORMATS = Path(__file__).parent / "formats" / "proxy"
@@ -279,34 +279,6 @@
 # Settings -----------------------------------------------------------------------------------------------
 
 
-def enum_lines(enum: EnumDescriptor) -> Iterator[str]:
-    yield f"enum {enum.full_name}"
-    yield from (f"  {value.name} = {value.number}" for value in enum.values)
-
-
-def message_lines(message: Descriptor) -> Iterator[str]:
-    yield f"message {message.full_name}"
-    for field in message.fields:
-        kind = field.message_type or field.enum_type
-        default = f" default {field.default_value!r}" if field.has_default_value else ""
-        yield (
-            f"  {field.name} = {field.number} type {field.type}{' repeated' if field.is_repeated else ''}"
-            + (f" {kind.full_name}" if kind else "")
-            + default
-        )
-    for enum in message.enum_types:
-        yield from enum_lines(enum)
-    for nested in message.nested_types:
-        yield from message_lines(nested)
-
-
-def file_lines(file: FileDescriptor) -> Iterator[str]:
-    for enum in file.enum_types_by_name.values():
-        yield from enum_lines(enum)
-    for message in file.message_types_by_name.values():
-        yield from message_lines(message)
-
-
 @pytest.mark.filterwarnings("ignore::DeprecationWarning")
 def test_the_messages_of_the_settings() -> None:
     assert "\n".join(file_lines(pb.DESCRIPTOR)) + "\n" == stored("door_descriptor.txt")
