--- a/martenstep/policy/counter_calls.py
+++ b/martenstep/policy/counter_calls.py
@@ -1,4 +1,11 @@
-"""Which counter calls are worth making: so few that all instances together stay below what the counter takes."""
+"""Which requests the counter is called for: a sample, so that all instances together stay within its capacity.
+
+Calls for all requests of a large fleet would overload the counter.  So a call is made for a sample of them, at a
+sampling rate that falls as the counter's replies get later.  A sampled request waits for the reply and is decided by
+the total.  A request that is not sampled is decided unconfirmed, and where it is sent, no call reports its units.  The
+sampled request stands for those too: its call adds its units times a sampling weight, which is the reciprocal of the
+probability with which it was sampled, up to a bound.
+"""
 
 from __future__ import annotations
 
@@ -8,74 +15,80 @@
 from martenstep.policy.customer_state import CustomerState
 from martenstep.policy.messages import CallResult, CounterReply, Settings
 
-PROBABILITY_EWMA_WEIGHT = 0.12  # the probability of a call moves by about this part with each reply
-QUEUED_REPLY_SHARE = 0.25  # of the time-out: a reply that comes so much later than usual is a sign of a queue
-MIN_PROBABILITY = 0.05  # while no call is answered, so that a recovery is noticed
-MAX_PROBABILITY = 8.0  # above 1, so that requests of less than usual value are asked for too without a queue
-VALUE_EWMA_WEIGHT = 0.05
-MAX_CALL_WEIGHT = 4.0  # requests that one asked for stands for at most: more would fill a burst by chance alone
-MIN_OVER_QUOTA_COST = 0.1  # of its value a send over quota costs at least: it takes capacity even where it is free
-MAX_CERTAINTY = 0.85  # a conforming share is taken to lie between this and 1 less this: else nobody asks again
-USUAL_LATENCY_WEIGHT_DOWN = 0.1  # a reply that came sooner than usual pulls the usual latency down by this, ...
-USUAL_LATENCY_WEIGHT_UP = 0.02  # ... a later one lifts it by this: it settles where calls meet no queue
+SAMPLING_RATE_STEP = 0.12  # of the rate's logarithm, up for a reply without delay; a failed call takes 3 steps down
+QUEUEING_DELAY_SHARE = 0.25  # of the counter timeout: a reply later than usual by more indicates a queue at the counter
+MIN_SAMPLING_RATE = 0.05  # while no call is answered, so that the counter's recovery is detected
+MAX_SAMPLING_RATE = 8.0  # above 1, so that without a queue requests whose reply is worth less are sampled too
+MEAN_VALUE_EWMA_WEIGHT = 0.05  # of one request in the mean value of a reply
+MAX_SAMPLING_WEIGHT = 4.0  # requests that one may stand for: with a larger weight chance alone would exhaust a burst
+# The least cost of a send over quota, in values of one request: it takes capacity even where the plan's cost is 0.
+MIN_OVER_QUOTA_COST = 0.1
+# The conforming fraction is limited to this and 1 less this: at 0 or 1 the calls that could correct it would stop.
+MAX_CONFORMING_FRACTION = 0.85
+# EWMA weights of a reply in the baseline latency.  An early reply lowers it faster than a late one raises it, so it
+# settles at the latency of calls that meet no queue.
+BASELINE_WEIGHT_DOWN = 0.1
+BASELINE_WEIGHT_UP = 0.02
 
 
-class CounterCallAdmission:
-    """The probability of a counter call, from how soon the counter replies and what a reply is worth."""
+class CounterCallSampler:
+    """Samples the requests for counter calls, by how soon the counter replies and what a reply is worth."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        """Begin with a call for each request where there is a counter."""
+        """Start with a call for each request if there is a counter."""
         self._rng = rng
         self._has_counter = settings.has_counter
         self._timeout_ms = settings.counter_timeout_ms
-        self.probability = 1.0 if settings.has_counter else 0.0  # where a reply has the usual value
-        self._usual_value = 0.0  # EWMA of what a reply is worth
-        self._usual_latency_ms = QUEUED_REPLY_SHARE * settings.counter_timeout_ms  # of a call that meets no queue
+        # The probability of a call for a request whose reply has the mean value; above 1 it is certain, and is likely
+        # for requests whose reply is worth less too.
+        self.sampling_rate = 1.0 if settings.has_counter else 0.0
+        self._mean_value = 0.0  # EWMA of what a reply is worth
+        self._baseline_latency_ms = QUEUEING_DELAY_SHARE * settings.counter_timeout_ms  # of a call that meets no queue
 
     def record_reply(self, reply: CounterReply) -> None:
-        """Learn from a reply, or from a call that failed: the later it came, the fewer calls are made."""
-        late_share = 1.0
+        """Adjust the sampling rate to a reply or a failed call: the later it came, the fewer calls are made."""
+        delay_share = 1.0
         if reply.result is CallResult.OK:
-            late_ms = reply.rtt_ms - self._usual_latency_ms
-            weight = USUAL_LATENCY_WEIGHT_DOWN if late_ms < 0 else USUAL_LATENCY_WEIGHT_UP
-            self._usual_latency_ms += weight * late_ms
-            late_share = max(late_ms, 0.0) / max(self._timeout_ms, 1.0)
-        step = PROBABILITY_EWMA_WEIGHT * (1 - late_share / QUEUED_REPLY_SHARE)
-        self.probability = min(max(self.probability * math.exp(step), MIN_PROBABILITY), MAX_PROBABILITY)
+            delay_ms = reply.rtt_ms - self._baseline_latency_ms
+            weight = BASELINE_WEIGHT_DOWN if delay_ms < 0 else BASELINE_WEIGHT_UP
+            self._baseline_latency_ms += weight * delay_ms
+            delay_share = max(delay_ms, 0.0) / max(self._timeout_ms, 1.0)
+        step = SAMPLING_RATE_STEP * (1 - delay_share / QUEUEING_DELAY_SHARE)
+        self.sampling_rate = min(max(self.sampling_rate * math.exp(step), MIN_SAMPLING_RATE), MAX_SAMPLING_RATE)
 
-    def call_weight(self, now: float, customer: CustomerState, units: float) -> float:
-        """How many requests the one that asks stands for; 0 for no call.
+    def sampling_weight(self, now: float, customer: CustomerState, units: float) -> float:
+        """How many requests a counter call for this one stands for; 0 if no call is made for it.
 
-        The odds follow what the reply is worth: a correct send where the request would otherwise be rejected, or a
-        wrong one avoided.  They fall while the counter is overloaded, slow or down; the cost is needless caution where
-        its replies are slow for another reason.
+        The probability of a call follows the value of the reply: a correct send where the request would otherwise be
+        rejected, or a wrong send avoided.  It falls while the counter is overloaded, slow or down.  The cost: calls are
+        needlessly avoided where its replies are slow for another reason.
         """
-        sends_unconfirmed = customer.unconfirmed_pays() and customer.headroom_holds(now, units)
-        conforming = min(max(customer.conforming_share, 1 - MAX_CERTAINTY), MAX_CERTAINTY)
+        sends_unconfirmed = customer.unconfirmed_send_is_worthwhile() and customer.has_headroom(now, units)
+        conforming = min(max(customer.conforming_fraction, 1 - MAX_CONFORMING_FRACTION), MAX_CONFORMING_FRACTION)
         if sends_unconfirmed:
             benefit = (1 - conforming) * max(customer.plan.over_quota_cost, MIN_OVER_QUOTA_COST)
         else:
             benefit = conforming
         value = units * customer.plan.priority_weight * benefit
-        self._usual_value += VALUE_EWMA_WEIGHT * (value - self._usual_value)
-        odds = self.probability
-        if self._usual_value:
-            odds = max(self.probability * value / self._usual_value, MIN_PROBABILITY)
-        if not self._has_counter or self._rng.random() >= odds:
+        self._mean_value += MEAN_VALUE_EWMA_WEIGHT * (value - self._mean_value)
+        probability = self.sampling_rate
+        if self._mean_value:
+            probability = max(self.sampling_rate * value / self._mean_value, MIN_SAMPLING_RATE)
+        if not self._has_counter or self._rng.random() >= probability:
             return 0.0
-        # A request that is asked for stands for those that are not and are sent all the same: without their weight
-        # the totals are too low, and all conform.
-        return min(1 / min(odds, 1.0), MAX_CALL_WEIGHT) if sends_unconfirmed else 1.0
+        # Without the weight of the requests that are sent without a call, the totals would be too low, and all requests
+        # would seem to conform.
+        return min(1 / min(probability, 1.0), MAX_SAMPLING_WEIGHT) if sends_unconfirmed else 1.0
 
-    def unconfirmed_share_is_raised(self) -> bool:
-        """Whether an unconfirmed send may use more than the own share: by chance, while the counter replies."""
-        return self._rng.random() < self.probability - MIN_PROBABILITY
+    def may_exceed_instance_share(self) -> bool:
+        """Whether an unconfirmed send may use more than the instance's share: by chance, while the counter replies."""
+        return self._rng.random() < self.sampling_rate - MIN_SAMPLING_RATE
 
     def has_spare_capacity(self) -> bool:
         """Whether the counter has capacity for a call that no request waits for.
 
-        Such a call takes back units that were reported and not sent; else they go with the customer's next call.
-        By chance, with odds by how far the counter is from a queue.  The cost: the total of a customer without another
-        request in the period stays too high.
+        Such a call subtracts units that were reported and not sent; otherwise the customer's next call does so.  It is
+        made by chance, the more often the further the counter is from a queue.  The cost: if the customer has no other
+        request in the period, its total stays too high.
         """
-        return self._rng.random() < self.probability / MAX_PROBABILITY
+        return self._rng.random() < self.sampling_rate / MAX_SAMPLING_RATE
--- a/martenstep/policy/gcra.py
+++ b/martenstep/policy/gcra.py
@@ -22,10 +22,10 @@
         self.tat = tat
 
     def wait_ms(self, now: float, units: float) -> float:
-        """How long until a request conforms; 0 or less where it does now.
+        """The time until a request conforms; 0 or less if it conforms now.
 
-        The tolerance is reduced by the request's own units, so that the burst holds them: a plain TAT test admits
-        one request more after each idle spell, which the plan counts as over quota.
+        The tolerance is reduced by the request's own units, so that they count against the burst.  A plain test of the
+        TAT would admit one more request after each idle period, and the plan counts that one as over quota.
         """
         return self.tat - now + min(units * self.emission_interval_ms - self.tolerance_ms, 0.0)
 
--- a/martenstep/policy/request_lifecycle.py
+++ b/martenstep/policy/request_lifecycle.py
@@ -63,7 +63,7 @@
 
     def set_endpoint(self, endpoint: Endpoint | None) -> None:
         """Take in where an attempt is in flight, if one is: the one place where the customer's count changes."""
-        self.customer.in_flight += (endpoint is not None) - (self.endpoint is not None)
+        self.customer.attempts_in_flight += (endpoint is not None) - (self.endpoint is not None)
         self.endpoint = endpoint
 
 
--- a/martenstep/policy/send_rate.py
+++ b/martenstep/policy/send_rate.py
@@ -1,4 +1,4 @@
-"""The rate of this instance's own attempts."""
+"""The rate at which this instance starts attempts."""
 
 from __future__ import annotations
 
@@ -6,31 +6,32 @@
 
 from martenstep.policy.gcra import MS_PER_S
 
-MEMORY_MS = 3000.0  # long against a tick and short against a slow start
+TIME_CONSTANT_MS = 3000.0  # of the exponential decay: long against a tick and short against a slow start
 
 
 class SendRate:
     """An exponentially decaying count of attempts."""
 
     def __init__(self) -> None:
-        """Begin without attempts."""
+        """Start without attempts."""
         self._count = 0.0  # as of the last attempt
-        self._first_at = math.inf
-        self.last_at = 0.0
+        self._first_attempt_at = math.inf
+        self.last_attempt_at = 0.0
 
     def record(self, now: float) -> None:
         """Count an attempt."""
-        self._count = self._count * math.exp(-(now - self.last_at) / MEMORY_MS) + 1
-        self.last_at = now
-        self._first_at = min(self._first_at, now)
+        self._count = self._count * math.exp(-(now - self.last_attempt_at) / TIME_CONSTANT_MS) + 1
+        self.last_attempt_at = now
+        self._first_attempt_at = min(self._first_attempt_at, now)
 
     def per_ms(self, now: float) -> float:
         """Attempts per millisecond."""
-        return self._count * math.exp(-(now - self.last_at) / MEMORY_MS) / MEMORY_MS
+        return self._count * math.exp(-(now - self.last_attempt_at) / TIME_CONSTANT_MS) / TIME_CONSTANT_MS
 
     def unbiased_per_ms(self, now: float) -> float:
-        """Attempts per millisecond, without the lag of a fresh start.
+        """Attempts per millisecond, corrected for the short time since the first attempt.
 
-        A restarted instance of few would otherwise act for its first seconds as one of hundreds.
+        Without the correction the rate is too low for some seconds after a restart, and an instance of a small fleet
+        would behave like one of hundreds.
         """
-        return self.per_ms(now) / (1 - math.exp(-max(now - self._first_at, MS_PER_S) / MEMORY_MS))
+        return self.per_ms(now) / (1 - math.exp(-max(now - self._first_attempt_at, MS_PER_S) / TIME_CONSTANT_MS))
--- a/martenstep/policy/upstream_cluster.py
+++ b/martenstep/policy/upstream_cluster.py
@@ -46,7 +46,7 @@
 
     def is_half_open(self, now: float) -> bool:
         """Whether an unconfirmed request is admitted though responses are slow."""
-        return self.limit.is_half_open(len(self.endpoints.up), now - self._send_rate.last_at)
+        return self.limit.is_half_open(len(self.endpoints.up), now - self._send_rate.last_attempt_at)
 
     def is_at_limit(self) -> bool:
         """Whether as many attempts are in flight as may be."""
--- a/tests/policy_events.py
+++ b/tests/policy_events.py
@@ -1,4 +1,4 @@
-"""Hand-made settings and events for the tests."""
+"""Settings and events for the tests of the decisions, and helpers that handle a gateway's actions."""
 
 from __future__ import annotations
 
@@ -32,45 +32,45 @@
     overload_window_ms=1000.0,
     answer_slack_ms=8.0,
 )
-START = 50_000.0
+START = 50_000.0  # ms
 A = TypeVar("A", bound=api.Action)
 
 
 def endpoint(
     number: int, zone: str = "a", state: api.EndpointState = api.EndpointState.UP, started: float = 0.0
 ) -> api.Endpoint:
-    """One member."""
+    """An entry of an endpoint list; by default it started long ago."""
     return api.Endpoint(number, zone, "std", 0, state, 1.0, started)
 
 
 def gateway(endpoints: Iterable[api.Endpoint] | None = None, seed: int = 1, **changes: Any) -> Gateway:
-    """A gateway that knows its endpoints; four warm ones in two zones unless told otherwise."""
-    made = Gateway(replace(SETTINGS, **changes), seed)
+    """A gateway with an endpoint list, by default of four warm endpoints in two zones."""
+    instance = Gateway(replace(SETTINGS, **changes), seed)
     if endpoints is None:
         endpoints = [endpoint(1), endpoint(2), endpoint(3, "b"), endpoint(4, "b")]
-    made.handle(START, api.EndpointListUpdate(api.EndpointListScope.CACHED, tuple(endpoints)))
-    return made
+    instance.handle(START, api.EndpointListUpdate(api.EndpointListScope.CACHED, tuple(endpoints)))
+    return instance
 
 
 def request(
-    rid: str,
-    cls: str = "read",
+    request_id: str,
+    request_class: str = "read",
     plan: str = "plain",
     customer: int = 7,
     units: float = 1.0,
-    spread: int = 2,
-    remaining: float = 4000.0,
+    instances: int = 2,
+    remaining_ms: float = 4000.0,
 ) -> api.Request:
-    """One client try."""
-    return api.Request(rid, cls, plan, customer, remaining, units, spread)
+    """The arrival of a client's request."""
+    return api.Request(request_id, request_class, plan, customer, remaining_ms, units, instances)
 
 
 def attempt_ended(
-    send: api.StartAttempt, result: api.CallResult, attempt: int = 0, rtt: float = 50.0, ended: bool | None = None
+    attempt: api.StartAttempt, result: api.CallResult, number: int = 0, rtt: float = 50.0, ended: bool | None = None
 ) -> api.AttemptEnded:
-    """The end of an attempt; a good one ends the request."""
-    done = result is api.CallResult.OK if ended is None else ended
-    return api.AttemptEnded(send.id, attempt, send.endpoint, result, rtt, done)
+    """The end of an attempt; `ended` says whether the request is complete, by default if the result is OK."""
+    request_complete = result is api.CallResult.OK if ended is None else ended
+    return api.AttemptEnded(attempt.id, number, attempt.endpoint, result, rtt, request_complete)
 
 
 def actions_of(actions: Iterable[api.Action], kind: type[A]) -> list[A]:
@@ -79,23 +79,26 @@
 
 
 def reply_to_calls(
-    made: Gateway, now: float, counts: Iterable[api.IncrementCounter], totals: dict[int, float]
+    instance: Gateway, now: float, calls: Iterable[api.IncrementCounter], totals: dict[int, float]
 ) -> list[api.Action]:
-    """Play the counter: add to the totals and give each answer back, to the calls that follow as well."""
-    out: list[api.Action] = []
-    todo = list(counts)
-    while todo:
-        count = todo.pop(0)
-        totals[count.key] = totals.get(count.key, 0.0) + count.units
-        actions = made.handle(now, api.CounterReply(count.key, api.CallResult.OK, 2.0, totals[count.key]))
-        out += [action for action in actions if not isinstance(action, api.IncrementCounter)]
-        todo += actions_of(actions, api.IncrementCounter)
-    return out
-
-
-def admit_with_counter(made: Gateway, now: float, event: api.Request, totals: dict[int, float]) -> list[api.Action]:
-    """Bring a request and answer the calls it causes."""
-    actions = made.handle(now, event)
+    """Act as the counter: add to the totals and reply to each call, and to the calls that follow from a reply.
+
+    Returns the other actions that follow from the replies.
+    """
+    others: list[api.Action] = []
+    unanswered = list(calls)
+    while unanswered:
+        call = unanswered.pop(0)
+        totals[call.key] = totals.get(call.key, 0.0) + call.units
+        actions = instance.handle(now, api.CounterReply(call.key, api.CallResult.OK, 2.0, totals[call.key]))
+        others += [action for action in actions if not isinstance(action, api.IncrementCounter)]
+        unanswered += actions_of(actions, api.IncrementCounter)
+    return others
+
+
+def admit_with_counter(instance: Gateway, now: float, event: api.Request, totals: dict[int, float]) -> list[api.Action]:
+    """Handle a request and reply to the counter calls that it causes; returns the other actions."""
+    actions = instance.handle(now, event)
     return [a for a in actions if not isinstance(a, api.IncrementCounter)] + reply_to_calls(
-        made, now, actions_of(actions, api.IncrementCounter), totals
+        instance, now, actions_of(actions, api.IncrementCounter), totals
     )
--- a/tests/test_ceiling_schedules.py
+++ b/tests/test_ceiling_schedules.py
@@ -1,5 +1,8 @@
-"""Any schedule of losses, delays, kills and returns: doors with their decisions and the store's core keep each ceiling
-to the digit, as the sends leave the doors, with no allowance for clocks."""
+"""Gateways with their decisions and the core of the Redis counter keep each ceiling in any schedule of faults.
+
+The schedules have losses, delays, restarts and recoveries.  The ceiling is held exactly, at the times at which the
+gateways start their attempts, with no tolerance for clocks.
+"""
 
 from __future__ import annotations
 
@@ -17,46 +20,56 @@
 from martenstep.policy.gcra import Gcra
 from tests.test_redis_counter_ceiling import STEP_MS, Doors, most_beyond
 
-LATE_STEPS = 14  # of 2 ms: nearly the time-out, so that answers come late and not too late
+SLOW_REPLY_STEPS = 14  # of 2 ms: nearly the timeout, so that replies come late but not too late
 PLANS = tuple(
     api.Plan(
         "capped",
         rate,
         burst,
-        over_quota_value=over,
+        over_quota_value=over_quota_value,
         over_quota_cost=0.5,
-        ceiling_rate=rate * times,
-        ceiling_burst=max(burst * more, burst),
+        ceiling_rate=rate * rate_ratio,
+        ceiling_burst=max(burst * burst_ratio, burst),
         ceiling_slack=slack,
     )
-    for rate, burst, times, more, slack, over in (
-        (6.0, 12.0, 1.5, 1.25, 3.0, 0.0),  # of the gallery at which a ceiling broke
-        (6.0, 12.0, 1.5, 1.25, 3.0, 1.0),  # and one that earns beyond its quota
+    for rate, burst, rate_ratio, burst_ratio, slack, over_quota_value in (
+        (6.0, 12.0, 1.5, 1.25, 3.0, 0.0),  # the plan of the gallery, with which a ceiling was exceeded
+        (6.0, 12.0, 1.5, 1.25, 3.0, 1.0),  # and one whose sends over quota earn more than they cost
         (20.0, 10.0, 1.2, 1.0, 2.0, 0.0),  # a quota that is nearly its ceiling
-        (2.0, 30.0, 2.5, 1.6, 4.0, 0.0),
+        (2.0, 30.0, 2.5, 1.6, 4.0, 0.0),  # long periods
     )
-)  # long periods
-STATES = ("well", "down", "paused", "late", "lossy", "loading")
-JOLTS = ("none", "emptied", "back", "cut", "restart", "restart all", "evicted", "step", "step back")
-STEPS_MS = (10.0, 900.0, 7000.0, 3_600_000.0)  # of the wall clock that all doors read
+)
+STORE_STATES = ("available", "down", "paused", "slow", "lossy", "loading")
+FAULTS = (
+    "none",
+    "data lost",
+    "older copy restored",
+    "connections cut",
+    "restart",
+    "restart all",
+    "keys evicted",
+    "clock step",
+    "clock step back",
+)
+CLOCK_STEPS_MS = (10.0, 900.0, 7000.0, 3_600_000.0)  # of the wall clock that all gateways read
 
 
 @dataclass(frozen=True)
-class Spell:
-    """A while of one state, that begins with a jolt, and who asks in it."""
+class Phase:
+    """A part of a schedule: a fault at its start, then one state of the store, and requests of one customer."""
 
-    jolt: str
-    state: str
-    for_ms: float
-    rate: float  # of tries a second, of one customer, through all its doors
-    doors: int  # so many of them get the tries
+    fault: str
+    store_state: str
+    duration_ms: float
+    requests_per_s: float  # through all gateways together
+    gateways: int  # that get the requests
 
 
-SPELLS = st.lists(
+SCHEDULES = st.lists(
     st.builds(
-        Spell,
-        st.sampled_from(JOLTS),
-        st.sampled_from(STATES),
+        Phase,
+        st.sampled_from(FAULTS),
+        st.sampled_from(STORE_STATES),
         st.sampled_from((60.0, 700.0, 2500.0)),
         st.sampled_from((0.0, 8.0, 60.0, 300.0)),
         st.integers(1, 6),
@@ -66,47 +79,47 @@
 )
 
 
-def played(spells: list[Spell], doors: int, plan: api.Plan, seed: int, scripts: bool = True) -> Doors:
-    """The spells one after the other, and a good one behind them, in which whatever was missed may be spent."""
-    world, rng = Doors(seed, doors, plan, scripts), random.Random(seed)
+def run_schedule(schedule: list[Phase], gateways: int, plan: api.Plan, seed: int, scripts: bool = True) -> Doors:
+    """Run the phases in order, then one without a fault, in which units that were not counted may be used again."""
+    world, rng = Doors(seed, gateways, plan, scripts), random.Random(seed)
     copy = world.copy()
-    for spell in [*spells, Spell("none", "well", 1500.0, 300.0, doors)]:
-        if spell.jolt == "emptied":
+    for phase in [*schedule, Phase("none", "available", 1500.0, 300.0, gateways)]:
+        if phase.fault == "data lost":
             world.keys.empty()
-        elif spell.jolt == "evicted":
-            # Of a store that is to keep names for their time: with all of them, so that the witness goes as well.
+        elif phase.fault == "keys evicted":
+            # By a store that is to keep keys for their lifetime: all keys, so that the witness is evicted as well.
             for _, key, _, _ in list(world.keys.contents()):
                 world.keys.run(world.session, world.now, [b"DEL", key])
-        elif spell.jolt == "back":
+        elif phase.fault == "older copy restored":
             world.go_back(copy)
-        if spell.jolt in ("back", "cut"):
+        if phase.fault in ("older copy restored", "connections cut"):
             for wire in list(world.wires):
                 world.cut(wire)
-        elif spell.jolt.startswith("step"):
-            world.step_clock(rng.choice(STEPS_MS) * (-1 if spell.jolt == "step back" else 1))
-        elif spell.jolt.startswith("restart"):
-            for door in range(doors) if spell.jolt == "restart all" else [rng.randrange(doors)]:
-                world.restart(door)
-        world.refuses, world.error = spell.state == "down", "LOADING" if spell.state == "loading" else ""
+        elif phase.fault.startswith("clock step"):
+            world.step_clock(rng.choice(CLOCK_STEPS_MS) * (-1 if phase.fault == "clock step back" else 1))
+        elif phase.fault.startswith("restart"):
+            for gateway in range(gateways) if phase.fault == "restart all" else [rng.randrange(gateways)]:
+                world.restart(gateway)
+        world.refuses, world.error = phase.store_state == "down", "LOADING" if phase.store_state == "loading" else ""
         if world.refuses:
             for wire in list(world.wires):
                 world.cut(wire)
-        among = rng.sample(range(doors), min(spell.doors, doors))
-        for step in range(int(spell.for_ms / STEP_MS)):
+        receivers = rng.sample(range(gateways), min(phase.gateways, gateways))
+        for step in range(int(phase.duration_ms / STEP_MS)):
             if step % 100 == 0:
                 copy = world.copy()
-            tries = spell.rate * STEP_MS / 1000
-            for _ in range(math.floor(tries) + (rng.random() < tries % 1)):
-                world.ask(rng.choice(among), 0)
-            world.step(spell.state in ("paused", "late", "lossy"))
-            if spell.state == "late":
+            requests = phase.requests_per_s * STEP_MS / 1000
+            for _ in range(math.floor(requests) + (rng.random() < requests % 1)):
+                world.ask(rng.choice(receivers), 0)
+            world.step(phase.store_state in ("paused", "slow", "lossy"))
+            if phase.store_state == "slow":
                 world.connect()
                 for wire in list(world.wires):
                     while wire.there:
                         world.arrive(wire)
-                    if step % LATE_STEPS == 0:
+                    if step % SLOW_REPLY_STEPS == 0:
                         world.answer(wire)
-            elif spell.state == "lossy":
+            elif phase.store_state == "lossy":
                 world.connect()
                 for wire in list(world.wires):
                     while wire.there:
@@ -118,54 +131,57 @@
     return world
 
 
-@given(SPELLS, st.integers(1, 6), st.sampled_from(PLANS), st.integers(0, 1000), st.booleans())
+@given(SCHEDULES, st.integers(1, 6), st.sampled_from(PLANS), st.integers(0, 1000), st.booleans())
 @hypo(max_examples=30, deadline=None, derandomize=True)
 def test_no_schedule_takes_a_customer_beyond_its_ceiling(
-    spells: list[Spell], doors: int, plan: api.Plan, seed: int, scripts: bool
+    schedule: list[Phase], gateways: int, plan: api.Plan, seed: int, scripts: bool
 ) -> None:
-    world = played(spells, doors, plan, seed, scripts)
+    world = run_schedule(schedule, gateways, plan, seed, scripts)
     assert most_beyond(world.sent[0], plan) <= plan.ceiling_slack + 1e-6
 
 
-OPENING = [
-    Spell("none", "well", 700.0, 8.0, 4),
-    Spell("none", "down", 2500.0, 8.0, 4),
-    Spell("none", "down", 2500.0, 8.0, 4),
-    Spell("none", "well", 700.0, 300.0, 1),
+RECOVERY_IN_A_BURST = [
+    Phase("none", "available", 700.0, 8.0, 4),
+    Phase("none", "down", 2500.0, 8.0, 4),
+    Phase("none", "down", 2500.0, 8.0, 4),
+    Phase("none", "available", 700.0, 300.0, 1),
 ]
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_store_comes_back_as_the_gallery_opens(seed: int) -> None:
-    world = played(OPENING, 4, PLANS[0], seed)
+def test_the_ceiling_is_kept_if_the_store_recovers_as_a_burst_of_requests_begins(seed: int) -> None:
+    world = run_schedule(RECOVERY_IN_A_BURST, 4, PLANS[0], seed)
     assert most_beyond(world.sent[0], PLANS[0]) <= PLANS[0].ceiling_slack
-    assert len(world.sent[0]) > 20  # it was a crowd, and it was served
+    assert len(world.sent[0]) > 20  # requests of the burst were sent
 
 
-def test_without_the_cap_the_schedules_find_a_breach(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The bound on confirmed sends is what keeps it: without it the same check fails."""
+def test_without_the_bound_on_confirmed_sends_a_schedule_exceeds_the_ceiling(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The bound on confirmed sends is what keeps the ceiling: without it the same check fails."""
 
-    def unbound(self: CeilingLimiter, now: float, units: float) -> Gcra | None:
+    def unbounded(self: CeilingLimiter, now: float, units: float) -> Gcra | None:
         return Gcra(1.0, 1.0, now)
 
-    emptied = [Spell("none", "well", 700.0, 60.0, 1), *[Spell("emptied", "well", 700.0, 60.0, 1)] * 2]
-    assert most_beyond(played(emptied, 4, PLANS[0], 0).sent[0], PLANS[0]) <= PLANS[0].ceiling_slack
-    monkeypatch.setattr(CeilingLimiter, "limiter_for", unbound)
-    assert most_beyond(played(emptied, 4, PLANS[0], 0).sent[0], PLANS[0]) > PLANS[0].ceiling_slack
-
-
-STEPPED = [
-    Spell("none", "well", 2500.0, 100.0, 6),
-    Spell("step back", "well", 60.0, 300.0, 6),
-    Spell("restart", "well", 700.0, 300.0, 6),
-    Spell("step", "well", 60.0, 300.0, 6),
-    Spell("restart all", "well", 700.0, 300.0, 6),
+    schedule = [
+        Phase("none", "available", 700.0, 60.0, 1),
+        *[Phase("data lost", "available", 700.0, 60.0, 1)] * 2,
+    ]
+    assert most_beyond(run_schedule(schedule, 4, PLANS[0], 0).sent[0], PLANS[0]) <= PLANS[0].ceiling_slack
+    monkeypatch.setattr(CeilingLimiter, "limiter_for", unbounded)
+    assert most_beyond(run_schedule(schedule, 4, PLANS[0], 0).sent[0], PLANS[0]) > PLANS[0].ceiling_slack
+
+
+CLOCK_STEPS_AND_RESTARTS = [
+    Phase("none", "available", 2500.0, 100.0, 6),
+    Phase("clock step back", "available", 60.0, 300.0, 6),
+    Phase("restart", "available", 700.0, 300.0, 6),
+    Phase("clock step", "available", 60.0, 300.0, 6),
+    Phase("restart all", "available", 700.0, 300.0, 6),
 ]
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_doors_start_anew_as_the_wall_clock_is_stepped(seed: int) -> None:
-    """Some number the periods as before for a moment, some never did."""
+def test_the_ceiling_is_kept_if_gateways_restart_while_the_wall_clock_is_stepped(seed: int) -> None:
+    """For a moment some gateways number the periods as before the step, and those restarted never did."""
     for plan in PLANS:
-        world = played(STEPPED, 6, plan, seed)
+        world = run_schedule(CLOCK_STEPS_AND_RESTARTS, 6, plan, seed)
         assert most_beyond(world.sent[0], plan) <= plan.ceiling_slack + 1e-6
