--- a/martenstep/policy/admission.py
+++ b/martenstep/policy/admission.py
@@ -147,8 +147,8 @@
             customer.unreported_units -= units  # the call may have added them; if it failed, they are unreported again
             if request is not None:
                 actions += self._decide_unconfirmed(now, request)
-        has_surplus = customer.unreported_units < 0 and reading.is_reliable
-        if customer.requests_for_next_call or (has_surplus and self._quota.call_sampler.has_spare_capacity()):
+        has_unsent_units = customer.unreported_units < 0 and reading.is_reliable
+        if customer.requests_for_next_call or (has_unsent_units and self._quota.call_sampler.has_spare_capacity()):
             actions += self._quota.call_counter(now, customer)
         return actions
 
--- a/martenstep/policy/ceiling.py
+++ b/martenstep/policy/ceiling.py
@@ -11,7 +11,7 @@
 from martenstep.policy.gcra import MS_PER_S, Gcra
 from martenstep.policy.messages import Plan, Request, Settings
 
-HEADROOM_SHARE = 0.9  # of the part above the quota: confirmed sends exceed the quota by units that are read late
+HEADROOM_SHARE = 0.9  # of the part above the quota; the rest allows for units of confirmed sends that are read late
 MAX_CLOCK_SKEW_MS = 10.0  # between instances: the total of a period is not relied on so close to the period's end
 
 
@@ -115,7 +115,7 @@
 
     def limiter_for(self, now: float, units: float) -> Gcra | None:
         """The limiter that admits a confirmed send: `confirmed`, else the headroom; None if neither does."""
-        in_period = self.exhausted_at <= now < self._period.end() - MAX_CLOCK_SKEW_MS
-        if in_period and self.confirmed.wait_ms(now, units) <= 0:
+        total_is_reliable = self.exhausted_at <= now < self._period.end() - MAX_CLOCK_SKEW_MS
+        if total_is_reliable and self.confirmed.wait_ms(now, units) <= 0:
             return self.confirmed
         return self.headroom if self.headroom.available_units(now) >= units else None
--- a/martenstep/policy/counter_calls.py
+++ b/martenstep/policy/counter_calls.py
@@ -17,10 +17,10 @@
 
 SAMPLING_RATE_STEP = 0.12  # of the rate's logarithm, up for a reply without delay; a failed call takes 3 steps down
 QUEUEING_DELAY_SHARE = 0.25  # of the counter timeout: a reply later than usual by more indicates a queue at the counter
-MIN_SAMPLING_RATE = 0.05  # while no call is answered, so that the counter's recovery is detected
+MIN_SAMPLING_RATE = 0.05  # kept even while no call is answered, so that the counter's recovery is detected
 MAX_SAMPLING_RATE = 8.0  # above 1, so that without a queue requests whose reply is worth less are sampled too
 MEAN_VALUE_EWMA_WEIGHT = 0.05  # of one request in the mean value of a reply
-MAX_SAMPLING_WEIGHT = 4.0  # requests that one may stand for: with a larger weight chance alone would exhaust a burst
+MAX_SAMPLING_WEIGHT = 4.0  # requests that one may stand for; with more, chance alone could exhaust a burst
 # The least cost of a send over quota, in values of one request: it takes capacity even where the plan's cost is 0.
 MIN_OVER_QUOTA_COST = 0.1
 # The conforming fraction is limited to this and 1 less this: at 0 or 1 the calls that could correct it would stop.
@@ -39,8 +39,8 @@
         self._rng = rng
         self._has_counter = settings.has_counter
         self._timeout_ms = settings.counter_timeout_ms
-        # The probability of a call for a request whose reply has the mean value; above 1 it is certain, and is likely
-        # for requests whose reply is worth less too.
+        # The probability of a call for a request whose reply has the mean value.  Above 1 that call is certain, and a
+        # call for a request whose reply is worth less gets more probable.
         self.sampling_rate = 1.0 if settings.has_counter else 0.0
         self._mean_value = 0.0  # EWMA of what a reply is worth
         self._baseline_latency_ms = QUEUEING_DELAY_SHARE * settings.counter_timeout_ms  # of a call that meets no queue
--- a/martenstep/policy/customer_state.py
+++ b/martenstep/policy/customer_state.py
@@ -20,8 +20,8 @@
 # Time constant of the EWMA of the rates, in periods: long enough to average out chance, short enough to follow a shift
 # of traffic between instances.
 RATE_TIME_CONSTANT_PERIODS = 2.0
-MIN_EVEN_SHARE_FRACTION = 0.5  # of an even share is the least share of an instance, since traffic may move to it
-MAX_IDLE_TOLERANCES = 4.0  # of the burst, or periods if those are longer: an entry is dropped after that idle time
+MIN_EVEN_SHARE_FRACTION = 0.5  # each instance keeps this part of an even share, since traffic may move to it
+MAX_IDLE_TOLERANCES = 4.0  # idle time after which an entry is dropped, in burst tolerances, or in longer periods
 
 
 class CustomerState:
@@ -116,7 +116,7 @@
         self.conforming_fraction += CUSTOMER_CONFORMANCE_EWMA_WEIGHT * (conforms - self.conforming_fraction)
 
     def clock_stepped(self, clock_shift_ms: float, exhausted_at: float) -> None:
-        """Discard what was read and called: a step of the wall clock changes the period numbers, and so the keys.
+        """Discard the totals read and the calls made: a step of the wall clock changes the period numbers and the keys.
 
         Other instances add to the old keys until they have detected the step, so the ceiling counts as exhausted until
         `exhausted_at`.
--- a/martenstep/policy/quota.py
+++ b/martenstep/policy/quota.py
@@ -5,7 +5,8 @@
 
 One call of a customer is in flight at a time.  It adds units to the customer's total and reads the total back.  A
 sampled request waits for a call that adds its units before it is sent; if it is then not sent, a later call subtracts
-them.  Where the last total leaves ample quota, a request is sent at once, and a later call adds its units.
+them.  If the call fails, the request is decided unconfirmed and its units are not reported.  Where the last total
+leaves ample quota, a request is sent at once, and a later call adds its units.
 """
 
 from __future__ import annotations
@@ -22,9 +23,9 @@
 
 # After a step of the wall clock, the time until all instances number periods by the new clock: one may stall 150 ms.
 CLOCK_STEP_DETECTION_MS = 250.0
-CLOSING_READ_BURST_SHARE = 0.75  # if less of the burst is left, the previous period's end matters and is read
+CLOSING_READ_BURST_SHARE = 0.75  # if less of the burst is left, units from the previous period's end matter
 PLAN_CONFORMANCE_EWMA_WEIGHT = 0.05  # of one reply in a plan's conforming fraction: about the last twenty count
-MAX_READING_AGE_PERIODS = 4.0  # for which a total is extrapolated at the rates observed
+MAX_READING_AGE_PERIODS = 4.0  # longest time for which a total is extrapolated at the rates observed
 SWEEP_INTERVAL_MS = 2000.0  # between two searches for stale entries
 
 
--- a/tests/test_many_instances.py
+++ b/tests/test_many_instances.py
@@ -137,7 +137,7 @@
 
 
 def test_an_instance_that_stopped_sending_after_slow_responses_tries_again() -> None:
-    """ied37d6: no request was confirmed, so none was sent, so no response came: 91% were rejected at idle endpoints."""
+    """ied37d6: nothing was confirmed, so nothing was sent and no response came: 91% were rejected at idle endpoints."""
     plans = (api.Plan("plain", rate=5.0, burst=20.0, over_quota_cost=0.5),)
     instance = after_responses(gateway(plans=plans, has_counter=False), 500.0)
     last = START + 20 * 400
