--- a/martenstep/policy/__init__.py
+++ b/martenstep/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a gateway instance, as pure modules: events in, actions out.  `gateway` is the entry point."""
+"""The decisions of a gateway instance: modules without I/O that turn events into actions, entered through `gateway`."""
--- a/martenstep/policy/endpoint_set.py
+++ b/martenstep/policy/endpoint_set.py
@@ -16,12 +16,14 @@
 from martenstep.policy.gcra import MS_PER_S
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointListUpdate, EndpointState, Settings
 
-INITIAL_LATENCY_SHARE = 0.12  # of the shortest latency objective that an endpoint without a response is taken to need
-BOUNDS_REFRESH_RESPONSES = 500  # after so many the least latency, which may have risen, is searched anew
+# Expected latency of an endpoint before any response, in parts of the shortest latency objective.
+INITIAL_LATENCY_SHARE = 0.12
+# Number of responses after which the bounds are recomputed, because the least latency may have risen.
+BOUNDS_REFRESH_RESPONSES = 500
 
 
 def by_rank(stats: EndpointStats) -> float:
-    """The key of the order in which this instance uses endpoints."""
+    """Return the sort key of the order in which this instance uses endpoints."""
     return stats.rank
 
 
@@ -33,16 +35,16 @@
         self._rng = rng
         self._slow_start_window_ms = settings.slow_start_window_ms
         self.min_objective_ms = min((cls.latency_objective_ms for cls in settings.classes), default=MS_PER_S)
-        self.default_latency_ms = INITIAL_LATENCY_SHARE * self.min_objective_ms  # of an endpoint without a response
+        self.default_latency_ms = INITIAL_LATENCY_SHARE * self.min_objective_ms  # expected before a first response
         self.by_id: dict[int, EndpointStats] = {}
-        self.up: list[EndpointStats] = []  # by rank
-        self.all_warm_at = -math.inf  # none is warming up after it
-        self._min_base_latency_ms = math.inf  # none is known to be below it
+        self.up: list[EndpointStats] = []  # sorted by rank
+        self.all_warm_at = -math.inf  # no endpoint is warming up at or after this time
+        self._min_base_latency_ms = math.inf  # lower bound on the known base latencies
         self._max_capacity = 1.0
         self._responses_since_refresh = 0
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Take in an endpoint list: a whole one replaces, a delta applies to what is held."""
+        """Apply an endpoint list: a full list replaces the endpoints held, a delta changes them."""
         if event.scope is EndpointListScope.DELTA:
             for endpoint in event.endpoints:
                 self._apply_change(endpoint)
@@ -53,7 +55,7 @@
                 if endpoint_id not in endpoints_by_id:
                     stats.endpoint = replace(stats.endpoint, state=EndpointState.REMOVED)
         for endpoint_id, endpoint in endpoints_by_id.items():
-            self._put(endpoint_id, endpoint)
+            self._add_or_update(endpoint_id, endpoint)
         self.by_id = {
             endpoint_id: stats
             for endpoint_id, stats in self.by_id.items()
@@ -63,21 +65,21 @@
         self.up.sort(key=by_rank)
         self._refresh_bounds()
 
-    def _put(self, endpoint_id: int, endpoint: Endpoint) -> None:
+    def _add_or_update(self, endpoint_id: int, endpoint: Endpoint) -> None:
         stats = self.by_id.get(endpoint_id)
         if stats is None:
             self.by_id[endpoint_id] = EndpointStats(endpoint, self._rng.random())
         elif endpoint.started_ms > stats.endpoint.started_ms:
-            self.by_id[endpoint_id] = stats.restarted(endpoint)
+            self.by_id[endpoint_id] = stats.after_restart(endpoint)
         else:
             stats.endpoint = endpoint
 
     def _apply_change(self, endpoint: Endpoint) -> None:
-        """Take in one entry of a delta, at a cost that does not grow with the number of endpoints."""
+        """Apply one entry of a delta without a pass over all endpoints."""
         old = self.by_id.get(endpoint.id)
         if old is not None:
-            self._take_out(old)
-        self._put(endpoint.id, endpoint)
+            self._remove_from_order(old)
+        self._add_or_update(endpoint.id, endpoint)
         stats = self.by_id[endpoint.id]
         if endpoint.state is EndpointState.REMOVED and not stats.in_flight:
             del self.by_id[endpoint.id]
@@ -85,8 +87,8 @@
             insort(self.up, stats, key=by_rank)
             self._widen_bounds(stats)
 
-    def _take_out(self, stats: EndpointStats) -> None:
-        """Take an endpoint out of the order, if it is in it."""
+    def _remove_from_order(self, stats: EndpointStats) -> None:
+        """Remove an endpoint from the order, if the order contains it."""
         index = bisect_left(self.up, stats.rank, key=by_rank)
         while index < len(self.up) and self.up[index].rank == stats.rank:
             if self.up[index] is stats:
@@ -94,19 +96,19 @@
                 return
             index += 1
 
-    def move(self, stats: EndpointStats, rank: float) -> None:
-        """Give an endpoint another place in the order."""
-        self._take_out(stats)
+    def set_rank(self, stats: EndpointStats, rank: float) -> None:
+        """Move an endpoint to another place in the order."""
+        self._remove_from_order(stats)
         stats.rank = rank
         if stats.endpoint.state is EndpointState.UP:
             insort(self.up, stats, key=by_rank)
 
     def min_latency_ms(self) -> float:
-        """A lower bound on what an attempt at any endpoint is expected to take."""
+        """Return a lower bound on the expected time of an attempt at any endpoint."""
         return min(self._min_base_latency_ms, self.default_latency_ms / max(self._max_capacity, MIN_CAPACITY))
 
     def record_latency(self, base_latency_ms: float, rtt_ms: float) -> None:
-        """Learn from a response the bounds, and what is expected of endpoints without one."""
+        """Update the bounds, and the latency expected of endpoints without a response, with one response."""
         self._min_base_latency_ms = min(self._min_base_latency_ms, base_latency_ms)
         self._responses_since_refresh += 1
         if self._responses_since_refresh >= BOUNDS_REFRESH_RESPONSES:
@@ -115,9 +117,10 @@
         self.default_latency_ms += weight / 2 * (rtt_ms - self.default_latency_ms)
 
     def _widen_bounds(self, stats: EndpointStats) -> None:
-        """Let the bounds hold for one more endpoint.
+        """Widen the bounds so that they hold for one more endpoint.
 
-        Bounds that are too wide only evaluate more endpoints than needed; a refresh narrows them again.
+        Bounds that are too wide only make the load balancer evaluate more endpoints than needed; a refresh narrows them
+        again.
         """
         self._min_base_latency_ms = min(self._min_base_latency_ms, stats.base_latency_ms or math.inf)
         self._max_capacity = max(self._max_capacity, stats.endpoint.capacity)
--- a/martenstep/policy/endpoint_stats.py
+++ b/martenstep/policy/endpoint_stats.py
@@ -1,6 +1,7 @@
-"""What one instance knows of one endpoint: its latency, its queue, its failures and the attempts in flight there.
+"""The measurements that one instance keeps of one endpoint: latency, queueing delay, failures and attempts in flight.
 
-All times are milliseconds.
+The base latency is the latency without a queue; latency beyond it counts as queueing delay.  All times are
+milliseconds.
 """
 
 from __future__ import annotations
@@ -9,15 +10,28 @@
 
 from martenstep.policy.messages import AttemptId, Endpoint
 
-LATENCY_EWMA_WEIGHT = 0.15  # about the last six responses count
-BASE_LATENCY_WEIGHT_DOWN = 0.1  # a response below the base latency pulls it down by this, ...
-BASE_LATENCY_WEIGHT_UP = 0.02  # ... one above it lifts it by this: it settles where few responses come sooner
-BASE_LATENCY_PRIOR_RESPONSES = 3.0  # that the first guess of a base latency weighs as much as
-MIN_QUEUE_DECAY_MS = 1000.0  # how fast a measured queue fades, and ...
-QUEUE_DECAY_DELAYS = 1.5  # ... in this many times its delay: a long one is drained while others still add to it
-FAILURE_EWMA_WEIGHT = 0.4  # two failures in a row tell
-FAILURE_DECAY_MS = 5000.0  # how fast failures are forgotten, so that an endpoint is tried again
-FAILURE_COST_FACTOR = 6.0  # an endpoint that always fails costs so many times more than a healthy one
+# Weight of one response in the EWMA of the latency: about the last six responses count.
+LATENCY_EWMA_WEIGHT = 0.15
+# Weight in the base latency of one response that was faster than it.
+BASE_LATENCY_WEIGHT_DOWN = 0.1
+# Weight in the base latency of one response that was slower than it.  The weight is smaller than that of a faster
+# response, so that the base latency settles at a level that few responses fall below.
+BASE_LATENCY_WEIGHT_UP = 0.02
+# After n responses the next one has at least the weight 1 / (n + this) in the base latency, so that the initial guess
+# counts as much as a few responses.
+BASE_LATENCY_PRIOR_RESPONSES = 3.0
+# Lower bound on the time constant with which a measured queueing delay decays, in milliseconds.
+MIN_QUEUE_DECAY_MS = 1000.0
+# Time constant of the decay of a queueing delay, in multiples of that delay: other instances still add to a long queue
+# while it drains.
+QUEUE_DECAY_DELAYS = 1.5
+# Weight of one result in the EWMA of the failures: two failures in a row raise the share from 0 to 0.64, enough to act.
+FAILURE_EWMA_WEIGHT = 0.4
+# Time constant with which the failure share decays, in milliseconds, so that a failed endpoint is tried again.
+FAILURE_DECAY_MS = 5000.0
+# An endpoint whose attempts all fail costs 1 + this times as much as a healthy one.
+FAILURE_COST_FACTOR = 6.0
+# Lower bound on the relative capacity by which the expected latency is divided.
 MIN_CAPACITY = 0.1
 
 
@@ -41,64 +55,69 @@
     )
 
     def __init__(self, endpoint: Endpoint, rank: float) -> None:
-        """Begin without measurements; `rank` is the place in the instance's order of endpoints."""
+        """Begin without measurements; `rank` is the endpoint's place in this instance's order of endpoints."""
         self.endpoint = endpoint
         self.rank = rank
-        self.in_flight: dict[AttemptId, float] = {}  # attempts, and when they were started
-        self.base_latency_ms = 0.0  # without a queue: follows low latencies fast and high ones slowly; 0: unknown
-        self.latency_ms = 0.0  # EWMA
+        self.in_flight: dict[AttemptId, float] = {}  # start time of each attempt in flight, in order of start
+        self.base_latency_ms = 0.0  # falls fast with fast responses and rises slowly with slow ones; 0 if unknown
+        self.latency_ms = 0.0  # EWMA over responses, or a lower bound
         self.latency_updated_at = -math.inf
-        self.latency_is_lower_bound = False  # it is a wait without a response, not the time of one
-        self.latest_answered_start = -math.inf  # the start of the latest started attempt that was answered
+        self.latency_is_lower_bound = False  # `latency_ms` was not measured by a response; the latency is at least that
+        self.latest_answered_start = -math.inf  # the latest start among the attempts with a successful response
         self.failure_share = 0.0  # EWMA as of `failure_updated_at`
         self.failure_updated_at = -math.inf
         self.last_response_at = -math.inf
-        self.responses = 0  # successful ones
-        self.slow_start_next_at: float | None = None  # no attempt before it while warming up; None: not planned yet
+        self.responses = 0  # number of successful responses
+        self.slow_start_next_at: float | None = None  # earliest next attempt in slow start; None if not yet scheduled
 
-    def restarted(self, endpoint: Endpoint) -> EndpointStats:
-        """The measurements after the endpoint's restart: nothing is known but the latency without a queue."""
+    def after_restart(self, endpoint: Endpoint) -> EndpointStats:
+        """Return the measurements after the endpoint's restart, which leaves only the base latency valid."""
         fresh = EndpointStats(endpoint, self.rank)
         fresh.in_flight = self.in_flight
         fresh.base_latency_ms = self.base_latency_ms
         return fresh
 
     def current_failure_share(self, now: float) -> float:
-        """Share of attempts that fail, as far as it is not forgotten."""
+        """Return the share of attempts that fail, decayed since its last update."""
         return self.failure_share * math.exp((self.failure_updated_at - now) / FAILURE_DECAY_MS)
 
     def record_result(self, now: float, failed: bool) -> None:
-        """Learn from one result, or from the lack of one, whether attempts fail."""
+        """Update the failure share with one result; an attempt abandoned without a response counts as failed."""
         old_share = self.current_failure_share(now)
         self.failure_share = (1 - FAILURE_EWMA_WEIGHT) * old_share + FAILURE_EWMA_WEIGHT * failed
         self.failure_updated_at = now
 
     def record_response(self, now: float, rtt_ms: float, started_at: float, default_latency_ms: float) -> None:
-        """Learn from the time of a successful response; `default_latency_ms` holds where none came before."""
+        """Update the latencies with a successful response; the first starts from `default_latency_ms`."""
         if not self.base_latency_ms:
             self.base_latency_ms = self.latency_ms = default_latency_ms / max(self.endpoint.capacity, MIN_CAPACITY)
         weight = BASE_LATENCY_WEIGHT_DOWN if rtt_ms < self.base_latency_ms else BASE_LATENCY_WEIGHT_UP
         weight = max(weight, 1 / (self.responses + BASE_LATENCY_PRIOR_RESPONSES))
         self.base_latency_ms += weight * (rtt_ms - self.base_latency_ms)
         self.responses += 1
-        # A response to what was started after a lower bound measures what was guessed: one refutes a wait in vain.
+        # An attempt that started after the bound was recorded measures the latency that the bound only estimated, so
+        # one response to such an attempt replaces the bound.
         refutes_bound = self.latency_is_lower_bound and started_at >= self.latency_updated_at
         self.latency_ms += (1.0 if refutes_bound else LATENCY_EWMA_WEIGHT) * (rtt_ms - self.latency_ms)
         self.latency_updated_at = now
         self.latest_answered_start = max(self.latest_answered_start, started_at)
         self.latency_is_lower_bound = self.latency_is_lower_bound and not refutes_bound
 
-    def record_latency_bound(self, now: float, waited_ms: float) -> None:
-        """Learn from a wait without a response: the queue is this long at least, and abandoned work may be in it."""
-        if waited_ms > self.latency_ms:
-            self.latency_ms = waited_ms
+    def record_latency_bound(self, now: float, bound_ms: float) -> None:
+        """Record that the latency is at least this, though no response measured it.
+
+        An attempt that was given up without a response shows a queue of at least its wait, and the endpoint may still
+        be executing the abandoned work.
+        """
+        if bound_ms > self.latency_ms:
+            self.latency_ms = bound_ms
             self.latency_is_lower_bound = True
         self.latency_updated_at = now
 
     def expected_latency(self, now: float, default_latency_ms: float) -> tuple[float, float]:
-        """Latency without a queue, and the queueing delay.
+        """Return the base latency and the expected queueing delay.
 
-        A measured queue fades, so that an endpoint is not avoided for a queue that is long gone.
+        A measured queueing delay decays, so that an endpoint is not avoided for a queue that has drained long ago.
         """
         base_ms = self.base_latency_ms
         if not base_ms:
@@ -107,14 +126,15 @@
         if queue_ms:
             decay_ms = max(MIN_QUEUE_DECAY_MS, QUEUE_DECAY_DELAYS * queue_ms)
             queue_ms *= math.exp((self.latency_updated_at - now) / decay_ms)
-        # Attempts in flight show a queue before they are answered, the oldest best; not those that later ones overtook.
+        # An attempt in flight for longer than the base latency shows a queue before its response does, and the oldest
+        # attempt shows most of it.  An attempt that a later one overtook shows no queue.
         for started_at in self.in_flight.values():
             if started_at >= self.latest_answered_start:
                 return base_ms, max(queue_ms, now - started_at - base_ms)
         return base_ms, queue_ms
 
     def attempt_cost(self, now: float, default_latency_ms: float) -> float:
-        """What one more attempt would take, more where attempts fail; never below the latency without a queue."""
+        """Return the expected time of one more attempt, raised where attempts fail; never below the base latency."""
         base_ms, queue_ms = self.expected_latency(now, default_latency_ms)
         cost = base_ms * (1 + len(self.in_flight)) + queue_ms
         if self.failure_share:
--- a/martenstep/policy/gateway.py
+++ b/martenstep/policy/gateway.py
@@ -1,6 +1,7 @@
-"""The decisions of one gateway instance: one event in, its actions out.  No I/O, no clock, one seeded source of chance.
+"""The decisions of one gateway instance: each event gives a list of actions.
 
-The types of events and actions are in martenstep/policy/messages.py.
+This code has no I/O and no clock, and its only source of randomness is seeded.  The types of events and actions are in
+martenstep/policy/messages.py.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class Gateway:
-    """Hands each event to the part that decides on it."""
+    """Passes each event to the component that decides on it."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Begin without endpoints and customers; equal seeds and events give equal actions."""
@@ -42,9 +43,9 @@
         self._admission = Admission(settings, self._quota, self._cluster, self._requests, self._timers)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Decide on one event; `now` is in milliseconds on the host's clock.
+        """Return the actions for one event; `now` is in milliseconds on the host's clock.
 
-        Raises ValueError for a request whose class or plan is not among the settings.
+        Raises ValueError for a request whose class or plan is not in the settings.
         """
         match event:
             case Request():
@@ -64,11 +65,11 @@
         return []
 
     def available_units(self, now: float, customer: int) -> float | None:
-        """Units left of a customer's burst as far as this instance knows, for the host to report."""
+        """Return the units left of a customer's burst by this instance's readings, for the host to report."""
         return self._quota.available_units(now, customer)
 
     def _timer_fired(self, now: float, token: int) -> list[Action]:
-        match self._timers.fired(token):
+        match self._timers.pop_purpose(token):
             case SilenceCheck() as check:
                 return self._requests.check_silence(now, check)
             case CounterReport(customer=customer):
--- a/martenstep/policy/load_balancing.py
+++ b/martenstep/policy/load_balancing.py
@@ -1,4 +1,9 @@
-"""The choice of an endpoint: the least expected delay among the few that this instance keeps to."""
+"""Load balancing: picks the endpoint with the least expected delay within this instance's aperture.
+
+The aperture is the set of endpoints, first in this instance's own order, that the instance sends attempts to.  The cost
+of each endpoint in it is its expected delay, multiplied by a random factor that is the stronger the less current the
+instance's measurements are.
+"""
 
 from __future__ import annotations
 
@@ -11,26 +16,39 @@
 from martenstep.policy.send_rate import SendRate
 from martenstep.policy.slow_start import SlowStart
 
-APERTURE_MS = 1500.0  # an instance keeps to as many endpoints as it sends to in this time: so often it hears of each
-MIN_APERTURE = 3.0  # with two, one that is overloaded leaves no choice
-INFORMATIVE_MS = 1000.0  # own attempts at an endpoint in this time tell of its queue, ...
-INFORMATIVE_ATTEMPTS = 1.0  # ... if there are so many; with fewer, chance decides
-MIN_RANDOMNESS = 0.05  # of the choice, so that instances do not move in step
-OTHER_ZONE_COST_FACTOR = 1.06  # an endpoint elsewhere must be this much quicker to be worth the crossing
-CONNECTION_IDLE_MS = 10_000.0  # an endpoint that responded within this is taken to hold a connection still
+# The aperture holds one endpoint for each attempt that the instance starts in this many milliseconds, so that each
+# endpoint in it is measured about this often.
+APERTURE_WINDOW_MS = 1500.0
+# Lower bound on the aperture, in endpoints: with two, one overloaded endpoint would leave no choice.
+MIN_APERTURE_ENDPOINTS = 3.0
+# Window in milliseconds within which an instance's own attempts at an endpoint show its queue.
+INFORMATIVE_WINDOW_MS = 1000.0
+# Attempts per endpoint and informative window from which the choice relies on the measurements; with fewer attempts,
+# the choice is more random.
+INFORMATIVE_ATTEMPTS = 1.0
+# Lower bound on the randomness of the choice, so that instances do not all move to the same endpoint at once.
+MIN_RANDOMNESS = 0.05
+# Cost factor of an endpoint in another zone: it must be faster by this factor to be worth crossing zones.
+OTHER_ZONE_COST_FACTOR = 1.06
+# An endpoint that responded within this many milliseconds is assumed to have an open connection still.
+CONNECTION_IDLE_MS = 10_000.0
+# Weight of one attempt in the EWMA of attempts whose connection could not be made.
 CONNECT_FAILURE_EWMA_WEIGHT = 0.2
-ROTATION_PROBABILITY = 0.05  # of a choice, that the most expensive endpoint gives way to one not used lately
-MAX_COST_RATIO = 1e6  # to the least latency: a cost above it proves nothing about the others
-DRAW_MARGIN = 1e-9  # a draw so near to the proof is evaluated in full
+# Probability per choice that the most expensive endpoint of a full aperture is replaced by one not used lately.
+ROTATION_PROBABILITY = 0.05
+# Ratio of the best cost to the least latency beyond which no draw excludes a candidate, and all are evaluated in full.
+MAX_COST_RATIO = 1e6
+# A draw within this margin of the lowest losing draw is still evaluated in full, so that rounding excludes no winner.
+DRAW_MARGIN = 1e-9
 
 
 class LoadBalancer:
     """Picks endpoints within an aperture.
 
-    If each of hundreds of instances used all endpoints, none would measure any of them well, and all would go on
-    sending to those that are slow, overloaded or lost.  So each keeps to few, in an order of its own, and moves one
-    that fails to the back.  The cost: many instances may find the same few endpoints healthy, which chance and rotation
-    even out.  An instance that sends much uses all endpoints.
+    If each of hundreds of instances used all endpoints, each would measure every endpoint too rarely, and all would
+    continue to send to endpoints that are slow, overloaded or lost.  So each instance uses only a few endpoints, in an
+    order of its own, and moves an endpoint that fails behind its aperture.  The cost: many instances may find the same
+    few endpoints healthy; randomness and rotation even that out.  An instance with a high send rate uses all endpoints.
     """
 
     def __init__(
@@ -41,7 +59,7 @@
         send_rate: SendRate,
         slow_start: SlowStart,
     ) -> None:
-        """Choose among the endpoints that are up; `rng` is the one source of chance of the instance."""
+        """Choose among the endpoints that are up; `rng` is the instance's only source of randomness."""
         self._zone = settings.zone
         self._rng = rng
         self._endpoints = endpoints
@@ -50,20 +68,20 @@
         self._connect_failure_share = 0.0  # EWMA
 
     def aperture_size(self, now: float) -> float:
-        """How many endpoints this instance keeps to at its present rate."""
-        return max(self._send_rate.unbiased_per_ms(now) * APERTURE_MS, MIN_APERTURE)
+        """Return how many endpoints this instance uses at its present send rate."""
+        return max(self._send_rate.unbiased_per_ms(now) * APERTURE_WINDOW_MS, MIN_APERTURE_ENDPOINTS)
 
     def randomness(self, now: float) -> float:
-        """How far the choice is by chance: 1 where nothing is known of the endpoints' queues."""
+        """Return how random the choice is, up to 1 where this instance has no current measurement of the queues."""
         rate = self._send_rate.unbiased_per_ms(now)
-        size = max(rate * APERTURE_MS, MIN_APERTURE)
-        attempts = rate * INFORMATIVE_MS / max(1, min(size, len(self._endpoints.up)))
+        size = max(rate * APERTURE_WINDOW_MS, MIN_APERTURE_ENDPOINTS)
+        attempts = rate * INFORMATIVE_WINDOW_MS / max(1, min(size, len(self._endpoints.up)))
         return max(1 - attempts / INFORMATIVE_ATTEMPTS, MIN_RANDOMNESS)
 
     def pick(self, now: float, eligible: EndpointFilter, attempted: list[int]) -> tuple[Endpoint, float] | None:
-        """The endpoint with the least expected delay, and the latency expected there; None where none may be used.
+        """Return the endpoint with the least cost and the latency expected there; None where none may be used.
 
-        `attempted` holds the ids of endpoints that this request was sent to before.
+        `attempted` holds the ids of the endpoints of this request's earlier attempts.
         """
         size = self.aperture_size(now)
         candidates, draws = self._candidates(now, size, eligible)
@@ -74,7 +92,7 @@
         return None if best is None else (best.endpoint, sum(best.expected_latency(now, default_ms)))
 
     def _candidates(self, now: float, size: float, eligible: EndpointFilter) -> tuple[list[EndpointStats], list[float]]:
-        """The endpoints in the aperture that may be used now, and a draw of chance for each."""
+        """Return the endpoints in the aperture that may be used now, and one random draw for each."""
         draw = self._rng.random
         up = self._endpoints.up
         if eligible is None and now >= self._endpoints.all_warm_at:
@@ -100,19 +118,20 @@
         draws: list[float],
         attempted: list[int],
     ) -> EndpointStats | None:
-        """The candidate of least cost, each cost varied by its draw: where nothing is known, with odds as 1/cost.
+        """Return the candidate with the least cost after each cost is multiplied by a random factor from its draw.
 
-        A draw so high that not even the quickest endpoint could win with it settles a candidate at once.
+        With a randomness of 1 a candidate's odds are proportional to 1/cost.  A candidate whose draw is so high that
+        not even an endpoint with the least latency could win with it is skipped without computing its cost.
         """
         best: EndpointStats | None = None
-        best_cost = winning_draw = math.inf
+        best_cost = lowest_losing_draw = math.inf
         randomness = self.randomness(now)
         default_ms = self._endpoints.default_latency_ms
         min_latency_ms = self._endpoints.min_latency_ms()
-        # Where connection tables are full, all instances keep to endpoints that they are connected to.
+        # Where connections fail, as with full connection tables, instances prefer endpoints that they are connected to.
         connect_factor = 1 + self._connect_failure_share * len(self._endpoints.up)
         for stats, drawn in zip(candidates, draws, strict=True):
-            if drawn >= winning_draw:
+            if drawn >= lowest_losing_draw:
                 continue
             cost = stats.attempt_cost(now, default_ms) * (-math.log(1 - drawn)) ** randomness
             if stats.endpoint.zone != self._zone:
@@ -124,23 +143,24 @@
             if best is None or cost < best_cost:
                 best = stats
                 best_cost = cost
-                # From this draw on not even the quickest endpoint could cost less.
-                is_proof = min_latency_ms > 0 and cost < min_latency_ms * MAX_COST_RATIO
-                min_exponent = (cost / min_latency_ms) ** (1 / randomness) if is_proof else math.inf
-                winning_draw = 1 - math.exp(-min_exponent * (1 + DRAW_MARGIN)) + DRAW_MARGIN
+                # The random factor of the least latency reaches this cost where -log(1 - draw) reaches the exponent.
+                can_exclude = min_latency_ms > 0 and cost < min_latency_ms * MAX_COST_RATIO
+                exponent = (cost / min_latency_ms) ** (1 / randomness) if can_exclude else math.inf
+                lowest_losing_draw = 1 - math.exp(-exponent * (1 + DRAW_MARGIN)) + DRAW_MARGIN
         return best
 
     def demote(self, now: float, stats: EndpointStats) -> None:
-        """Move an endpoint to any place behind the aperture: memory of a bad one by what was tried since, not by time.
+        """Move an endpoint to a random place behind the aperture.
 
-        Not to the end, where all instances would leave it until all others had failed them too.
+        The endpoint returns as the endpoints before it are demoted, not after a time.  It is not moved to the end:
+        there all instances would leave it unused until all other endpoints had failed for them too.
         """
         up = self._endpoints.up
         if up:
             edge = up[min(int(self.aperture_size(now)), len(up) - 1)].rank
             farthest = up[-1].rank + 1 / len(up)
-            self._endpoints.move(stats, edge + (farthest - edge) * self._rng.random())
+            self._endpoints.set_rank(stats, edge + (farthest - edge) * self._rng.random())
 
     def record_connect_result(self, failed: bool) -> None:
-        """Learn from one attempt whether connections can be made."""
+        """Update the share of failed connections with one attempt."""
         self._connect_failure_share += CONNECT_FAILURE_EWMA_WEIGHT * (failed - self._connect_failure_share)
--- a/martenstep/policy/messages.py
+++ b/martenstep/policy/messages.py
@@ -1,8 +1,8 @@
-"""What the decisions take in and give out: settings, events and actions.
+"""The interface of the decisions: their settings, the events that they receive and the actions that they return.
 
-Everything is plain data, so that a host can embed the decisions whatever its protocol looks like.  Times are
-milliseconds on the host's clock; ids are opaque and go back as they came.  The values of the enums are the names that
-logs, metrics and admin pages give.
+All types are plain data, so that a host with any protocol can embed the decisions.  Times are milliseconds on the
+host's clock; ids are opaque and are returned unchanged.  The values of the enums are the names in logs, metrics and
+admin pages.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 
 class Idempotency(Enum):
-    """What a repetition of a request may do."""
+    """The effect that a repetition of a request can have."""
 
-    IDEMPOTENT = "safe"  # no harm
-    KEYED = "keyed"  # no harm within the deduplication scope and window: it has an idempotency key
-    AT_MOST_ONCE = "unsafe"
+    IDEMPOTENT = "safe"  # a repetition does no harm
+    KEYED = "keyed"  # has an idempotency key: a repetition does no harm within the deduplication scope and window
+    AT_MOST_ONCE = "unsafe"  # a repetition may have a second effect
 
 
 class DeduplicationScope(Enum):
     """Which endpoints recognise a repetition of a request with an idempotency key."""
 
     ALL = "all"
-    ZONE = "zone"  # those in the zone of the endpoint that had the first attempt
-    CELL = "cell"
+    ZONE = "zone"  # the endpoints in the same zone as the endpoint of the first attempt
+    CELL = "cell"  # the endpoints in the same cell as the endpoint of the first attempt
 
 
 class CallResult(Enum):
@@ -43,25 +43,25 @@
 
     @property
     def never_executed(self) -> bool:
-        """Whether the result proves that the attempt had no effect."""
+        """Return whether the result proves that the attempt had no effect."""
         return self in (CallResult.OVERLOADED, CallResult.CONNECT_FAILED, CallResult.NOT_SENT)
 
 
 class RejectionReason(Enum):
-    """Why a request is rejected, for the client and the operators; decides nothing."""
-
-    OVER_QUOTA = "quota"  # the customer's use, as far as it is known, leaves nothing of its quota
-    UNCONFIRMED = "unheard"  # the counter has not confirmed the quota, and the own share of it is used
-    CEILING = "ceiling"  # the own share of the ceiling's headroom is used
-    CONCURRENCY_LIMIT = "open limit"  # the plan's limit of attempts in flight is reached
-    OVERLOAD = "overload"  # the endpoints have no capacity for it in time
-    NO_ENDPOINT = "no server"  # no endpoint is listed that it may go to
-    RETRIES_EXHAUSTED = "spent"  # by the number of attempts, the retry budget or the class's window
+    """Why a request is rejected, for the client and the operators; no decision depends on it."""
+
+    OVER_QUOTA = "quota"  # the customer's known use leaves too little of its quota
+    UNCONFIRMED = "unheard"  # the counter has not confirmed the quota, and this instance's share of it is used up
+    CEILING = "ceiling"  # the ceiling has no room: this instance's share of the headroom is used up
+    CONCURRENCY_LIMIT = "open limit"  # the plan's limit on attempts in flight is reached
+    OVERLOAD = "overload"  # the endpoints have no capacity to respond in time
+    NO_ENDPOINT = "no server"  # no listed endpoint may get the request
+    RETRIES_EXHAUSTED = "spent"  # the attempts, the retry budget or the class's deduplication window are used up
     DEADLINE = "late"  # too little of the client's deadline is left
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint."""
+    """The state of an endpoint by discovery."""
 
     UP = "up"
     DRAINING = "draining"
@@ -69,12 +69,12 @@
 
 
 class EndpointListScope(Enum):
-    """What an endpoint list covers."""
+    """Which endpoints an endpoint list covers."""
 
     DELTA = "changes"
     FULL = "full"
     CACHED = "warm copy"  # a full list that may be out of date
-    LOST = "lost"  # no list: discovery is not reachable
+    LOST = "lost"  # no list, because discovery is not reachable
 
 
 def _require_minimum(key: str, value: float, minimum: float) -> None:
@@ -84,9 +84,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: when a response counts, and what a repetition may do.
+    """A class of requests: by when a response is useful, and the effect that a repetition can have.
 
-    Raises ValueError that names a bad key.
+    Raises ValueError that names an invalid key.
     """
 
     name: str
@@ -112,9 +112,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quota and ceiling, for each customer over all instances together.
+    """A plan's quota and ceiling, which apply to each customer over all instances together.
 
-    Rates are in units per second, bursts in units.  Raises ValueError that names a bad key.
+    Rates are in units per second, bursts in units.  Raises ValueError that names an invalid key.
     """
 
     name: str
@@ -148,9 +148,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is configured with at its start; see the protocol page for the meaning of each figure.
+    """The configuration of an instance; see the protocol page for the meaning of each value.
 
-    Raises ValueError that names a bad key.
+    Raises ValueError that names an invalid key.
     """
 
     instance: int
@@ -201,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of an endpoint list; `started_ms` is 0 where the start lies long ago."""
+    """One entry of an endpoint list; `started_ms` is 0 for an endpoint that started long ago."""
 
     id: int
     zone: str
@@ -217,7 +217,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """An endpoint list, whole or as a delta to the last one."""
+    """An endpoint list, either full or as a delta to the last one."""
 
     scope: EndpointListScope
     endpoints: tuple[Endpoint, ...] = ()
@@ -225,9 +225,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request has arrived; it is owed exactly one final answer.
+    """A client's request has arrived; it must get exactly one final answer.
 
-    The customer's requests are spread over `instances` instances, from `first_instance` on.
+    The customer's requests are spread over `instances` instances, starting with `first_instance`.
     """
 
     id: str
@@ -243,14 +243,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The response of a streamed class has begun; the attempt cannot be retried any longer."""
+    """The response of a streamed class has begun; the attempt can no longer be retried."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How one attempt ended; `request_complete` says that the request has its final answer."""
+    """One attempt has ended; `request_complete` is set if the request has its final answer."""
 
     id: str
     attempt: int
@@ -264,20 +264,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client disconnected; nothing more is owed."""
+    """The client disconnected; the request needs no answer."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """The counter's reply to one IncrementCounter, or how the call failed."""
+    """The counter's reply to one IncrementCounter, or the failure of the call."""
 
     key: int
     result: CallResult
     rtt_ms: float
     total: float = 0.0
-    retained_ms: float = math.inf  # for so long the counter has lost nothing, as far as the host can prove
+    retained_ms: float = math.inf  # time for which the host can prove that the counter has lost no data
 
 
 @dataclass(frozen=True, slots=True)
@@ -299,10 +299,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockStepped:
-    """The wall clock, which all instances read, was stepped against the clock of the events.
+    """The wall clock, which all instances read, was stepped relative to the clock of the events.
 
-    Or it may have been shortly before this instance started.  `shift_ms` is what it now reads beyond that clock; 0
-    until the first such event.
+    The event is also given if such a step may have happened shortly before this instance started.  `shift_ms` is the
+    wall clock's reading less that of the clock of the events; it is 0 until the first such event.
     """
 
     shift_ms: float
@@ -330,7 +330,7 @@
     id: str
     endpoint: int
     timeout_ms: float
-    over_quota: bool = False  # as far as this instance knows
+    over_quota: bool = False  # by this instance's readings of the customer's use
 
 
 @dataclass(frozen=True, slots=True)
@@ -343,7 +343,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected, and a retry by the client does no harm."""
+    """Final answer: the request is rejected, and a retry by the client does no harm."""
 
     id: str
     retry_after_ms: float = 0.0
@@ -352,19 +352,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise of what happened."""
+    """Final answer: the request failed, and it may or may not have been executed."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add units to a key of the counter service and learn its total."""
+    """Add units to a key of the counter service and read its total."""
 
     key: int
     units: float
     expire_ms: float
-    bounds_ceiling: bool = False  # its total bounds a ceiling: the host is to prove how long nothing was lost
+    bounds_ceiling: bool = False  # the total bounds a ceiling, so the host must prove how long no data was lost
 
 
 @dataclass(frozen=True, slots=True)
@@ -376,7 +376,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired event at a time."""
+    """Request a TimerFired event at a time."""
 
     at_ms: float
     token: int
@@ -384,17 +384,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on."""
+    """Subscribe to changes of the endpoint list at discovery."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line for the operators."""
 
     text: str
 
 
 AttemptId = tuple[str, int]  # request id and number of the attempt
-EndpointFilter = Callable[[Endpoint], bool] | None  # which endpoints may be used; None: all
+EndpointFilter = Callable[[Endpoint], bool] | None  # whether an endpoint may be used; None allows all endpoints
 Action = StartAttempt | CancelAttempt | Reject | Fail | IncrementCounter | HealthCheck | SetTimer | Subscribe | Log
 Actions = list[Action]
--- a/martenstep/policy/request_lifecycle.py
+++ b/martenstep/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The requests in flight, from their arrival to their final answer: attempts, retries and silent endpoints."""
+"""The requests in flight, from arrival to final answer: attempts, retries and checks for silent endpoints."""
 
 from __future__ import annotations
 
@@ -29,8 +29,10 @@
 from martenstep.policy.timers import SilenceCheck, Timers
 from martenstep.policy.upstream_cluster import UpstreamCluster
 
-MAX_LATENCY_SHARE = 0.75  # of what is left of the latency objective, that an attempt may be expected to take
-RETRY_AFTER_OBJECTIVE_SHARE = 0.1  # of the latency objective, where the endpoints have no capacity
+# Largest part of the remaining latency objective that an attempt may be expected to take.
+MAX_LATENCY_SHARE = 0.75
+# Retry-After, in parts of the class's latency objective, of a request that is given up.
+RETRY_AFTER_OBJECTIVE_SHARE = 0.1
 MIN_RETRY_AFTER_MS = 1.0
 
 
@@ -56,13 +58,13 @@
         self.customer = customer
         self.arrived_at = now
         self.deadline = now + request.remaining_ms
-        self.attempts: list[int] = []  # the endpoint of each
-        self.endpoint: Endpoint | None = None  # where an attempt is in flight
+        self.attempts: list[int] = []  # the endpoint id of each attempt
+        self.endpoint: Endpoint | None = None  # the endpoint of the attempt in flight, if there is one
         self.first_execution: PossibleExecution | None = None  # the first attempt that may have been executed
-        self.is_over_quota = False  # it is forwarded over quota
+        self.is_over_quota = False  # the request is forwarded over quota
 
     def set_endpoint(self, endpoint: Endpoint | None) -> None:
-        """Take in where an attempt is in flight, if one is: the one place where the customer's count changes."""
+        """Set the endpoint of the attempt in flight; only this method changes the customer's attempts in flight."""
         self.customer.in_flight += (endpoint is not None) - (self.endpoint is not None)
         self.endpoint = endpoint
 
@@ -81,12 +83,12 @@
     def begin(
         self, now: float, request: Request, request_class: RequestClass, customer: CustomerState
     ) -> InFlightRequest:
-        """Take in a request that has arrived."""
+        """Add a request that has arrived."""
         in_flight = self._requests[request.id] = InFlightRequest(request, request_class, customer, now)
         return in_flight
 
     def find(self, request_id: str) -> InFlightRequest | None:
-        """The request, unless it has its final answer or its client disconnected."""
+        """Return the request; None if it has its final answer or its client disconnected."""
         return self._requests.get(request_id)
 
     def forget(self, request_id: str) -> None:
@@ -96,16 +98,17 @@
             request.set_endpoint(None)
 
     def reject(self, request: InFlightRequest, retry_after_ms: float, reason: RejectionReason) -> list[Action]:
-        """The final answer to a request that was not executed, or can be repeated."""
+        """Give the final answer to a request that was not executed, or that can be repeated without harm."""
         self.forget(request.request.id)
         return [Reject(request.request.id, max(retry_after_ms, MIN_RETRY_AFTER_MS), reason)]
 
     def start_attempt(
         self, now: float, request: InFlightRequest, max_latency_share: float = MAX_LATENCY_SHARE
     ) -> list[Action]:
-        """Start an attempt where it is expected to be answered in time, else give the final answer.
+        """Start an attempt if a response is expected in time, else give the final answer.
 
-        `max_latency_share` is the part of what is left of the latency objective that it may be expected to take.
+        `max_latency_share` is the largest part of the remaining latency objective that the attempt may be expected to
+        take.
         """
         request_class = request.request_class
         remaining_ms = request.deadline - now
@@ -143,7 +146,7 @@
         return actions
 
     def _give_up(self, request: InFlightRequest, reason: RejectionReason) -> list[Action]:
-        """The final answer: a rejection where a client's retry is certain to do no harm, else a failure."""
+        """Give the final answer: a rejection if a retry by the client is certain to do no harm, else a failure."""
         request_class = request.request_class
         if client_may_retry(request_class, request.first_execution):
             retry_after_ms = request_class.latency_objective_ms * RETRY_AFTER_OBJECTIVE_SHARE
@@ -152,7 +155,7 @@
         return [Fail(request.request.id)]
 
     def attempt_ended(self, now: float, event: AttemptEnded) -> list[Action]:
-        """Take in the end of an attempt: the request is complete, or is retried or given up."""
+        """Handle the end of an attempt: the request is complete, is retried or is given up."""
         request = self._requests.get(event.id)
         objective_ms = request.request_class.latency_objective_ms if request else math.inf
         self._cluster.attempt_ended(now, event, objective_ms)
@@ -168,19 +171,19 @@
         return self.start_attempt(now, request)
 
     def check_silence(self, now: float, check: SilenceCheck) -> list[Action]:
-        """Cancel an attempt at an endpoint that was silent for too long.
+        """Cancel an attempt at an endpoint that has been silent for too long, if a retry can follow.
 
-        Only where a retry can follow: else the work done is wasted for nothing, and a request that may be executed at
-        most once, and may have been, fails long before its deadline.
+        Without a retry, a cancellation would only waste the work done, and a request that may be executed at most once,
+        and may have been executed, would fail long before its deadline.
         """
         request = self._requests.get(check.request_id)
         if request is None or not request.endpoint or len(request.attempts) != check.attempt + 1:
             return []
         attempt = (check.request_id, check.attempt)
-        is_silent = self._cluster.abandons_silent(now, request.attempts[-1], attempt, check.timeout_ms)
+        is_abandoned = self._cluster.abandon_if_silent(now, request.attempts[-1], attempt, check.timeout_ms)
         may_retry = (
             self._retry_budget.has_retry()
             and request.request_class.idempotency is not Idempotency.AT_MOST_ONCE
             and len(request.attempts) < self._settings.max_attempts
         )
-        return [CancelAttempt(check.request_id, check.attempt)] if is_silent and may_retry else []
+        return [CancelAttempt(check.request_id, check.attempt)] if is_abandoned and may_retry else []
--- a/martenstep/policy/retry.py
+++ b/martenstep/policy/retry.py
@@ -1,4 +1,4 @@
-"""Retries: how many are afforded, and where a request that may have been executed can go again."""
+"""Retries: the budget that bounds them, and which endpoints may get a request that may have been executed."""
 
 from __future__ import annotations
 
@@ -6,29 +6,32 @@
 
 from martenstep.policy.messages import DeduplicationScope, Endpoint, EndpointFilter, Idempotency, RequestClass
 
-BUDGET_PER_REQUEST = 0.1  # retries: bounds the extra load when much fails at once, ...
-BUDGET_PER_REQUEST_WHEN_QUICK = 0.4  # ... but while responses are quick there is capacity for more
-MAX_BUDGET = 40.0  # retries that all instances together may save up for the loss of an endpoint, besides one each
+# Retries that each first attempt adds to the budget: bounds the extra load when many attempts fail at once.
+RETRIES_PER_REQUEST = 0.1
+# Retries that each first attempt adds while responses are quick: the endpoints then have capacity for more retries.
+RETRIES_PER_REQUEST_WHEN_QUICK = 0.4
+# Retries that all instances together may save up for the loss of an endpoint; each instance may save up one besides.
+MAX_FLEET_RETRIES = 40.0
 
 
 class RetryBudget:
-    """The retries that this instance may still make."""
+    """The number of retries that this instance may still make."""
 
     def __init__(self, instances: int) -> None:
-        """Begin with all that may be saved up."""
-        self._available = self._maximum = 1 + MAX_BUDGET / instances
+        """Begin with a full budget."""
+        self._available = self._maximum = 1 + MAX_FLEET_RETRIES / instances
 
     def deposit(self, responds_quickly: bool) -> None:
-        """Take in a first attempt."""
-        share = BUDGET_PER_REQUEST_WHEN_QUICK if responds_quickly else BUDGET_PER_REQUEST
-        self._available = min(self._available + share, self._maximum)
+        """Add what the first attempt of a request earns."""
+        earned = RETRIES_PER_REQUEST_WHEN_QUICK if responds_quickly else RETRIES_PER_REQUEST
+        self._available = min(self._available + earned, self._maximum)
 
     def has_retry(self) -> bool:
-        """Whether a retry may be made."""
+        """Return whether a retry may be made."""
         return self._available >= 1
 
     def withdraw(self) -> None:
-        """Take in a retry."""
+        """Subtract a retry that is made."""
         self._available -= 1
 
 
@@ -40,7 +43,7 @@
 
 
 def may_execute_again(request_class: RequestClass, execution: PossibleExecution, now: float) -> bool:
-    """Whether the class allows another attempt after one that may have been executed."""
+    """Return whether the class allows another attempt after one that may have been executed."""
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     window_end = execution.started_at + request_class.deduplication_window_ms
@@ -48,7 +51,10 @@
 
 
 def retry_filter(request_class: RequestClass, execution: PossibleExecution) -> EndpointFilter:
-    """The endpoints that recognise a repetition, where the class allows one; None for all."""
+    """Return the filter of the endpoints that may get a repetition; None for all.
+
+    Without idempotency a repetition is safe only at endpoints that recognise it by its idempotency key.
+    """
     first = execution.endpoint
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return None
@@ -60,7 +66,7 @@
 
 
 def client_may_retry(request_class: RequestClass, execution: PossibleExecution | None) -> bool:
-    """Whether a retry by the client is certain to do no harm, so that the request may be rejected."""
+    """Return whether a retry by the client is certain to do no harm, so that the request may be rejected."""
     return (
         execution is None
         or request_class.idempotency is Idempotency.IDEMPOTENT
--- a/martenstep/policy/timers.py
+++ b/martenstep/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timers that an instance has set, and what each is for."""
+"""The timers that an instance has set, and the purpose of each."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class SilenceCheck:
-    """Look whether the endpoint of an attempt has been silent for too long."""
+    """Check whether the endpoint of an attempt has been silent for too long."""
 
     request_id: str
     attempt: int
@@ -19,13 +19,13 @@
 
 @dataclass(slots=True)
 class CounterReport:
-    """Report to the counter the units that were sent without it."""
+    """Report to the counter the units that were sent ahead of their report."""
 
     customer: CustomerState
 
 
 class Timers:
-    """Hands out tokens for timers and gives back their purpose."""
+    """Assigns a token to each timer and keeps its purpose until the timer fires."""
 
     def __init__(self) -> None:
         """Begin without timers."""
@@ -33,11 +33,11 @@
         self._last_token = 0
 
     def set(self, at_ms: float, purpose: SilenceCheck | CounterReport) -> SetTimer:
-        """The action that sets a timer."""
+        """Return the action that sets a timer."""
         self._last_token += 1
         self._purposes[self._last_token] = purpose
         return SetTimer(at_ms, self._last_token)
 
-    def fired(self, token: int) -> SilenceCheck | CounterReport | None:
-        """The purpose of a timer that has fired; None for one that is not known."""
+    def pop_purpose(self, token: int) -> SilenceCheck | CounterReport | None:
+        """Remove a timer that has fired and return its purpose; None if the token is unknown."""
         return self._purposes.pop(token, None)
--- a/martenstep/policy/upstream_cluster.py
+++ b/martenstep/policy/upstream_cluster.py
@@ -1,4 +1,4 @@
-"""All endpoints as one instance sees them: which are there, how loaded and healthy they are, and which to use."""
+"""All endpoints as one instance has observed them: which are listed, how loaded and healthy they are, which to use."""
 
 from __future__ import annotations
 
@@ -20,16 +20,20 @@
 from martenstep.policy.send_rate import SendRate
 from martenstep.policy.slow_start import SlowStart
 
-SILENCE_LATENCIES = 4.0  # no response for so many expected latencies is silence
-MIN_SILENCE_LATENCY_SHARE = 0.75  # of the latency of all endpoints is expected at least: few responses tell of each
-MIN_SILENCE_OBJECTIVE_SHARE = 0.35  # no less than this part of the objective, so that one long request is not silence
+# An endpoint without a response for this many times its expected latency counts as silent.
+SILENCE_LATENCY_MULTIPLE = 4.0
+# Lower bound on the expected latency in that rule, in parts of the mean latency of all endpoints, because the latency
+# of a single endpoint is measured by few responses.
+MIN_SILENCE_LATENCY_SHARE = 0.75
+# Lower bound on the silence time-out, in parts of the latency objective, so that one long request is not silence.
+MIN_SILENCE_OBJECTIVE_SHARE = 0.35
 
 
 class UpstreamCluster:
-    """Takes in what happens at the endpoints, and picks one for each attempt."""
+    """Records the attempts at all endpoints and their results, and picks an endpoint for each attempt."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        """Begin without endpoints; `rng` is the one source of chance of the instance."""
+        """Begin without endpoints; `rng` is the instance's only source of randomness."""
         self.endpoints = EndpointSet(settings, rng)
         self.limit = ConcurrencyLimit(settings.instances, rng)
         self._send_rate = SendRate()
@@ -37,19 +41,19 @@
         self._balancer = LoadBalancer(settings, rng, self.endpoints, self._send_rate, self._slow_start)
 
     def update_endpoints(self, event: EndpointListUpdate) -> None:
-        """Take in an endpoint list."""
+        """Apply an endpoint list."""
         self.endpoints.update(event)
 
     def responds_quickly(self, now: float) -> bool:
-        """Whether what responds at all does so quickly."""
+        """Return whether the responses that arrive are quick."""
         return self.limit.responds_quickly(self._balancer.randomness(now))
 
     def is_half_open(self, now: float) -> bool:
-        """Whether an unconfirmed request is admitted though responses are slow."""
+        """Return whether an unconfirmed request is admitted though responses are slow."""
         return self.limit.is_half_open(len(self.endpoints.up), now - self._send_rate.last_at)
 
     def is_at_limit(self) -> bool:
-        """Whether as many attempts are in flight as may be."""
+        """Return whether the concurrency limit is reached."""
         return self.limit.is_reached(len(self.endpoints.up))
 
     def pick(self, now: float, eligible: EndpointFilter, attempted: list[int]) -> tuple[Endpoint, float] | None:
@@ -57,14 +61,14 @@
         return self._balancer.pick(now, eligible, attempted)
 
     def silence_timeout_ms(self, now: float, endpoint_id: int, objective_ms: float) -> float:
-        """How long without a response of an endpoint is silence."""
+        """Return the time without a response after which an endpoint counts as silent."""
         stats = self.endpoints.by_id[endpoint_id]
         expected_ms = sum(stats.expected_latency(now, self.endpoints.default_latency_ms))
         usual_ms = max(expected_ms, MIN_SILENCE_LATENCY_SHARE * self.limit.latency_share * objective_ms)
-        return max(SILENCE_LATENCIES * usual_ms, MIN_SILENCE_OBJECTIVE_SHARE * objective_ms)
+        return max(SILENCE_LATENCY_MULTIPLE * usual_ms, MIN_SILENCE_OBJECTIVE_SHARE * objective_ms)
 
     def attempt_started(self, now: float, endpoint_id: int, attempt: AttemptId) -> None:
-        """Take in that an attempt was started."""
+        """Record that an attempt was started."""
         stats = self.endpoints.by_id[endpoint_id]
         stats.in_flight[attempt] = now
         self.limit.in_flight += 1
@@ -72,7 +76,7 @@
         self._slow_start.record_start(now, stats)
 
     def attempt_ended(self, now: float, event: AttemptEnded, objective_ms: float) -> None:
-        """Learn from how an attempt ended; `objective_ms` is infinite for a request that is forgotten."""
+        """Record how an attempt ended; `objective_ms` is infinite if the request is no longer in flight."""
         self.limit.in_flight -= 1
         stats = self.endpoints.by_id.get(event.endpoint)
         if stats is None:
@@ -85,9 +89,10 @@
         if result is CallResult.OK:
             self._record_response(now, stats, event.rtt_ms, started_at, objective_ms)
         elif result is CallResult.OVERLOADED:
-            # Its response comes at once: without this an overloaded endpoint would look idle and draw all traffic.
+            # An overloaded endpoint responds at once: without this bound it would look idle and attract all traffic.
             stats.record_latency_bound(now, self.endpoints.min_objective_ms)
-        elif result is CallResult.TIMEOUT and started_at >= stats.latest_answered_start:  # else of its connection only
+        elif result is CallResult.TIMEOUT and started_at >= stats.latest_answered_start:
+            # A time-out that a later attempt overtook is a fault of its connection and shows no load of the endpoint.
             randomness = self._balancer.randomness(now)
             self.limit.record_timeout(len(self.endpoints.up), event.rtt_ms, objective_ms, randomness)
             stats.record_latency_bound(now, event.rtt_ms)
@@ -105,12 +110,16 @@
         randomness = self._balancer.randomness(now)
         self.limit.record_response(len(self.endpoints.up), rtt_ms, objective_ms, randomness)
 
-    def abandons_silent(self, now: float, endpoint_id: int, attempt: AttemptId, silence_timeout_ms: float) -> bool:
-        """Whether nothing has come from an endpoint for so long that an attempt there is abandoned."""
+    def abandon_if_silent(self, now: float, endpoint_id: int, attempt: AttemptId, silence_timeout_ms: float) -> bool:
+        """Record a failure if the endpoint of an attempt is silent; return whether the attempt is to be abandoned.
+
+        The attempt is not abandoned while the responses that arrive are slow.
+        """
         stats = self.endpoints.by_id.get(endpoint_id)
         if stats is None or attempt not in stats.in_flight or now - stats.last_response_at < silence_timeout_ms:
             return False
-        stats.record_latency_bound(now, now - stats.in_flight[attempt])  # else only quick responses would count
+        # Without this bound only quick responses would enter the measured latency.
+        stats.record_latency_bound(now, now - stats.in_flight[attempt])
         stats.record_result(now, True)
         self._balancer.demote(now, stats)
         return self.responds_quickly(now)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martenstep.policy.start_times import MAX_LISTING_DELAY_MS, MAX_UNLISTED, StartTimes
+from martenstep.policy.start_times import MAX_LISTING_DELAY_MS, MAX_UNLISTED_STARTS, StartTimes
 
 NOW, REPORTED = 90_000.0, 1_700_000_000_000.0
 HOUR_MS = 3_600_000.0
@@ -40,7 +40,7 @@
     first = starts.local_start("s", REPORTED, 100.0, NOW, 1000.0)
     starts.trim({})
     assert starts.local_start("s", REPORTED, HOUR_MS, NOW + 20_000.0, 1000.0) == first
-    for number in range(2 * MAX_UNLISTED):
+    for number in range(2 * MAX_UNLISTED_STARTS):
         starts.local_start(number, REPORTED, 0.0, NOW, 1000.0)
         starts.trim({})
     assert starts.local_start("s", REPORTED, HOUR_MS, NOW + 30_000.0, 1000.0) == NOW + 30_000.0
@@ -50,7 +50,7 @@
     """It would be taken for one that started just now, and be cold, at the next whole list."""
     starts = StartTimes()
     first = starts.local_start("s", REPORTED, 100.0, NOW, math.inf)
-    for number in range(3 * MAX_UNLISTED):
+    for number in range(3 * MAX_UNLISTED_STARTS):
         starts.local_start(number, REPORTED, 0.0, NOW, 1000.0)
         starts.trim({"s": 1, number: 2})
     assert starts.local_start("s", REPORTED, HOUR_MS, NOW + HOUR_MS, 1000.0) == first
