--- a/martenstep/simulator/__init__.py
+++ b/martenstep/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the decisions and the simulator's text protocol; the protocol's names are mapped here, once."""
+"""The adapter between the decisions and the simulator's text protocol; only this package has the protocol's names."""
--- a/martenstep/simulator/__main__.py
+++ b/martenstep/simulator/__main__.py
@@ -12,7 +12,7 @@
 
 
 def main() -> NoReturn:
-    """Serve standard input; exit with 0 at its end, 2 on a malformed line."""
+    """Serve standard input; exit with status 0 at its end and with status 2 after a malformed line."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
         serve(sys.stdin, sys.stdout)
--- a/martenstep/simulator/codec.py
+++ b/martenstep/simulator/codec.py
@@ -1,4 +1,4 @@
-"""The events and actions of the decisions as lines of the simulator's protocol, and back."""
+"""Decodes events from lines of the simulator's protocol and encodes actions as lines."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def decode_endpoint(fields: Fields) -> Endpoint:
-    """One BACKEND line; raises ProtocolError."""
+    """Decode the fields of one BACKEND line; raises ProtocolError."""
     return Endpoint(
         id=fields.integer("backend"),
         zone=fields.text("zone", ""),
@@ -64,7 +64,7 @@
 
 
 def decode_event(name: str, fields: Fields) -> Event | None:
-    """One event line; None for a message that the decisions have no use for.  Raises ProtocolError."""
+    """Decode one event line; None for a message that the decisions do not use.  Raises ProtocolError."""
     if name in IGNORED_EVENTS:
         return None
     decode = EVENT_DECODERS.get(name)
@@ -130,7 +130,10 @@
 
 
 def encode_action(instance: str, action: Action) -> str:
-    """One action of an instance as a line: a flat table of all actions, which is why it has many returns."""
+    """Encode one action of an instance as a line.
+
+    The function is a flat table of all actions, which is why it has many returns.
+    """
     match action:
         case StartAttempt(id=request_id, endpoint=endpoint, timeout_ms=timeout_ms):
             return f"HAND_OFF door={instance} rid={request_id} timeout_ms={timeout_ms:.3f} backend={endpoint}"
--- a/martenstep/simulator/host.py
+++ b/martenstep/simulator/host.py
@@ -1,7 +1,7 @@
-"""Hosts gateway instances on the simulator's protocol: reads batches of events, writes one reply to each.
+"""Hosts gateway instances on the simulator's protocol: reads batches of events and writes one reply to each batch.
 
-Only translation happens here.  Instances share nothing; a malformed line ends the session with a ProtocolError, and an
-exception in the decisions is reported with DIE.
+The host only translates.  Instances share no state.  A malformed line ends the session with a ProtocolError, and an
+exception in the decisions is reported with a DIE line.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Host:
-    """The instances of one process and the numbered endpoint lists that they refer to."""
+    """The instances of one process and the numbered endpoint lists that UPDATE messages refer to."""
 
     def __init__(self) -> None:
         """Begin without instances."""
@@ -25,11 +25,11 @@
         self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def add_endpoint_list(self, number: int, endpoints: tuple[Endpoint, ...]) -> None:
-        """Keep a numbered list until the number is used again."""
+        """Store an endpoint list under its number; a later list with the same number replaces it."""
         self._endpoint_lists[number] = endpoints
 
     def handle(self, now_ms: float, name: str, fields: Fields) -> Iterator[str]:
-        """Give one event to its instance and yield the lines of its actions; raises ProtocolError."""
+        """Pass one event to its instance and yield the lines of its actions; raises ProtocolError."""
         instance = fields.text("door")
         if name == "DETACH":
             self._gateways.pop(instance, None)
@@ -65,7 +65,7 @@
 
 
 class MessageReader:
-    """Reads messages and knows the number of the line that was read last."""
+    """Reads messages and counts the lines read, so that an error can name its line."""
 
     def __init__(self, source: TextIO) -> None:
         """Begin before the first line."""
@@ -73,7 +73,7 @@
         self.line_number = 0
 
     def __iter__(self) -> Iterator[tuple[str, Fields]]:
-        """The messages to the input's end; empty lines are passed over.  Raises ProtocolError."""
+        """Yield the messages up to the end of the input, without empty lines; raises ProtocolError."""
         for text in self._lines:
             self.line_number += 1
             line = text.rstrip("\r\n")
@@ -81,7 +81,7 @@
                 yield parse_line(line)
 
     def expect(self, expected: str) -> Fields:
-        """The fields of the next line, which must hold this message; raises ProtocolError."""
+        """Return the fields of the next line, which must hold the expected message; raises ProtocolError."""
         self.line_number += 1
         name, fields = parse_line(next(self._lines, "").rstrip("\r\n"))
         if name != expected:
@@ -90,7 +90,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends; raises ProtocolError with the line's number."""
+    """Reply to each batch until the input ends; raises ProtocolError with the number of a malformed line."""
     reader = MessageReader(source)
     try:
         _serve_batches(reader, sink)
--- a/martenstep/simulator/settings_codec.py
+++ b/martenstep/simulator/settings_codec.py
@@ -1,4 +1,4 @@
-"""The settings of an instance as the simulator and the platform give them, in JSON.
+"""Decodes the settings of an instance from the JSON that the simulator and the platform send.
 
 Unknown keys are ignored.
 """
@@ -28,7 +28,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Read settings from JSON text; raises ProtocolError, or ValueError that names the key."""
+    """Decode settings from JSON text; raises ProtocolError, or ValueError that names the key."""
     try:
         raw = json.loads(text)
     except ValueError:
@@ -39,7 +39,7 @@
 
 
 def decode_settings(raw: JsonObject) -> Settings:
-    """Read settings from a JSON object; raises ValueError that names the key."""
+    """Decode settings from a JSON object; raises ValueError that names the key."""
     limits = _required(raw, "policy_limits")
     rules = _required(raw, "rules")
     try:
@@ -49,7 +49,7 @@
 
 
 def _decode_settings(raw: JsonObject, limits: JsonObject, rules: JsonObject) -> Settings:
-    """A flat table of keys, which is why it is long."""
+    """Decode all keys; the function is a flat table of them, which is why it is long."""
     family = raw.get("family_info", {})
     feedback = raw.get("feedback", {})
     return Settings(
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -1,4 +1,4 @@
-"""A seeded world around one gateway: endpoints, a counter, clients and a clock, for the trace of its decisions."""
+"""A seeded simulation of the endpoints, counter, clients and clock of one gateway, for the trace of its decisions."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """One world: the gateway's settings, what arrives, and how endpoints and the counter behave."""
+    """One simulation: the gateway's settings, the requests, and the behaviour of the endpoints and the counter."""
 
     name: str
     seed: int
@@ -34,17 +34,17 @@
     requests_per_s: float
     customers: int
     latency_ms: float
-    error_share: float  # of attempts that end in another way than well
+    error_share: float  # share of attempts that do not succeed
     list_every_ms: float
     counter_ms: float = 3.0
     counter_fault_share: float = 0.0
     clock_step_every_ms: float = math.inf
     events: int = 1500
-    strays: bool = False  # answers come to what was never asked
+    strays: bool = False  # events arrive that match no request, attempt, call or timer of the gateway
 
 
-def line(action: api.Action) -> str:
-    """One action in full, its floats to the last digit."""
+def trace_line(action: api.Action) -> str:
+    """Return one action as a line with all its fields, floats to the last digit."""
     match action:
         case api.StartAttempt():
             return f"send {action.id} {action.endpoint} {action.timeout_ms!r} {action.over_quota}"
@@ -68,7 +68,7 @@
 
 
 class World:
-    """Endpoints, a counter, clients and a clock around one gateway; all chance comes from one seed."""
+    """The endpoints, counter, clients and clock of one gateway; one seed determines all random draws."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -78,32 +78,32 @@
         self.queue: list[tuple[float, int, api.Event]] = []
         self.sequence = 0
         self.requests = 0
-        self.attempts: dict[str, int] = {}  # attempts begun, by request
-        self.running: dict[tuple[str, int], tuple[float, int]] = {}  # since when and where
+        self.attempts: dict[str, int] = {}  # number of the last attempt, by request
+        self.running: dict[tuple[str, int], tuple[float, int]] = {}  # start time and endpoint, by attempt
         self.totals: dict[int, float] = {}
         self.started = [0.0] * scenario.endpoints
         self.states = [api.EndpointState.UP] * scenario.endpoints
-        self.spread = [self.rng.uniform(0.5, 2.5) for _ in range(scenario.endpoints)]
+        self.latency_factors = [self.rng.uniform(0.5, 2.5) for _ in range(scenario.endpoints)]
         self.lines: list[str] = []
 
-    def later(self, delay_ms: float, event: api.Event) -> None:
-        """Plan an event."""
+    def schedule(self, delay_ms: float, event: api.Event) -> None:
+        """Schedule an event."""
         self.sequence += 1
         heapq.heappush(self.queue, (self.now + delay_ms, self.sequence, event))
 
     def endpoint(self, number: int) -> api.Endpoint:
-        """An endpoint's entry in a list."""
+        """Return an endpoint's entry in a list."""
         zone, kind = "ab"[number % 2], ("std", "big")[number % 3 == 0]
         size = 1.0 + number % 3 * 0.5 if self.scenario.settings.has_capacity_weights else 1.0
         return api.Endpoint(number + 1, zone, kind, number % 4, self.states[number], size, self.started[number])
 
-    def everyone(self) -> tuple[api.Endpoint, ...]:
-        """The whole list, but for what is gone."""
+    def listed_endpoints(self) -> tuple[api.Endpoint, ...]:
+        """Return the full list, without removed endpoints."""
         entries = [self.endpoint(number) for number in range(self.scenario.endpoints)]
         return tuple(entry for entry in entries if entry.state is not api.EndpointState.REMOVED)
 
     def next_list(self) -> api.EndpointListUpdate:
-        """Some endpoints leave, drain, come back cold; told as a delta or as a whole list."""
+        """Remove, drain or restart some endpoints, and return a delta, a full list or the loss of the list."""
         changed = [self.rng.randrange(self.scenario.endpoints) for _ in range(self.rng.randrange(1, 4))]
         for number in changed:
             old = self.states[number]
@@ -122,31 +122,33 @@
                 api.EndpointListScope.DELTA, tuple(self.endpoint(number) for number in changed)
             )
         if kind < 0.85:
-            return api.EndpointListUpdate(api.EndpointListScope.FULL, self.everyone())
+            return api.EndpointListUpdate(api.EndpointListScope.FULL, self.listed_endpoints())
         return (
             api.EndpointListUpdate(api.EndpointListScope.LOST)
             if kind < 0.93
-            else api.EndpointListUpdate(api.EndpointListScope.CACHED, self.everyone())
+            else api.EndpointListUpdate(api.EndpointListScope.CACHED, self.listed_endpoints())
         )
 
     def next_request(self) -> api.Request:
-        """A request of a random customer; a customer has one plan and one class of its own."""
+        """Return a request of a random customer in a random class; each customer has one plan."""
         self.requests += 1
         customer = min(int(self.rng.expovariate(4.0 / self.scenario.customers)), self.scenario.customers - 1)
         plan = self.scenario.plans[customer % len(self.scenario.plans)]
-        cls = CLASSES[self.rng.randrange(len(CLASSES))]
-        remaining = cls.deadline_ms * self.rng.choice((1.0, 1.0, 0.5, 0.05))
+        request_class = CLASSES[self.rng.randrange(len(CLASSES))]
+        remaining = request_class.deadline_ms * self.rng.choice((1.0, 1.0, 0.5, 0.05))
         units = float(self.rng.choice((1, 1, 1, 2, 4)))
         spread = 1 + customer % self.scenario.settings.instances
         first = customer % self.scenario.settings.instances
         rid = f"{self.requests:016x}"
-        return api.Request(rid, cls.name, plan, customer, remaining, units, spread, first, self.requests % 5 == 0)
+        return api.Request(
+            rid, request_class.name, plan, customer, remaining, units, spread, first, self.requests % 5 == 0
+        )
 
-    def attempt(self, send: api.StartAttempt) -> None:
-        """Begin an attempt and plan its end."""
+    def start_attempt(self, send: api.StartAttempt) -> None:
+        """Start an attempt and schedule its end."""
         number = self.attempts[send.id] = self.attempts.get(send.id, -1) + 1
         self.running[send.id, number] = self.now, send.endpoint
-        rtt = self.scenario.latency_ms * self.spread[send.endpoint - 1] * self.rng.uniform(0.6, 1.8)
+        rtt = self.scenario.latency_ms * self.latency_factors[send.endpoint - 1] * self.rng.uniform(0.6, 1.8)
         result = api.CallResult.OK
         if self.rng.random() < self.scenario.error_share:
             result = self.rng.choice(
@@ -156,12 +158,12 @@
         if rtt >= send.timeout_ms:
             result, rtt = api.CallResult.TIMEOUT, send.timeout_ms
         ended = result is api.CallResult.OK or rtt >= send.timeout_ms
-        self.later(rtt, api.AttemptEnded(send.id, number, send.endpoint, result, rtt, ended, 1.5, (1.0, 2.0)))
+        self.schedule(rtt, api.AttemptEnded(send.id, number, send.endpoint, result, rtt, ended, 1.5, (1.0, 2.0)))
         if self.rng.random() < 0.05:
-            self.later(rtt * 0.5, api.ResponseStarted(send.id))
+            self.schedule(rtt * 0.5, api.ResponseStarted(send.id))
 
-    def count(self, call: api.IncrementCounter) -> None:
-        """Play the counter: it may lose the call, lose the answer, or answer late."""
+    def increment_counter(self, call: api.IncrementCounter) -> None:
+        """Apply a counter call and schedule its reply; a fault loses the call or the reply."""
         delay = self.scenario.counter_ms * self.rng.uniform(0.5, 2.5)
         fault = self.rng.random() < self.scenario.counter_fault_share
         applied = not fault or self.rng.random() < 0.5
@@ -170,29 +172,29 @@
             self.totals[call.key] = self.totals.get(call.key, 0.0) + call.units + elsewhere
         if fault:
             result = self.rng.choice((api.CallResult.TIMEOUT, api.CallResult.ERROR, api.CallResult.CONNECT_FAILED))
-            self.later(self.scenario.settings.counter_timeout_ms, api.CounterReply(call.key, result, delay))
+            self.schedule(self.scenario.settings.counter_timeout_ms, api.CounterReply(call.key, result, delay))
             return
         kept = self.rng.choice((math.inf, math.inf, math.inf, self.rng.uniform(0.0, 8000.0)))
-        self.later(delay, api.CounterReply(call.key, api.CallResult.OK, delay, self.totals[call.key], kept))
+        self.schedule(delay, api.CounterReply(call.key, api.CallResult.OK, delay, self.totals[call.key], kept))
 
-    def carry_out(self, action: api.Action) -> None:
-        """Let the world answer one action."""
+    def execute(self, action: api.Action) -> None:
+        """Schedule the events that follow from one action."""
         match action:
             case api.StartAttempt():
-                self.attempt(action)
+                self.start_attempt(action)
             case api.IncrementCounter():
-                self.count(action)
+                self.increment_counter(action)
             case api.SetTimer():
-                self.later(max(action.at_ms - self.now, 0.0), api.TimerFired(action.token))
+                self.schedule(max(action.at_ms - self.now, 0.0), api.TimerFired(action.token))
             case api.CancelAttempt():
                 since, server = self.running[action.id, action.attempt]
                 rtt = self.now - since
-                self.later(
+                self.schedule(
                     0.2, api.AttemptEnded(action.id, action.attempt, server, api.CallResult.CANCELLED, rtt + 0.2, False)
                 )
 
     def next_event(self) -> api.Event:
-        """The next event; of a cancelled attempt only the first end counts."""
+        """Return the next event; an attempt's second end, which follows a cancellation, is skipped."""
         while True:
             self.now, _, event = heapq.heappop(self.queue)
             if not isinstance(event, api.AttemptEnded):
@@ -200,44 +202,44 @@
             if self.running.pop((event.id, event.attempt), None) is not None:
                 return event
 
-    def renew(self, event: api.Event) -> None:
-        """Plan the next event of a kind that comes again and again."""
+    def schedule_next(self, event: api.Event) -> None:
+        """Schedule the next event of a kind that recurs."""
         scenario, rng = self.scenario, self.rng
         if isinstance(event, api.Request):
             burst = 0.1 if self.requests % 200 < 60 else 1.0
-            self.later(rng.expovariate(1.0) * 1000.0 / scenario.requests_per_s * burst, self.next_request())
+            self.schedule(rng.expovariate(1.0) * 1000.0 / scenario.requests_per_s * burst, self.next_request())
             if rng.random() < 0.03:
-                self.later(rng.uniform(1.0, 200.0), api.ClientDisconnected(event.id))
+                self.schedule(rng.uniform(1.0, 200.0), api.ClientDisconnected(event.id))
         elif isinstance(event, api.EndpointListUpdate):
-            self.later(rng.uniform(0.5, 1.5) * scenario.list_every_ms, self.next_list())
+            self.schedule(rng.uniform(0.5, 1.5) * scenario.list_every_ms, self.next_list())
         elif isinstance(event, api.ClockStepped):
             step = rng.choice((10.0, 900.0, -7000.0, 3_600_000.0))
-            self.later(scenario.clock_step_every_ms, api.ClockStepped(event.shift_ms + step))
+            self.schedule(scenario.clock_step_every_ms, api.ClockStepped(event.shift_ms + step))
         elif isinstance(event, api.HealthCheckResult):
-            self.later(1000.0, api.HealthCheckResult(1, api.CallResult.OK, 5.0, (1.0,)))
+            self.schedule(1000.0, api.HealthCheckResult(1, api.CallResult.OK, 5.0, (1.0,)))
             if scenario.strays:
                 self.running["nobody", 0] = self.now, 9999
-                self.later(1.0, api.AttemptEnded("nobody", 0, 9999, api.CallResult.ERROR, 5.0, False))
-                self.later(2.0, api.CounterReply(12345, api.CallResult.OK, 5.0, 7.0))
-                self.later(3.0, api.TimerFired(10**9))
-                self.later(4.0, api.ClientDisconnected("nobody"))
-
-    def play(self) -> list[str]:
-        """The whole scenario; gives the lines of each block of events as one digest."""
-        self.later(0.0, api.EndpointListUpdate(api.EndpointListScope.CACHED, self.everyone()))
-        self.later(1.0, self.next_request())
-        self.later(2.0, api.HealthCheckResult(1, api.CallResult.OK, 5.0, (1.0,)))
+                self.schedule(1.0, api.AttemptEnded("nobody", 0, 9999, api.CallResult.ERROR, 5.0, False))
+                self.schedule(2.0, api.CounterReply(12345, api.CallResult.OK, 5.0, 7.0))
+                self.schedule(3.0, api.TimerFired(10**9))
+                self.schedule(4.0, api.ClientDisconnected("nobody"))
+
+    def run(self) -> list[str]:
+        """Run the scenario and return one digest of the trace lines for each block of events."""
+        self.schedule(0.0, api.EndpointListUpdate(api.EndpointListScope.CACHED, self.listed_endpoints()))
+        self.schedule(1.0, self.next_request())
+        self.schedule(2.0, api.HealthCheckResult(1, api.CallResult.OK, 5.0, (1.0,)))
         if math.isfinite(self.scenario.clock_step_every_ms):
-            self.later(self.scenario.clock_step_every_ms, api.ClockStepped(500.0))
+            self.schedule(self.scenario.clock_step_every_ms, api.ClockStepped(500.0))
         digests: list[str] = []
         for number in range(self.scenario.events):
             event = self.next_event()
             actions = self.gateway.handle(self.now, event)
             self.lines.append(f"{number} {self.now!r}")
-            self.lines.extend(line(action) for action in actions)
+            self.lines.extend(trace_line(action) for action in actions)
             for action in actions:
-                self.carry_out(action)
-            self.renew(event)
+                self.execute(action)
+            self.schedule_next(event)
             if number % 10 == 9:
                 self.lines.append(
                     f"room {self.gateway.available_units(self.now, number // 10 % self.scenario.customers)!r}"
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,8 +1,8 @@
-"""The concurrency limit on requests that the counter did not confirm, in virtual time: it recovers where it can.
+"""The concurrency limit on requests that the counter did not confirm, in virtual time: it must recover.
 
-Seen on a site of our own whose requests take a quarter of their objective: after some slow responses each instance
-sent one request in 2 s and rejected the rest, for good, though every attempt was answered well and the endpoints were
-used by 3 to 15%.
+The failure was seen at one of our own sites, whose requests take a quarter of their latency objective.  After some slow
+responses each instance sent one request in 2 s and rejected the rest permanently, although every attempt succeeded and
+the endpoints' utilisation was 3 to 15%.
 """
 
 from __future__ import annotations
@@ -16,50 +16,51 @@
 from tests.policy_events import START, actions_of, attempt_ended, endpoint, gateway, request
 
 PLAN = api.Plan("ample", rate=1000.0, burst=1000.0)
-OBJECTIVE_MS = 1000.0  # the aim of the one class here
-SLOW_S, END_S = 3.0, 23.0
+OBJECTIVE_MS = 1000.0  # latency objective of the only class
+SLOW_UNTIL_S, END_S = 3.0, 23.0
+MEASURED_S = 10.0  # the requests of the last seconds are measured
 
 
-def served(seed: int, slow_ms: float, usual_ms: float, requests_a_s: float = 20.0) -> float:
-    """The share of the requests that are forwarded in the last 10 s, where endpoints are slow until SLOW_S.
+def forwarded_share(seed: int, slow_ms: float, usual_ms: float, requests_per_s: float = 20.0) -> float:
+    """Return the share of the requests of the last 10 s that are forwarded; endpoints are slow until SLOW_UNTIL_S.
 
-    Each response's time is drawn, and no request is confirmed by the counter.
+    Each response's time is drawn at random, and no request is confirmed by the counter.
     """
-    cls = api.RequestClass(
+    request_class = api.RequestClass(
         "read", latency_objective_ms=OBJECTIVE_MS, deadline_ms=3000.0, idempotency=api.Idempotency.IDEMPOTENT
     )
-    made = gateway(
+    instance = gateway(
         [endpoint(n) for n in range(1, 13)],
         seed=seed,
-        classes=(cls,),
+        classes=(request_class,),
         plans=(PLAN,),
         instances=6,
         counter_timeout_ms=1000.0,
         can_cancel=False,
     )
     rng = random.Random(seed)
-    due: list[tuple[float, int, api.StartAttempt, float]] = []
-    tried = sent = 0
-    for number in range(int(END_S * requests_a_s)):
-        now = START + number * 1000.0 / requests_a_s
-        while due and due[0][0] <= now:
-            at, _, send, took = heapq.heappop(due)
-            made.handle(at, attempt_ended(send, api.CallResult.OK, rtt=took, ended=True))
-        sends = actions_of(made.handle(now, request(f"r{number}", plan="ample")), api.StartAttempt)
-        counts = now - START > (END_S - 10.0) * 1000.0
-        tried, sent = tried + counts, sent + (counts and bool(sends))
-        for send in sends:
-            took = rng.expovariate(1 / (slow_ms if now - START < SLOW_S * 1000.0 else usual_ms))
-            heapq.heappush(due, (now + took, number, send, took))
-    return sent / tried
+    responses: list[tuple[float, int, api.StartAttempt, float]] = []
+    requests = forwarded = 0
+    for number in range(int(END_S * requests_per_s)):
+        now = START + number * 1000.0 / requests_per_s
+        while responses and responses[0][0] <= now:
+            at, _, attempt, rtt_ms = heapq.heappop(responses)
+            instance.handle(at, attempt_ended(attempt, api.CallResult.OK, rtt=rtt_ms, ended=True))
+        attempts = actions_of(instance.handle(now, request(f"r{number}", plan="ample")), api.StartAttempt)
+        is_measured = now - START > (END_S - MEASURED_S) * 1000.0
+        requests, forwarded = requests + is_measured, forwarded + (is_measured and bool(attempts))
+        for attempt in attempts:
+            rtt_ms = rng.expovariate(1 / (slow_ms if now - START < SLOW_UNTIL_S * 1000.0 else usual_ms))
+            heapq.heappush(responses, (now + rtt_ms, number, attempt, rtt_ms))
+    return forwarded / requests
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_concurrency_limit_lets_go_where_endpoints_answer_as_usual(seed: int) -> None:
-    assert served(seed, slow_ms=900.0, usual_ms=250.0) > 0.5
+def test_the_concurrency_limit_recovers_when_responses_take_the_usual_time_again(seed: int) -> None:
+    assert forwarded_share(seed, slow_ms=900.0, usual_ms=250.0) > 0.5
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_concurrency_limit_holds_while_endpoints_are_slow(seed: int) -> None:
-    """A quarter of the attempts that may be out, 12 here and half of that while they are slow, is what goes on."""
-    assert served(seed, slow_ms=2000.0, usual_ms=2000.0) < 0.15
+    """A quarter of the limit stays open to unconfirmed requests: the limit is 12 here, and half that while slow."""
+    assert forwarded_share(seed, slow_ms=2000.0, usual_ms=2000.0) < 0.15
--- a/tests/test_formats_decision_trace.py
+++ b/tests/test_formats_decision_trace.py
@@ -1,8 +1,8 @@
-"""A deterministic trace of the decisions: seeded worlds drive a gateway, and every action must stay as it was.
+"""A deterministic trace of the decisions: seeded simulations drive a gateway, and every action must stay the same.
 
-Each action is written as a line with the `repr` of its floats; each hundred events give one digest of these lines,
-compared with `formats/decisions/trace_digests.json`, so that the first hundred that differs is known.  The digests hold
-the order of random draws and of float arithmetic.
+Each action is written as a line with the `repr` of its floats.  Each hundred events give one digest of these lines,
+which is compared with `formats/decisions/trace_digests.json`, so that a failure names the first hundred events that
+differ.  The digests depend on the order of random draws and of float arithmetic.
 """
 
 from __future__ import annotations
@@ -126,9 +126,9 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_every_decision_stays_as_it_was_to_the_last_digit(scenario: Scenario) -> None:
+def test_every_decision_is_unchanged_to_the_last_digit(scenario: Scenario) -> None:
     expected = json.loads(DIGESTS.read_text())[scenario.name]
-    found = World(scenario).play()
+    found = World(scenario).run()
     assert len(found) == len(expected) == scenario.events // BLOCK
     differ = [number for number, digests in enumerate(zip(found, expected, strict=True)) if len(set(digests)) > 1]
     assert not differ, (
--- a/tests/test_formats_decisions.py
+++ b/tests/test_formats_decisions.py
@@ -1,4 +1,4 @@
-"""The simulator's wire as it is today: every message, word, settings key and error line, byte by byte."""
+"""The simulator's protocol must stay the same byte by byte: every message, word, settings key and error line."""
 
 from __future__ import annotations
 
@@ -70,19 +70,19 @@
 }
 
 
-def read_line(text: str) -> api.Event | None:
+def decode_line(text: str) -> api.Event | None:
     name, fields = parse_line(text)
     return decode_event(name, fields)
 
 
-def test_the_whole_output_of_a_script_is_as_it_was() -> None:
+def test_the_output_for_a_recorded_input_is_unchanged() -> None:
     sink = io.StringIO()
     with (FORMATS / "simulator_input.txt").open(encoding="utf-8", newline="\n") as source:
         serve(source, sink)
     assert sink.getvalue().encode() == (FORMATS / "simulator_output.txt").read_bytes()
 
 
-def test_every_settings_key_is_read() -> None:
+def test_every_settings_key_is_decoded() -> None:
     write = api.RequestClass(
         name="write",
         latency_objective_ms=300.5,
@@ -135,7 +135,7 @@
 
 
 def test_defaults_of_settings() -> None:
-    least = {
+    required_keys = {
         "me": 0,
         "instances": 1,
         "tick_ms": 2,
@@ -146,11 +146,11 @@
     }
     read = api.RequestClass("r", 1.0, 2.0, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0, 1.0, 0.0)
     free = api.Plan("free", 0.0, 0.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0)
-    assert parse_settings(json.dumps(least)) == api.Settings(0, 1, "", 2.0, (read,), (free,))
+    assert parse_settings(json.dumps(required_keys)) == api.Settings(0, 1, "", 2.0, (read,), (free,))
 
 
 @pytest.mark.parametrize("key", ["me", "instances", "tick_ms", "classes", "policy_limits", "rules"])
-def test_a_missing_key_is_named(key: str) -> None:
+def test_an_error_names_the_missing_settings_key(key: str) -> None:
     with pytest.raises(ValueError, match=f"^setting {key}: missing$"):
         parse_settings(json.dumps({name: value for name, value in EVERY_KEY.items() if name != key}))
 
@@ -163,7 +163,7 @@
         ("at_most_once", api.Idempotency.AT_MOST_ONCE),
     ],
 )
-def test_words_of_idempotency(word: str, meaning: api.Idempotency) -> None:
+def test_idempotency_words_are_decoded(word: str, meaning: api.Idempotency) -> None:
     raw = {**EVERY_KEY, "classes": [{**EVERY_KEY["classes"][0], "idempotency": word}]}
     assert parse_settings(json.dumps(raw)).classes[0].idempotency is meaning
 
@@ -172,7 +172,7 @@
     ("word", "meaning"),
     [("all", api.DeduplicationScope.ALL), ("zone", api.DeduplicationScope.ZONE), ("cell", api.DeduplicationScope.CELL)],
 )
-def test_words_of_deduplication(word: str, meaning: api.DeduplicationScope) -> None:
+def test_deduplication_scope_words_are_decoded(word: str, meaning: api.DeduplicationScope) -> None:
     raw = {**EVERY_KEY, "classes": [{**EVERY_KEY["classes"][0], "group": word}]}
     assert parse_settings(json.dumps(raw)).classes[0].deduplication_scope is meaning
 
@@ -190,20 +190,20 @@
         ("Ignored", api.CallResult.NOT_SENT),
     ],
 )
-def test_words_of_results(word: str, meaning: api.CallResult) -> None:
-    ended = read_line(
+def test_call_result_words_are_decoded(word: str, meaning: api.CallResult) -> None:
+    ended = decode_line(
         f"COMPLETED rid=aa hop=1 backend=9 verdict={word} rtt_ms=2.5 ended=1 final_units=3 server_stats=1,2"
     )
     assert ended == api.AttemptEnded("aa", 1, 9, meaning, 2.5, True, 3.0, (1.0, 2.0))
-    assert read_line(f"TOTAL cname=5 verdict={word}") == api.CounterReply(5, meaning, 0.0, 0.0)
-    assert read_line(f"PONG backend=5 verdict={word}") == api.HealthCheckResult(5, meaning, 0.0, ())
+    assert decode_line(f"TOTAL cname=5 verdict={word}") == api.CounterReply(5, meaning, 0.0, 0.0)
+    assert decode_line(f"PONG backend=5 verdict={word}") == api.HealthCheckResult(5, meaning, 0.0, ())
 
 
 @pytest.mark.parametrize(
     ("word", "meaning"),
     [("U", api.EndpointState.UP), ("L", api.EndpointState.DRAINING), ("D", api.EndpointState.REMOVED)],
 )
-def test_an_endpoint_is_read(word: str, meaning: api.EndpointState) -> None:
+def test_an_endpoint_is_decoded(word: str, meaning: api.EndpointState) -> None:
     _, fields = parse_line(f"BACKEND backend=7 zone=b kind=big cohort=3 condition={word} size=1.5 born_ms=20")
     assert decode_endpoint(fields) == api.Endpoint(7, "b", "big", 3, meaning, 1.5, 20.0)
 
@@ -228,8 +228,8 @@
         ("PEER_DATA anything=1", None),
     ],
 )
-def test_an_event_is_read(line: str, event: api.Event | None) -> None:
-    assert read_line(line) == event
+def test_an_event_is_decoded(line: str, event: api.Event | None) -> None:
+    assert decode_line(line) == event
 
 
 @pytest.mark.parametrize(
@@ -250,7 +250,7 @@
         (api.Log("a  b\nc"), "JOURNAL_LINE door=d text=a b c"),
     ],
 )
-def test_an_action_is_written(action: api.Action, line: str) -> None:
+def test_an_action_is_encoded(action: api.Action, line: str) -> None:
     assert encode_action("d", action) == line
 
 
@@ -294,7 +294,7 @@
         ("YOUR_TURN\nLAPSED door=d rid=a", "line 3: message 'LAPSED': expected BATCH"),
     ],
 )
-def test_an_error_line_is_as_it_was(line: str, error: str) -> None:
+def test_an_error_line_is_unchanged(line: str, error: str) -> None:
     with pytest.raises(ProtocolError) as caught:
         serve(io.StringIO(f"BATCH t_ms=1\n{line}\n"), io.StringIO())
     assert str(caught.value) == error
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -1,6 +1,6 @@
-"""The choice of a server passes over what cannot win, and gives what a look at each of them would give.
+"""The load balancer skips endpoints that cannot win, and must pick as if it evaluated every endpoint.
 
-The plain look is kept here; both are told the same events and must decide the same, to the last draw of chance.
+Both balancers get the same events and must decide the same, down to the state of the random number generator.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 
 class ExhaustiveBalancer(LoadBalancer):
-    """Evaluates every endpoint in full."""
+    """Evaluates every endpoint in the aperture in full."""
 
-    def pick(self, now: float, eligible: api.EndpointFilter, tried: list[int]) -> tuple[api.Endpoint, float] | None:
-        """As the module's, one endpoint after the other."""
+    def pick(self, now: float, eligible: api.EndpointFilter, attempted: list[int]) -> tuple[api.Endpoint, float] | None:
+        """Compute the cost of one endpoint after the other."""
         best: tuple[float, EndpointStats] | None = None
         worst: tuple[float, EndpointStats] | None = None
         size, randomness, draw = self.aperture_size(now), self.randomness(now), self._rng.random
@@ -58,7 +58,7 @@
             cost *= (-math.log(1 - draw())) ** randomness
             if stats.endpoint.zone != self._zone:
                 cost *= OTHER_ZONE_COST_FACTOR
-            if stats.endpoint.id in tried:
+            if stats.endpoint.id in attempted:
                 cost *= FAILURE_COST_FACTOR
             if now - stats.last_response_at >= CONNECTION_IDLE_MS:
                 cost *= 1 + self._connect_failure_share * len(self._endpoints.up)
@@ -69,66 +69,68 @@
         return None if best is None else (best[1].endpoint, sum(best[1].expected_latency(now, default_ms)))
 
 
-def play(seed: int, endpoints: int, gateways: int, rate: float, warm_ms: float) -> int:
-    """A stream of events for both; gives how many sends there were."""
+def count_equal_attempts(seed: int, endpoints: int, gateways: int, rate: float, warm_ms: float) -> int:
+    """Pass a stream of events to both balancers, compare their actions, and return the number of attempts started."""
     rng = random.Random(seed)
     door = settings("store { timeout_ms: 50 }")
     door.instances = gateways
     rules = door.rules
     rules.warm_within_ms, rules.cold_from, rules.fall_multiple, rules.fall_window_ms = warm_ms, 0.25, 4, 1000
-    told = build_policy_settings(door)
-    ours, plain = Gateway(told, seed), Gateway(told, seed)
-    plain._cluster._balancer.__class__ = ExhaustiveBalancer
-    now, order, sends = 1e5, 0, 0
-    heap: list[tuple[float, int, api.Event]] = []
+    policy_settings = build_policy_settings(door)
+    gateway, exhaustive = Gateway(policy_settings, seed), Gateway(policy_settings, seed)
+    exhaustive._cluster._balancer.__class__ = ExhaustiveBalancer
+    now, order, started_attempts = 1e5, 0, 0
+    queue: list[tuple[float, int, api.Event]] = []
     attempts: dict[str, int] = {}
-    slow, bad = ({number for number in range(1, endpoints + 1) if rng.random() < share} for share in (0.15, 0.1))
+    slow, failing = ({number for number in range(1, endpoints + 1) if rng.random() < share} for share in (0.15, 0.1))
 
-    def server(number: int, state: api.EndpointState = api.EndpointState.UP, started: float = 0.0) -> api.Endpoint:
+    def endpoint(number: int, state: api.EndpointState = api.EndpointState.UP, started: float = 0.0) -> api.Endpoint:
         return api.Endpoint(
             number, "ab"[number % 2], "std", number % 3, state, rng.choice((1.0, 1.0, 0.6, 2.0)), started
         )
 
-    def tell(event: api.Event) -> None:
-        nonlocal order, sends
-        actions = ours.handle(now, event)
-        assert actions == plain.handle(now, event), (seed, event)
+    def handle(event: api.Event) -> None:
+        nonlocal order, started_attempts
+        actions = gateway.handle(now, event)
+        assert actions == exhaustive.handle(now, event), (seed, event)
         for action in actions:
             order += 1
             if isinstance(action, api.StartAttempt):
-                sends += 1
+                started_attempts += 1
                 number = attempts[action.id] = attempts.get(action.id, -1) + 1
-                fails = action.endpoint in bad and rng.random() < 0.6
+                fails = action.endpoint in failing and rng.random() < 0.6
                 result = rng.choice(FAILURES) if fails else api.CallResult.OK
                 rtt = rng.expovariate(1 / 30) * (8 if action.endpoint in slow else 1) + rng.choice((0.0, 1.0, 20.0))
                 ended = result is api.CallResult.OK
                 heapq.heappush(
-                    heap, (now + rtt, order, api.AttemptEnded(action.id, number, action.endpoint, result, rtt, ended))
+                    queue, (now + rtt, order, api.AttemptEnded(action.id, number, action.endpoint, result, rtt, ended))
                 )
             elif isinstance(action, api.SetTimer):
-                heapq.heappush(heap, (max(action.at_ms, now), order, api.TimerFired(action.token)))
+                heapq.heappush(queue, (max(action.at_ms, now), order, api.TimerFired(action.token)))
             elif isinstance(action, api.IncrementCounter):
                 result = rng.choice((api.CallResult.OK, api.CallResult.OK, api.CallResult.TIMEOUT))
                 heapq.heappush(
-                    heap,
+                    queue,
                     (now + rng.choice((1, 5, 60)), order, api.CounterReply(action.key, result, 3.0, action.units)),
                 )
 
-    tell(
-        api.EndpointListUpdate(api.EndpointListScope.FULL, tuple(server(number) for number in range(1, endpoints + 1)))
+    handle(
+        api.EndpointListUpdate(
+            api.EndpointListScope.FULL, tuple(endpoint(number) for number in range(1, endpoints + 1))
+        )
     )
     for number in range(250):
         until = now + rng.expovariate(rate)
-        while heap and heap[0][0] <= until:
-            at, _, event = heapq.heappop(heap)
+        while queue and queue[0][0] <= until:
+            at, _, event = heapq.heappop(queue)
             now = max(now, at)
-            tell(event)
+            handle(event)
         now = until
         if rng.random() < 0.02:
             state = rng.choice((api.EndpointState.UP, api.EndpointState.UP, api.EndpointState.DRAINING))
-            changed = server(rng.randrange(1, endpoints + 3), state, rng.choice((0.0, now - rng.random() * 3000)))
-            tell(api.EndpointListUpdate(api.EndpointListScope.DELTA, (changed,)))
-        tell(
+            changed = endpoint(rng.randrange(1, endpoints + 3), state, rng.choice((0.0, now - rng.random() * 3000)))
+            handle(api.EndpointListUpdate(api.EndpointListScope.DELTA, (changed,)))
+        handle(
             api.Request(
                 f"r{number}",
                 rng.choice(("read", "read", "write", "pay")),
@@ -140,14 +142,14 @@
                 0,
             )
         )
-    assert ours._cluster._balancer._rng.getstate() == plain._cluster._balancer._rng.getstate()
-    return sends
+    assert gateway._cluster._balancer._rng.getstate() == exhaustive._cluster._balancer._rng.getstate()
+    return started_attempts
 
 
 @pytest.mark.parametrize("endpoints", [1, 5, 14, 140, 400])
 @pytest.mark.parametrize(("gateways", "rate"), [(1, 1.0), (2, 0.05), (30, 3.0), (380, 0.2)])
 @pytest.mark.parametrize("warm_ms", [0.0, 3000.0])
-def test_the_choice_is_that_of_a_look_at_each_endpoint(
+def test_the_pick_equals_that_of_evaluating_every_endpoint(
     endpoints: int, gateways: int, rate: float, warm_ms: float
 ) -> None:
-    assert play(endpoints * 1000 + gateways, endpoints, gateways, rate, warm_ms) > 0
+    assert count_equal_attempts(endpoints * 1000 + gateways, endpoints, gateways, rate, warm_ms) > 0
--- a/tests/test_silent_endpoints.py
+++ b/tests/test_silent_endpoints.py
@@ -1,7 +1,8 @@
-"""What an attempt without a response proves of its endpoint: nothing, where later ones were answered meanwhile.
+"""An attempt without a response proves nothing about its endpoint if a later attempt there got one in the meantime.
 
-Seen on sockets: single connections fall silent, their endpoints answer all others at once.  Each attempt lost so was
-read as a queue of its whole wait; soon every endpoint was taken for overloaded, and 92% of the requests were rejected.
+The failure was seen on real sockets: single connections became silent while their endpoints responded at once on all
+others.  Each attempt lost that way was counted as a queue as long as its wait; soon every endpoint counted as
+overloaded, and 92% of the requests were rejected.
 """
 
 from __future__ import annotations
@@ -13,69 +14,69 @@
 FREE = api.Plan("free")
 
 
-def one() -> Gateway:
-    """A gateway with one server, and a plan without a quota."""
-    made = gateway([endpoint(1)], plans=(FREE,), instances=1)
-    for number in range(40):  # it knows its server, and has sent enough to trust what it knows
-        at = START + number * 20.0
-        [send] = actions_of(made.handle(at, request(f"w{number}", plan="free")), api.StartAttempt)
-        made.handle(at + 10.0, attempt_ended(send, api.CallResult.OK, rtt=10.0))
-    return made
+BEGIN = START + 1000.0  # after the attempts of `gateway_with_measured_endpoint`
 
 
-BEGIN = START + 1000.0
+def gateway_with_measured_endpoint() -> Gateway:
+    """Return a gateway with one endpoint, whose latency it has measured, and a plan without a quota."""
+    instance = gateway([endpoint(1)], plans=(FREE,), instances=1)
+    for number in range(40):  # enough attempts that the choice relies on the measurements
+        at = START + number * 20.0
+        attempt = start_attempt(instance, at, f"w{number}")
+        instance.handle(at + 10.0, attempt_ended(attempt, api.CallResult.OK, rtt=10.0))
+    return instance
 
 
-def sent(made: Gateway, at: float, rid: str) -> api.StartAttempt:
-    """A request that goes out."""
-    [send] = actions_of(made.handle(at, request(rid, plan="free")), api.StartAttempt)
-    return send
+def start_attempt(instance: Gateway, at: float, request_id: str) -> api.StartAttempt:
+    """Pass a request to the gateway, which must forward it."""
+    [attempt] = actions_of(instance.handle(at, request(request_id, plan="free")), api.StartAttempt)
+    return attempt
 
 
-def overtaken() -> tuple[Gateway, api.StartAttempt]:
-    """The same, and an attempt sent at BEGIN that a later one overtook."""
-    made = one()
-    lost = sent(made, BEGIN, "lost")
-    later = sent(made, BEGIN + 5.0, "later")
-    made.handle(BEGIN + 15.0, attempt_ended(later, api.CallResult.OK, rtt=10.0))
-    return made, lost
+def gateway_with_overtaken_attempt() -> tuple[Gateway, api.StartAttempt]:
+    """Return such a gateway with an attempt, started at BEGIN, that a later one overtook."""
+    instance = gateway_with_measured_endpoint()
+    lost = start_attempt(instance, BEGIN, "lost")
+    later = start_attempt(instance, BEGIN + 5.0, "later")
+    instance.handle(BEGIN + 15.0, attempt_ended(later, api.CallResult.OK, rtt=10.0))
+    return instance, lost
 
 
-def test_the_loss_of_an_overtaken_attempt_is_no_queue() -> None:
-    made, lost = overtaken()
-    made.handle(BEGIN + 4000.0, attempt_ended(lost, api.CallResult.TIMEOUT, rtt=4000.0, ended=True))
-    assert sent(made, BEGIN + 4001.0, "next")
+def test_an_overtaken_attempt_that_times_out_does_not_count_as_a_queue() -> None:
+    instance, lost = gateway_with_overtaken_attempt()
+    instance.handle(BEGIN + 4000.0, attempt_ended(lost, api.CallResult.TIMEOUT, rtt=4000.0, ended=True))
+    assert start_attempt(instance, BEGIN + 4001.0, "next")
 
 
-def test_an_overtaken_attempt_is_not_taken_for_a_queue_while_it_is_out() -> None:
-    made, _ = overtaken()
-    assert sent(made, BEGIN + 2000.0, "next")
+def test_an_overtaken_attempt_in_flight_does_not_count_as_a_queue() -> None:
+    instance, _ = gateway_with_overtaken_attempt()
+    assert start_attempt(instance, BEGIN + 2000.0, "next")
 
 
-def test_an_attempt_that_nothing_overtook_is_a_queue() -> None:
-    made = one()
-    earlier = sent(made, BEGIN, "earlier")
-    lost = sent(made, BEGIN + 5.0, "lost")
-    made.handle(BEGIN + 10.0, attempt_ended(earlier, api.CallResult.OK, rtt=10.0))
-    made.handle(BEGIN + 4000.0, attempt_ended(lost, api.CallResult.TIMEOUT, rtt=4000.0, ended=True))
-    [refusal] = actions_of(made.handle(BEGIN + 4001.0, request("next", plan="free")), api.Reject)
-    assert refusal.reason is api.RejectionReason.OVERLOAD
+def test_a_timed_out_attempt_that_was_not_overtaken_counts_as_a_queue() -> None:
+    instance = gateway_with_measured_endpoint()
+    earlier = start_attempt(instance, BEGIN, "earlier")
+    lost = start_attempt(instance, BEGIN + 5.0, "lost")
+    instance.handle(BEGIN + 10.0, attempt_ended(earlier, api.CallResult.OK, rtt=10.0))
+    instance.handle(BEGIN + 4000.0, attempt_ended(lost, api.CallResult.TIMEOUT, rtt=4000.0, ended=True))
+    [rejection] = actions_of(instance.handle(BEGIN + 4001.0, request("next", plan="free")), api.Reject)
+    assert rejection.reason is api.RejectionReason.OVERLOAD
 
 
-def test_one_answer_to_what_was_sent_later_refutes_a_wait_in_vain() -> None:
-    made = one()
-    lost = sent(made, BEGIN, "lost")
-    made.handle(BEGIN + 600.0, attempt_ended(lost, api.CallResult.TIMEOUT, rtt=600.0, ended=True))
-    later = sent(made, BEGIN + 601.0, "later")
-    assert made._cluster.endpoints.by_id[1].latency_ms == 600.0
-    made.handle(BEGIN + 611.0, attempt_ended(later, api.CallResult.OK, rtt=10.0))
-    assert made._cluster.endpoints.by_id[1].latency_ms == 10.0
+def test_one_response_to_a_later_attempt_replaces_the_latency_bound_of_a_timeout() -> None:
+    instance = gateway_with_measured_endpoint()
+    lost = start_attempt(instance, BEGIN, "lost")
+    instance.handle(BEGIN + 600.0, attempt_ended(lost, api.CallResult.TIMEOUT, rtt=600.0, ended=True))
+    later = start_attempt(instance, BEGIN + 601.0, "later")
+    assert instance._cluster.endpoints.by_id[1].latency_ms == 600.0
+    instance.handle(BEGIN + 611.0, attempt_ended(later, api.CallResult.OK, rtt=10.0))
+    assert instance._cluster.endpoints.by_id[1].latency_ms == 10.0
 
 
-def test_an_answer_to_what_was_sent_before_refutes_nothing() -> None:
-    """A full server still answers what stands in its queue."""
-    made = one()
-    earlier, refused = sent(made, BEGIN, "earlier"), sent(made, BEGIN + 1.0, "refused")
-    made.handle(BEGIN + 2.0, attempt_ended(refused, api.CallResult.OVERLOADED, rtt=1.0))
-    made.handle(BEGIN + 10.0, attempt_ended(earlier, api.CallResult.OK, rtt=10.0))
-    assert made._cluster.endpoints.by_id[1].latency_ms > 500.0
+def test_a_response_to_an_earlier_attempt_does_not_replace_the_latency_bound_of_an_overload() -> None:
+    """An overloaded endpoint still responds to the requests in its queue."""
+    instance = gateway_with_measured_endpoint()
+    earlier, rejected = start_attempt(instance, BEGIN, "earlier"), start_attempt(instance, BEGIN + 1.0, "refused")
+    instance.handle(BEGIN + 2.0, attempt_ended(rejected, api.CallResult.OVERLOADED, rtt=1.0))
+    instance.handle(BEGIN + 10.0, attempt_ended(earlier, api.CallResult.OK, rtt=10.0))
+    assert instance._cluster.endpoints.by_id[1].latency_ms > 500.0
--- a/tests/test_simulator_host.py
+++ b/tests/test_simulator_host.py
@@ -1,4 +1,4 @@
-"""The simulator's host, by hand-written lines of its protocol."""
+"""The simulator's host, tested with hand-written lines of its protocol."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 }
 
 
-def up(door: str, seed: int = 1) -> list[str]:
+def start_lines(door: str, seed: int = 1) -> list[str]:
     return [
         f"UP door={door} init_seed={seed} params={json.dumps(PARAMS)}",
         "TABLE roster_id=0 entries=2",
@@ -39,14 +39,14 @@
     ]
 
 
-def query(door: str, rid: str, customer: int = 5) -> str:
+def query_line(door: str, rid: str, customer: int = 5) -> str:
     return (
         f"QUERY caller={customer} door={door} rid={rid} cls=read grade_of_service=plain "
         "remaining_ms=900.0 cost_units=1 spread=2 from_no=0"
     )
 
 
-def play(*batches: list[str]) -> list[list[str]]:
+def serve_batches(*batches: list[str]) -> list[list[str]]:
     text = "".join(
         "\n".join([f"BATCH t_ms={9000 + 5 * n}", *lines, "YOUR_TURN", ""]) + "\n" for n, lines in enumerate(batches)
     )
@@ -61,8 +61,8 @@
     assert sink.getvalue() == "READY\n"
 
 
-def test_a_request_is_counted_then_handed_off() -> None:
-    first = play([*up("door/0"), query("door/0", "00ff00ff00ff00ff")])[0]
+def test_a_request_is_counted_and_then_forwarded() -> None:
+    first = serve_batches([*start_lines("door/0"), query_line("door/0", "00ff00ff00ff00ff")])[0]
     names = [re.search(r"cname=(\d+)", line) for line in first]
     assert [line.split()[0] for line in first] == ["POST_AMOUNT"]
     totals = [
@@ -70,13 +70,13 @@
         for n, m in enumerate(names)
         if m
     ]
-    second = play([*up("door/0"), query("door/0", "00ff00ff00ff00ff")], totals)[1]
+    second = serve_batches([*start_lines("door/0"), query_line("door/0", "00ff00ff00ff00ff")], totals)[1]
     assert second[0].startswith("HAND_OFF door=door/0 rid=00ff00ff00ff00ff timeout_ms=")
     assert second[0].endswith(("backend=11", "backend=22"))
 
 
 @pytest.mark.parametrize(
-    ("line", "told"),
+    ("line", "expected"),
     [
         ("QUERY door=door/0 rid=aa cls=read", "grade_of_service"),
         ("TICK_DUE door=door/0 name=x1", "whole number"),
@@ -86,29 +86,29 @@
         ("UPDATE door=door/0 scope=total index=1 roster_id=9", "roster_id"),
     ],
 )
-def test_a_malformed_line_is_named(line: str, told: str) -> None:
+def test_an_error_names_the_malformed_line_and_the_field(line: str, expected: str) -> None:
     with pytest.raises(ProtocolError, match="line 7: ") as caught:
-        play([*up("door/0"), line])
-    assert told in str(caught.value)
+        serve_batches([*start_lines("door/0"), line])
+    assert expected in str(caught.value)
 
 
-def test_an_exception_in_the_module_becomes_die() -> None:
-    bad = query("door/0", "aa").replace("cls=read", "cls=video")
-    [reply] = play([*up("door/0"), bad])
+def test_an_exception_in_the_decisions_is_reported_with_die() -> None:
+    bad = query_line("door/0", "aa").replace("cls=read", "cls=video")
+    [reply] = serve_batches([*start_lines("door/0"), bad])
     assert len(reply) == 1 and reply[0].startswith("DIE door=door/0 text=ValueError: class 'video'")
 
 
 def test_missing_settings_are_named() -> None:
     line = 'UP door=door/0 init_seed=1 params={"me": 0}'
-    [reply] = play([line])
+    [reply] = serve_batches([line])
     assert reply == ["DIE door=door/0 text=ValueError: setting policy_limits: missing"]
 
 
-def test_a_detached_instance_is_forgotten() -> None:
-    assert play([*up("door/0"), "DETACH door=door/0", query("door/0", "aa")]) == [[]]
+def test_a_detached_instance_gives_no_actions() -> None:
+    assert serve_batches([*start_lines("door/0"), "DETACH door=door/0", query_line("door/0", "aa")]) == [[]]
 
 
-def test_the_process_ends_plainly() -> None:
+def test_the_process_exits_with_0_at_the_end_of_input_and_with_an_error_on_a_malformed_line() -> None:
     good = subprocess.run(
         [sys.executable, "-m", "martenstep.simulator"],
         input="BATCH t_ms=1\nYOUR_TURN\n",
@@ -130,13 +130,13 @@
     assert bad.stderr.strip() == "martenstep: line 1: field t_ms: expected a number, got 'soon'"
 
 
-def test_one_process_acts_as_three() -> None:
+def test_three_instances_in_one_process_act_as_three_processes() -> None:
     doors = [f"door/{n}" for n in range(3)]
-    setup = [line for n, door in enumerate(doors) for line in up(door, seed=n)]
-    batches = [setup] + [[query(door, f"{n:016x}", customer=n % 4) for door in doors] for n in range(40)]
-    together = play(*batches)
+    setup = [line for n, door in enumerate(doors) for line in start_lines(door, seed=n)]
+    batches = [setup] + [[query_line(door, f"{n:016x}", customer=n % 4) for door in doors] for n in range(40)]
+    together = serve_batches(*batches)
     for door in doors:
-        alone = play(
+        alone = serve_batches(
             *[[line for line in batch if "door=" not in line or f"door={door} " in f"{line} "] for batch in batches]
         )
         assert alone == [[line for line in reply if f"door={door} " in line] for reply in together]
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""When endpoints started, from times of a clock that may have been stepped."""
+"""The starts of endpoints, from times of a wall clock that may have been stepped."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 @pytest.mark.parametrize(
     ("age_ms", "unlisted_ms", "started"),
     [
-        (4000.0, math.inf, NOW - 4000.0),  # the first list: nothing else tells
+        (4000.0, math.inf, NOW - 4000.0),  # in the first list nothing contradicts the age
         (800.0, 1500.0, NOW - 800.0),
-        (HOUR_MS, 1500.0, NOW),  # stepped forward meanwhile: it was not there a moment ago
-        (-HOUR_MS, 1500.0, NOW),  # stepped back
+        (HOUR_MS, 1500.0, NOW),  # the clock was stepped forward: the endpoint was not listed 1.5 s ago
+        (-HOUR_MS, 1500.0, NOW),  # the clock was stepped back
         (-HOUR_MS, math.inf, NOW),
         (1500.0 + MAX_LISTING_DELAY_MS + 1, 1500.0, NOW),
     ],
 )
-def test_an_age_is_believed_as_far_as_it_fits(age_ms: float, unlisted_ms: float, started: float) -> None:
+def test_only_a_plausible_age_is_used(age_ms: float, unlisted_ms: float, started: float) -> None:
     assert StartTimes().local_start("s", REPORTED, age_ms, NOW, unlisted_ms) == started
 
 
-def test_a_start_is_found_once_and_another_distinguished_by_any_other_time() -> None:
+def test_a_start_is_computed_once_and_any_other_reported_time_is_another_start() -> None:
     starts = StartTimes()
     first = starts.local_start("s", REPORTED, 100.0, NOW, 1000.0)
     assert starts.local_start("s", REPORTED, HOUR_MS, NOW + 5000.0, 1000.0) == first
@@ -35,7 +35,7 @@
     assert starts.local_start("t", 0.0, 0.0, NOW, 1000.0) == 0.0
 
 
-def test_an_endpoint_that_was_cut_off_comes_back_as_it_was_and_what_is_kept_is_bounded() -> None:
+def test_an_endpoint_listed_again_keeps_its_start_and_the_retained_starts_are_bounded() -> None:
     starts = StartTimes()
     first = starts.local_start("s", REPORTED, 100.0, NOW, 1000.0)
     starts.trim({})
@@ -46,8 +46,8 @@
     assert starts.local_start("s", REPORTED, HOUR_MS, NOW + 30_000.0, 1000.0) == NOW + 30_000.0
 
 
-def test_an_endpoint_that_is_listed_stays_known_however_many_come_and_go() -> None:
-    """It would be taken for one that started just now, and be cold, at the next whole list."""
+def test_a_listed_endpoint_keeps_its_start_however_many_others_are_listed_and_removed() -> None:
+    """Without its start it would count as started just now, and go through a slow start, at the next full list."""
     starts = StartTimes()
     first = starts.local_start("s", REPORTED, 100.0, NOW, math.inf)
     for number in range(3 * MAX_UNLISTED_STARTS):
