--- a/martenstep/policy/concurrency_limit.py
+++ b/martenstep/policy/concurrency_limit.py
@@ -10,23 +10,23 @@
 
 from martenstep.policy.endpoint_set import INITIAL_LATENCY_SHARE
 
-# Attempts in flight per endpoint, of all instances together, that are allowed before responses show what it bears.
+# All instances together may have this many attempts in flight per endpoint before responses show what it bears.
 ATTEMPTS_PER_ENDPOINT = 6.0
-# Attempts above its fair share that an instance begins with, because arrivals are uneven.  With hundreds of instances
-# these attempts alone fill all endpoints.
+# An instance begins with this many attempts above its fair share, because arrivals are uneven.  With hundreds of
+# instances, these attempts alone fill all endpoints.
 INITIAL_EXTRA_ATTEMPTS = 1.0
-# Attempts by which one slow response lowers the limit.
+# A slow response lowers the limit by this many attempts.
 DECREASE_PER_SLOW_RESPONSE = 0.5
-# Weight of one response in the EWMA of the latency of all endpoints together.
+# A response moves the EWMA of the latency of all endpoints together by this fraction of the difference.
 LATENCY_EWMA_WEIGHT = 0.2
-# Mean latency, in parts of each class's latency objective, up to which responses count as quick.
+# Responses count as quick up to this mean latency, in parts of each class's latency objective.
 MAX_QUICK_LATENCY_SHARE = 0.42
-# Part by which the quick latency is reduced where endpoints are chosen purely at random.
+# The mean latency that counts as quick is reduced by this fraction where endpoints are chosen purely at random.
 RANDOM_CHOICE_REDUCTION = 0.65
-# Part of the limit that stays open to unconfirmed requests while responses are slow.
+# This fraction of the limit stays open to unconfirmed requests while responses are slow.
 HALF_OPEN_SHARE = 0.25
-# After this many milliseconds without an attempt, one is admitted though responses were slow: without a response no
-# recovery would be seen.
+# After this many milliseconds without an attempt, one is admitted although responses were slow: without an attempt no
+# recovery would be observed.
 HALF_OPEN_IDLE_MS = 2000.0
 
 
--- a/martenstep/policy/endpoint_set.py
+++ b/martenstep/policy/endpoint_set.py
@@ -16,9 +16,9 @@
 from martenstep.policy.gcra import MS_PER_S
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointListUpdate, EndpointState, Settings
 
-# Expected latency of an endpoint before any response, in parts of the shortest latency objective.
+# Before any response, an attempt is expected to take this fraction of the shortest latency objective.
 INITIAL_LATENCY_SHARE = 0.12
-# Number of responses after which the bounds are recomputed, because the least latency may have risen.
+# The bounds are recomputed after this many responses, because the least latency may have risen.
 BOUNDS_REFRESH_RESPONSES = 500
 
 
--- a/martenstep/policy/endpoint_stats.py
+++ b/martenstep/policy/endpoint_stats.py
@@ -10,28 +10,29 @@
 
 from martenstep.policy.messages import AttemptId, Endpoint
 
-# Weight of one response in the EWMA of the latency: about the last six responses count.
+# A response moves the EWMA of the latency by this fraction of the difference: about the last six responses count.
 LATENCY_EWMA_WEIGHT = 0.15
-# Weight in the base latency of one response that was faster than it.
+# A response that is faster than the base latency moves it by this fraction of the difference.
 BASE_LATENCY_WEIGHT_DOWN = 0.1
-# Weight in the base latency of one response that was slower than it.  The weight is smaller than that of a faster
-# response, so that the base latency settles at a level that few responses fall below.
+# A response that is slower than the base latency moves it by this fraction of the difference.  The fraction is smaller
+# than for a faster response, so that the base latency settles at a level that few responses fall below.
 BASE_LATENCY_WEIGHT_UP = 0.02
-# After n responses the next one has at least the weight 1 / (n + this) in the base latency, so that the initial guess
-# counts as much as a few responses.
+# After n responses the next one moves the base latency by at least 1 / (n + this) of the difference, so that the
+# initial guess counts as much as a few responses.
 BASE_LATENCY_PRIOR_RESPONSES = 3.0
-# Lower bound on the time constant with which a measured queueing delay decays, in milliseconds.
+# A measured queueing delay decays with a time constant of at least this many milliseconds, because its queue drains.
 MIN_QUEUE_DECAY_MS = 1000.0
-# Time constant of the decay of a queueing delay, in multiples of that delay: other instances still add to a long queue
-# while it drains.
+# A measured queueing delay decays with a time constant of at least this many times itself, because other instances
+# still add to a long queue while it drains.
 QUEUE_DECAY_DELAYS = 1.5
-# Weight of one result in the EWMA of the failures: two failures in a row raise the share from 0 to 0.64, enough to act.
+# A result moves the failure share by this fraction of the difference: two failures in a row are a clear sign and raise
+# the share from 0 to 0.64.
 FAILURE_EWMA_WEIGHT = 0.4
-# Time constant with which the failure share decays, in milliseconds, so that a failed endpoint is tried again.
+# The failure share decays with this time constant in milliseconds, so that an endpoint that failed is tried again.
 FAILURE_DECAY_MS = 5000.0
 # An endpoint whose attempts all fail costs 1 + this times as much as a healthy one.
 FAILURE_COST_FACTOR = 6.0
-# Lower bound on the relative capacity by which the expected latency is divided.
+# The expected latency is divided by a relative capacity of at least this, so that it stays bounded.
 MIN_CAPACITY = 0.1
 
 
--- a/martenstep/policy/load_balancing.py
+++ b/martenstep/policy/load_balancing.py
@@ -19,24 +19,25 @@
 # The aperture holds one endpoint for each attempt that the instance starts in this many milliseconds, so that each
 # endpoint in it is measured about this often.
 APERTURE_WINDOW_MS = 1500.0
-# Lower bound on the aperture, in endpoints: with two, one overloaded endpoint would leave no choice.
+# The aperture holds at least this many endpoints: with two, one overloaded endpoint would leave no choice.
 MIN_APERTURE_ENDPOINTS = 3.0
-# Window in milliseconds within which an instance's own attempts at an endpoint show its queue.
+# An instance's own attempts at an endpoint within this many milliseconds show the endpoint's queue.
 INFORMATIVE_WINDOW_MS = 1000.0
-# Attempts per endpoint and informative window from which the choice relies on the measurements; with fewer attempts,
-# the choice is more random.
+# The choice relies on the measured queues if there are this many attempts per endpoint and informative window; with
+# fewer attempts the choice is more random.
 INFORMATIVE_ATTEMPTS = 1.0
-# Lower bound on the randomness of the choice, so that instances do not all move to the same endpoint at once.
+# The choice keeps at least this randomness, so that instances do not all move to the same endpoint at once.
 MIN_RANDOMNESS = 0.05
-# Cost factor of an endpoint in another zone: it must be faster by this factor to be worth crossing zones.
+# The cost of an endpoint in another zone is multiplied by this: it must be faster by this factor to be worth leaving
+# the zone.
 OTHER_ZONE_COST_FACTOR = 1.06
 # An endpoint that responded within this many milliseconds is assumed to have an open connection still.
 CONNECTION_IDLE_MS = 10_000.0
-# Weight of one attempt in the EWMA of attempts whose connection could not be made.
+# An attempt moves the EWMA of connections that could not be made by this fraction of the difference.
 CONNECT_FAILURE_EWMA_WEIGHT = 0.2
-# Probability per choice that the most expensive endpoint of a full aperture is replaced by one not used lately.
+# With this probability a choice replaces the most expensive endpoint of a full aperture by one not used lately.
 ROTATION_PROBABILITY = 0.05
-# Ratio of the best cost to the least latency beyond which no draw excludes a candidate, and all are evaluated in full.
+# Above this ratio of the best cost to the least latency no draw excludes a candidate, and all are evaluated in full.
 MAX_COST_RATIO = 1e6
 # A draw within this margin of the lowest losing draw is still evaluated in full, so that rounding excludes no winner.
 DRAW_MARGIN = 1e-9
--- a/martenstep/policy/messages.py
+++ b/martenstep/policy/messages.py
@@ -61,7 +61,7 @@
 
 
 class EndpointState(Enum):
-    """The state of an endpoint by discovery."""
+    """The state of an endpoint in discovery's list."""
 
     UP = "up"
     DRAINING = "draining"
--- a/martenstep/policy/request_lifecycle.py
+++ b/martenstep/policy/request_lifecycle.py
@@ -29,9 +29,9 @@
 from martenstep.policy.timers import SilenceCheck, Timers
 from martenstep.policy.upstream_cluster import UpstreamCluster
 
-# Largest part of the remaining latency objective that an attempt may be expected to take.
+# An attempt may be expected to take at most this fraction of the remaining latency objective.
 MAX_LATENCY_SHARE = 0.75
-# Retry-After, in parts of the class's latency objective, of a request that is given up.
+# A request that is given up gets a Retry-After of this fraction of its class's latency objective.
 RETRY_AFTER_OBJECTIVE_SHARE = 0.1
 MIN_RETRY_AFTER_MS = 1.0
 
--- a/martenstep/policy/retry.py
+++ b/martenstep/policy/retry.py
@@ -6,11 +6,13 @@
 
 from martenstep.policy.messages import DeduplicationScope, Endpoint, EndpointFilter, Idempotency, RequestClass
 
-# Retries that each first attempt adds to the budget: bounds the extra load when many attempts fail at once.
+# The first attempt of a request adds this many retries to the budget, which bounds the extra load when many attempts
+# fail at once.
 RETRIES_PER_REQUEST = 0.1
-# Retries that each first attempt adds while responses are quick: the endpoints then have capacity for more retries.
+# While responses are quick, the first attempt of a request adds this many retries to the budget, because the endpoints
+# then have capacity for more retries.
 RETRIES_PER_REQUEST_WHEN_QUICK = 0.4
-# Retries that all instances together may save up for the loss of an endpoint; each instance may save up one besides.
+# All instances together may save up this many retries for the loss of an endpoint; each instance may save up one more.
 MAX_FLEET_RETRIES = 40.0
 
 
@@ -51,9 +53,9 @@
 
 
 def retry_filter(request_class: RequestClass, execution: PossibleExecution) -> EndpointFilter:
-    """Return the filter of the endpoints that may get a repetition; None for all.
+    """Return the filter of the endpoints that may get a repetition, for a class that allows one; None for all.
 
-    Without idempotency a repetition is safe only at endpoints that recognise it by its idempotency key.
+    A request that is not idempotent may only be repeated at endpoints that recognise its idempotency key.
     """
     first = execution.endpoint
     if request_class.idempotency is Idempotency.IDEMPOTENT:
--- a/martenstep/policy/slow_start.py
+++ b/martenstep/policy/slow_start.py
@@ -15,9 +15,11 @@
 from martenstep.policy.messages import Settings
 from martenstep.policy.send_rate import SendRate
 
-# Part of an endpoint's overload budget that is used, because its size and the other instances' use of it are estimates.
+# This fraction of an endpoint's overload budget is used, because its size and the other instances' use of it are
+# estimates.
 BUDGET_SHARE = 0.5
-# Lower bound on the attempts of all instances together per overload window, for while the usual load is not known.
+# All instances together may start this many attempts at an endpoint per overload window while the usual load is not
+# known.
 MIN_ATTEMPTS_PER_WINDOW = 1.0
 
 
--- a/martenstep/policy/start_times.py
+++ b/martenstep/policy/start_times.py
@@ -13,10 +13,11 @@
 from collections import OrderedDict
 from collections.abc import Collection, Hashable
 
-# Starts retained of endpoints that are not listed, so that an endpoint that was only cut off keeps its start.
+# This many starts of endpoints that are not listed are retained, so that an endpoint that was only cut off keeps its
+# start.
 MAX_UNLISTED_STARTS = 1024
-# Longest time from an endpoint's start to its first listing, in milliseconds.  An age that is too high by up to this
-# much is accepted in error, and shortens the endpoint's slow start by as much.
+# An endpoint may be listed this many milliseconds after its start.  An age that is too high by up to this much is
+# therefore accepted in error, and shortens the endpoint's slow start by as much.
 MAX_LISTING_DELAY_MS = 2000.0
 # The start, as reported and as returned, of an endpoint that started long ago.
 LONG_AGO = 0.0
--- a/martenstep/policy/upstream_cluster.py
+++ b/martenstep/policy/upstream_cluster.py
@@ -22,10 +22,11 @@
 
 # An endpoint without a response for this many times its expected latency counts as silent.
 SILENCE_LATENCY_MULTIPLE = 4.0
-# Lower bound on the expected latency in that rule, in parts of the mean latency of all endpoints, because the latency
-# of a single endpoint is measured by few responses.
+# The silence time-out assumes an expected latency of at least this fraction of the mean latency of all endpoints,
+# because few responses measure a single endpoint.
 MIN_SILENCE_LATENCY_SHARE = 0.75
-# Lower bound on the silence time-out, in parts of the latency objective, so that one long request is not silence.
+# The silence time-out is at least this fraction of the latency objective, so that one long request does not count as
+# silence.
 MIN_SILENCE_OBJECTIVE_SHARE = 0.35
 
 
