--- a/martenstep/counter/__init__.py
+++ b/martenstep/counter/__init__.py
@@ -1,5 +1,5 @@
-"""The project's own counter service: quota totals and recorded attempts, kept in a log that rebuilds all of them.
+"""The project's own counter service: quota totals and recorded attempts, all of which can be rebuilt from its log.
 
-Belongs here: the protocol, the state machine, the log, the servers, and the client that a gateway uses.  Does not:
-decisions on quota, HTTP.
+This package holds the protocol, the state machine, the log, the servers, and the client that a gateway uses.  Quota
+decisions and HTTP do not belong here.
 """
--- a/martenstep/counter/client.py
+++ b/martenstep/counter/client.py
@@ -1,13 +1,13 @@
-"""The gateway's side: adds and attempts that count exactly once, through broken connections and its own restarts.
+"""The gateway's client: adds and attempts count exactly once across broken connections and gateway restarts.
 
-Every command has a sequence in the gateway's present epoch.  Once written it is sent again after each reconnect until
-it is answered, so a time-out is no longer ambiguous for the counts: the caller is told TIMEOUT, and the add counts
-once.  An add that was never written is dropped at its time-out, and the caller is told that nothing was added.  The
-epoch is kept in a file and raised at each start.
+Every command has a sequence in the gateway's current epoch.  Once written, a command is sent again after each reconnect
+until it is answered, so a timeout is not ambiguous for the counts: the caller gets TIMEOUT, and the add counts once.
+An add that was never written is dropped at its timeout, and the caller gets CONNECT_FAILED, because nothing was added.
+The epoch is kept in a file and raised at each start.
 
-Attempts go through a journal: a file that holds each one until it is acknowledged.  After a restart what is left in it
-is sent under the new epoch; the service knows an attempt by its request id, and records it once.  The journal is
-bounded: past the bound `record` returns False, and the gateway's log holds the attempt instead.
+Attempts go through a journal: a file that holds each attempt until it is acknowledged.  After a restart the remaining
+attempts are sent under the new epoch; the service recognizes an attempt by its request id, and records it once.  The
+journal is bounded: beyond the bound `record` returns False, and the gateway's log holds the attempt instead.
 """
 
 from __future__ import annotations
@@ -46,13 +46,13 @@
 MIN_RECONNECT_MS = 20.0
 MAX_RECONNECT_MS = 1000.0
 READ_BYTES = 262_144
-SILENCE_TIMEOUT_S = 1.0  # with several replicas: one that owes an answer for so long may have lost its term
+SILENCE_TIMEOUT_S = 1.0  # with several replicas: one that owes a reply for this long may have lost its term
 FLUSH_POLL_INTERVAL_S = 0.005
 FINAL_STATUSES = (Status.DONE, Status.REPEATED, Status.KNOWN, Status.TOO_OLD, Status.BAD, Status.REUSED)
-LOST_STATUSES = (Status.TOO_OLD, Status.BAD)  # of those: the attempt is recorded nowhere
-FUTURE_TIME_MS = 1e15  # an attempt's time that every service replaces by its own
+NOT_RECORDED_STATUSES = (Status.TOO_OLD, Status.BAD)  # final statuses after which the attempt is recorded nowhere
+FUTURE_TIME_MS = 1e15  # so far ahead that every service replaces this attempt time by its own time
 Address = tuple[str, int]
-Answer = Callable[[int, CallResult, float, float], None]  # call, result, total, ms for which nothing was lost
+AddCallback = Callable[[int, CallResult, float, float], None]  # call, result, total, retained_ms
 
 
 def _direct_route(address: Address) -> Address:
@@ -64,7 +64,7 @@
 
 
 class _MovedError(CounterError):
-    """Another replica leads, at the address that is named, if any is."""
+    """Another replica leads; `leader` is its address as HOST:PORT, or empty if unknown."""
 
     def __init__(self, leader: str) -> None:
         super().__init__(leader)
@@ -73,16 +73,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientOptions:
-    """How a client speaks to its service."""
+    """Options of a client."""
 
-    gateway: str  # its name
-    timeout_ms: float = 50.0  # of an add
-    max_pending: int = 10_000  # commands without an answer; more adds are rejected
+    gateway: str  # the gateway's name
+    timeout_ms: float = 50.0  # for the reply to an add
+    max_pending: int = 10_000  # commands without a reply; further adds are rejected
     map_version: int = 1
     tls: ssl.SSLContext | None = None
     server_name: str = ""  # in the service's certificate
-    group: str = ""  # of replicas that is meant, where a listener serves several
-    route: Callable[[Address], Address] = _direct_route  # gives the address that leads to one
+    group: str = ""  # the replica group, if a listener serves several
+    route: Callable[[Address], Address] = _direct_route  # returns the address through which an address is reached
     on_acknowledged: Callable[[str], None] = _ignore_acknowledgement  # called with each attempt's request id
 
 
@@ -93,19 +93,20 @@
         self,
         addresses: Sequence[Address] | Callable[[], Sequence[Address]],
         journal: AttemptJournal,
-        answer: Answer,
+        answer: AddCallback,
         log_event: EventLog,
         options: ClientOptions,
     ) -> None:
-        """Connect to one service, or to the replicas that hold the counter, of which one leads at a time.
+        """Create a client of one service, or of the replicas that hold the counter, of which one leads at a time.
 
-        If the replicas change, `addresses` is a function that gives those of now, the likeliest first.  `answer` is
-        called once for each add.
+        If the replicas may change, `addresses` is a function that returns the current ones, the most likely leader
+        first.  `answer` is called once for each add; its `retained_ms` is the time during which the service has
+        provably lost no total.
         """
         self._options = options
         self._addresses = addresses if callable(addresses) else lambda: addresses
-        self._hops = 0
-        self._address: Address | None = None  # that is asked, once one was
+        self._undirected_reconnects = 0  # reconnects to an address that no replica named
+        self._address: Address | None = None  # the chosen address, if any
         self._silence_timeout_s = SILENCE_TIMEOUT_S if callable(addresses) or len(addresses) > 1 else None
         self._journal = journal
         self._answer = answer
@@ -114,30 +115,30 @@
         self.backoff = Backoff(MIN_RECONNECT_MS, MAX_RECONNECT_MS)
         self._sequence = 0
         self._pending: OrderedDict[int, Command] = OrderedDict()  # in order of sequence
-        self._calls: dict[int, int] = {}  # adds: the caller's call by sequence, until its time-out
+        self._calls: dict[int, int] = {}  # of adds: the caller's call by sequence, until its timeout
         self._writer: asyncio.StreamWriter | None = None
         self._session_open = False
         self._task: asyncio.Task[None] | None = None
-        self._written: set[int] = set()  # of the pending: those that may have arrived
+        self._written: set[int] = set()  # the pending sequences that may have arrived at the service
         self.resent = 0
-        self._journaled_now: set[str] = set()  # request ids of this epoch, whose time may still be corrected
-        self._connected_at_s = math.inf  # when the present session was opened
+        self._journaled_in_epoch: set[str] = set()  # request ids of this epoch; their time may still be corrected
+        self._connected_at_s = math.inf  # when the current session was opened
 
     def start(self) -> None:
-        """Connect, and send what an earlier epoch had journaled."""
+        """Connect, and send the attempts that an earlier epoch left in the journal."""
         self._task = asyncio.create_task(self._run())
         for attempt in list(self._journal.pending.values()):
             self._send_attempt(attempt)
 
     async def flush(self, within_ms: float) -> bool:
-        """Wait until all is acknowledged; False if it was not in time."""
+        """Wait until all commands are acknowledged; returns False if that took too long."""
         deadline = time.monotonic() + within_ms / 1000
         while self._pending and time.monotonic() < deadline:
             await asyncio.sleep(FLUSH_POLL_INTERVAL_S)
         return not self._pending
 
     async def stop(self) -> None:
-        """Close; what is not acknowledged stays in the journal."""
+        """Close; attempts that are not acknowledged stay in the journal."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -146,15 +147,16 @@
 
     @property
     def pending_count(self) -> int:
-        """Commands that wait for their answer."""
+        """The number of commands that wait for their reply."""
         return len(self._pending)
 
     # Commands
 
     def add(self, call: int, key: int, units: float, ttl_ms: float, bounds_ceiling: bool = False) -> None:
-        """Request one add; `answer` is called once for it, within the time-out, with a proof if requested or not.
+        """Request one add; `answer` is called once for it, within the timeout.
 
-        The proof begins with the connection: another one may lead to a service that was promoted, or lost its tail.
+        `bounds_ceiling` changes nothing here.  The reported `retained_ms` begins with the connection, because another
+        connection may lead to a service that was promoted, or that lost the tail of its log.
         """
         if len(self._pending) >= self._options.max_pending:
             self._answer(call, CallResult.OVERLOADED, 0.0, 0.0)
@@ -175,7 +177,7 @@
             self._answer(call, CallResult.CONNECT_FAILED, 0.0, 0.0)
 
     def record(self, record: AttemptRecord) -> bool:
-        """Journal an attempt and send it; False if the journal is full, and nothing is kept."""
+        """Journal an attempt and send it; returns False if the journal does not accept it."""
         attempt = RecordAttempt(
             0,
             record.time_ms,
@@ -188,23 +190,24 @@
         )
         if not self._journal.append(attempt):
             return False
-        self._journaled_now.add(record.request_id)
+        self._journaled_in_epoch.add(record.request_id)
         self._send_attempt(attempt)
         return True
 
     def _on_record_reply(self, command: RecordAttempt, status: Status) -> None:
-        """Drop an attempt, unless its time alone was refused: clocks were stepped, and it is sent anew as of now.
+        """Remove an attempt that has a final status, but send it again if only its time was rejected as too old.
 
-        One of an earlier epoch is not: the service may have recorded it, and forgotten that.
+        Its time is too old because a clock was stepped, so it is sent again with a time that the service replaces.  An
+        attempt of an earlier epoch is not sent again, because the service may have recorded it and removed its id.
         """
         request_id = command.request_id
-        if status is Status.TOO_OLD and request_id in self._journaled_now:
-            self._journaled_now.discard(request_id)
+        if status is Status.TOO_OLD and request_id in self._journaled_in_epoch:
+            self._journaled_in_epoch.discard(request_id)
             self._send_attempt(replace(command, time_ms=FUTURE_TIME_MS))
             return
-        if status in LOST_STATUSES:
+        if status in NOT_RECORDED_STATUSES:
             self._log_lost_attempt(command, status)
-        self._journaled_now.discard(request_id)
+        self._journaled_in_epoch.discard(request_id)
         self._journal.acknowledge(request_id)
         self._options.on_acknowledged(request_id)
 
@@ -255,15 +258,15 @@
                     self._writer = None
             redirected = self._choose_address(leader)
             if redirected_before or not redirected:  # two replicas that each name the other must not cause a busy loop
-                # Each is asked once before the wait grows: after a leader's loss the next may be any of them.
-                self._hops += 1
-                all_asked = self._hops % max(1, len(self._addresses())) == 0
-                await asyncio.sleep((self.backoff.failed() if all_asked else MIN_RECONNECT_MS) / 1000)
+                # The delay grows after a round over all replicas: after a leader's loss any may be the next.
+                self._undirected_reconnects += 1
+                all_tried = self._undirected_reconnects % max(1, len(self._addresses())) == 0
+                await asyncio.sleep((self.backoff.failed() if all_tried else MIN_RECONNECT_MS) / 1000)
 
     def _choose_address(self, leader: str) -> bool:
-        """Choose another replica: the leader that was named, else the one after this.  Returns whether it was named.
+        """Choose the named leader, or else the next replica; returns whether the named leader was chosen.
 
-        Only addresses that are known are used: a reply must not lead a gateway to strangers.
+        Only listed addresses are used: a reply must not direct a gateway to an address outside of the cluster.
         """
         known = list(self._addresses())
         named = next(
@@ -278,21 +281,21 @@
         return named is not None
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
-        """Read the next bytes; raises ProtocolError if another replica may lead by now, as this one is silent."""
+        """Read the next bytes; raises ProtocolError if a replica that owes a reply is silent, as another may lead."""
         while True:
-            owed = bool(self._pending) or not self._session_open
+            expects_reply = bool(self._pending) or not self._session_open
             try:
                 async with asyncio.timeout(self._silence_timeout_s):
                     return await reader.read(READ_BYTES)
             except TimeoutError:
-                if owed:
-                    raise ProtocolError("the replica is silent") from None
+                if expects_reply:
+                    raise ProtocolError("the replica owes a reply and has sent nothing in time") from None
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         if self._address is None:
             self._choose_address("")
         if self._address is None:
-            raise ConnectionError("nobody is known who may hold it")
+            raise ConnectionError("no address of a counter replica is known")
         host, port = self._options.route(self._address)
         tls = self._options.tls
         server_name = (self._options.server_name or None) if tls else None
@@ -300,10 +303,10 @@
             async with asyncio.timeout(self._silence_timeout_s):
                 return await asyncio.open_connection(host, port, ssl=tls, server_hostname=server_name)
         except TimeoutError:
-            raise ConnectionError("no connection in time") from None
+            raise ConnectionError("the connection was not established in time") from None
 
     async def _serve_connection(self) -> None:
-        """Connect and handle frames until the connection ends; raises _MovedError, OSError, ProtocolError."""
+        """Connect, and handle frames until the connection ends; raises _MovedError, OSError, ProtocolError."""
         reader, writer = await self._connect()
         self._writer = writer
         options = self._options
@@ -334,7 +337,7 @@
 
     def _handle_reply(self, reply: TotalReply | RecordReply) -> None:
         if reply.status is Status.UNWRITTEN:
-            raise ProtocolError("the service cannot write its log")  # all is sent again once it can
+            raise ProtocolError("the service cannot write its log")  # all is sent again after the reconnect
         command = self._pending.pop(reply.sequence, None)
         self._written.discard(reply.sequence)
         if isinstance(command, RecordAttempt) and reply.status in FINAL_STATUSES:
--- a/martenstep/counter/connection.py
+++ b/martenstep/counter/connection.py
@@ -1,4 +1,4 @@
-"""A gateway's connection at any listener of the counter: frames in, bounded bytes out, an end with its reason."""
+"""The base class of connections at the counter's listeners: it decodes frames, and bounds the bytes not yet sent."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 
 
 class GatewayConnection(asyncio.Protocol):
-    """One connection; `handle_frame` gets its frames."""
+    """One connection; subclasses implement `handle_frame`."""
 
     def __init__(self, max_unsent_bytes: int) -> None:
-        """A gateway that leaves more bytes than these unread is disconnected."""
+        """Create a connection; a gateway that leaves more than `max_unsent_bytes` unread is disconnected."""
         self._decoder = FrameDecoder()
         self._max_unsent_bytes = max_unsent_bytes
         self.transport: asyncio.Transport | None = None
         self.last_received_s = time.monotonic()
 
     @property
-    def owes_frame(self) -> bool:
-        """Whether a frame has begun and is not complete."""
+    def expects_frame(self) -> bool:
+        """Whether the gateway has sent only part of a frame."""
         return self._decoder.has_partial_frame
 
     def handle_frame(self, frame: Frame) -> None:
-        """Handle one frame; raises ProtocolError if it is out of place."""
+        """Handle one frame; raises ProtocolError if it is not allowed at this point."""
         raise NotImplementedError
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop the transport."""
+        """Remove the transport."""
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Decode and handle the frames that are complete."""
+        """Decode the received bytes, and handle each complete frame."""
         self.last_received_s = time.monotonic()
         try:
             for payload in self._decoder.feed(data):
@@ -52,7 +52,7 @@
             self.reject(Status.BAD, str(error))
 
     def send(self, data: bytes) -> None:
-        """Write to the gateway; a slow reader is disconnected."""
+        """Write to the gateway, and disconnect it if it reads too slowly."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -61,17 +61,17 @@
             transport.abort()
 
     def reject(self, status: Status, reason: str) -> None:
-        """Say why, and close."""
+        """Send the reason, and close the connection."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(encode(Rejection(status, reason[:MAX_REASON_CHARACTERS])))
             self.transport.close()
 
 
 async def close_idle_connections(connections: Collection[GatewayConnection], idle_s: float) -> None:
-    """Close, for as long as this runs, those that owe a frame and have sent nothing for so long."""
+    """Repeatedly close connections that expect a frame and have received nothing for `idle_s`."""
     while True:
         await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
         oldest_s = time.monotonic() - idle_s
         for connection in list(connections):
-            if connection.owes_frame and connection.last_received_s < oldest_s:
+            if connection.expects_frame and connection.last_received_s < oldest_s:
                 connection.reject(Status.BAD, "half a frame, and nothing more")
--- a/martenstep/counter/errors.py
+++ b/martenstep/counter/errors.py
@@ -1,7 +1,7 @@
-"""The errors of the counter."""
+"""The base class of the counter's errors."""
 
 from __future__ import annotations
 
 
 class CounterError(Exception):
-    """Base of the errors that the counter's modules raise."""
+    """The base class of the errors that the counter's modules raise."""
--- a/martenstep/counter/follower.py
+++ b/martenstep/counter/follower.py
@@ -1,11 +1,11 @@
-"""A follower: tails the leader's log, acknowledges what it has on its own disk, and can be promoted by hand.
+"""A follower: it copies the leader's log, acknowledges records that are durable, and can be promoted by hand.
 
-With `wait_for_follower` at the leader nothing is acknowledged to a gateway that a follower does not hold: a leader's
-machine may be lost with nothing that was acknowledged.  Without it the follower lags: what it had not acknowledged when
-the machine was lost is lost with it.
+With `wait_for_follower` the leader acknowledges a command to a gateway only after a follower holds it, so the loss of
+the leader's machine loses nothing that was acknowledged.  Without it the follower may lag: records that it had not
+acknowledged are lost with the leader's machine.
 
-Promotion begins a new term in the follower's log.  A leader of an older term that hears of the new one, from a gateway
-or a follower, is fenced: it rejects all writes with a plain message.
+Promotion begins a new term in the follower's log.  A leader of an older term that receives the new term from a gateway
+or a follower is fenced: it rejects all writes, and names the new term.
 """
 
 from __future__ import annotations
@@ -42,10 +42,10 @@
 
 
 class LeaderRejectedError(CounterError):
-    """The leader will not be followed: a person must look."""
+    """The leader refuses to be followed, and a retry cannot help: a person must intervene."""
 
     def __init__(self, status: Status, reason: str) -> None:
-        """`status` and `reason` as the leader gave them."""
+        """`status` and `reason` are those of the leader's rejection."""
         super().__init__(f"{status.name}: {reason}")
         self.status = status
         self.reason = reason
@@ -55,7 +55,7 @@
     """A replica of a leader's log."""
 
     def __init__(self, directory: Path, segment_bytes: int = DEFAULT_SEGMENT_BYTES) -> None:
-        """Open the directory; raises LogError, LockedError, OSError."""
+        """Open the log in a directory; raises LogError, LockedError, OSError."""
         self._disk = Disk(directory)
         try:
             opened = open_log(self._disk)
@@ -73,13 +73,13 @@
 
     @property
     def record_count(self) -> int:
-        """Records held."""
+        """The number of records held."""
         return self._writer.next
 
     def append_records(self, records: LogRecords) -> FollowAck:
-        """Make records durable; raises LogError if they are not complete, ProtocolError if they do not follow."""
+        """Make records durable; raises LogError if they are incomplete, ProtocolError if they leave a gap."""
         if records.first_index != self._writer.next:
-            raise ProtocolError(f"record {records.first_index} after {self._writer.next - 1}")
+            raise ProtocolError(f"expected records from {self._writer.next}, got records from {records.first_index}")
         entries = decode_records(records.data, records.first_index)
         self._writer.append_copied(entries)
         self._last_checksum = fingerprint_entry(self._writer.next - 1, entries[-1])
@@ -89,12 +89,12 @@
         return FollowAck(self._writer.next)
 
     def close(self) -> None:
-        """Close the log and let the directory go."""
+        """Close the log, and unlock the directory."""
         self._writer.close()
         self._disk.close()
 
     async def follow(self, host: str, port: int) -> None:
-        """Follow over one connection until it ends; raises LeaderRejectedError, OSError, ProtocolError."""
+        """Follow the leader over one connection until it ends; raises LeaderRejectedError, OSError, ProtocolError."""
         reader, writer = await asyncio.open_connection(host, port)
         loop = asyncio.get_running_loop()
         try:
@@ -117,7 +117,7 @@
         raise ProtocolError(rejection.reason)
 
     async def run(self, host: str, port: int) -> None:
-        """Follow for good, through the leader's restarts; raises LeaderRejectedError."""
+        """Follow permanently, with reconnects after failures; raises LeaderRejectedError."""
         backoff = Backoff(MIN_RETRY_MS, MAX_RETRY_MS)
         while True:
             records_before = self.record_count
@@ -132,7 +132,7 @@
 
 
 def promote(directory: Path) -> int:
-    """Begin a new term in a follower's log: whoever serves it is the leader.  Returns the term."""
+    """Begin a new term in a follower's log, and return it; a service on that log is then the leader."""
     with Disk(directory) as disk:
         pipeline: CommitPipeline[None] = CommitPipeline(disk, CounterLimits())
         term = pipeline.begin_term()
--- a/martenstep/counter/journal.py
+++ b/martenstep/counter/journal.py
@@ -1,8 +1,8 @@
 """A gateway's write-ahead journal: attempts that the counter has not acknowledged yet, and the gateway's epoch.
 
-`tries.jsonl` has a line for each attempt, and one for each acknowledgement; `epoch` and `term` hold a number each.  A
-line counts once it is written completely: it survives a kill of the process.  If the disk fails, what cannot be kept is
-not accepted, and the file is left, or cut back, to its last complete line before anything else is written to it.
+`tries.jsonl` has one line for each attempt, and one for each acknowledgement; `epoch` and `term` hold one number each.
+A line is accepted once it is completely written: it then survives a kill of the process.  If the disk fails, an attempt
+that cannot be written is not accepted, and the file is truncated to its last complete line before the next write.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from martenstep.event_log import EventLog
 from martenstep.transient_errors import retry_transient
 
-START_TIMEOUT_S = 8.0  # a start waits so long for a disk that is full or fails
+START_TIMEOUT_S = 8.0  # how long a start waits for a disk that is full or fails
 START_RETRY_INTERVAL_S = 0.05
-REWRITE_FACTOR = 4  # the file is written anew once it has so many times the lines that the bound allows
+REWRITE_FACTOR = 4  # the file is rewritten once it has this many lines for each attempt that the bound allows
 ATTEMPTS_FILE = "tries.jsonl"
 EPOCH_FILE = "epoch"
 TERM_FILE = "term"
@@ -35,7 +35,7 @@
     forbid_unknown_fields=True,
     rename={"over_quota": "beyond", "request_id": "request", "request_class": "cls"},
 ):
-    """An attempt's line, under the names that stand in stored files."""
+    """The line of an attempt; `rename` gives the field names of the stored form."""
 
     sequence: int
     time_ms: float
@@ -63,7 +63,7 @@
 
 
 def _convert_attempt(line: object) -> RecordAttempt:
-    """Read a decoded line; sequences are of an earlier epoch, so they are not read."""
+    """Convert a decoded line; the stored sequence is dropped, as it belongs to an earlier epoch."""
     stored = msgspec.convert(line, _StoredAttempt)
     return RecordAttempt(
         0,
@@ -78,14 +78,14 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of some bytes to a file, however many calls that takes; raises OSError."""
+    """Write all bytes to a file, with further calls after short writes; raises OSError."""
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
 
 
 def replace_atomically(path: Path, data: bytes) -> int:
-    """Put bytes durably in place of a file's, which stays as it was if that fails; raises OSError.
+    """Replace a file's content durably; raises OSError, in which case the old file is unchanged.
 
     Returns the open descriptor of the new file, for appending.
     """
@@ -108,29 +108,29 @@
 
 
 class AttemptJournal:
-    """The journal in one directory; raises OSError only if it cannot be opened."""
+    """The journal in one directory; only opening it raises OSError."""
 
     def __init__(self, directory: Path, max_attempts: int, log_event: EventLog = lambda event, fields: None) -> None:
-        """`log_event` is told when the disk fails, and when it works again."""
+        """Open the journal; `log_event` is called when the disk fails, and when it works again."""
         self._directory = directory
         self._max_attempts = max_attempts
         self._log_event = log_event
         self._failing = False
         directory.mkdir(parents=True, exist_ok=True)
-        self.epoch = self._raise_epoch()
-        self.term = self._read_number(TERM_FILE)  # the highest that a service told of: an older one is fenced by it
+        self.epoch = self._increment_epoch()
+        self.term = self._read_number(TERM_FILE)  # the highest that a service reported; it fences older terms
         self._stored_term = self.term
         self.pending: OrderedDict[str, RecordAttempt] = OrderedDict()  # by request id
         self._path = directory / ATTEMPTS_FILE
-        self._read()
-        # Of the file, up to its last complete line:
+        self._load_pending()
+        # These describe the file up to its last complete line.
         self._size_bytes = 0
         self._lines = 0
         self._rewrite_at_lines = 0
-        self._descriptor = self._retry(self._write_anew)
+        self._descriptor = self._retry_at_start(self._write_pending)
 
     @staticmethod
-    def _retry(work: Callable[[], int]) -> int:
+    def _retry_at_start(work: Callable[[], int]) -> int:
         return retry_transient(work, _is_os_error, within_s=START_TIMEOUT_S, interval_s=START_RETRY_INTERVAL_S)
 
     def _read_number(self, name: str) -> int:
@@ -142,18 +142,18 @@
         os.close(replace_atomically(self._directory / name, f"{value}\n".encode()))
         return value
 
-    def _raise_epoch(self) -> int:
-        # The clock makes it greater still: a disk restored from a backup would else give an epoch again.
+    def _increment_epoch(self) -> int:
+        # The clock is a second lower bound: a disk restored from a backup would otherwise repeat a used epoch.
         epoch = max(self._read_number(EPOCH_FILE) + 1, int(time.time() * 1000))
-        return self._retry(lambda: self._store_number(EPOCH_FILE, epoch))
+        return self._retry_at_start(lambda: self._store_number(EPOCH_FILE, epoch))
 
-    def _read(self) -> None:
+    def _load_pending(self) -> None:
         try:
             lines = self._path.read_bytes().split(b"\n")
         except FileNotFoundError:
             return
         for line in lines:
-            # The last may be cut off by a kill; ValidationError is a DecodeError.
+            # A kill may have truncated the last line; ValidationError is a DecodeError.
             with contextlib.suppress(msgspec.DecodeError, TypeError):
                 decoded = msgspec.json.decode(line)
                 if ACKNOWLEDGED_KEY in decoded:
@@ -162,8 +162,8 @@
                     attempt = _convert_attempt(decoded)
                     self.pending[attempt.request_id] = attempt
 
-    def _write_anew(self) -> int:
-        """Write what is pending into a new file; returns its descriptor."""
+    def _write_pending(self) -> int:
+        """Write the pending attempts to a new file that replaces the old one; returns its descriptor."""
         lines = [_encode_attempt(attempt) + b"\n" for attempt in self.pending.values()]
         data = b"".join(lines)
         descriptor = replace_atomically(self._path, data)
@@ -173,9 +173,9 @@
         return descriptor
 
     def _append_line(self, line: bytes) -> bool:
-        """Add a line completely or not at all; False if the disk does not take it."""
+        """Append a line completely or not at all; returns False if the write fails."""
         try:
-            # What an earlier failure left may not have been cut off then.
+            # The truncation after an earlier failed write may have failed too, which left part of a line.
             if os.fstat(self._descriptor).st_size != self._size_bytes:
                 os.ftruncate(self._descriptor, self._size_bytes)
             write_all(self._descriptor, line + b"\n")
@@ -196,11 +196,11 @@
 
     def _on_success(self) -> None:
         if self._failing:
-            self._log_event("journal written again", {"tries": len(self.pending)})
+            self._log_event("journal is writable again", {"tries": len(self.pending)})
         self._failing = False
 
     def observe_term(self, term: int) -> None:
-        """Keep the highest term, over restarts; if the disk fails, from the next time on that it is seen."""
+        """Store the highest term so that it survives restarts; a failed write is repeated at the next call."""
         self.term = max(self.term, term)
         if self.term > self._stored_term:
             try:
@@ -209,16 +209,16 @@
                 self._on_failure(error)
 
     def append(self, attempt: RecordAttempt) -> bool:
-        """Keep an attempt until it is acknowledged; False if the bound is reached or the disk does not take it."""
+        """Store an attempt until it is acknowledged; returns False if the bound is reached or the write fails."""
         if len(self.pending) >= self._max_attempts or not self._append_line(_encode_attempt(attempt)):
             return False
         self.pending[attempt.request_id] = attempt
         return True
 
     def acknowledge(self, request_id: str) -> None:
-        """Drop an attempt that is recorded.
+        """Remove an attempt that the counter has recorded.
 
-        If the disk does not take that, it is sent again after a restart, and found to be known.
+        If that cannot be written, the attempt is sent again after a restart, and the counter recognizes its request id.
         """
         if self.pending.pop(request_id, None) is None:
             return
@@ -227,10 +227,10 @@
             self._rewrite()
 
     def _rewrite(self) -> None:
-        """Continue in a new file; if it cannot be made, in the old one, for a while."""
+        """Continue in a new file; if it cannot be written, keep the old one and delay the next rewrite."""
         previous = self._descriptor
         try:
-            self._descriptor = self._write_anew()
+            self._descriptor = self._write_pending()
         except OSError as error:
             self._rewrite_at_lines = self._lines + self._max_attempts
             self._on_failure(error)
@@ -238,5 +238,5 @@
             os.close(previous)
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the journal's file."""
         os.close(self._descriptor)
--- a/martenstep/counter/log_entries.py
+++ b/martenstep/counter/log_entries.py
@@ -1,6 +1,6 @@
-"""The entries of the counter's log: their layouts, and how they are read and written.
+"""The entries of the counter's log: their binary layouts, and the functions that encode and decode them.
 
-The first byte is the entry's type, the next eight the service's time (Unix ms).  All numbers are big-endian.
+The first byte is the entry's type, and the next eight are the service's time (Unix ms).  All numbers are big-endian.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 ENTRY_ADD = 1
 ENTRY_ATTEMPT = 2
 ENTRY_GATEWAY = 3
-ENTRY_TERM = 5  # 4 is the log's seal, which has no content
+ENTRY_TERM = 5  # 4 is the log's seal, which carries no entry of the counter
 
-MAX_ATTEMPT_TEXT_BYTES = 0xFFFF  # of all strings of one attempt
+MAX_ATTEMPT_TEXT_BYTES = 0xFFFF  # for all strings of one attempt together
 
 ADD_LAYOUT = struct.Struct(">BdIQQdd")  # type, time, gateway, sequence, key, units, time to live
 _ATTEMPT_LAYOUT = struct.Struct(">BdIQddBBHHHH")  # type, time, gateway, sequence, attempt's time, units, flags, lengths
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class AddEntry:
-    """One add as the log holds it."""
+    """An add, as stored in the log."""
 
     logged_at_ms: float
     gateway_number: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class AttemptEntry:
-    """One recorded attempt as the log holds it."""
+    """A recorded attempt, as stored in the log."""
 
     logged_at_ms: float
     gateway_number: int
@@ -45,7 +45,7 @@
     time_ms: float
     units: float
     over_quota: bool
-    duplicate: bool  # its request id was known already
+    duplicate: bool  # its request id was already known, so it adds nothing to the usage
     request_id: str
     customer: str
     plan: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class GatewayEntry:
-    """The begin of a gateway's epoch as the log holds it."""
+    """The beginning of a gateway's epoch, as stored in the log."""
 
     logged_at_ms: float
     number: int
@@ -63,14 +63,17 @@
 
 
 def decode_add(entry: bytes) -> AddEntry:
-    """Decode an add's entry."""
+    """Decode the entry of an add."""
     return AddEntry(*ADD_LAYOUT.unpack(entry)[1:])
 
 
 def encode_attempt(
     logged_at_ms: float, gateway_number: int, command: RecordAttempt, time_ms: float, duplicate: bool
 ) -> bytes:
-    """Encode an attempt's entry, with the time that the service takes it to have; raises ProtocolError if too large."""
+    """Encode the entry of an attempt; raises ProtocolError if its strings are too long.
+
+    `time_ms` is the attempt's time as the service may have corrected it.
+    """
     texts = [text.encode() for text in (command.request_id, command.customer, command.plan, command.request_class)]
     if sum(map(len, texts)) > MAX_ATTEMPT_TEXT_BYTES:
         raise ProtocolError("an attempt whose strings are too long")
@@ -89,7 +92,7 @@
 
 
 def decode_attempt(entry: bytes) -> AttemptEntry:
-    """Decode an attempt's entry."""
+    """Decode the entry of an attempt."""
     _, logged_at_ms, gateway_number, sequence, time_ms, units, over_quota, duplicate, *sizes = (
         _ATTEMPT_LAYOUT.unpack_from(entry)
     )
@@ -104,23 +107,23 @@
 
 
 def encode_gateway(entry: GatewayEntry) -> bytes:
-    """Encode the begin of a gateway's epoch."""
+    """Encode the beginning of a gateway's epoch."""
     name = entry.name.encode()
     return _GATEWAY_LAYOUT.pack(ENTRY_GATEWAY, entry.logged_at_ms, entry.number, entry.epoch, len(name)) + name
 
 
 def decode_gateway(entry: bytes) -> GatewayEntry:
-    """Decode the begin of a gateway's epoch."""
+    """Decode the beginning of a gateway's epoch."""
     _, logged_at_ms, number, epoch, size = _GATEWAY_LAYOUT.unpack_from(entry)
     begin = _GATEWAY_LAYOUT.size
     return GatewayEntry(logged_at_ms, number, epoch, entry[begin : begin + size].decode())
 
 
 def encode_term(now_ms: float, term: int) -> bytes:
-    """Encode the begin of a term."""
+    """Encode the beginning of a term."""
     return _TERM_LAYOUT.pack(ENTRY_TERM, now_ms, term)
 
 
 def decode_term(entry: bytes) -> int:
-    """Decode the term that an entry begins."""
+    """Return the term that an entry begins."""
     return int(_TERM_LAYOUT.unpack(entry)[2])
--- a/martenstep/counter/log_inspection.py
+++ b/martenstep/counter/log_inspection.py
@@ -1,4 +1,4 @@
-"""Reads a log without serving it: verify, rebuild, history, export, totals, and a repair that must be requested."""
+"""Offline tools for a log: verify, rebuild, history, export, totals, and a repair that a person must request."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSummary:
-    """What a log holds, all of it read."""
+    """The content of a log that was read completely."""
 
     segments: int
     snapshots: int
     records: int
-    torn_bytes: int  # that a start would cut off
+    torn_bytes: int  # the size of the torn tail that a start would remove
 
 
 def verify(directory: Path) -> LogSummary:
-    """Read everything, old segments too; raises LogError at the first damage."""
+    """Read all segments and snapshots, including old ones; raises LogError at the first damage."""
     with Disk(directory) as disk:
         found = segments(disk)
         records = 0
@@ -50,15 +50,15 @@
 
 
 def repair(directory: Path, file: str, offset: int) -> int:
-    """Cut a segment at an offset that a person gives, and remove what comes after it; returns the bytes lost.
+    """Truncate a segment at an offset, and remove all later segments; returns the number of bytes lost.
 
-    Nothing calls this by itself: what is cut may have been acknowledged.  Raises LogError.
+    Only a person may request this, because the removed records may have been acknowledged.  Raises LogError.
     """
     with Disk(directory) as disk:
         found = segments(disk)
         names = [segment.name for segment in found]
         if file not in names:
-            raise LogError(file, offset, "there is no such segment")
+            raise LogError(file, offset, f"no such segment, expected one of {', '.join(names)}")
         size = len(disk.read(file))
         if not HEADER.size <= offset <= size:
             raise LogError(file, offset, f"expected an offset from {HEADER.size} to {size}")
@@ -70,7 +70,7 @@
         disk.append(file, offset).close()
         remaining = found[position].first + len(scan(disk, found[position], True).entries)
         for name, records in snapshots(disk):
-            if records > remaining:  # it knows of what is cut
+            if records > remaining:  # the snapshot covers records that are removed
                 disk.remove(name)
         return lost_bytes
 
@@ -84,10 +84,7 @@
 def iterate_attempts(
     directory: Path, customer: str | None = None, since_ms: float = float("-inf"), until_ms: float = float("inf")
 ) -> Iterator[tuple[str, AttemptEntry]]:
-    """Yield every recorded attempt that is retained, old segments too, in the log's order, with its gateway's name.
-
-    Each comes once.
-    """
+    """Yield each retained attempt once, with its gateway's name, in the log's order and including old segments."""
     gateways: dict[int, str] = {}
     with Disk(directory) as disk:
         found = segments(disk)
--- a/martenstep/counter/log_output.py
+++ b/martenstep/counter/log_output.py
@@ -9,5 +9,5 @@
 
 
 def log_event(event: str, fields: LogFields) -> None:
-    """Write one line."""
+    """Write one event as a JSON line."""
     sys.stderr.write(json.dumps({"event": event, **fields}) + "\n")
--- a/martenstep/counter/log_shipping.py
+++ b/martenstep/counter/log_shipping.py
@@ -1,4 +1,4 @@
-"""The leader's side of its followers: sends them the log, and waits for what they hold."""
+"""Log shipping: the leader sends its log to followers, and waits for their acknowledgements."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 )
 from martenstep.storage.log import RECORD, LogError, decode_records, fingerprint_entry, read_records
 
-MAX_FRAME_RECORD_BYTES = 60_000  # below the maximum of a frame
+MAX_FRAME_RECORD_BYTES = 60_000  # below the maximum size of a frame
 
 
 def count_records(data: bytes) -> int:
-    """Count the records in some bytes."""
+    """Count the records in encoded data."""
     offset = 0
     count = 0
     while offset < len(data):
@@ -34,7 +34,7 @@
 
 
 def split_records(first_index: int, data: bytes) -> Iterator[LogRecords]:
-    """Split records over frames, between records."""
+    """Split records into frames at record boundaries."""
     frame_index = index = first_index
     begin = offset = 0
     while offset < len(data):
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordRange:
-    """Records of the log, one behind the other."""
+    """Consecutive records of the log."""
 
     first_index: int
     data: bytes
@@ -58,20 +58,20 @@
 
 
 class LogShipper:
-    """What all followers share: the records that are still in memory, and who holds how many."""
+    """State shared by all followers: the records in memory, and the links with their acknowledged records."""
 
     def __init__(self, pipeline: CommitPipeline[Any], recent_bytes: int) -> None:
-        """Records of `recent_bytes` are kept in memory for followers that keep up."""
+        """`recent_bytes` bounds the records kept in memory for followers that keep up."""
         self.pipeline = pipeline
         self.links: set[FollowerLink] = set()
-        self.new_records = asyncio.Event()  # set, and replaced, when more is durable
+        self.new_records = asyncio.Event()  # set and replaced when more records are durable
         self._recent_bytes_limit = recent_bytes
         self._recent: deque[RecordRange] = deque()
         self._recent_bytes = 0
         self._progressed = asyncio.Event()
 
     def publish(self, group: CommitGroup[Any]) -> int:
-        """Take a group that was written; returns the number behind its last record."""
+        """Publish a written group to the followers; returns the index after its last record."""
         next_index = group.first_index + count_records(group.records)
         self._recent.append(RecordRange(group.first_index, group.records, next_index))
         self._recent_bytes += len(group.records)
@@ -81,64 +81,64 @@
         published.set()
         return next_index
 
-    def forget_recent(self) -> None:
-        """Drop the records in memory: the log was read anew."""
+    def clear_recent(self) -> None:
+        """Remove the records in memory, after the log was read again."""
         self._recent.clear()
         self._recent_bytes = 0
 
     def find_recent(self, first_index: int) -> RecordRange | None:
-        """Return durable records from one on, if a group that is still in memory begins with it."""
-        for recent in reversed(self._recent):  # a follower that keeps up wants the last
+        """Return durable records from `first_index` on, if a group in memory begins with that record."""
+        for recent in reversed(self._recent):  # a follower that keeps up needs the last group
             if recent.first_index <= first_index:
                 durable = recent.next_index <= self.pipeline.durable_count
                 return recent if recent.first_index == first_index and durable else None
         return None
 
     async def read_stored(self, first_index: int, until_index: int) -> RecordRange:
-        """Read records that may no longer be in memory, up to the end of their segment; raises LogError, OSError."""
+        """Read records from disk, at most up to the end of their segment; raises LogError, OSError."""
         data, next_index = await asyncio.get_running_loop().run_in_executor(
             None, read_records, self.pipeline.files, first_index, until_index
         )
         return RecordRange(first_index, data, next_index)
 
     def on_progress(self) -> None:
-        """Wake those that wait, as a follower holds more."""
+        """Wake waiting tasks after a follower acknowledged more records."""
         self._progressed.set()
 
     async def wait_for_follower(self, next_index: int) -> None:
-        """Wait until a follower holds all before this."""
+        """Wait until one follower holds all records before `next_index`."""
         while not any(link.acknowledged_index >= next_index for link in self.links):
             self._progressed.clear()
             await self._progressed.wait()
 
 
 class FollowerLink:
-    """One follower: what it has been sent, and what it holds."""
+    """The link to one follower: what was sent to it, and what it has acknowledged."""
 
     def __init__(
         self, shipper: LogShipper, connection: GatewayConnection, writable: asyncio.Event, request: FollowRequest
     ) -> None:
-        """Begin to ship.  `writable` is set while the connection takes more bytes, and once it is lost."""
+        """Begin to ship.  `writable` is set while the connection accepts more bytes, and once it is lost."""
         self._shipper = shipper
         self._connection = connection
         self._writable = writable
         self._request = request
-        self.acknowledged_index = 0  # records before it are durable there
+        self.acknowledged_index = 0  # records before it are durable at the follower
         self._sent_index = request.next_index
         self._task = asyncio.get_running_loop().create_task(self._ship())
 
     def stop(self) -> None:
-        """Stop, as the connection is lost."""
+        """Stop shipping; called when the connection is lost."""
         self._task.cancel()
         self._shipper.links.discard(self)
 
     def on_ack(self, next_index: int) -> None:
-        """Note that the follower holds all before this."""
+        """Record that the follower holds all records before `next_index`."""
         self.acknowledged_index = max(self.acknowledged_index, next_index)
         self._shipper.on_progress()
 
     async def _check_request(self) -> Rejection | None:
-        """Check that the follower's log is the beginning of this one."""
+        """Check that the follower's log is a prefix of this one; returns the rejection if it is not."""
         request = self._request
         pipeline = self._shipper.pipeline
         if request.version != PROTOCOL_VERSION:
@@ -182,7 +182,7 @@
             await new_records.wait()
 
     async def _ship_next(self) -> bool:
-        """Send the next records; False if the connection ends."""
+        """Send the next records; returns False if the connection ends."""
         shipper = self._shipper
         try:
             records = shipper.find_recent(self._sent_index)
@@ -191,11 +191,11 @@
         except LogError as error:
             self._connection.reject(Status.BAD, f"{error}: copy the directory first")
             return False
-        except OSError as error:  # a segment that was compacted away meanwhile, or a disk: it may ask again
+        except OSError as error:  # a segment that was compacted away meanwhile, or a disk failure: a retry may work
             self._connection.reject(Status.UNWRITTEN, f"the log cannot be read: {error}")
             return False
         for frame in split_records(self._sent_index, records.data):
-            await self._writable.wait()  # it is waited for, not disconnected as a gateway is
+            await self._writable.wait()  # a slow follower delays shipping; only slow gateways are disconnected
             transport = self._connection.transport
             if transport is None or transport.is_closing():
                 return False
--- a/martenstep/counter/pending_increments.py
+++ b/martenstep/counter/pending_increments.py
@@ -1,8 +1,8 @@
-"""A gateway's increments that the counter has not acknowledged yet, as a replicated state machine.
+"""A replicated state machine of one gateway's increments that the counter has not acknowledged yet.
 
 The replicas of a group apply the same entries (`replication.replica`).  An attempt is pending from `AddPending` to
-`Acknowledge`; `FenceOwner` ends the group for its owner, who begins another one, while what is left in it is delivered
-by the group's leader.  Delivering an attempt twice does no harm: the counter knows it by its request id.
+`Acknowledge`.  After `FenceOwner` the owner can add nothing more and begins another group, while the group's leader
+delivers the remaining attempts.  A repeated delivery is harmless: the counter recognizes the request id.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 import msgspec
 
-MAX_ATTEMPTS_PER_ENTRY = 100  # names are bounded, so that an entry stays below its maximum size
+MAX_ATTEMPTS_PER_ENTRY = 100  # the lengths of names are bounded, so this keeps an entry below its maximum size
 MAX_REQUESTS_PER_ENTRY = 400
 
 
 class AttemptRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One attempt that was forwarded.  Entries and snapshots hold its fields in this order."""
+    """An attempt that was forwarded.  Entries and snapshots store its fields in this order."""
 
     request_id: str
     time_ms: float  # Unix
@@ -28,32 +28,32 @@
 
 
 class SetOwner(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Names the gateway whose increments these are."""
+    """Names the gateway that owns the group."""
 
     owner: str
 
 
 class AddPending(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """Adds attempts that are to be recorded."""
+    """Adds attempts that the counter must record."""
 
     attempts: tuple[AttemptRecord, ...]
 
 
 class Acknowledge(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """Drops attempts that the counter has."""
+    """Removes attempts that the counter has recorded."""
 
     request_ids: tuple[str, ...]
 
 
 class FenceOwner(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """The owner is lost: nothing more is added."""
+    """Fences the owner, which is lost: no attempts are added after this entry."""
 
 
 Entry = SetOwner | AddPending | Acknowledge | FenceOwner
 
 
 class _Snapshot(msgspec.Struct, array_like=True):
-    """The state as snapshots hold it, its fields in this order."""
+    """The state as stored in snapshots, with its fields in this order."""
 
     owner: str
     fenced: bool
@@ -71,17 +71,17 @@
 
 
 class PendingIncrements:
-    """One replica's state."""
+    """The state of one replica."""
 
     def __init__(self) -> None:
-        """Begin empty, without an owner."""
+        """Create an empty state without an owner."""
         self.owner = ""
         self.fenced = False
         self.acknowledged_count = 0
         self.pending: dict[str, AttemptRecord] = {}  # by request id
 
     def apply(self, data: bytes) -> bool:
-        """Apply one entry; False if it changes nothing, as the owner is fenced or the entry cannot be read."""
+        """Apply one entry; returns False if the owner is fenced or the entry cannot be decoded, and nothing changes."""
         try:
             entry = _ENTRY_DECODER.decode(data)
         except msgspec.MsgspecError:
@@ -107,7 +107,7 @@
         )
 
     def restore(self, body: bytes) -> None:
-        """Replace the state by a snapshot's; raises ValueError if it is none."""
+        """Replace the state by a snapshot's; raises ValueError if the body is not a snapshot."""
         try:
             snapshot = _SNAPSHOT_DECODER.decode(body)
         except msgspec.MsgspecError as error:
@@ -119,12 +119,12 @@
 
 
 def split_pending(attempts: list[AttemptRecord]) -> Iterable[AddPending]:
-    """Split attempts over entries that are not too large."""
+    """Split attempts into entries of bounded size."""
     for begin in range(0, len(attempts), MAX_ATTEMPTS_PER_ENTRY):
         yield AddPending(tuple(attempts[begin : begin + MAX_ATTEMPTS_PER_ENTRY]))
 
 
 def split_acknowledged(request_ids: list[str]) -> Iterable[Acknowledge]:
-    """Split request ids over entries that are not too large."""
+    """Split request ids into entries of bounded size."""
     for begin in range(0, len(request_ids), MAX_REQUESTS_PER_ENTRY):
         yield Acknowledge(tuple(request_ids[begin : begin + MAX_REQUESTS_PER_ENTRY]))
--- a/martenstep/counter/protocol.py
+++ b/martenstep/counter/protocol.py
@@ -1,24 +1,24 @@
 """The counter's protocol, version 1, without sockets.  All numbers are big-endian.
 
 Frame: `u32 length` of the payload (1 to 65,536), `u32 crc32c` of the payload, payload.  The payload's first byte is its
-type.  Strings are `u16 length` and UTF-8.  A connection begins with HELLO and its answer; then commands and replies,
-pipelined: replies come in the order of the commands.
+type.  Strings are `u16 length` and UTF-8.  A connection begins with HELLO and its answer.  Commands may then be
+pipelined; the replies arrive in the order of the commands.
 
 | type | name | payload after the type |
 | --- | --- | --- |
-| 0x01 | HELLO | u16 version, u32 map version, u64 epoch, u64 highest term seen, string gateway, string group if any |
+| 0x01 | HELLO | u16 version, u32 map version, u64 epoch, u64 highest term seen, string gateway, optional string group |
 | 0x02 | ADD | u64 sequence, u64 key, f64 units, f64 time to live in ms when the key is new |
 | 0x03 | READ | u64 sequence, u64 key |
 | 0x04 | RECORD | u64 sequence, f64 time (Unix ms), f64 units, u8 over quota, strings request, customer, plan, class |
 | 0x05 | FOLLOW | u16 version, u64 term, u64 next record wanted, u32 CRC32C of the record before it |
-| 0x06 | ACK | u64 next record: all before it are durable at the follower |
+| 0x06 | ACK | u64 next record: all earlier records are durable at the follower |
 | 0x81 | WELCOME | u16 version, u32 map version, u64 term, u64 highest sequence known of this epoch |
 | 0x82 | TOTAL | u64 sequence, u8 status, f64 total |
 | 0x83 | STORED | u64 sequence, u8 status |
 | 0x84 | REFUSED | u8 status, string reason; the connection ends |
-| 0x85 | ENTRIES | u64 number of the first record, then records as they stand in a segment |
+| 0x85 | ENTRIES | u64 number of the first record, then records in the form of a segment |
 
-Statuses are those of `Status`.
+The statuses are the values of `Status`.
 """
 
 from __future__ import annotations
@@ -66,29 +66,29 @@
 
 
 class Status(IntEnum):
-    """The result of a command.  Logs and error texts show the members' names."""
-
-    DONE = 0  # counted or recorded, now
-    REPEATED = 1  # was counted or recorded before under the same sequence; this is the first result
-    KNOWN = 2  # the attempt is recorded already, by another command: not once more
-    TOO_OLD = 3  # outside the deduplication window: whether it was counted is not known, and it is not now
-    REUSED = 4  # the sequence was used for another command: the gateway must take a new epoch
-    FENCED = 5  # the gateway's epoch is over: a later one was seen
-    FULL = 6  # a configured bound is reached: not counted
-    UNWRITTEN = 7  # the log cannot be written: not acknowledged, and it may or may not be there
-    VERSION = 8  # the protocol's version is not supported
-    MAP = 9  # the map of keys to services has another version: reload it
-    BAD = 10  # not a frame of this protocol
-    MOVED = 11  # another replica leads: the reason is its address for gateways, or empty if none is known
+    """The result of a command.  Logs and error texts show the names of the members."""
+
+    DONE = 0  # counted or recorded by this command
+    REPEATED = 1  # counted or recorded earlier under the same sequence; the reply holds the first result
+    KNOWN = 2  # another command has recorded the attempt, so it was not recorded again
+    TOO_OLD = 3  # outside the deduplication window: it may have been counted earlier, and is not counted now
+    REUSED = 4  # the sequence was used for a different command: the gateway must begin a new epoch
+    FENCED = 5  # the gateway's epoch is over, because a later one has begun
+    FULL = 6  # a configured bound is reached; nothing was counted
+    UNWRITTEN = 7  # the log cannot be written: the command is indeterminate
+    VERSION = 8  # the protocol version is not supported
+    MAP = 9  # the map of keys to services has a different version: reload it
+    BAD = 10  # not a valid frame or command of this protocol
+    MOVED = 11  # another replica leads: the reason is its address for gateways, or empty if unknown
 
 
 class ProtocolError(CounterError):
-    """Bytes that are no frame of the protocol, or a frame out of place: the connection ends."""
+    """The bytes are not a valid frame, or the frame is not allowed at this point; the connection ends."""
 
 
 @dataclass(slots=True)
 class Hello:
-    """Opens a session of a gateway's epoch, with one group of replicas where a listener serves several."""
+    """Opens a session for a gateway's epoch; `group` selects a replica group if the listener serves several."""
 
     gateway: str
     epoch: int
@@ -100,24 +100,24 @@
 
 @dataclass(slots=True)
 class FollowRequest:
-    """A follower asks for the log from a record on."""
+    """A follower's request for the log, beginning with record `next_index`."""
 
     term: int
     next_index: int
-    previous_checksum: int  # of the record before it, 0 if there is none: tells diverged logs apart
+    previous_checksum: int  # of the record before it, 0 if there is none; detects diverged logs
     version: int = PROTOCOL_VERSION
 
 
 @dataclass(slots=True)
 class FollowAck:
-    """All records before this one are durable at the follower."""
+    """The follower's report that all records before `next_index` are durable there."""
 
     next_index: int
 
 
 @dataclass(slots=True)
 class LogRecords:
-    """Records of the log, as they stand in a segment."""
+    """Records of the log, in the form of a segment."""
 
     first_index: int
     data: bytes
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True)
 class Read:
-    """Asks for a key's total."""
+    """Requests a key's total."""
 
     sequence: int
     key: int
@@ -157,7 +157,7 @@
 
 @dataclass(slots=True)
 class Welcome:
-    """The session is open."""
+    """The reply to Hello: the session is open."""
 
     highest_sequence: int
     map_version: int = 1
@@ -184,7 +184,7 @@
 
 @dataclass(slots=True)
 class Rejection:
-    """The connection ends, and why."""
+    """States why the connection is being closed."""
 
     status: Status
     reason: str
@@ -198,14 +198,14 @@
 def reply_without_result(
     message: Add | Read | RecordAttempt | TotalReply | RecordReply, status: Status
 ) -> TotalReply | RecordReply:
-    """Build the reply to a command, or in place of a reply to one, that has no result but a status."""
+    """Build a reply that has only a status, for a command or in place of another reply."""
     if isinstance(message, RecordAttempt | RecordReply):
         return RecordReply(message.sequence, status)
     return TotalReply(message.sequence, status, 0.0)
 
 
 def frame_payload(payload: bytes) -> bytes:
-    """Put the header before a payload."""
+    """Return a payload with its frame header."""
     return FRAME_HEADER.pack(len(payload), crc32c(payload)) + payload
 
 
@@ -261,7 +261,7 @@
 
 def encode(frame: Frame) -> bytes:
     """Encode a frame, header included; raises ProtocolError if it is too large."""
-    # The types of the hot path in line: adds, their replies and reads.
+    # Adds, reads and their replies are the hot path, so they are handled inline.
     if isinstance(frame, Add):
         payload = _ADD.pack(ADD, frame.sequence, frame.key, frame.units, frame.ttl_ms)
     elif isinstance(frame, TotalReply):
@@ -332,7 +332,7 @@
     """Decode a payload; raises ProtocolError."""
     try:
         frame_type = payload[0]
-        # The types of the hot path in line: adds, their replies and reads.
+        # Adds, reads and their replies are the hot path, so they are handled inline.
         if frame_type == ADD:
             return Add(*_ADD.unpack(payload)[1:])
         if frame_type == TOTAL:
@@ -349,19 +349,19 @@
 
 
 class FrameDecoder:
-    """Takes bytes as they come and yields complete payloads whose checksums are right."""
+    """Splits received bytes into complete payloads, and verifies their checksums."""
 
     def __init__(self) -> None:
-        """Begin with an empty buffer."""
+        """Create a decoder with an empty buffer."""
         self._buffer = bytearray()
 
     @property
     def has_partial_frame(self) -> bool:
-        """Whether a frame has begun and is not complete."""
+        """Whether the buffer holds an incomplete frame."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the payloads that are complete; raises ProtocolError on a bad length or checksum."""
+        """Add received bytes, and return the complete payloads; raises ProtocolError on a bad length or checksum."""
         buffer = self._buffer
         buffer += data
         payloads = []
--- a/martenstep/counter/replica_process.py
+++ b/martenstep/counter/replica_process.py
@@ -1,4 +1,4 @@
-"""One replica of the counter as a process: its identity, its list of replicas, and how it serves."""
+"""One replica of the counter as a process: its identity, the list of replicas, and the server."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 from martenstep.replication.transport import Transport
 from martenstep.storage.files import Disk
 
-RECONFIGURATION_INTERVAL_S = 0.25  # between two checks that the group is as it is listed
-LEADERSHIP_TRANSFER_S = 0.2  # for another to take over before this one ends
+RECONFIGURATION_INTERVAL_S = 0.25  # between two comparisons of the group with the list of replicas
+LEADERSHIP_TRANSFER_S = 0.2  # the time for another replica to take over before this process ends
 
 
 class ReplicaError(CounterError):
-    """A replica that cannot start as the settings want it: why."""
+    """A replica cannot start with the given settings; the text gives the reason."""
 
 
 def read_identity(directory: Path, witness: Path) -> int:
-    """Return whose disk a directory is; an empty one becomes a new replica's.
+    """Return the id of the replica whose disk a directory is; an empty directory becomes that of a new replica.
 
     Raises ReplicaError, LockedError, OSError.
     """
@@ -69,29 +69,29 @@
 
 
 class ReplicaList:
-    """The replicas as the settings list them; the group is led to what they list now."""
+    """The replicas that the settings list; the leader changes the group's configuration to match the list."""
 
     def __init__(self, copies: pb.Copies) -> None:
-        """Take the list of the start."""
+        """Store the list of the settings at the start."""
         self.update(copies)
-        # Danger: were those that came later among them, two of three new ones would make a group of their own.
+        # Danger: with the later replicas included, two of three new replicas could form a second group.
         self.bootstrap_config = Configuration(tuple(copy.id for copy in copies.copy if not copy.later))
 
     def update(self, copies: pb.Copies) -> None:
-        """Take another list."""
+        """Replace the list."""
         self.replicas = {copy.id: copy for copy in copies.copy}
 
     def address(self, node: str) -> tuple[str, int] | None:
-        """Return where a replica's node is, which is named by its number."""
+        """Return the address of a replica's node; the node's name is the replica's id."""
         replica = self.replicas.get(int(node))
         return (replica.host, replica.port) if replica is not None else None
 
     def gateway_address(self, replica: int | None) -> str | None:
-        """Return where gateways reach a replica."""
+        """Return the address at which gateways reach a replica."""
         return self.replicas[replica].doors if replica in self.replicas else None
 
     def next_change(self, config: Configuration, own_id: int) -> Configuration | TransferLeadership | None:
-        """Return the leader's next step on the way from a configuration to the list."""
+        """Return the next step that leads from a configuration to the list, to be taken by the leader."""
         nodes = [str(replica) for replica in self.replicas]
         homes = tuple((replica, str(replica)) for replica in config.members)
         placed = Configuration(config.voters, config.learners, homes)
@@ -102,7 +102,7 @@
 
 
 def _reload_replicas(replicas: ReplicaList, load: Callable[[], pb.Service]) -> None:
-    """Take up a new list of replicas; what is wrong with it changes nothing."""
+    """Load a new list of replicas; if the settings are wrong, the old list stays."""
     try:
         replicas.update(load().copies)
     except (SettingsError, OSError) as error:
@@ -112,7 +112,7 @@
 
 
 async def _reconfigure_forever(replicas: ReplicaList, replica: Replica, log_event: EventLog) -> None:
-    """Lead the group to what is listed, one change after another, while this replica leads."""
+    """Change the group to match the list, one step at a time, while this replica is the leader."""
     while True:
         await asyncio.sleep(RECONFIGURATION_INTERVAL_S)
         raft = replica.raft
@@ -126,7 +126,7 @@
 async def serve(settings: pb.Service, load: Callable[[], pb.Service] | None = None) -> int:
     """Run one replica until SIGTERM; returns the exit code.  Raises ReplicaError, LockedError or OSError.
 
-    `load` reads the settings anew, on SIGHUP: the list of replicas is taken up from them.
+    `load` reads the settings again; on SIGHUP the list of replicas is reloaded from them.
     """
     keys = _read_keys(Path(settings.copies.key_file))
     with contextlib.ExitStack() as stack:
@@ -143,8 +143,8 @@
     replicas = ReplicaList(settings.copies)
     if storage.replica_id not in replicas.replicas:
         raise ReplicaError(
-            f"{settings.log.directory} is the disk of copy {storage.replica_id}, not among those of the settings "
-            f"({', '.join(map(str, replicas.replicas))}): an emptied disk is another copy"
+            f"{settings.log.directory} holds copy {storage.replica_id}, which is not among those of the settings "
+            f"({', '.join(map(str, replicas.replicas))}); an emptied disk becomes a new copy with another id"
         )
     group = settings.copies.group
     machine = ReplicatedCounter(build_limits(settings))
@@ -165,7 +165,7 @@
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, _reload_replicas, replicas, load)
     await until_stopped({"port": port}, copy=storage.replica_id, proven=storage.disk_verified)
     reconfiguration.cancel()
-    if replica.transfer_leadership():  # so that nobody waits for an election
+    if replica.transfer_leadership():  # avoids the wait for an election
         await asyncio.sleep(LEADERSHIP_TRANSFER_S)
     await service.stop()
     await replica.stop()
--- a/martenstep/counter/replicated_counter.py
+++ b/martenstep/counter/replicated_counter.py
@@ -1,14 +1,14 @@
-"""The counter as a state machine that several replicas feed with the same entries (`replication.replica`).
+"""The counter as a replicated state machine: several replicas apply the same entries (`replication.replica`).
 
-An entry is what was **requested**, with the gateway, its epoch and the time at the leader that proposed it; what comes
-of it is decided where it is applied, at every replica alike.  The service's own log holds what was done; a leader of
-replicas cannot log that, as the entries that it would decide on need not be committed in the end.
+An entry holds a **request**, with the gateway, its epoch and the time at the leader that proposed it.  The result is
+computed when the entry is applied, and is the same at every replica.  The log of the single service holds results
+instead.  A leader of replicas cannot log results, because the entries that they would depend on may never be committed.
 
-Exactly once over any failover: sessions (gateway, epoch, sequence) are part of the state.  A gateway that does not know
-what became of a command sends it again under the same sequence, wherever the leader is now, and gets the first result.
+Commands count exactly once across any failover, because sessions (gateway, epoch, sequence) are part of the state.  For
+an indeterminate command a gateway sends the same sequence again to the current leader, and gets the first result.
 
-Everything here follows from the entries alone: the time is the greatest that an entry held, so that a leader whose
-clock stands behind the last one's neither lets a key live longer nor forgets an attempt sooner.
+The state depends on the entries alone: its time is the greatest time in any entry, so a leader whose clock is behind
+the previous leader's neither extends the life of a key nor removes an attempt too early.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Entry:
-    """What was requested, by whom, and the leader's time."""
+    """A request, its gateway and epoch, and the leader's time."""
 
     now_ms: float
     gateway: str
@@ -52,7 +52,7 @@
 
 
 def encode_entry(now_ms: float, gateway: str, epoch: int, command: ReplicatedCommand) -> bytes:
-    """Encode an entry.  A Hello names the same gateway and epoch.  Raises ProtocolError if it is too large."""
+    """Encode an entry; raises ProtocolError if it is too large.  A Hello must have the same gateway and epoch."""
     name = gateway.encode()
     if len(name) > MAX_GATEWAY_NAME_BYTES:
         raise ProtocolError(f"a door's name of {len(name)} bytes")
@@ -78,21 +78,21 @@
 
 
 class ReplicatedCounter:
-    """One replica's counter."""
+    """The counter of one replica."""
 
     def __init__(self, limits: CounterLimits | None = None) -> None:
-        """Begin empty."""
+        """Create an empty counter."""
         self._limits = limits or CounterLimits()
         self.state = CounterState(self._limits)
 
     def apply(self, data: bytes) -> Reply:
-        """Apply one entry and return its reply.  Never raises: what one replica cannot read, none can."""
+        """Apply one entry and return its reply; an entry that cannot be decoded is rejected alike at every replica."""
         try:
             entry = _decode_entry(data)
         except ProtocolError as error:
             return Rejection(Status.BAD, str(error))
         self.state.advance_clock(entry.now_ms)
-        # A session begins with its first command as well: a gateway that comes to a new leader need not greet it.
+        # The first command begins a session if no Hello did, so a gateway need not send one to a new leader.
         gateway, _ = self.state.begin_session(entry.gateway, entry.epoch)
         command = entry.command
         if isinstance(command, Hello):
@@ -109,7 +109,7 @@
 
     @classmethod
     def from_stored(cls, stored: PersistentState) -> ReplicatedCounter:
-        """Rebuild what a replica that is down would hold, all entries of its disk applied."""
+        """Rebuild the counter of a stopped replica by applying all entries on its disk."""
         counter = cls()
         if stored.snapshot is not None:
             counter.restore(stored.snapshot.body)
@@ -119,15 +119,15 @@
         return counter
 
     def total(self, key: int) -> float:
-        """Return a key's total, after the leader knows that nothing is missing; 0 if it is not known."""
+        """Return a key's total, 0 if unknown; the caller must have confirmed the leadership."""
         return self.state.total(key)
 
     def snapshot(self) -> bytes:
-        """Encode the whole state, sessions with it."""
+        """Encode the whole state, including sessions."""
         return self.state.snapshot()
 
     def restore(self, body: bytes) -> None:
-        """Replace the state by a snapshot's; raises ValueError if it is none."""
+        """Replace the state by a snapshot's; raises ValueError if the body is not a snapshot."""
         try:
             self.state = CounterState.from_snapshot(self._limits, body)
         except msgspec.MsgspecError as error:
--- a/martenstep/counter/replicated_service.py
+++ b/martenstep/counter/replicated_service.py
@@ -1,12 +1,12 @@
-"""Where gateways reach a counter that several replicas hold: the counter's protocol in front of a machine's replicas.
+"""The listener through which gateways reach a replicated counter: it serves the replicas of one machine.
 
-Only the leader answers, and only what is committed: an add's or an attempt's reply leaves once a majority holds it
-durably, a read's once the leader knows that nothing is missing (`replication.replica`).  Any other replica names the
-leader's address and ends the connection (MOVED); a leader that lost its term while commands were pending does so as
-well, and the gateway sends them again under the same sequences, to whoever leads now.  So a reply is never a guess, and
-a command that got none is indeterminate until it is sent again.
+Only the leader answers, and only with committed results.  The reply to an add or an attempt is sent once a majority
+holds it durably, and the reply to a read once the leader has confirmed its leadership (`replication.replica`).  Any
+other replica ends the connection with the leader's address (MOVED).  So does a leader that loses its term while
+commands are pending; the gateway then sends them again to the new leader, under the same sequences.  A reply is
+therefore always final, and a command without a reply is indeterminate until it is sent again.
 
-Replies keep the order of the commands, however their entries come to be committed.
+Replies are sent in the order of the commands, regardless of when their entries are committed.
 """
 
 from __future__ import annotations
@@ -48,17 +48,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLimits:
-    """What one replica accepts; a gateway that exceeds it is told FULL, or disconnected."""
+    """The limits of one listener; a gateway that exceeds one gets FULL, or is disconnected."""
 
     max_connections: int = 1000
-    max_pending: int = 4096  # commands of one connection without their reply
-    max_unsent_bytes: int = 1_000_000  # a gateway that does not read is disconnected
-    idle_timeout_s: float = 5.0  # for a frame that has begun, and for the first one
-    map_version: int | None = None  # that a gateway must name; None: any
+    max_pending: int = 4096  # commands of one connection that have no reply yet
+    max_unsent_bytes: int = 1_000_000  # a gateway that reads too slowly is disconnected
+    idle_timeout_s: float = 5.0  # for the rest of a frame, and for the first frame
+    map_version: int | None = None  # the version that a gateway must have; None: any
 
 
 class ReplicatedService:
-    """The listener of a machine that holds replicas."""
+    """The counter's listener at a machine that holds replicas."""
 
     def __init__(
         self,
@@ -69,9 +69,9 @@
     ) -> None:
         """Serve the replicas of this machine.
 
-        `find_replica` gives the replica of a group that is here, its state machine a ReplicatedCounter; `find_address`
-        the address for gateways, as HOST:PORT, of one replica of a group, or of any that may know the leader; `clock`
-        Unix seconds, if it is not to be the wall clock as of now, carried on steadily.
+        `find_replica` returns the local replica of a group, whose state machine is a ReplicatedCounter.
+        `find_address` returns the address for gateways, as HOST:PORT, of one replica of a group, or for None of any
+        replica that may know the leader.  `clock` returns Unix seconds; the default is a `SteadyClock`.
         """
         self.find_replica = find_replica
         self.limits = limits or ServiceLimits()
@@ -82,14 +82,14 @@
         self._idle_check: asyncio.Task[None] | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Bind; returns the port."""
+        """Begin to listen; returns the port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Connection(self), host, port)
         self._idle_check = loop.create_task(close_idle_connections(self.connections, self.limits.idle_timeout_s))
         return int(self._server.sockets[0].getsockname()[1])
 
     async def stop(self) -> None:
-        """Accept no more and end every connection: what is pending is indeterminate."""
+        """Stop listening and end every connection; pending commands are indeterminate."""
         if self._idle_check is not None:
             self._idle_check.cancel()
         if self._server is not None:
@@ -99,7 +99,7 @@
                 connection.transport.abort()
 
     def submit(self, hello: Hello, command: Request) -> PendingReply:
-        """Submit a command of a session; `resolve` makes the reply of what this returns."""
+        """Submit a command of a session; `resolve` turns the result into the reply."""
         replica = self.find_replica(hello.group)
         if replica is None:
             return Rejection(Status.MOVED, self._find_address(hello.group, None) or "")
@@ -110,7 +110,7 @@
             return replica.submit(entry)
         except NotLeaderError as error:
             return self._moved(hello, error.leader)
-        except (ValueError, ProtocolError) as error:  # larger than an entry may be
+        except (ValueError, ProtocolError) as error:  # the entry is too large
             if isinstance(command, Hello):
                 return Rejection(Status.BAD, str(error))
             return reply_without_result(command, Status.BAD)
@@ -126,7 +126,7 @@
         return Rejection(Status.MOVED, address or "")
 
     def resolve(self, hello: Hello, pending: PendingReply) -> Reply:
-        """Return the reply; MOVED, with the leader's address if it is known, if this machine cannot say."""
+        """Return the reply, or MOVED with the leader's address, if known, when the result is not available here."""
         if not isinstance(pending, asyncio.Future):
             return pending
         try:
@@ -154,9 +154,9 @@
         self._reply_task: asyncio.Task[None] | None = None
 
     @property
-    def owes_frame(self) -> bool:
-        """Whether a frame is owed: the first one, or the rest of one."""
-        return super().owes_frame or self._hello is None
+    def expects_frame(self) -> bool:
+        """Whether the gateway has not sent its first frame yet, or only part of a frame."""
+        return super().expects_frame or self._hello is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -172,7 +172,7 @@
             self._reply_task.cancel()
         for pending in self._pending:
             if isinstance(pending, asyncio.Future):
-                pending.cancel()  # the entries are committed or not as they would be: nobody is there to be told
+                pending.cancel()  # this does not affect the entries; only their replies have no receiver
 
     def handle_frame(self, frame: Frame) -> None:
         """Handle one frame."""
@@ -209,7 +209,7 @@
             first = self._pending[0]
             if isinstance(first, asyncio.Future) and not first.done():
                 await asyncio.wait((first,))
-            parts: list[bytes] = []  # all that is ready by now, in one write
+            parts: list[bytes] = []  # all replies that are ready are sent in one write
             while self._pending and _is_ready(self._pending[0]):
                 reply = self._service.resolve(hello, self._pending.popleft())
                 if isinstance(reply, Rejection):
--- a/martenstep/counter/service.py
+++ b/martenstep/counter/service.py
@@ -1,8 +1,9 @@
-"""The counter on a socket: asyncio around the commit pipeline, one thread that writes and syncs.
+"""The counter service: an asyncio server around the commit pipeline, with one thread that writes and syncs the log.
 
-Commands change the state as they come; a group is closed `commit_ms` after its first command, or sooner when
-`commit_records` wait, and goes to the writing thread while the next one gathers.  A connection whose reader is slow is
-closed at a bound of unsent bytes; its commands stand, and are known by their sequence when it comes back.
+Commands change the state as they arrive.  A group is closed `commit_ms` after its first command, or earlier once
+`commit_records` commands wait, and the writing thread writes it while the next group gathers.  A connection with a slow
+reader is closed at a bound of unsent bytes.  Its commands remain counted, and their sequences are recognized when the
+gateway reconnects.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
 
 
 def open_pipeline(settings: pb.Service) -> tuple[CommitPipeline[ClientConnection], Disk]:
-    """Open the directory and its log; raises LogError, LockedError or OSError."""
+    """Open the log directory and build its pipeline; raises LogError, LockedError or OSError."""
     log = settings.log
     disk = Disk(Path(log.directory))
     try:
@@ -60,15 +61,15 @@
 
 
 class ClientConnection(GatewayConnection):
-    """One connection of a gateway, or of a follower."""
+    """A connection from a gateway or a follower."""
 
     def __init__(self, service: Service) -> None:
-        """`service` executes the commands."""
+        """Create a connection whose commands `service` executes."""
         super().__init__(service.settings.unsent_bytes)
         self._service = service
         self._session: Session | None = None
         self._follower: FollowerLink | None = None
-        self._writable = asyncio.Event()  # what was written is on its way, or the connection is lost
+        self._writable = asyncio.Event()  # set if the write buffer has room, or the connection is lost
         self._writable.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -78,7 +79,7 @@
             self.reject(Status.FULL, "no more connections are taken")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop what runs for it."""
+        """Remove the connection, and stop shipping the log to it."""
         super().connection_lost(exc)
         self._writable.set()
         self._service.connections.discard(self)
@@ -86,23 +87,23 @@
             self._follower.stop()
 
     def pause_writing(self) -> None:
-        """Let a follower's records wait."""
+        """Pause shipping to a follower."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Send a follower more."""
+        """Resume shipping to a follower."""
         self._writable.set()
 
     def handle_frame(self, frame: Frame) -> None:
         """Handle one frame."""
-        begins = self._session is None and self._follower is None
+        is_first_frame = self._session is None and self._follower is None
         if isinstance(frame, Add | Read | RecordAttempt):
             if self._session is None:
                 raise ProtocolError("a command before HELLO")
             self._service.submit(self, self._session, frame)
-        elif isinstance(frame, Hello) and begins:
+        elif isinstance(frame, Hello) and is_first_frame:
             self._open_session(frame)
-        elif isinstance(frame, FollowRequest) and begins:
+        elif isinstance(frame, FollowRequest) and is_first_frame:
             self._follower = FollowerLink(self._service.shipper, self, self._writable, frame)
         elif isinstance(frame, FollowAck) and self._follower is not None:
             self._follower.on_ack(frame.next_index)
@@ -127,42 +128,42 @@
 
 
 class Service:
-    """The counter as a server."""
+    """The counter service on one listener."""
 
     def __init__(self, settings: pb.Service, pipeline: CommitPipeline[ClientConnection]) -> None:
-        """`start` binds the socket."""
+        """Create the service; `start` binds the socket."""
         self.settings = settings
         self.pipeline = pipeline
         self.connections: set[ClientConnection] = set()
         self.committed_groups = 0
         self.shipper = LogShipper(pipeline, settings.recent_bytes)
         self._clock = SteadyClock()
-        self._commands_wait = asyncio.Event()
+        self._commands_pending = asyncio.Event()
         self._group_full = asyncio.Event()
         self._writer = ThreadPoolExecutor(1, "log")
         self._tasks: list[asyncio.Task[None]] = []
         self._server: asyncio.Server | None = None
-        self._last_recovery_error = ""  # so that it is logged once
+        self._last_recovery_error = ""  # used to log a repeated error only once
         self._tls: ServerContext | None = None
 
     # Commands
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Admit one more connection, if there is capacity."""
+        """Register one more connection; returns False if the limit is reached."""
         if len(self.connections) >= self.settings.max_connections:
             return False
         self.connections.add(connection)
         return True
 
     def open_session(self, connection: ClientConnection, hello: Hello) -> Session | None:
-        """Begin a gateway's session; WELCOME waits for its entry to be durable, as every reply does."""
+        """Begin a gateway's session; WELCOME is sent once the session's entry is durable."""
         state = self.pipeline.state
         state.advance_clock(self._clock.now_ms())
         session = self.pipeline.open_session(hello.gateway, hello.epoch)
         if session is not None:
             welcome = Welcome(session.gateway.highest_sequence, hello.map_version, PROTOCOL_VERSION, state.term)
             self.pipeline.pending_group.replies.append((connection, welcome))
-            self._commands_wait.set()
+            self._commands_pending.set()
         return session
 
     def submit(self, connection: ClientConnection, session: Session, frame: Add | Read | RecordAttempt) -> None:
@@ -175,7 +176,7 @@
         pipeline.submit(connection, session, frame)
         if len(pipeline.pending_group.replies) >= self.settings.log.commit_records:
             self._group_full.set()
-        self._commands_wait.set()
+        self._commands_pending.set()
 
     @staticmethod
     def _send_replies(replies: Sequence[AddressedReply[ClientConnection]]) -> None:
@@ -193,7 +194,7 @@
     # Running
 
     async def start(self) -> int:
-        """Bind; returns the port."""
+        """Begin to listen; returns the port."""
         loop = asyncio.get_running_loop()
         self._tls = ServerContext(self.settings.tls) if self.settings.HasField("tls") else None
         self._server = await loop.create_server(
@@ -209,7 +210,7 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def reload(self) -> None:
-        """Load the certificate anew; connections that stand keep theirs."""
+        """Reload the certificate; open connections keep the old one."""
         if self._tls is not None:
             try:
                 self._tls.reload()
@@ -217,7 +218,7 @@
                 log_event("certificate not reloaded", {"error": str(error)})
 
     async def _commit_forever(self) -> None:
-        """Close a group, write it, answer it; the next gathers meanwhile."""
+        """Repeatedly close a group, write it, and send its replies, while the next group gathers."""
         loop = asyncio.get_running_loop()
         pipeline = self.pipeline
         while True:
@@ -238,14 +239,14 @@
                 await self._store_snapshot()
 
     async def _gather_group(self) -> None:
-        """Wait for commands, and for others to join them."""
+        """Wait for a command, and then for further commands of the same group."""
         log = self.settings.log
-        await self._commands_wait.wait()
+        await self._commands_pending.wait()
         if log.commit_ms > 0 and not self._group_full.is_set():
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(log.commit_ms / 1000):
                     await self._group_full.wait()
-        self._commands_wait.clear()
+        self._commands_pending.clear()
         self._group_full.clear()
 
     async def _store_snapshot(self) -> None:
@@ -257,31 +258,31 @@
             log_event("snapshot not stored", {"error": str(error)})
 
     async def _recover(self) -> None:
-        """Read the log anew until it can be written again.
+        """Retry to recover the log until it is writable again.
 
-        Its gateways open their sessions anew: what was not acknowledged may be lost, also that they did.
+        All gateways then have to open new sessions: unacknowledged entries may be lost, including those of sessions.
         """
         pipeline = self.pipeline
         log_event("log cannot be written", {"error": pipeline.failure})
         loop = asyncio.get_running_loop()
         while pipeline.failure and not pipeline.fenced:
             await asyncio.sleep(RECOVERY_INTERVAL_S)
-            self._fail_pending()
+            self._send_pending_replies()
             try:
                 recovered = await loop.run_in_executor(self._writer, pipeline.recover_log)
             except (OSError, LogError) as error:
                 self._log_recovery_error(str(error))
                 continue
-            self._fail_pending()
+            self._send_pending_replies()
             if pipeline.fenced:
                 break
             pipeline.resume(recovered)
-            self.shipper.forget_recent()
+            self.shipper.clear_recent()
             self._close_connections()
-            log_event("log written again", {"records": pipeline.record_count})
+            log_event("log is writable again", {"records": pipeline.record_count})
 
-    def _fail_pending(self) -> None:
-        """Answer what came in since the failure."""
+    def _send_pending_replies(self) -> None:
+        """Send the replies to commands that arrived since the failure; writes among them are rejected."""
         self._send_replies(self.pipeline.finish_group(self.pipeline.take_group(), self.pipeline.failure))
 
     def _log_recovery_error(self, error: str) -> None:
@@ -290,7 +291,7 @@
         self._last_recovery_error = error
 
     async def stop(self) -> None:
-        """Accept no more, make durable what there is, answer it, close."""
+        """Stop listening, write the pending group, send its replies, and close the log."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -300,7 +301,7 @@
         group = self.pipeline.take_group()
         failure = await loop.run_in_executor(self._writer, self.pipeline.write_group, group)
         replies = self.pipeline.finish_group(group, failure)
-        if not self.settings.wait_for_follower:  # else no follower has acknowledged them
+        if not self.settings.wait_for_follower:  # otherwise no follower has acknowledged them
             self._send_replies(replies)
         self._close_connections()
         await asyncio.sleep(0)
@@ -309,7 +310,7 @@
 
 
 async def serve(settings: pb.Service) -> int:
-    """Run until SIGTERM; returns the exit code.  Raises LogError, LockedError, OSError if it cannot start."""
+    """Run until SIGTERM; returns the exit code.  Raises LogError, LockedError, OSError if the start fails."""
     pipeline, disk = open_pipeline(settings)
     service = Service(settings, pipeline)
     try:
--- a/martenstep/counter/settings.py
+++ b/martenstep/counter/settings.py
@@ -1,4 +1,4 @@
-"""Loads the settings of a counter service and reports all that is wrong with them."""
+"""Loads the settings of a counter service, and reports all errors in them."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def build_limits(service: pb.Service) -> CounterLimits:
-    """Build the state's bounds from the settings."""
+    """Build the limits of the state from the settings."""
     return CounterLimits(service.window, service.try_window_ms, service.max_tries, service.max_names, service.period_ms)
 
 
 def check_service(check: SettingsChecker, service: pb.Service, root: FieldPosition) -> None:
-    """Check all of a service's settings."""
+    """Check all settings of a service."""
     check.require_present(service, root, "name")
     check.require_port(service, root, any_free=True)
     for name in ("window", "max_tries", "max_names", "max_connections"):
@@ -31,8 +31,8 @@
     check.require_positive(service, root, "try_window_ms", "period_ms", "idle_ms")
     check.require_range(service, root, "unsent_bytes", MIN_UNSENT_BYTES)
     check_server_tls(check, service.tls if service.HasField("tls") else None, root.at("tls"))
-    if service.wait_for_follower and not service.log.durable:  # followers hold what is durable
-        check.report(root.at("wait_for_follower"), "fits only a log that is durable")
+    if service.wait_for_follower and not service.log.durable:  # only durable records are shipped to followers
+        check.report(root.at("wait_for_follower"), "expected only with a durable log, but log.durable is false")
     if service.HasField("copies"):
         _check_replicas(check, service, root)
     log_node = root.at("log")
@@ -44,7 +44,7 @@
 
 
 def _check_replicas(check: SettingsChecker, service: pb.Service, root: FieldPosition) -> None:
-    """Check the replicas that hold the counter together."""
+    """Check the settings of the replicas that hold the counter together."""
     copies = service.copies
     node = root.at("copies")
     check.require_present(copies, node, "group", "key_file", "witness")
@@ -57,22 +57,24 @@
         if parse_host_port(copy.doors) is None:
             check.report(copy_node.at("doors"), f"expected HOST:PORT, got {copy.doors!r}")
     if copies.copy and all(copy.later for copy in copies.copy):
-        check.report(node.at("copy"), "all came later: who began the group must be told, even where its copy is gone")
+        check.report(
+            node.at("copy"), "all are later, expected at least one that began the group, even if that copy is gone"
+        )
     check.require_unique(copy_nodes, copies.copy, "id")
     check.require_unique(copy_nodes, copies.copy, "doors")
-    # What each of these would promise, replicas do by themselves, or cannot.
+    # Replicas provide each of these guarantees by themselves, or cannot provide it.
     for name in ("tls", "wait_for_follower"):
         if service.HasField(name):
-            check.report(root.at(name), "does not go with copies")
+            check.report(root.at(name), "not supported together with copies")
     if not service.log.durable:
-        check.report(root.at("log").at("durable"), "copies promise only what is durable")
+        check.report(root.at("log").at("durable"), "expected true, because copies acknowledge only what is durable")
 
 
 def parse_service(text: str, file: str) -> pb.Service:
-    """Parse a service's settings; raises SettingsError with all that is wrong."""
+    """Parse a service's settings; raises SettingsError with all errors."""
     return parse_checked(text, pb.Service(), file, check_service)
 
 
 def load_service(path: Path) -> pb.Service:
-    """Read a service's settings from a file; raises SettingsError with all that is wrong."""
+    """Read a service's settings from a file; raises SettingsError with all errors."""
     return parse_service(read_text(path), str(path))
--- a/martenstep/counter/sharded_counter.py
+++ b/martenstep/counter/sharded_counter.py
@@ -1,9 +1,10 @@
-"""The counter held by the gateways themselves: keys split over slots, each slot a group of replicas at some gateways.
+"""The sharded counter: the gateways hold it themselves, with the keys split over slots.
 
-Where a slot's replicas should be follows from the membership by rendezvous hashing (`replication.placement`); who holds
-them in truth, each group's own log says.  A gateway asks the likeliest nodes in turn until it is led to the leader; a
-reply of one that does not lead names it.  The number of slots is the map of keys: a gateway with another number is
-rejected, as its keys would be in other slots.
+Each slot is a replica group at some of the gateways.  Rendezvous hashing over the membership gives the desired places
+of a slot's replicas (`replication.placement`), while the log of each group defines where they are.  A gateway tries the
+most likely nodes in turn until it finds the leader; a replica that does not lead replies with the leader's address.
+The number of slots is the version of the map of keys: a gateway with a different number is rejected, because its keys
+would be in different slots.
 """
 
 from __future__ import annotations
@@ -29,16 +30,16 @@
 
 
 def slot_groups(copies: pb.Copies) -> tuple[str, ...]:
-    """Return the groups of the counter."""
+    """Return the names of the counter's groups, one for each slot."""
     return tuple(f"counter-{number}" for number in range(copies.slots))
 
 
 def replica_requirements(settings: pb.Door) -> ReplicationSettings:
-    """Return what the settings require of each gateway."""
+    """Return the replication settings that this gateway's settings require."""
     copies = settings.copies
-    more = (QUEUE_GROUP,) if settings.HasField("maintenance") else ()
+    maintenance_groups = (QUEUE_GROUP,) if settings.HasField("maintenance") else ()
     return ReplicationSettings(
-        slot_groups(copies) + more,
+        slot_groups(copies) + maintenance_groups,
         tuple(BootstrapMember(founder.door, founder.disk) for founder in copies.founder),
         copies.count,
         copies.final_ms,
@@ -46,7 +47,7 @@
 
 
 class ShardedCounter:
-    """One gateway's part in it: the replicas that are here, their transport, and the listener for all commands."""
+    """One gateway's part of the counter: its local replicas, their transport, and the listener for all commands."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         log_event: EventLog,
         deliver: Callable[[AttemptRecord], bool],
     ) -> None:
-        """`deliver` hands an attempt of a group that is led here to this gateway's clients of the counter."""
+        """`deliver` passes an attempt of a group that this gateway leads to its clients of the counter."""
         self._copies = settings.copies
         self._membership = membership
         self._host = settings.fleet.host
@@ -64,7 +65,7 @@
             Path(settings.copies.directory),
             Path(settings.copies.witness),
             replica_requirements(settings),
-            self._build_machine,
+            self._build_state_machine,
             self._nodes,
             log_event,
             is_own_group=is_ledger_group,
@@ -84,7 +85,7 @@
             self.replica_manager.report_unknown_replica,
         )
         limits = ServiceLimits(map_version=settings.copies.slots)
-        self.service = ReplicatedService(self._find_replica, self._gateway_address, limits)
+        self.service = ReplicatedService(self._find_counter_replica, self._gateway_address, limits)
 
     async def start(self) -> dict[str, int]:
         """Open the replicas and listen; returns the ports.  Raises ReplicaManagerError, LockedError, OSError."""
@@ -95,7 +96,7 @@
         return {**ports, "counter": await self.service.start(self._host, self._copies.counter_port)}
 
     async def stop(self) -> None:
-        """Let others lead, and end."""
+        """Stop; the groups that are led here get leaders on other nodes."""
         if self.ledger is not None:
             await self.ledger.stop()
         await self.replica_manager.stop()
@@ -103,12 +104,12 @@
         self.transport.stop()
 
     @staticmethod
-    def _build_machine(group: str) -> ReplicatedCounter | PendingIncrements | MaintenanceQueue:
+    def _build_state_machine(group: str) -> ReplicatedCounter | PendingIncrements | MaintenanceQueue:
         if group == QUEUE_GROUP:
             return MaintenanceQueue()
         return PendingIncrements() if is_ledger_group(group) else ReplicatedCounter()
 
-    def _find_replica(self, group: str) -> Replica | None:
+    def _find_counter_replica(self, group: str) -> Replica | None:
         replica = self.replica_manager.replica(group)
         return replica if replica is not None and isinstance(replica.state_machine, ReplicatedCounter) else None
 
@@ -122,13 +123,15 @@
 
     def _nodes(self) -> Iterable[ClusterNode]:
         core = self._membership.core
-        return [ClusterNode(fact.name, fact.zone, fact.present) for fact in core.table] if core is not None else []
+        return (
+            [ClusterNode(member.name, member.zone, member.present) for member in core.table] if core is not None else []
+        )
 
     def _node_address(self, node: str | None, port: int) -> Address | None:
-        """Return an address as every gateway knows it: ways to it are each gateway's own."""
+        """Return an address in the form common to all gateways; each gateway applies its own route to it."""
         core = self._membership.core
-        fact = core.table.get(node) if core is not None and node is not None else None
-        return (fact.host, port) if fact is not None else None
+        member = core.table.get(node) if core is not None and node is not None else None
+        return (member.host, port) if member is not None else None
 
     def _transport_address(self, node: str) -> Address | None:
         address = self._node_address(node, self._copies.port)
@@ -145,7 +148,7 @@
         return "{}:{}".format(*address) if address is not None else None
 
     def addresses(self, group: str) -> list[Address]:
-        """Return where a slot's leader may be: the nodes that should hold it first, then all others."""
+        """Return the addresses where a slot's leader may be: the desired nodes first, then all others."""
         likely = self.replica_manager.desired_nodes(group)
         others = sorted(node.name for node in self._nodes() if node.present and node.name not in likely)
         addresses = [self._node_address(node, self._copies.counter_port) for node in [*likely, *others]]
--- a/martenstep/counter/steady_clock.py
+++ b/martenstep/counter/steady_clock.py
@@ -1,7 +1,7 @@
-"""Unix time as it was read once, carried on by the monotonic clock.
+"""Unix time that is read once from the wall clock, and then advanced by the monotonic clock.
 
 The lifetimes of keys and the window of attempts are spans of real time: a step of the wall clock must neither end nor
-stretch them.
+extend them.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 class SteadyClock:
-    """Unix time that never goes back or leaps while the process runs."""
+    """Unix time that never goes back or jumps while the process runs."""
 
     def __init__(
         self, wall: Callable[[], float] | None = None, monotonic: Callable[[], float] = time.monotonic
     ) -> None:
-        """`wall` is read once; both in seconds."""
+        """Read the wall clock once; `wall` and `monotonic` return seconds."""
         self._monotonic = monotonic
         self._offset_s = (wall or time.time)() - monotonic()
 
--- a/tests/test_counter_follower.py
+++ b/tests/test_counter_follower.py
@@ -128,7 +128,7 @@
     with pytest.raises(SettingsError) as caught:
         parse_service(text, "c")
     assert [fault.describe("c") for fault in caught.value.problems] == [
-        "c:1:11: wait_for_follower: fits only a log that is durable"
+        "c:1:11: wait_for_follower: expected only with a durable log, but log.durable is false"
     ]
 
 
--- a/tests/test_counter_processes.py
+++ b/tests/test_counter_processes.py
@@ -132,15 +132,18 @@
     for path in (tmp_path / "log-1").iterdir():
         path.unlink()
     done = CliRunner().invoke(cli, ["counter", "serve", str(copies.file(1))])
-    assert done.exit_code == 1 and "not among those of the settings" in done.output
+    assert done.exit_code == 1 and "which is not among those of the settings" in done.output
 
 
 @pytest.mark.parametrize(
     ("change", "fault"),
     [
-        (('log-0" }', 'log-0" durable: false }'), "log.durable: copies promise only what is durable"),
+        (
+            ('log-0" }', 'log-0" durable: false }'),
+            "log.durable: expected true, because copies acknowledge only what is durable",
+        ),
         (('group: "g"', ""), "copies.group: missing"),
-        (("  } ", " later: true } "), ": all came later"),
+        (("  } ", " later: true } "), ": all are later, expected at least one that began the group"),
         (('doors: "127.0.0.1:', 'doors: "127.0.0.1'), "copies.copy[0].doors: expected HOST:PORT"),
     ],
 )
