--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -8,7 +8,7 @@
 from martenstep.backoff import Backoff
 from martenstep.counter.client import MIN_RECONNECT_MS
 from tests.socket_rig import run
-from tests.test_counter_service import Desk, served
+from tests.test_counter_service import GatewayClient, running_service
 
 
 def test_waits_double_to_the_bound_and_begin_anew() -> None:
@@ -29,11 +29,11 @@
 
 def test_a_counters_client_begins_anew_with_each_session(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path / "log") as (service, port):
-            desk = Desk(port, tmp_path / "door", timeout_ms=5000.0)
+        async with running_service(tmp_path / "log") as (service, port):
+            desk = GatewayClient(port, tmp_path / "door", timeout_ms=5000.0)
             for _ in range(6):  # six sessions end; what a connection lost costs does not grow with a door's age
                 desk.add(5)
-                await desk.quiet()
+                await desk.wait_until_answered()
                 assert desk.client.backoff.next_ms == MIN_RECONNECT_MS
                 for connection in list(service.connections):
                     assert connection.transport is not None
--- a/tests/test_counter_processes.py
+++ b/tests/test_counter_processes.py
@@ -1,4 +1,4 @@
-"""Three copies of the counter as processes of the program, broken under load: the door's own record is the measure."""
+"""Three replicas of the counter as real processes that fail under load; the client's own counts are the reference."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from tests.socket_rig import LONG_S, run
 
 
-def door(copies: Copies, told: list[CallResult]) -> CounterClient:
+def make_client(copies: Copies, results: list[CallResult]) -> CounterClient:
     return CounterClient(
         copies.addresses,
         AttemptJournal(copies.folder / "journal", 5000),
-        lambda call, verdict, total, kept: told.append(verdict),
+        lambda call, result, total, retained_ms: results.append(result),
         lambda event, fields: None,
         ClientOptions("door", timeout_ms=300.0),
     )
 
 
-def test_killed_and_paused_copies_lose_and_double_nothing(tmp_path: Path) -> None:
+def test_killed_and_paused_replicas_lose_nothing_and_count_nothing_twice(tmp_path: Path) -> None:
     async def test() -> None:
-        copies, told = Copies(tmp_path), list[CallResult]()
+        copies, results = Copies(tmp_path), list[CallResult]()
         await copies.start_all()
-        client, stop, sent = door(copies, told), asyncio.Event(), 0
+        client, stop, sent = make_client(copies, results), asyncio.Event(), 0
         client.start()
 
         async def load() -> None:
@@ -47,13 +47,13 @@
         loading = asyncio.create_task(load())
         try:
             await copies.leader()
-            while CallResult.OK not in told:
+            while CallResult.OK not in results:
                 await asyncio.sleep(0.02)
             for _ in range(2):
                 lost, before = await copies.leader()
                 await copies.kill(lost)
                 _, after = await copies.leader()
-                assert after >= before  # nothing that was told is missing at the next leader
+                assert after >= before  # the next leader lacks nothing that was acknowledged
                 await copies.start(lost)
             paused, before = await copies.leader()
             copies.running[paused].send_signal(signal.SIGSTOP)
@@ -66,30 +66,32 @@
             await loading
             assert await client.flush(20_000)
             _, total = await copies.leader()
-            assert len(told) == sent and set(told) <= {CallResult.OK, CallResult.TIMEOUT, CallResult.CONNECT_FAILED}
-            assert total == sent - told.count(CallResult.CONNECT_FAILED)  # these had never left the door
-            assert told.count(CallResult.OK) > 0 and not client.pending_count
+            assert len(results) == sent and set(results) <= {
+                CallResult.OK,
+                CallResult.TIMEOUT,
+                CallResult.CONNECT_FAILED,
+            }
+            assert total == sent - results.count(CallResult.CONNECT_FAILED)  # these were never sent
+            assert results.count(CallResult.OK) > 0 and not client.pending_count
         finally:
             stop.set()
             await client.stop()
             await copies.stop()
-        # By the disks alone: a majority holds every try and every add, once.
-        kept = [copies.on_disk(number) for number in range(3)]
-        assert sorted(counter.total(7) == total for counter in kept)[1:] == [True, True]
-        assert sorted(sum(use.attempts for use in counter.usage().values()) == sent for counter in kept)[1:] == [
-            True,
-            True,
-        ]
+        # On disk a majority of the replicas holds every attempt and every add, once.
+        counters = [copies.on_disk(number) for number in range(3)]
+        assert sorted(counter.total(7) == total for counter in counters)[1:] == [True, True]
+        attempt_counts = [sum(totals.attempts for totals in counter.usage().values()) for counter in counters]
+        assert sorted(count == sent for count in attempt_counts)[1:] == [True, True]
 
     run(test(), LONG_S)
 
 
-def test_one_copy_becomes_three_without_a_stop_and_bears_its_own_loss(tmp_path: Path) -> None:
+def test_a_single_replica_grows_to_three_without_a_stop_and_can_then_be_lost(tmp_path: Path) -> None:
     async def test() -> None:
-        copies, told = Copies(tmp_path), list[CallResult]()
+        copies, results = Copies(tmp_path), list[CallResult]()
         copies.write([0], began=1)
         await copies.start(0)
-        client, sent = door(copies, told), 0
+        client, sent = make_client(copies, results), 0
         client.start()
 
         async def load() -> None:
@@ -99,26 +101,26 @@
                 sent += 1
                 await asyncio.sleep(0.01)
 
-        async def voters(number: int, wanted: set[int]) -> None:
-            while not any(set(note.get("voters", ())) == wanted for note in copies.notes(number)):
+        async def wait_for_voters(number: int, expected: set[int]) -> None:
+            while not any(set(event.get("voters", ())) == expected for event in copies.notes(number)):
                 await asyncio.sleep(0.02)
 
         loading = asyncio.create_task(load())
         try:
-            while told.count(CallResult.OK) < 50:
+            while results.count(CallResult.OK) < 50:
                 await asyncio.sleep(0.02)
             copies.write(range(3), began=1)
-            await asyncio.gather(copies.start(1), copies.start(2))  # they alone make no group
+            await asyncio.gather(copies.start(1), copies.start(2))  # these two must not form a group of their own
             copies.running[0].send_signal(signal.SIGHUP)
-            await voters(0, set(copies.ids))
+            await wait_for_voters(0, set(copies.ids))
             _, before = await copies.leader()
-            await copies.kill(0)  # the one that was all of it is lost
+            await copies.kill(0)  # the only bootstrap member is lost
             leader, after = await copies.leader()
             assert leader != 0 and after >= before
             loading.cancel()
             assert await client.flush(60_000)
             _, total = await copies.leader()
-            assert total == sent - told.count(CallResult.CONNECT_FAILED) and len(told) == sent
+            assert total == sent - results.count(CallResult.CONNECT_FAILED) and len(results) == sent
         finally:
             loading.cancel()
             await client.stop()
@@ -127,16 +129,16 @@
     run(test(), LONG_S)
 
 
-def test_a_disk_that_is_not_among_the_copies_is_told(tmp_path: Path) -> None:
+def test_a_disk_of_an_unlisted_replica_is_rejected(tmp_path: Path) -> None:
     copies = Copies(tmp_path)
     for path in (tmp_path / "log-1").iterdir():
         path.unlink()
-    done = CliRunner().invoke(cli, ["counter", "serve", str(copies.file(1))])
-    assert done.exit_code == 1 and "which is not among those of the settings" in done.output
+    result = CliRunner().invoke(cli, ["counter", "serve", str(copies.file(1))])
+    assert result.exit_code == 1 and "which is not among those of the settings" in result.output
 
 
 @pytest.mark.parametrize(
-    ("change", "fault"),
+    ("change", "error"),
     [
         (
             ('log-0" }', 'log-0" durable: false }'),
@@ -147,9 +149,11 @@
         (('doors: "127.0.0.1:', 'doors: "127.0.0.1'), "copies.copy[0].doors: expected HOST:PORT"),
     ],
 )
-def test_settings_that_no_group_can_run_on_are_named(tmp_path: Path, change: tuple[str, str], fault: str) -> None:
+def test_settings_that_no_replica_group_can_use_are_rejected(
+    tmp_path: Path, change: tuple[str, str], error: str
+) -> None:
     copies = Copies(tmp_path)
     file = copies.file(0)
     file.write_text(file.read_text().replace(*change))
-    done = CliRunner().invoke(cli, ["counter", "serve", str(file)])
-    assert done.exit_code == 2 and fault in done.output, done.output
+    result = CliRunner().invoke(cli, ["counter", "serve", str(file)])
+    assert result.exit_code == 2 and error in result.output, result.output
--- a/tests/test_counter_service.py
+++ b/tests/test_counter_service.py
@@ -1,4 +1,4 @@
-"""The counter on sockets: groups, bad frames, slow readers, kills, and the door's client through all of it."""
+"""The counter service and its client over sockets: group commits, invalid frames, slow readers, and kills."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 import pytest
 from click.testing import CliRunner
 from hypothesis import given
-from hypothesis import settings as hypo
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from martenstep.cli.main import cli
@@ -30,7 +30,7 @@
 from martenstep.storage.files import LockedError
 from tests.socket_rig import LONG_S, run
 
-EVERY: list[fr.Frame] = [
+FRAME_SAMPLES: list[fr.Frame] = [
     fr.Hello("door-0", 7, 2),
     fr.Add(1, 2**63 - 1, -2.5, 1e6),
     fr.Read(3, 9),
@@ -42,18 +42,18 @@
 ]
 
 
-@given(st.lists(st.sampled_from(EVERY), max_size=12), st.data())
-@hypo(max_examples=100, deadline=None, derandomize=True)
-def test_frames_come_out_however_they_are_cut(sent: list[fr.Frame], data: st.DataObject) -> None:
-    stream, reader, got = b"".join(fr.encode(frame) for frame in sent), fr.FrameDecoder(), []
+@given(st.lists(st.sampled_from(FRAME_SAMPLES), max_size=12), st.data())
+@hypothesis_settings(max_examples=100, deadline=None, derandomize=True)
+def test_frames_are_decoded_however_the_stream_is_split(sent: list[fr.Frame], data: st.DataObject) -> None:
+    stream, decoder, received = b"".join(fr.encode(frame) for frame in sent), fr.FrameDecoder(), []
     while stream:
         size = data.draw(st.integers(1, 60))
-        got += [fr.decode(payload) for payload in reader.feed(stream[:size])]
+        received += [fr.decode(payload) for payload in decoder.feed(stream[:size])]
         stream = stream[size:]
-    assert got == sent and not reader.has_partial_frame
+    assert received == sent and not decoder.has_partial_frame
 
 
-def test_an_add_byte_by_byte() -> None:
+def test_the_encoded_bytes_of_an_add() -> None:
     assert fr.encode(fr.Add(1, 2, 1.0, 8.0)).hex() == (
         "00000021" + f"{fr.crc32c(bytes.fromhex(ADD_PAYLOAD)):08x}" + ADD_PAYLOAD
     )
@@ -63,18 +63,18 @@
 
 
 @given(st.binary(max_size=80))
-@hypo(max_examples=200, deadline=None, derandomize=True)
-def test_no_payload_brings_the_reader_down(payload: bytes) -> None:
+@hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
+def test_decoding_any_payload_raises_only_a_protocol_error(payload: bytes) -> None:
     with suppress(fr.ProtocolError):
         fr.decode(payload)
 
 
 def test_a_bad_checksum_or_length_ends_the_connection() -> None:
-    good = fr.encode(EVERY[1])
-    for bad in (good[:-1] + b"\0", b"\0\1\0\1" + good[4:], b"\0\0\0\0" + good[4:]):
-        if bad != good:
+    valid = fr.encode(FRAME_SAMPLES[1])
+    for invalid in (valid[:-1] + b"\0", b"\0\1\0\1" + valid[4:], b"\0\0\0\0" + valid[4:]):
+        if invalid != valid:
             with pytest.raises(fr.ProtocolError):
-                fr.FrameDecoder().feed(bad)
+                fr.FrameDecoder().feed(invalid)
 
 
 def config(directory: Path, more: str = "") -> str:
@@ -82,10 +82,10 @@
 
 
 @asynccontextmanager
-async def served(directory: Path, more: str = "") -> AsyncIterator[tuple[Service, int]]:
+async def running_service(directory: Path, more: str = "") -> AsyncIterator[tuple[Service, int]]:
     settings = parse_service(config(directory, more), "counter.txtpb")
-    keeper, disk = open_pipeline(settings)
-    service = Service(settings, keeper)
+    pipeline, disk = open_pipeline(settings)
+    service = Service(settings, pipeline)
     try:
         yield service, await service.start()
     finally:
@@ -93,59 +93,62 @@
         disk.close()
 
 
-class Wire:
-    """A client by hand."""
+class ProtocolConnection:
+    """A connection that sends and receives single frames."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self._frames = reader, writer, fr.FrameDecoder()
-        self.got: list[fr.Frame] = []
+        self.reader, self.writer, self._decoder = reader, writer, fr.FrameDecoder()
+        self.received: list[fr.Frame] = []
 
     @classmethod
-    async def to(cls, port: int, hello: fr.Hello | None = None) -> Wire:
-        made = cls(*await asyncio.open_connection("127.0.0.1", port))
+    async def connect(cls, port: int, hello: fr.Hello | None = None) -> ProtocolConnection:
+        connection = cls(*await asyncio.open_connection("127.0.0.1", port))
         if hello is not None:
-            made.send(hello)
-            assert isinstance(await made.next(), fr.Welcome)
-        return made
+            connection.send(hello)
+            assert isinstance(await connection.next(), fr.Welcome)
+        return connection
 
     def send(self, *frames: fr.Frame) -> None:
         self.writer.write(b"".join(fr.encode(frame) for frame in frames))
 
     async def next(self) -> fr.Frame:
-        while not self.got:
+        while not self.received:
             data = await self.reader.read(65536)
             if not data:
                 raise EOFError
-            self.got += [fr.decode(payload) for payload in self._frames.feed(data)]
-        return self.got.pop(0)
+            self.received += [fr.decode(payload) for payload in self._decoder.feed(data)]
+        return self.received.pop(0)
 
 
 def test_pipelined_commands_are_answered_in_order_and_in_groups(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path) as (service, port):
-            wire = await Wire.to(port, fr.Hello("door-0", 1))
-            wire.send(*(fr.Add(n, n % 7, 1.0, 1e6) for n in range(1, 1001)), fr.Read(0, 3))
-            replies = [await wire.next() for _ in range(1001)]
+        async with running_service(tmp_path) as (service, port):
+            connection = await ProtocolConnection.connect(port, fr.Hello("door-0", 1))
+            connection.send(*(fr.Add(n, n % 7, 1.0, 1e6) for n in range(1, 1001)), fr.Read(0, 3))
+            replies = [await connection.next() for _ in range(1001)]
             assert [r.sequence for r in replies[:-1]] == list(range(1, 1001))  # type: ignore[union-attr]
             assert replies[-1] == fr.TotalReply(0, fr.Status.DONE, 143.0)
-            assert service.committed_groups < 200  # one sync for many
+            assert service.committed_groups < 200  # one sync serves many commands
         assert rebuild_from_log(tmp_path, CounterLimits()).total(3) == 143.0
 
     run(test())
 
 
-def test_ten_thousand_doors_worth_of_frames_over_few_sockets(tmp_path: Path) -> None:
+def test_forty_thousand_adds_over_four_connections_are_each_answered(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path, "window: 100000") as (service, port):
-            wires = [await Wire.to(port, fr.Hello(f"door-{n}", 1)) for n in range(4)]
+        async with running_service(tmp_path, "window: 100000") as (service, port):
+            connections = [await ProtocolConnection.connect(port, fr.Hello(f"door-{n}", 1)) for n in range(4)]
 
-            async def load(wire: Wire, number: int) -> float:
-                wire.send(*(fr.Add(n, n * 4 + number, 1.0, 1e9) for n in range(1, 10_001)))
-                replies = [await wire.next() for _ in range(10_000)]
+            async def load(connection: ProtocolConnection, number: int) -> float:
+                connection.send(*(fr.Add(n, n * 4 + number, 1.0, 1e9) for n in range(1, 10_001)))
+                replies = [await connection.next() for _ in range(10_000)]
                 assert replies == [fr.TotalReply(n, fr.Status.DONE, 1.0) for n in range(1, 10_001)]
                 return sum(reply.total for reply in replies if isinstance(reply, fr.TotalReply))
 
-            assert await asyncio.gather(*(load(wire, n) for n, wire in enumerate(wires))) == [10_000.0] * 4
+            assert (
+                await asyncio.gather(*(load(connection, n) for n, connection in enumerate(connections)))
+                == [10_000.0] * 4
+            )
             assert service.pipeline.state.sizes["names"] == 40_000
 
     run(test())
@@ -162,45 +165,48 @@
         (fr.encode(fr.Welcome(1)), fr.Status.BAD),
     ],
 )
-def test_what_cannot_be_served_is_told_and_closed(tmp_path: Path, sent: bytes, status: fr.Status) -> None:
+def test_an_invalid_frame_is_rejected_with_its_status_and_closes_the_connection(
+    tmp_path: Path, sent: bytes, status: fr.Status
+) -> None:
     async def test() -> None:
-        async with served(tmp_path) as (_, port):
-            await Wire.to(port, fr.Hello("old", 5))
-            wire = await Wire.to(port)
-            wire.writer.write(sent)
-            refused = await wire.next()
-            assert isinstance(refused, fr.Rejection) and refused.status is status
+        async with running_service(tmp_path) as (_, port):
+            await ProtocolConnection.connect(port, fr.Hello("old", 5))
+            connection = await ProtocolConnection.connect(port)
+            connection.writer.write(sent)
+            rejection = await connection.next()
+            assert isinstance(rejection, fr.Rejection) and rejection.status is status
             with pytest.raises(EOFError):
-                await wire.next()
+                await connection.next()
 
     run(test())
 
 
-def test_half_a_frame_that_hangs_is_cut_off_and_others_are_served(tmp_path: Path) -> None:
+def test_a_connection_with_an_incomplete_frame_is_closed_while_others_are_served(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path, "idle_ms: 100") as (_, port):
-            hangs, fine = await Wire.to(port, fr.Hello("a", 1)), await Wire.to(port, fr.Hello("b", 1))
-            hangs.writer.write(fr.encode(fr.Add(1, 1, 1.0, 1.0))[:20])
-            refused = await hangs.next()
-            assert isinstance(refused, fr.Rejection) and "half a frame" in refused.reason
-            fine.send(fr.Add(1, 1, 1.0, 1e6))
-            assert await fine.next() == fr.TotalReply(1, fr.Status.DONE, 1.0)  # idle, but between frames
+        async with running_service(tmp_path, "idle_ms: 100") as (_, port):
+            stalled = await ProtocolConnection.connect(port, fr.Hello("a", 1))
+            idle = await ProtocolConnection.connect(port, fr.Hello("b", 1))
+            stalled.writer.write(fr.encode(fr.Add(1, 1, 1.0, 1.0))[:20])
+            rejection = await stalled.next()
+            assert isinstance(rejection, fr.Rejection) and "half a frame" in rejection.reason
+            idle.send(fr.Add(1, 1, 1.0, 1e6))
+            assert await idle.next() == fr.TotalReply(1, fr.Status.DONE, 1.0)  # idle between frames is allowed
 
     run(test())
 
 
-def test_a_slow_reader_is_cut_off_and_its_commands_stand(tmp_path: Path) -> None:
+def test_a_slow_reader_is_disconnected_and_its_commands_remain_counted(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path, "unsent_bytes: 4096") as (service, port):
-            slow = await Wire.to(port, fr.Hello("slow", 1))
+        async with running_service(tmp_path, "unsent_bytes: 4096") as (service, port):
+            slow = await ProtocolConnection.connect(port, fr.Hello("slow", 1))
             count = 0
             while service.connections:
                 slow.send(*(fr.Add(n, 1, 1.0, 1e9) for n in range(count + 1, count + 2001)))
                 count += 2000
                 await asyncio.sleep(0.001)
-            again = await Wire.to(port, fr.Hello("slow", 1))
-            again.send(fr.Add(1, 1, 1.0, 1e9), fr.Read(0, 1))
-            first, total = await again.next(), await again.next()
+            reconnected = await ProtocolConnection.connect(port, fr.Hello("slow", 1))
+            reconnected.send(fr.Add(1, 1, 1.0, 1e9), fr.Read(0, 1))
+            first, total = await reconnected.next(), await reconnected.next()
             assert isinstance(first, fr.TotalReply) and first.status in (fr.Status.REPEATED, fr.Status.TOO_OLD)
             assert (
                 isinstance(total, fr.TotalReply)
@@ -210,126 +216,132 @@
     run(test())
 
 
-def test_a_second_process_on_the_directory_and_one_that_cannot_be_written_are_told(tmp_path: Path) -> None:
+def test_a_locked_or_unwritable_directory_and_wrong_settings_are_reported(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path):
+        async with running_service(tmp_path):
             with pytest.raises(LockedError, match="another process holds it"):
                 open_pipeline(parse_service(config(tmp_path), "c"))
             file = tmp_path.parent / "counter.txtpb"
             file.write_text(config(tmp_path))
-            done = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
-            assert done.exit_code == 1 and "another process" in done.output
+            result = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
+            assert result.exit_code == 1 and "another process" in result.output
         (tmp_path / "plain").write_text("")
         file.write_text(config(tmp_path / "plain" / "log"))
-        done = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
-        assert done.exit_code == 1 and "Traceback" not in done.output
-        bad = tmp_path / "no.pem"
-        bad.write_text("no certificate")
-        file.write_text(config(tmp_path / "tls", f'tls {{ certificate: "{bad}" key: "{bad}" }}'))
-        done = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
-        assert done.exit_code == 1 and "no.pem" in done.output
+        result = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
+        assert result.exit_code == 1 and "Traceback" not in result.output
+        invalid = tmp_path / "no.pem"
+        invalid.write_text("no certificate")
+        file.write_text(config(tmp_path / "tls", f'tls {{ certificate: "{invalid}" key: "{invalid}" }}'))
+        result = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
+        assert result.exit_code == 1 and "no.pem" in result.output
         file.write_text('name: "" log { commit_ms: -1 }')
-        done = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
-        assert done.exit_code == 2 and len(done.output.splitlines()) == 3
+        result = await asyncio.to_thread(CliRunner().invoke, cli, ["counter", "serve", str(file)])
+        assert result.exit_code == 2 and len(result.output.splitlines()) == 3
 
     run(test())
 
 
-# The door's client --------------------------------------------------------------------------------------
+# The gateway's client
 
 
-class Desk:
-    """A door's client, its answers and its own records."""
+class GatewayClient:
+    """A gateway's client, with the results of its adds and the events that it logged."""
 
-    def __init__(self, port: int, journal: Path, name: str = "door-0", **words: Any) -> None:
-        self.answers: dict[int, tuple[CallResult, float]] = {}
-        self.notes: list[str] = []
+    def __init__(self, port: int, journal: Path, name: str = "door-0", **options: Any) -> None:
+        self.results: dict[int, tuple[CallResult, float]] = {}
+        self.events: list[str] = []
         self.client = CounterClient(
             [("127.0.0.1", port)],
             AttemptJournal(journal, 100_000),
-            self._answer,
-            lambda event, fields: self.notes.append(event),
-            ClientOptions(name, **words),
+            self._on_result,
+            lambda event, fields: self.events.append(event),
+            ClientOptions(name, **options),
         )
         self.client.start()
-        self._call = 0
+        self._last_call = 0
 
-    def _answer(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
-        assert call not in self.answers
-        self.answers[call] = verdict, total
+    def _on_result(self, call: int, result: CallResult, total: float, retained_ms: float) -> None:
+        assert call not in self.results
+        self.results[call] = result, total
 
-    def add(self, name: int, units: float = 1.0) -> int:
-        self._call += 1
-        self.client.add(self._call, name, units, 1e9)
-        return self._call
+    def add(self, key: int, units: float = 1.0) -> int:
+        self._last_call += 1
+        self.client.add(self._last_call, key, units, 1e9)
+        return self._last_call
 
-    async def quiet(self) -> None:
-        while self.client.pending_count or len(self.answers) < self._call:
+    async def wait_until_answered(self) -> None:
+        while self.client.pending_count or len(self.results) < self._last_call:
             await asyncio.sleep(0.005)
 
 
-def test_a_client_adds_and_records_and_is_told_in_time(tmp_path: Path) -> None:
+def test_a_client_gets_the_result_of_each_add_and_its_attempts_leave_the_journal(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path / "log") as (_, port):
-            desk = Desk(port, tmp_path / "door", timeout_ms=5000.0)
-            calls = [desk.add(5) for _ in range(50)]
-            assert desk.client.record(AttemptRecord("r1", time.time() * 1000, 1.0, False, "ada", "basic", "read"))
-            await desk.quiet()
-            assert [desk.answers[call] for call in calls] == [(CallResult.OK, n + 1.0) for n in range(50)]
-            await desk.client.stop()
+        async with running_service(tmp_path / "log") as (_, port):
+            gateway = GatewayClient(port, tmp_path / "door", timeout_ms=5000.0)
+            calls = [gateway.add(5) for _ in range(50)]
+            assert gateway.client.record(AttemptRecord("r1", time.time() * 1000, 1.0, False, "ada", "basic", "read"))
+            await gateway.wait_until_answered()
+            assert [gateway.results[call] for call in calls] == [(CallResult.OK, n + 1.0) for n in range(50)]
+            await gateway.client.stop()
             assert not AttemptJournal(tmp_path / "door", 10).pending
 
     run(test())
 
 
-def test_without_a_service_nothing_is_added_and_tries_wait_in_the_journal(tmp_path: Path) -> None:
+def test_without_a_service_adds_fail_and_attempts_stay_in_the_journal(tmp_path: Path) -> None:
     async def test() -> None:
         listener = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
         port = listener.sockets[0].getsockname()[1]
-        desk = Desk(port, tmp_path / "door", timeout_ms=30.0)
-        call = desk.add(5)
+        gateway = GatewayClient(port, tmp_path / "door", timeout_ms=30.0)
+        call = gateway.add(5)
         now = time.time() * 1000
-        assert desk.client.record(AttemptRecord("r1", now, 2.0, True, "ada", "basic", "read"))
-        while call not in desk.answers:
+        assert gateway.client.record(AttemptRecord("r1", now, 2.0, True, "ada", "basic", "read"))
+        while call not in gateway.results:
             await asyncio.sleep(0.005)
-        assert desk.answers[call] == (CallResult.CONNECT_FAILED, 0.0)
-        await desk.client.stop()
+        assert gateway.results[call] == (CallResult.CONNECT_FAILED, 0.0)
+        await gateway.client.stop()
         listener.close()
-        async with served(tmp_path / "log") as (service, port):
-            again = Desk(port, tmp_path / "door", timeout_ms=5000.0)  # the door's next life
-            await again.quiet()
-            await again.client.stop()
+        async with running_service(tmp_path / "log") as (service, port):
+            restarted = GatewayClient(port, tmp_path / "door", timeout_ms=5000.0)  # the same gateway after a restart
+            await restarted.wait_until_answered()
+            await restarted.client.stop()
             assert service.pipeline.state.total(5) == 0.0
-        [(door, told)] = iterate_attempts(tmp_path / "log")
-        assert (door, told.request_id, told.units, told.over_quota, told.time_ms) == ("door-0", "r1", 2.0, True, now)
+        [(gateway_name, attempt)] = iterate_attempts(tmp_path / "log")
+        assert (gateway_name, attempt.request_id, attempt.units, attempt.over_quota, attempt.time_ms) == (
+            "door-0",
+            "r1",
+            2.0,
+            True,
+            now,
+        )
 
     run(test())
 
 
-def test_the_journal_is_bounded_and_survives_a_cut_line(tmp_path: Path) -> None:
+def test_the_journal_is_bounded_and_ignores_an_incomplete_last_line(tmp_path: Path) -> None:
     journal = AttemptJournal(tmp_path, 2)
-    made = [fr.RecordAttempt(0, 1.0, 1.0, False, f"r{n}", "a", "p", "c") for n in range(3)]
-    assert [journal.append(one) for one in made] == [True, True, False]
+    attempts = [fr.RecordAttempt(0, 1.0, 1.0, False, f"r{n}", "a", "p", "c") for n in range(3)]
+    assert [journal.append(attempt) for attempt in attempts] == [True, True, False]
     journal.acknowledge("r0")
-    assert journal.append(made[2])
+    assert journal.append(attempts[2])
     for _ in range(20):
         journal.acknowledge("r2")
-        assert journal.append(made[2])
-    assert len((tmp_path / "tries.jsonl").read_text().splitlines()) <= 9  # written anew past its bound
+        assert journal.append(attempts[2])
+    assert len((tmp_path / "tries.jsonl").read_text().splitlines()) <= 9  # rewritten beyond its bound
     journal.close()
     with (tmp_path / "tries.jsonl").open("a") as file:
         file.write('{"time_ms": 1.0, "req')
-    again = AttemptJournal(tmp_path, 2)
-    assert list(again.pending) == ["r1", "r2"] and again.epoch > journal.epoch
-    again.close()
+    reopened = AttemptJournal(tmp_path, 2)
+    assert list(reopened.pending) == ["r1", "r2"] and reopened.epoch > journal.epoch
+    reopened.close()
 
 
 KILLS = 6
-ROUNDS_A_KILL = 300  # of each gateway's load: a slow start must not make more work, and 75 at most come before a kill
+ROUNDS_PER_KILL = 300  # bounds each gateway's load during a slow restart; at most 75 rounds precede a kill
 
 
-def test_real_kills_under_load_lose_nothing_and_count_nothing_twice(tmp_path: Path) -> None:
-    """The process is killed again and again; each add and each try counts once, and the totals are the doors' own."""
+def test_killed_services_under_load_lose_nothing_and_count_nothing_twice(tmp_path: Path) -> None:
+    """Each add and each attempt counts once although the process is killed repeatedly."""
 
     async def test() -> None:
         from martenstep.lab.copies import started
@@ -342,92 +354,100 @@
             "segment_bytes: 20000 snapshot_records: 900 }"
         )
         process, _ = await started(file)
-        desks = [Desk(port, tmp_path / f"door-{n}", f"door-{n}", timeout_ms=200.0) for n in range(2)]
+        gateways = [GatewayClient(port, tmp_path / f"door-{n}", f"door-{n}", timeout_ms=200.0) for n in range(2)]
         sent: dict[int, float] = {}
         stop = asyncio.Event()
-        allowed_rounds = ROUNDS_A_KILL
+        allowed_rounds = ROUNDS_PER_KILL
         rounds = [0, 0]
 
-        async def load(desk: Desk, number: int) -> None:
-            tries = 0
+        async def load(gateway: GatewayClient, number: int) -> None:
+            attempts = 0
             while not stop.is_set():
-                if rounds[number] == allowed_rounds:  # until the next kill
+                if rounds[number] == allowed_rounds:  # until the next kill adds rounds
                     await asyncio.sleep(0.002)
                     continue
                 rounds[number] += 1
                 for _ in range(5):
-                    call = desk.add(tries % 3, 1.0)
-                    if call not in desk.answers:
-                        sent[tries % 3] = sent.get(tries % 3, 0.0) + 1.0
-                    # Every other try is sent by both doors, as by a client that repeats.
-                    request = f"r{tries}" if tries % 2 else f"r{number}-{tries}"
-                    desk.client.record(AttemptRecord(request, time.time() * 1000, 1.0, False, "ada", "basic", "read"))
-                    requests.add(request)
-                    tries += 1
+                    call = gateway.add(attempts % 3, 1.0)
+                    if call not in gateway.results:
+                        sent[attempts % 3] = sent.get(attempts % 3, 0.0) + 1.0
+                    # Both gateways send every other attempt, like a client that repeats its request.
+                    request_id = f"r{attempts}" if attempts % 2 else f"r{number}-{attempts}"
+                    gateway.client.record(
+                        AttemptRecord(request_id, time.time() * 1000, 1.0, False, "ada", "basic", "read")
+                    )
+                    request_ids.add(request_id)
+                    attempts += 1
                 await asyncio.sleep(0.002)
 
-        requests: set[str] = set()
-        loads = [asyncio.create_task(load(desk, number)) for number, desk in enumerate(desks)]
+        request_ids: set[str] = set()
+        loads = [asyncio.create_task(load(gateway, number)) for number, gateway in enumerate(gateways)]
         for _ in range(KILLS):
             await asyncio.sleep(0.15)
-            assert max(rounds) < allowed_rounds  # it is killed under load
+            assert max(rounds) < allowed_rounds  # the load goes on until the kill
             process.kill()
             await process.wait()
             process, _ = await started(file)
-            allowed_rounds += ROUNDS_A_KILL
+            allowed_rounds += ROUNDS_PER_KILL
         stop.set()
         await asyncio.gather(*loads)
-        for desk in desks:
-            await desk.quiet()
-            await desk.client.stop()
-        dropped = sum(verdict is CallResult.CONNECT_FAILED for desk in desks for verdict, _ in desk.answers.values())
+        for gateway in gateways:
+            await gateway.wait_until_answered()
+            await gateway.client.stop()
+        dropped = sum(
+            result is CallResult.CONNECT_FAILED for gateway in gateways for result, _ in gateway.results.values()
+        )
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
-        assert sum(desk.client.resent for desk in desks) > 0  # some had to be sent again
-        made = rebuild_from_log(tmp_path / "log", CounterLimits())
-        assert sum(made.total(name) for name in sent) == sum(sent.values()) - dropped
-        assert sum(use.attempts for use in made.usage().values()) == len(requests)
-        names = [told.request_id for _, told in iterate_attempts(tmp_path / "log")]
-        assert sorted(names) == sorted(requests)
+        assert sum(gateway.client.resent for gateway in gateways) > 0  # some commands had to be sent again
+        state = rebuild_from_log(tmp_path / "log", CounterLimits())
+        assert sum(state.total(key) for key in sent) == sum(sent.values()) - dropped
+        assert sum(totals.attempts for totals in state.usage().values()) == len(request_ids)
+        recorded_ids = [attempt.request_id for _, attempt in iterate_attempts(tmp_path / "log")]
+        assert sorted(recorded_ids) == sorted(request_ids)
         assert verify(tmp_path / "log").records > 0
 
     run(test(), LONG_S)
 
 
-def test_the_log_is_read_back_on_the_command_line(tmp_path: Path) -> None:
+def test_the_command_line_tools_read_verify_and_repair_the_log(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path) as (_, port):
-            wire = await Wire.to(port, fr.Hello("door-0", 1))
+        async with running_service(tmp_path) as (_, port):
+            connection = await ProtocolConnection.connect(port, fr.Hello("door-0", 1))
             now = time.time() * 1000
             for n, customer in enumerate(("ada", "ada", "bob"), 1):
-                wire.send(fr.RecordAttempt(n, now + n, 2.0, n == 2, f"r{n}", customer, "basic", "read"))
+                connection.send(fr.RecordAttempt(n, now + n, 2.0, n == 2, f"r{n}", customer, "basic", "read"))
             for _ in range(3):
-                assert isinstance(await wire.next(), fr.RecordReply)
+                assert isinstance(await connection.next(), fr.RecordReply)
 
     run(test())
 
-    def call(*words: str) -> Any:
-        done = CliRunner().invoke(cli, ["counter", *words])
-        return done.exit_code, [json.loads(line) for line in done.stdout.splitlines() if line.startswith("{")], done
+    def run_command(*arguments: str) -> Any:
+        result = CliRunner().invoke(cli, ["counter", *arguments])
+        return (
+            result.exit_code,
+            [json.loads(line) for line in result.stdout.splitlines() if line.startswith("{")],
+            result,
+        )
 
-    code, lines, _ = call("history", str(tmp_path), "ada")
+    code, lines, _ = run_command("history", str(tmp_path), "ada")
     assert code == 0 and [line["request"] for line in lines] == ["r1", "r2"] and lines[1]["beyond"]
     assert lines[0]["door"] == "door-0"
-    code, lines, _ = call("history", str(tmp_path), "ada", "--from", str(lines[1]["time_ms"]))
+    code, lines, _ = run_command("history", str(tmp_path), "ada", "--from", str(lines[1]["time_ms"]))
     assert [line["request"] for line in lines] == ["r2"]
-    assert len(call("export", str(tmp_path))[1]) == 3
-    code, lines, _ = call("rebuild", str(tmp_path))
+    assert len(run_command("export", str(tmp_path))[1]) == 3
+    code, lines, _ = run_command("rebuild", str(tmp_path))
     assert code == 0 and [(line["customer"], line["tries"], line["units"], line["beyond"]) for line in lines] == [
         ("ada", 2, 4.0, 2.0),
         ("bob", 1, 2.0, 0.0),
     ]
-    assert call("verify", str(tmp_path))[0] == 0
+    assert run_command("verify", str(tmp_path))[0] == 0
     [segment] = tmp_path.glob("seg-*")
     data = bytearray(segment.read_bytes())
     data[60] ^= 1
     segment.write_bytes(bytes(data))
-    code, _, done = call("verify", str(tmp_path))
-    assert code == 1 and segment.name in done.output and "at byte 32" in done.output
-    assert call("repair", str(tmp_path), "--file", "nope", "--upto", "32")[0] == 1
-    assert call("repair", str(tmp_path), "--file", segment.name, "--upto", "32")[0] == 0
-    assert call("verify", str(tmp_path))[0] == 0 and not call("export", str(tmp_path))[1]
+    code, _, result = run_command("verify", str(tmp_path))
+    assert code == 1 and segment.name in result.output and "at byte 32" in result.output
+    assert run_command("repair", str(tmp_path), "--file", "nope", "--upto", "32")[0] == 1
+    assert run_command("repair", str(tmp_path), "--file", segment.name, "--upto", "32")[0] == 0
+    assert run_command("verify", str(tmp_path))[0] == 0 and not run_command("export", str(tmp_path))[1]
--- a/tests/test_formats_counter_log.py
+++ b/tests/test_formats_counter_log.py
@@ -1,4 +1,4 @@
-"""The counter's stored forms, byte by byte, against files of an earlier text: its log, and a gateway's journal."""
+"""The counter's log and a gateway's journal, compared byte by byte with files that an earlier version wrote."""
 
 from __future__ import annotations
 
@@ -23,54 +23,54 @@
 LIMITS = CounterLimits(
     deduplication_window=4, attempt_window_ms=60_000.0, max_attempts=100, max_keys=100, period_ms=3_600_000.0
 )
-TRY_FIELDS = ("r-é", "ada", "plan ☂", "read")
+ATTEMPT_FIELDS = ("r-é", "ada", "plan ☂", "read")
 
 
 def golden(name: str) -> bytes:
-    """A committed file's bytes."""
+    """Return the bytes of a committed file."""
     return (STORED / name).read_bytes()
 
 
-# The service's log --------------------------------------------------------------------------------------
+# The service's log
 
 
 def write_log(directory: Path) -> None:
-    """The same commands each time: two doors, adds, tries, a snapshot, a term, several segments."""
+    """Write a log with fixed commands: two gateways, adds, attempts, a snapshot, a term, and several segments."""
     with Disk(directory) as disk:
-        keeper: CommitPipeline[int | None] = CommitPipeline(disk, LIMITS, LogOptions(700, True, 5, 1e12))
-        keeper.state.advance_clock(NOW_MS)
-        first, second = keeper.open_session("door-0", 11), keeper.open_session("döor-1", 12)
+        pipeline: CommitPipeline[int | None] = CommitPipeline(disk, LIMITS, LogOptions(700, True, 5, 1e12))
+        pipeline.state.advance_clock(NOW_MS)
+        first, second = pipeline.open_session("door-0", 11), pipeline.open_session("döor-1", 12)
         assert first is not None and second is not None
-        keeper.submit(None, first, Add(1, 5, 2.5, 600_000.0))
-        keeper.submit(None, second, Add(1, 5, 1.0, 600_000.0))
-        keeper.submit(None, first, RecordAttempt(2, NOW_MS - 10.0, 2.0, True, *TRY_FIELDS))
-        keeper.commit_pending()
-        keeper.state.advance_clock(NOW_MS + 1000.0)
-        keeper.submit(None, second, RecordAttempt(2, NOW_MS - 10.0, 2.0, True, *TRY_FIELDS))
-        keeper.submit(None, second, RecordAttempt(3, NOW_MS + 500.0, 1.0, False, "r-2", "bob", "basic", "write"))
-        keeper.submit(None, first, Add(3, 2**64 - 1, -1.0, 500.0))
-        keeper.commit_pending()
-        assert keeper.snapshot_due()
-        keeper.store_snapshot(*keeper.encode_snapshot())
-        keeper.state.advance_clock(NOW_MS + 2000.0)
-        assert keeper.begin_term() == 1
-        later = keeper.open_session("door-0", 21)
+        pipeline.submit(None, first, Add(1, 5, 2.5, 600_000.0))
+        pipeline.submit(None, second, Add(1, 5, 1.0, 600_000.0))
+        pipeline.submit(None, first, RecordAttempt(2, NOW_MS - 10.0, 2.0, True, *ATTEMPT_FIELDS))
+        pipeline.commit_pending()
+        pipeline.state.advance_clock(NOW_MS + 1000.0)
+        pipeline.submit(None, second, RecordAttempt(2, NOW_MS - 10.0, 2.0, True, *ATTEMPT_FIELDS))
+        pipeline.submit(None, second, RecordAttempt(3, NOW_MS + 500.0, 1.0, False, "r-2", "bob", "basic", "write"))
+        pipeline.submit(None, first, Add(3, 2**64 - 1, -1.0, 500.0))
+        pipeline.commit_pending()
+        assert pipeline.snapshot_due()
+        pipeline.store_snapshot(*pipeline.encode_snapshot())
+        pipeline.state.advance_clock(NOW_MS + 2000.0)
+        assert pipeline.begin_term() == 1
+        later = pipeline.open_session("door-0", 21)
         assert later is not None
         for number in range(1, 7):
-            keeper.submit(None, later, Add(number, 6, 1.0, 600_000.0))
-        keeper.commit_pending()
-        keeper.submit(None, later, Add(7, 7, 0.5, 600_000.0))
-        keeper.commit_pending()
-        keeper.close()
+            pipeline.submit(None, later, Add(number, 6, 1.0, 600_000.0))
+        pipeline.commit_pending()
+        pipeline.submit(None, later, Add(7, 7, 0.5, 600_000.0))
+        pipeline.commit_pending()
+        pipeline.close()
 
 
 def log_files(directory: Path) -> dict[str, bytes]:
-    """All files but the lock."""
+    """Return the contents of all files except the lock."""
     return {path.name: path.read_bytes() for path in sorted(directory.iterdir()) if path.name != "lock"}
 
 
-def copied_log(tmp_path: Path) -> Path:
-    """A copy of the committed log: opening one leaves a lock file."""
+def copy_log(tmp_path: Path) -> Path:
+    """Return a copy of the committed log, because opening a log leaves a lock file."""
     return shutil.copytree(STORED / "log", tmp_path / "log")
 
 
@@ -85,36 +85,39 @@
 
 
 @pytest.mark.parametrize("without_snapshot", [False, True])
-def test_the_committed_log_is_opened_and_gone_on_with(tmp_path: Path, without_snapshot: bool) -> None:
-    directory = copied_log(tmp_path)
+def test_the_committed_log_can_be_opened_and_continued(tmp_path: Path, without_snapshot: bool) -> None:
+    directory = copy_log(tmp_path)
     if without_snapshot:
         (directory / "snap-0000000000000009.snap").unlink()
     with Disk(directory) as disk:
-        keeper: CommitPipeline[int | None] = CommitPipeline(disk, LIMITS, LogOptions(700))
-        counter = keeper.state
-        assert (counter.now_ms, counter.term, counter.applied_entries, keeper.truncated_bytes) == (
+        pipeline: CommitPipeline[int | None] = CommitPipeline(disk, LIMITS, LogOptions(700))
+        state = pipeline.state
+        assert (state.now_ms, state.term, state.applied_entries, pipeline.truncated_bytes) == (
             NOW_MS + 2000.0,
             1,
             20 + without_snapshot,
             0,
         )
-        assert (counter.total(5), counter.total(6), counter.total(7)) == (3.5, 6.0, 0.5)
-        assert counter.total(2**64 - 1) == 0.0  # its time is over
-        uses = {key: (use.attempts, use.units, use.over_quota_units) for key, use in counter.usage().items()}
+        assert (state.total(5), state.total(6), state.total(7)) == (3.5, 6.0, 0.5)
+        assert state.total(2**64 - 1) == 0.0  # the key has expired
+        usage = {key: (totals.attempts, totals.units, totals.over_quota_units) for key, totals in state.usage().items()}
         period = int(NOW_MS // 3_600_000.0)
-        assert uses == {("ada", "plan ☂", period): (1, 2.0, 2.0), ("bob", "basic", period): (1, 1.0, 0.0)}
-        doors = [counter.gateway("door-0"), counter.gateway("döor-1")]
-        assert [(door.number, door.epoch, door.highest_sequence) for door in doors] == [(0, 21, 7), (1, 12, 3)]
-        assert keeper.open_session("door-0", 11) is None
-        session, other = keeper.open_session("door-0", 21), keeper.open_session("döor-1", 12)
+        assert usage == {("ada", "plan ☂", period): (1, 2.0, 2.0), ("bob", "basic", period): (1, 1.0, 0.0)}
+        gateways = [state.gateway("door-0"), state.gateway("döor-1")]
+        assert [(gateway.number, gateway.epoch, gateway.highest_sequence) for gateway in gateways] == [
+            (0, 21, 7),
+            (1, 12, 3),
+        ]
+        assert pipeline.open_session("door-0", 11) is None
+        session, other = pipeline.open_session("door-0", 21), pipeline.open_session("döor-1", 12)
         assert session is not None and other is not None
-        keeper.submit(1, session, Add(7, 7, 0.5, 600_000.0))
-        keeper.submit(2, session, Add(7, 7, 9.0, 600_000.0))
-        keeper.submit(3, session, Add(3, 6, 1.0, 600_000.0))
-        keeper.submit(4, other, RecordAttempt(2, NOW_MS - 10.0, 2.0, True, *TRY_FIELDS))
-        keeper.submit(5, session, RecordAttempt(8, NOW_MS, 1.0, False, "r-2", "bob", "basic", "write"))
-        keeper.submit(6, session, Add(9, 5, 0.5, 600_000.0))
-        assert keeper.commit_pending() == [
+        pipeline.submit(1, session, Add(7, 7, 0.5, 600_000.0))
+        pipeline.submit(2, session, Add(7, 7, 9.0, 600_000.0))
+        pipeline.submit(3, session, Add(3, 6, 1.0, 600_000.0))
+        pipeline.submit(4, other, RecordAttempt(2, NOW_MS - 10.0, 2.0, True, *ATTEMPT_FIELDS))
+        pipeline.submit(5, session, RecordAttempt(8, NOW_MS, 1.0, False, "r-2", "bob", "basic", "write"))
+        pipeline.submit(6, session, Add(9, 5, 0.5, 600_000.0))
+        assert pipeline.commit_pending() == [
             (1, TotalReply(7, Status.REPEATED, 0.5)),
             (2, TotalReply(7, Status.REUSED, 0.0)),
             (3, TotalReply(3, Status.TOO_OLD, 0.0)),
@@ -122,17 +125,17 @@
             (5, RecordReply(8, Status.KNOWN)),
             (6, TotalReply(9, Status.DONE, 4.0)),
         ]
-        keeper.close()
+        pipeline.close()
 
 
-def test_the_state_and_its_snapshot_as_committed(tmp_path: Path) -> None:
-    counter = rebuild_from_log(copied_log(tmp_path), LIMITS)
-    assert counter.snapshot() == golden("state.snapshot")
+def test_the_rebuilt_state_has_the_committed_snapshot(tmp_path: Path) -> None:
+    state = rebuild_from_log(copy_log(tmp_path), LIMITS)
+    assert state.snapshot() == golden("state.snapshot")
     assert CounterState.from_snapshot(LIMITS, golden("state.snapshot")).snapshot() == golden("state.snapshot")
 
 
 @pytest.mark.parametrize(
-    ("name", "words"),
+    ("name", "arguments"),
     [
         ("verify", ["verify"]),
         ("export", ["export"]),
@@ -141,31 +144,32 @@
         ("rebuild", ["rebuild", "--period-ms", "3600000"]),
     ],
 )
-def test_the_command_line_prints_as_committed(tmp_path: Path, name: str, words: list[str]) -> None:
-    done = CliRunner().invoke(cli, ["counter", words[0], str(copied_log(tmp_path)), *words[1:]])
-    assert done.exit_code == 0
-    assert done.output.encode() == golden(f"cli-{name}.txt")
-
-
-def test_what_is_read_of_the_committed_log(tmp_path: Path) -> None:
-    directory = copied_log(tmp_path)
-    found = verify(directory)
-    assert (found.records, found.segments, found.snapshots, found.torn_bytes) == (21, 2, 1, 0)
-    tries = [
-        (door, made.request_id, made.customer, made.plan, made.units) for door, made in iterate_attempts(directory)
+def test_the_command_line_prints_as_committed(tmp_path: Path, name: str, arguments: list[str]) -> None:
+    result = CliRunner().invoke(cli, ["counter", arguments[0], str(copy_log(tmp_path)), *arguments[1:]])
+    assert result.exit_code == 0
+    assert result.output.encode() == golden(f"cli-{name}.txt")
+
+
+def test_the_committed_log_is_verified_and_its_attempts_are_read(tmp_path: Path) -> None:
+    directory = copy_log(tmp_path)
+    summary = verify(directory)
+    assert (summary.records, summary.segments, summary.snapshots, summary.torn_bytes) == (21, 2, 1, 0)
+    attempts = [
+        (gateway, attempt.request_id, attempt.customer, attempt.plan, attempt.units)
+        for gateway, attempt in iterate_attempts(directory)
     ]
-    assert tries == [("door-0", "r-é", "ada", "plan ☂", 2.0), ("döor-1", "r-2", "bob", "basic", 1.0)]
+    assert attempts == [("door-0", "r-é", "ada", "plan ☂", 2.0), ("döor-1", "r-2", "bob", "basic", 1.0)]
 
 
-# The gateway's journal ----------------------------------------------------------------------------------
+# The gateway's journal
 
 
 def write_journal(directory: Path) -> None:
-    """Three tries promised, one of them acknowledged, a term seen.  The file is left as a kill leaves it."""
+    """Write a journal with three attempts, one of them acknowledged, and a term.  The file is as a kill leaves it."""
     journal = AttemptJournal(directory, 100)
     for number in range(3):
         assert journal.append(
-            RecordAttempt(number + 1, NOW_MS + number, 0.5, number == 1, f"r-{number}", *TRY_FIELDS[1:])
+            RecordAttempt(number + 1, NOW_MS + number, 0.5, number == 1, f"r-{number}", *ATTEMPT_FIELDS[1:])
         )
     journal.acknowledge("r-0")
     journal.observe_term(4)
@@ -173,7 +177,7 @@
 
 
 def journal_files(directory: Path) -> dict[str, bytes]:
-    """All files of a journal."""
+    """Return the contents of all files of a journal."""
     return {path.name: path.read_bytes() for path in sorted(directory.iterdir())}
 
 
@@ -183,14 +187,14 @@
     assert journal_files(tmp_path / "journal") == journal_files(STORED / "journal")
 
 
-def test_the_committed_journal_is_read_and_written_anew(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_committed_journal_is_read_and_rewritten(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(time, "time", lambda: 1.0)
     shutil.copytree(STORED / "journal", tmp_path / "journal")
     journal = AttemptJournal(tmp_path / "journal", 100)
     assert (journal.epoch, journal.term) == (int(NOW_MS) + 1, 4)
     assert list(journal.pending.values()) == [
-        RecordAttempt(0, NOW_MS + 1, 0.5, True, "r-1", *TRY_FIELDS[1:]),
-        RecordAttempt(0, NOW_MS + 2, 0.5, False, "r-2", *TRY_FIELDS[1:]),
+        RecordAttempt(0, NOW_MS + 1, 0.5, True, "r-1", *ATTEMPT_FIELDS[1:]),
+        RecordAttempt(0, NOW_MS + 2, 0.5, False, "r-2", *ATTEMPT_FIELDS[1:]),
     ]
     journal.close()
     assert journal_files(tmp_path / "journal") == journal_files(STORED / "journal-anew")
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -25,7 +25,7 @@
 from martenstep.policy.messages import CallResult
 from tests.engine_rig import DOOR
 from tests.socket_rig import BOUND_S, House, Peer, get, house, run
-from tests.test_counter_service import served
+from tests.test_counter_service import running_service
 
 NOW = datetime.datetime.now(datetime.UTC)
 
@@ -274,7 +274,7 @@
         issuer = Issuer(tmp_path)
         files = issuer.issue("counter")
         tls = f'tls {{ certificate: "{files[0]}" key: "{files[1]}" client_ca: "{issuer.file}" }}'
-        async with served(tmp_path / "log", tls) as (service, port):
+        async with running_service(tmp_path / "log", tls) as (service, port):
             for shown, verdict in ((issuer.issue("door"), CallResult.OK), (None, CallResult.CONNECT_FAILED)):
                 answers: list[CallResult] = []
                 client = CounterClient(
