--- a/martenstep/node/__init__.py
+++ b/martenstep/node/__init__.py
@@ -1,6 +1,6 @@
-"""The gateway on a platform: the same engine and server, by the platform's protocol and its terms.
+"""The gateway as a platform runs it: the same engine and proxy server, adapted to the platform's protocol.
 
-Here are: the platform's configuration, its protocol to and from the engine's terms, its discovery and its counter, and
-the process around them.  Not here: any decision on quota, endpoints or attempts, and any figure that weighs one request
-or endpoint against another.
+The package contains the platform's configuration, the mapping between its protocol and the engine's types, the clients
+of its discovery and its counter, and the process.  It makes no decision on quota, endpoints or attempts, and has no
+figure that weighs one request or endpoint against another.
 """
--- a/martenstep/node/__main__.py
+++ b/martenstep/node/__main__.py
@@ -1,10 +1,11 @@
-"""`python -m martenstep.node`."""
+"""The program `python -m martenstep.node`."""
 
 from martenstep.node.pending_signals import PendingSignals
 
 if __name__ == "__main__":
     pending = PendingSignals()
-    pending.keep()
-    from martenstep.node.daemon import main  # loading takes most of a start: signals must be kept meanwhile
+    pending.install_handlers()
+    # Loading the modules takes most of the start; signals that arrive meanwhile must not be lost.
+    from martenstep.node.daemon import main
 
     main(pending)
--- a/martenstep/node/config.py
+++ b/martenstep/node/config.py
@@ -1,7 +1,7 @@
-"""The platform's configuration of a gateway at its start, and again on SIGHUP: NODE_CONFIG, a JSON file.
+"""Reads the platform's configuration of a gateway, the JSON file NODE_CONFIG, at the start and again on SIGHUP.
 
-The settings in it are those of the simulator's wire, read by the same decoder.  The limits of the server are computed
-here from those that the file states.
+Its `settings` object has the form of the simulator's protocol and is read by the same decoder.  The limits of the proxy
+server are computed here from the limits that the file states.
 """
 
 from __future__ import annotations
@@ -16,32 +16,34 @@
 from martenstep.policy import messages as api
 from martenstep.simulator.settings_codec import decode_settings
 
-MAX_BODY_BYTES = 65_536  # of a request: the protocol allows no more
-MAX_RESPONSE_BYTES = 8 << 20  # endpoints send some of hundreds of KB, and what states GB is broken
-RESPONSE_BUFFER_BYTES = 256 << 10  # of a response, before it is relayed: until then another attempt can replace it
-MAX_HEAD_BYTES = 8192  # of a request: the platform's are below 1 KB
-REQUEST_TIMEOUT_MS = 1500.0  # a request must be complete within this: a silent client must be closed within 3 s
-IDLE_TIMEOUT_MS = 2000.0  # a connection without a request is closed: the protocol allows no sooner
-# Of the descriptors: streams, loop, listener, discovery and the counter, twice where they move, and a turn's accepts
-# and rejected ones.  Else clients could fill them while a connect fails for want of one.
+MAX_BODY_BYTES = 65_536  # of a request: the maximum of the protocol
+MAX_RESPONSE_BYTES = 8 << 20  # endpoints send hundreds of KB; a response that states GB is faulty
+RESPONSE_BUFFER_BYTES = 256 << 10  # held back of a response before it is relayed: until then a retry can replace it
+MAX_HEAD_BYTES = 8192  # of a request: the platform's heads are below 1 KB
+REQUEST_TIMEOUT_MS = 1500.0  # a request must be complete within this: silent clients must be closed within 3 s
+IDLE_TIMEOUT_MS = 2000.0  # a connection without a request is closed after this: the protocol's minimum
+# Descriptors for the standard streams, the event loop, the listener, the connections to discovery and the counter
+# (twice while an address changes), and the connections that one turn of the loop accepts or rejects.  Without this
+# reserve clients could use up all descriptors, and a connect to an endpoint would fail.
 RESERVED_SOCKETS = 46
-CLIENT_SHARE = 0.72  # of the others for clients' connections, of which a third carry requests
-ENDPOINT_SHARE = 0.6  # of those to endpoints for one of them at most: one that hangs must leave some to the others
-MIN_SOCKETS = 64  # with fewer no gateway can serve
-IDLE_TIMEOUT_SHARE = 0.8  # of the time after which an endpoint closes an idle connection: what is written later is lost
-REUSE_DELAY_MS = 20.0  # a second response may come some ms behind the first: no request is written before it
-MAX_GRACE_MS, EXTRA_GRACE_MS = 3000.0, 700.0  # SIGKILL comes the longest deadline, 3 s at most, and 0.7 s after SIGTERM
-KILL_MARGIN_MS = 300.0  # before SIGKILL all is answered
-LAST_REQUESTS_MS = 800.0  # before that no more is accepted: most responses come sooner
-ACCEPT_MS = 600.0  # after SIGTERM new connections come for up to 0.4 s, ...
-MIN_SERVE_MS = 450.0  # ... and requests are served for so long at least, however short the grace period
-MAX_SETTING = 1e30  # of any setting: beyond it, sums and products overflow
-MAX_NUMBER = 1e15  # of any limit
+CLIENT_SHARE = 0.72  # of the other descriptors, for client connections; a third of them carry requests
+ENDPOINT_SHARE = 0.6  # of the endpoint connections, at most, to one endpoint: one that hangs must leave some
+MIN_SOCKETS = 64  # a gateway with fewer cannot serve
+IDLE_TIMEOUT_SHARE = 0.8  # of the time after which endpoints close idle connections: a later request is lost
+REUSE_DELAY_MS = 20.0  # before a connection is reused: a duplicate response may follow some ms later
+# SIGKILL follows SIGTERM after the longest deadline, 3 s at most, plus 0.7 s.
+MAX_GRACE_MS, EXTRA_GRACE_MS = 3000.0, 700.0
+KILL_MARGIN_MS = 300.0  # every request is answered this long before SIGKILL
+LAST_REQUESTS_MS = 800.0  # before that, no further request is accepted: most responses take less time
+ACCEPT_MS = 600.0  # connections are accepted after SIGTERM: clients open new ones for up to 0.4 s
+MIN_SERVE_MS = 450.0  # requests are served at least this long after SIGTERM, however short the grace period
+MAX_SETTING = 1e30  # of any setting: sums and products of larger values overflow
+MAX_LIMIT = 1e15  # of any limit that the file states
 MAX_PORT = 65_535
-DEADLINE_MARGIN_MS = 8.0  # a request ends so much before its client's deadline: about the transit of its response
+DEADLINE_MARGIN_MS = 8.0  # a request ends this long before its client's deadline: about its response's transit time
 
 
-# Errors of system calls where something is short, or down, for a moment (socket(2), bind(2), open(2)).
+# Errors of system calls for a resource that is short or down temporarily (socket(2), bind(2), open(2)).
 TRANSIENT_ERRORS = frozenset(
     (
         errno.EADDRINUSE,
@@ -60,17 +62,17 @@
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used: names the field."""
+    """A configuration that cannot be used.  The text names the field."""
 
     def __init__(self, text: str, transient: bool = False) -> None:
-        """`transient` where another try in a moment may succeed."""
+        """`transient` means that a retry shortly afterwards may succeed."""
         super().__init__(text)
         self.transient = transient
 
 
 @dataclass(frozen=True, slots=True)
 class Listener:
-    """What clients are held to (proxy.dependencies.ListenerLimits)."""
+    """Limits of client connections (proxy.dependencies.ListenerLimits)."""
 
     host: str
     port: int
@@ -85,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """What connections to endpoints are held to (proxy.dependencies.UpstreamLimits)."""
+    """Limits of connections to endpoints (proxy.dependencies.UpstreamLimits)."""
 
     connections: int
     all_connections: int
@@ -99,18 +101,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainPlan:
-    """What a gateway does between SIGTERM and SIGKILL, in milliseconds after the first."""
+    """The phases of a gateway between SIGTERM and SIGKILL, by their ends in milliseconds after SIGTERM."""
 
-    accept_ms: float  # connections are accepted
-    serve_ms: float  # requests are served on those that stand, each of which closes with its response
-    answer_ms: float  # all are answered, whatever is in flight
+    accept_ms: float  # new connections are accepted
+    serve_ms: float  # requests on open connections are served; each connection closes with its response
+    answer_ms: float  # every request has been answered, in flight or not
 
 
-EMPTY_DRAIN_PLAN = DrainPlan(0.0, 0.0, 0.0)  # of a gateway that never listened
+EMPTY_DRAIN_PLAN = DrainPlan(0.0, 0.0, 0.0)  # for a gateway that never listened
 
 
 def make_drain_plan(settings: api.Settings) -> DrainPlan:
-    """By the longest deadline that the settings have, as the platform does for SIGKILL."""
+    """Compute the phases from the longest deadline in the settings, as the platform computes the time of SIGKILL."""
     longest = max((cls.deadline_ms for cls in settings.classes), default=MAX_GRACE_MS)
     answer_ms = min(longest, MAX_GRACE_MS) + EXTRA_GRACE_MS - KILL_MARGIN_MS
     serve_ms = max(answer_ms - min(LAST_REQUESTS_MS, longest), MIN_SERVE_MS)
@@ -119,21 +121,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One gateway."""
+    """The configuration of one gateway."""
 
     name: str
     listener: Listener
     upstream: Upstream
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
-    cached_list: Any  # the endpoint list as last known, in discovery's form, not decoded yet
+    cached_list: Any  # the platform's last known endpoint list, in discovery's JSON form, not validated yet
     seed: int
     settings: api.Settings
     max_in_flight: int
 
 
 def parse_address(raw: object, field: str) -> tuple[str, int]:
-    """`host:port`; raises ConfigError."""
+    """Parse `host:port`; raises ConfigError."""
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ConfigError(f"{field}: expected host:port, got {raw!r}")
@@ -148,13 +150,13 @@
 
 def _number(table: dict[str, Any], field: str, default: float, minimum: float) -> float:
     value = table.get(field.rpartition(".")[2], default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < MAX_NUMBER:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < MAX_LIMIT:
         raise ConfigError(f"{field}: expected a number of at least {minimum:g}, got {value!r}")
     return value
 
 
 def _check_finite(value: object, field: str) -> None:
-    """Raise ConfigError where a number is infinite: JSON as it is decoded here has infinities."""
+    """Raise ConfigError for a number that is infinite or too large: Python's JSON decoder accepts infinities."""
     if isinstance(value, int | float) and not abs(value) < MAX_SETTING:
         raise ConfigError(f"{field}: expected a finite number, got {value!r}")
     entries = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
@@ -163,7 +165,7 @@
 
 
 def _minimums(settings: api.Settings) -> Iterator[tuple[str, float, float]]:
-    """Names of settings, as the file has them, with their values and the least values that they may have."""
+    """Yield the settings that have a minimum: the name in the file, the value, the minimum."""
     yield "instances", settings.instances, 1.0
     yield "me", settings.instance, 0.0
     yield "try_limit", settings.max_attempts, 1.0
@@ -184,7 +186,7 @@
 
 
 def _positives(settings: api.Settings) -> Iterator[tuple[str, float]]:
-    """Names of settings, as the file has them, with their values, which must be above 0."""
+    """Yield the settings that must be above 0: the name in the file, the value."""
     yield "max_units", settings.max_units
     yield "fall_multiple", settings.overload_multiple
     for request_class in settings.classes:
@@ -193,10 +195,10 @@
 
 
 def _check_ranges(settings: api.Settings) -> None:
-    """Raise ConfigError where a setting is out of the range in which anything could be decided by it."""
+    """Raise ConfigError for a setting outside the range in which the policy can decide by it."""
     for name in (settings.zone, *(one.name for one in settings.classes), *(one.name for one in settings.plans)):
         if not isinstance(name, str):
-            raise ConfigError(f"settings: expected a name of a zone, class or plan, got {name!r}")
+            raise ConfigError(f"settings: expected a string as the name of a zone, class or plan, got {name!r}")
     for field, value, minimum in _minimums(settings):
         if value < minimum:
             raise ConfigError(f"settings.{field}: expected at least {minimum:g}, got {value!r}")
@@ -204,7 +206,7 @@
         if value <= 0:
             raise ConfigError(f"settings.{field}: expected more than 0, got {value!r}")
     if not settings.classes or not settings.plans:
-        raise ConfigError("settings.classes and settings.contracts: expected one at least of each")
+        raise ConfigError("settings.classes and settings.contracts: expected at least one entry in each")
 
 
 def _read_seed(raw: object) -> int:
@@ -215,7 +217,7 @@
 
 
 def read_config(text: str) -> Config:
-    """A configuration from its text; raises ConfigError with the field at fault."""
+    """Read a configuration from JSON text; raises ConfigError, which names the field at fault."""
     try:
         raw = _table(json.loads(text), "the file")
     except (ValueError, RecursionError) as error:
@@ -224,7 +226,7 @@
     _check_finite(raw_settings, "settings")
     try:
         settings = decode_settings(raw_settings)
-    except (ValueError, AttributeError, OverflowError) as error:  # a table or a list where a number should be
+    except (ValueError, AttributeError, OverflowError) as error:  # an object or a list in place of a number
         raise ConfigError(f"settings: {error}") from None
     _check_ranges(settings)
     policy = _table(raw_settings.get("policy_limits"), "settings.policy_limits")
@@ -255,7 +257,7 @@
 
 
 def load_config(path: Path) -> Config:
-    """A configuration from its file; raises ConfigError."""
+    """Read a configuration from its file; raises ConfigError."""
     try:
         return read_config(path.read_text(encoding="utf-8"))
     except OSError as error:
--- a/martenstep/node/counter.py
+++ b/martenstep/node/counter.py
@@ -1,7 +1,7 @@
-"""The platform's counter: `ADDGET NAME AMOUNT LIFE_MS` over RESP2, calls written back to back.
+"""Client of the platform's counter: pipelined calls of `ADDGET NAME AMOUNT LIFE_MS` over RESP2.
 
-`ReplyReader` is one connection's protocol without its socket: the pending calls, in order, and what each reply proves.
-Calls spread over a few connections, so that one reply that cannot be read leaves only those of its own connection
+`ReplyReader` is the protocol of one connection without its socket: it matches replies to the pending calls, in order.
+Calls are spread over a few connections, so that an invalid reply leaves only the calls of its own connection
 indeterminate.
 """
 
@@ -17,42 +17,42 @@
 from martenstep.proxy.clock import MS_PER_S, now_ms
 from martenstep.tasks import start_supervised
 
-MAX_CONNECTIONS = 4  # the counter accepts 32 of a gateway
-MAX_CALLS_PER_CONNECTION = 256  # what stands behind more would be answered long after its time
+MAX_CONNECTIONS = 4  # the counter accepts 32 from one gateway
+MAX_CALLS_PER_CONNECTION = 256  # a call behind more than this would be answered long after its timeout
 CONNECT_TIMEOUT_S = 0.5
-REPLY_TIMEOUT_MS = 2000.0  # with pending calls and no reply for so long the connection may be lost without notice
-IDLE_TIMEOUT_MS = (
-    8000.0  # the counter closes idle connections after about 10 s: a call that crosses it is indeterminate
-)
+REPLY_TIMEOUT_MS = 2000.0  # with pending calls and no reply for this long, the connection may be lost silently
+# The counter closes idle connections after about 10 s; a call sent at that moment would be indeterminate.
+IDLE_TIMEOUT_MS = 8000.0
 SWEEP_INTERVAL_S = 0.5
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 1000.0
-MAX_LINE_BYTES = 512  # of one reply: a total has few digits
+MAX_LINE_BYTES = 512  # of one reply; a total has few digits
+MAX_TOTAL = 1e15
 CRLF = b"\r\n"
-ReplyCallback = Callable[[int, CallResult, float], None]  # a call's id, its result, the total
+ReplyCallback = Callable[[int, CallResult, float], None]  # the id of a call, its result, the total
 
 
 class InvalidReplyError(Exception):
-    """What came is no reply: the connection is of no further use."""
+    """Received bytes that are not a valid reply: the connection cannot be used further."""
 
 
 def encode_call(key: int, units: float, expire_ms: float) -> bytes:
-    """One call.  The amount is written out in full: an exponent is no decimal number."""
+    """Encode one call.  The amount has no exponent: the counter accepts decimal numbers only."""
     amount = f"{units:.6f}".rstrip("0").rstrip(".").encode() or b"0"
     arguments = (b"%d" % key, amount, b"%d" % max(round(expire_ms), 1))
     return b"*4\r\n$6\r\nADDGET\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in arguments)
 
 
 class ReplyReader:
-    """The replies of one connection.  Each call ends once: by its reply, or indeterminate with the connection."""
+    """Reads the replies of one connection.  Each call ends once: with its reply, or indeterminate with the connection."""
 
     def __init__(self, replied: ReplyCallback) -> None:
-        """`replied` is called with the end of each call."""
+        """`replied` is called once for each call."""
         self._replied = replied
         self._data = bytearray()
-        self.pending: deque[int] = deque()  # ids of calls, in the order of their replies
+        self.pending: deque[int] = deque()  # ids of calls, in the order in which they were sent
 
     def feed(self, data: bytes) -> None:
-        """Bytes that have come; raises InvalidReplyError, after which `connection_lost` must be called."""
+        """Process received bytes; raises InvalidReplyError, after which `connection_lost` must be called."""
         self._data += data
         while self.pending:
             reply = self._next_reply()
@@ -60,61 +60,65 @@
                 return
             self._replied(self.pending.popleft(), *reply)
         if self._data:
-            raise InvalidReplyError("a reply that nobody asked for")
+            raise InvalidReplyError(f"received {len(self._data)} bytes without a pending call")
 
     def _next_reply(self) -> tuple[CallResult, float] | None:
-        """Result and total of the next reply, taken off the front; None where more of it must come."""
+        """Remove the next reply from the buffer and return its result and total; None while it is incomplete."""
         data = self._data
         end = data.find(CRLF)
         if end < 0:
             if len(data) > MAX_LINE_BYTES:
-                raise InvalidReplyError("a line without an end")
+                raise InvalidReplyError(
+                    f"reply: expected CRLF within {MAX_LINE_BYTES} bytes, got {len(data)} without one"
+                )
             return None
         first, line = data[:1], bytes(data[1:end])
-        if first == b"-":  # -BUSY and -ERR: nothing was added
+        if first == b"-":  # -BUSY or -ERR: the amount was not added
             del data[: end + 2]
             return CallResult.OVERLOADED, 0.0
         if first != b"$" or not line.isdigit() or int(line) > MAX_LINE_BYTES:
-            raise InvalidReplyError("not a total")
+            raise InvalidReplyError(
+                f"reply: expected a bulk string of up to {MAX_LINE_BYTES} bytes, got {first + line!r}"
+            )
         size, start = int(line), end + 2
         if len(data) < start + size + 2:
             return None
         text = bytes(data[start : start + size])
         if data[start + size : start + size + 2] != CRLF:
-            raise InvalidReplyError("a total without an end")
+            raise InvalidReplyError(f"total: expected CRLF after {size} bytes, got {text!r} without it")
         try:
             total = float(text)
         except ValueError:
-            raise InvalidReplyError("not a number") from None
-        if not -1e15 < total < 1e15:
-            raise InvalidReplyError("not a number that can be")
+            raise InvalidReplyError(f"total: expected a decimal number, got {text!r}") from None
+        if not -MAX_TOTAL < total < MAX_TOTAL:
+            raise InvalidReplyError(f"total: expected less than {MAX_TOTAL:g} in magnitude, got {text!r}")
         del data[: start + size + 2]
         return CallResult.OK, total
 
     def connection_lost(self) -> None:
-        """The connection has ended: pending calls may have been added."""
+        """End the pending calls after the connection ended: their amounts may have been added."""
         pending, self.pending = self.pending, deque()
         for call_id in pending:
-            self._replied(call_id, CallResult.TIMEOUT, 0.0)  # what the policy takes for indeterminate
+            self._replied(call_id, CallResult.TIMEOUT, 0.0)  # the policy treats this result as indeterminate
 
 
 class _Connection(asyncio.Protocol):
-    """One connection."""
+    """One connection to the counter."""
 
     def __init__(self, owner: CounterClient) -> None:
         self._owner = owner
         self.replies = ReplyReader(owner.replied)
         self.transport: asyncio.Transport | None = None
-        self.unsent: list[bytes] = []  # for the next write
-        self.active_at = now_ms()  # the last reply, or the first call after none was pending
+        self.unsent: list[bytes] = []  # calls for the next write
+        self.active_at = now_ms()  # time of the last reply, or of the first call after none was pending
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is made."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
         self.active_at = now_ms()
 
     def data_received(self, data: bytes) -> None:
-        """Replies have come."""
+        """Process replies; an invalid one closes the connection."""
         self.active_at = now_ms()
         try:
             self.replies.feed(data)
@@ -122,18 +126,18 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Remove the connection from its owner and end its pending calls."""
         self._owner.connection_lost(self)
         self.replies.connection_lost()
 
     def close(self) -> None:
-        """Close it; pending calls are indeterminate."""
+        """Close the connection; pending calls become indeterminate."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class CounterClient:
-    """The counter calls of one gateway."""
+    """Makes the counter calls of one gateway."""
 
     def __init__(
         self,
@@ -141,32 +145,32 @@
         replied: ReplyCallback,
         task_failed: Callable[[str, BaseException], None] = lambda where, error: None,
     ) -> None:
-        """`task_failed` is called where a background task ended by an error that nobody expected."""
+        """`task_failed` is called when a background task fails with an unexpected error."""
         self._address, self.replied, self._task_failed = address, replied, task_failed
         self._connections: list[_Connection] = []
-        self._retired: list[_Connection] = []  # to an address that has been left: their replies still count
+        self._retired: list[_Connection] = []  # to a previous address: replies to their pending calls still count
         self._connect_task: asyncio.Task[None] | None = None
         self._backoff = Backoff(MIN_BACKOFF_MS, MAX_BACKOFF_MS)
         self._flush_scheduled = False
         self._sweeper: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Connect."""
+        """Open the connections."""
         self._sweeper = start_supervised(self._sweep, self._task_failed)
         self._ensure_connecting()
 
     def stop(self) -> None:
-        """End every connection."""
+        """Close all connections."""
         for task in (self._sweeper, self._connect_task):
             if task is not None:
                 task.cancel()
         connections = [*self._connections, *self._retired]
-        self._connections, self._retired = [], []  # else each would be made anew as it ends
+        self._connections, self._retired = [], []  # emptied first, or each lost connection would be replaced
         for connection in connections:
             connection.close()
 
-    def move(self, address: tuple[str, int]) -> None:
-        """Use the counter at another address from now on; replies that the old one still owes are waited for."""
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Use the counter at another address; the old connections stay open until their pending calls are answered."""
         if address == self._address:
             return
         self._address = address
@@ -181,10 +185,10 @@
         self._ensure_connecting()
 
     def add(self, call_id: int, key: int, units: float, expire_ms: float, bounds_ceiling: bool) -> None:
-        """Make a call; how long the counter lost nothing cannot be proved here."""
+        """Make a call.  `bounds_ceiling` has no effect: this counter cannot prove how long it has lost no data."""
         connection = min(self._connections, key=lambda one: len(one.replies.pending), default=None)
         if connection is None or len(connection.replies.pending) >= MAX_CALLS_PER_CONNECTION:
-            # Reported in the next turn of the loop: the policy is in the midst of the decision that made the call.
+            # Reported in the next turn of the loop, since the policy has not finished the decision that made this call.
             result = CallResult.CONNECT_FAILED if connection is None else CallResult.OVERLOADED
             asyncio.get_running_loop().call_soon(self.replied, call_id, result, 0.0)
             return
@@ -197,7 +201,7 @@
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        """One write for all that came up in this turn of the loop."""
+        """Write all calls of this turn of the loop to each connection at once."""
         self._flush_scheduled = False
         for connection in self._connections + self._retired:
             if connection.unsent and connection.transport is not None:
@@ -205,7 +209,7 @@
                 connection.transport.write(b"".join(out))
 
     def connection_lost(self, connection: _Connection) -> None:
-        """A connection has ended."""
+        """Remove a connection that ended; replace it if it was in use."""
         if connection in self._connections:
             self._connections.remove(connection)
             self._ensure_connecting()
@@ -229,7 +233,7 @@
             self._connections.append(connection)
 
     async def _sweep(self) -> None:
-        """Close what has fallen silent, and what the counter would close for idling while a call is under way."""
+        """Close silent connections, and idle ones before the counter would close them under a call."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             now = now_ms()
@@ -238,7 +242,7 @@
                     connection.close()
 
     def _timeout_ms(self, connection: _Connection) -> float:
-        """How long a connection may be silent."""
+        """Return how long a connection may be without a reply."""
         if connection.replies.pending:
             return REPLY_TIMEOUT_MS
         return 0.0 if connection in self._retired else IDLE_TIMEOUT_MS
--- a/martenstep/node/daemon.py
+++ b/martenstep/node/daemon.py
@@ -1,6 +1,6 @@
-"""The gateway as the platform starts it: configuration in, sockets bound, signals obeyed.
+"""The gateway process on a platform: reads the configuration, binds the sockets and handles signals.
 
-Everything that a request does not need is left out: no admin listener, no hooks, no store but the platform's counter.
+It has only what serving requests needs: no admin listener, no hooks, and no store except the platform's counter.
 """
 
 from __future__ import annotations
@@ -32,9 +32,7 @@
     make_drain_plan,
 )
 from martenstep.node.counter import CounterClient
-from martenstep.node.discovery import (
-    DiscoveryClient,
-)
+from martenstep.node.discovery import DiscoveryClient
 from martenstep.node.endpoint_list import (
     DiscoveryError,
     EndpointListFollower,
@@ -55,21 +53,25 @@
 from martenstep.tasks import start_supervised
 from martenstep.transient_errors import retry_transient
 
-FIRST_LIST_TIMEOUT_MS = 1500.0  # without discovery the gateway is ready after this: it has the cached list
-# The process before it at this address may still be ending.  What is not free in this time never will be, and nine in
-# ten must be ready within 10 s.
+FIRST_LIST_TIMEOUT_MS = 1500.0  # without a response of discovery the gateway is ready after this, with the cached list
+# The previous process at this address may still be ending.  An address that is not free after this time is not expected
+# to become free, and nine in ten gateways must be ready within 10 s.
 BIND_TIMEOUT_MS, BIND_RETRY_MS = 8000.0, 20.0
-MAX_LINE_BYTES = 4000  # a pipe that has room at all has room for 4,096 (POSIX: PIPE_BUF)
-# Rejected by discovery, it waits for longer: without a list it could only reject.
+MAX_LINE_BYTES = 4000  # a pipe that is writable accepts 4,096 bytes (POSIX: PIPE_BUF)
+# If discovery rejects the polls, a start waits longer: without a list the gateway could only reject requests.
 REJECTED_TIMEOUT_MS, REJECTED_CHECK_MS = 6000.0, 50.0
-# What discovery has at a new address counts as notified 4 s after SIGHUP.
+# Before a rejected file is read again.  4 s after SIGHUP the gateway counts as notified of what discovery has at a new
+# address.
 REREAD_DELAYS_S = (0.1, 0.2, 0.4, 0.8, 1.6)
-TRANSIENT_TIMEOUT_S, TRANSIENT_RETRY_S = 8.0, 0.02  # a start waits so long for what fails for a moment
-TOTALS_INTERVAL_S = 5.0  # between two lines of the log
-GC_THRESHOLD = 20_000  # allocations between two collections: the request path makes few cycles
+TRANSIENT_TIMEOUT_S, TRANSIENT_RETRY_S = (
+    8.0,
+    0.02,
+)  # for how long, and how often, a start retries what fails temporarily
+TOTALS_INTERVAL_S = 5.0  # between two log lines of totals
+GC_THRESHOLD = 20_000  # allocations between two collections; the request path creates few reference cycles
 
 
-Made = TypeVar("Made")
+Result = TypeVar("Result")
 
 
 def _is_pipe(stream: TextIO) -> bool:
@@ -79,15 +81,15 @@
 
 
 class EventLogger:
-    """Lines for the operators on standard output, bounded: a log is not worth a request."""
+    """Writes log lines to standard output, at a limited rate and without blocking: logging must not delay a request."""
 
     def __init__(self, max_lines_per_s: int = 20) -> None:
-        """What is more than `max_lines_per_s` is left out."""
+        """Lines above `max_lines_per_s` are dropped."""
         self._max_lines_per_s, self._second, self._count = max_lines_per_s, 0, 0
         self._writes_to_pipe = _is_pipe(sys.stdout)
 
     def log(self, event: str, fields: dict[str, Any]) -> None:
-        """Write one line, or none past the limit."""
+        """Write one line; drop it above the limit."""
         now = time.time()
         if int(now) != self._second:
             self._second, self._count = int(now), 0
@@ -97,20 +99,20 @@
             line = json.dumps({**line_start, **fields}, default=repr)
             if len(line) > MAX_LINE_BYTES:
                 line = json.dumps({**line_start, "cut": line[: MAX_LINE_BYTES // 4]})
-            with suppress(OSError, ValueError):  # the reader has closed it
-                # Or reads no more, and the pipe is full: a write would block, and with it every request.
+            with suppress(OSError, ValueError):  # the reader has closed the pipe
+                # If the reader has stopped reading and the pipe is full, a write would block the loop and all requests.
                 if not self._writes_to_pipe or poll_descriptor(sys.stdout.fileno(), select.POLLOUT):
                     sys.stdout.write(line + "\n")
                     sys.stdout.flush()
 
 
 class GatewayNode:
-    """One gateway."""
+    """One gateway process: the proxy server, its engine, and the clients of discovery and the counter."""
 
     def __init__(
         self, config: Config, path: Path, pending: PendingSignals | None = None, selector: LagSelector | None = None
     ) -> None:
-        """`pending` holds the signals that have come already; `selector` is the event loop's."""
+        """`pending` holds the signals received so far; `selector` is that of the event loop."""
         self._path, self._pending = path, pending
         self.config = config
         self._ended = False
@@ -131,21 +133,22 @@
             else None
         )
         self._totals_task: asyncio.Task[None] | None = None
-        self._started: dict[int, float] = {}  # when each listed endpoint started
+        self._started: dict[int, float] = {}  # by endpoint: when it started
         self._first_list = asyncio.Event()
         self._stop = asyncio.Event()
-        self._rereading: asyncio.TimerHandle | None = None
+        self._reread_timer: asyncio.TimerHandle | None = None
         self._selector = selector
-        self._poll_restarted_at = -math.inf  # by the selector's clock: after which stall discovery was polled
-        self._stalled_at = -math.inf  # when that was noticed, by the gateway's clock
-        self._stale_until = -math.inf  # attempts wait for its response until then, at most
+        self._poll_restarted_at = -math.inf  # the stall, by the selector's clock, after which discovery was polled last
+        self._stalled_at = -math.inf  # when that stall was detected, by the gateway's clock
+        self._stale_until = -math.inf  # attempts wait for that poll's response until this time at most
         if selector is not None:
             self.server.set_staleness_check(self._endpoint_list_is_stale)
 
     def _endpoint_list_is_stale(self) -> bool:
-        """Whether the process stood still and discovery has not answered since: what it sent counts as notified.
+        """Return whether the process has stalled and discovery has not answered since.
 
-        An agent that does not answer is silent, and has sent nothing.
+        The gateway counts as notified of what discovery sent during the stall.  An agent that does not answer within
+        the wait has sent nothing.
         """
         assert self._selector is not None
         if self._selector.stalled_at > self._poll_restarted_at:
@@ -162,16 +165,16 @@
             return False
         if self._timing is AGENT_TIMING:
             return self._discovery.answered_at < self._stalled_at
-        # A service that all gateways share is not polled out of turn: what it has sent by now is waited for.
-        return self._discovery.has_unread
+        # A service that all gateways share is not polled again; only what it has sent already is waited for.
+        return self._discovery.has_unread_bytes
 
     def _endpoints_updated(self, update: EndpointListEvent) -> None:
         if update.scope is EndpointListScope.FULL:
             self._first_list.set()
         starts = {endpoint.id: endpoint.started_ms for endpoint in update.endpoints}
-        concerned_numbers = starts if update.scope is EndpointListScope.DELTA else self.engine.addresses
+        affected_numbers = starts if update.scope is EndpointListScope.DELTA else self.engine.addresses
         before = {
-            number: self.engine.addresses[number] for number in concerned_numbers if number in self.engine.addresses
+            number: self.engine.addresses[number] for number in affected_numbers if number in self.engine.addresses
         }
         started_before = {number: self._started.get(number, math.inf) for number in before}
         self.server.handle(update)
@@ -181,10 +184,8 @@
         for number in [*before, *starts]:
             if number not in self.engine.addresses:
                 self._started.pop(number, None)
-        for (
-            number,
-            address,
-        ) in before.items():  # whatever is there from now on, it is not the endpoint that was connected to
+        # A removed, moved or restarted endpoint is no longer the process that the pooled connections lead to.
+        for number, address in before.items():
             restarted = self._started.get(number, 0.0) > started_before[number]
             if self.engine.addresses.get(number) != address or restarted:
                 self.server.pool.retire_address(address)
@@ -192,21 +193,21 @@
     def _counter_replied(self, call_id: int, result: CallResult, total: float) -> None:
         self.server.handle(CounterReplied(call_id, result, total))
 
-    def _take_cached_list(self) -> None:
-        """Take the list as last known in, which may be old.
+    def _apply_cached_list(self) -> None:
+        """Apply the last known list from the configuration, which may be old.
 
-        The follower that goes on from it numbers its endpoints: a number that named another endpoint once discovery's
-        list comes would keep the attempts and the latency of the first.
+        The same follower then applies discovery's lists.  With another one, a number could come to mean another
+        endpoint, which would inherit the attempts and latency of the first.
         """
         try:
-            cached = self._follower.take_list(self.config.cached_list, EndpointListScope.CACHED)
+            cached = self._follower.apply_list(self.config.cached_list, EndpointListScope.CACHED)
         except DiscoveryError as error:
             self._event_logger.log("cached endpoint list unusable", {"error": str(error)})
             cached = None
         self.server.handle(cached if cached is not None else EndpointListEvent(EndpointListScope.CACHED))
 
     async def run(self) -> None:
-        """Serve until SIGTERM."""
+        """Serve until SIGTERM or SIGINT."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: self._log_loop_error(context))
         loop.add_signal_handler(signal.SIGTERM, self._terminate)
@@ -214,7 +215,7 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         received = self._pending.received if self._pending is not None else set()
         if received & {signal.SIGTERM, signal.SIGINT}:
-            return  # nothing was accepted
+            return  # the signal to end came before any connection was accepted
         if signal.SIGHUP in received:
             self.reload()
         await self.start()
@@ -223,25 +224,25 @@
 
     def _terminate(self) -> None:
         self._stop.set()
-        self._first_list.set()  # nothing waits for it any more: the time until SIGKILL runs
+        self._first_list.set()  # ends the wait for the first list, since SIGKILL follows
 
     async def start(self) -> int:
-        """Bind everything, and be ready once there is a list.
+        """Start all parts; report ready once there is a list.
 
-        Returns the listener's port, 0 where the gateway was told to end before it listened.  Raises ConfigError where
-        it cannot listen.
+        Returns the listener's port, 0 if a signal to end came before it listened.  Raises ConfigError if it cannot
+        listen.
         """
-        self._take_cached_list()
+        self._apply_cached_list()
         if self._counter is not None:
             self.server.add_to_counter = self._counter.add
             self._counter.start()
         self._discovery.start()
-        # What the agent has counts as notified from the first moment, and clients of the process before come as soon
-        # as there is a listener: none of them may be served by the old list while the agent's response is on its way.
+        # The gateway counts as notified of what the agent has from its first moment, and clients of the previous
+        # process connect as soon as it listens.  None may be served by the cached list before the agent's response.
         await self._first_list_within(self._timing.start_wait_ms)
         until = now_ms() + REJECTED_TIMEOUT_MS
         while self._discovery.rejected and now_ms() < until and not await self._first_list_within(REJECTED_CHECK_MS):
-            pass  # the cached list may be older than what counts as notified
+            pass  # the cached list may lack changes of which the gateway counts as notified
         port = await self._listen()
         if not await self._first_list_within(max(FIRST_LIST_TIMEOUT_MS - self._timing.start_wait_ms, 0.0)):
             self._event_logger.log("ready without discovery", {})
@@ -258,7 +259,7 @@
         return self._first_list.is_set()
 
     async def _listen(self) -> int:
-        """Listen, once the address is free."""
+        """Listen once the address is free; return the port."""
         until, logged = now_ms() + BIND_TIMEOUT_MS, False
         while not self._stop.is_set():
             try:
@@ -274,7 +275,7 @@
         return 0
 
     async def _log_totals(self) -> None:
-        """Log totals since the start, now and then."""
+        """Log the totals since the start at regular intervals."""
         while True:
             await asyncio.sleep(TOTALS_INTERVAL_S)
             self._event_logger.log(
@@ -291,7 +292,7 @@
             )
 
     async def stop(self) -> None:
-        """Serve on for a while, answer what is in flight, end."""
+        """Shut down gracefully: serve for the time of the drain plan, answer requests in flight, end."""
         self._event_logger.log("stopping", {"open": self.engine.unanswered})
         if self._totals_task is not None:
             self._totals_task.cancel()
@@ -318,14 +319,14 @@
         )
 
     def reload(self) -> None:
-        """SIGHUP: discovery and the counter may be elsewhere.
+        """Handle SIGHUP: use new addresses of discovery and the counter.
 
-        A file that cannot be read leaves all as it is, and is read again for some seconds, since whoever writes it may
-        not be done; whatever else has changed in it waits for a restart.
+        A file that cannot be read changes nothing, and is read again for some seconds, since its writer may not have
+        finished.  Any other change takes effect at the next restart.
         """
-        if self._rereading is not None:
-            self._rereading.cancel()
-            self._rereading = None
+        if self._reread_timer is not None:
+            self._reread_timer.cancel()
+            self._reread_timer = None
         self._reload(REREAD_DELAYS_S)
 
     def _reload(self, retry_delays_s: tuple[float, ...]) -> None:
@@ -338,23 +339,23 @@
                 self._event_logger.log("configuration rejected", {"error": str(error)})
             if retry_delays_s:
                 loop = asyncio.get_running_loop()
-                self._rereading = loop.call_later(retry_delays_s[0], self._reload, retry_delays_s[1:])
+                self._reread_timer = loop.call_later(retry_delays_s[0], self._reload, retry_delays_s[1:])
             return
-        self._discovery.move(config.discovery)
+        self._discovery.change_address(config.discovery)
         if self._counter is not None and config.counter is not None:
-            self._counter.move(config.counter)
-        old = self.config
+            self._counter.change_address(config.counter)
+        current = self.config
         changes = {
-            "name": config.name != old.name,
-            "listener": config.listener != old.listener,
-            "upstream": config.upstream != old.upstream,
-            "settings": config.settings != old.settings,
-            "max_open": config.max_in_flight != old.max_in_flight,
+            "name": config.name != current.name,
+            "listener": config.listener != current.listener,
+            "upstream": config.upstream != current.upstream,
+            "settings": config.settings != current.settings,
+            "max_open": config.max_in_flight != current.max_in_flight,
         }
-        waits = [name for name, changed in changes.items() if changed]
+        deferred = [name for name, changed in changes.items() if changed]
         if (self._counter is None) != (config.counter is None):
-            waits.append("counter")
-        self._event_logger.log("configuration applied", {"after_a_restart": waits} if waits else {})
+            deferred.append("counter")
+        self._event_logger.log("configuration applied", {"after_a_restart": deferred} if deferred else {})
 
 
 def _is_transient(error: Exception) -> bool:
@@ -363,17 +364,17 @@
     return isinstance(error, OSError) and error.errno in TRANSIENT_ERRORS
 
 
-def _retry_transient(make: Callable[[], Made]) -> Made:
-    """Return what `make` returns once no resource is short any more; raises ConfigError and OSError."""
+def _retry_transient(make: Callable[[], Result]) -> Result:
+    """Call `make` until it does not fail temporarily and return its result; raises ConfigError and OSError."""
     return retry_transient(make, _is_transient, within_s=TRANSIENT_TIMEOUT_S, interval_s=TRANSIENT_RETRY_S)
 
 
 def main(pending: PendingSignals | None = None) -> None:
-    """`python -m martenstep.node`: 0 after SIGTERM, 2 where the configuration cannot be used."""
+    """Run `python -m martenstep.node`; its status is 0 after SIGTERM, 2 if the configuration cannot be used."""
     path = os.environ.get("NODE_CONFIG", "")
     try:
         if not path:
-            raise ConfigError("NODE_CONFIG: not set")
+            raise ConfigError("NODE_CONFIG is not set: expected the path of the configuration file")
         config = _retry_transient(lambda: load_config(Path(path)))
         gc.collect()
         gc.freeze()
--- a/martenstep/node/endpoint_list.py
+++ b/martenstep/node/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery tells it: the whole list, then changes.  No I/O."""
+"""The endpoint list as received from discovery: the full list first, then changes.  No I/O."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 
 PATH = "/catalog/members"
 _OCTET = r"(?:25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)"
-IPV4 = re.compile(rf"(?:{_OCTET}\.){{3}}{_OCTET}", re.ASCII)  # the usual address, as the library would write it
+IPV4 = re.compile(rf"(?:{_OCTET}\.){{3}}{_OCTET}", re.ASCII)  # an address in the form that ipaddress would return
 STATES = {"ready": EndpointState.UP, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
 
 
 class DiscoveryError(Exception):
-    """A response that cannot be used."""
+    """A response of discovery that cannot be used."""
 
 
 class RejectedError(DiscoveryError):
-    """Discovery rejected a poll: what it sent before stands."""
+    """Discovery rejected a poll: the list that it sent before stays valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Reading:
-    """When a list is read, in milliseconds."""
+    """The time at which a list is read, in milliseconds."""
 
     now: float  # on the gateway's clock
     wall_ms: float  # in Unix time
-    unseen_ms: float  # since a list was complete that did not have what this one tells
+    unlisted_ms: float  # since the list was last up to date, without what this response adds
 
 
 @dataclass(slots=True)
 class _Entry:
-    """One endpoint of a response that was read to its end, without its number."""
+    """One endpoint of a response, validated, before it has a number."""
 
     uid: str
     zone: str
@@ -54,25 +54,25 @@
 
 
 class EndpointListFollower:
-    """The list as received so far.  Endpoints are numbered in the order in which they appear."""
+    """Maintains the list as received so far.  Endpoints are numbered in the order in which they first appear."""
 
     def __init__(self, clock: Callable[[], float] = now_ms, wall_clock: Callable[[], float] = wall_clock_ms) -> None:
-        """`clock` is the gateway's own, `wall_clock` Unix time as it is read now, both in milliseconds."""
+        """`clock` is the gateway's monotonic clock, `wall_clock` returns Unix time, both in milliseconds."""
         self._clock, self._wall_clock = clock, wall_clock
         self._starts = StartTimes()
-        self._complete_at = -math.inf  # when discovery last sent all that it had
-        self.revision: int | None = None  # None: the whole list has to be polled
+        self._complete_at = -math.inf  # when a response last brought the list up to date
+        self.revision: int | None = None  # None: the next poll requests the full list
         self._numbers: dict[str, int] = {}
         self._last_number = 0
         self.addresses: dict[int, tuple[str, int]] = {}
         self._endpoints: dict[int, Endpoint] = {}
 
     def full_list(self) -> EndpointListEvent:
-        """The list as received so far."""
+        """Return the list as received so far."""
         return EndpointListEvent(EndpointListScope.FULL, tuple(self._endpoints.values()), dict(self.addresses))
 
     def draining_list(self) -> EndpointListEvent:
-        """The same where any of them may be draining: none accepts anything new."""
+        """Return the list with every endpoint draining, for when any of them may be: none receives further requests."""
         return EndpointListEvent(
             EndpointListScope.DELTA,
             tuple(replace(endpoint, state=EndpointState.DRAINING) for endpoint in self._endpoints.values()),
@@ -80,36 +80,36 @@
         )
 
     def next_target(self, wait_ms: float = 0.0) -> str:
-        """The target of the next poll; a watch may wait for so long."""
+        """Return the target of the next poll; `wait_ms` is how long a watch may wait for changes."""
         return PATH if self.revision is None else f"{PATH}?after={self.revision}&wait_ms={wait_ms:.0f}"
 
-    def take_response(self, body: bytes) -> EndpointListEvent | None:
-        """Take a response in; returns the update, None where nothing changed.  Raises DiscoveryError."""
+    def apply_response(self, body: bytes) -> EndpointListEvent | None:
+        """Apply a response; return the update, None if nothing changed.  Raises DiscoveryError."""
         try:
             raw = json.loads(body)
         except (ValueError, RecursionError) as error:
-            raise DiscoveryError(f"not JSON: {error}") from None
-        return self.take_list(raw)
+            raise DiscoveryError(f"response body is not JSON: {error}") from None
+        return self.apply_list(raw)
 
-    def take_list(self, raw: Any, scope: EndpointListScope | None = None) -> EndpointListEvent | None:  # noqa: ANN401  # JSON
-        """Take in a list that is decoded already; `scope` in place of its own, and then no watch goes on from it.
+    def apply_list(self, raw: Any, scope: EndpointListScope | None = None) -> EndpointListEvent | None:  # noqa: ANN401  # JSON
+        """Apply a decoded list.  With `scope` given, the update has that scope and the revision is not stored.
 
-        Nothing is taken in of one that cannot be read to its end.  Raises DiscoveryError.
+        A list with an invalid part is not applied at all.  Raises DiscoveryError.
         """
         now = self._clock()
         reading = _Reading(now, self._wall_clock(), now - self._complete_at)
         try:
             revision, is_full = int(raw["rev"]), raw["all"]
             if not isinstance(is_full, bool):
-                raise TypeError(f"all is {is_full!r}")
+                raise TypeError(f"all: expected true or false, got {is_full!r}")
             entries = [self._read_entry(entry, reading) for entry in raw["targets"]]
         except (ValueError, KeyError, TypeError, OverflowError, ConfigError) as error:
-            raise DiscoveryError(f"not a list of backends: {error!r}") from None
+            raise DiscoveryError(f"invalid endpoint list: {error!r}") from None
         if self.revision is None and not is_full:
-            raise DiscoveryError("changes without the list that they apply to")
+            raise DiscoveryError("received changes, expected the full list: no list has been received yet")
         if scope is None:
             if self.revision is not None and not is_full and revision < self.revision:
-                raise DiscoveryError(f"a watch that goes back, from {self.revision} to {revision}")
+                raise DiscoveryError(f"rev of a watch goes back: expected at least {self.revision}, got {revision}")
             self.revision, self._complete_at = revision, now
         if not is_full and not entries:
             return None
@@ -120,7 +120,7 @@
         return EndpointListEvent(scope or own_scope, tuple(endpoints), addresses)
 
     def _apply(self, entries: list[_Entry], is_full: bool) -> list[Endpoint]:
-        """Take in entries that were all read, at a cost of the entries, not of the whole list."""
+        """Apply validated entries; the cost depends on their number, not on the length of the list."""
         known_numbers = self._numbers
         if is_full:
             self._numbers, self.addresses, self._endpoints = {}, {}, {}
@@ -132,7 +132,7 @@
                 number = self._last_number
             endpoint = Endpoint(number, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_ms)
             endpoints.append(endpoint)
-            if endpoint.state is EndpointState.REMOVED:  # one that comes back, in this response too, is another
+            if endpoint.state is EndpointState.REMOVED:  # if it returns, even in this response, it gets another number
                 self._numbers.pop(entry.uid, None)
                 self.addresses.pop(number, None)
                 self._endpoints.pop(number, None)
@@ -144,14 +144,16 @@
     def _read_entry(self, entry: dict[str, Any], reading: _Reading) -> _Entry:
         uid = entry["uid"]
         if not isinstance(uid, str):
-            raise TypeError(f"uid is {uid!r}")
+            raise TypeError(f"uid: expected a string, got {uid!r}")
         size, boot_ms = float(entry.get("capacity_hint", 1.0)), float(entry.get("boot_ms", 0.0))
         if not (0 <= size < math.inf and 0 <= boot_ms < math.inf):
-            raise ValueError("capacity_hint or boot_ms is no figure")
-        started = self._starts.local_start(uid, boot_ms, reading.wall_ms - boot_ms, reading.now, reading.unseen_ms)
+            raise ValueError(
+                f"capacity_hint, boot_ms: expected finite numbers of at least 0, got {size!r}, {boot_ms!r}"
+            )
+        started = self._starts.local_start(uid, boot_ms, reading.wall_ms - boot_ms, reading.now, reading.unlisted_ms)
         host, port = parse_address(entry.get("endpoint"), "endpoint")
         if IPV4.fullmatch(host) is None:
-            host = str(ip_address(host))  # without DNS a name would be looked up for seconds
+            host = str(ip_address(host))  # rejects host names: without DNS a lookup would block for seconds
         return _Entry(
             uid,
             str(entry.get("az", "")),
--- a/martenstep/node/pending_signals.py
+++ b/martenstep/node/pending_signals.py
@@ -1,7 +1,8 @@
-"""Signals that come before the event loop handles them: while modules are loaded and the configuration is read.
+"""Records signals that arrive before the event loop handles them, while modules and the configuration are loaded.
 
-Their usual action would end the process, and one that is ignored is lost: a move of discovery with it.  They are kept,
-and acted on once the loop is there.  Imported first of all, so it imports next to nothing.
+The default action would end the process, and an ignored signal is lost, and with it a change of discovery's address.
+The signals are recorded, and acted on once the event loop runs.  This module is imported first, so it imports almost
+nothing.
 """
 
 from __future__ import annotations
@@ -9,20 +10,24 @@
 import signal
 from types import FrameType
 
-HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)  # in this order: once the last is caught, all are
+HANDLED_SIGNALS = (
+    signal.SIGTERM,
+    signal.SIGINT,
+    signal.SIGHUP,
+)  # installed in this order: once the last has a handler, all have
 
 
 class PendingSignals:
-    """The signals that have been received."""
+    """The set of signals received so far."""
 
     def __init__(self) -> None:
-        """None have come."""
+        """Create the set, empty."""
         self.received: set[int] = set()
 
-    def keep(self) -> None:
-        """Keep them from now on, until the loop has handlers of its own."""
+    def install_handlers(self) -> None:
+        """Record signals from now on, until the event loop installs its own handlers."""
         for number in HANDLED_SIGNALS:
-            signal.signal(number, self._take)
+            signal.signal(number, self._record)
 
-    def _take(self, number: int, frame: FrameType | None) -> None:
+    def _record(self, number: int, frame: FrameType | None) -> None:
         self.received.add(number)
--- a/martenstep/node/poll_timing.py
+++ b/martenstep/node/poll_timing.py
@@ -1,4 +1,9 @@
-"""When discovery is polled, and until when the list that it gave may be used.  No I/O; times in milliseconds."""
+"""When to poll discovery, and how long its last endpoint list may be used.  No I/O; times in milliseconds.
+
+A gateway must not send to an endpoint once it counts as notified that the endpoint drains.  By the platform's rule it
+counts as notified a fixed time after discovery has the change, if discovery could be reached, even where no response
+with the change arrived.  So polls must be frequent enough, and a list that is older than that is stale.
+"""
 
 from __future__ import annotations
 
@@ -8,73 +13,74 @@
 
 from martenstep.backoff import Backoff
 
-# What discovery has and does not tell, though it could be reached, counts as notified after this.
+# A gateway counts as notified of a change this long after discovery has it, if discovery could be reached.
 NOTIFIED_AFTER_MS = 6000.0
-SERVICE_QUEUE_MS = 2100.0  # a poll that is accepted is answered within this, if there is anything to tell
-WAIT_DECAY = 0.8  # of a watch that was held longer under load is left after a response that was not late
+SERVICE_QUEUE_MS = 2100.0  # an accepted poll is answered within this if there is a change
+WATCH_DECAY = 0.8  # factor of a watch's duration, lengthened under load, after each response that was not late
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryTiming:
-    """How long responses are waited for, a watch is held and a failed poll is not repeated, in milliseconds."""
+    """Timeouts of responses, durations of watches and backoff after failed polls, in milliseconds."""
 
-    start_wait_ms: float  # at the start nobody is served by the cached list for so long: it may be stale
+    start_wait_ms: float  # at the start no client is served by the cached list for this long: it may be stale
     response_timeout_ms: float  # to the first byte
     read_timeout_ms: float  # between two reads of one response
-    watch_ms: float  # a watch is held for this: so long a list can be stale where its connection falls silent
+    watch_ms: float  # duration of a watch, and how long a list can be stale if its connection falls silent
     min_backoff_ms: float
     max_backoff_ms: float
-    max_watch_ms: float = 0.0  # a watch is held for up to this under overload
-    yield_age_ms: float = 0.0  # a gateway whose list is younger lets others poll first
-    overload_delay_ms: float = math.inf  # a response that is so late tells of overload
+    max_watch_ms: float = 0.0  # longest duration of a watch while discovery is overloaded
+    yield_age_ms: float = 0.0  # a rejected gateway whose list is newer than this lets others poll first
+    overload_delay_ms: float = math.inf  # a response that is later than this indicates overload
 
 
-# Lists are pushed: the agent is on this machine and answers at once or, while discovery is down, not at all.
+# For an agent on this machine to which lists are pushed: it answers at once or, while discovery is down, not at all.
 AGENT_TIMING = DiscoveryTiming(250.0, 250.0, 250.0, 1500.0, 10.0, 250.0)
-# Lists are polled: one service of fixed capacity answers all gateways in turn, in up to 2 s, or rejects, and has
-# capacity for a poll of each only once in some seconds.  Who gives up sooner than its queue is long never gets a
-# response, and what was given up counts as notified.  A watch waits for its turn, too: one that is over before then
-# says nothing, and what changed meanwhile counts as notified.  A silent one is given up within the 6 s after which a
-# change counts as notified.  Rejected, a new list can wait for 6 s less its turn in the queue.
+# For one service of fixed capacity that all gateways poll: it answers polls in order, within 2 s, or rejects them, and
+# can answer each gateway only once in several seconds.  A gateway with a timeout shorter than this queue would never
+# receive a response, yet would count as notified of its contents.  A watch queues as well: one that ends before its
+# turn returns no change, although the gateway counts as notified of it.  A silent watch is abandoned within the 6 s of
+# NOTIFIED_AFTER_MS.  After a rejection, a gateway with a new list can wait for 6 s less the time in the queue.
 SERVICE_TIMING = DiscoveryTiming(
     SERVICE_QUEUE_MS + 100.0, SERVICE_QUEUE_MS, 450.0, 3500.0, 50.0, 600.0, 20_000.0, 4000.0, 150.0
 )
 
 
 class PollPace:
-    """How often one gateway polls discovery, learned from how its polls end.  No I/O.
+    """Adapts how often one gateway polls discovery to the results of its polls.  No I/O.
 
-    Each poll is work for a service that all gateways share.  Where polls are rejected or responses come late, watches
-    are held for longer, and a rejected gateway with a new list polls again later: the next turn is for those whose list
-    is old.  After a response the next poll follows at once, since what it would have told counts as notified.
+    Each poll costs capacity of a service that all gateways share.  If polls are rejected or responses are late, watches
+    last longer, and a rejected gateway with a new list waits longer before it polls again, so that gateways with old
+    lists are served first.  After a response the next poll follows at once, since the gateway counts as notified of
+    whatever that poll would have returned.
     """
 
     def __init__(self, timing: DiscoveryTiming, rng: random.Random | None = None) -> None:
-        """`rng` in place of one of its own."""
+        """`rng` replaces the default random generator."""
         self._timing, self._rng = timing, rng or random.Random()
-        self.watch_ms = timing.watch_ms  # of the next watch
+        self.watch_ms = timing.watch_ms  # duration of the next watch
         self._backoff = Backoff(timing.min_backoff_ms, timing.max_backoff_ms, self._rng)
-        self._was_rejected = False  # before the response that comes next
+        self._was_rejected = False  # since the last response
 
     def succeeded(self, late_ms: float | None) -> None:
-        """A poll was answered so long after it was due (None: a watch that had something to tell before)."""
+        """Record a response that came `late_ms` after it was due; None for a watch that returned a change earlier."""
         if late_ms is not None and late_ms > self._timing.overload_delay_ms:
             self._slow_down()
         elif not self._was_rejected:
-            self.watch_ms = max(self.watch_ms * WAIT_DECAY, self._timing.watch_ms)
+            self.watch_ms = max(self.watch_ms * WATCH_DECAY, self._timing.watch_ms)
         self._backoff.succeeded()
         self._was_rejected = False
 
     def rejected(self, age_ms: float) -> float:
-        """A poll was rejected, and the list is so old; returns how long to wait."""
+        """Record a rejected poll, with a list of age `age_ms`; return how long to wait before the next poll."""
         self._was_rejected = True
         self._slow_down()
-        # Random, too: all were rejected at the same moment.
+        # Randomized, since all gateways may have been rejected at the same moment.
         yield_ms = max(self._timing.yield_age_ms - age_ms, 0.0) / 2
         return max(self.failed(), yield_ms * self._rng.uniform(0.5, 1.5))
 
     def failed(self) -> float:
-        """A poll broke or was given up; returns how long to wait."""
+        """Record a poll that failed or timed out; return how long to wait before the next poll."""
         return self._backoff.failed()
 
     def _slow_down(self) -> None:
@@ -82,47 +88,47 @@
 
 
 class ListFreshness:
-    """Until when the list may be used while discovery rejects polls.  No I/O; times in milliseconds.
+    """Decides whether the list may be used while discovery rejects polls.  No I/O; times in milliseconds.
 
-    What it has and does not tell counts as notified after NOTIFIED_AFTER_MS.  A gateway that is rejected for longer
-    knows of no endpoint that may still be sent to, nor does one that starts with a list of unknown age.  A watch that
-    was accepted and not answered while the queue is long has nothing new to tell.
+    The gateway counts as notified of every change NOTIFIED_AFTER_MS after discovery has it.  If polls are rejected for
+    longer, any endpoint of the list may be draining; the same holds at a start with a list of unknown age.  A watch
+    that has been open for SERVICE_QUEUE_MS without a rejection was accepted, and there is no change.
     """
 
     def __init__(self) -> None:
-        """Of a list that has never been polled."""
+        """Begin without any response."""
         self._answered_at = -math.inf
-        self.rejected = False  # by the last poll since then: discovery could be reached, and sent nothing
-        self._watch_started_at: float | None = None  # of the watch that is under way
+        self.rejected = False  # by the last poll: discovery could be reached, and sent no list
+        self._watch_started_at: float | None = None  # of the open watch, if there is one
 
     @property
     def answered_at(self) -> float:
-        """When the last response came."""
+        """The time of the last response."""
         return self._answered_at
 
     def age_ms(self, now: float) -> float:
-        """How old the last response is."""
+        """Return the time since the last response."""
         return now - self._answered_at
 
     def poll_started(self, now: float, watch: bool) -> None:
-        """A poll begins."""
+        """Record the start of a poll."""
         self._watch_started_at = now if watch else None
 
     def poll_succeeded(self, now: float) -> None:
-        """It was answered."""
+        """Record that the poll was answered."""
         self._answered_at, self.rejected, self._watch_started_at = now, False, None
 
     def poll_failed(self, rejected: bool) -> None:
-        """It was rejected, or broke: what a service has that cannot be reached does not count as notified."""
+        """Record that the poll was rejected or failed.  No change counts as notified while discovery is unreachable."""
         self.rejected, self._watch_started_at = rejected, None
 
     def is_stale(self, now: float) -> bool:
-        """Whether what the list does not have may count as notified."""
-        is_held = self._watch_started_at is not None and now - self._watch_started_at >= SERVICE_QUEUE_MS
-        return self.rejected and not is_held and now - self._answered_at >= NOTIFIED_AFTER_MS
+        """Return whether the gateway may count as notified of a change that the list lacks."""
+        is_accepted = self._watch_started_at is not None and now - self._watch_started_at >= SERVICE_QUEUE_MS
+        return self.rejected and not is_accepted and now - self._answered_at >= NOTIFIED_AFTER_MS
 
-    def next_at(self, now: float) -> float | None:
-        """When that may change by time alone."""
+    def next_change_at(self, now: float) -> float | None:
+        """Return when `is_stale` may next change without an event; None if it cannot."""
         if not self.rejected:
             return None
         times = [self._answered_at + NOTIFIED_AFTER_MS]
--- a/martenstep/node/protocol.py
+++ b/martenstep/node/protocol.py
@@ -1,15 +1,15 @@
-"""The platform's protocol: its heads to and from the engine's terms, and what a response's status proves.  No I/O.
+"""The platform's protocol: maps its heads to and from the engine's types, and classifies response statuses.  No I/O.
 
-A request that is not in the protocol's form is the client's fault and never reaches the policy: whatever of it could be
-guessed would be charged to a customer, or sent to an endpoint under an id that nobody gave.
+A request that violates the protocol is rejected as the client's fault and never reaches the policy: with guessed values
+it would be charged to a customer, or sent to an endpoint under an id that no client chose.
 
-| what comes back | result | was it executed? |
+| response | result | was the request executed? |
 | --- | --- | --- |
 | 200 and a body | OK | yes |
 | 503 or 504 with `X-Never-Ran: 1` | OVERLOADED | never |
-| any other status, or a length that no response has | ERROR | it may have been |
+| any other status, or a length above the limit of a response | ERROR | it may have been |
 
-What ends without a status is in proxy.attempt_outcomes, which holds here as well.
+Attempts that end without a status are classified in proxy.attempt_outcomes, which applies here as well.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from martenstep.proxy.headers import get_header
 from martenstep.proxy.targets import NormalizedTarget, TargetRejection
 
-# The protocol's headers, by what they state.
+# The protocol's headers, each constant named for what its header states.
 ID_HEADER = b"x-trace-id"
 CLASS_HEADER = b"x-qos"
 PLAN_HEADER = b"x-plan"
@@ -44,37 +44,38 @@
 NEVER_EXECUTED_HEADER = b"x-never-ran"
 LENGTH_HEADER, CODING_HEADER = b"content-length", b"transfer-encoding"
 FORWARDED_HEADERS = frozenset((b"host", ID_HEADER, KEY_HEADER, LENGTH_HEADER))
-# Those that a request may have once.
+# A request may have each of these at most once.
 PROTOCOL_HEADERS = frozenset(
     (ID_HEADER, CLASS_HEADER, PLAN_HEADER, DEADLINE_HEADER, RETRY_HEADER, QUOTA_HEADER, KEY_HEADER)
 )
 READY_PATH = b"/_health"
 CUSTOMER = re.compile(rb"[0-9a-f]{16}")
 MAX_CUSTOMER = 1 << 33
-TOKEN = re.compile(rb"[0-9A-Za-z._~-]{1,64}")  # an id or a key: anything else could not be told from a fault
+TOKEN = re.compile(rb"[0-9A-Za-z._~-]{1,64}")  # an id or a key; any other form cannot be distinguished from a fault
 QUOTA = re.compile(rb"units=(\d{1,9}(?:\.\d{1,9})?), ?spread=(\d{1,6}), ?first=(\d{1,6})")
 DIGITS = re.compile(rb"\d{1,9}")
 MIN_PATH_SEGMENTS = 3
-REASONS_WITHOUT_PROMISE = ("failed", "timed out")  # of final responses to requests that may have been executed
-ID_RETENTION_MARGIN_MS = 1000.0  # an id is remembered for so much longer than any client waits for its response
-MAX_RECENT_IDS = 20_000  # what more would take is memory that a stray client decides on
+# Reasons of final responses to requests that may have been executed.
+INDETERMINATE_REASONS = ("failed", "timed out")
+ID_RETENTION_MARGIN_MS = 1000.0  # an id is remembered this much longer than any client waits for its response
+MAX_RECENT_IDS = 20_000  # bounds the memory that a misbehaving client can take
 OK, BAD_REQUEST, CONFLICT, UNAVAILABLE, GATEWAY_TIMEOUT = 200, 400, 409, 503, 504
 MS_PER_S = 1000.0
 
 
 class RecentIds:
-    """The ids of recent requests: a request under one that is in flight is not the client's own.
+    """The ids of recent requests, to reject a duplicate of a request that may be in flight.
 
     Two attempts under one id would count as two copies of one request.
     """
 
     def __init__(self, clock: Callable[[], float], retention_ms: float) -> None:
-        """`clock` in milliseconds."""
+        """`clock` returns milliseconds."""
         self._clock, self._retention_ms = clock, retention_ms
-        self._seen_at: OrderedDict[bytes, float] = OrderedDict()  # the oldest first
+        self._seen_at: OrderedDict[bytes, float] = OrderedDict()  # oldest first
 
     def add(self, request_id: bytes) -> bool:
-        """Remember an id; False where it is known already."""
+        """Record an id; return False if it is recorded already."""
         now, seen_at = self._clock(), self._seen_at
         while seen_at:
             oldest = next(iter(seen_at))
@@ -88,7 +89,7 @@
 
 
 class _InvalidRequestError(Exception):
-    """A request that is not in the protocol's form."""
+    """A request that violates the protocol.  Its reason is sent to the client as the body of the response."""
 
     def __init__(self, reason: str, status: int = BAD_REQUEST) -> None:
         super().__init__(reason)
@@ -96,18 +97,18 @@
 
 
 class _Fields(NamedTuple):
-    """The protocol's headers of a request, and whether it has a body."""
+    """The values of a request's protocol headers, and whether the request has a body."""
 
     values: dict[bytes, bytes]
     has_body: bool
 
     def get(self, name: bytes) -> bytes:
-        """A header's value; empty where there is none."""
+        """Return a header's value, empty if the request does not have it."""
         return self.values.get(name, b"")
 
 
 class _Quota(NamedTuple):
-    """A request's cost, and through which gateways its customer comes."""
+    """A request's cost in units, and the gateways that its customer uses."""
 
     units: float
     instances: int
@@ -128,7 +129,7 @@
 
 
 def _read_customer(target: bytes, class_name: bytes) -> bytes:
-    """The customer's key, which is the last segment of the path."""
+    """Return the customer's key, which is the last segment of the path."""
     segments = target.partition(b"?")[0].split(b"/")
     customer_key = segments[-1]
     is_valid = len(segments) >= MIN_PATH_SEGMENTS and segments[1] == class_name
@@ -150,10 +151,10 @@
 
 
 class NodeRequestReader:
-    """What a request's head states (RouteTable), and the target that asks whether this node is ready."""
+    """Reads request heads (proxy.dependencies.RouteTable) and answers the readiness check of this node."""
 
     def __init__(self, settings: api.Settings, clock: Callable[[], float]) -> None:
-        """`clock` in milliseconds."""
+        """`clock` returns milliseconds."""
         self._classes = {request_class.name.encode(): request_class for request_class in settings.classes}
         self._plans = {plan.name.encode(): plan for plan in settings.plans}
         self._instances, self._max_units = settings.instances, settings.max_units
@@ -162,7 +163,7 @@
         self.ready = False
 
     def normalize(self, method: bytes, target: bytes, headers: Headers) -> NormalizedTarget | TargetRejection:
-        """Whether a target is forwarded; the health check of this node itself is answered here."""
+        """Check that a target can be forwarded.  The readiness check of this node is answered here."""
         if target == READY_PATH and method == b"GET":
             if self.ready:
                 return TargetRejection(OK, "ready", [])
@@ -174,7 +175,7 @@
     def route(
         self, method: bytes, target: bytes, headers: Headers
     ) -> RoutedRequest | UnauthenticatedRequest | RouteRejection:
-        """Where a request belongs, all that the protocol has it state checked."""
+        """Return the class, plan and customer of a request, after checking all of its protocol headers."""
         try:
             return self._route(method, target, headers)
         except _InvalidRequestError as error:
@@ -216,30 +217,31 @@
             raise _InvalidRequestError("id met before", CONFLICT)
 
     def deadline_ms(self, request_class: api.RequestClass, headers: Headers) -> float | None:
-        """How long the client waits, never longer than its class allows; None where it does not wait."""
-        asked_ms = int(get_header(headers, DEADLINE_HEADER) or 0)  # digits: a request with others has no route
-        return min(float(asked_ms), request_class.deadline_ms) if asked_ms > 0 else None
+        """Return how long the client waits, at most its class's deadline; None if its deadline has passed."""
+        # The value consists of digits: `route` rejects a request with any other.
+        requested_ms = int(get_header(headers, DEADLINE_HEADER) or 0)
+        return min(float(requested_ms), request_class.deadline_ms) if requested_ms > 0 else None
 
     def identify(
         self, unauthenticated: UnauthenticatedRequest, customer_key: str, plan: str
     ) -> RoutedRequest | RouteRejection:
-        """No request here is authenticated: its customer is in its path."""
+        """Reject: no request is authenticated here, since its path states the customer."""
         return RouteRejection(BAD_REQUEST, "bad path")
 
     def anonymous(self, unauthenticated: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
-        """As above."""
+        """Reject, for the same reason as `identify`."""
         return RouteRejection(BAD_REQUEST, "bad path")
 
 
 class NodeStatusClassifier:
-    """What the status of an endpoint's response proves (proxy.dependencies.StatusClassifier)."""
+    """Classifies the status of an endpoint's response (proxy.dependencies.StatusClassifier)."""
 
     def classify(self, status: int, headers: Headers) -> CallResult:
-        """OK, OVERLOADED or ERROR, by the table above."""
+        """Return OK, OVERLOADED or ERROR, by the table at the head of this module."""
         if status == OK:
             for name, value in headers:
                 if name == LENGTH_HEADER and int(value) > MAX_RESPONSE_BYTES:
-                    return CallResult.ERROR  # it would be read to its end, and is nobody's response
+                    return CallResult.ERROR  # no valid response is so long, and this one would be read to its end
             return CallResult.OK
         if status in (UNAVAILABLE, GATEWAY_TIMEOUT) and (NEVER_EXECUTED_HEADER, b"1") in headers:
             return CallResult.OVERLOADED
@@ -247,51 +249,52 @@
 
 
 class NodeMessageBuilder:
-    """Builds attempts and responses (proxy.dependencies.MessageBuilder).
+    """Builds the headers of attempts and responses (proxy.dependencies.MessageBuilder).
 
-    No more than the protocol asks for, since every header is work at both ends.
+    They have only the headers that the protocol requires, since each one costs processor time at both ends.
     """
 
     sends_rate_limits = False
 
     def identity_headers(self, correlation_id: str) -> Headers:
-        """Nothing."""
+        """Return no headers."""
         return []
 
     def copied_auth_headers(self, headers: Headers) -> Headers:
-        """Nothing: no service is asked."""
+        """Return no headers: no auth service is called."""
         return []
 
     def request_headers(self, request: UpstreamRequest) -> Headers:
-        """The client's id and key, and how long the gateway waits."""
+        """Return the client's id, key, host and length, and how long the gateway waits."""
         headers = [pair for pair in request.client_headers if pair[0] in FORWARDED_HEADERS]
         headers.append(self.deadline_header(request.remaining_ms))
         return headers
 
     def deadline_header(self, remaining_ms: float) -> tuple[bytes, bytes]:
-        """In whole milliseconds; 0 would read as no limit."""
+        """Return the header in whole milliseconds, at least 1: an endpoint would read 0 as no limit."""
         return DEADLINE_HEADER, b"%d" % max(remaining_ms, 1)
 
     def response_headers(self, headers: Headers) -> Headers:
-        """The length alone, where it is stated."""
+        """Keep only the length, where the response states it."""
         return [pair for pair in headers if pair[0] == LENGTH_HEADER]
 
     def local_reply(self, reason: str, correlation_id: str, retry_after_ms: float | None) -> tuple[Headers, bytes]:
-        """The reason as text, and when to come back.
+        """Return a response with the reason as its body, and when the client may retry.
 
-        A fault of the client's ends its connection: strays ask once and stay, by hundreds, and nobody else has faults.
+        The connection closes after a fault of the client: only misdirected clients send faulty requests, and hundreds
+        of them send one request each and keep their connections open.
         """
         body = reason.encode()
         headers = [(LENGTH_HEADER, b"%d" % len(body))]
         if retry_after_ms is not None:
             headers.append((b"retry-after", b"%.3f" % (retry_after_ms / MS_PER_S)))
-        elif reason not in REASONS_WITHOUT_PROMISE:
+        elif reason not in INDETERMINATE_REASONS:
             headers.append((b"connection", b"close"))
         return headers, body
 
 
 def make_dependencies(config: Config, request_reader: NodeRequestReader) -> EngineDependencies:
-    """An engine's parts by the platform's protocol."""
+    """Assemble an engine's dependencies for the platform's protocol."""
     settings = config.settings
     return EngineDependencies(
         name=config.name,
--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -1,4 +1,4 @@
-"""A platform configuration for tests, and its heads.  The figures are the tests' own."""
+"""A platform configuration, endpoint entries and request heads for tests.  The figures are chosen for the tests."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
     },
     "rules": {"answer_slack_ms": 10.0},
 }
-KNOWN: dict[str, Any] = {"rev": 3, "all": True, "targets": []}
+CACHED_LIST: dict[str, Any] = {"rev": 3, "all": True, "targets": []}
 
 
-def raw(**more: Any) -> dict[str, Any]:
-    """A configuration as JSON has it."""
+def raw_config(**overrides: Any) -> dict[str, Any]:
+    """Return a configuration as decoded JSON; `overrides` replaces or adds top-level keys."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:8081",
@@ -51,19 +51,19 @@
         "seed": "1f",
         "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 400},
         "counter": "127.0.0.1:6400",
-        "known": KNOWN,
+        "known": CACHED_LIST,
         "settings": SETTINGS,
-        **more,
+        **overrides,
     }
 
 
-def config(**more: Any) -> Config:
-    """And read."""
-    return read_config(json.dumps(raw(**more)))
+def make_config(**overrides: Any) -> Config:
+    """Return the same configuration as read by the gateway."""
+    return read_config(json.dumps(raw_config(**overrides)))
 
 
-def target(uid: str, port: int = 1, **more: Any) -> dict[str, Any]:
-    """One backend in discovery's form."""
+def endpoint_entry(uid: str, port: int = 1, **overrides: Any) -> dict[str, Any]:
+    """Return one endpoint in discovery's JSON form; `overrides` replaces or adds keys."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -73,29 +73,29 @@
         "state": "ready",
         "capacity_hint": 1.0,
         "boot_ms": 0,
-        **more,
+        **overrides,
     }
 
 
 def request(
     number: int,
-    cls: str = "read",
+    class_name: str = "read",
     customer: str = "00000000000000a1",
     method: str = "GET",
     body: str = "",
-    **told: str | None,
+    **replaced: str | None,
 ) -> str:
-    """A request as a platform's client words it; `told` replaces a header, or leaves it out (None)."""
+    """Return a request in the platform's protocol; `replaced` replaces or adds headers, or removes them (None)."""
     headers: dict[str, str | None] = {
         "Host": "svc",
         "X-Trace-Id": f"{number:016x}",
-        "X-Qos": cls,
+        "X-Qos": class_name,
         "X-Plan": "free",
         "X-Expires-In-Ms": "2000",
         "X-Quota": "units=1,spread=3,first=0",
     }
     if method == "POST":
         headers |= {"Idempotency-Key": f"k{number}", "Content-Length": str(len(body))}
-    headers |= {name.replace("_", "-"): value for name, value in told.items()}
+    headers |= {name.replace("_", "-"): value for name, value in replaced.items()}
     lines = [f"{name}: {value}\r\n" for name, value in headers.items() if value is not None]
-    return f"{method} /{cls}/{customer} HTTP/1.1\r\n{''.join(lines)}\r\n{body}"
+    return f"{method} /{class_name}/{customer} HTTP/1.1\r\n{''.join(lines)}\r\n{body}"
--- a/tests/test_fault_clocks.py
+++ b/tests/test_fault_clocks.py
@@ -15,10 +15,10 @@
 import pytest
 
 from martenstep.lab.soak.faults import FaultControl
-from tests.node_rig import SETTINGS, request, target
+from tests.node_rig import SETTINGS, endpoint_entry, request
 from tests.socket_rig import Back, Peer, Script
-from tests.test_node_gateway import serves
-from tests.test_node_processes import Process, doors, play
+from tests.test_node_gateway import serve_echo
+from tests.test_node_processes import GatewayProcess, gateway_processes, run_test
 
 HOUR_S = 3600.0
 REQUESTS = 100
@@ -79,43 +79,43 @@
 @contextlib.asynccontextmanager
 async def stepped_door(
     tmp_path: Path, agent: Agent, counts: dict[str, int], warm_within_ms: float, delay_s: float = 0.0
-) -> AsyncIterator[tuple[Process, FaultControl]]:
-    """A door in front of the backends s-0 and s-1, s-0 known from the start."""
+) -> AsyncIterator[tuple[GatewayProcess, FaultControl]]:
+    """A gateway in front of the backends s-0 and s-1, s-0 known from the start."""
     control = FaultControl(tmp_path / "faults")
-    async with doors(
+    async with gateway_processes(
         tmp_path,
         1,
         agent.script,
         counted(counts, "warm", delay_s),
         counted(counts, "cold"),
         settings=cold_settings(warm_within_ms),
-    ) as [door]:
-        known = json.loads(door.path.read_text(encoding="utf-8"))["known"]["targets"]
+    ) as [gateway]:
+        known = json.loads(gateway.path.read_text(encoding="utf-8"))["known"]["targets"]
         agent.targets = known[:1]
-        door.environment = control.environment
-        await door.start()
-        await door.until("ready")
-        yield door, control
+        gateway.environment = control.environment
+        await gateway.start()
+        await gateway.wait_for_event("ready")
+        yield gateway, control
     control.close()
 
 
 def cold_target(port: int, wall_s: float) -> dict[str, Any]:
     """The second backend, which started just now by a wall clock."""
-    return target("s-1", port, boot_ms=wall_s * 1000)
+    return endpoint_entry("s-1", port, boot_ms=wall_s * 1000)
 
 
-async def ask_many(door: Process, count: int = REQUESTS) -> None:
+async def ask_many(gateway: GatewayProcess, count: int = REQUESTS) -> None:
     """So many requests, one after another, on one connection."""
-    peer = await door.client()
+    peer = await gateway.connect()
     for number in range(count):
         await peer.write(request(number + time.monotonic_ns() % 10**12 * 1000))
         assert (await peer.response())[0] in (200, 503)  # refused where the slow one is full
     peer.close()
 
 
-def port_of(door: Process, place: int) -> int:
+def port_of(gateway: GatewayProcess, place: int) -> int:
     """The port of a backend."""
-    known = json.loads(door.path.read_text(encoding="utf-8"))["known"]["targets"]
+    known = json.loads(gateway.path.read_text(encoding="utf-8"))["known"]["targets"]
     return int(known[place]["endpoint"].rpartition(":")[2])
 
 
@@ -125,17 +125,17 @@
 
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
-        async with stepped_door(tmp_path, agent, counts, 60_000.0) as (door, control):
+        async with stepped_door(tmp_path, agent, counts, 60_000.0) as (gateway, control):
             control.shift_wall_clock(step_s)
-            agent.targets = [*agent.targets, cold_target(port_of(door, 1), time.time() + step_s)]
+            agent.targets = [*agent.targets, cold_target(port_of(gateway, 1), time.time() + step_s)]
             agent.revision += 1
             await _moment()
-            await ask_many(door, 20)  # by now the list has come
+            await ask_many(gateway, 20)  # by now the list has come
             before = counts.get("cold", 0)
-            await ask_many(door)
+            await ask_many(gateway)
             assert counts.get("cold", 0) - before <= COLD_MOST, counts
 
-    play(test())
+    run_test(test())
 
 
 @pytest.mark.parametrize("step_s", [0.0, HOUR_S, -HOUR_S])
@@ -144,18 +144,18 @@
 
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
-        async with stepped_door(tmp_path, agent, counts, 300.0, SLOW_S) as (door, control):
+        async with stepped_door(tmp_path, agent, counts, 300.0, SLOW_S) as (gateway, control):
             control.shift_wall_clock(step_s)
-            agent.targets = [*agent.targets, cold_target(port_of(door, 1), time.time() + step_s)]
+            agent.targets = [*agent.targets, cold_target(port_of(gateway, 1), time.time() + step_s)]
             agent.revision += 1
             until = time.monotonic() + 1.0
             while time.monotonic() < until:
-                await ask_many(door, 5)
+                await ask_many(gateway, 5)
             counts.clear()
-            await asyncio.gather(*(ask_many(door, 10) for _ in range(REQUESTS // 10)))
+            await asyncio.gather(*(ask_many(gateway, 10) for _ in range(REQUESTS // 10)))
             assert counts.get("cold", 0) >= WARM_LEAST, counts
 
-    play(test())
+    run_test(test())
 
 
 def test_a_backend_that_starts_anew_after_a_step_back_is_cold_again(tmp_path: Path) -> None:
@@ -163,20 +163,20 @@
 
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
-        async with stepped_door(tmp_path, agent, counts, 60_000.0) as (door, control):
-            port = port_of(door, 1)
-            agent.targets = [*agent.targets, target("s-1", port, boot_ms=(time.time() - 600) * 1000)]
+        async with stepped_door(tmp_path, agent, counts, 60_000.0) as (gateway, control):
+            port = port_of(gateway, 1)
+            agent.targets = [*agent.targets, endpoint_entry("s-1", port, boot_ms=(time.time() - 600) * 1000)]
             agent.revision += 1
-            await ask_many(door)
+            await ask_many(gateway)
             control.shift_wall_clock(-HOUR_S)
             agent.targets = [*agent.targets[:1], cold_target(port, time.time() - HOUR_S)]
             agent.revision += 1
-            await ask_many(door, 20)
+            await ask_many(gateway, 20)
             counts.clear()
-            await ask_many(door)
+            await ask_many(gateway)
             assert counts.get("cold", 0) <= COLD_MOST, counts
 
-    play(test())
+    run_test(test())
 
 
 def test_doors_share_a_quota_that_started_before_and_after_a_step(tmp_path: Path) -> None:
@@ -194,22 +194,22 @@
         agent, counter = Agent(), Back(shows_names)
         plans = [{"name": "free", "units_per_s": 0.2, "most_at_once": 4.0, "beyond_costs": 0.5}]
         control = FaultControl(tmp_path / "faults")
-        async with doors(
+        async with gateway_processes(
             tmp_path,
             2,
             agent.script,
-            serves,
+            serve_echo,
             settings={**SETTINGS, "contracts": plans},
             counter=f"127.0.0.1:{await counter.start()}",
         ) as both:
             agent.targets = json.loads(both[0].path.read_text(encoding="utf-8"))["known"]["targets"]
-            for door in both:
-                door.environment = control.environment
-                await door.start()
-                await door.until("ready")
+            for gateway in both:
+                gateway.environment = control.environment
+                await gateway.start()
+                await gateway.wait_for_event("ready")
                 control.shift_wall_clock(HOUR_S)
             for customer in range(PERIOD_TURNS):  # whom neither knows: both ask the counter
-                first, second = [await names_of(door, names, customer) for door in both]
+                first, second = [await names_of(gateway, names, customer) for gateway in both]
                 assert first and second
                 if first & second:
                     break
@@ -217,11 +217,11 @@
         counter.stop()
         control.close()
 
-    play(test())
+    run_test(test())
 
 
-async def names_of(door: Process, names: list[bytes], customer: int) -> set[bytes]:
-    """The names that a door calls the counter by for a customer."""
+async def names_of(gateway: GatewayProcess, names: list[bytes], customer: int) -> set[bytes]:
+    """The names that a gateway calls the counter by for a customer."""
     names.clear()
-    await door.ask(request(time.monotonic_ns() % 10**12, customer=f"{customer:016x}"))
+    await gateway.fetch(request(time.monotonic_ns() % 10**12, customer=f"{customer:016x}"))
     return set(names)
--- a/tests/test_fault_pauses.py
+++ b/tests/test_fault_pauses.py
@@ -1,4 +1,4 @@
-"""Requests that wait in a front door, or before one that does not run: their time runs on meanwhile.
+"""Requests that wait in a front gateway, or before one that does not run: their time runs on meanwhile.
 
 The process is stopped by SIGSTOP; what is asserted is what its backends were told and sent once it runs again."""
 
@@ -20,9 +20,9 @@
 from tests.node_rig import SETTINGS, request
 from tests.socket_rig import Peer
 from tests.test_fault_clocks import Agent
-from tests.test_node_processes import Process, doors, play
+from tests.test_node_processes import GatewayProcess, gateway_processes, run_test
 
-HELD_UP_S = 0.15  # a door may be held up so long between its clock and its write, ...
+HELD_UP_S = 0.15  # a gateway may be held up so long between its clock and its write, ...
 BUSY_S = 0.3  # ... and this process on a busy machine between the arrival of a head and its own clock
 DEADLINE_MS = 2000
 STOP_S = 0.8
@@ -55,9 +55,9 @@
 
 @dataclass
 class Running:
-    """A gateway that serves, its agent, and the heads that its backend has received."""
+    """A gateway that serve, its agent, and the heads that its backend has received."""
 
-    gateway: Process
+    gateway: GatewayProcess
     agent: Agent
     seen: list[tuple[float, str]]
 
@@ -69,10 +69,10 @@
     """A gateway that is ready, in front of one backend that answers after a while."""
     seen: list[tuple[float, str]] = []
     agent = Agent()
-    async with doors(tmp_path, 1, agent.script, shows(seen, delay_s), settings=settings) as [gateway]:
+    async with gateway_processes(tmp_path, 1, agent.script, shows(seen, delay_s), settings=settings) as [gateway]:
         agent.targets = known_targets(gateway.path)
         await gateway.start()
-        await gateway.until("ready")
+        await gateway.wait_for_event("ready")
         yield Running(gateway, agent, seen)
 
 
@@ -81,8 +81,8 @@
 
     async def test() -> None:
         async with running_gateway(tmp_path, 0.3) as running:
-            door, seen = running.gateway, running.seen
-            peer = await door.client()
+            gateway, seen = running.gateway, running.seen
+            peer = await gateway.connect()
             sent = time.monotonic()
             await peer.write("".join(request(n, X_Expires_In_Ms=str(DEADLINE_MS)) for n in range(4)))
             for _ in range(4):
@@ -91,7 +91,7 @@
             for at, head in seen:
                 assert told_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + HELD_UP_S + BUSY_S
 
-    play(test())
+    run_test(test())
 
 
 def test_requests_that_came_while_the_door_stood_still_have_less_time_left(tmp_path: Path) -> None:
@@ -99,25 +99,25 @@
 
     async def test() -> None:
         async with running_gateway(tmp_path) as running:
-            door, seen = running.gateway, running.seen
-            standing = await door.client()
+            gateway, seen = running.gateway, running.seen
+            standing = await gateway.connect()
             await standing.write(request(1))
             await standing.response()
             seen.clear()
-            door.signal(signal.SIGSTOP)
-            fresh = [await door.client() for _ in range(6)]
+            gateway.send_signal(signal.SIGSTOP)
+            fresh = [await gateway.connect() for _ in range(6)]
             sent = time.monotonic()
             for number, peer in enumerate((standing, *fresh), 2):
                 await peer.write(request(number, X_Expires_In_Ms=str(DEADLINE_MS)))
             await asyncio.sleep(STOP_S)
-            door.signal(signal.SIGCONT)
+            gateway.send_signal(signal.SIGCONT)
             for peer in (standing, *fresh):
                 await peer.response()
             assert seen
             for at, head in seen:
                 assert told_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + HELD_UP_S + BUSY_S
 
-    play(test())
+    run_test(test())
 
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
@@ -128,23 +128,23 @@
         rules = {**SETTINGS["rules"], "drain_grace_ms": DRAIN_GRACE_S * 1000}
         settings = {**SETTINGS, "rules": rules, "discovery": mode}
         async with running_gateway(tmp_path, settings=settings) as running:
-            door, agent, seen = running.gateway, running.agent, running.seen
-            standing = await door.client()
+            gateway, agent, seen = running.gateway, running.agent, running.seen
+            standing = await gateway.connect()
             await standing.write(request(1))
             await standing.response()
             seen.clear()
-            door.signal(signal.SIGSTOP)
+            gateway.send_signal(signal.SIGSTOP)
             for number in range(2, 6):
                 await standing.write(request(number))
             agent.targets = [{**one, "state": "draining"} for one in agent.targets]
             agent.revision += 1
             await asyncio.sleep(STOP_S + DRAIN_GRACE_S)
-            door.signal(signal.SIGCONT)
+            gateway.send_signal(signal.SIGCONT)
             for _ in range(2, 6):
                 await standing.response()
             assert seen == []
 
-    play(test())
+    run_test(test())
 
 
 def test_a_request_that_becomes_whole_as_the_door_ends_is_not_sent_on(tmp_path: Path) -> None:
@@ -152,24 +152,24 @@
 
     async def test() -> None:
         async with running_gateway(tmp_path, 5.0) as running:
-            door, seen = running.gateway, running.seen
-            out, half = await door.client(), await door.client()
+            gateway, seen = running.gateway, running.seen
+            out, half = await gateway.connect(), await gateway.connect()
             await out.write(request(1, X_Expires_In_Ms="3000"))
-            door.signal(signal.SIGTERM)
+            gateway.send_signal(signal.SIGTERM)
             text = request(2, X_Expires_In_Ms="3000")
             await half.write(text[:20])
-            for place in range(20, len(text) - 2):  # slowly, up to the door's end
+            for place in range(20, len(text) - 2):  # slowly, up to the gateway's end
                 await asyncio.sleep(0.012)
                 await half.write(text[place])
-            status, _, _ = await out.response()  # the door has answered all that it held
+            status, _, _ = await out.response()  # the gateway has answered all that it held
             assert status in (502, 503, 504)
             seen.clear()
             await half.write(text[-2:])
             await half.rest()
-            assert await door.end() == 0
+            assert await gateway.wait_for_exit() == 0
             assert seen == []
 
-    play(test())
+    run_test(test())
 
 
 def test_a_connection_after_a_turn_that_emptied_the_queue_has_all_its_time(tmp_path: Path) -> None:
@@ -177,15 +177,15 @@
 
     async def test() -> None:
         async with running_gateway(tmp_path) as running:
-            door, seen = running.gateway, running.seen
-            door.signal(signal.SIGSTOP)
-            crowd = [await door.client() for _ in range(MAX_ACCEPTS)]
-            door.signal(signal.SIGCONT)
+            gateway, seen = running.gateway, running.seen
+            gateway.send_signal(signal.SIGSTOP)
+            crowd = [await gateway.connect() for _ in range(MAX_ACCEPTS)]
+            gateway.send_signal(signal.SIGCONT)
             await asyncio.sleep(STOP_S)
-            peer = await door.client()
+            peer = await gateway.connect()
             await peer.write(request(1, X_Expires_In_Ms=str(int(STOP_S * 500))))
             assert (await peer.response())[0] == 200 and len(seen) == 1
             for one in crowd:
                 one.close()
 
-    play(test())
+    run_test(test())
--- a/tests/test_formats_node.py
+++ b/tests/test_formats_node.py
@@ -19,18 +19,14 @@
 from martenstep.node.config import Config, ConfigError, load_config, read_config
 from martenstep.node.counter import CounterClient
 from martenstep.node.daemon import GatewayNode
-from martenstep.node.discovery import (
-    DiscoveryClient,
-)
-from martenstep.node.endpoint_list import (
-    EndpointListFollower,
-)
-from tests.node_rig import raw, request, target
+from martenstep.node.discovery import DiscoveryClient
+from martenstep.node.endpoint_list import EndpointListFollower
+from tests.node_rig import endpoint_entry, raw_config, request
 from tests.socket_rig import Back, Peer, run
 
 FORMATS = Path(__file__).parent / "formats" / "proxy"
 HEAD_END = b"\r\n\r\n"
-LIST = json.dumps({"rev": 7, "all": True, "targets": [target("s-a")]})
+LIST = json.dumps({"rev": 7, "all": True, "targets": [endpoint_entry("s-a")]})
 NODE_CONFIG = FORMATS / "node_config.json"
 
 
@@ -232,7 +228,7 @@
 
     async def test() -> None:
         back = Back(backend)
-        body = json.dumps({"rev": 1, "all": True, "targets": [target("s-a", await back.start())]})
+        body = json.dumps({"rev": 1, "all": True, "targets": [endpoint_entry("s-a", await back.start())]})
 
         async def agent(peer: Peer) -> None:
             await peer.head()
@@ -242,7 +238,7 @@
         lists, counter = Back(agent), Back(counting)
         path = tmp_path / "config.json"
         addresses = {name: f"127.0.0.1:{await of.start()}" for name, of in (("discovery", lists), ("counter", counter))}
-        path.write_text(json.dumps(raw(**addresses)), encoding="utf-8")
+        path.write_text(json.dumps(raw_config(**addresses)), encoding="utf-8")
         config = load_config(path)
         node = GatewayNode(replace(config, listener=replace(config.listener, port=0)), path)
         port = await node.start()
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""What one change of the list costs a front door does not grow with the number of backends.
+"""What one change of the list costs a front gateway does not grow with the number of backends.
 
 Sixteen times as many may cost 1.4 times the processor time over a day, and 0.12 s for each thousand; a day has hundreds
 of changes."""
@@ -13,13 +13,11 @@
 
 from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.node.daemon import GatewayNode
-from martenstep.node.endpoint_list import (
-    EndpointListFollower,
-)
+from martenstep.node.endpoint_list import EndpointListFollower
 from martenstep.policy import messages as api
 from martenstep.policy.gateway import Gateway
 from martenstep.policy.messages import EndpointListScope
-from tests.node_rig import config, target
+from tests.node_rig import endpoint_entry, make_config
 from tests.socket_rig import run
 
 SMALL, LARGE = 200, 3200
@@ -29,13 +27,13 @@
 
 def fleet(count: int) -> bytes:
     """A whole list."""
-    targets = [target(f"s-{number}", 1 + number) for number in range(count)]
+    targets = [endpoint_entry(f"s-{number}", 1 + number) for number in range(count)]
     return json.dumps({"rev": 1, "all": True, "targets": targets}).encode()
 
 
 def change(number: int) -> bytes:
     """One backend drains."""
-    entry = target(f"s-{number}", 1 + number, state="draining")
+    entry = endpoint_entry(f"s-{number}", 1 + number, state="draining")
     return json.dumps({"rev": 2 + number, "all": False, "targets": [entry]}).encode()
 
 
@@ -53,8 +51,8 @@
 def of_follower(whole: bytes) -> Callable[[bytes], None]:
     """The list as discovery tells it."""
     follower = EndpointListFollower()
-    follower.take_response(whole)
-    return lambda body: assert_taken(follower.take_response(body))
+    follower.apply_response(whole)
+    return lambda body: assert_taken(follower.apply_response(body))
 
 
 def assert_taken(listed: EndpointListEvent | None) -> None:
@@ -64,10 +62,10 @@
 
 def of_module(whole: bytes) -> Callable[[bytes], None]:
     """And as the module takes it in."""
-    follower, gateway = EndpointListFollower(), Gateway(config().settings, 1)
+    follower, gateway = EndpointListFollower(), Gateway(make_config().settings, 1)
 
     def take(body: bytes) -> None:
-        listed = follower.take_response(body)
+        listed = follower.apply_response(body)
         assert listed is not None
         gateway.handle(0.0, api.EndpointListUpdate(listed.scope, listed.endpoints))
 
@@ -83,11 +81,11 @@
 def test_a_change_costs_the_same_at_a_whole_door() -> None:
     async def test() -> None:
         def of_node(whole: bytes) -> Callable[[bytes], None]:
-            node, follower = GatewayNode(config(), Mock()), EndpointListFollower()
-            node._endpoints_updated(follower.take_response(whole) or EndpointListEvent(EndpointListScope.FULL))
+            node, follower = GatewayNode(make_config(), Mock()), EndpointListFollower()
+            node._endpoints_updated(follower.apply_response(whole) or EndpointListEvent(EndpointListScope.FULL))
 
             def take(body: bytes) -> None:
-                listed = follower.take_response(body)
+                listed = follower.apply_response(body)
                 assert listed is not None
                 node._endpoints_updated(listed)
 
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -20,11 +20,11 @@
 from martenstep.proxy.engine import Engine
 from martenstep.proxy.engine_messages import RequestReceived, Tick
 from martenstep.proxy.graceful_shutdown import CLOSE_MS
-from tests.node_rig import SETTINGS, config, raw, request, target
+from tests.node_rig import SETTINGS, endpoint_entry, make_config, raw_config, request
 
 
 def test_settings_and_limits_are_taken_from_the_file() -> None:
-    made = config()
+    made = make_config()
     assert (made.name, made.seed, made.discovery, made.counter) == (
         "n1",
         0x1F,
@@ -39,7 +39,7 @@
 
 def test_what_is_held_at_once_fits_into_the_descriptors() -> None:
     for sockets in (256, 400, 1024):
-        made = config(limits={"sockets": sockets})
+        made = make_config(limits={"sockets": sockets})
         clients, backends = made.listener.max_connections, made.upstream.all_connections
         assert clients + backends <= sockets - 24, "the counter, discovery and the process itself need some"
         assert clients > sockets / 3, "so many are held for requests, and strays come beside them"
@@ -67,7 +67,7 @@
 )
 def test_a_fault_is_named_by_its_field(change: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError, match=field):
-        read_config(json.dumps(raw(**change)))
+        read_config(json.dumps(raw_config(**change)))
 
 
 def test_what_is_no_json_is_told() -> None:
@@ -118,7 +118,7 @@
         {**SETTINGS["classes"][0], "name": f"c{number}", "deadline_ms": deadline}
         for number, deadline in enumerate(deadlines)
     ]
-    leaving = make_drain_plan(config(settings={**SETTINGS, "classes": classes}).settings)
+    leaving = make_drain_plan(make_config(settings={**SETTINGS, "classes": classes}).settings)
     assert leaving.accept_ms >= 400.0, "new connections come for so long"
     assert leaving.accept_ms <= leaving.serve_ms <= leaving.answer_ms <= grace - CLOSE_MS - 100.0
 
@@ -134,7 +134,7 @@
 )
 def test_whatever_stands_at_any_place_is_taken_or_named_and_the_door_can_be_made(wrong: Any) -> None:
     """No other exception comes out of a configuration, nor out of what is made of one that was taken."""
-    whole = raw(known={"rev": 3, "all": True, "targets": [target("s-a")]})
+    whole = raw_config(known={"rev": 3, "all": True, "targets": [endpoint_entry("s-a")]})
     for spot in _spots(whole):
         changed = copy.deepcopy(whole)
         at: Any = changed
--- a/tests/test_node_counter.py
+++ b/tests/test_node_counter.py
@@ -140,7 +140,7 @@
         await _connected(made)
         made.add(1, 5, 1.0, 1000.0, False)
         await asked.wait()
-        made.move(("127.0.0.1", await after.start()))
+        made.change_address(("127.0.0.1", await after.start()))
         await _connected(made)
         made.add(2, 5, 1.0, 1000.0, False)
         while not answers:
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -1,5 +1,5 @@
-"""Two events that meet at a front door of the platform, the crossing forced on real sockets: a gate in a peer, bytes
-that are put into the kernel while the door's loop stands, a hook at the point between the two."""
+"""Two events that meet at a front gateway of the platform, the crossing forced on real sockets: a gate in a peer, bytes
+that are put into the kernel while the gateway's loop stands, a hook at the point between the two."""
 
 from __future__ import annotations
 
@@ -18,12 +18,8 @@
 import pytest
 
 from martenstep.node.config import REUSE_DELAY_MS, DrainPlan
-from martenstep.node.discovery import (
-    DiscoveryClient,
-)
-from martenstep.node.endpoint_list import (
-    EndpointListFollower,
-)
+from martenstep.node.discovery import DiscoveryClient
+from martenstep.node.endpoint_list import EndpointListFollower
 from martenstep.proxy import graceful_shutdown
 from martenstep.proxy.acceptor import MAX_REJECTING, MIN_AGE_TO_CLOSE_MS
 from martenstep.proxy.client_connection import ClientConnection
@@ -32,15 +28,15 @@
 from martenstep.proxy.engine_messages import AttemptFailure
 from martenstep.proxy.listener import MAX_ACCEPTS
 from martenstep.proxy.transport import DISCONNECTED_EVENTS, READ_BYTES
-from tests.node_rig import SETTINGS, request, target
+from tests.node_rig import SETTINGS, endpoint_entry, request
 from tests.socket_rig import Back, Peer, Script, run
-from tests.test_node_gateway import Place, place, serves
+from tests.test_node_gateway import InProcessGateway, in_process_gateway, serve_echo
 
 LONG_MS = 60_000.0  # longer than any test runs
 
 
 class Raw:
-    """A client whose bytes are in the kernel, or whose end is, before the door's loop goes on."""
+    """A client whose bytes are in the kernel, or whose end is, before the gateway's loop goes on."""
 
     def __init__(self, port: int, data: str = "") -> None:
         self.socket = socket.create_connection(("127.0.0.1", port))
@@ -73,10 +69,10 @@
         await asyncio.sleep(0.001)
 
 
-async def only(door: Place) -> ClientConnection:
-    """The one client that the door has."""
-    await until(lambda: len(door.node.server.clients) == 1)
-    return next(iter(door.node.server.clients))
+async def only(gateway: InProcessGateway) -> ClientConnection:
+    """The one client that the gateway has."""
+    await until(lambda: len(gateway.node.server.clients) == 1)
+    return next(iter(gateway.node.server.clients))
 
 
 def settings(**policy: Any) -> dict[str, Any]:
@@ -97,10 +93,10 @@
         peer.reset()
 
     async def test() -> None:
-        async with place(tmp_path, cuts) as door:
-            status, _, body = await door.ask(request(1))
+        async with in_process_gateway(tmp_path, cuts) as gateway:
+            status, _, body = await gateway.fetch(request(1))
             assert status == 503 and b"half" not in body, "safe to repeat: tried again, then refused"
-            assert door.node.engine.attempt_result_counts == {"reset": 3}
+            assert gateway.node.engine.attempt_result_counts == {"reset": 3}
 
     run(test())
 
@@ -112,8 +108,8 @@
         peer.close()
 
     async def test() -> None:
-        async with place(tmp_path, ends) as door:
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, ends) as gateway:
+            peer = await gateway.connect()
             await peer.write(request(1))
             assert "transfer-encoding: chunked" in await peer.head()
             assert await peer.read(9 + 3 + 2 + 5) == b"9\r\nall of it\r\n0\r\n\r\n"
@@ -131,11 +127,11 @@
         peer.reset()
 
     async def test() -> None:
-        async with place(tmp_path, cuts) as door:
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, cuts) as gateway:
+            peer = await gateway.connect()
             await peer.write(request(1))
             assert not (await peer.rest()).endswith(b"0\r\n\r\n")
-            assert door.node.engine.attempt_result_counts.get("ok") is None
+            assert gateway.node.engine.attempt_result_counts.get("ok") is None
 
     run(test())
 
@@ -154,15 +150,15 @@
             await peer.answer(own)
 
     async def test() -> None:
-        async with place(tmp_path, twice) as door:
-            assert door.node.server.pool.reuse_delay_ms == REUSE_DELAY_MS
-            door.node.server.pool.reuse_delay_ms = LONG_MS if rests else 0.0
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, twice) as gateway:
+            assert gateway.node.server.pool.reuse_delay_ms == REUSE_DELAY_MS
+            gateway.node.server.pool.reuse_delay_ms = LONG_MS if rests else 0.0
+            peer = await gateway.connect()
             for number in (1, 2):
                 await peer.write(request(number))
                 body = (await peer.response())[2]
             assert body == (b"%016x" % (2 if rests else 1)), "and without its rest the connection is reused"
-            assert door.node.server.pool.opened == (2 if rests else 1)
+            assert gateway.node.server.pool.opened == (2 if rests else 1)
             peer.close()
 
     run(test())
@@ -170,11 +166,11 @@
 
 def test_connections_that_rest_leave_room_for_a_new_one(tmp_path: Path) -> None:
     async def test() -> None:
-        async with place(tmp_path, serves, limits={"sockets": 64}) as door:
-            door.node.server.pool.reuse_delay_ms = LONG_MS
-            for number in range(3 * door.node.config.upstream.all_connections):
-                assert (await door.ask(request(number)))[0] == 200
-            assert door.node.server.pool.connections <= door.node.config.upstream.connections
+        async with in_process_gateway(tmp_path, serve_echo, limits={"sockets": 64}) as gateway:
+            gateway.node.server.pool.reuse_delay_ms = LONG_MS
+            for number in range(3 * gateway.node.config.upstream.all_connections):
+                assert (await gateway.fetch(request(number)))[0] == 200
+            assert gateway.node.server.pool.connections <= gateway.node.config.upstream.connections
 
     run(test())
 
@@ -227,11 +223,11 @@
 
 def test_small_writes_are_not_held_back_on_either_side(tmp_path: Path) -> None:
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            peer = await gateway.connect()
             await peer.write(request(1))
             assert (await peer.response())[0] == 200
-            client, pool = await only(door), door.node.server.pool
+            client, pool = await only(gateway), gateway.node.server.pool
             [[upstream]] = pool._idle.values()
             for writer in (client.writer, upstream.writer):
                 assert writer.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -252,17 +248,19 @@
         await asyncio.Event().wait()
 
     async def test() -> None:
-        async with place(tmp_path, holds) as door:
-            driver = door.node.server
-            raw = Raw(door.port, request(1))
-            await until(lambda: [flight for flight in driver.requests.values() if flight.upstream])
-            [flight] = driver.requests.values()
+        async with in_process_gateway(tmp_path, holds) as gateway:
+            server = gateway.node.server
+            raw = Raw(gateway.port, request(1))
+            await until(
+                lambda: [client_request for client_request in server.requests.values() if client_request.upstream]
+            )
+            [client_request] = server.requests.values()
             if how == "reset":
                 raw.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             raw.socket.close()
-            driver._relay.fail(flight, AttemptFailure.CLOSED)
-            assert driver.counts["attempts"] == 1 and door.node.engine.response_counts == {"client left": 1}
-            await until(lambda: not driver.requests)
+            server._relay.fail(client_request, AttemptFailure.CLOSED)
+            assert server.counts["attempts"] == 1 and gateway.node.engine.response_counts == {"client left": 1}
+            await until(lambda: not server.requests)
 
     run(test())
 
@@ -275,23 +273,23 @@
         await asyncio.Event().wait()
 
     async def test() -> None:
-        async with place(tmp_path, holds) as door:
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, holds) as gateway:
+            peer = await gateway.connect()
             await peer.write(request(1) + "x" * (8 * READ_BYTES))
-            await until(lambda: door.node.server.counts["attempts"])
-            client = await only(door)
+            await until(lambda: gateway.node.server.counts["attempts"])
+            client = await only(gateway)
             assert client.reader.buffered <= READ_BYTES
             peer.close()
-            await until(lambda: door.node.engine.response_counts == {"client left": 1})
-            await until(lambda: not door.node.server.clients)
+            await until(lambda: gateway.node.engine.response_counts == {"client left": 1})
+            await until(lambda: not gateway.node.server.clients)
 
     run(test())
 
 
 def test_what_stands_behind_a_request_is_answered_while_it_is_little(tmp_path: Path) -> None:
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            peer = await gateway.connect()
             await peer.write("".join(request(number) for number in range(100)))
             for _ in range(100):
                 assert (await peer.response())[0] == 200
@@ -308,8 +306,10 @@
         heads.append(await peer.head())
 
     async def test() -> None:
-        async with place(tmp_path, notes, settings=settings(cancelling=False, dial_timeout_ms=LONG_MS)) as door:
-            pool, gate, ended = door.node.server.pool, asyncio.Event(), asyncio.Event()
+        async with in_process_gateway(
+            tmp_path, notes, settings=settings(cancelling=False, dial_timeout_ms=LONG_MS)
+        ) as gateway:
+            pool, gate, ended = gateway.node.server.pool, asyncio.Event(), asyncio.Event()
             real = pool.connect
 
             async def late(address: tuple[str, int]) -> Any:
@@ -323,14 +323,14 @@
                 return await real(address)
 
             pool.connect = late  # type: ignore[method-assign]
-            peer = await door.client()
+            peer = await gateway.connect()
             await peer.write(request(1))
-            await until(lambda: door.node.server.counts["attempts"])
+            await until(lambda: gateway.node.server.counts["attempts"])
             peer.close()
-            await until(lambda: door.node.engine.response_counts == {"client left": 1})
+            await until(lambda: gateway.node.engine.response_counts == {"client left": 1})
             gate.set()
             await ended.wait()
-            await until(lambda: not door.node.server.requests)
+            await until(lambda: not gateway.node.server.requests)
             assert heads == [] and pool.connections == 0
 
     run(test())
@@ -340,22 +340,22 @@
     """The end is in the kernel as the connection comes up."""
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            driver = door.node.server
-            raw, real = Raw(door.port), driver.pool.connect
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            server = gateway.node.server
+            raw, real = Raw(gateway.port), server.pool.connect
 
             async def crossed(address: tuple[str, int]) -> Any:
                 upstream = await real(address)
                 raw.socket.close()
                 return upstream
 
-            driver.pool.connect = crossed  # type: ignore[method-assign]
+            server.pool.connect = crossed  # type: ignore[method-assign]
             raw.send(request(1))
-            await until(lambda: door.node.engine.response_counts == {"client left": 1})
-            assert door.node.engine.attempt_result_counts == {"moot": 1}, (
+            await until(lambda: gateway.node.engine.response_counts == {"client left": 1})
+            assert gateway.node.engine.attempt_result_counts == {"moot": 1}, (
                 "nothing was written, and nothing is held against it"
             )
-            assert driver.pool.connections == 1
+            assert server.pool.connections == 1
 
     run(test())
 
@@ -373,16 +373,16 @@
             **settings(dial_timeout_ms=LONG_MS),
             "classes": [{**one, "deadline_ms": LONG_MS} for one in SETTINGS["classes"]],
         }
-        async with place(tmp_path, notes, settings=patient) as door:
-            driver, real, came = door.node.server, door.node.server.pool.connect, list[float]()
+        async with in_process_gateway(tmp_path, notes, settings=patient) as gateway:
+            server, real, came = gateway.node.server, gateway.node.server.pool.connect, list[float]()
 
             async def late(address: tuple[str, int]) -> Any:
-                came.append(now_ms())  # the request is the door's by now
+                came.append(now_ms())  # the request is the gateway's by now
                 await until(lambda: now_ms() > came[0] + 300.0)
                 return await real(address)
 
-            driver.pool.connect = late  # type: ignore[method-assign]
-            assert (await door.ask(request(1, X_Expires_In_Ms=f"{LONG_MS:.0f}")))[0] == 200
+            server.pool.connect = late  # type: ignore[method-assign]
+            assert (await gateway.fetch(request(1, X_Expires_In_Ms=f"{LONG_MS:.0f}")))[0] == 200
             [told] = [line for line in heads[0].splitlines() if line.startswith("x-expires-in-ms: ")]
             assert 0 < int(told.partition(": ")[2]) <= LONG_MS - 300
             assert heads[0].count("x-expires-in-ms") == 1
@@ -404,8 +404,10 @@
         return script
 
     async def test() -> None:
-        async with place(tmp_path, backend("s-0"), backend("s-1"), settings=settings(dial_timeout_ms=LONG_MS)) as door:
-            node, gate, dialled = door.node, asyncio.Event(), list[tuple[str, int]]()
+        async with in_process_gateway(
+            tmp_path, backend("s-0"), backend("s-1"), settings=settings(dial_timeout_ms=LONG_MS)
+        ) as gateway:
+            node, gate, dialled = gateway.node, asyncio.Event(), list[tuple[str, int]]()
             real = node.server.pool.connect
 
             async def late(address: tuple[str, int]) -> Any:
@@ -419,7 +421,7 @@
                 return await real(address)
 
             node.server.pool.connect = late  # type: ignore[method-assign]
-            peer = await door.client()
+            peer = await gateway.connect()
             await peer.write(request(1))
             await until(lambda: dialled)
             ports = [port for _, port in sorted(node.engine.addresses.values())]
@@ -431,10 +433,10 @@
             left = dialled[0][1]
             [stays] = set(ports) - {left}
             if how == "left out":
-                told = {"rev": 2, "all": True, "targets": [target(uids[stays], stays)]}
+                told = {"rev": 2, "all": True, "targets": [endpoint_entry(uids[stays], stays)]}
             else:
-                told = {"rev": 2, "all": False, "targets": [target(uids[left], left, state=how)]}
-            listed = node._follower.take_list(told)
+                told = {"rev": 2, "all": False, "targets": [endpoint_entry(uids[left], left, state=how)]}
+            listed = node._follower.apply_list(told)
             assert listed is not None
             node._endpoints_updated(listed)
             assert (await peer.response())[2].decode() == uids[stays] and len(taken) == 1
@@ -455,16 +457,16 @@
             await peer.answer()
             await peer.rest()
 
-        async with place(tmp_path, holds) as door:
-            driver = door.node.server
-            driver.state.upstream = _Impatient(driver.state.upstream)
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, holds) as gateway:
+            server = gateway.node.server
+            server.state.upstream = _Impatient(server.state.upstream)
+            peer = await gateway.connect()
             await peer.write(request(1))
-            client = await only(door)
-            await until(lambda: driver.counts["attempts"])
+            client = await only(gateway)
+            await until(lambda: server.counts["attempts"])
             client.writer.write(b"x" * (32 << 20))  # more than the kernel takes, ahead of the answer
             gate.set()
-            await until(lambda: not driver.clients)
+            await until(lambda: not server.clients)
             assert client.writer.transport.is_closing()
             peer.close()
 
@@ -486,14 +488,14 @@
 # Closes -------------------------------------------------------------------------------------------------
 
 
-async def known(door: Place) -> tuple[Raw, ClientConnection]:
+async def known(gateway: InProcessGateway) -> tuple[Raw, ClientConnection]:
     """A client that has been served and rests."""
-    raw = Raw(door.port, request(1))
+    raw = Raw(gateway.port, request(1))
     answer = b""
     while not answer.endswith(b"|"):
         answer += await asyncio.get_running_loop().run_in_executor(None, raw.socket.recv, 65536)
-    client = await only(door)
-    await until(lambda: client in door.node.server.state.idle_clients)
+    client = await only(gateway)
+    await until(lambda: client in gateway.node.server.state.idle_clients)
     return raw, client
 
 
@@ -502,17 +504,17 @@
     """It is in the kernel, unread: the close would reset the connection."""
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            driver = door.node.server
-            raw, client = await known(door)
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            server = gateway.node.server
+            raw, client = await known(gateway)
             raw.send(request(2))
             if way == "idle":
                 assert not client.close_idle()
             elif way == "room":
-                assert not driver._acceptor.free_slot()
+                assert not server._acceptor.free_slot()
             else:
-                door.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
-                stopping = asyncio.create_task(door.node.stop())
+                gateway.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
+                stopping = asyncio.create_task(gateway.node.stop())
             peer = await raw.peer()
             status, head, _ = await peer.response()
             assert status == 200 and ("connection: close" in head) is (way == "stop")
@@ -526,12 +528,12 @@
 
 def test_a_strangers_first_request_is_not_closed_upon(tmp_path: Path) -> None:
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            raw = Raw(door.port)
-            client = await only(door)
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            raw = Raw(gateway.port)
+            client = await only(gateway)
             client.waiting_since -= 2 * MIN_AGE_TO_CLOSE_MS
             raw.send(request(1))
-            assert not door.node.server._acceptor.free_slot()
+            assert not gateway.node.server._acceptor.free_slot()
             peer = await raw.peer()
             assert (await peer.response())[0] == 200
             peer.close()
@@ -544,9 +546,9 @@
     """Its time is over as more of it stands in the kernel: the close was a reset."""
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            raw = Raw(door.port, request(1)[:-4])
-            client = await only(door)
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            raw = Raw(gateway.port, request(1)[:-4])
+            client = await only(gateway)
             await until(lambda: client.has_partial_request)
             raw.send(rest)  # and in this turn of the loop its time is over
             client.time_out_request()
@@ -555,8 +557,8 @@
             assert status == 408 and "connection: close" in head
             assert await peer.reader.read() == b"", "an end, and no reset"
             peer.close()
-            await until(lambda: not door.node.server.clients)
-            assert not door.node.engine.response_counts, "nobody has it"
+            await until(lambda: not gateway.node.server.clients)
+            assert not gateway.node.engine.response_counts, "nobody has it"
 
     run(test())
 
@@ -565,15 +567,15 @@
     monkeypatch.setattr(graceful_shutdown, "CLOSE_MS", 0.0)
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            peer = await gateway.connect()
             whole = request(1, "book", method="POST", body="room 5")
             await peer.write(whole[:-3])
-            client = await only(door)
+            client = await only(gateway)
             await until(lambda: client.has_partial_request)
-            door.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
-            stopping = asyncio.create_task(door.node.stop())
-            await until(lambda: door.node.server.state.stopping)
+            gateway.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
+            stopping = asyncio.create_task(gateway.node.stop())
+            await until(lambda: gateway.node.server.state.stopping)
             done, _ = await asyncio.wait({stopping}, timeout=0.2)
             assert not done, "it is owed an answer once it is whole"
             await peer.write(whole[-3:])
@@ -586,7 +588,7 @@
 
 
 def test_a_request_behind_the_doors_last_answer_is_thrown_away_and_resets_nothing(tmp_path: Path) -> None:
-    """It is written as the door ends its half: read after that, it is neither sent on nor left unread under a close."""
+    """It is written as the gateway ends its half: read after that, it is neither forwarded nor left unread at the close."""
     heads: list[str] = []
 
     async def notes(peer: Peer) -> None:
@@ -595,9 +597,9 @@
         await peer.rest()
 
     async def test() -> None:
-        async with place(tmp_path, notes) as door:
-            raw = Raw(door.port)
-            client = await only(door)
+        async with in_process_gateway(tmp_path, notes) as gateway:
+            raw = Raw(gateway.port)
+            client = await only(gateway)
             real = client.writer.write_eof
 
             def crossed() -> None:
@@ -611,7 +613,7 @@
             assert await peer.reader.read() == b"", "an end, and no reset"
             assert len(heads) == 1 and raw.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
             peer.close()
-            await until(lambda: not door.node.server.clients)
+            await until(lambda: not gateway.node.server.clients)
 
     run(test())
 
@@ -620,9 +622,9 @@
     """They reach the kernel between the answer's write and the close."""
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            raw = Raw(door.port)
-            client = await only(door)
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            raw = Raw(gateway.port)
+            client = await only(gateway)
             real = client.writer.write
 
             def crossed(data: Any) -> None:
@@ -644,13 +646,13 @@
     """It is in the kernel before the connection is accepted; closing over it would take the answer with it."""
 
     async def test() -> None:
-        async with place(tmp_path, serves, limits={"sockets": 64}) as door:
-            most = door.node.config.listener.max_connections
-            young = [await door.client() for _ in range(most)]
-            await until(lambda: len(door.node.server.clients) == most)
-            for client in door.node.server.state.new_clients:
+        async with in_process_gateway(tmp_path, serve_echo, limits={"sockets": 64}) as gateway:
+            most = gateway.node.config.listener.max_connections
+            young = [await gateway.connect() for _ in range(most)]
+            await until(lambda: len(gateway.node.server.clients) == most)
+            for client in gateway.node.server.state.new_clients:
                 client.waiting_since += LONG_MS
-            peer = await Raw(door.port, request(1)).peer()
+            peer = await Raw(gateway.port, request(1)).peer()
             assert (await peer.response())[0] == 503
             assert await peer.reader.read() == b"", "an end, and no reset"
             for one in [peer, *young]:
@@ -660,7 +662,7 @@
 
 
 def test_a_dial_that_comes_up_after_the_end_sends_nothing(tmp_path: Path) -> None:
-    """What the door still holds is answered: a refusal where nothing ran, and no further attempt is begun."""
+    """What the gateway still holds is answered: a refusal where nothing ran, and no further attempt is begun."""
     heads: list[str] = []
 
     async def holds(peer: Peer) -> None:
@@ -668,13 +670,13 @@
         await asyncio.Event().wait()
 
     async def test() -> None:
-        async with place(tmp_path, holds) as door:
-            driver = door.node.server
-            safe, keyed = await door.client(), await door.client()
+        async with in_process_gateway(tmp_path, holds) as gateway:
+            server = gateway.node.server
+            safe, keyed = await gateway.connect(), await gateway.connect()
             await safe.write(request(1))
             await keyed.write(request(2, "book", method="POST", body="x"))
             await until(lambda: len(heads) == 2)
-            pool, gate = driver.pool, asyncio.Event()
+            pool, gate = server.pool, asyncio.Event()
             real = pool.connect
 
             async def late(address: tuple[str, int]) -> Any:
@@ -682,15 +684,15 @@
                 return await real(address)
 
             pool.connect = late  # type: ignore[method-assign]
-            dialled = await door.client()
+            dialled = await gateway.connect()
             await dialled.write(request(3, "book", method="POST", body="x"))
-            await until(lambda: driver.counts["attempts"] == 3)
-            door.node.drain_plan = DrainPlan(0.0, 0.0, 0.0)
-            await door.node.stop()
+            await until(lambda: server.counts["attempts"] == 3)
+            gateway.node.drain_plan = DrainPlan(0.0, 0.0, 0.0)
+            await gateway.node.stop()
             gate.set()
             assert [(await peer.response())[0] for peer in (safe, keyed, dialled)] == [503, 504, 503]
             await asyncio.sleep(0)
-            assert len(heads) == 2 and driver.counts["attempts"] == 3
+            assert len(heads) == 2 and server.counts["attempts"] == 3
 
     run(test())
 
@@ -700,19 +702,19 @@
 
 def test_a_standing_task_that_fails_is_told_of_and_goes_on(tmp_path: Path) -> None:
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            driver, lines = door.node.server, list[tuple[str, dict[str, Any]]]()
-            driver.state.log_event = lambda event, fields: lines.append((event, fields))
-            real, swept = driver.pool.close_expired, list[int]()
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            server, lines = gateway.node.server, list[tuple[str, dict[str, Any]]]()
+            server.state.log_event = lambda event, fields: lines.append((event, fields))
+            real, swept = server.pool.close_expired, list[int]()
 
             def fails() -> None:
                 swept.append(1)
-                driver.pool.close_expired = real  # type: ignore[method-assign]
+                server.pool.close_expired = real  # type: ignore[method-assign]
                 raise KeyError("nobody expected it")
 
-            driver.pool.close_expired = fails  # type: ignore[method-assign]
-            peer = await door.client()
-            client = await only(door)
+            server.pool.close_expired = fails  # type: ignore[method-assign]
+            peer = await gateway.connect()
+            client = await only(gateway)
             await until(lambda: swept)
             client.waiting_since -= LONG_MS
             assert await peer.rest() == b"", "who idles is still found"
@@ -723,16 +725,16 @@
 
 def test_an_attempt_whose_dial_fails_unexpectedly_ends(tmp_path: Path) -> None:
     async def test() -> None:
-        async with place(tmp_path, serves, settings=settings(dial_timeout_ms=LONG_MS)) as door:
-            pool = door.node.server.pool
+        async with in_process_gateway(tmp_path, serve_echo, settings=settings(dial_timeout_ms=LONG_MS)) as gateway:
+            pool = gateway.node.server.pool
 
             async def fails(address: tuple[str, int]) -> Any:
                 pool.release_slot(address)
                 raise UnicodeError("no such name")
 
             pool.connect = fails  # type: ignore[method-assign]
-            assert (await door.ask(request(1)))[0] == 503
-            assert door.node.engine.attempt_result_counts == {"connect failed": 3}
+            assert (await gateway.fetch(request(1)))[0] == 503
+            assert gateway.node.engine.attempt_result_counts == {"connect failed": 3}
 
     run(test())
 
@@ -741,17 +743,17 @@
     """All are in the accept queue before the loop turns once: a turn that took them all would take every descriptor."""
 
     async def test() -> None:
-        async with place(tmp_path, serves, limits={"sockets": 128}) as door:
-            driver, most = door.node.server, door.node.config.listener.max_connections
+        async with in_process_gateway(tmp_path, serve_echo, limits={"sockets": 128}) as gateway:
+            server, most = gateway.node.server, gateway.node.config.listener.max_connections
             with contextlib.ExitStack() as stack:
                 for _ in range(3 * most):
                     one = stack.enter_context(socket.socket())
                     one.setblocking(False)
-                    one.connect_ex(("127.0.0.1", door.port))
+                    one.connect_ex(("127.0.0.1", gateway.port))
                 before = peak = len(os.listdir("/proc/self/fd"))
                 # A loop that is held up gives later connections the place of older ones, which make room after 0.3 s.
                 while (
-                    driver.counts["connections_turned_away"] + driver.counts["connections_closed_for_room"] < 2 * most
+                    server.counts["connections_turned_away"] + server.counts["connections_closed_for_room"] < 2 * most
                 ):
                     await asyncio.sleep(0)
                     peak = max(peak, len(os.listdir("/proc/self/fd")))
@@ -765,13 +767,13 @@
 
 def test_a_backend_keeps_its_number_from_the_known_list_to_discoverys(tmp_path: Path) -> None:
     """Else one number names two backends: the first one's attempts, latency and cold start are booked on the second."""
-    known_list = {"rev": 1, "all": True, "targets": [target("s-gone"), target("s-0")]}
+    known_list = {"rev": 1, "all": True, "targets": [endpoint_entry("s-gone"), endpoint_entry("s-0")]}
 
     async def test() -> None:
-        async with place(tmp_path, serves, known=known_list) as door:
-            await until(lambda: len(door.node.engine.addresses) == 1)
-            assert list(door.node.engine.addresses) == [2]
-            assert (await door.ask(request(1)))[0] == 200
+        async with in_process_gateway(tmp_path, serve_echo, known=known_list) as gateway:
+            await until(lambda: len(gateway.node.engine.addresses) == 1)
+            assert list(gateway.node.engine.addresses) == [2]
+            assert (await gateway.fetch(request(1)))[0] == 200
 
     run(test())
 
@@ -781,13 +783,13 @@
     """The same backend has started anew, is elsewhere, or has gone: nobody says so on the old connection."""
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            pool, node = door.node.server.pool, door.node
-            assert (await door.ask(request(1)))[0] == 200
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            pool, node = gateway.node.server.pool, gateway.node
+            assert (await gateway.fetch(request(1)))[0] == 200
             [(_, port)] = node.engine.addresses.values()
             for told, idle in (({}, 1), (change, 0)):
-                entry = target("s-0", **{"port": port, **told})
-                listed = node._follower.take_list({"rev": 2, "all": False, "targets": [entry]})
+                entry = endpoint_entry("s-0", **{"port": port, **told})
+                listed = node._follower.apply_list({"rev": 2, "all": False, "targets": [entry]})
                 assert listed is not None
                 node._endpoints_updated(listed)
                 assert pool.connections == idle
@@ -801,14 +803,16 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async with place(tmp_path, holding(gate)) as door:
-            node, pool = door.node, door.node.server.pool
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, holding(gate)) as gateway:
+            node, pool = gateway.node, gateway.node.server.pool
+            peer = await gateway.connect()
             await peer.write(request(1))
-            await until(lambda: [flight for flight in node.server.requests.values() if flight.upstream])
+            await until(
+                lambda: [client_request for client_request in node.server.requests.values() if client_request.upstream]
+            )
             [(_, port)] = node.engine.addresses.values()
-            told = [target("s-0", port, state="gone"), target("s-new", port)]
-            listed = node._follower.take_list({"rev": 2, "all": False, "targets": told})
+            told = [endpoint_entry("s-0", port, state="gone"), endpoint_entry("s-new", port)]
+            listed = node._follower.apply_list({"rev": 2, "all": False, "targets": told})
             assert listed is not None
             node._endpoints_updated(listed)
             gate.set()
@@ -833,13 +837,13 @@
                 await asyncio.sleep(0.005)
 
     async def test() -> None:
-        async with place(tmp_path, endless) as door:
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, endless) as gateway:
+            peer = await gateway.connect()
             await peer.write(request(1, X_Expires_In_Ms="1500"))
             assert not (await peer.rest()).endswith(b"0\r\n\r\n"), "it can tell that this is not whole"
-            assert door.node.engine.response_counts == {
+            assert gateway.node.engine.response_counts == {
                 "broken answer": 1
-            } and door.node.engine.attempt_result_counts == {"timeout": 1}
+            } and gateway.node.engine.attempt_result_counts == {"timeout": 1}
 
     run(test())
 
@@ -848,18 +852,18 @@
     """The connections came while the loop was busy until the very end of accepting."""
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            door.node.drain_plan = DrainPlan(30.0, LONG_MS, LONG_MS)
-            stopping = asyncio.create_task(door.node.stop())
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            gateway.node.drain_plan = DrainPlan(30.0, LONG_MS, LONG_MS)
+            stopping = asyncio.create_task(gateway.node.stop())
             await asyncio.sleep(0)
-            late = [Raw(door.port, request(number)) for number in range(3 * MAX_ACCEPTS)]
+            late = [Raw(gateway.port, request(number)) for number in range(3 * MAX_ACCEPTS)]
             time.sleep(0.05)  # the loop stands: its next turn finds the queue full and the time over
             for one in late:
                 peer = await one.peer()
                 assert (await peer.response())[0] in (200, 503), "served or refused, and not reset"
                 peer.close()
             stopping.cancel()
-            door.node.server.state.stopping = False
+            gateway.node.server.state.stopping = False
 
     run(test())
 
@@ -870,25 +874,27 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async with place(tmp_path, holding(gate)) as door:
-            node = door.node
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, holding(gate)) as gateway:
+            node = gateway.node
+            peer = await gateway.connect()
             await peer.write(request(1))
-            await until(lambda: [flight for flight in node.server.requests.values() if flight.upstream])
+            await until(
+                lambda: [client_request for client_request in node.server.requests.values() if client_request.upstream]
+            )
             node._endpoints_updated(node._follower.draining_list())
-            status, head, _ = await door.ask(request(2))
+            status, head, _ = await gateway.fetch(request(2))
             assert status == 503 and "retry-after" in head and node.server.counts["attempts"] == 1
             gate.set()
             assert (await peer.response())[0] == 200
             node._endpoints_updated(node._follower.full_list())
-            assert (await door.ask(request(3)))[0] == 200 and node.server.pool.opened <= 2
+            assert (await gateway.fetch(request(3)))[0] == 200 and node.server.pool.opened <= 2
             peer.close()
 
     run(test())
 
 
 def test_a_move_before_the_start_makes_one_follower_of_the_new_agent(tmp_path: Path) -> None:
-    """A signal that came early is obeyed before the door asks for the first time."""
+    """A signal that came early is obeyed before the gateway asks for the first time."""
 
     async def test() -> None:
         asked: list[str] = []
@@ -903,7 +909,7 @@
         made = DiscoveryClient(
             ("127.0.0.1", 1), EndpointListFollower(), lambda listed: None, lambda event, fields: None
         )
-        made.move(("127.0.0.1", await back.start()))
+        made.change_address(("127.0.0.1", await back.start()))
         made.start()
         await until(lambda: len(asked) == 2)
         assert back.connections == 1 and "after=1&" in asked[1]
@@ -924,8 +930,10 @@
         peer.reset()
 
     async def test() -> None:
-        async with place(tmp_path, cuts, settings={**settings(dial_timeout_ms=LONG_MS), "classes": classes}) as door:
-            driver, real, dials = door.node.server, door.node.server.pool.connect, list[float]()
+        async with in_process_gateway(
+            tmp_path, cuts, settings={**settings(dial_timeout_ms=LONG_MS), "classes": classes}
+        ) as gateway:
+            server, real, dials = gateway.node.server, gateway.node.server.pool.connect, list[float]()
 
             async def late(address: tuple[str, int]) -> Any:
                 dials.append(now_ms())
@@ -933,10 +941,10 @@
                     await until(lambda: now_ms() > dials[0] + 2 * window_ms)
                 return await real(address)
 
-            driver.pool.connect = late  # type: ignore[method-assign]
-            status, _, _ = await door.ask(request(1, "book", method="POST", body="x"))
+            server.pool.connect = late  # type: ignore[method-assign]
+            status, _, _ = await gateway.fetch(request(1, "book", method="POST", body="x"))
             assert status == 503 and len(heads) == 1 and len(dials) == 2
-            assert door.node.engine.attempt_result_counts == {"reset": 1, "connect failed": 1}
+            assert gateway.node.engine.attempt_result_counts == {"reset": 1, "connect failed": 1}
 
     run(test())
 
@@ -947,11 +955,11 @@
     size = 16 << 20
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            driver = door.node.server
-            driver.state.upstream = _Impatient(driver.state.upstream)
-            raw = Raw(door.port)
-            client = await only(door)
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            server = gateway.node.server
+            server.state.upstream = _Impatient(server.state.upstream)
+            raw = Raw(gateway.port)
+            client = await only(gateway)
             client.writer.write(b"x" * size)
             client.writer.close()
             client._abort_stalled(math.inf)
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -32,7 +32,7 @@
     PollPace,
 )
 from martenstep.policy.messages import EndpointListScope, EndpointState
-from tests.node_rig import target
+from tests.node_rig import endpoint_entry
 from tests.socket_rig import Back, Peer, run
 
 NOW_MS = 1_700_000_000_000.0  # by all clocks of a test that names them
@@ -47,24 +47,26 @@
 def test_the_whole_list_then_a_watch_of_what_changed() -> None:
     follower = EndpointListFollower(lambda: NOW_MS, lambda: NOW_MS)
     assert follower.next_target() == "/catalog/members"
-    listed = follower.take_response(told(4, True, target("s-b", 11), target("s-a", 12, boot_ms=NOW_MS - 7000)))
+    listed = follower.apply_response(
+        told(4, True, endpoint_entry("s-b", 11), endpoint_entry("s-a", 12, boot_ms=NOW_MS - 7000))
+    )
     assert listed is not None and listed.scope is EndpointListScope.FULL
     first, second = listed.endpoints
     assert listed.addresses == {first.id: ("127.0.0.1", 11), second.id: ("127.0.0.1", 12)}
     assert (first.started_ms, second.started_ms) == (0.0, NOW_MS - 7000)
     assert "after=4&" in follower.next_target()
-    listed = follower.take_response(told(5, False, target("s-a", 12, state="draining")))
+    listed = follower.apply_response(told(5, False, endpoint_entry("s-a", 12, state="draining")))
     assert listed is not None and listed.scope is EndpointListScope.DELTA
     assert [(server.id, server.state) for server in listed.endpoints] == [(second.id, EndpointState.DRAINING)]
-    assert follower.take_response(told(5, False)) is None, "the wait was over"
+    assert follower.apply_response(told(5, False)) is None, "the wait was over"
 
 
 def test_a_new_backend_at_an_old_address_is_another_one() -> None:
     follower = EndpointListFollower()
-    listed = follower.take_response(told(1, True, target("s-a", 11)))
+    listed = follower.apply_response(told(1, True, endpoint_entry("s-a", 11)))
     assert listed is not None
     old = listed.endpoints[0].id
-    listed = follower.take_response(told(2, False, target("s-a", 11, state="gone"), target("s-n", 11)))
+    listed = follower.apply_response(told(2, False, endpoint_entry("s-a", 11, state="gone"), endpoint_entry("s-n", 11)))
     assert listed is not None
     assert [server.state for server in listed.endpoints] == [EndpointState.REMOVED, EndpointState.UP]
     assert listed.endpoints[1].id != old and follower.addresses == {listed.endpoints[1].id: ("127.0.0.1", 11)}
@@ -73,7 +75,7 @@
 def test_who_has_gone_is_forgotten() -> None:
     follower = EndpointListFollower()
     for rev in range(200):
-        follower.take_response(told(rev, True, target(f"s-{rev}")))
+        follower.apply_response(told(rev, True, endpoint_entry(f"s-{rev}")))
     assert len(follower._numbers) == len(follower.addresses) == 1
 
 
@@ -84,20 +86,20 @@
         b"{",
         b"[]",
         b"{}",
-        told(1, False, target("s-a")),
+        told(1, False, endpoint_entry("s-a")),
         told(1, True, {"uid": "s-a"}),
-        told(1, True, target("s-a", state="odd")),
-        told(1, True, target("s-a", endpoint="nowhere")),
+        told(1, True, endpoint_entry("s-a", state="odd")),
+        told(1, True, endpoint_entry("s-a", endpoint="nowhere")),
     ],
 )
 def test_what_is_no_list_is_told(body: bytes) -> None:
     with pytest.raises(DiscoveryError):
-        EndpointListFollower().take_response(body)
+        EndpointListFollower().apply_response(body)
 
 
 def test_the_known_list_does_not_begin_a_watch() -> None:
     follower = EndpointListFollower()
-    listed = follower.take_list(json.loads(told(9, True, target("s-a"))), EndpointListScope.CACHED)
+    listed = follower.apply_list(json.loads(told(9, True, endpoint_entry("s-a"))), EndpointListScope.CACHED)
     assert (
         listed is not None and listed.scope is EndpointListScope.CACHED and follower.next_target() == "/catalog/members"
     )
@@ -114,13 +116,13 @@
     async def test() -> None:
         async def agent(peer: Peer) -> None:
             asked.append((await peer.head()).split()[1])
-            await peer.write(answer(told(1, True, target("s-a"))))
+            await peer.write(answer(told(1, True, endpoint_entry("s-a"))))
             asked.append((await peer.head()).split()[1])
             peer.close()
 
         async def other(peer: Peer) -> None:
             asked.append((await peer.head()).split()[1])
-            await peer.write(answer(told(1, True, target("s-z"))))
+            await peer.write(answer(told(1, True, endpoint_entry("s-z"))))
             await peer.rest()
 
         first, second = Back(agent), Back(other)
@@ -137,7 +139,7 @@
             await asyncio.sleep(0.001)
         assert asked[0] == "/catalog/members" and asked[1].startswith("/catalog/members?after=1&")
         assert asked[2] == "/catalog/members?after=1&wait_ms=0" and "discovery connection lost" in notes
-        made.move(("127.0.0.1", await second.start()))
+        made.change_address(("127.0.0.1", await second.start()))
         while all(listed.endpoints[0].id != 2 for listed in lists):
             await asyncio.sleep(0.001)
         made.stop()
@@ -159,7 +161,7 @@
             asked.append((await peer.head()).split()[1])
             if turn in (1, 2):
                 await peer.rest()
-            await peer.write(answer(told(turn, True, target(f"s-{turn}"))))
+            await peer.write(answer(told(turn, True, endpoint_entry(f"s-{turn}"))))
             if turn == 0:
                 asked.append((await peer.head()).split()[1])
             await peer.rest()
@@ -190,37 +192,51 @@
         '{"rev": 1, "all": true, "targets": [null]}',
         '{"rev": 1, "all": true, "targets": {"uid": 1}}',
         "[" * 100_000,
-        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", state=["ready"])]}),
-        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", boot_ms=float("inf"))]}),
-        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", capacity_hint=float("nan"))]}),
-        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", pod_group=1e999)]}),
-        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), target("s-c", endpoint="host.svc:80")]}),
-        json.dumps({"rev": 1, "all": True, "targets": [target("s-b"), {**target("s-c"), "uid": 7}]}),
+        json.dumps({"rev": 1, "all": True, "targets": [endpoint_entry("s-b"), endpoint_entry("s-c", state=["ready"])]}),
+        json.dumps(
+            {"rev": 1, "all": True, "targets": [endpoint_entry("s-b"), endpoint_entry("s-c", boot_ms=float("inf"))]}
+        ),
+        json.dumps(
+            {
+                "rev": 1,
+                "all": True,
+                "targets": [endpoint_entry("s-b"), endpoint_entry("s-c", capacity_hint=float("nan"))],
+            }
+        ),
+        json.dumps({"rev": 1, "all": True, "targets": [endpoint_entry("s-b"), endpoint_entry("s-c", pod_group=1e999)]}),
+        json.dumps(
+            {"rev": 1, "all": True, "targets": [endpoint_entry("s-b"), endpoint_entry("s-c", endpoint="host.svc:80")]}
+        ),
+        json.dumps({"rev": 1, "all": True, "targets": [endpoint_entry("s-b"), {**endpoint_entry("s-c"), "uid": 7}]}),
     ],
 )
 def test_of_what_cannot_be_read_nothing_is_taken_in(body: str) -> None:
     follower = EndpointListFollower()
-    follower.take_response(told(4, True, target("s-a", 11)))
+    follower.apply_response(told(4, True, endpoint_entry("s-a", 11)))
     with pytest.raises(DiscoveryError):
-        follower.take_response(body.encode())
+        follower.apply_response(body.encode())
     assert follower.addresses == {1: ("127.0.0.1", 11)} and follower.revision == 4
-    listed = follower.take_response(told(5, False, target("s-n", 12)))
+    listed = follower.apply_response(told(5, False, endpoint_entry("s-n", 12)))
     assert listed is not None and listed.endpoints[0].id == 2, "no number was spent on it"
 
 
 def test_a_watch_that_goes_back_is_begun_anew() -> None:
     follower = EndpointListFollower()
-    follower.take_response(told(4, True, target("s-a", state="draining")))
+    follower.apply_response(told(4, True, endpoint_entry("s-a", state="draining")))
     with pytest.raises(DiscoveryError, match="goes back"):
-        follower.take_response(told(3, False, target("s-a")))
+        follower.apply_response(told(3, False, endpoint_entry("s-a")))
     assert follower.revision == 4
-    assert follower.take_response(told(2, True, target("s-a"))) is not None, "the whole list is what discovery has now"
+    assert follower.apply_response(told(2, True, endpoint_entry("s-a"))) is not None, (
+        "the whole list is what discovery has now"
+    )
 
 
 def test_who_goes_and_comes_back_in_one_answer_is_another() -> None:
     follower = EndpointListFollower()
-    follower.take_response(told(1, True, target("s-a", 11)))
-    listed = follower.take_response(told(2, False, target("s-a", 11, state="gone"), target("s-a", 12, boot_ms=5)))
+    follower.apply_response(told(1, True, endpoint_entry("s-a", 11)))
+    listed = follower.apply_response(
+        told(2, False, endpoint_entry("s-a", 11, state="gone"), endpoint_entry("s-a", 12, boot_ms=5))
+    )
     assert listed is not None
     assert [(server.id, server.state) for server in listed.endpoints] == [
         (1, EndpointState.REMOVED),
@@ -232,8 +248,10 @@
 def test_the_known_list_and_discoverys_name_a_backend_alike() -> None:
     """By two followers number 1 was one backend at first, and another once discovery's list came."""
     follower = EndpointListFollower()
-    follower.take_list(json.loads(told(9, True, target("s-a", 11), target("s-b", 12))), EndpointListScope.CACHED)
-    listed = follower.take_response(told(10, True, target("s-b", 12), target("s-c", 13)))
+    follower.apply_list(
+        json.loads(told(9, True, endpoint_entry("s-a", 11), endpoint_entry("s-b", 12))), EndpointListScope.CACHED
+    )
+    listed = follower.apply_response(told(10, True, endpoint_entry("s-b", 12), endpoint_entry("s-c", 13)))
     assert listed is not None and listed.scope is EndpointListScope.FULL
     assert listed.addresses == {2: ("127.0.0.1", 12), 3: ("127.0.0.1", 13)}
 
@@ -269,7 +287,9 @@
     return lists, notes
 
 
-@pytest.mark.parametrize("half", [b"", b"HTTP/1.1 200 OK\r\nContent-Le", answer(told(9, True, target("s-z")))[:-9]])
+@pytest.mark.parametrize(
+    "half", [b"", b"HTTP/1.1 200 OK\r\nContent-Le", answer(told(9, True, endpoint_entry("s-z")))[:-9]]
+)
 def test_half_an_answer_and_then_silence_is_given_up(monkeypatch: pytest.MonkeyPatch, half: bytes) -> None:
     """The rest never comes; neither does a watch that has waited forget that its own time is over."""
     monkeypatch.setattr(discovery, "MAX_RESPONSE_MS", 60_000.0)
@@ -280,7 +300,7 @@
         if len(turns) == 1:
             await peer.write(half)
             await peer.rest()
-        await peer.write(answer(told(1, True, target("s-a"))))
+        await peer.write(answer(told(1, True, endpoint_entry("s-a"))))
         turns.append((await peer.head()).split()[1])
         await peer.write(half)
         await peer.rest()
@@ -303,7 +323,7 @@
 
     async def agent(peer: Peer) -> None:
         turns.append((await peer.head()).split()[1])
-        body = answer(told(1, True, target("s-a")))
+        body = answer(told(1, True, endpoint_entry("s-a")))
         if len(turns) == 1:
             for place in range(len(body) - 1):
                 await peer.write(body[place : place + 1])
@@ -324,7 +344,7 @@
 
     async def agent(peer: Peer) -> None:
         await peer.head()
-        await peer.write(answer(told(1, True, target("s-a"))))
+        await peer.write(answer(told(1, True, endpoint_entry("s-a"))))
         await peer.rest()
 
     def fails(listed: EndpointListEvent) -> None:
@@ -351,12 +371,12 @@
         async def old(peer: Peer) -> None:
             await peer.head()
             await gate.wait()
-            await peer.write(answer(told(7, True, target("s-old"))))
+            await peer.write(answer(told(7, True, endpoint_entry("s-old"))))
             await peer.rest()
 
         async def new(peer: Peer) -> None:
             await peer.head()
-            await peer.write(answer(told(1, True, target("s-new"))))
+            await peer.write(answer(told(1, True, endpoint_entry("s-new"))))
             await peer.rest()
 
         first, second = Back(old), Back(new)
@@ -369,7 +389,7 @@
         async def crossed(*args: Any) -> bytes:
             body = await real(*args)
             if b"s-old" in body:
-                made.move(elsewhere)  # as the answer is whole and is not taken in yet
+                made.change_address(elsewhere)  # as the answer is whole and is not taken in yet
                 await asyncio.sleep(0)
             return body
 
@@ -400,7 +420,7 @@
     async def late(peer: Peer) -> None:
         asked.append(await peer.head())
         await asyncio.sleep(0.06)
-        await peer.write(answer(told(1, True, target("s-a"))))
+        await peer.write(answer(told(1, True, endpoint_entry("s-a"))))
         await peer.rest()
 
     async def test() -> None:
@@ -424,7 +444,7 @@
         turns.append(await peer.head())
         if len(turns) < 8:
             await peer.answer("", "503 Service Unavailable", "connection: close\r\n")
-        await peer.write(answer(told(1, True, target("s-a"))))
+        await peer.write(answer(told(1, True, endpoint_entry("s-a"))))
         await peer.rest()
 
     async def test() -> None:
@@ -462,7 +482,7 @@
             elif len(asked) > 4:
                 await peer.rest()
             else:
-                await peer.write(answer(told(len(asked), len(asked) == 1, target(f"s-{len(asked)}"))))
+                await peer.write(answer(told(len(asked), len(asked) == 1, endpoint_entry(f"s-{len(asked)}"))))
 
     async def test() -> None:
         lists, notes = await _followed(refuses, 2, timing=DiscoveryTiming(250.0, 250.0, 250.0, 1500.0, 1.0, 1.0))
@@ -507,17 +527,17 @@
         self._events: list[tuple[float, int, bool, float | None]] = [(0.01 * n, n, False, None) for n in range(doors)]
 
     def play(self, until: float) -> None:
-        """Each door calls, and calls again as its pace says; a watch is due at the next change."""
+        """Each gateway calls, and calls again as its pace says; a watch is due at the next change."""
         heapq.heapify(self._events)
         while self._events[0][0] < until:
-            now, door, watch, over = heapq.heappop(self._events)
-            pace, again = self.paces[door], (0.0, watch)
+            now, gateway, watch, over = heapq.heappop(self._events)
+            pace, again = self.paces[gateway], (0.0, watch)
             if over is None and max(self._free, now) + self._work - now > self._queue:
-                again = now + pace.rejected((now - self.told[door]) * 1000) / 1000, watch
+                again = now + pace.rejected((now - self.told[gateway]) * 1000) / 1000, watch
             elif over is None:
                 over = now + (pace.watch_ms / 1000 if watch else 0.0)
-                change = next((at for at in self._changes if at > self.told[door]), math.inf)
-                heapq.heappush(self._events, (min(max(change, now), over), door, watch, over))
+                change = next((at for at in self._changes if at > self.told[gateway]), math.inf)
+                heapq.heappush(self._events, (min(max(change, now), over), gateway, watch, over))
                 continue
             else:
                 self._free = max(self._free, now) + self._work
@@ -525,12 +545,12 @@
                 if late_ms > SERVICE_TIMING.response_timeout_ms:
                     again = over + (SERVICE_TIMING.response_timeout_ms + pace.failed()) / 1000, False
                 else:
-                    new = next((at for at in self._changes if at > self.told[door]), self._free)
+                    new = next((at for at in self._changes if at > self.told[gateway]), self._free)
                     self.ages.append(self._free - new)
-                    self.told[door], self.answers = self._free, self.answers + 1
+                    self.told[gateway], self.answers = self._free, self.answers + 1
                     pace.succeeded(late_ms if late_ms >= 0 else None)
                     again = self._free, True
-            heapq.heappush(self._events, (max(again[0], now), door, again[1], None))
+            heapq.heappush(self._events, (max(again[0], now), gateway, again[1], None))
 
 
 @pytest.mark.parametrize("doors, calls_a_s", [(32, 20.0), (32, 8.0), (32, 4.0), (200, 25.0)])
@@ -548,7 +568,7 @@
 
 
 def test_who_has_a_new_list_leaves_the_turn_to_those_whose_list_is_old() -> None:
-    """A change twice a second, and room for a call of each door in 3.3 s: by chance alone some wait for 17 s."""
+    """A change twice a second, and room for a call of each gateway in 3.3 s: by chance alone some wait for 17 s."""
     crowd = Crowd(200, 60.0, [1.0 + 0.5 * turn for turn in range(30)])
     crowd.play(22.0)
     ages = sorted(crowd.ages)
@@ -559,18 +579,18 @@
     fresh = ListFreshness()
     fresh.poll_succeeded(0.0)
     fresh.poll_started(100.0, watch=True)
-    assert not fresh.is_stale(1e9) and fresh.next_at(100.0) is None, "discovery that is silent tells nothing"
+    assert not fresh.is_stale(1e9) and fresh.next_change_at(100.0) is None, "discovery that is silent tells nothing"
     fresh.poll_failed(rejected=False)
     assert not fresh.is_stale(1e9)
     fresh.poll_failed(rejected=True)
     assert (
         not fresh.is_stale(NOTIFIED_AFTER_MS - 1)
         and fresh.is_stale(NOTIFIED_AFTER_MS)
-        and fresh.next_at(5.0) == NOTIFIED_AFTER_MS
+        and fresh.next_change_at(5.0) == NOTIFIED_AFTER_MS
     )
     fresh.poll_started(NOTIFIED_AFTER_MS + 10.0, watch=True)
     assert fresh.is_stale(NOTIFIED_AFTER_MS + 11.0), "the call may be refused yet, or have something to tell"
-    taken = fresh.next_at(NOTIFIED_AFTER_MS + 11.0)
+    taken = fresh.next_change_at(NOTIFIED_AFTER_MS + 11.0)
     assert taken == NOTIFIED_AFTER_MS + 10.0 + SERVICE_QUEUE_MS and not fresh.is_stale(taken), (
         "what was new would have come"
     )
@@ -581,11 +601,11 @@
     fresh.poll_started(taken + 2.0, watch=False)
     assert fresh.is_stale(taken + 2.0 + SERVICE_QUEUE_MS), "a whole list is always new"
     fresh.poll_succeeded(taken + 3.0)
-    assert not fresh.is_stale(1e9) and fresh.next_at(taken + 3.0) is None
+    assert not fresh.is_stale(1e9) and fresh.next_change_at(taken + 3.0) is None
 
 
 def test_a_list_of_unknown_age_is_in_doubt_once_discovery_refuses_another() -> None:
-    """Broken on a site of our own: a restarted door sent by the list that its process before had last had."""
+    """Broken on a site of our own: a restarted gateway sent by the list that its process before had last had."""
     fresh = ListFreshness()
     fresh.poll_started(0.0, watch=False)
     assert not fresh.is_stale(1e9) and not fresh.rejected, "where it says nothing, there is nothing else to go by"
@@ -607,13 +627,13 @@
         while True:
             turns.append((await peer.head()).split()[1])
             if len(turns) == 1:
-                await peer.write(answer(told(1, True, target("s-a"), target("s-b", state="draining"))))
+                await peer.write(answer(told(1, True, endpoint_entry("s-a"), endpoint_entry("s-b", state="draining"))))
             elif not gate.is_set():
                 await peer.answer("", "503 Service Unavailable")
             elif ends == "held":
                 await peer.rest()
             else:
-                await peer.write(answer(told(2, False, target("s-c"))))
+                await peer.write(answer(told(2, False, endpoint_entry("s-c"))))
                 await peer.rest()
 
     def take(listed: EndpointListEvent) -> None:
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 from typing import Any
 
-from tests.node_rig import SETTINGS, request, target
+from tests.node_rig import SETTINGS, endpoint_entry, request
 from tests.socket_rig import Back, Peer
-from tests.test_node_gateway import agent
-from tests.test_node_processes import Process, doors, play
+from tests.test_node_gateway import serve_list
+from tests.test_node_processes import GatewayProcess, gateway_processes, run_test
 
 PLAY_S = 4.0
 
@@ -30,10 +30,12 @@
         self.number = 0
         self.statuses: dict[int, int] = {}
 
-    async def through(self, door: Process, every_s: float, until: float, *customers: str, **told: Any) -> None:
-        """One client's requests through one door, at chance times around a mean."""
+    async def through(
+        self, gateway: GatewayProcess, every_s: float, until: float, *customers: str, **told: Any
+    ) -> None:
+        """One client's requests through one gateway, at chance times around a mean."""
         rng = random.Random(self.number)
-        peer = await door.client()
+        peer = await gateway.connect()
         while time.monotonic() < until:
             self.number += 1
             text = request(self.number, customer=rng.choice(customers), **told)
@@ -41,12 +43,12 @@
                 await peer.write(text)
                 status, head, _ = await peer.response()
             except (ConnectionError, asyncio.IncompleteReadError):
-                peer = await door.client()
+                peer = await gateway.connect()
                 continue
             self.statuses[status] = self.statuses.get(status, 0) + 1
             if "connection: close" in head:
                 peer.close()
-                peer = await door.client()
+                peer = await gateway.connect()
             await asyncio.sleep(rng.expovariate(1 / every_s))
         peer.close()
 
@@ -63,7 +65,7 @@
     }
     came: list[float] = []
 
-    def serves(marks: list[float]) -> Any:
+    def serve(marks: list[float]) -> Any:
         async def script(peer: Peer) -> None:
             while True:
                 await peer.head()
@@ -75,13 +77,13 @@
 
     async def test() -> None:
         warm: list[float] = []
-        fresh = Back(serves(came))
+        fresh = Back(serve(came))
         port = await fresh.start()
         changed = asyncio.Event()
         targets: list[dict[str, Any]] = []
 
         async def told(peer: Peer) -> None:
-            await agent(peer, targets) if changed.is_set() else await before(peer)
+            await serve_list(peer, targets) if changed.is_set() else await before(peer)
 
         async def before(peer: Peer) -> None:
             await peer.head()
@@ -91,24 +93,26 @@
             await peer.answer(json.dumps({"rev": 1, "all": True, "targets": targets}))
             await peer.rest()
 
-        async with doors(tmp_path, 3, told, *[serves(warm)] * 3, settings={**SETTINGS, "rules": rules}) as made:
+        async with gateway_processes(
+            tmp_path, 3, told, *[serve(warm)] * 3, settings={**SETTINGS, "rules": rules}
+        ) as made:
             targets += json.loads(made[0].path.read_text(encoding="utf-8"))["known"]["targets"]
-            for door in made:
-                await door.start()
-                await door.until("ready")
+            for gateway in made:
+                await gateway.start()
+                await gateway.wait_for_event("ready")
             calls, until = Calls(), time.monotonic() + PLAY_S
             shares = (4, 1, 1)
             clients = [
-                asyncio.create_task(calls.through(door, 8 / (rate * share / sum(shares)), until, f"{n:016x}"))
-                for door, share in zip(made, shares, strict=True)
+                asyncio.create_task(calls.through(gateway, 8 / (rate * share / sum(shares)), until, f"{n:016x}"))
+                for gateway, share in zip(made, shares, strict=True)
                 for n in range(1, 9)
             ]
             await asyncio.sleep(PLAY_S / 4)
-            targets.append(target("s-cold", port, boot_ms=int(time.time() * 1000)))
+            targets.append(endpoint_entry("s-cold", port, boot_ms=int(time.time() * 1000)))
             changed.set()
             await asyncio.sleep(PLAY_S / 4)
-            made[1].signal(signal.SIGTERM)  # one starts anew in the midst of it
-            assert await made[1].end() == 0
+            made[1].send_signal(signal.SIGTERM)  # one starts anew in the midst of it
+            assert await made[1].wait_for_exit() == 0
             await made[1].start()
             await asyncio.gather(*clients)
         fresh.stop()
@@ -117,7 +121,7 @@
         most = max(sum(at <= other < at + window_s for other in came) for at in came)
         assert most <= budget + 2 * math.sqrt(budget) + 2
 
-    play(test())
+    run_test(test())
 
 
 def test_a_quota_holds_over_all_doors_on_a_quiet_day(tmp_path: Path) -> None:
@@ -138,7 +142,7 @@
             told = f"{totals[name]:.6g}".encode()
             await peer.write(b"$%d\r\n%b\r\n" % (len(told), told))
 
-    async def serves(peer: Peer) -> None:
+    async def serve(peer: Peer) -> None:
         while True:
             head = await peer.head()
             came.append((time.monotonic(), head.split()[1][-16:]))
@@ -148,25 +152,25 @@
         shared = Back(counting)
         address = f"127.0.0.1:{await shared.start()}"
         targets: list[dict[str, Any]] = []
-        async with doors(
+        async with gateway_processes(
             tmp_path,
             3,
-            lambda peer: agent(peer, targets),
-            serves,
-            serves,
+            lambda peer: serve_list(peer, targets),
+            serve,
+            serve,
             counter=address,
             settings={**SETTINGS, "contracts": [plan]},
         ) as made:
             targets += json.loads(made[0].path.read_text(encoding="utf-8"))["known"]["targets"]
-            for door in made:
-                await door.start()
-                await door.until("ready")
+            for gateway in made:
+                await gateway.start()
+                await gateway.wait_for_event("ready")
             calls, until = Calls(), time.monotonic() + PLAY_S
-            # Three in four ask for half of their rate, the others for twice of it; a third through each door.
+            # Three in four ask for half of their rate, the others for twice of it; a third through each gateway.
             await asyncio.gather(
                 *(
-                    calls.through(door, 3 / (rate * (0.5 if number % 4 else 2.0)), until, customer, X_Plan="small")
-                    for door in made
+                    calls.through(gateway, 3 / (rate * (0.5 if number % 4 else 2.0)), until, customer, X_Plan="small")
+                    for gateway in made
                     for number, customer in enumerate(customers)
                 )
             )
@@ -185,4 +189,4 @@
         assert calls.statuses.get(429, 0) > 0, "some ask for more than they have"
         assert len(came) > len(customers) and cost * beyond / calls.number <= 0.1
 
-    play(test())
+    run_test(test())
--- a/tests/test_node_gateway.py
+++ b/tests/test_node_gateway.py
@@ -1,4 +1,4 @@
-"""A front door of the platform on loopback, its agent, counter, backends and clients scripted byte by byte."""
+"""A front gateway of the platform on loopback, its agent, counter, backends and clients scripted byte by byte."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 from martenstep.node.config import DrainPlan, load_config
 from martenstep.node.daemon import GatewayNode
 from martenstep.proxy.acceptor import MIN_AGE_TO_CLOSE_MS
-from tests.node_rig import raw, request, target
+from tests.node_rig import endpoint_entry, raw_config, request
 from tests.socket_rig import Back, Peer, Script, run
 
 
-class Place:
-    """The door and what stands around it."""
+class InProcessGateway:
+    """The gateway and what stands around it."""
 
     def __init__(self, node: GatewayNode, path: Path) -> None:
         self.node, self.path = node, path
         self.port = 0
 
-    async def client(self) -> Peer:
+    async def connect(self) -> Peer:
         """A new connection."""
         return Peer(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    async def ask(self, text: str) -> tuple[int, str, bytes]:
+    async def fetch(self, text: str) -> tuple[int, str, bytes]:
         """One request on a connection of its own."""
-        peer = await self.client()
+        peer = await self.connect()
         await peer.write(text)
         answer = await peer.response()
         peer.close()
         return answer
 
 
-async def agent(peer: Peer, targets: list[dict[str, Any]]) -> None:
+async def serve_list(peer: Peer, targets: list[dict[str, Any]]) -> None:
     """Tells the list once, and of no change."""
     await peer.head()
     body = json.dumps({"rev": 1, "all": True, "targets": targets})
@@ -45,7 +45,7 @@
     await peer.rest()
 
 
-async def counting(peer: Peer) -> None:
+async def serve_counter(peer: Peer) -> None:
     """Each name's total is what was added last."""
     while True:
         words = [await peer.reader.readline() for _ in range(9)]
@@ -54,15 +54,15 @@
 
 
 @contextlib.asynccontextmanager
-async def place(tmp_path: Path, *scripts: Script, **more: Any) -> AsyncIterator[Place]:
-    """A door in front of backends, one for each script."""
+async def in_process_gateway(tmp_path: Path, *scripts: Script, **more: Any) -> AsyncIterator[InProcessGateway]:
+    """A gateway in front of backends, one for each script."""
     backs = [Back(script) for script in scripts]
-    targets = [target(f"s-{number}", await back.start()) for number, back in enumerate(backs)]
-    told, counter = Back(lambda peer: agent(peer, targets)), Back(counting)
+    targets = [endpoint_entry(f"s-{number}", await back.start()) for number, back in enumerate(backs)]
+    told, counter = Back(lambda peer: serve_list(peer, targets)), Back(serve_counter)
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
-            raw(
+            raw_config(
                 listen="127.0.0.1:8081",
                 discovery=f"127.0.0.1:{await told.start()}",
                 counter=f"127.0.0.1:{await counter.start()}",
@@ -72,7 +72,7 @@
         encoding="utf-8",
     )
     config = load_config(path)  # a file names its port; a test takes any that is free
-    made = Place(GatewayNode(replace(config, listener=replace(config.listener, port=0)), path), path)
+    made = InProcessGateway(GatewayNode(replace(config, listener=replace(config.listener, port=0)), path), path)
     made.port = await made.node.start()
     try:
         yield made
@@ -84,7 +84,7 @@
     assert made.node.engine.unanswered == 0
 
 
-async def serves(peer: Peer) -> None:
+async def serve_echo(peer: Peer) -> None:
     """Answers each request with its own head."""
     while True:
         head = await peer.head()
@@ -102,25 +102,25 @@
         await peer.rest()
 
     async def test() -> None:
-        async with place(tmp_path, shows) as door:
-            status, head, body = await door.ask(request(1, X_Plan="small"))
+        async with in_process_gateway(tmp_path, shows) as gateway:
+            status, head, body = await gateway.fetch(request(1, X_Plan="small"))
             assert (status, body) == (200, b"served") and "x-other" not in head
             assert heads[0].startswith("get /read/00000000000000a1 http/1.1\r\n")
             assert "x-trace-id: 0000000000000001\r\n" in heads[0] and "x-expires-in-ms: " in heads[0]
-            assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
+            assert (await gateway.fetch("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
 
     run(test())
 
 
 def test_a_probe_that_is_answered_well_is_not_told_as_turned_away(tmp_path: Path) -> None:
-    """On a quiet day of 45 minutes 98% of a door's lines were such."""
+    """On a quiet day of 45 minutes 98% of a gateway's lines were such."""
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
             lines: list[tuple[str, dict[str, Any]]] = []
-            door.node.server.state.log_event = lambda event, fields: lines.append((event, fields))
-            assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-            assert (await door.ask("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 400
+            gateway.node.server.state.log_event = lambda event, fields: lines.append((event, fields))
+            assert (await gateway.fetch("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
+            assert (await gateway.fetch("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 400
             assert [fields["status"] for event, fields in lines if event == "request rejected"] == [400]
 
     run(test())
@@ -128,8 +128,8 @@
 
 def test_a_keyed_request_goes_with_its_body(tmp_path: Path) -> None:
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            status, _, body = await door.ask(request(1, "book", method="POST", body="room 5"))
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            status, _, body = await gateway.fetch(request(1, "book", method="POST", body="room 5"))
             assert (status, body) == (200, b"post /book/00000000000000a1 http/1.1|room 5")
 
     run(test())
@@ -143,12 +143,12 @@
         await peer.answer("served")
 
     async def test() -> None:
-        async with place(tmp_path, notes) as door:
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, notes) as gateway:
+            peer = await gateway.connect()
             whole = request(1, "book", method="POST", body="room 5")
             await peer.write(whole[:-3])
             peer.close()
-            assert (await door.ask(request(2)))[0] == 200
+            assert (await gateway.fetch(request(2)))[0] == 200
             assert len(reached) == 1 and reached[0].startswith("get ")
 
     run(test())
@@ -164,8 +164,8 @@
             await peer.answer(f"answer {turn}")
 
     async def test() -> None:
-        async with place(tmp_path, twice) as door:
-            peer = await door.client()
+        async with in_process_gateway(tmp_path, twice) as gateway:
+            peer = await gateway.connect()
             for number in range(4):
                 await peer.write(request(number))
                 assert (await peer.response())[2] == b"answer 0", "each on a connection of its own"
@@ -187,16 +187,16 @@
         await peer.rest()
 
     async def test() -> None:
-        async with place(tmp_path, huge) as door:
-            status, _, _ = await door.ask(request(1))
+        async with in_process_gateway(tmp_path, huge) as gateway:
+            status, _, _ = await gateway.fetch(request(1))
             assert status == 503, "safe to repeat: refused once no attempt is left"
-            assert door.node.server.counts["attempts"] == 3
-        async with place(tmp_path, endless) as door:
-            peer = await door.client()
+            assert gateway.node.server.counts["attempts"] == 3
+        async with in_process_gateway(tmp_path, endless) as gateway:
+            peer = await gateway.connect()
             await peer.write(request(2))
             assert (await peer.head()).startswith("http/1.1 200")
             assert not (await peer.rest()).endswith(b"0\r\n\r\n"), "its client sees that it is not whole"
-            assert door.node.server.counts["broken"] == 1
+            assert gateway.node.server.counts["broken"] == 1
 
     run(test())
 
@@ -213,11 +213,11 @@
             await peer.write(b"x" * size)
 
     async def test() -> None:
-        async with place(tmp_path, large) as door:
+        async with in_process_gateway(tmp_path, large) as gateway:
             for number, size in enumerate((100_000, 400_000)):
-                status, _, body = await door.ask(request(number))
+                status, _, body = await gateway.fetch(request(number))
                 assert status == 200 and body == b"x" * size
-            assert door.node.engine.attempt_result_counts == {"ok": 2}
+            assert gateway.node.engine.attempt_result_counts == {"ok": 2}
 
     run(test())
 
@@ -230,24 +230,24 @@
         await peer.rest()
 
     async def test() -> None:
-        async with place(tmp_path, early) as door:
-            assert (await door.ask(request(1)))[2] == b"served"
+        async with in_process_gateway(tmp_path, early) as gateway:
+            assert (await gateway.fetch(request(1)))[2] == b"served"
 
     run(test())
 
 
 def test_a_door_that_leaves_serves_what_still_comes(tmp_path: Path) -> None:
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
-            standing = await door.client()
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
+            standing = await gateway.connect()
             await standing.write(request(1))
             assert (await standing.response())[0] == 200
-            door.node.drain_plan = DrainPlan(100.0, 500.0, 1000.0)
-            leaving = asyncio.create_task(door.node.stop())
+            gateway.node.drain_plan = DrainPlan(100.0, 500.0, 1000.0)
+            leaving = asyncio.create_task(gateway.node.stop())
             await asyncio.sleep(0)
-            status, head, _ = await door.ask(request(2))
+            status, head, _ = await gateway.fetch(request(2))
             assert status == 200 and "connection: close" in head, "new connections still come"
-            listener = door.node.server._acceptor.listener
+            listener = gateway.node.server._acceptor.listener
             assert listener is not None
             while listener.accepting:
                 await asyncio.sleep(0.001)
@@ -262,17 +262,17 @@
 
 def test_who_says_nothing_gives_way_to_who_asks(tmp_path: Path) -> None:
     async def test() -> None:
-        async with place(tmp_path, serves, limits={"sockets": 64}) as door:
-            driver, most = door.node.server, door.node.config.listener.max_connections
-            usual = await door.client()
+        async with in_process_gateway(tmp_path, serve_echo, limits={"sockets": 64}) as gateway:
+            server, most = gateway.node.server, gateway.node.config.listener.max_connections
+            usual = await gateway.connect()
             await usual.write(request(1))
             assert (await usual.response())[0] == 200
-            silent = [await door.client() for _ in range(most - 1)]
-            while len(driver.clients) < most:
+            silent = [await gateway.connect() for _ in range(most - 1)]
+            while len(server.clients) < most:
                 await asyncio.sleep(0.001)
-            for client in driver.state.new_clients:
+            for client in server.state.new_clients:
                 client.waiting_since -= MIN_AGE_TO_CLOSE_MS
-            late = [await door.client() for _ in range(most - 1)]
+            late = [await gateway.connect() for _ in range(most - 1)]
             for number, peer in enumerate(late):
                 await peer.write(request(10 + number))
                 assert (await peer.response())[0] == 200
@@ -280,9 +280,9 @@
                 assert await peer.rest() == b""
             await usual.write(request(2))
             assert (await usual.response())[0] == 200, "who was served before goes last"
-            assert (await door.ask(request(99)))[0] == 200, "and even then one that is idle makes room"
-            assert driver.counts["connections_closed_for_room"] == most
-            assert driver.counts["connections_turned_away"] == 0
+            assert (await gateway.fetch(request(99)))[0] == 200, "and even then one that is idle makes room"
+            assert server.counts["connections_closed_for_room"] == most
+            assert server.counts["connections_turned_away"] == 0
             for peer in [*late, usual]:
                 peer.close()
 
@@ -293,14 +293,14 @@
     """Its first request may be on its way: its client would take it for lost."""
 
     async def test() -> None:
-        async with place(tmp_path, serves, limits={"sockets": 64}) as door:
-            most = door.node.config.listener.max_connections
-            young = [await door.client() for _ in range(most)]
-            while len(door.node.server.clients) < most:
+        async with in_process_gateway(tmp_path, serve_echo, limits={"sockets": 64}) as gateway:
+            most = gateway.node.config.listener.max_connections
+            young = [await gateway.connect() for _ in range(most)]
+            while len(gateway.node.server.clients) < most:
                 await asyncio.sleep(0.001)
-            for client in door.node.server.state.new_clients:
+            for client in gateway.node.server.state.new_clients:
                 client.waiting_since += 60_000.0
-            assert (await (await door.client()).rest()).startswith(b"HTTP/1.1 503")
+            assert (await (await gateway.connect()).rest()).startswith(b"HTTP/1.1 503")
             await young[0].write(request(1))
             assert (await young[0].response())[0] == 200
             for peer in young:
@@ -310,12 +310,12 @@
 
 
 def test_a_fault_ends_its_connection(tmp_path: Path) -> None:
-    """Connections that asked whether the door is ready, and stayed, kept out half of the usual clients."""
+    """Connections that asked whether the gateway is ready, and stayed, kept out half of the usual clients."""
 
     async def test() -> None:
-        async with place(tmp_path, serves) as door:
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
             for target, status in (("/_health", 200), ("/", 400)):
-                peer = await door.client()
+                peer = await gateway.connect()
                 await peer.write(f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n")
                 assert (await peer.response())[0] == status
                 assert await peer.rest() == b""
@@ -332,14 +332,16 @@
             await peer.answer(json.dumps({"rev": 1, "all": True, "targets": []}))
             await peer.rest()
 
-        async with place(tmp_path, serves) as door:
+        async with in_process_gateway(tmp_path, serve_echo) as gateway:
             other = Back(elsewhere)
-            told = json.loads(door.path.read_text(encoding="utf-8"))
-            door.path.write_text("{", encoding="utf-8")
-            door.node.reload()
-            assert (await door.ask(request(1)))[0] == 200, "a file that cannot be read changes nothing"
-            door.path.write_text(json.dumps(told | {"discovery": f"127.0.0.1:{await other.start()}"}), encoding="utf-8")
-            door.node.reload()
+            told = json.loads(gateway.path.read_text(encoding="utf-8"))
+            gateway.path.write_text("{", encoding="utf-8")
+            gateway.node.reload()
+            assert (await gateway.fetch(request(1)))[0] == 200, "a file that cannot be read changes nothing"
+            gateway.path.write_text(
+                json.dumps(told | {"discovery": f"127.0.0.1:{await other.start()}"}), encoding="utf-8"
+            )
+            gateway.node.reload()
             while not asked:
                 await asyncio.sleep(0.001)
             assert asked[0].startswith("get /catalog/members http/1.1")
