--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -25,23 +25,19 @@
 from martenstep.node import daemon
 from martenstep.node.config import EMPTY_DRAIN_PLAN, load_config
 from martenstep.node.daemon import GatewayNode
-from martenstep.node.discovery import (
-    DiscoveryClient,
-)
-from martenstep.node.poll_timing import (
-    DiscoveryTiming,
-)
-from tests.node_rig import SETTINGS, raw, request, target
+from martenstep.node.discovery import DiscoveryClient
+from martenstep.node.poll_timing import DiscoveryTiming
+from tests.node_rig import SETTINGS, endpoint_entry, raw_config, request
 from tests.socket_rig import Back, Peer, Script, run
-from tests.test_node_gateway import agent, counting, serves
+from tests.test_node_gateway import serve_counter, serve_echo, serve_list
 
 BOUND_S = 60.0
 LONG_MS = 60_000.0  # longer than any test runs
 LONG = DiscoveryTiming(LONG_MS, LONG_MS, LONG_MS, LONG_MS, 1.0, 1.0)
 
 
-class Process:
-    """One front door, and the lines of its log."""
+class GatewayProcess:
+    """One front gateway, and the lines of its log."""
 
     def __init__(self, path: Path, port: int) -> None:
         self.path, self.port = path, port
@@ -72,7 +68,7 @@
         assert self._process is not None
         return self._process.pid
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Send it a signal."""
         os.kill(self.pid, number)
 
@@ -80,13 +76,13 @@
         """What its log tells of, in order."""
         return [line["event"] for line in self.lines]
 
-    async def until(self, event: str) -> dict[str, Any]:
+    async def wait_for_event(self, event: str) -> dict[str, Any]:
         """Wait for a line."""
         while event not in self.events():
             await asyncio.sleep(0.005)
         return next(line for line in self.lines if line["event"] == event)
 
-    async def end(self) -> int:
+    async def wait_for_exit(self) -> int:
         """Wait for its end; gives its status."""
         assert self._process is not None and self._reading is not None
         status = await self._process.wait()
@@ -98,9 +94,9 @@
         if self._process is not None and self._process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self._process.kill()
-            await self.end()
+            await self.wait_for_exit()
 
-    async def client(self) -> Peer:
+    async def connect(self) -> Peer:
         """A new connection, once it listens."""
         while True:
             try:
@@ -108,9 +104,9 @@
             except ConnectionError:
                 await asyncio.sleep(0.005)
 
-    async def ask(self, text: str) -> tuple[int, str, bytes]:
+    async def fetch(self, text: str) -> tuple[int, str, bytes]:
         """One request on a connection of its own."""
-        peer = await self.client()
+        peer = await self.connect()
         await peer.write(text)
         answer = await peer.response()
         peer.close()
@@ -123,18 +119,18 @@
 
 
 @contextlib.asynccontextmanager
-async def doors(
+async def gateway_processes(
     tmp_path: Path, count: int, told: Script, *scripts: Script, **more: Any
-) -> AsyncIterator[list[Process]]:
+) -> AsyncIterator[list[GatewayProcess]]:
     """So many doors, not started yet, that follow one agent; `told` is its script, `scripts` the backends'."""
-    backs = [Back(script) for script in (told, counting, *scripts)]
+    backs = [Back(script) for script in (told, serve_counter, *scripts)]
     ports = [await back.start() for back in backs]
     made = []
     for number in range(count):
         path, port = tmp_path / f"n{number}.json", held_ports(1)[0]
         path.write_text(
             json.dumps(
-                raw(
+                raw_config(
                     **{
                         "name": f"n{number}",
                         "listen": f"127.0.0.1:{port}",
@@ -144,7 +140,7 @@
                         "known": {
                             "rev": 1,
                             "all": True,
-                            "targets": [target(f"s-{n}", p) for n, p in enumerate(ports[2:])],
+                            "targets": [endpoint_entry(f"s-{n}", p) for n, p in enumerate(ports[2:])],
                         },
                         **more,
                     }
@@ -152,7 +148,7 @@
             ),
             encoding="utf-8",
         )
-        made.append(Process(path, port))
+        made.append(GatewayProcess(path, port))
     try:
         yield made
     finally:
@@ -162,7 +158,7 @@
             back.stop()
 
 
-def play(test: Awaitable[None]) -> None:
+def run_test(test: Awaitable[None]) -> None:
     """Run one test."""
 
     async def whole() -> None:
@@ -189,7 +185,7 @@
         file.write(text)
 
 
-def lists(targets: list[dict[str, Any]], asked: list[str]) -> Callable[[Peer], Awaitable[None]]:
+def recording_agent(targets: list[dict[str, Any]], asked: list[str]) -> Callable[[Peer], Awaitable[None]]:
     """An agent that keeps what it is asked and tells one list."""
 
     async def script(peer: Peer) -> None:
@@ -205,28 +201,28 @@
 
     async def test() -> None:
         asked: list[str] = []
-        moved = Back(lists([], asked))
-        async with doors(tmp_path, 1, silent) as [door]:
-            text, changed = door.path.read_text(encoding="utf-8"), tmp_path / "changed.json"
+        moved = Back(recording_agent([], asked))
+        async with gateway_processes(tmp_path, 1, silent) as [gateway]:
+            text, changed = gateway.path.read_text(encoding="utf-8"), tmp_path / "changed.json"
             other = {**json.loads(text), "discovery": f"127.0.0.1:{await moved.start()}"}
             changed.write_text(json.dumps(other), encoding="utf-8")
-            door.path.unlink()
-            os.mkfifo(door.path)
+            gateway.path.unlink()
+            os.mkfifo(gateway.path)
 
             def crosses() -> None:
-                os.replace(changed, door.path)
-                door.signal(signal.SIGHUP)
+                os.replace(changed, gateway.path)
+                gateway.send_signal(signal.SIGHUP)
 
-            await door.start()
-            await write_to(door.path, text, crosses)
-            await door.until("configuration applied")
-            await door.until("ready")
+            await gateway.start()
+            await write_to(gateway.path, text, crosses)
+            await gateway.wait_for_event("configuration applied")
+            await gateway.wait_for_event("ready")
             assert asked and asked[0].startswith("get /catalog/members ")
-            door.signal(signal.SIGTERM)
-            assert await door.end() == 0
+            gateway.send_signal(signal.SIGTERM)
+            assert await gateway.wait_for_exit() == 0
         moved.stop()
 
-    play(test())
+    run_test(test())
 
 
 def _minds(pid: int, number: int) -> bool:
@@ -241,18 +237,18 @@
     """Stopped at the first moment in which it minds them, before its modules are there."""
 
     async def test() -> None:
-        async with doors(tmp_path, 1, silent) as [door]:
-            await door.start()
-            while not _minds(door.pid, signal.SIGHUP):
+        async with gateway_processes(tmp_path, 1, silent) as [gateway]:
+            await gateway.start()
+            while not _minds(gateway.pid, signal.SIGHUP):
                 await asyncio.sleep(0)
-            door.signal(number)
+            gateway.send_signal(number)
             if number == signal.SIGHUP:
-                await door.until("configuration applied")
-                door.signal(signal.SIGTERM)
-            assert await door.end() == 0
-            assert number == signal.SIGHUP or "ready" not in door.events()
+                await gateway.wait_for_event("configuration applied")
+                gateway.send_signal(signal.SIGTERM)
+            assert await gateway.wait_for_exit() == 0
+            assert number == signal.SIGHUP or "ready" not in gateway.events()
 
-    play(test())
+    run_test(test())
 
 
 def test_a_door_that_is_told_to_end_while_it_waits_for_its_first_list_does_not_wait_on(tmp_path: Path) -> None:
@@ -264,15 +260,17 @@
             got.set()
             await peer.rest()
 
-        async with doors(tmp_path, 1, asked) as [door]:
-            await door.start()
+        async with gateway_processes(tmp_path, 1, asked) as [gateway]:
+            await gateway.start()
             await got.wait()
-            assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
-            door.signal(signal.SIGTERM)
-            assert await door.end() == 0
-            assert not {"ready", "ready without discovery"} & set(door.events()) and door.events()[-1] == "stopped"
+            assert (await gateway.fetch("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
+            gateway.send_signal(signal.SIGTERM)
+            assert await gateway.wait_for_exit() == 0
+            assert (
+                not {"ready", "ready without discovery"} & set(gateway.events()) and gateway.events()[-1] == "stopped"
+            )
 
-    play(test())
+    run_test(test())
 
 
 def test_nobody_is_served_by_the_old_list_while_the_agents_answer_is_on_its_way(tmp_path: Path) -> None:
@@ -287,7 +285,7 @@
             await peer.head()
             asked.set()
             await gate.wait()
-            await peer.answer(json.dumps({"rev": 2, "all": True, "targets": [target("s-1", ports[1])]}))
+            await peer.answer(json.dumps({"rev": 2, "all": True, "targets": [endpoint_entry("s-1", ports[1])]}))
             await peer.rest()
 
         def backend(name: str) -> Callable[[Peer], Awaitable[None]]:
@@ -304,12 +302,12 @@
         path = tmp_path / "config.json"
         path.write_text(
             json.dumps(
-                raw(
+                raw_config(
                     listen=f"127.0.0.1:{port}",
                     discovery=f"127.0.0.1:{agent_port}",
                     counter="",
                     settings={**settings(), "family_info": {"has_counter": False, "max_units": 3}},
-                    known={"rev": 1, "all": True, "targets": [target("s-0", ports[0])]},
+                    known={"rev": 1, "all": True, "targets": [endpoint_entry("s-0", ports[0])]},
                 )
             ),
             encoding="utf-8",
@@ -337,7 +335,7 @@
         for back in made:
             back.stop()
 
-    play(test())
+    run_test(test())
 
 
 def test_a_door_whose_discovery_refuses_its_first_list_is_not_ready_by_the_one_before(tmp_path: Path) -> None:
@@ -351,37 +349,39 @@
                 refusals.append(await peer.head())
                 await peer.answer("", "503 Service Unavailable")
             await peer.head()
-            await peer.answer(json.dumps({"rev": 9, "all": True, "targets": [target("s-1", fresh_port)]}))
+            await peer.answer(json.dumps({"rev": 9, "all": True, "targets": [endpoint_entry("s-1", fresh_port)]}))
             await peer.rest()
 
-        fresh = Back(serves)
+        fresh = Back(serve_echo)
         fresh_port = await fresh.start()
-        async with doors(tmp_path, 1, refuses, serves, settings={**settings(), "discovery": "subscribe"}) as [door]:
-            await door.start()
+        async with gateway_processes(
+            tmp_path, 1, refuses, serve_echo, settings={**settings(), "discovery": "subscribe"}
+        ) as [gateway]:
+            await gateway.start()
             while len(refusals) < 8:  # longer than a discovery that says nothing would be waited for
                 await asyncio.sleep(0.005)
-            assert "ready" not in door.events() and "endpoint list stale" in door.events()
+            assert "ready" not in gateway.events() and "endpoint list stale" in gateway.events()
             gate.set()
-            assert (await door.until("ready"))["servers"] == 1
-            assert "ready without discovery" not in door.events()
-            assert (await door.ask(request(1)))[0] == 200 and fresh.connections == 1
+            assert (await gateway.wait_for_event("ready"))["servers"] == 1
+            assert "ready without discovery" not in gateway.events()
+            assert (await gateway.fetch(request(1)))[0] == 200 and fresh.connections == 1
         fresh.stop()
 
-    play(test())
+    run_test(test())
 
 
 def test_a_door_waits_for_its_address_while_the_one_before_it_ends(tmp_path: Path) -> None:
     """It ended with a traceback."""
 
     async def test() -> None:
-        async with doors(tmp_path, 1, silent, serves) as [door]:
-            with socket.create_server(("127.0.0.1", door.port)):
-                await door.start()
-                await door.until("address in use")
-            await door.until("ready")
-            assert (await door.ask(request(1)))[0] == 200
+        async with gateway_processes(tmp_path, 1, silent, serve_echo) as [gateway]:
+            with socket.create_server(("127.0.0.1", gateway.port)):
+                await gateway.start()
+                await gateway.wait_for_event("address in use")
+            await gateway.wait_for_event("ready")
+            assert (await gateway.fetch(request(1)))[0] == 200
 
-    play(test())
+    run_test(test())
 
 
 @pytest.mark.parametrize("stops", [True, False])
@@ -399,7 +399,7 @@
         path = tmp_path / "config.json"
         path.write_text(
             json.dumps(
-                raw(
+                raw_config(
                     listen=f"127.0.0.1:{port}",
                     discovery=f"127.0.0.1:{held_ports(1)[0]}",
                     counter=f"127.0.0.1:{held_ports(1)[0]}",
@@ -421,7 +421,7 @@
             await node.run()
 
         if stops:
-            play(test())
+            run_test(test())
             assert [json.loads(line)["event"] for line in capsys.readouterr().out.splitlines()][-1] == "stopped"
             return
         monkeypatch.setenv("NODE_CONFIG", str(path))
@@ -434,15 +434,15 @@
 
 def test_all_are_ready_and_serve_by_the_list_they_had_while_discovery_is_silent(tmp_path: Path) -> None:
     async def test() -> None:
-        async with doors(tmp_path, 4, silent, serves) as made:
-            for door in made:
-                await door.start()
-            for number, door in enumerate(made):
-                assert (await door.until("ready"))["servers"] == 1
-                assert (await door.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-                assert (await door.ask(request(number)))[0] == 200
+        async with gateway_processes(tmp_path, 4, silent, serve_echo) as made:
+            for gateway in made:
+                await gateway.start()
+            for number, gateway in enumerate(made):
+                assert (await gateway.wait_for_event("ready"))["servers"] == 1
+                assert (await gateway.fetch("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
+                assert (await gateway.fetch(request(number)))[0] == 200
 
-    play(test())
+    run_test(test())
 
 
 def test_a_log_that_nobody_reads_holds_up_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -487,28 +487,30 @@
 
         back = Back(holds)
         ports.append(await back.start())
-        targets = [target("s-0", ports[0])]
+        targets = [endpoint_entry("s-0", ports[0])]
         asked: list[str] = []
-        moved = Back(lists(targets, asked))
+        moved = Back(recording_agent(targets, asked))
         elsewhere = f"127.0.0.1:{await moved.start()}"
-        async with doors(tmp_path, 3, lambda peer: agent(peer, targets), settings=settings(60_000.0)) as made:
-            for number, door in enumerate(made):
-                await door.start()
-                await door.until("ready")
+        async with gateway_processes(
+            tmp_path, 3, lambda peer: serve_list(peer, targets), settings=settings(60_000.0)
+        ) as made:
+            for number, gateway in enumerate(made):
+                await gateway.start()
+                await gateway.wait_for_event("ready")
                 gates.clear()
-                resting, busy = await door.client(), await door.client()
+                resting, busy = await gateway.connect(), await gateway.connect()
                 await resting.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
                 assert (await resting.response())[0] == 200
                 await busy.write(request(number, X_Expires_In_Ms="60000"))
                 while not gates:
                     await asyncio.sleep(0.005)
-                door.signal(signal.SIGTERM)
-                await door.until("stopping")
+                gateway.send_signal(signal.SIGTERM)
+                await gateway.wait_for_event("stopping")
                 asked.clear()
-                changed = {**json.loads(door.path.read_text(encoding="utf-8")), "discovery": elsewhere}
-                door.path.write_text(json.dumps(changed), encoding="utf-8")
-                door.signal(signal.SIGHUP)
-                await door.until("configuration applied")
+                changed = {**json.loads(gateway.path.read_text(encoding="utf-8")), "discovery": elsewhere}
+                gateway.path.write_text(json.dumps(changed), encoding="utf-8")
+                gateway.send_signal(signal.SIGHUP)
+                await gateway.wait_for_event("configuration applied")
                 while not asked:
                     await asyncio.sleep(0.005)
                 gates[0].set()
@@ -516,34 +518,37 @@
                 clean = (status, body) == (200, b"held")  # and refused at the end of the grace, on a starved machine
                 assert (clean or status == 503) and "connection: close" in head
                 assert await busy.rest() == b"" and await resting.rest() == b""
-                assert await door.end() == 0 and door.lines[-1]["clean"] is clean
+                assert await gateway.wait_for_exit() == 0 and gateway.lines[-1]["clean"] is clean
         back.stop()
         moved.stop()
 
-    play(test())
+    run_test(test())
 
 
 def test_a_configuration_that_cannot_be_used_leaves_the_one_there_is(tmp_path: Path) -> None:
     async def test() -> None:
-        async with doors(tmp_path, 1, silent, serves) as [door]:
-            good = json.loads(door.path.read_text(encoding="utf-8"))
-            await door.start()
-            await door.until("ready")
+        async with gateway_processes(tmp_path, 1, silent, serve_echo) as [gateway]:
+            good = json.loads(gateway.path.read_text(encoding="utf-8"))
+            await gateway.start()
+            await gateway.wait_for_event("ready")
             for number, changed in enumerate(({**good, "discovery": "nowhere"}, {**good, "settings": 5})):
-                door.path.write_text(json.dumps(changed), encoding="utf-8")
-                door.signal(signal.SIGHUP)
-                while door.events().count("configuration rejected") <= number:
+                gateway.path.write_text(json.dumps(changed), encoding="utf-8")
+                gateway.send_signal(signal.SIGHUP)
+                while gateway.events().count("configuration rejected") <= number:
                     await asyncio.sleep(0.005)
-            errors = [line["error"] for line in door.lines if line["event"] == "configuration rejected"]
+            errors = [line["error"] for line in gateway.lines if line["event"] == "configuration rejected"]
             assert errors[0].startswith("discovery:") and errors[1].startswith("settings:")
-            door.path.write_text(json.dumps({**good, "limits": {"sockets": 300}}), encoding="utf-8")
-            door.signal(signal.SIGHUP)
-            assert (await door.until("configuration applied"))["after_a_restart"] == ["listener", "upstream"]
-            assert (await door.ask(request(1)))[0] == 200
-            door.signal(signal.SIGTERM)
-            assert await door.end() == 0
+            gateway.path.write_text(json.dumps({**good, "limits": {"sockets": 300}}), encoding="utf-8")
+            gateway.send_signal(signal.SIGHUP)
+            assert (await gateway.wait_for_event("configuration applied"))["after_a_restart"] == [
+                "listener",
+                "upstream",
+            ]
+            assert (await gateway.fetch(request(1)))[0] == 200
+            gateway.send_signal(signal.SIGTERM)
+            assert await gateway.wait_for_exit() == 0
 
-    play(test())
+    run_test(test())
 
 
 def test_idle_clients_that_fill_the_descriptors_keep_out_neither_dials_nor_clients(tmp_path: Path) -> None:
@@ -558,33 +563,35 @@
             await peer.answer("new")
 
         fresh = Back(notes)
-        targets = [target("s-0", 1, state="draining"), target("s-new", await fresh.start())]
-        async with doors(tmp_path, 1, silent, serves, discovery=f"127.0.0.1:{port}", limits={"sockets": sockets}) as [
-            door
-        ]:
-            await door.start()
-            resource.prlimit(door.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
-            await door.until("ready")
+        targets = [endpoint_entry("s-0", 1, state="draining"), endpoint_entry("s-new", await fresh.start())]
+        async with gateway_processes(
+            tmp_path, 1, silent, serve_echo, discovery=f"127.0.0.1:{port}", limits={"sockets": sockets}
+        ) as [gateway]:
+            await gateway.start()
+            resource.prlimit(gateway.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
+            await gateway.wait_for_event("ready")
             with contextlib.ExitStack() as stack:
                 idle = [stack.enter_context(socket.socket()) for _ in range(2 * sockets)]
                 for one in idle:
                     one.setblocking(False)
-                    one.connect_ex(("127.0.0.1", door.port))
-                assert (await door.ask(request(1, X_Plan="small")))[0] in (200, 503), "served, or told of a full house"
-                back = Back(lists(targets, []))
+                    one.connect_ex(("127.0.0.1", gateway.port))
+                assert (await gateway.fetch(request(1, X_Plan="small")))[0] in (200, 503), (
+                    "served, or told of a full house"
+                )
+                back = Back(recording_agent(targets, []))
                 back._server = await asyncio.start_server(back._serve, "127.0.0.1", port)
-                await door.until("discovery connection recovered")
+                await gateway.wait_for_event("discovery connection recovered")
                 while True:  # who came in the same burst is young, and keeps others out for a while
-                    status, _, body = await door.ask(
+                    status, _, body = await gateway.fetch(
                         request(len(heads) + 2, X_Plan="free", X_Trace_Id=os.urandom(8).hex())
                     )
                     if status == 200 and body == b"new":
                         break
                     assert status == 503
                     await asyncio.sleep(0.02)
-                assert len(os.listdir(f"/proc/{door.pid}/fd")) < sockets
-                assert "fault" not in door.events()
+                assert len(os.listdir(f"/proc/{gateway.pid}/fd")) < sockets
+                assert "fault" not in gateway.events()
                 back.stop()
         fresh.stop()
 
-    play(test())
+    run_test(test())
--- a/tests/test_node_protocol.py
+++ b/tests/test_node_protocol.py
@@ -17,7 +17,7 @@
 from martenstep.proxy.dependencies import RoutedRequest, RouteRejection, UpstreamRequest
 from martenstep.proxy.http1.message_head import parse_request_head
 from martenstep.proxy.targets import NormalizedTarget, TargetRejection
-from tests.node_rig import config, request
+from tests.node_rig import make_config, request
 
 
 class Clock:
@@ -33,7 +33,9 @@
 def routed(text: str, requests: NodeRequestReader | None = None) -> Any:
     """What a request's head is taken for."""
     head = parse_request_head(text.partition("\r\n\r\n")[0].encode() + b"\r\n\r\n")
-    return (requests or NodeRequestReader(config().settings, Clock())).route(head.method, head.target, head.headers)
+    return (requests or NodeRequestReader(make_config().settings, Clock())).route(
+        head.method, head.target, head.headers
+    )
 
 
 def test_a_request_tells_all_that_the_module_is_told() -> None:
@@ -95,7 +97,7 @@
 
 def test_an_id_is_taken_once() -> None:
     clock = Clock()
-    requests = NodeRequestReader(config().settings, clock)
+    requests = NodeRequestReader(make_config().settings, clock)
     assert isinstance(routed(request(1), requests), RoutedRequest)
     again = routed(request(1, customer="00000000000000ff"), requests)
     assert isinstance(again, RouteRejection) and again.status == 409
@@ -105,20 +107,20 @@
 
 
 def test_a_faulty_request_does_not_take_an_id() -> None:
-    requests = NodeRequestReader(config().settings, Clock())
+    requests = NodeRequestReader(make_config().settings, Clock())
     assert isinstance(routed(request(1, X_Quota="units=9,spread=3,first=0"), requests), RouteRejection)
     assert isinstance(routed(request(1), requests), RoutedRequest)
 
 
 def test_ids_are_bounded_in_number() -> None:
-    requests = NodeRequestReader(config().settings, Clock())
+    requests = NodeRequestReader(make_config().settings, Clock())
     for number in range(MAX_RECENT_IDS + 10):
         requests._recent_ids.add(b"%d" % number)
     assert len(requests._recent_ids._seen_at) <= MAX_RECENT_IDS
 
 
 def test_a_client_waits_no_longer_than_its_class_allows() -> None:
-    settings = config().settings
+    settings = make_config().settings
     requests, cls = NodeRequestReader(settings, Clock()), settings.classes[0]
     assert requests.deadline_ms(cls, [(b"x-expires-in-ms", b"480")]) == 480.0
     assert requests.deadline_ms(cls, [(b"x-expires-in-ms", b"900000")]) == cls.deadline_ms
@@ -126,7 +128,7 @@
 
 
 def test_the_door_tells_when_it_is_ready() -> None:
-    requests = NodeRequestReader(config().settings, Clock())
+    requests = NodeRequestReader(make_config().settings, Clock())
     before = requests.normalize(b"GET", b"/_health", [])
     assert isinstance(before, TargetRejection) and before.status == 503
     requests.ready = True
--- a/tests/test_node_sites.py
+++ b/tests/test_node_sites.py
@@ -1,4 +1,4 @@
-"""The program under other customers' settings: those of the sites in deploy/sites, as a front door was told them.
+"""The program under other customers' settings: those of the sites in deploy/sites, as a front gateway was told them.
 
 Nothing of a site's names, classes, deadlines or effects may be known to the program but by these.
 """
@@ -16,15 +16,15 @@
 from martenstep.config.generate import ROOT
 from tests.node_rig import request
 from tests.socket_rig import Peer
-from tests.test_node_gateway import agent
-from tests.test_node_processes import Process, doors, play
+from tests.test_node_gateway import serve_list
+from tests.test_node_processes import GatewayProcess, gateway_processes, run_test
 
 AGAIN_MOST = 10  # times that a customer is told to come again
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.settings.json"))
 
 
 def settings_of(path: Path) -> dict[str, Any]:
-    """What a front door of the site was told."""
+    """What a front gateway of the site was told."""
     told: dict[str, Any] = json.loads(path.read_text(encoding="utf-8"))
     return told
 
@@ -54,12 +54,14 @@
     assert {one["policy_limits"]["cancelling"] for one in told} == {True, False}
 
 
-async def asked_until_weighed(door: Process, number: int, cls: dict[str, Any], plan: str) -> tuple[int, bytes]:
-    """One customer's answer.  It comes again when it is told to: a door that has just started knows nothing of what
+async def asked_until_weighed(
+    gateway: GatewayProcess, number: int, cls: dict[str, Any], plan: str
+) -> tuple[int, bytes]:
+    """One customer's answer.  It comes again when it is told to: a gateway that has just started knows nothing of what
     others let through before, and takes ceilings as used up until they have refilled a little."""
     for again in range(AGAIN_MOST):
         text = worded(number, cls, plan, X_Trace_Id=f"{again * 1000 + number:016x}")
-        status, head, body = await door.ask(text.replace("00000000000000a1", f"{number:016x}"))
+        status, head, body = await gateway.fetch(text.replace("00000000000000a1", f"{number:016x}"))
         if status != 429:
             break
         wait = next(float(line.split(":")[1]) for line in head.split("\r\n") if line.startswith("retry-after"))
@@ -71,7 +73,7 @@
 def test_each_class_and_plan_of_a_site_is_served(tmp_path: Path, path: Path) -> None:
     settings = settings_of(path)
 
-    async def serves(peer: Peer) -> None:
+    async def serve(peer: Peer) -> None:
         while True:
             head = await peer.head()
             await peer.read(1 if head.startswith("post") else 0)
@@ -79,15 +81,17 @@
 
     async def test() -> None:
         targets: list[dict[str, Any]] = []
-        async with doors(tmp_path, 1, lambda peer: agent(peer, targets), serves, settings=settings) as [door]:
-            targets += json.loads(door.path.read_text(encoding="utf-8"))["known"]["targets"]
-            await door.start()
-            await door.until("ready")
+        async with gateway_processes(tmp_path, 1, lambda peer: serve_list(peer, targets), serve, settings=settings) as [
+            gateway
+        ]:
+            targets += json.loads(gateway.path.read_text(encoding="utf-8"))["known"]["targets"]
+            await gateway.start()
+            await gateway.wait_for_event("ready")
             served, number = set(), 0
             for cls in settings["classes"]:
                 for plan in settings["contracts"]:
                     number += 1
-                    status, body = await asked_until_weighed(door, number, cls, plan["name"])
+                    status, body = await asked_until_weighed(gateway, number, cls, plan["name"])
                     assert status in (200, 503), "served, or refused by its quota or its server's part"
                     if status == 200:
                         assert body == f"/{cls['name'].lower()}/{number:016x}".encode()
@@ -100,11 +104,11 @@
                     f"{name.replace('_', '-')}: {value}" if line.startswith(name.replace("_", "-")) else line
                     for line in text.split("\r\n")
                 ]
-                assert (await door.ask("\r\n".join(lines)))[0] == 400, "a name of another customer's"
-            door.signal(signal.SIGTERM)
-            assert await door.end() == 0 and "fault" not in door.events()
+                assert (await gateway.fetch("\r\n".join(lines)))[0] == 400, "a name of another customer's"
+            gateway.send_signal(signal.SIGTERM)
+            assert await gateway.wait_for_exit() == 0 and "fault" not in gateway.events()
 
-    play(test())
+    run_test(test())
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.name)
@@ -118,32 +122,32 @@
 
     async def test() -> None:
         known: dict[str, Any] = {"rev": 1, "all": True, "targets": []}
-        async with doors(
+        async with gateway_processes(
             tmp_path,
             1,
-            lambda peer: agent(peer, known["targets"]),
+            lambda peer: serve_list(peer, known["targets"]),
             cuts,
             cuts,
             settings=settings,
-        ) as [door]:
-            told = json.loads(door.path.read_text(encoding="utf-8"))
+        ) as [gateway]:
+            told = json.loads(gateway.path.read_text(encoding="utf-8"))
             # One server in each of two zones and two cells: a repeat within a group has nowhere else to go.
             known["targets"] = [
                 {**one, "az": zone, "pod_group": cell}
                 for cell, (zone, one) in enumerate(zip(settings["zones"], told["known"]["targets"], strict=False))
             ]
-            door.path.write_text(json.dumps({**told, "known": known}), encoding="utf-8")
-            await door.start()
-            await door.until("ready")
+            gateway.path.write_text(json.dumps({**told, "known": known}), encoding="utf-8")
+            await gateway.start()
+            await gateway.wait_for_event("ready")
             plan = max(settings["contracts"], key=lambda one: one["units_per_s"])["name"]
             for number, cls in enumerate(settings["classes"]):
                 heads.clear()
-                status, _ = await asked_until_weighed(door, number + 1, cls, plan)
+                status, _ = await asked_until_weighed(gateway, number + 1, cls, plan)
                 repeats = cls["idempotency"] != "at_most_once"
                 assert 1 <= len(heads) <= (settings["policy_limits"]["try_limit"] if repeats else 1)
                 harmless = cls["idempotency"] == "idempotent" or (repeats and cls["group"] == "all")
                 assert status == 503 if harmless else status in (502, 504), "a refusal says that a retry does no harm"
-            door.signal(signal.SIGTERM)
-            assert await door.end() == 0
+            gateway.send_signal(signal.SIGTERM)
+            assert await gateway.wait_for_exit() == 0
 
-    play(test())
+    run_test(test())
