--- a/tests/test_fault_calls.py
+++ b/tests/test_fault_calls.py
@@ -1,6 +1,7 @@
-"""Front doors as processes whose system calls fail for a moment, in the ways that their manual pages document.
+"""Gateway processes whose system calls fail temporarily, in the ways that their manual pages document.
 
-Waits have bounds only so that a fault ends the test, but for one: a request of little time must be answered in it."""
+Timeouts only end a test that fails, with one exception: a request with a short deadline must be answered within it.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +23,8 @@
 from tests.test_node_processes import GatewayProcess, gateway_processes, recording_agent, run_test
 
 SHORT_DEADLINE_MS = 400
-PAUSE_S = 0.95  # the event loop's own pause is of 1 s
-ANSWERED = {200, 503}  # served, or refused for want of room: ten at once are many for one backend
+PAUSE_S = 0.95  # after a failed accept the event loop pauses its listener for 1 s
+ANSWERED = {200, 503}  # served, or rejected for lack of capacity: ten at once are many for one backend
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EINTR, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
 START_ERRORS = (
     (Call.SOCKET, errno.ENFILE),
@@ -31,61 +32,61 @@
     (Call.CONNECT, errno.EADDRNOTAVAIL),
     (Call.CONNECT, errno.ENETUNREACH),
 )
-FAILED_CALLS = 25  # more than are made before the listener is
-FAILED_LEAST = 8  # connections are tried anew by chance
+FAILED_CALLS = 25  # more calls than a start makes before it listens
+MIN_FAILED_CALLS = 8  # the number varies, since connects are retried at random intervals
 
 
 @contextlib.asynccontextmanager
-async def failing_door(tmp_path: Path) -> AsyncIterator[tuple[GatewayProcess, FaultControl]]:
-    """A gateway in front of one backend, not started yet."""
+async def gateway_with_faults(tmp_path: Path) -> AsyncIterator[tuple[GatewayProcess, FaultControl]]:
+    """Prepare a gateway in front of one backend, not started yet, and control of its system calls."""
     control = FaultControl(tmp_path / "faults")
 
-    async def told(peer: Peer) -> None:
+    async def agent(peer: Peer) -> None:
         targets = json.loads((tmp_path / "n0.json").read_text(encoding="utf-8"))["known"]["targets"]
         await recording_agent(targets, [])(peer)
 
-    async with gateway_processes(tmp_path, 1, told, serve_echo) as [gateway]:
+    async with gateway_processes(tmp_path, 1, agent, serve_echo) as [gateway]:
         gateway.environment = control.environment
         yield gateway, control
     control.close()
 
 
 def short_request(number: int) -> str:
-    """A request that has to be answered soon."""
+    """Return a request with a short deadline."""
     return request(number, X_Expires_In_Ms=str(SHORT_DEADLINE_MS))
 
 
-def test_an_accept_that_fails_once_delays_no_request(tmp_path: Path) -> None:
-    """The event loop took its listener away for a second."""
+def test_a_failed_accept_delays_no_request(tmp_path: Path) -> None:
+    """After the failure the event loop stopped accepting for a second."""
 
     async def test() -> None:
-        async with failing_door(tmp_path) as (gateway, control):
+        async with gateway_with_faults(tmp_path) as (gateway, control):
             await gateway.start()
             await gateway.wait_for_event("ready")
-            for round_, error in enumerate(ACCEPT_ERRORS):
+            for round_number, error in enumerate(ACCEPT_ERRORS):
                 control.fail(Call.ACCEPT, error, times=1)
-                lost = await gateway.connect() if error in (errno.ECONNABORTED, errno.EPROTO) else None
+                aborted = await gateway.connect() if error in (errno.ECONNABORTED, errno.EPROTO) else None
                 peers = [await gateway.connect() for _ in range(10)]
                 for number, peer in enumerate(peers):
-                    await peer.write(short_request(100 * round_ + number))
+                    await peer.write(short_request(100 * round_number + number))
                 async with asyncio.timeout(PAUSE_S):
                     statuses = [(await peer.response())[0] for peer in peers]
                 assert set(statuses) <= ANSWERED, (error, statuses)
-                assert control.hits(Call.ACCEPT) == round_ + 1
+                assert control.hits(Call.ACCEPT) == round_number + 1
                 assert "fault" not in gateway.events(), (error, gateway.lines)
-                if lost is not None:
-                    assert await lost.rest() == b""
+                if aborted is not None:
+                    assert await aborted.rest() == b""
                 for peer in peers:
                     peer.close()
 
     run_test(test())
 
 
-def test_accepts_that_fail_while_the_door_ends_lose_nobody_in_its_queue(tmp_path: Path) -> None:
-    """The pause ended after the listener was closed, over whoever stood in its queue."""
+def test_a_failed_accept_during_shutdown_loses_no_connection_in_the_queue(tmp_path: Path) -> None:
+    """The pause outlasted the listener, whose close reset the connections in the accept queue."""
 
     async def test() -> None:
-        async with failing_door(tmp_path) as (gateway, control):
+        async with gateway_with_faults(tmp_path) as (gateway, control):
             await gateway.start()
             await gateway.wait_for_event("ready")
             control.fail(Call.ACCEPT, errno.ENFILE, times=1)
@@ -101,36 +102,36 @@
     run_test(test())
 
 
-def test_a_start_gets_over_calls_that_fail_for_a_moment(tmp_path: Path) -> None:
-    """A socket that could not be made ended the start with status 2."""
+def test_a_start_retries_calls_that_fail_temporarily(tmp_path: Path) -> None:
+    """A failed socket call ended the start with status 2."""
 
     async def test() -> None:
         for call, error in START_ERRORS:
-            async with failing_door(tmp_path) as (gateway, control):
+            async with gateway_with_faults(tmp_path) as (gateway, control):
                 control.fail(call, error, times=FAILED_CALLS)
                 await gateway.start()
                 await gateway.wait_for_event("ready")
-                assert control.hits(call) >= FAILED_LEAST
+                assert control.hits(call) >= MIN_FAILED_CALLS
                 control.clear(call)
                 assert (await gateway.fetch(request(1)))[0] == 200
 
     run_test(test())
 
 
-def test_a_configuration_that_cannot_be_read_for_a_moment_is_taken_up_later(tmp_path: Path) -> None:
-    """The move was lost: the gateway went on at an address that answers no more."""
+def test_a_configuration_that_is_half_written_is_read_again(tmp_path: Path) -> None:
+    """The new address was lost: the gateway went on with an address that no longer answers."""
 
     async def test() -> None:
-        async with failing_door(tmp_path) as (gateway, _):
+        async with gateway_with_faults(tmp_path) as (gateway, _):
             await gateway.start()
             await gateway.wait_for_event("ready")
             text = gateway.path.read_text(encoding="utf-8")
-            gateway.path.write_text(text[: len(text) // 2], encoding="utf-8")  # whoever writes it is not done
+            gateway.path.write_text(text[: len(text) // 2], encoding="utf-8")  # its writer has not finished
             gateway.send_signal(signal.SIGHUP)
             await gateway.wait_for_event("configuration rejected")
-            aside = tmp_path / "aside.json"
-            aside.write_text(text, encoding="utf-8")
-            os.replace(aside, gateway.path)
+            complete = tmp_path / "aside.json"
+            complete.write_text(text, encoding="utf-8")
+            os.replace(complete, gateway.path)
             await gateway.wait_for_event("configuration applied")
 
     run_test(test())
@@ -140,11 +141,11 @@
     "call, error",
     [(Call.RECV, SHORT_COUNT), (Call.SEND, SHORT_COUNT), (Call.RECV, errno.EINTR), (Call.SEND, errno.EINTR)],
 )
-def test_short_and_interrupted_transfers_change_nothing(tmp_path: Path, call: Call, error: int) -> None:
-    """*Held* before."""
+def test_short_and_interrupted_transfers_do_not_change_messages(tmp_path: Path, call: Call, error: int) -> None:
+    """This test passed from the start: it guards behaviour that was already correct."""
 
     async def test() -> None:
-        async with failing_door(tmp_path) as (gateway, control):
+        async with gateway_with_faults(tmp_path) as (gateway, control):
             await gateway.start()
             await gateway.wait_for_event("ready")
             control.fail(call, error, per_million=300_000)
--- a/tests/test_fault_clocks.py
+++ b/tests/test_fault_clocks.py
@@ -1,6 +1,8 @@
-"""Front doors as processes whose wall clock is stepped while the monotonic one runs on.
+"""Gateway processes whose wall clock is stepped while their monotonic clock is not.
 
-The wall clock is that of the process alone (lab/soak/faults.py); what is asserted is what was sent where."""
+The step applies to the wall clock of the one process (lab/soak/faults.py); the assertions are about which backend
+received how many requests.
+"""
 
 from __future__ import annotations
 
@@ -22,10 +24,10 @@
 
 HOUR_S = 3600.0
 REQUESTS = 100
-COLD_MOST = 20  # of these to a cold backend beside a warm one: 1 a second are let through, and one at first
-WARM_LEAST = 20  # to a warm one beside a slow one
-PERIOD_TURNS = 3  # tries: a period may turn between two doors' calls, not each time
-SLOW_S = 0.05  # answers of the slow one
+MAX_COLD_REQUESTS = 20  # of REQUESTS, to a cold backend beside a warm one: one at first, then 1 a second
+MIN_WARM_REQUESTS = 20  # of REQUESTS, to a warm backend beside a slow one
+MAX_TRIES = 3  # a counter period may end between the calls of two gateways, but not each time
+SLOW_RESPONSE_S = 0.05  # response time of the slow backend
 
 
 class Agent:
@@ -36,22 +38,22 @@
         self.targets: list[dict[str, Any]] = []
 
     async def script(self, peer: Peer) -> None:
-        """Answer calls on one connection."""
-        told = -1
+        """Answer the polls of one connection."""
+        sent_revision = -1
         while True:
             head = await peer.head()
-            while "after=" in head and told == self.revision:
-                await _moment()
-            told = self.revision
-            await peer.answer(json.dumps({"rev": told, "all": True, "targets": self.targets}))
+            while "after=" in head and sent_revision == self.revision:
+                await _poll_interval()
+            sent_revision = self.revision
+            await peer.answer(json.dumps({"rev": sent_revision, "all": True, "targets": self.targets}))
 
 
-async def _moment() -> None:
+async def _poll_interval() -> None:
     await asyncio.sleep(0.005)
 
 
-def counted(counts: dict[str, int], name: str, delay_s: float = 0.0) -> Script:
-    """A backend that counts its requests."""
+def counting_backend(counts: dict[str, int], name: str, delay_s: float = 0.0) -> Script:
+    """Return the script of a backend that counts its requests."""
 
     async def script(peer: Peer) -> None:
         while True:
@@ -64,7 +66,7 @@
 
 
 def cold_settings(warm_within_ms: float) -> dict[str, Any]:
-    """Settings under which a backend that has started is cold for so long."""
+    """Return settings under which a backend is in slow start for `warm_within_ms` after its start."""
     rules = {
         **SETTINGS["rules"],
         "cold_from": 0.05,
@@ -77,17 +79,17 @@
 
 
 @contextlib.asynccontextmanager
-async def stepped_door(
+async def gateway_with_stepped_clock(
     tmp_path: Path, agent: Agent, counts: dict[str, int], warm_within_ms: float, delay_s: float = 0.0
 ) -> AsyncIterator[tuple[GatewayProcess, FaultControl]]:
-    """A gateway in front of the backends s-0 and s-1, s-0 known from the start."""
+    """Run a gateway in front of the backends s-0 and s-1, of which the agent lists only s-0 at first."""
     control = FaultControl(tmp_path / "faults")
     async with gateway_processes(
         tmp_path,
         1,
         agent.script,
-        counted(counts, "warm", delay_s),
-        counted(counts, "cold"),
+        counting_backend(counts, "warm", delay_s),
+        counting_backend(counts, "cold"),
         settings=cold_settings(warm_within_ms),
     ) as [gateway]:
         known = json.loads(gateway.path.read_text(encoding="utf-8"))["known"]["targets"]
@@ -100,98 +102,98 @@
 
 
 def cold_target(port: int, wall_s: float) -> dict[str, Any]:
-    """The second backend, which started just now by a wall clock."""
+    """Return the entry of the second backend, which starts now by the given wall clock."""
     return endpoint_entry("s-1", port, boot_ms=wall_s * 1000)
 
 
-async def ask_many(gateway: GatewayProcess, count: int = REQUESTS) -> None:
-    """So many requests, one after another, on one connection."""
+async def send_requests(gateway: GatewayProcess, count: int = REQUESTS) -> None:
+    """Send `count` requests one after another on one connection."""
     peer = await gateway.connect()
     for number in range(count):
         await peer.write(request(number + time.monotonic_ns() % 10**12 * 1000))
-        assert (await peer.response())[0] in (200, 503)  # refused where the slow one is full
+        assert (await peer.response())[0] in (200, 503)  # rejected if the slow backend is at its limit
     peer.close()
 
 
-def port_of(gateway: GatewayProcess, place: int) -> int:
-    """The port of a backend."""
+def backend_port(gateway: GatewayProcess, index: int) -> int:
+    """Return the port of a backend."""
     known = json.loads(gateway.path.read_text(encoding="utf-8"))["known"]["targets"]
-    return int(known[place]["endpoint"].rpartition(":")[2])
+    return int(known[index]["endpoint"].rpartition(":")[2])
 
 
 @pytest.mark.parametrize("step_s", [0.0, HOUR_S, -HOUR_S, 30.0, -30.0])
-def test_a_backend_that_started_is_cold_whatever_the_wall_clock_did(tmp_path: Path, step_s: float) -> None:
-    """A step back of an hour made it look warm from its first moment: 73 calls where 36 are allowed."""
+def test_a_started_backend_is_cold_after_any_step_of_the_wall_clock(tmp_path: Path, step_s: float) -> None:
+    """After a step back of an hour it counted as warm from the start: 73 requests where 36 are allowed."""
 
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
-        async with stepped_door(tmp_path, agent, counts, 60_000.0) as (gateway, control):
+        async with gateway_with_stepped_clock(tmp_path, agent, counts, 60_000.0) as (gateway, control):
             control.shift_wall_clock(step_s)
-            agent.targets = [*agent.targets, cold_target(port_of(gateway, 1), time.time() + step_s)]
+            agent.targets = [*agent.targets, cold_target(backend_port(gateway, 1), time.time() + step_s)]
             agent.revision += 1
-            await _moment()
-            await ask_many(gateway, 20)  # by now the list has come
+            await _poll_interval()
+            await send_requests(gateway, 20)  # the list has arrived by the end of these
             before = counts.get("cold", 0)
-            await ask_many(gateway)
-            assert counts.get("cold", 0) - before <= COLD_MOST, counts
+            await send_requests(gateway)
+            assert counts.get("cold", 0) - before <= MAX_COLD_REQUESTS, counts
 
     run_test(test())
 
 
 @pytest.mark.parametrize("step_s", [0.0, HOUR_S, -HOUR_S])
-def test_a_backend_is_warm_in_time_whatever_the_wall_clock_did(tmp_path: Path, step_s: float) -> None:
-    """A step forward of an hour kept it cold for an hour."""
+def test_a_backend_ends_its_slow_start_in_time_after_any_step_of_the_wall_clock(tmp_path: Path, step_s: float) -> None:
+    """After a step forward of an hour its slow start took an hour."""
 
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
-        async with stepped_door(tmp_path, agent, counts, 300.0, SLOW_S) as (gateway, control):
+        async with gateway_with_stepped_clock(tmp_path, agent, counts, 300.0, SLOW_RESPONSE_S) as (gateway, control):
             control.shift_wall_clock(step_s)
-            agent.targets = [*agent.targets, cold_target(port_of(gateway, 1), time.time() + step_s)]
+            agent.targets = [*agent.targets, cold_target(backend_port(gateway, 1), time.time() + step_s)]
             agent.revision += 1
             until = time.monotonic() + 1.0
             while time.monotonic() < until:
-                await ask_many(gateway, 5)
+                await send_requests(gateway, 5)
             counts.clear()
-            await asyncio.gather(*(ask_many(gateway, 10) for _ in range(REQUESTS // 10)))
-            assert counts.get("cold", 0) >= WARM_LEAST, counts
+            await asyncio.gather(*(send_requests(gateway, 10) for _ in range(REQUESTS // 10)))
+            assert counts.get("cold", 0) >= MIN_WARM_REQUESTS, counts
 
     run_test(test())
 
 
-def test_a_backend_that_starts_anew_after_a_step_back_is_cold_again(tmp_path: Path) -> None:
-    """Its start lies before the one that is known, by the stepped clock."""
+def test_a_backend_that_restarts_after_a_step_back_is_cold_again(tmp_path: Path) -> None:
+    """By the stepped clock its new start lies before the previous one."""
 
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
-        async with stepped_door(tmp_path, agent, counts, 60_000.0) as (gateway, control):
-            port = port_of(gateway, 1)
+        async with gateway_with_stepped_clock(tmp_path, agent, counts, 60_000.0) as (gateway, control):
+            port = backend_port(gateway, 1)
             agent.targets = [*agent.targets, endpoint_entry("s-1", port, boot_ms=(time.time() - 600) * 1000)]
             agent.revision += 1
-            await ask_many(gateway)
+            await send_requests(gateway)
             control.shift_wall_clock(-HOUR_S)
             agent.targets = [*agent.targets[:1], cold_target(port, time.time() - HOUR_S)]
             agent.revision += 1
-            await ask_many(gateway, 20)
+            await send_requests(gateway, 20)
             counts.clear()
-            await ask_many(gateway)
-            assert counts.get("cold", 0) <= COLD_MOST, counts
+            await send_requests(gateway)
+            assert counts.get("cold", 0) <= MAX_COLD_REQUESTS, counts
 
     run_test(test())
 
 
-def test_doors_share_a_quota_that_started_before_and_after_a_step(tmp_path: Path) -> None:
-    """Each numbered the periods of a quota by the clock that it had found: they met under no name."""
+def test_gateways_started_before_and_after_a_step_share_a_quota(tmp_path: Path) -> None:
+    """Each numbered the counter periods of a quota by the wall clock at its start, so they never used the same key."""
 
     async def test() -> None:
-        names: list[bytes] = []
+        keys: list[bytes] = []
 
-        async def shows_names(peer: Peer) -> None:
+        async def records_keys(peer: Peer) -> None:
             while True:
                 words = [(await peer.reader.readline()).strip() for _ in range(9)]
-                names.append(words[4])
+                keys.append(words[4])
                 await peer.write(b"$1\r\n1\r\n")
 
-        agent, counter = Agent(), Back(shows_names)
+        agent, counter = Agent(), Back(records_keys)
         plans = [{"name": "free", "units_per_s": 0.2, "most_at_once": 4.0, "beyond_costs": 0.5}]
         control = FaultControl(tmp_path / "faults")
         async with gateway_processes(
@@ -208,8 +210,8 @@
                 await gateway.start()
                 await gateway.wait_for_event("ready")
                 control.shift_wall_clock(HOUR_S)
-            for customer in range(PERIOD_TURNS):  # whom neither knows: both ask the counter
-                first, second = [await names_of(gateway, names, customer) for gateway in both]
+            for customer in range(MAX_TRIES):  # new to both gateways, so both call the counter
+                first, second = [await counter_keys(gateway, keys, customer) for gateway in both]
                 assert first and second
                 if first & second:
                     break
@@ -220,8 +222,8 @@
     run_test(test())
 
 
-async def names_of(gateway: GatewayProcess, names: list[bytes], customer: int) -> set[bytes]:
-    """The names that a gateway calls the counter by for a customer."""
-    names.clear()
+async def counter_keys(gateway: GatewayProcess, keys: list[bytes], customer: int) -> set[bytes]:
+    """Return the keys with which a gateway calls the counter for a request of a customer."""
+    keys.clear()
     await gateway.fetch(request(time.monotonic_ns() % 10**12, customer=f"{customer:016x}"))
-    return set(names)
+    return set(keys)
--- a/tests/test_fault_pauses.py
+++ b/tests/test_fault_pauses.py
@@ -1,6 +1,8 @@
-"""Requests that wait in a front gateway, or before one that does not run: their time runs on meanwhile.
+"""Requests that wait in a gateway, or for a gateway that is stopped, lose that time from their deadlines.
 
-The process is stopped by SIGSTOP; what is asserted is what its backends were told and sent once it runs again."""
+The process is stopped by SIGSTOP; the assertions are about the requests and remaining times that its backends receive
+once it runs again.
+"""
 
 from __future__ import annotations
 
@@ -22,20 +24,20 @@
 from tests.test_fault_clocks import Agent
 from tests.test_node_processes import GatewayProcess, gateway_processes, run_test
 
-HELD_UP_S = 0.15  # a gateway may be held up so long between its clock and its write, ...
-BUSY_S = 0.3  # ... and this process on a busy machine between the arrival of a head and its own clock
+GATEWAY_DELAY_S = 0.15  # a gateway may be delayed this long between reading its clock and its write
+TEST_DELAY_S = 0.3  # the test may be delayed this long between the arrival of a head and reading its clock
 DEADLINE_MS = 2000
-STOP_S = 0.8
+PAUSE_S = 0.8
 DRAIN_GRACE_S = 0.5
 
 
-def told_ms(head: str) -> int:
-    """What a backend was told of the time that is left."""
+def remaining_ms(head: str) -> int:
+    """Return the remaining time that a request head states."""
     return next(int(line.split(":")[1]) for line in head.split("\r\n") if line.startswith("x-expires-in-ms"))
 
 
-def shows(seen: list[tuple[float, str]], delay_s: float = 0.0) -> Any:
-    """A backend that keeps when each head came."""
+def records_heads(seen: list[tuple[float, str]], delay_s: float = 0.0) -> Any:
+    """Return the script of a backend that records each head and its time."""
 
     async def script(peer: Peer) -> None:
         while True:
@@ -48,14 +50,14 @@
 
 
 def known_targets(path: Path) -> list[dict[str, Any]]:
-    """The endpoints of a gateway's configuration."""
+    """Return the endpoint entries of a gateway's configuration."""
     targets: list[dict[str, Any]] = json.loads(path.read_text(encoding="utf-8"))["known"]["targets"]
     return targets
 
 
 @dataclass
 class Running:
-    """A gateway that serve, its agent, and the heads that its backend has received."""
+    """A running gateway, its agent, and the heads that its backend has received."""
 
     gateway: GatewayProcess
     agent: Agent
@@ -66,18 +68,21 @@
 async def running_gateway(
     tmp_path: Path, delay_s: float = 0.0, settings: dict[str, Any] = SETTINGS
 ) -> AsyncIterator[Running]:
-    """A gateway that is ready, in front of one backend that answers after a while."""
+    """Run a gateway in front of one backend that answers after `delay_s`."""
     seen: list[tuple[float, str]] = []
     agent = Agent()
-    async with gateway_processes(tmp_path, 1, agent.script, shows(seen, delay_s), settings=settings) as [gateway]:
+    async with gateway_processes(tmp_path, 1, agent.script, records_heads(seen, delay_s), settings=settings) as [
+        gateway
+    ]:
         agent.targets = known_targets(gateway.path)
         await gateway.start()
         await gateway.wait_for_event("ready")
         yield Running(gateway, agent, seen)
 
 
-def test_a_request_behind_another_has_the_time_left_that_its_client_has(tmp_path: Path) -> None:
-    """Four at once on one connection: the fourth was sent on with all of its time after three others' answers."""
+def test_a_pipelined_request_loses_the_time_that_it_waits_for_the_ones_before(tmp_path: Path) -> None:
+    """Of four requests sent at once on one connection, the fourth was forwarded, after three responses, with all of its
+    time."""
 
     async def test() -> None:
         async with running_gateway(tmp_path, 0.3) as running:
@@ -89,103 +94,104 @@
                 await peer.response()
             assert len(seen) == 4
             for at, head in seen:
-                assert told_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + HELD_UP_S + BUSY_S
+                assert remaining_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + GATEWAY_DELAY_S + TEST_DELAY_S
 
     run_test(test())
 
 
 def test_requests_that_came_while_the_door_stood_still_have_less_time_left(tmp_path: Path) -> None:
-    """On a connection that it had, and on new ones that stood in its queue."""
+    """The gateway is stopped as requests arrive, on an open connection and on new ones in the accept queue."""
 
     async def test() -> None:
         async with running_gateway(tmp_path) as running:
             gateway, seen = running.gateway, running.seen
-            standing = await gateway.connect()
-            await standing.write(request(1))
-            await standing.response()
+            open_peer = await gateway.connect()
+            await open_peer.write(request(1))
+            await open_peer.response()
             seen.clear()
             gateway.send_signal(signal.SIGSTOP)
-            fresh = [await gateway.connect() for _ in range(6)]
+            new_peers = [await gateway.connect() for _ in range(6)]
             sent = time.monotonic()
-            for number, peer in enumerate((standing, *fresh), 2):
+            for number, peer in enumerate((open_peer, *new_peers), 2):
                 await peer.write(request(number, X_Expires_In_Ms=str(DEADLINE_MS)))
-            await asyncio.sleep(STOP_S)
+            await asyncio.sleep(PAUSE_S)
             gateway.send_signal(signal.SIGCONT)
-            for peer in (standing, *fresh):
+            for peer in (open_peer, *new_peers):
                 await peer.response()
             assert seen
             for at, head in seen:
-                assert told_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + HELD_UP_S + BUSY_S
+                assert remaining_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + GATEWAY_DELAY_S + TEST_DELAY_S
 
     run_test(test())
 
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
-def test_a_door_that_stood_still_hears_of_drains_before_it_sends(tmp_path: Path, mode: str) -> None:
-    """Discovery had told it while it stood: it sent on by the list of before."""
+def test_a_gateway_that_was_stopped_receives_drains_before_it_sends(tmp_path: Path, mode: str) -> None:
+    """Discovery sent the drain while the gateway was stopped; afterwards the gateway still sent by the old list."""
 
     async def test() -> None:
         rules = {**SETTINGS["rules"], "drain_grace_ms": DRAIN_GRACE_S * 1000}
         settings = {**SETTINGS, "rules": rules, "discovery": mode}
         async with running_gateway(tmp_path, settings=settings) as running:
             gateway, agent, seen = running.gateway, running.agent, running.seen
-            standing = await gateway.connect()
-            await standing.write(request(1))
-            await standing.response()
+            open_peer = await gateway.connect()
+            await open_peer.write(request(1))
+            await open_peer.response()
             seen.clear()
             gateway.send_signal(signal.SIGSTOP)
             for number in range(2, 6):
-                await standing.write(request(number))
+                await open_peer.write(request(number))
             agent.targets = [{**one, "state": "draining"} for one in agent.targets]
             agent.revision += 1
-            await asyncio.sleep(STOP_S + DRAIN_GRACE_S)
+            await asyncio.sleep(PAUSE_S + DRAIN_GRACE_S)
             gateway.send_signal(signal.SIGCONT)
             for _ in range(2, 6):
-                await standing.response()
+                await open_peer.response()
             assert seen == []
 
     run_test(test())
 
 
-def test_a_request_that_becomes_whole_as_the_door_ends_is_not_sent_on(tmp_path: Path) -> None:
-    """Its last byte comes after all was answered: it was forwarded, and its connection closed."""
+def test_a_request_completed_at_the_end_of_a_shutdown_is_not_forwarded(tmp_path: Path) -> None:
+    """Its last byte arrives once all other requests are answered.  It was forwarded, and its connection then closed."""
 
     async def test() -> None:
         async with running_gateway(tmp_path, 5.0) as running:
             gateway, seen = running.gateway, running.seen
-            out, half = await gateway.connect(), await gateway.connect()
-            await out.write(request(1, X_Expires_In_Ms="3000"))
+            complete, partial = await gateway.connect(), await gateway.connect()
+            await complete.write(request(1, X_Expires_In_Ms="3000"))
             gateway.send_signal(signal.SIGTERM)
             text = request(2, X_Expires_In_Ms="3000")
-            await half.write(text[:20])
-            for place in range(20, len(text) - 2):  # slowly, up to the gateway's end
+            await partial.write(text[:20])
+            for place in range(20, len(text) - 2):  # slowly, until the gateway has almost ended
                 await asyncio.sleep(0.012)
-                await half.write(text[place])
-            status, _, _ = await out.response()  # the gateway has answered all that it held
+                await partial.write(text[place])
+            status, _, _ = await complete.response()  # every complete request is answered
             assert status in (502, 503, 504)
             seen.clear()
-            await half.write(text[-2:])
-            await half.rest()
+            await partial.write(text[-2:])
+            await partial.rest()
             assert await gateway.wait_for_exit() == 0
             assert seen == []
 
     run_test(test())
 
 
-def test_a_connection_after_a_turn_that_emptied_the_queue_has_all_its_time(tmp_path: Path) -> None:
-    """The queue counted as not emptied since then, and the request as that old."""
+def test_a_connection_accepted_after_a_full_batch_keeps_all_of_its_time(tmp_path: Path) -> None:
+    """A batch of MAX_ACCEPTS emptied the queue exactly, but the queue counted as not emptied since then, and the next
+    request as having waited from that time."""
 
     async def test() -> None:
         async with running_gateway(tmp_path) as running:
             gateway, seen = running.gateway, running.seen
             gateway.send_signal(signal.SIGSTOP)
-            crowd = [await gateway.connect() for _ in range(MAX_ACCEPTS)]
+            batch = [await gateway.connect() for _ in range(MAX_ACCEPTS)]
             gateway.send_signal(signal.SIGCONT)
-            await asyncio.sleep(STOP_S)
+            await asyncio.sleep(PAUSE_S)
             peer = await gateway.connect()
-            await peer.write(request(1, X_Expires_In_Ms=str(int(STOP_S * 500))))
+            await peer.write(request(1, X_Expires_In_Ms=str(int(PAUSE_S * 500))))
             assert (await peer.response())[0] == 200 and len(seen) == 1
-            for one in crowd:
+            for one in batch:
                 one.close()
 
     run_test(test())
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -24,26 +24,26 @@
 
 
 def test_settings_and_limits_are_read_from_the_file() -> None:
-    made = make_config()
-    assert (made.name, made.seed, made.discovery, made.counter) == (
+    config = make_config()
+    assert (config.name, config.seed, config.discovery, config.counter) == (
         "n1",
         0x1F,
         ("127.0.0.1", 8500),
         ("127.0.0.1", 6400),
     )
-    assert (made.listener.host, made.listener.port) == ("127.0.0.1", 8081)
-    assert made.settings.instances == 3 and made.settings.max_units == 3
-    assert made.upstream.connect_ms == 200.0 and made.max_in_flight == 500
-    assert made.upstream.idle_ms < 20_000.0, "a backend closes a connection that is idle for 20 s"
+    assert (config.listener.host, config.listener.port) == ("127.0.0.1", 8081)
+    assert config.settings.instances == 3 and config.settings.max_units == 3
+    assert config.upstream.connect_ms == 200.0 and config.max_in_flight == 500
+    assert config.upstream.idle_ms < 20_000.0, "a backend closes a connection that is idle for 20 s"
 
 
 def test_all_connections_together_fit_into_the_descriptors() -> None:
     for sockets in (256, 400, 1024):
-        made = make_config(limits={"sockets": sockets})
-        clients, backends = made.listener.max_connections, made.upstream.all_connections
+        config = make_config(limits={"sockets": sockets})
+        clients, backends = config.listener.max_connections, config.upstream.all_connections
         assert clients + backends <= sockets - 24, "the counter, discovery and the process itself need descriptors"
         assert clients > sockets / 3, "a third carry requests, and clients without requests connect beside them"
-        assert 0 < made.upstream.connections <= backends
+        assert 0 < config.upstream.connections <= backends
 
 
 @pytest.mark.parametrize(
@@ -133,7 +133,7 @@
     "wrong", [None, True, -1, 0, 1e999, float("nan"), "", "x", [], [[]], {}, {"a": 1}, 10**400], ids=repr
 )
 def test_any_value_at_any_path_is_accepted_by_the_gateway_or_rejected_with_a_config_error(wrong: Any) -> None:
-    """Neither reading a configuration nor an engine made from an accepted one raises any other exception."""
+    """Neither reading a configuration nor an engine config from an accepted one raises any other exception."""
     whole = raw_config(known={"rev": 3, "all": True, "targets": [endpoint_entry("s-a")]})
     for path in _paths(whole):
         changed = copy.deepcopy(whole)
@@ -145,19 +145,19 @@
         else:
             changed = wrong
         try:
-            made = read_config(json.dumps(changed))
+            config = read_config(json.dumps(changed))
         except ConfigError as error:
             assert str(error), "the text names the fault"
             continue
-        reader = NodeRequestReader(made.settings, lambda: 0.0)
-        engine = Engine(make_dependencies(made, reader), made.seed)
+        reader = NodeRequestReader(config.settings, lambda: 0.0)
+        engine = Engine(make_dependencies(config, reader), config.seed)
         engine.handle(
             0.0,
             EndpointListEvent(
                 EndpointListScope.CACHED, (Endpoint(1, "north", "m", 0, EndpointState.UP),), {1: ("127.0.0.1", 1)}
             ),
         )
-        for number, plan in enumerate(made.settings.plans):
+        for number, plan in enumerate(config.settings.plans):
             head = request(number, X_Plan=plan.name).split("\r\n")[1:-2]
             headers = [(name.lower().encode(), value.encode()) for name, value in (one.split(": ") for one in head)]
             engine.handle(1.0, RequestReceived(number, b"GET", b"/read/00000000000000a1", headers, ""))
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -918,14 +918,14 @@
             await peer.rest()
 
         back = Back(agent)
-        made = DiscoveryClient(
+        client = DiscoveryClient(
             ("127.0.0.1", 1), EndpointListFollower(), lambda listed: None, lambda event, fields: None
         )
-        made.change_address(("127.0.0.1", await back.start()))
-        made.start()
+        client.change_address(("127.0.0.1", await back.start()))
+        client.start()
         await wait_until(lambda: len(polled) == 2)
         assert back.connections == 1 and "after=1&" in polled[1]
-        made.stop()
+        client.stop()
         back.stop()
 
     run(test())
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -1,6 +1,7 @@
-"""Front doors of the platform as processes of their own: signals that cross their start, their work and their end.
+"""Gateways of the platform as separate processes: signals and failures during start, operation and shutdown.
 
-Waits have bounds only so that a fault ends the test; what is asserted is what came, in which order, never how soon."""
+Timeouts only end a test that fails; the assertions are about which events happened and their order, not about timing.
+"""
 
 from __future__ import annotations
 
@@ -31,23 +32,23 @@
 from tests.socket_rig import Back, Peer, Script, run
 from tests.test_node_gateway import serve_counter, serve_echo, serve_list
 
-BOUND_S = 60.0
+TEST_TIMEOUT_S = 60.0
 LONG_MS = 60_000.0  # longer than any test runs
-LONG = DiscoveryTiming(LONG_MS, LONG_MS, LONG_MS, LONG_MS, 1.0, 1.0)
+LONG_TIMING = DiscoveryTiming(LONG_MS, LONG_MS, LONG_MS, LONG_MS, 1.0, 1.0)
 
 
 class GatewayProcess:
-    """One front gateway, and the lines of its log."""
+    """One gateway process, and the lines of its log."""
 
     def __init__(self, path: Path, port: int) -> None:
         self.path, self.port = path, port
-        self.environment: dict[str, str] = {}  # beside that of the tests
+        self.environment: dict[str, str] = {}  # in addition to that of the tests
         self.lines: list[dict[str, Any]] = []
         self._process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start it, by what `run` starts."""
+        """Start it with the command of the deploy file."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -64,40 +65,40 @@
 
     @property
     def pid(self) -> int:
-        """Its number."""
+        """The process id."""
         assert self._process is not None
         return self._process.pid
 
     def send_signal(self, number: int) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         os.kill(self.pid, number)
 
     def events(self) -> list[str]:
-        """What its log tells of, in order."""
+        """Return the logged events, in order."""
         return [line["event"] for line in self.lines]
 
     async def wait_for_event(self, event: str) -> dict[str, Any]:
-        """Wait for a line."""
+        """Wait for a logged event and return its first line."""
         while event not in self.events():
             await asyncio.sleep(0.005)
         return next(line for line in self.lines if line["event"] == event)
 
     async def wait_for_exit(self) -> int:
-        """Wait for its end; gives its status."""
+        """Wait for the process to exit and return its status."""
         assert self._process is not None and self._reading is not None
         status = await self._process.wait()
         await self._reading
         return status
 
     async def kill(self) -> None:
-        """Whatever is left of it."""
+        """Kill the process if it still runs."""
         if self._process is not None and self._process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self._process.kill()
             await self.wait_for_exit()
 
     async def connect(self) -> Peer:
-        """A new connection, once it listens."""
+        """Open a client connection as soon as the gateway listens."""
         while True:
             try:
                 return Peer(*await asyncio.open_connection("127.0.0.1", self.port))
@@ -105,7 +106,7 @@
                 await asyncio.sleep(0.005)
 
     async def fetch(self, text: str) -> tuple[int, str, bytes]:
-        """One request on a connection of its own."""
+        """Send one request on a connection of its own; return status, head and body of its response."""
         peer = await self.connect()
         await peer.write(text)
         answer = await peer.response()
@@ -113,19 +114,19 @@
         return answer
 
 
-def settings(deadline_ms: float = 500.0) -> dict[str, Any]:
-    """Settings whose grace is short: a stop takes what the longest deadline and 0.7 s leave it."""
+def settings_with_deadline(deadline_ms: float = 500.0) -> dict[str, Any]:
+    """Return settings with a short shutdown: SIGKILL follows SIGTERM after the longest deadline plus 0.7 s."""
     return {**SETTINGS, "classes": [{**one, "deadline_ms": deadline_ms} for one in SETTINGS["classes"]]}
 
 
 @contextlib.asynccontextmanager
 async def gateway_processes(
-    tmp_path: Path, count: int, told: Script, *scripts: Script, **more: Any
+    tmp_path: Path, count: int, agent: Script, *scripts: Script, **more: Any
 ) -> AsyncIterator[list[GatewayProcess]]:
-    """So many doors, not started yet, that follow one agent; `told` is its script, `scripts` the backends'."""
-    backs = [Back(script) for script in (told, serve_counter, *scripts)]
+    """Prepare `count` gateways, not started yet, with one agent script and one script for each backend."""
+    backs = [Back(script) for script in (agent, serve_counter, *scripts)]
     ports = [await back.start() for back in backs]
-    made = []
+    gateways = []
     for number in range(count):
         path, port = tmp_path / f"n{number}.json", held_ports(1)[0]
         path.write_text(
@@ -136,7 +137,7 @@
                         "listen": f"127.0.0.1:{port}",
                         "discovery": f"127.0.0.1:{ports[0]}",
                         "counter": f"127.0.0.1:{ports[1]}",
-                        "settings": settings(),
+                        "settings": settings_with_deadline(),
                         "known": {
                             "rev": 1,
                             "all": True,
@@ -148,98 +149,99 @@
             ),
             encoding="utf-8",
         )
-        made.append(GatewayProcess(path, port))
+        gateways.append(GatewayProcess(path, port))
     try:
-        yield made
+        yield gateways
     finally:
-        for one in made:
+        for one in gateways:
             await one.kill()
         for back in backs:
             back.stop()
 
 
 def run_test(test: Awaitable[None]) -> None:
-    """Run one test."""
+    """Run a test with the timeout of this file."""
 
     async def whole() -> None:
         await test
 
-    run(whole(), BOUND_S)
+    run(whole(), TEST_TIMEOUT_S)
 
 
-async def silent(peer: Peer) -> None:
-    """An agent while discovery is down."""
+async def silent_agent(peer: Peer) -> None:
+    """Never answer, as an agent does while discovery is down."""
     await peer.rest()
 
 
 async def write_to(fifo: Path, text: str, before: Callable[[], None] = lambda: None) -> None:
-    """Give a reader of the fifo what it waits for; `before` is done while it waits."""
+    """Write to a FIFO once it has a reader; call `before` while the reader waits."""
     while True:
         try:
             number = os.open(fifo, os.O_WRONLY | os.O_NONBLOCK)
             break
-        except OSError:  # nobody reads yet
+        except OSError:  # no reader yet
             await asyncio.sleep(0.005)
     with os.fdopen(number, "w") as file:
         before()
         file.write(text)
 
 
-def recording_agent(targets: list[dict[str, Any]], asked: list[str]) -> Callable[[Peer], Awaitable[None]]:
-    """An agent that keeps what it is asked and tells one list."""
+def recording_agent(targets: list[dict[str, Any]], heads: list[str]) -> Callable[[Peer], Awaitable[None]]:
+    """Return an agent script that records the first poll of each connection and answers it with one list."""
 
     async def script(peer: Peer) -> None:
-        asked.append(await peer.head())
+        heads.append(await peer.head())
         await peer.answer(json.dumps({"rev": 1, "all": True, "targets": targets}))
         await peer.rest()
 
     return script
 
 
-def test_a_move_is_kept_that_comes_while_the_configuration_is_read(tmp_path: Path) -> None:
-    """The process stands in the midst of reading; the signal was ignored then, and the move lost."""
+def test_sighup_during_the_read_of_the_configuration_is_not_lost(tmp_path: Path) -> None:
+    """The process is blocked in the read of the file.  The signal used to be ignored at that point, and the new address
+    was lost."""
 
     async def test() -> None:
-        asked: list[str] = []
-        moved = Back(recording_agent([], asked))
-        async with gateway_processes(tmp_path, 1, silent) as [gateway]:
+        heads: list[str] = []
+        new_agent = Back(recording_agent([], heads))
+        async with gateway_processes(tmp_path, 1, silent_agent) as [gateway]:
             text, changed = gateway.path.read_text(encoding="utf-8"), tmp_path / "changed.json"
-            other = {**json.loads(text), "discovery": f"127.0.0.1:{await moved.start()}"}
+            other = {**json.loads(text), "discovery": f"127.0.0.1:{await new_agent.start()}"}
             changed.write_text(json.dumps(other), encoding="utf-8")
             gateway.path.unlink()
             os.mkfifo(gateway.path)
 
-            def crosses() -> None:
+            def change_file_and_signal() -> None:
                 os.replace(changed, gateway.path)
                 gateway.send_signal(signal.SIGHUP)
 
             await gateway.start()
-            await write_to(gateway.path, text, crosses)
+            await write_to(gateway.path, text, change_file_and_signal)
             await gateway.wait_for_event("configuration applied")
             await gateway.wait_for_event("ready")
-            assert asked and asked[0].startswith("get /catalog/members ")
+            assert heads and heads[0].startswith("get /catalog/members ")
             gateway.send_signal(signal.SIGTERM)
             assert await gateway.wait_for_exit() == 0
-        moved.stop()
+        new_agent.stop()
 
     run_test(test())
 
 
-def _minds(pid: int, number: int) -> bool:
-    """Whether a process catches a signal, by the kernel's word."""
+def _catches_signal(pid: int, number: int) -> bool:
+    """Return whether a process has a handler for a signal, from /proc."""
     text = Path(f"/proc/{pid}/status").read_text(encoding="utf-8")
     caught = int(next(line for line in text.splitlines() if line.startswith("SigCgt:")).split()[1], 16)
     return bool(caught >> (number - 1) & 1)
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
-def test_signals_are_kept_before_anything_is_loaded(tmp_path: Path, number: int) -> None:
-    """Stopped at the first moment in which it minds them, before its modules are there."""
+def test_a_signal_while_modules_load_is_not_lost(tmp_path: Path, number: int) -> None:
+    """The signal is sent as soon as the process has its handlers, before its modules are loaded."""
 
     async def test() -> None:
-        async with gateway_processes(tmp_path, 1, silent) as [gateway]:
+        async with gateway_processes(tmp_path, 1, silent_agent) as [gateway]:
             await gateway.start()
-            while not _minds(gateway.pid, signal.SIGHUP):
+            while not _catches_signal(gateway.pid, signal.SIGHUP):
                 await asyncio.sleep(0)
             gateway.send_signal(number)
             if number == signal.SIGHUP:
@@ -251,18 +253,18 @@
     run_test(test())
 
 
-def test_a_door_that_is_told_to_end_while_it_waits_for_its_first_list_does_not_wait_on(tmp_path: Path) -> None:
+def test_sigterm_ends_the_wait_for_the_first_list(tmp_path: Path) -> None:
     async def test() -> None:
-        got = asyncio.Event()
+        polled = asyncio.Event()
 
-        async def asked(peer: Peer) -> None:
+        async def records_poll(peer: Peer) -> None:
             await peer.head()
-            got.set()
+            polled.set()
             await peer.rest()
 
-        async with gateway_processes(tmp_path, 1, asked) as [gateway]:
+        async with gateway_processes(tmp_path, 1, records_poll) as [gateway]:
             await gateway.start()
-            await got.wait()
+            await polled.wait()
             assert (await gateway.fetch("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
             gateway.send_signal(signal.SIGTERM)
             assert await gateway.wait_for_exit() == 0
@@ -273,17 +275,17 @@
     run_test(test())
 
 
-def test_nobody_is_served_by_the_old_list_while_the_agents_answer_is_on_its_way(tmp_path: Path) -> None:
-    """What the agent has counts as told from a process's first moment, and clients of the one before it come as soon as
-    it listens."""
+def test_no_request_is_served_by_the_cached_list_before_the_agents_first_response(tmp_path: Path) -> None:
+    """A gateway counts as notified of what its agent has from its first moment, and clients of the previous process
+    connect as soon as it listens."""
 
     async def test() -> None:
-        asked, gate = asyncio.Event(), asyncio.Event()
-        backs: list[str] = []
+        polled, gate = asyncio.Event(), asyncio.Event()
+        served_by: list[str] = []
 
         async def holds(peer: Peer) -> None:
             await peer.head()
-            asked.set()
+            polled.set()
             await gate.wait()
             await peer.answer(json.dumps({"rev": 2, "all": True, "targets": [endpoint_entry("s-1", ports[1])]}))
             await peer.rest()
@@ -291,13 +293,13 @@
         def backend(name: str) -> Callable[[Peer], Awaitable[None]]:
             async def script(peer: Peer) -> None:
                 await peer.head()
-                backs.append(name)
+                served_by.append(name)
                 await peer.answer(name)
 
             return script
 
-        made = [Back(holds), Back(backend("s-0")), Back(backend("s-1"))]
-        agent_port, *ports = [await back.start() for back in made]
+        servers = [Back(holds), Back(backend("s-0")), Back(backend("s-1"))]
+        agent_port, *ports = [await back.start() for back in servers]
         [port] = held_ports(1)
         path = tmp_path / "config.json"
         path.write_text(
@@ -306,20 +308,20 @@
                     listen=f"127.0.0.1:{port}",
                     discovery=f"127.0.0.1:{agent_port}",
                     counter="",
-                    settings={**settings(), "family_info": {"has_counter": False, "max_units": 3}},
+                    settings={**settings_with_deadline(), "family_info": {"has_counter": False, "max_units": 3}},
                     known={"rev": 1, "all": True, "targets": [endpoint_entry("s-0", ports[0])]},
                 )
             ),
             encoding="utf-8",
         )
         node = GatewayNode(load_config(path), path)
-        node._timing = LONG  # of the wait for the agent; the agent itself is not given up either
+        node._timing = LONG_TIMING  # neither the start nor the poll of the agent times out
         node._discovery = DiscoveryClient(
-            node.config.discovery, node._follower, node._endpoints_updated, node._event_logger.log, LONG
+            node.config.discovery, node._follower, node._endpoints_updated, node._event_logger.log, LONG_TIMING
         )
         starting = asyncio.create_task(node.start())
-        await asked.wait()
-        for _ in range(20):  # turns of the loop in which a listener would come up
+        await polled.wait()
+        for _ in range(20):  # turns of the loop in which a listener could start
             await asyncio.sleep(0)
         assert not node.server.listening
         with pytest.raises(ConnectionRefusedError):
@@ -328,25 +330,26 @@
         assert await starting == port
         peer = Peer(*await asyncio.open_connection("127.0.0.1", port))
         await peer.write(request(1))
-        assert (await peer.response())[2] == b"s-1" and backs == ["s-1"]
+        assert (await peer.response())[2] == b"s-1" and served_by == ["s-1"]
         peer.close()
         node.drain_plan = EMPTY_DRAIN_PLAN
         await node.stop()
-        for back in made:
+        for back in servers:
             back.stop()
 
     run_test(test())
 
 
-def test_a_door_whose_discovery_refuses_its_first_list_is_not_ready_by_the_one_before(tmp_path: Path) -> None:
-    """Broken on a site of our own: nobody knows how old that is, and what discovery has counts as told."""
+def test_a_gateway_is_not_ready_with_the_cached_list_while_discovery_rejects_its_polls(tmp_path: Path) -> None:
+    """Failed on a test site of our own: the age of the cached list is unknown, and the gateway counts as notified of
+    what discovery has."""
 
     async def test() -> None:
-        gate, refusals = asyncio.Event(), list[str]()
+        gate, rejected_polls = asyncio.Event(), list[str]()
 
-        async def refuses(peer: Peer) -> None:
+        async def rejects(peer: Peer) -> None:
             while not gate.is_set():
-                refusals.append(await peer.head())
+                rejected_polls.append(await peer.head())
                 await peer.answer("", "503 Service Unavailable")
             await peer.head()
             await peer.answer(json.dumps({"rev": 9, "all": True, "targets": [endpoint_entry("s-1", fresh_port)]}))
@@ -355,10 +358,10 @@
         fresh = Back(serve_echo)
         fresh_port = await fresh.start()
         async with gateway_processes(
-            tmp_path, 1, refuses, serve_echo, settings={**settings(), "discovery": "subscribe"}
+            tmp_path, 1, rejects, serve_echo, settings={**settings_with_deadline(), "discovery": "subscribe"}
         ) as [gateway]:
             await gateway.start()
-            while len(refusals) < 8:  # longer than a discovery that says nothing would be waited for
+            while len(rejected_polls) < 8:  # longer than the wait for a silent discovery
                 await asyncio.sleep(0.005)
             assert "ready" not in gateway.events() and "endpoint list stale" in gateway.events()
             gate.set()
@@ -370,11 +373,11 @@
     run_test(test())
 
 
-def test_a_door_waits_for_its_address_while_the_one_before_it_ends(tmp_path: Path) -> None:
-    """It ended with a traceback."""
+def test_a_gateway_waits_for_its_address_while_the_previous_process_ends(tmp_path: Path) -> None:
+    """The process ended with a traceback instead."""
 
     async def test() -> None:
-        async with gateway_processes(tmp_path, 1, silent, serve_echo) as [gateway]:
+        async with gateway_processes(tmp_path, 1, silent_agent, serve_echo) as [gateway]:
             with socket.create_server(("127.0.0.1", gateway.port)):
                 await gateway.start()
                 await gateway.wait_for_event("address in use")
@@ -384,15 +387,12 @@
     run_test(test())
 
 
-@pytest.mark.parametrize("stops", [True, False])
-def test_a_door_whose_address_stays_in_use_ends_and_names_the_field(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], stops: bool
+@pytest.mark.parametrize("is_signalled", [True, False])
+def test_a_gateway_whose_address_stays_in_use_exits_and_names_the_field(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], is_signalled: bool
 ) -> None:
-    """And one that is told to end waits for it no longer."""
-    monkeypatch.setattr(daemon, "BIND_TIMEOUT_MS", LONG_MS if stops else 30.0)
-
-    def told(node: GatewayNode) -> None:
-        node._terminate()
+    """A signal to end while the gateway waits for the address ends the wait."""
+    monkeypatch.setattr(daemon, "BIND_TIMEOUT_MS", LONG_MS if is_signalled else 30.0)
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
@@ -412,32 +412,32 @@
             node = GatewayNode(load_config(path), path)
             real = node._event_logger.log
 
-            def note(event: str, fields: dict[str, Any]) -> None:
+            def log(event: str, fields: dict[str, Any]) -> None:
                 real(event, fields)
-                if stops and event == "address in use":
-                    told(node)
+                if is_signalled and event == "address in use":
+                    node._terminate()
 
-            node._event_logger.log = note  # type: ignore[method-assign]
+            node._event_logger.log = log  # type: ignore[method-assign]
             await node.run()
 
-        if stops:
+        if is_signalled:
             run_test(test())
             assert [json.loads(line)["event"] for line in capsys.readouterr().out.splitlines()][-1] == "stopped"
             return
         monkeypatch.setenv("NODE_CONFIG", str(path))
-        monkeypatch.setattr(daemon, "gc", Mock())  # the tests' own process keeps its collector
+        monkeypatch.setattr(daemon, "gc", Mock())  # the settings of the collector of the test process stay
         with pytest.raises(SystemExit) as ended:
             daemon.main()
         error = capsys.readouterr().err
         assert ended.value.code == 2 and f"{path}: listen: " in error and "Traceback" not in error
 
 
-def test_all_are_ready_and_serve_by_the_list_they_had_while_discovery_is_silent(tmp_path: Path) -> None:
+def test_gateways_serve_by_the_cached_list_while_discovery_is_silent(tmp_path: Path) -> None:
     async def test() -> None:
-        async with gateway_processes(tmp_path, 4, silent, serve_echo) as made:
-            for gateway in made:
+        async with gateway_processes(tmp_path, 4, silent_agent, serve_echo) as gateways:
+            for gateway in gateways:
                 await gateway.start()
-            for number, gateway in enumerate(made):
+            for number, gateway in enumerate(gateways):
                 assert (await gateway.wait_for_event("ready"))["servers"] == 1
                 assert (await gateway.fetch("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
                 assert (await gateway.fetch(request(number)))[0] == 200
@@ -445,11 +445,12 @@
     run_test(test())
 
 
-def test_a_log_that_nobody_reads_holds_up_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The write waited for room in the pipe, and with it the loop and every request."""
+def test_a_log_pipe_without_a_reader_does_not_block_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A write to a full pipe blocked the loop, and with it every request."""
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
-    with os.fdopen(writing, "w") as pipe, os.fdopen(reading, "rb") as log:  # a write that waits ends with the reader
+    # A blocked write would end when the reader closes.
+    with os.fdopen(writing, "w") as pipe, os.fdopen(reading, "rb") as log:
         monkeypatch.setattr(sys, "stdout", pipe)
         event_logger = daemon.EventLogger(max_lines_per_s=1000)
         event_logger.log("read", {"long": "x" * 10_000})
@@ -462,7 +463,7 @@
 
         filling = threading.Thread(target=fill, daemon=True)
         filling.start()
-        filling.join(20.0)  # a bound that only ends a fault
+        filling.join(20.0)  # only ends a test that fails
         assert not filling.is_alive()
         os.set_blocking(reading, False)
         got = [json.loads(text) for text in log.read().splitlines()]
@@ -471,8 +472,8 @@
         assert json.loads(log.readline())["event"] == "read again"
 
 
-def test_doors_that_end_one_after_another_lose_nothing(tmp_path: Path) -> None:
-    """Requests are out at a backend as each is told to end; a connection rests, and a move crosses the end."""
+def test_gateways_that_end_one_after_another_lose_no_request(tmp_path: Path) -> None:
+    """At each SIGTERM a request is in flight and a connection is idle; a change of discovery's address follows."""
 
     async def test() -> None:
         gates: list[asyncio.Event] = []
@@ -488,46 +489,47 @@
         back = Back(holds)
         ports.append(await back.start())
         targets = [endpoint_entry("s-0", ports[0])]
-        asked: list[str] = []
-        moved = Back(recording_agent(targets, asked))
-        elsewhere = f"127.0.0.1:{await moved.start()}"
+        heads: list[str] = []
+        new_agent = Back(recording_agent(targets, heads))
+        new_address = f"127.0.0.1:{await new_agent.start()}"
         async with gateway_processes(
-            tmp_path, 3, lambda peer: serve_list(peer, targets), settings=settings(60_000.0)
-        ) as made:
-            for number, gateway in enumerate(made):
+            tmp_path, 3, lambda peer: serve_list(peer, targets), settings=settings_with_deadline(60_000.0)
+        ) as gateways:
+            for number, gateway in enumerate(gateways):
                 await gateway.start()
                 await gateway.wait_for_event("ready")
                 gates.clear()
-                resting, busy = await gateway.connect(), await gateway.connect()
-                await resting.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-                assert (await resting.response())[0] == 200
+                idle, busy = await gateway.connect(), await gateway.connect()
+                await idle.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+                assert (await idle.response())[0] == 200
                 await busy.write(request(number, X_Expires_In_Ms="60000"))
                 while not gates:
                     await asyncio.sleep(0.005)
                 gateway.send_signal(signal.SIGTERM)
                 await gateway.wait_for_event("stopping")
-                asked.clear()
-                changed = {**json.loads(gateway.path.read_text(encoding="utf-8")), "discovery": elsewhere}
+                heads.clear()
+                changed = {**json.loads(gateway.path.read_text(encoding="utf-8")), "discovery": new_address}
                 gateway.path.write_text(json.dumps(changed), encoding="utf-8")
                 gateway.send_signal(signal.SIGHUP)
                 await gateway.wait_for_event("configuration applied")
-                while not asked:
+                while not heads:
                     await asyncio.sleep(0.005)
                 gates[0].set()
                 status, head, body = await busy.response()
-                clean = (status, body) == (200, b"held")  # and refused at the end of the grace, on a starved machine
+                # On a starved machine the request is rejected at the end of the grace period.
+                clean = (status, body) == (200, b"held")
                 assert (clean or status == 503) and "connection: close" in head
-                assert await busy.rest() == b"" and await resting.rest() == b""
+                assert await busy.rest() == b"" and await idle.rest() == b""
                 assert await gateway.wait_for_exit() == 0 and gateway.lines[-1]["clean"] is clean
         back.stop()
-        moved.stop()
+        new_agent.stop()
 
     run_test(test())
 
 
-def test_a_configuration_that_cannot_be_used_leaves_the_one_there_is(tmp_path: Path) -> None:
+def test_an_unusable_configuration_leaves_the_current_one_in_use(tmp_path: Path) -> None:
     async def test() -> None:
-        async with gateway_processes(tmp_path, 1, silent, serve_echo) as [gateway]:
+        async with gateway_processes(tmp_path, 1, silent_agent, serve_echo) as [gateway]:
             good = json.loads(gateway.path.read_text(encoding="utf-8"))
             await gateway.start()
             await gateway.wait_for_event("ready")
@@ -551,21 +553,22 @@
     run_test(test())
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_out_neither_dials_nor_clients(tmp_path: Path) -> None:
-    """Discovery is down meanwhile; once it is back its list counts, the counter is asked and new clients are served."""
+def test_idle_clients_that_use_up_the_descriptors_block_neither_connects_nor_clients(tmp_path: Path) -> None:
+    """Discovery is down meanwhile.  Once it is back, its list is used, the counter is called, and new clients are
+    served."""
 
     async def test() -> None:
         [port], sockets = held_ports(1), 128
         heads: list[str] = []
 
-        async def notes(peer: Peer) -> None:
+        async def records_head(peer: Peer) -> None:
             heads.append(await peer.head())
             await peer.answer("new")
 
-        fresh = Back(notes)
+        fresh = Back(records_head)
         targets = [endpoint_entry("s-0", 1, state="draining"), endpoint_entry("s-new", await fresh.start())]
         async with gateway_processes(
-            tmp_path, 1, silent, serve_echo, discovery=f"127.0.0.1:{port}", limits={"sockets": sockets}
+            tmp_path, 1, silent_agent, serve_echo, discovery=f"127.0.0.1:{port}", limits={"sockets": sockets}
         ) as [gateway]:
             await gateway.start()
             resource.prlimit(gateway.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
@@ -576,12 +579,12 @@
                     one.setblocking(False)
                     one.connect_ex(("127.0.0.1", gateway.port))
                 assert (await gateway.fetch(request(1, X_Plan="small")))[0] in (200, 503), (
-                    "served, or told of a full house"
+                    "served, or rejected for lack of a connection"
                 )
                 back = Back(recording_agent(targets, []))
                 back._server = await asyncio.start_server(back._serve, "127.0.0.1", port)
                 await gateway.wait_for_event("discovery connection recovered")
-                while True:  # who came in the same burst is young, and keeps others out for a while
+                while True:  # new connections of the same burst are not closed to make room for a while
                     status, _, body = await gateway.fetch(
                         request(len(heads) + 2, X_Plan="free", X_Trace_Id=os.urandom(8).hex())
                     )
--- a/tests/test_node_sites.py
+++ b/tests/test_node_sites.py
@@ -1,6 +1,6 @@
-"""The program under other customers' settings: those of the sites in deploy/sites, as a front gateway was told them.
+"""The gateway program with the settings of the sites in deploy/sites, as each site gave them to its gateways.
 
-Nothing of a site's names, classes, deadlines or effects may be known to the program but by these.
+The program may know a site's names, classes, deadlines and idempotency from its settings only.
 """
 
 from __future__ import annotations
@@ -19,48 +19,51 @@
 from tests.test_node_gateway import serve_list
 from tests.test_node_processes import GatewayProcess, gateway_processes, run_test
 
-AGAIN_MOST = 10  # times that a customer is told to come again
+MAX_RETRIES = 10  # of a request that is rejected with a time to retry after
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.settings.json"))
 
 
 def settings_of(path: Path) -> dict[str, Any]:
-    """What a front gateway of the site was told."""
-    told: dict[str, Any] = json.loads(path.read_text(encoding="utf-8"))
-    return told
+    """Return the settings that a gateway of the site received."""
+    settings: dict[str, Any] = json.loads(path.read_text(encoding="utf-8"))
+    return settings
 
 
-def worded(number: int, cls: dict[str, Any], plan: str, **told: Any) -> str:
-    """A request of a class, as its effect has it worded."""
+def request_of_class(number: int, cls: dict[str, Any], plan: str, **replaced: Any) -> str:
+    """Return a request of a class, with the method and key that its idempotency requires."""
     headers: dict[str, Any] = {
         "X_Plan": plan,
         "X_Expires_In_Ms": str(int(cls["deadline_ms"])),
         "X_Quota": "units=1,spread=2,first=0",
     }
     if cls["idempotency"] == "idempotent":
-        return request(number, cls["name"], **headers, **told)
+        return request(number, cls["name"], **headers, **replaced)
     if cls["idempotency"] == "at_most_once":
-        return request(number, cls["name"], method="POST", body="x", Idempotency_Key=None, **headers, **told)
-    return request(number, cls["name"], method="POST", body="x", **headers, **told)
+        return request(number, cls["name"], method="POST", body="x", Idempotency_Key=None, **headers, **replaced)
+    return request(number, cls["name"], method="POST", body="x", **headers, **replaced)
 
 
-def test_the_sites_differ_in_what_a_customer_may_choose() -> None:
-    told = [settings_of(path) for path in SITES]
-    classes = [cls for one in told for cls in one["classes"]]
-    assert len(told) == 2 and {cls["idempotency"] for cls in classes} == {"idempotent", "deduplicated", "at_most_once"}
-    assert len({cls["name"] for cls in classes}) == len(classes) and len({len(one["classes"]) for one in told}) == 2
+def test_the_sites_cover_different_choices_of_settings() -> None:
+    sites = [settings_of(path) for path in SITES]
+    classes = [cls for one in sites for cls in one["classes"]]
+    assert len(sites) == 2 and {cls["idempotency"] for cls in classes} == {"idempotent", "deduplicated", "at_most_once"}
+    assert len({cls["name"] for cls in classes}) == len(classes) and len({len(one["classes"]) for one in sites}) == 2
     assert min(cls["deadline_ms"] for cls in classes) < 3000 and max(cls["deadline_ms"] for cls in classes) > 8000
-    assert {one["discovery"] for one in told} == {"automatic", "subscribe"}
-    assert {one["family_info"]["has_counter"] for one in told} == {True, False}
-    assert {one["policy_limits"]["cancelling"] for one in told} == {True, False}
+    assert {one["discovery"] for one in sites} == {"automatic", "subscribe"}
+    assert {one["family_info"]["has_counter"] for one in sites} == {True, False}
+    assert {one["policy_limits"]["cancelling"] for one in sites} == {True, False}
 
 
-async def asked_until_weighed(
+async def fetch_until_not_throttled(
     gateway: GatewayProcess, number: int, cls: dict[str, Any], plan: str
 ) -> tuple[int, bytes]:
-    """One customer's answer.  It comes again when it is told to: a gateway that has just started knows nothing of what
-    others let through before, and takes ceilings as used up until they have refilled a little."""
-    for again in range(AGAIN_MOST):
-        text = worded(number, cls, plan, X_Trace_Id=f"{again * 1000 + number:016x}")
+    """Send one customer's request, and retry it while it is rejected with 429; return the final status and body.
+
+    A gateway that has just started does not know what others admitted before.  It treats ceilings as used up until they
+    have refilled a little.
+    """
+    for retry in range(MAX_RETRIES):
+        text = request_of_class(number, cls, plan, X_Trace_Id=f"{retry * 1000 + number:016x}")
         status, head, body = await gateway.fetch(text.replace("00000000000000a1", f"{number:016x}"))
         if status != 429:
             break
@@ -70,7 +73,7 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.name)
-def test_each_class_and_plan_of_a_site_is_served(tmp_path: Path, path: Path) -> None:
+def test_requests_of_each_class_and_plan_of_a_site_are_served(tmp_path: Path, path: Path) -> None:
     settings = settings_of(path)
 
     async def serve(peer: Peer) -> None:
@@ -91,20 +94,22 @@
             for cls in settings["classes"]:
                 for plan in settings["contracts"]:
                     number += 1
-                    status, body = await asked_until_weighed(gateway, number, cls, plan["name"])
-                    assert status in (200, 503), "served, or refused by its quota or its server's part"
+                    status, body = await fetch_until_not_throttled(gateway, number, cls, plan["name"])
+                    assert status in (200, 503), "served, or rejected by the limit of its plan or of its server"
                     if status == 200:
                         assert body == f"/{cls['name'].lower()}/{number:016x}".encode()
                         served.add(cls["name"])
             assert served
             for wrong in ({"X_Qos": "read"}, {"X_Plan": "free"}):
-                text = worded(number + 1, settings["classes"][0], settings["contracts"][0]["name"])
+                text = request_of_class(number + 1, settings["classes"][0], settings["contracts"][0]["name"])
                 name, value = next(iter(wrong.items()))
                 lines = [
                     f"{name.replace('_', '-')}: {value}" if line.startswith(name.replace("_", "-")) else line
                     for line in text.split("\r\n")
                 ]
-                assert (await gateway.fetch("\r\n".join(lines)))[0] == 400, "a name of another customer's"
+                assert (await gateway.fetch("\r\n".join(lines)))[0] == 400, (
+                    "a class or plan of another site is rejected"
+                )
             gateway.send_signal(signal.SIGTERM)
             assert await gateway.wait_for_exit() == 0 and "fault" not in gateway.events()
 
@@ -112,7 +117,9 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.name)
-def test_what_may_have_run_is_sent_again_by_the_effect_of_its_class_alone(tmp_path: Path, path: Path) -> None:
+def test_a_request_that_may_have_been_executed_is_retried_only_if_its_class_allows_it(
+    tmp_path: Path, path: Path
+) -> None:
     settings = settings_of(path)
     heads: list[str] = []
 
@@ -130,23 +137,25 @@
             cuts,
             settings=settings,
         ) as [gateway]:
-            told = json.loads(gateway.path.read_text(encoding="utf-8"))
-            # One server in each of two zones and two cells: a repeat within a group has nowhere else to go.
+            document = json.loads(gateway.path.read_text(encoding="utf-8"))
+            # One server in each of two zones and two cells: a retry within a group has no other server.
             known["targets"] = [
                 {**one, "az": zone, "pod_group": cell}
-                for cell, (zone, one) in enumerate(zip(settings["zones"], told["known"]["targets"], strict=False))
+                for cell, (zone, one) in enumerate(zip(settings["zones"], document["known"]["targets"], strict=False))
             ]
-            gateway.path.write_text(json.dumps({**told, "known": known}), encoding="utf-8")
+            gateway.path.write_text(json.dumps({**document, "known": known}), encoding="utf-8")
             await gateway.start()
             await gateway.wait_for_event("ready")
             plan = max(settings["contracts"], key=lambda one: one["units_per_s"])["name"]
             for number, cls in enumerate(settings["classes"]):
                 heads.clear()
-                status, _ = await asked_until_weighed(gateway, number + 1, cls, plan)
-                repeats = cls["idempotency"] != "at_most_once"
-                assert 1 <= len(heads) <= (settings["policy_limits"]["try_limit"] if repeats else 1)
-                harmless = cls["idempotency"] == "idempotent" or (repeats and cls["group"] == "all")
-                assert status == 503 if harmless else status in (502, 504), "a refusal says that a retry does no harm"
+                status, _ = await fetch_until_not_throttled(gateway, number + 1, cls, plan)
+                may_retry = cls["idempotency"] != "at_most_once"
+                assert 1 <= len(heads) <= (settings["policy_limits"]["try_limit"] if may_retry else 1)
+                retry_is_safe = cls["idempotency"] == "idempotent" or (may_retry and cls["group"] == "all")
+                assert status == 503 if retry_is_safe else status in (502, 504), (
+                    "a rejection states that a retry by the client is safe"
+                )
             gateway.send_signal(signal.SIGTERM)
             assert await gateway.wait_for_exit() == 0
 
