--- a/martenstep/node/discovery.py
+++ b/martenstep/node/discovery.py
@@ -54,7 +54,7 @@
         self._freshness_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Start to poll."""
+        """Start polling."""
         self._task = start_supervised(self._run, self._log_failure)
 
     def change_address(self, address: tuple[str, int]) -> None:
@@ -97,7 +97,7 @@
         return self._freshness.rejected
 
     def stop(self) -> None:
-        """Stop to poll."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
         if self._freshness_timer is not None:
--- a/martenstep/node/endpoint_list.py
+++ b/martenstep/node/endpoint_list.py
@@ -103,8 +103,11 @@
             if not isinstance(is_full, bool):
                 raise TypeError(f"all: expected true or false, got {is_full!r}")
             entries = [self._read_entry(entry, reading) for entry in raw["targets"]]
-        except (ValueError, KeyError, TypeError, OverflowError, ConfigError) as error:
-            raise DiscoveryError(f"invalid endpoint list: {error!r}") from None
+        except KeyError as error:
+            states = ", ".join(STATES)
+            raise DiscoveryError(f"endpoint list: key missing, or state none of {states}: {error}") from None
+        except (ValueError, TypeError, OverflowError, ConfigError) as error:
+            raise DiscoveryError(f"endpoint list: expected valid rev, all and targets, got {error!r}") from None
         if self.revision is None and not is_full:
             raise DiscoveryError("received changes, expected the full list: no list has been received yet")
         if scope is None:
@@ -121,12 +124,12 @@
 
     def _apply(self, entries: list[_Entry], is_full: bool) -> list[Endpoint]:
         """Apply validated entries; the cost depends on their number, not on the length of the list."""
-        known_numbers = self._numbers
+        previous_numbers = self._numbers
         if is_full:
             self._numbers, self.addresses, self._endpoints = {}, {}, {}
         endpoints = []
         for entry in entries:
-            number = self._numbers.get(entry.uid) or (known_numbers.pop(entry.uid, None) if is_full else None)
+            number = self._numbers.get(entry.uid) or (previous_numbers.pop(entry.uid, None) if is_full else None)
             if number is None:
                 self._last_number += 1
                 number = self._last_number
--- a/martenstep/node/poll_timing.py
+++ b/martenstep/node/poll_timing.py
@@ -1,8 +1,8 @@
 """When to poll discovery, and how long its last endpoint list may be used.  No I/O; times in milliseconds.
 
 A gateway must not send to an endpoint once it counts as notified that the endpoint drains.  By the platform's rule it
-counts as notified a fixed time after discovery has the change, if discovery could be reached, even where no response
-with the change arrived.  So polls must be frequent enough, and a list that is older than that is stale.
+counts as notified, at the latest, a fixed time after discovery has the change, if discovery could be reached, even if
+no response with the change arrived.  So polls must be frequent enough, and a list that is older than that is stale.
 """
 
 from __future__ import annotations
--- a/tests/test_fault_clocks.py
+++ b/tests/test_fault_clocks.py
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("step_s", [0.0, HOUR_S, -HOUR_S, 30.0, -30.0])
 def test_a_started_backend_is_cold_after_any_step_of_the_wall_clock(tmp_path: Path, step_s: float) -> None:
-    """After a step back of an hour it counted as warm from the start: 73 requests where 36 are allowed."""
+    """After a step back of an hour the backend counted as warm from the start: 73 requests where 36 are allowed."""
 
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("step_s", [0.0, HOUR_S, -HOUR_S])
 def test_a_backend_ends_its_slow_start_in_time_after_any_step_of_the_wall_clock(tmp_path: Path, step_s: float) -> None:
-    """After a step forward of an hour its slow start took an hour."""
+    """After a step forward of an hour the slow start of the backend took an hour."""
 
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
@@ -161,7 +161,7 @@
 
 
 def test_a_backend_that_restarts_after_a_step_back_is_cold_again(tmp_path: Path) -> None:
-    """By the stepped clock its new start lies before the previous one."""
+    """By the stepped clock the new start of the backend lies before the previous one."""
 
     async def test() -> None:
         agent, counts = Agent(), dict[str, int]()
@@ -182,7 +182,7 @@
 
 
 def test_gateways_started_before_and_after_a_step_share_a_quota(tmp_path: Path) -> None:
-    """Each numbered the counter periods of a quota by the wall clock at its start, so they never used the same key."""
+    """Each gateway numbered the counter periods of a quota by the wall clock at its start: they never shared a key."""
 
     async def test() -> None:
         keys: list[bytes] = []
--- a/tests/test_fault_pauses.py
+++ b/tests/test_fault_pauses.py
@@ -153,7 +153,7 @@
 
 
 def test_a_request_completed_at_the_end_of_a_shutdown_is_not_forwarded(tmp_path: Path) -> None:
-    """Its last byte arrives once all other requests are answered.  It was forwarded, and its connection then closed."""
+    """The last byte arrives once all other requests are answered: it was forwarded, and its connection closed."""
 
     async def test() -> None:
         async with running_gateway(tmp_path, 5.0) as running:
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -245,7 +245,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_no_attempt_begins_for_a_client_that_disconnected_while_the_loop_was_busy(tmp_path: Path, how: str) -> None:
-    """Its close is in the kernel, unread, as an attempt ends and the policy plans another."""
+    """The client's close is in the kernel, unread, as an attempt ends and the policy plans another."""
 
     async def holds(peer: Peer) -> None:
         await peer.head()
@@ -366,7 +366,7 @@
 
 
 def test_an_attempt_states_the_time_left_after_its_connect(tmp_path: Path) -> None:
-    """It stated the time left before the connect, so a server was given time that the client no longer had."""
+    """The attempt stated the time left before the connect, so a server was given time that the client no longer had."""
     heads: list[str] = []
 
     async def records_head(peer: Peer) -> None:
@@ -548,14 +548,14 @@
 
 @pytest.mark.parametrize("rest", ["", "the rest of its head\r\n\r\n", "x" * 30_000])
 def test_bytes_received_at_the_timeout_of_a_partial_request_do_not_lose_its_response(tmp_path: Path, rest: str) -> None:
-    """Its timeout ends with more of it in the kernel, unread: the close became a reset."""
+    """The request times out with more of its bytes in the kernel, unread: the close became a reset."""
 
     async def test() -> None:
         async with in_process_gateway(tmp_path, serve_echo) as gateway:
             blocking_client = BlockingClient(gateway.port, request(1)[:-4])
             client = await only_client(gateway)
             await wait_until(lambda: client.has_partial_request)
-            blocking_client.send(rest)  # its timeout ends in the same turn of the loop
+            blocking_client.send(rest)  # the request times out in the same turn of the loop
             client.time_out_request()
             peer = await blocking_client.peer()
             status, head, _ = await peer.response()
@@ -808,7 +808,7 @@
 
 
 def test_a_connection_in_use_when_its_backend_is_removed_is_not_reused(tmp_path: Path) -> None:
-    """Its address may belong to another backend by the time the response is complete."""
+    """The address may belong to another backend by the time the response is complete."""
 
     async def test() -> None:
         gate = asyncio.Event()
