--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -90,13 +90,13 @@
 def test_a_reset_does_not_complete_a_response_without_a_length(tmp_path: Path, coding: str) -> None:
     """Failed on the users' scenarios `split` and `zone`: half a response was relayed as a complete one."""
 
-    async def cuts(peer: Peer) -> None:
+    async def resets_connection(peer: Peer) -> None:
         await peer.head()
         await peer.write(f"HTTP/1.1 200 OK\r\n{coding}\r\nhalf of ")
         peer.reset()
 
     async def test() -> None:
-        async with in_process_gateway(tmp_path, cuts) as gateway:
+        async with in_process_gateway(tmp_path, resets_connection) as gateway:
             status, _, body = await gateway.fetch(request(1))
             assert status == 503 and b"half" not in body, "the request may be retried: retried, then rejected"
             assert gateway.node.engine.attempt_result_counts == {"reset": 3}
@@ -124,13 +124,13 @@
 def test_a_reset_in_a_long_response_is_visible_to_the_client(tmp_path: Path) -> None:
     """More than the response buffer has been relayed: the client must be able to detect that the rest is missing."""
 
-    async def cuts(peer: Peer) -> None:
+    async def resets_connection(peer: Peer) -> None:
         await peer.head()
         await peer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 600_000)
         peer.reset()
 
     async def test() -> None:
-        async with in_process_gateway(tmp_path, cuts) as gateway:
+        async with in_process_gateway(tmp_path, resets_connection) as gateway:
             peer = await gateway.connect()
             await peer.write(request(1))
             assert not (await peer.rest()).endswith(b"0\r\n\r\n")
@@ -205,11 +205,11 @@
     async def test() -> None:
         ends: list[socket.socket] = []
 
-        async def holds(peer: Peer) -> None:
+        async def never_answers(peer: Peer) -> None:
             ends.append(peer.writer.get_extra_info("socket"))
             await asyncio.Event().wait()
 
-        back = Back(holds)
+        back = Back(never_answers)
         pool = ConnectionPool(2, LONG_MS, lambda where, why: None)
         address = ("127.0.0.1", await back.start())
         assert pool.reserve_slot(address)
@@ -247,12 +247,12 @@
 def test_no_attempt_begins_for_a_client_that_disconnected_while_the_loop_was_busy(tmp_path: Path, how: str) -> None:
     """The client's close is in the kernel, unread, as an attempt ends and the policy plans another."""
 
-    async def holds(peer: Peer) -> None:
+    async def never_answers(peer: Peer) -> None:
         await peer.head()
         await asyncio.Event().wait()
 
     async def test() -> None:
-        async with in_process_gateway(tmp_path, holds) as gateway:
+        async with in_process_gateway(tmp_path, never_answers) as gateway:
             server = gateway.node.server
             blocking_client = BlockingClient(gateway.port, request(1))
             await wait_until(
@@ -273,12 +273,12 @@
     """Reading was paused by the amount of data, so neither a close nor a reset was detected while its request was in
     flight."""
 
-    async def holds(peer: Peer) -> None:
+    async def never_answers(peer: Peer) -> None:
         await peer.head()
         await asyncio.Event().wait()
 
     async def test() -> None:
-        async with in_process_gateway(tmp_path, holds) as gateway:
+        async with in_process_gateway(tmp_path, never_answers) as gateway:
             peer = await gateway.connect()
             await peer.write(request(1) + "x" * (8 * READ_BYTES))
             await wait_until(lambda: gateway.node.server.counts["attempts"])
@@ -456,13 +456,13 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async def holds(peer: Peer) -> None:
+        async def answers_after_gate(peer: Peer) -> None:
             await peer.head()
             await gate.wait()
             await peer.answer()
             await peer.rest()
 
-        async with in_process_gateway(tmp_path, holds) as gateway:
+        async with in_process_gateway(tmp_path, answers_after_gate) as gateway:
             server = gateway.node.server
             server.state.upstream = _ShortIdleLimits(server.state.upstream)
             peer = await gateway.connect()
@@ -671,12 +671,12 @@
     """Requests in flight are answered, with a rejection if nothing was executed, and no further attempt begins."""
     heads: list[str] = []
 
-    async def holds(peer: Peer) -> None:
+    async def never_answers(peer: Peer) -> None:
         heads.append(await peer.head())
         await asyncio.Event().wait()
 
     async def test() -> None:
-        async with in_process_gateway(tmp_path, holds) as gateway:
+        async with in_process_gateway(tmp_path, never_answers) as gateway:
             server = gateway.node.server
             safe, keyed = await gateway.connect(), await gateway.connect()
             await safe.write(request(1))
@@ -937,13 +937,13 @@
     window_ms = 100.0
     classes = [SETTINGS["classes"][0], {**SETTINGS["classes"][1], "window_ms": window_ms}]
 
-    async def cuts(peer: Peer) -> None:
+    async def resets_connection(peer: Peer) -> None:
         heads.append(await peer.head())
         peer.reset()
 
     async def test() -> None:
         async with in_process_gateway(
-            tmp_path, cuts, settings={**settings_with(dial_timeout_ms=LONG_MS), "classes": classes}
+            tmp_path, resets_connection, settings={**settings_with(dial_timeout_ms=LONG_MS), "classes": classes}
         ) as gateway:
             server, real, connects = gateway.node.server, gateway.node.server.pool.connect, list[float]()
 
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -601,41 +601,43 @@
 
 
 def test_a_list_is_stale_once_polls_have_been_rejected_for_too_long() -> None:
-    fresh = ListFreshness()
-    fresh.poll_succeeded(0.0)
-    fresh.poll_started(100.0, watch=True)
-    assert not fresh.is_stale(1e9) and fresh.next_change_at(100.0) is None, "silent discovery sends no changes"
-    fresh.poll_failed(rejected=False)
-    assert not fresh.is_stale(1e9)
-    fresh.poll_failed(rejected=True)
+    freshness = ListFreshness()
+    freshness.poll_succeeded(0.0)
+    freshness.poll_started(100.0, watch=True)
+    assert not freshness.is_stale(1e9) and freshness.next_change_at(100.0) is None, "silent discovery sends no changes"
+    freshness.poll_failed(rejected=False)
+    assert not freshness.is_stale(1e9)
+    freshness.poll_failed(rejected=True)
     assert (
-        not fresh.is_stale(NOTIFIED_AFTER_MS - 1)
-        and fresh.is_stale(NOTIFIED_AFTER_MS)
-        and fresh.next_change_at(5.0) == NOTIFIED_AFTER_MS
+        not freshness.is_stale(NOTIFIED_AFTER_MS - 1)
+        and freshness.is_stale(NOTIFIED_AFTER_MS)
+        and freshness.next_change_at(5.0) == NOTIFIED_AFTER_MS
     )
-    fresh.poll_started(NOTIFIED_AFTER_MS + 10.0, watch=True)
-    assert fresh.is_stale(NOTIFIED_AFTER_MS + 11.0), "the watch may still be rejected or return a change"
-    accepted_at = fresh.next_change_at(NOTIFIED_AFTER_MS + 11.0)
-    assert accepted_at == NOTIFIED_AFTER_MS + 10.0 + SERVICE_QUEUE_MS and not fresh.is_stale(accepted_at), (
+    freshness.poll_started(NOTIFIED_AFTER_MS + 10.0, watch=True)
+    assert freshness.is_stale(NOTIFIED_AFTER_MS + 11.0), "the watch may still be rejected or return a change"
+    accepted_at = freshness.next_change_at(NOTIFIED_AFTER_MS + 11.0)
+    assert accepted_at == NOTIFIED_AFTER_MS + 10.0 + SERVICE_QUEUE_MS and not freshness.is_stale(accepted_at), (
         "a change would have arrived"
     )
-    fresh.poll_failed(rejected=False)
-    assert not fresh.is_stale(1e9), "a silent service cannot be reached"
-    fresh.poll_failed(rejected=True)
-    assert fresh.is_stale(accepted_at + 1.0), "rejected again, and no change has arrived"
-    fresh.poll_started(accepted_at + 2.0, watch=False)
-    assert fresh.is_stale(accepted_at + 2.0 + SERVICE_QUEUE_MS), "a full list is always answered"
-    fresh.poll_succeeded(accepted_at + 3.0)
-    assert not fresh.is_stale(1e9) and fresh.next_change_at(accepted_at + 3.0) is None
+    freshness.poll_failed(rejected=False)
+    assert not freshness.is_stale(1e9), "a silent service cannot be reached"
+    freshness.poll_failed(rejected=True)
+    assert freshness.is_stale(accepted_at + 1.0), "rejected again, and no change has arrived"
+    freshness.poll_started(accepted_at + 2.0, watch=False)
+    assert freshness.is_stale(accepted_at + 2.0 + SERVICE_QUEUE_MS), (
+        "without an answer to a poll of the full list, changes are possible"
+    )
+    freshness.poll_succeeded(accepted_at + 3.0)
+    assert not freshness.is_stale(1e9) and freshness.next_change_at(accepted_at + 3.0) is None
 
 
 def test_a_list_of_unknown_age_is_stale_once_discovery_rejects_a_poll() -> None:
     """Failed on a test site of our own: a restarted gateway sent requests by the last list of its previous process."""
-    fresh = ListFreshness()
-    fresh.poll_started(0.0, watch=False)
-    assert not fresh.is_stale(1e9) and not fresh.rejected, "while discovery is silent, the cached list is the only one"
-    fresh.poll_failed(rejected=True)
-    assert fresh.is_stale(1.0) and fresh.rejected
+    freshness = ListFreshness()
+    freshness.poll_started(0.0, watch=False)
+    assert not freshness.is_stale(1e9) and not freshness.rejected, "discovery is silent: no other list exists"
+    freshness.poll_failed(rejected=True)
+    assert freshness.is_stale(1.0) and freshness.rejected
 
 
 @pytest.mark.parametrize("result", ["answered", "accepted"])
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -283,7 +283,7 @@
         polled, gate = asyncio.Event(), asyncio.Event()
         served_by: list[str] = []
 
-        async def holds(peer: Peer) -> None:
+        async def answers_after_gate(peer: Peer) -> None:
             await peer.head()
             polled.set()
             await gate.wait()
@@ -298,7 +298,7 @@
 
             return script
 
-        servers = [Back(holds), Back(backend("s-0")), Back(backend("s-1"))]
+        servers = [Back(answers_after_gate), Back(backend("s-0")), Back(backend("s-1"))]
         agent_port, *ports = [await back.start() for back in servers]
         [port] = held_ports(1)
         path = tmp_path / "config.json"
@@ -479,14 +479,14 @@
         gates: list[asyncio.Event] = []
         ports: list[int] = []
 
-        async def holds(peer: Peer) -> None:
+        async def answers_after_gate(peer: Peer) -> None:
             while True:
                 await peer.head()
                 gates.append(asyncio.Event())
                 await gates[-1].wait()
                 await peer.answer("held")
 
-        back = Back(holds)
+        back = Back(answers_after_gate)
         ports.append(await back.start())
         targets = [endpoint_entry("s-0", ports[0])]
         heads: list[str] = []
--- a/tests/test_node_sites.py
+++ b/tests/test_node_sites.py
@@ -123,7 +123,7 @@
     settings = settings_of(path)
     heads: list[str] = []
 
-    async def cuts(peer: Peer) -> None:
+    async def resets_connection(peer: Peer) -> None:
         heads.append(await peer.head())
         peer.reset()
 
@@ -133,8 +133,8 @@
             tmp_path,
             1,
             lambda peer: serve_list(peer, known["targets"]),
-            cuts,
-            cuts,
+            resets_connection,
+            resets_connection,
             settings=settings,
         ) as [gateway]:
             document = json.loads(gateway.path.read_text(encoding="utf-8"))
