--- a/tests/test_auth_proxy.py
+++ b/tests/test_auth_proxy.py
@@ -14,7 +14,7 @@
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
 from tests.engine_rig import DOOR, QUIET, Rig, head
-from tests.socket_rig import Back, House, Peer, Script, get, house, run
+from tests.socket_rig import Peer, RunningGateway, Script, ScriptedServer, request_head, run, running_gateway
 
 AUTH = """
 auth { service { port: 7001 } service { port: 7002 } attempt_ms: 300
@@ -216,40 +216,42 @@
 
 
 @asynccontextmanager
-async def guarded(service: Script, *servers: Script, more: str = "") -> AsyncIterator[tuple[House, Back]]:
-    back = Back(service)
+async def guarded(
+    service: Script, *servers: Script, more: str = ""
+) -> AsyncIterator[tuple[RunningGateway, ScriptedServer]]:
+    back = ScriptedServer(service)
     port = await back.start()
     text = (
         f'auth {{ service {{ port: {port} }} attempts: 1 {more} }} default_plan: "open" '
         'route { name: "safe" path_prefix: "/safe/" class: "read" authenticate: true }'
     )
-    async with house(*servers, text=text) as door:
+    async with running_gateway(*servers, text=text) as door:
         yield door, back
     back.stop()
 
 
 async def serves(peer: Peer) -> None:
     while True:
-        await peer.answer((await peer.head()).split()[1])
+        await peer.send_response((await peer.read_head()).split()[1])
 
 
 async def allows(peer: Peer) -> None:
     while True:
-        told = await peer.head()
+        told = await peer.read_head()
         who = told.split("authorization: ")[1].split()[0] if "authorization: " in told else ""
         if who:
-            await peer.answer("", more=f"x-auth-customer: {who}\r\n")
+            await peer.send_response("", extra_headers=f"x-auth-customer: {who}\r\n")
         else:
-            await peer.answer("who are you?", "401 Unauthorized", "www-authenticate: Basic\r\n")
+            await peer.send_response("who are you?", "401 Unauthorized", "www-authenticate: Basic\r\n")
 
 
 def test_a_request_passes_end_to_end_and_one_without_a_credential_does_not() -> None:
     async def test() -> None:
         async with guarded(allows, serves) as (door, _):
-            assert (await door.ask("/safe/1", "authorization: anna\r\n"))[2] == b"/safe/1"
-            status, told, body = await door.ask("/safe/1")
+            assert (await door.get("/safe/1", "authorization: anna\r\n"))[2] == b"/safe/1"
+            status, told, body = await door.get("/safe/1")
             assert (status, body) == (401, b"who are you?") and "www-authenticate: basic" in told
-            assert (await door.ask("/read/1"))[0] == 200  # other routes ask nobody
+            assert (await door.get("/read/1"))[0] == 200  # other routes ask nobody
 
     run(test())
 
@@ -257,18 +259,18 @@
 def test_a_second_verdict_never_becomes_the_next_requests() -> None:
     async def twice(peer: Peer) -> None:
         while True:
-            told = await peer.head()
+            told = await peer.read_head()
             who = told.split("authorization: ")[1].split()[0]
             if who == "anna":  # allows, and allows once more
                 await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-auth-customer: anna\r\n\r\n" * 2)
             else:
-                await peer.answer("no", "403 Forbidden")
+                await peer.send_response("no", "403 Forbidden")
 
     async def test() -> None:
         async with guarded(twice, serves) as (door, back):
             for _ in range(3):
-                assert (await door.ask("/safe/1", "authorization: anna\r\n"))[0] == 200
-                assert (await door.ask("/safe/1", "authorization: eve\r\n"))[0] == 403
+                assert (await door.get("/safe/1", "authorization: anna\r\n"))[0] == 200
+                assert (await door.get("/safe/1", "authorization: eve\r\n"))[0] == 403
             assert back.connections >= 3
 
     run(test())
@@ -287,12 +289,12 @@
 )
 def test_an_answer_that_cannot_be_used_is_a_failure_and_never_a_pass(bad: str) -> None:
     async def broken(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write(bad)
 
     async def test() -> None:
         async with guarded(broken, serves) as (door, _):
-            status, _, body = await door.ask("/safe/1", "authorization: anna\r\n")
+            status, _, body = await door.get("/safe/1", "authorization: anna\r\n")
             assert status == 503 and json.loads(body)["reason"] == "check failed"
 
     run(test())
@@ -302,13 +304,13 @@
     """It has no length: a reset must not pass for its end."""
 
     async def cuts(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 200 OK\r\nx-auth-customer: anna\r\n\r\nhalf")
         peer.reset()
 
     async def test() -> None:
         async with guarded(cuts, serves) as (door, _):
-            status, _, body = await door.ask("/safe/1", "authorization: anna\r\n")
+            status, _, body = await door.get("/safe/1", "authorization: anna\r\n")
             assert status == 503 and json.loads(body)["reason"] == "check failed"
 
     run(test())
@@ -316,30 +318,30 @@
 
 def test_1xx_before_the_verdict_and_a_dripping_one_are_read() -> None:
     async def drips(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         early, final = b"HTTP/1.1 103 Early Hints\r\n\r\n", b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n"
         for byte in early + final + b"x-auth-customer: a\r\n\r\nok":
             await peer.write(bytes([byte]))
             await asyncio.sleep(0)
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         async with guarded(drips, serves) as (door, _):
-            assert (await door.ask("/safe/1", "authorization: a\r\n"))[0] == 200
+            assert (await door.get("/safe/1", "authorization: a\r\n"))[0] == 200
 
     run(test())
 
 
 def test_a_silent_service_costs_its_budget_and_no_connection_is_kept() -> None:
     async def silent(peer: Peer) -> None:
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         async with guarded(silent, serves, more="attempt_ms: 60") as (door, _):
-            peer = await door.client()
-            await peer.write(get("/safe/1"))
-            status, _, body = await peer.response()
+            peer = await door.connect()
+            await peer.write(request_head("/safe/1"))
+            status, _, body = await peer.read_response()
             assert status == 503 and json.loads(body)["reason"] == "check failed"
-            assert door.driver.auth_client is not None and not door.driver.auth_client.pool.connections
+            assert door.server.auth_client is not None and not door.server.auth_client.pool.connections
 
     run(test())
--- a/tests/test_counter_processes.py
+++ b/tests/test_counter_processes.py
@@ -16,7 +16,7 @@
 from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.lab.copies import Copies
 from martenstep.policy.messages import CallResult
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 
 def door(copies: Copies, told: list[CallResult]) -> CounterClient:
@@ -81,7 +81,7 @@
             True,
         ]
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_one_copy_becomes_three_without_a_stop_and_bears_its_own_loss(tmp_path: Path) -> None:
@@ -124,7 +124,7 @@
             await client.stop()
             await copies.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_disk_that_is_not_among_the_copies_is_told(tmp_path: Path) -> None:
--- a/tests/test_counter_replicated.py
+++ b/tests/test_counter_replicated.py
@@ -37,7 +37,7 @@
 from martenstep.replication.replica import Replica
 from martenstep.replication.replica_storage import ReplicaStorage
 from tests.replica_rig import KEYS, ReplicaGroup
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 NOW = 1_000_000.0
 SMALL = CounterLimits(deduplication_window=6, attempt_window_ms=4000.0, max_attempts=5, max_keys=4, period_ms=1000.0)
@@ -200,7 +200,7 @@
         assert {reply.status for reply in replies if isinstance(reply, RecordReply)} <= {Status.DONE, Status.REPEATED}
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 @pytest.mark.parametrize("first", [0, 1, 2])
@@ -222,7 +222,7 @@
         await client.stop()
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_doors_adds_and_tries_come_through_lost_leaders_once(tmp_path: Path) -> None:
@@ -250,7 +250,7 @@
         await client.stop()
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_copy_that_cannot_say_names_the_leader_and_strangers_are_not_gone_to(tmp_path: Path) -> None:
@@ -270,4 +270,4 @@
         await client.stop()
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
--- a/tests/test_counter_service.py
+++ b/tests/test_counter_service.py
@@ -28,7 +28,7 @@
 from martenstep.counter.state import CounterLimits
 from martenstep.policy.messages import CallResult
 from martenstep.storage.files import LockedError
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 EVERY: list[fr.Frame] = [
     fr.Hello("door-0", 7, 2),
@@ -391,7 +391,7 @@
         assert sorted(names) == sorted(requests)
         assert verify(tmp_path / "log").records > 0
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_the_log_is_read_back_on_the_command_line(tmp_path: Path) -> None:
--- a/tests/test_fault_calls.py
+++ b/tests/test_fault_calls.py
@@ -69,12 +69,12 @@
                 for number, peer in enumerate(peers):
                     await peer.write(short_request(100 * round_ + number))
                 async with asyncio.timeout(PAUSE_S):
-                    statuses = [(await peer.response())[0] for peer in peers]
+                    statuses = [(await peer.read_response())[0] for peer in peers]
                 assert set(statuses) <= ANSWERED, (error, statuses)
                 assert control.hits(Call.ACCEPT) == round_ + 1
                 assert "fault" not in door.events(), (error, door.lines)
                 if lost is not None:
-                    assert await lost.rest() == b""
+                    assert await lost.read_to_end() == b""
                 for peer in peers:
                     peer.close()
 
@@ -94,7 +94,7 @@
             peers = [await door.client() for _ in range(3)]
             for number, peer in enumerate(peers):
                 await peer.write(short_request(number))
-            assert {(await peer.response())[0] for peer in peers} <= ANSWERED
+            assert {(await peer.read_response())[0] for peer in peers} <= ANSWERED
             assert control.hits(Call.ACCEPT) == 1
             assert await door.end() == 0
 
--- a/tests/test_fault_clocks.py
+++ b/tests/test_fault_clocks.py
@@ -16,7 +16,7 @@
 
 from martenstep.lab.soak.faults import FaultControl
 from tests.node_rig import SETTINGS, request, target
-from tests.socket_rig import Back, Peer, Script
+from tests.socket_rig import Peer, Script, ScriptedServer
 from tests.test_node_gateway import serves
 from tests.test_node_processes import Process, doors, play
 
@@ -39,11 +39,11 @@
         """Answer calls on one connection."""
         told = -1
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             while "after=" in head and told == self.revision:
                 await _moment()
             told = self.revision
-            await peer.answer(json.dumps({"rev": told, "all": True, "targets": self.targets}))
+            await peer.send_response(json.dumps({"rev": told, "all": True, "targets": self.targets}))
 
 
 async def _moment() -> None:
@@ -55,10 +55,10 @@
 
     async def script(peer: Peer) -> None:
         while True:
-            await peer.head()
+            await peer.read_head()
             counts[name] = counts.get(name, 0) + 1
             await asyncio.sleep(delay_s)
-            await peer.answer("ok")
+            await peer.send_response("ok")
 
     return script
 
@@ -109,7 +109,7 @@
     peer = await door.client()
     for number in range(count):
         await peer.write(request(number + time.monotonic_ns() % 10**12 * 1000))
-        assert (await peer.response())[0] in (200, 503)  # refused where the slow one is full
+        assert (await peer.read_response())[0] in (200, 503)  # refused where the slow one is full
     peer.close()
 
 
@@ -191,7 +191,7 @@
                 names.append(words[4])
                 await peer.write(b"$1\r\n1\r\n")
 
-        agent, counter = Agent(), Back(shows_names)
+        agent, counter = Agent(), ScriptedServer(shows_names)
         plans = [{"name": "free", "units_per_s": 0.2, "most_at_once": 4.0, "beyond_costs": 0.5}]
         control = FaultControl(tmp_path / "faults")
         async with doors(
--- a/tests/test_fault_pauses.py
+++ b/tests/test_fault_pauses.py
@@ -39,10 +39,10 @@
 
     async def script(peer: Peer) -> None:
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             seen.append((time.monotonic(), head))
             await asyncio.sleep(delay_s)
-            await peer.answer("ok")
+            await peer.send_response("ok")
 
     return script
 
@@ -86,7 +86,7 @@
             sent = time.monotonic()
             await peer.write("".join(request(n, X_Expires_In_Ms=str(DEADLINE_MS)) for n in range(4)))
             for _ in range(4):
-                await peer.response()
+                await peer.read_response()
             assert len(seen) == 4
             for at, head in seen:
                 assert told_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + HELD_UP_S + BUSY_S
@@ -102,7 +102,7 @@
             door, seen = running.gateway, running.seen
             standing = await door.client()
             await standing.write(request(1))
-            await standing.response()
+            await standing.read_response()
             seen.clear()
             door.signal(signal.SIGSTOP)
             fresh = [await door.client() for _ in range(6)]
@@ -112,7 +112,7 @@
             await asyncio.sleep(STOP_S)
             door.signal(signal.SIGCONT)
             for peer in (standing, *fresh):
-                await peer.response()
+                await peer.read_response()
             assert seen
             for at, head in seen:
                 assert told_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + HELD_UP_S + BUSY_S
@@ -131,7 +131,7 @@
             door, agent, seen = running.gateway, running.agent, running.seen
             standing = await door.client()
             await standing.write(request(1))
-            await standing.response()
+            await standing.read_response()
             seen.clear()
             door.signal(signal.SIGSTOP)
             for number in range(2, 6):
@@ -141,7 +141,7 @@
             await asyncio.sleep(STOP_S + DRAIN_GRACE_S)
             door.signal(signal.SIGCONT)
             for _ in range(2, 6):
-                await standing.response()
+                await standing.read_response()
             assert seen == []
 
     play(test())
@@ -161,11 +161,11 @@
             for place in range(20, len(text) - 2):  # slowly, up to the door's end
                 await asyncio.sleep(0.012)
                 await half.write(text[place])
-            status, _, _ = await out.response()  # the door has answered all that it held
+            status, _, _ = await out.read_response()  # the door has answered all that it held
             assert status in (502, 503, 504)
             seen.clear()
             await half.write(text[-2:])
-            await half.rest()
+            await half.read_to_end()
             assert await door.end() == 0
             assert seen == []
 
@@ -184,7 +184,7 @@
             await asyncio.sleep(STOP_S)
             peer = await door.client()
             await peer.write(request(1, X_Expires_In_Ms=str(int(STOP_S * 500))))
-            assert (await peer.response())[0] == 200 and len(seen) == 1
+            assert (await peer.read_response())[0] == 200 and len(seen) == 1
             for one in crowd:
                 one.close()
 
--- a/tests/test_formats_node.py
+++ b/tests/test_formats_node.py
@@ -26,7 +26,7 @@
     EndpointListFollower,
 )
 from tests.node_rig import raw, request, target
-from tests.socket_rig import Back, Peer, run
+from tests.socket_rig import Peer, ScriptedServer, run
 
 FORMATS = Path(__file__).parent / "formats" / "proxy"
 HEAD_END = b"\r\n\r\n"
@@ -129,7 +129,7 @@
                 received.append(data)
                 await peer.write(b"$1\r\n5\r\n")
 
-        back, answers = Back(counter), list[tuple[Any, ...]]()
+        back, answers = ScriptedServer(counter), list[tuple[Any, ...]]()
         calls = CounterClient(("127.0.0.1", await back.start()), lambda *answer: answers.append(answer))
         calls.start()
         for number, call in enumerate(((12, -2.5, 4000.2), (9876543210, 1e-6, 0.2), (3, 0.0, 60_000.0)), 1):
@@ -154,11 +154,11 @@
     async def test() -> None:
         async def agent(peer: Peer) -> None:
             received.append(await peer.reader.readuntil(HEAD_END))
-            await peer.answer(LIST)
+            await peer.send_response(LIST)
             received.append(await peer.reader.readuntil(HEAD_END))
             peer.close()
 
-        back, lists = Back(agent), list[Any]()
+        back, lists = ScriptedServer(agent), list[Any]()
         ports.append(await back.start())
         discovery = DiscoveryClient(
             ("127.0.0.1", ports[0]), EndpointListFollower(), lists.append, lambda event, fields: None
@@ -231,15 +231,15 @@
             await peer.write(b"$3\r\n500\r\n" if len(received) > 7 else b"$1\r\n0\r\n")
 
     async def test() -> None:
-        back = Back(backend)
+        back = ScriptedServer(backend)
         body = json.dumps({"rev": 1, "all": True, "targets": [target("s-a", await back.start())]})
 
         async def agent(peer: Peer) -> None:
-            await peer.head()
-            await peer.answer(body)
-            await peer.rest()
+            await peer.read_head()
+            await peer.send_response(body)
+            await peer.read_to_end()
 
-        lists, counter = Back(agent), Back(counting)
+        lists, counter = ScriptedServer(agent), ScriptedServer(counting)
         path = tmp_path / "config.json"
         addresses = {name: f"127.0.0.1:{await of.start()}" for name, of in (("discovery", lists), ("counter", counter))}
         path.write_text(json.dumps(raw(**addresses)), encoding="utf-8")
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -21,7 +21,7 @@
 from martenstep.proxy.headers import REASON_TEXTS, REJECTION_STATUS, local_reply
 from tests.engine_rig import Rig, settings
 from tests.hook_rig import HookRig, release
-from tests.socket_rig import Peer, get, house, run
+from tests.socket_rig import Peer, request_head, run, running_gateway
 
 FORMATS = Path(__file__).parent / "formats" / "proxy"
 HEAD_END = b"\r\n\r\n"
@@ -209,15 +209,15 @@
             head = await peer.reader.readuntil(HEAD_END)
             match = re.search(rb"content-length: (\d+)", head)
             sent.append(head + await peer.read(int(match[1]) if match else 0))
-            await peer.answer("served", more="X-Other: 1\r\nConnection: x-gone\r\nX-Gone: 1\r\n")
+            await peer.send_response("served", extra_headers="X-Other: 1\r\nConnection: x-gone\r\nX-Gone: 1\r\n")
 
     async def test() -> None:
-        async with house(backend) as gateway:
+        async with running_gateway(backend) as gateway:
             for text in (
-                get(more="X-Request-Id: r1\r\nConnection: x-hop\r\nX-Hop: 1\r\nAccept: */*\r\n"),
-                get("/write/free/1", "X-Request-Id: r2\r\nContent-Length: 3\r\n", "POST") + "abc",
-                get("/none", "X-Request-Id: r3\r\n"),
-                get("/read/../1", "X-Request-Id: r4\r\n"),
+                request_head(extra_headers="X-Request-Id: r1\r\nConnection: x-hop\r\nX-Hop: 1\r\nAccept: */*\r\n"),
+                request_head("/write/free/1", "X-Request-Id: r2\r\nContent-Length: 3\r\n", "POST") + "abc",
+                request_head("/none", "X-Request-Id: r3\r\n"),
+                request_head("/read/../1", "X-Request-Id: r4\r\n"),
                 "nonsense\r\n\r\n",
             ):
                 reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
@@ -240,13 +240,13 @@
 
     async def service(peer: Peer) -> None:
         asked.append(await peer.reader.readuntil(HEAD_END))
-        await peer.answer("", more="x-auth-customer: free\r\nx-role: owner\r\nx-other: 1\r\n")
-        await peer.rest()
+        await peer.send_response("", extra_headers="x-auth-customer: free\r\nx-role: owner\r\nx-other: 1\r\n")
+        await peer.read_to_end()
 
     async def backend(peer: Peer) -> None:
         sent.append(await peer.reader.readuntil(HEAD_END))
-        await peer.answer()
-        await peer.rest()
+        await peer.send_response()
+        await peer.read_to_end()
 
     async def test() -> None:
         server = await asyncio.start_server(lambda reader, writer: service(Peer(reader, writer)), "127.0.0.1", 0)
@@ -255,9 +255,9 @@
             f'auth {{ service {{ port: {port} }} path: "/check" copy_header: "x-role" }} default_plan: "open" '
             'route { name: "safe" path_prefix: "/safe/" class: "read" authenticate: true }'
         )
-        async with house(backend, text=text) as gateway:
+        async with running_gateway(backend, text=text) as gateway:
             more = "Authorization: Bearer t\r\nCookie: c=1\r\nX-Role: admin\r\nX-Request-Id: r1\r\nX-Else: 1\r\n"
-            assert (await gateway.ask("/safe/1?q=2", more))[0] == 200
+            assert (await gateway.get("/safe/1?q=2", more))[0] == 200
         server.close()
         assert asked == [
             b"GET /check HTTP/1.1\r\n"
--- a/tests/test_increment_ledger.py
+++ b/tests/test_increment_ledger.py
@@ -28,7 +28,7 @@
 from martenstep.replication.transport import Transport
 from tests.replica_fleet_rig import KEYS, QUICK, ReplicaFleet
 from tests.replica_rig import Sum
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 
 def made(request: str) -> AttemptRecord:
@@ -194,7 +194,7 @@
         await fleet.whole("a")
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_door_that_was_cut_off_while_it_was_called_lost_finds_its_book_sealed_and_begins_another(
@@ -218,7 +218,7 @@
         await fleet.promised("a", "r2")
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_book_that_is_not_whole_yet_says_so(tmp_path: Path) -> None:
@@ -233,4 +233,4 @@
         await fleet.until(lambda: not fleet.state("a", fleet.books["a"].own_group).pending)
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
--- a/tests/test_node_counter.py
+++ b/tests/test_node_counter.py
@@ -9,7 +9,7 @@
 from martenstep.node import counter as counters
 from martenstep.node.counter import CounterClient, InvalidReplyError, ReplyReader, encode_call
 from martenstep.policy.messages import CallResult
-from tests.socket_rig import Back, Peer, run
+from tests.socket_rig import Peer, ScriptedServer, run
 
 Answers = list[tuple[int, CallResult, float]]
 
@@ -85,7 +85,7 @@
             await peer.write(b"$1\r\n%b\r\n" % words[4][:1])
 
     async def test() -> None:
-        back = Back(serves)
+        back = ScriptedServer(serves)
         answers: Answers = []
         made = CounterClient(("127.0.0.1", await back.start()), lambda *answer: answers.append(answer))
         made.start()
@@ -126,14 +126,14 @@
             asked.set()
             await moved.wait()
             await peer.write(b"$1\r\n3\r\n")
-            await peer.rest()
+            await peer.read_to_end()
 
         async def new(peer: Peer) -> None:
             await peer.read(9)
             await peer.write(b"$1\r\n8\r\n")
-            await peer.rest()
+            await peer.read_to_end()
 
-        before, after = Back(old), Back(new)
+        before, after = ScriptedServer(old), ScriptedServer(new)
         answers: Answers = []
         made = CounterClient(("127.0.0.1", await before.start()), lambda *answer: answers.append(answer))
         made.start()
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -33,7 +33,7 @@
 from martenstep.proxy.listener import MAX_ACCEPTS
 from martenstep.proxy.transport import DISCONNECTED_EVENTS, READ_BYTES
 from tests.node_rig import SETTINGS, request, target
-from tests.socket_rig import Back, Peer, Script, run
+from tests.socket_rig import Peer, Script, ScriptedServer, run
 from tests.test_node_gateway import Place, place, serves
 
 LONG_MS = 60_000.0  # longer than any test runs
@@ -60,9 +60,9 @@
 
     async def script(peer: Peer) -> None:
         while True:
-            await peer.head()
+            await peer.read_head()
             await gate.wait()
-            await peer.answer()
+            await peer.send_response()
 
     return script
 
@@ -92,7 +92,7 @@
     """Broken on the users' narrow days `split` and `zone`: half an answer was served as a whole one."""
 
     async def cuts(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write(f"HTTP/1.1 200 OK\r\n{coding}\r\nhalf of ")
         peer.reset()
 
@@ -107,7 +107,7 @@
 
 def test_an_end_without_a_reset_ends_an_answer_without_a_length(tmp_path: Path) -> None:
     async def ends(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 200 OK\r\n\r\nall of it")
         peer.close()
 
@@ -115,7 +115,7 @@
         async with place(tmp_path, ends) as door:
             peer = await door.client()
             await peer.write(request(1))
-            assert "transfer-encoding: chunked" in await peer.head()
+            assert "transfer-encoding: chunked" in await peer.read_head()
             assert await peer.read(9 + 3 + 2 + 5) == b"9\r\nall of it\r\n0\r\n\r\n"
             peer.close()
 
@@ -126,7 +126,7 @@
     """More than is held back has been passed on: the client must be able to tell that it is not whole."""
 
     async def cuts(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 600_000)
         peer.reset()
 
@@ -134,7 +134,7 @@
         async with place(tmp_path, cuts) as door:
             peer = await door.client()
             await peer.write(request(1))
-            assert not (await peer.rest()).endswith(b"0\r\n\r\n")
+            assert not (await peer.read_to_end()).endswith(b"0\r\n\r\n")
             assert door.node.engine.attempt_result_counts.get("ok") is None
 
     run(test())
@@ -147,11 +147,11 @@
     async def twice(peer: Peer) -> None:
         last = ""
         while True:
-            own = (await peer.head()).split("x-trace-id: ")[1][:16]
+            own = (await peer.read_head()).split("x-trace-id: ")[1][:16]
             if last:
-                await peer.answer(last)
+                await peer.send_response(last)
             last = own
-            await peer.answer(own)
+            await peer.send_response(own)
 
     async def test() -> None:
         async with place(tmp_path, twice) as door:
@@ -160,7 +160,7 @@
             peer = await door.client()
             for number in (1, 2):
                 await peer.write(request(number))
-                body = (await peer.response())[2]
+                body = (await peer.read_response())[2]
             assert body == (b"%016x" % (2 if rests else 1)), "and without its rest the connection is reused"
             assert door.node.server.pool.opened == (2 if rests else 1)
             peer.close()
@@ -186,7 +186,7 @@
         async def silent(peer: Peer) -> None:
             await asyncio.Event().wait()
 
-        back = Back(silent)
+        back = ScriptedServer(silent)
         pool = ConnectionPool(2, LONG_MS, lambda where, why: None)
         address = ("127.0.0.1", await back.start())
         assert pool.reserve_slot(address)
@@ -209,7 +209,7 @@
             ends.append(peer.writer.get_extra_info("socket"))
             await asyncio.Event().wait()
 
-        back = Back(holds)
+        back = ScriptedServer(holds)
         pool = ConnectionPool(2, LONG_MS, lambda where, why: None)
         address = ("127.0.0.1", await back.start())
         assert pool.reserve_slot(address)
@@ -230,7 +230,7 @@
         async with place(tmp_path, serves) as door:
             peer = await door.client()
             await peer.write(request(1))
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             client, pool = await only(door), door.node.server.pool
             [[upstream]] = pool._idle.values()
             for writer in (client.writer, upstream.writer):
@@ -248,7 +248,7 @@
     """Its end is in the kernel, unread, as an attempt ends and the module wants another."""
 
     async def holds(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -271,7 +271,7 @@
     """Reading stood still behind so much that neither its end nor a reset was heard while its request was out."""
 
     async def holds(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -294,7 +294,7 @@
             peer = await door.client()
             await peer.write("".join(request(number) for number in range(100)))
             for _ in range(100):
-                assert (await peer.response())[0] == 200
+                assert (await peer.read_response())[0] == 200
             peer.close()
 
     run(test())
@@ -305,7 +305,7 @@
     heads: list[str] = []
 
     async def notes(peer: Peer) -> None:
-        heads.append(await peer.head())
+        heads.append(await peer.read_head())
 
     async def test() -> None:
         async with place(tmp_path, notes, settings=settings(cancelling=False, dial_timeout_ms=LONG_MS)) as door:
@@ -365,8 +365,8 @@
     heads: list[str] = []
 
     async def notes(peer: Peer) -> None:
-        heads.append(await peer.head())
-        await peer.answer()
+        heads.append(await peer.read_head())
+        await peer.send_response()
 
     async def test() -> None:
         patient = {
@@ -397,9 +397,9 @@
 
     def backend(name: str) -> Callable[[Peer], Any]:
         async def script(peer: Peer) -> None:
-            taken.append(f"{name} {(await peer.head()).split()[1]}")
-            await peer.answer(name)
-            await peer.rest()
+            taken.append(f"{name} {(await peer.read_head()).split()[1]}")
+            await peer.send_response(name)
+            await peer.read_to_end()
 
         return script
 
@@ -437,7 +437,7 @@
             listed = node._follower.take_list(told)
             assert listed is not None
             node._endpoints_updated(listed)
-            assert (await peer.response())[2].decode() == uids[stays] and len(taken) == 1
+            assert (await peer.read_response())[2].decode() == uids[stays] and len(taken) == 1
             gate.set()
             assert node.engine.attempt_result_counts == {"moot": 1, "ok": 1}, "held against nobody"
             peer.close()
@@ -450,10 +450,10 @@
         gate = asyncio.Event()
 
         async def holds(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             await gate.wait()
-            await peer.answer()
-            await peer.rest()
+            await peer.send_response()
+            await peer.read_to_end()
 
         async with place(tmp_path, holds) as door:
             driver = door.node.server
@@ -514,10 +514,10 @@
                 door.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
                 stopping = asyncio.create_task(door.node.stop())
             peer = await raw.peer()
-            status, head, _ = await peer.response()
+            status, head, _ = await peer.read_response()
             assert status == 200 and ("connection: close" in head) is (way == "stop")
             if way == "stop":
-                assert await peer.rest() == b""
+                assert await peer.read_to_end() == b""
                 await stopping
             peer.close()
 
@@ -533,7 +533,7 @@
             raw.send(request(1))
             assert not door.node.server._acceptor.free_slot()
             peer = await raw.peer()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             peer.close()
 
     run(test())
@@ -551,7 +551,7 @@
             raw.send(rest)  # and in this turn of the loop its time is over
             client.time_out_request()
             peer = await raw.peer()
-            status, head, _ = await peer.response()
+            status, head, _ = await peer.read_response()
             assert status == 408 and "connection: close" in head
             assert await peer.reader.read() == b"", "an end, and no reset"
             peer.close()
@@ -577,9 +577,9 @@
             done, _ = await asyncio.wait({stopping}, timeout=0.2)
             assert not done, "it is owed an answer once it is whole"
             await peer.write(whole[-3:])
-            status, head, body = await peer.response()
+            status, head, body = await peer.read_response()
             assert status == 200 and "connection: close" in head and body.endswith(b"|room 5")
-            assert await peer.rest() == b""
+            assert await peer.read_to_end() == b""
             await stopping
 
     run(test())
@@ -590,9 +590,9 @@
     heads: list[str] = []
 
     async def notes(peer: Peer) -> None:
-        heads.append(await peer.head())
-        await peer.answer()
-        await peer.rest()
+        heads.append(await peer.read_head())
+        await peer.send_response()
+        await peer.read_to_end()
 
     async def test() -> None:
         async with place(tmp_path, notes) as door:
@@ -607,7 +607,7 @@
             client.writer.write_eof = crossed  # type: ignore[method-assign]
             raw.send(request(1, Connection="close"))
             peer = await raw.peer()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             assert await peer.reader.read() == b"", "an end, and no reset"
             assert len(heads) == 1 and raw.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
             peer.close()
@@ -633,7 +633,7 @@
             raw.send(request(1, Connection="close"))
             await until(lambda: client.http.can_respond is False)
             peer = await raw.peer()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             assert await peer.reader.read() == b"", "an end, and no reset"
             peer.close()
 
@@ -651,7 +651,7 @@
             for client in door.node.server.state.new_clients:
                 client.waiting_since += LONG_MS
             peer = await Raw(door.port, request(1)).peer()
-            assert (await peer.response())[0] == 503
+            assert (await peer.read_response())[0] == 503
             assert await peer.reader.read() == b"", "an end, and no reset"
             for one in [peer, *young]:
                 one.close()
@@ -664,7 +664,7 @@
     heads: list[str] = []
 
     async def holds(peer: Peer) -> None:
-        heads.append(await peer.head())
+        heads.append(await peer.read_head())
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -688,7 +688,7 @@
             door.node.drain_plan = DrainPlan(0.0, 0.0, 0.0)
             await door.node.stop()
             gate.set()
-            assert [(await peer.response())[0] for peer in (safe, keyed, dialled)] == [503, 504, 503]
+            assert [(await peer.read_response())[0] for peer in (safe, keyed, dialled)] == [503, 504, 503]
             await asyncio.sleep(0)
             assert len(heads) == 2 and driver.counts["attempts"] == 3
 
@@ -715,7 +715,7 @@
             client = await only(door)
             await until(lambda: swept)
             client.waiting_since -= LONG_MS
-            assert await peer.rest() == b"", "who idles is still found"
+            assert await peer.read_to_end() == b"", "who idles is still found"
             assert [event for event, _ in lines] == ["fault"] and "nobody expected it" in lines[0][1]["error"]
 
     run(test())
@@ -812,10 +812,10 @@
             assert listed is not None
             node._endpoints_updated(listed)
             gate.set()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             assert pool.connections == 0 and not pool._retired_at
             await peer.write(request(2))
-            assert (await peer.response())[0] == 200 and pool.opened == 2 and pool.connections == 1
+            assert (await peer.read_response())[0] == 200 and pool.opened == 2 and pool.connections == 1
             peer.close()
 
     run(test())
@@ -825,7 +825,7 @@
     """More than is held back has come: the deadline ran no longer, and the client waited for ever."""
 
     async def endless(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 300_000)
         with contextlib.suppress(ConnectionError):
             while True:
@@ -836,7 +836,7 @@
         async with place(tmp_path, endless) as door:
             peer = await door.client()
             await peer.write(request(1, X_Expires_In_Ms="1500"))
-            assert not (await peer.rest()).endswith(b"0\r\n\r\n"), "it can tell that this is not whole"
+            assert not (await peer.read_to_end()).endswith(b"0\r\n\r\n"), "it can tell that this is not whole"
             assert door.node.engine.response_counts == {
                 "broken answer": 1
             } and door.node.engine.attempt_result_counts == {"timeout": 1}
@@ -856,7 +856,7 @@
             time.sleep(0.05)  # the loop stands: its next turn finds the queue full and the time over
             for one in late:
                 peer = await one.peer()
-                assert (await peer.response())[0] in (200, 503), "served or refused, and not reset"
+                assert (await peer.read_response())[0] in (200, 503), "served or refused, and not reset"
                 peer.close()
             stopping.cancel()
             door.node.server.state.stopping = False
@@ -879,7 +879,7 @@
             status, head, _ = await door.ask(request(2))
             assert status == 503 and "retry-after" in head and node.server.counts["attempts"] == 1
             gate.set()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             node._endpoints_updated(node._follower.full_list())
             assert (await door.ask(request(3)))[0] == 200 and node.server.pool.opened <= 2
             peer.close()
@@ -894,12 +894,12 @@
         asked: list[str] = []
 
         async def told(peer: Peer) -> None:
-            asked.append(await peer.head())
-            await peer.answer('{"rev": 1, "all": true, "targets": []}')
-            asked.append(await peer.head())
-            await peer.rest()
+            asked.append(await peer.read_head())
+            await peer.send_response('{"rev": 1, "all": true, "targets": []}')
+            asked.append(await peer.read_head())
+            await peer.read_to_end()
 
-        back = Back(told)
+        back = ScriptedServer(told)
         made = DiscoveryClient(
             ("127.0.0.1", 1), EndpointListFollower(), lambda listed: None, lambda event, fields: None
         )
@@ -920,7 +920,7 @@
     classes = [SETTINGS["classes"][0], {**SETTINGS["classes"][1], "window_ms": window_ms}]
 
     async def cuts(peer: Peer) -> None:
-        heads.append(await peer.head())
+        heads.append(await peer.read_head())
         peer.reset()
 
     async def test() -> None:
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -33,7 +33,7 @@
 )
 from martenstep.policy.messages import EndpointListScope, EndpointState
 from tests.node_rig import target
-from tests.socket_rig import Back, Peer, run
+from tests.socket_rig import Peer, ScriptedServer, run
 
 NOW_MS = 1_700_000_000_000.0  # by all clocks of a test that names them
 SHORT = DiscoveryTiming(60.0, 60.0, 60.0, 10.0, 1.0, 20.0)  # for what must be waited for
@@ -113,17 +113,17 @@
 
     async def test() -> None:
         async def agent(peer: Peer) -> None:
-            asked.append((await peer.head()).split()[1])
+            asked.append((await peer.read_head()).split()[1])
             await peer.write(answer(told(1, True, target("s-a"))))
-            asked.append((await peer.head()).split()[1])
+            asked.append((await peer.read_head()).split()[1])
             peer.close()
 
         async def other(peer: Peer) -> None:
-            asked.append((await peer.head()).split()[1])
+            asked.append((await peer.read_head()).split()[1])
             await peer.write(answer(told(1, True, target("s-z"))))
-            await peer.rest()
+            await peer.read_to_end()
 
-        first, second = Back(agent), Back(other)
+        first, second = ScriptedServer(agent), ScriptedServer(other)
         lists: list[EndpointListEvent] = []
         notes: list[str] = []
         made = DiscoveryClient(
@@ -156,15 +156,15 @@
     async def test() -> None:
         async def agent(peer: Peer) -> None:
             turn = len(asked)
-            asked.append((await peer.head()).split()[1])
+            asked.append((await peer.read_head()).split()[1])
             if turn in (1, 2):
-                await peer.rest()
+                await peer.read_to_end()
             await peer.write(answer(told(turn, True, target(f"s-{turn}"))))
             if turn == 0:
-                asked.append((await peer.head()).split()[1])
-            await peer.rest()
+                asked.append((await peer.read_head()).split()[1])
+            await peer.read_to_end()
 
-        back = Back(agent)
+        back = ScriptedServer(agent)
         lists: list[EndpointListEvent] = []
         made = DiscoveryClient(
             ("127.0.0.1", await back.start()), EndpointListFollower(), lists.append, lambda event, fields: None, SHORT
@@ -245,7 +245,7 @@
     timing: DiscoveryTiming = AGENT_TIMING,
 ) -> tuple[list[EndpointListEvent], list[str]]:
     """What is told of an agent until so many lists have come, and what is noted."""
-    back = Back(script)
+    back = ScriptedServer(script)
     lists: list[EndpointListEvent] = []
     notes: list[str] = []
 
@@ -276,14 +276,14 @@
     turns: list[str] = []
 
     async def agent(peer: Peer) -> None:
-        turns.append((await peer.head()).split()[1])
+        turns.append((await peer.read_head()).split()[1])
         if len(turns) == 1:
             await peer.write(half)
-            await peer.rest()
+            await peer.read_to_end()
         await peer.write(answer(told(1, True, target("s-a"))))
-        turns.append((await peer.head()).split()[1])
+        turns.append((await peer.read_head()).split()[1])
         await peer.write(half)
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         lists, notes = await _followed(agent, 2, timing=SHORT)
@@ -302,15 +302,15 @@
     turns: list[str] = []
 
     async def agent(peer: Peer) -> None:
-        turns.append((await peer.head()).split()[1])
+        turns.append((await peer.read_head()).split()[1])
         body = answer(told(1, True, target("s-a")))
         if len(turns) == 1:
             for place in range(len(body) - 1):
                 await peer.write(body[place : place + 1])
                 await asyncio.sleep(0.005)
-            await peer.rest()
+            await peer.read_to_end()
         await peer.write(body)
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         lists, _ = await _followed(agent, 1, timing=DiscoveryTiming(60_000.0, 60_000.0, 60_000.0, 1500.0, 1.0, 1.0))
@@ -323,9 +323,9 @@
     """The task ended, and the list stayed as it was for ever."""
 
     async def agent(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write(answer(told(1, True, target("s-a"))))
-        await peer.rest()
+        await peer.read_to_end()
 
     def fails(listed: EndpointListEvent) -> None:
         if not failed:
@@ -349,17 +349,17 @@
         gate = asyncio.Event()
 
         async def old(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             await gate.wait()
             await peer.write(answer(told(7, True, target("s-old"))))
-            await peer.rest()
+            await peer.read_to_end()
 
         async def new(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             await peer.write(answer(told(1, True, target("s-new"))))
-            await peer.rest()
+            await peer.read_to_end()
 
-        first, second = Back(old), Back(new)
+        first, second = ScriptedServer(old), ScriptedServer(new)
         lists: list[EndpointListEvent] = []
         follower = EndpointListFollower()
         made = DiscoveryClient(("127.0.0.1", await first.start()), follower, lists.append, lambda event, fields: None)
@@ -398,10 +398,10 @@
     asked: list[str] = []
 
     async def late(peer: Peer) -> None:
-        asked.append(await peer.head())
+        asked.append(await peer.read_head())
         await asyncio.sleep(0.06)
         await peer.write(answer(told(1, True, target("s-a"))))
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         lists, notes = await _followed(late, 1, timing=DiscoveryTiming(0.0, 60_000.0, 10.0, 1500.0, 1.0, 1.0))
@@ -421,14 +421,14 @@
     turns: list[str] = []
 
     async def refuses(peer: Peer) -> None:
-        turns.append(await peer.head())
+        turns.append(await peer.read_head())
         if len(turns) < 8:
-            await peer.answer("", "503 Service Unavailable", "connection: close\r\n")
+            await peer.send_response("", "503 Service Unavailable", "connection: close\r\n")
         await peer.write(answer(told(1, True, target("s-a"))))
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
-        back, lists = Back(refuses), list[EndpointListEvent]()
+        back, lists = ScriptedServer(refuses), list[EndpointListEvent]()
         made = DiscoveryClient(
             ("127.0.0.1", await back.start()),
             EndpointListFollower(),
@@ -456,11 +456,11 @@
 
     async def refuses(peer: Peer) -> None:
         while True:
-            asked.append((await peer.head()).split()[1])
+            asked.append((await peer.read_head()).split()[1])
             if len(asked) in (2, 3):
-                await peer.answer("", "503 Service Unavailable")
+                await peer.send_response("", "503 Service Unavailable")
             elif len(asked) > 4:
-                await peer.rest()
+                await peer.read_to_end()
             else:
                 await peer.write(answer(told(len(asked), len(asked) == 1, target(f"s-{len(asked)}"))))
 
@@ -605,16 +605,16 @@
 
     async def refuses(peer: Peer) -> None:
         while True:
-            turns.append((await peer.head()).split()[1])
+            turns.append((await peer.read_head()).split()[1])
             if len(turns) == 1:
                 await peer.write(answer(told(1, True, target("s-a"), target("s-b", state="draining"))))
             elif not gate.is_set():
-                await peer.answer("", "503 Service Unavailable")
+                await peer.send_response("", "503 Service Unavailable")
             elif ends == "held":
-                await peer.rest()
+                await peer.read_to_end()
             else:
                 await peer.write(answer(told(2, False, target("s-c"))))
-                await peer.rest()
+                await peer.read_to_end()
 
     def take(listed: EndpointListEvent) -> None:
         lists.append(listed)
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from tests.node_rig import SETTINGS, request, target
-from tests.socket_rig import Back, Peer
+from tests.socket_rig import Peer, ScriptedServer
 from tests.test_node_gateway import agent
 from tests.test_node_processes import Process, doors, play
 
@@ -39,7 +39,7 @@
             text = request(self.number, customer=rng.choice(customers), **told)
             try:
                 await peer.write(text)
-                status, head, _ = await peer.response()
+                status, head, _ = await peer.read_response()
             except (ConnectionError, asyncio.IncompleteReadError):
                 peer = await door.client()
                 continue
@@ -66,16 +66,16 @@
     def serves(marks: list[float]) -> Any:
         async def script(peer: Peer) -> None:
             while True:
-                await peer.head()
+                await peer.read_head()
                 marks.append(time.monotonic())
                 await asyncio.sleep(0.01)
-                await peer.answer()
+                await peer.send_response()
 
         return script
 
     async def test() -> None:
         warm: list[float] = []
-        fresh = Back(serves(came))
+        fresh = ScriptedServer(serves(came))
         port = await fresh.start()
         changed = asyncio.Event()
         targets: list[dict[str, Any]] = []
@@ -84,12 +84,12 @@
             await agent(peer, targets) if changed.is_set() else await before(peer)
 
         async def before(peer: Peer) -> None:
-            await peer.head()
-            await peer.answer(json.dumps({"rev": 0, "all": True, "targets": targets}))
-            await peer.head()
+            await peer.read_head()
+            await peer.send_response(json.dumps({"rev": 0, "all": True, "targets": targets}))
+            await peer.read_head()
             await changed.wait()  # the watch tells all doors at one moment
-            await peer.answer(json.dumps({"rev": 1, "all": True, "targets": targets}))
-            await peer.rest()
+            await peer.send_response(json.dumps({"rev": 1, "all": True, "targets": targets}))
+            await peer.read_to_end()
 
         async with doors(tmp_path, 3, told, *[serves(warm)] * 3, settings={**SETTINGS, "rules": rules}) as made:
             targets += json.loads(made[0].path.read_text(encoding="utf-8"))["known"]["targets"]
@@ -140,12 +140,12 @@
 
     async def serves(peer: Peer) -> None:
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             came.append((time.monotonic(), head.split()[1][-16:]))
-            await peer.answer()
+            await peer.send_response()
 
     async def test() -> None:
-        shared = Back(counting)
+        shared = ScriptedServer(counting)
         address = f"127.0.0.1:{await shared.start()}"
         targets: list[dict[str, Any]] = []
         async with doors(
--- a/tests/test_node_gateway.py
+++ b/tests/test_node_gateway.py
@@ -14,7 +14,7 @@
 from martenstep.node.daemon import GatewayNode
 from martenstep.proxy.acceptor import MIN_AGE_TO_CLOSE_MS
 from tests.node_rig import raw, request, target
-from tests.socket_rig import Back, Peer, Script, run
+from tests.socket_rig import Peer, Script, ScriptedServer, run
 
 
 class Place:
@@ -32,17 +32,17 @@
         """One request on a connection of its own."""
         peer = await self.client()
         await peer.write(text)
-        answer = await peer.response()
+        answer = await peer.read_response()
         peer.close()
         return answer
 
 
 async def agent(peer: Peer, targets: list[dict[str, Any]]) -> None:
     """Tells the list once, and of no change."""
-    await peer.head()
+    await peer.read_head()
     body = json.dumps({"rev": 1, "all": True, "targets": targets})
-    await peer.answer(body)
-    await peer.rest()
+    await peer.send_response(body)
+    await peer.read_to_end()
 
 
 async def counting(peer: Peer) -> None:
@@ -56,9 +56,9 @@
 @contextlib.asynccontextmanager
 async def place(tmp_path: Path, *scripts: Script, **more: Any) -> AsyncIterator[Place]:
     """A door in front of backends, one for each script."""
-    backs = [Back(script) for script in scripts]
+    backs = [ScriptedServer(script) for script in scripts]
     targets = [target(f"s-{number}", await back.start()) for number, back in enumerate(backs)]
-    told, counter = Back(lambda peer: agent(peer, targets)), Back(counting)
+    told, counter = ScriptedServer(lambda peer: agent(peer, targets)), ScriptedServer(counting)
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
@@ -87,19 +87,21 @@
 async def serves(peer: Peer) -> None:
     """Answers each request with its own head."""
     while True:
-        head = await peer.head()
+        head = await peer.read_head()
         length = next((int(line.split(":")[1]) for line in head.split("\r\n") if line.startswith("content-length")), 0)
         body = (await peer.read(length)).decode()
-        await peer.answer(f"{head.splitlines()[0]}|{body}", more="x-other: 1\r\nendpoint-load-metrics: noise\r\n")
+        await peer.send_response(
+            f"{head.splitlines()[0]}|{body}", extra_headers="x-other: 1\r\nendpoint-load-metrics: noise\r\n"
+        )
 
 
 def test_a_request_goes_through_unchanged_and_its_answer_back(tmp_path: Path) -> None:
     heads: list[str] = []
 
     async def shows(peer: Peer) -> None:
-        heads.append(await peer.head())
-        await peer.answer("served")
-        await peer.rest()
+        heads.append(await peer.read_head())
+        await peer.send_response("served")
+        await peer.read_to_end()
 
     async def test() -> None:
         async with place(tmp_path, shows) as door:
@@ -139,8 +141,8 @@
     reached: list[str] = []
 
     async def notes(peer: Peer) -> None:
-        reached.append(await peer.head())
-        await peer.answer("served")
+        reached.append(await peer.read_head())
+        await peer.send_response("served")
 
     async def test() -> None:
         async with place(tmp_path, notes) as door:
@@ -159,32 +161,32 @@
 
     async def twice(peer: Peer) -> None:
         for turn in range(5):
-            await peer.head()
-            await peer.answer(f"answer {turn}")
-            await peer.answer(f"answer {turn}")
+            await peer.read_head()
+            await peer.send_response(f"answer {turn}")
+            await peer.send_response(f"answer {turn}")
 
     async def test() -> None:
         async with place(tmp_path, twice) as door:
             peer = await door.client()
             for number in range(4):
                 await peer.write(request(number))
-                assert (await peer.response())[2] == b"answer 0", "each on a connection of its own"
+                assert (await peer.read_response())[2] == b"answer 0", "each on a connection of its own"
 
     run(test())
 
 
 def test_an_answer_that_grows_too_long_is_a_failed_attempt(tmp_path: Path) -> None:
     async def endless(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
         with contextlib.suppress(ConnectionError):
             while True:
                 await peer.write(b"10000\r\n" + b"x" * 65536 + b"\r\n")
 
     async def huge(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nxxx")
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         async with place(tmp_path, huge) as door:
@@ -194,8 +196,8 @@
         async with place(tmp_path, endless) as door:
             peer = await door.client()
             await peer.write(request(2))
-            assert (await peer.head()).startswith("http/1.1 200")
-            assert not (await peer.rest()).endswith(b"0\r\n\r\n"), "its client sees that it is not whole"
+            assert (await peer.read_head()).startswith("http/1.1 200")
+            assert not (await peer.read_to_end()).endswith(b"0\r\n\r\n"), "its client sees that it is not whole"
             assert door.node.server.counts["broken"] == 1
 
     run(test())
@@ -207,7 +209,7 @@
 
     async def large(peer: Peer) -> None:
         while True:
-            await peer.head()
+            await peer.read_head()
             size = sizes.pop(0)
             await peer.write(f"HTTP/1.1 200 OK\r\ncontent-length: {size}\r\n\r\n")
             await peer.write(b"x" * size)
@@ -224,10 +226,10 @@
 
 def test_a_provisional_answer_ahead_is_read_past(tmp_path: Path) -> None:
     async def early(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 103 PendingSignals Hints\r\nlink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n")
-        await peer.answer("served")
-        await peer.rest()
+        await peer.send_response("served")
+        await peer.read_to_end()
 
     async def test() -> None:
         async with place(tmp_path, early) as door:
@@ -241,7 +243,7 @@
         async with place(tmp_path, serves) as door:
             standing = await door.client()
             await standing.write(request(1))
-            assert (await standing.response())[0] == 200
+            assert (await standing.read_response())[0] == 200
             door.node.drain_plan = DrainPlan(100.0, 500.0, 1000.0)
             leaving = asyncio.create_task(door.node.stop())
             await asyncio.sleep(0)
@@ -252,9 +254,9 @@
             while listener.accepting:
                 await asyncio.sleep(0.001)
             await standing.write(request(3))
-            status, head, _ = await standing.response()
+            status, head, _ = await standing.read_response()
             assert status == 200 and "connection: close" in head
-            assert await standing.rest() == b""
+            assert await standing.read_to_end() == b""
             await leaving
 
     run(test())
@@ -266,7 +268,7 @@
             driver, most = door.node.server, door.node.config.listener.max_connections
             usual = await door.client()
             await usual.write(request(1))
-            assert (await usual.response())[0] == 200
+            assert (await usual.read_response())[0] == 200
             silent = [await door.client() for _ in range(most - 1)]
             while len(driver.clients) < most:
                 await asyncio.sleep(0.001)
@@ -275,11 +277,11 @@
             late = [await door.client() for _ in range(most - 1)]
             for number, peer in enumerate(late):
                 await peer.write(request(10 + number))
-                assert (await peer.response())[0] == 200
+                assert (await peer.read_response())[0] == 200
             for peer in silent:
-                assert await peer.rest() == b""
+                assert await peer.read_to_end() == b""
             await usual.write(request(2))
-            assert (await usual.response())[0] == 200, "who was served before goes last"
+            assert (await usual.read_response())[0] == 200, "who was served before goes last"
             assert (await door.ask(request(99)))[0] == 200, "and even then one that is idle makes room"
             assert driver.counts["connections_closed_for_room"] == most
             assert driver.counts["connections_turned_away"] == 0
@@ -300,9 +302,9 @@
                 await asyncio.sleep(0.001)
             for client in door.node.server.state.new_clients:
                 client.waiting_since += 60_000.0
-            assert (await (await door.client()).rest()).startswith(b"HTTP/1.1 503")
+            assert (await (await door.client()).read_to_end()).startswith(b"HTTP/1.1 503")
             await young[0].write(request(1))
-            assert (await young[0].response())[0] == 200
+            assert (await young[0].read_response())[0] == 200
             for peer in young:
                 peer.close()
 
@@ -317,8 +319,8 @@
             for target, status in (("/_health", 200), ("/", 400)):
                 peer = await door.client()
                 await peer.write(f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n")
-                assert (await peer.response())[0] == status
-                assert await peer.rest() == b""
+                assert (await peer.read_response())[0] == status
+                assert await peer.read_to_end() == b""
 
     run(test())
 
@@ -328,12 +330,12 @@
         asked: list[str] = []
 
         async def elsewhere(peer: Peer) -> None:
-            asked.append(await peer.head())
-            await peer.answer(json.dumps({"rev": 1, "all": True, "targets": []}))
-            await peer.rest()
+            asked.append(await peer.read_head())
+            await peer.send_response(json.dumps({"rev": 1, "all": True, "targets": []}))
+            await peer.read_to_end()
 
         async with place(tmp_path, serves) as door:
-            other = Back(elsewhere)
+            other = ScriptedServer(elsewhere)
             told = json.loads(door.path.read_text(encoding="utf-8"))
             door.path.write_text("{", encoding="utf-8")
             door.node.reload()
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -32,7 +32,7 @@
     DiscoveryTiming,
 )
 from tests.node_rig import SETTINGS, raw, request, target
-from tests.socket_rig import Back, Peer, Script, run
+from tests.socket_rig import Peer, Script, ScriptedServer, run
 from tests.test_node_gateway import agent, counting, serves
 
 BOUND_S = 60.0
@@ -112,7 +112,7 @@
         """One request on a connection of its own."""
         peer = await self.client()
         await peer.write(text)
-        answer = await peer.response()
+        answer = await peer.read_response()
         peer.close()
         return answer
 
@@ -127,7 +127,7 @@
     tmp_path: Path, count: int, told: Script, *scripts: Script, **more: Any
 ) -> AsyncIterator[list[Process]]:
     """So many doors, not started yet, that follow one agent; `told` is its script, `scripts` the backends'."""
-    backs = [Back(script) for script in (told, counting, *scripts)]
+    backs = [ScriptedServer(script) for script in (told, counting, *scripts)]
     ports = [await back.start() for back in backs]
     made = []
     for number in range(count):
@@ -173,7 +173,7 @@
 
 async def silent(peer: Peer) -> None:
     """An agent while discovery is down."""
-    await peer.rest()
+    await peer.read_to_end()
 
 
 async def write_to(fifo: Path, text: str, before: Callable[[], None] = lambda: None) -> None:
@@ -193,9 +193,9 @@
     """An agent that keeps what it is asked and tells one list."""
 
     async def script(peer: Peer) -> None:
-        asked.append(await peer.head())
-        await peer.answer(json.dumps({"rev": 1, "all": True, "targets": targets}))
-        await peer.rest()
+        asked.append(await peer.read_head())
+        await peer.send_response(json.dumps({"rev": 1, "all": True, "targets": targets}))
+        await peer.read_to_end()
 
     return script
 
@@ -205,7 +205,7 @@
 
     async def test() -> None:
         asked: list[str] = []
-        moved = Back(lists([], asked))
+        moved = ScriptedServer(lists([], asked))
         async with doors(tmp_path, 1, silent) as [door]:
             text, changed = door.path.read_text(encoding="utf-8"), tmp_path / "changed.json"
             other = {**json.loads(text), "discovery": f"127.0.0.1:{await moved.start()}"}
@@ -260,9 +260,9 @@
         got = asyncio.Event()
 
         async def asked(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             got.set()
-            await peer.rest()
+            await peer.read_to_end()
 
         async with doors(tmp_path, 1, asked) as [door]:
             await door.start()
@@ -284,21 +284,21 @@
         backs: list[str] = []
 
         async def holds(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             asked.set()
             await gate.wait()
-            await peer.answer(json.dumps({"rev": 2, "all": True, "targets": [target("s-1", ports[1])]}))
-            await peer.rest()
+            await peer.send_response(json.dumps({"rev": 2, "all": True, "targets": [target("s-1", ports[1])]}))
+            await peer.read_to_end()
 
         def backend(name: str) -> Callable[[Peer], Awaitable[None]]:
             async def script(peer: Peer) -> None:
-                await peer.head()
+                await peer.read_head()
                 backs.append(name)
-                await peer.answer(name)
+                await peer.send_response(name)
 
             return script
 
-        made = [Back(holds), Back(backend("s-0")), Back(backend("s-1"))]
+        made = [ScriptedServer(holds), ScriptedServer(backend("s-0")), ScriptedServer(backend("s-1"))]
         agent_port, *ports = [await back.start() for back in made]
         [port] = held_ports(1)
         path = tmp_path / "config.json"
@@ -330,7 +330,7 @@
         assert await starting == port
         peer = Peer(*await asyncio.open_connection("127.0.0.1", port))
         await peer.write(request(1))
-        assert (await peer.response())[2] == b"s-1" and backs == ["s-1"]
+        assert (await peer.read_response())[2] == b"s-1" and backs == ["s-1"]
         peer.close()
         node.drain_plan = EMPTY_DRAIN_PLAN
         await node.stop()
@@ -348,13 +348,13 @@
 
         async def refuses(peer: Peer) -> None:
             while not gate.is_set():
-                refusals.append(await peer.head())
-                await peer.answer("", "503 Service Unavailable")
-            await peer.head()
-            await peer.answer(json.dumps({"rev": 9, "all": True, "targets": [target("s-1", fresh_port)]}))
-            await peer.rest()
+                refusals.append(await peer.read_head())
+                await peer.send_response("", "503 Service Unavailable")
+            await peer.read_head()
+            await peer.send_response(json.dumps({"rev": 9, "all": True, "targets": [target("s-1", fresh_port)]}))
+            await peer.read_to_end()
 
-        fresh = Back(serves)
+        fresh = ScriptedServer(serves)
         fresh_port = await fresh.start()
         async with doors(tmp_path, 1, refuses, serves, settings={**settings(), "discovery": "subscribe"}) as [door]:
             await door.start()
@@ -480,16 +480,16 @@
 
         async def holds(peer: Peer) -> None:
             while True:
-                await peer.head()
+                await peer.read_head()
                 gates.append(asyncio.Event())
                 await gates[-1].wait()
-                await peer.answer("held")
+                await peer.send_response("held")
 
-        back = Back(holds)
+        back = ScriptedServer(holds)
         ports.append(await back.start())
         targets = [target("s-0", ports[0])]
         asked: list[str] = []
-        moved = Back(lists(targets, asked))
+        moved = ScriptedServer(lists(targets, asked))
         elsewhere = f"127.0.0.1:{await moved.start()}"
         async with doors(tmp_path, 3, lambda peer: agent(peer, targets), settings=settings(60_000.0)) as made:
             for number, door in enumerate(made):
@@ -498,7 +498,7 @@
                 gates.clear()
                 resting, busy = await door.client(), await door.client()
                 await resting.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-                assert (await resting.response())[0] == 200
+                assert (await resting.read_response())[0] == 200
                 await busy.write(request(number, X_Expires_In_Ms="60000"))
                 while not gates:
                     await asyncio.sleep(0.005)
@@ -512,10 +512,10 @@
                 while not asked:
                     await asyncio.sleep(0.005)
                 gates[0].set()
-                status, head, body = await busy.response()
+                status, head, body = await busy.read_response()
                 clean = (status, body) == (200, b"held")  # and refused at the end of the grace, on a starved machine
                 assert (clean or status == 503) and "connection: close" in head
-                assert await busy.rest() == b"" and await resting.rest() == b""
+                assert await busy.read_to_end() == b"" and await resting.read_to_end() == b""
                 assert await door.end() == 0 and door.lines[-1]["clean"] is clean
         back.stop()
         moved.stop()
@@ -554,10 +554,10 @@
         heads: list[str] = []
 
         async def notes(peer: Peer) -> None:
-            heads.append(await peer.head())
-            await peer.answer("new")
+            heads.append(await peer.read_head())
+            await peer.send_response("new")
 
-        fresh = Back(notes)
+        fresh = ScriptedServer(notes)
         targets = [target("s-0", 1, state="draining"), target("s-new", await fresh.start())]
         async with doors(tmp_path, 1, silent, serves, discovery=f"127.0.0.1:{port}", limits={"sockets": sockets}) as [
             door
@@ -571,7 +571,7 @@
                     one.setblocking(False)
                     one.connect_ex(("127.0.0.1", door.port))
                 assert (await door.ask(request(1, X_Plan="small")))[0] in (200, 503), "served, or told of a full house"
-                back = Back(lists(targets, []))
+                back = ScriptedServer(lists(targets, []))
                 back._server = await asyncio.start_server(back._serve, "127.0.0.1", port)
                 await door.until("discovery connection recovered")
                 while True:  # who came in the same burst is young, and keeps others out for a while
--- a/tests/test_node_sites.py
+++ b/tests/test_node_sites.py
@@ -73,9 +73,9 @@
 
     async def serves(peer: Peer) -> None:
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             await peer.read(1 if head.startswith("post") else 0)
-            await peer.answer(head.split()[1])
+            await peer.send_response(head.split()[1])
 
     async def test() -> None:
         targets: list[dict[str, Any]] = []
@@ -113,7 +113,7 @@
     heads: list[str] = []
 
     async def cuts(peer: Peer) -> None:
-        heads.append(await peer.head())
+        heads.append(await peer.read_head())
         peer.reset()
 
     async def test() -> None:
--- a/tests/test_photo.py
+++ b/tests/test_photo.py
@@ -12,7 +12,7 @@
 
 from martenstep.standins.base import Trace
 from martenstep.standins.photo import Cores, Fall, PhotoConfig, PhotoServer, WorkOf
-from tests.socket_rig import Peer, get, run
+from tests.socket_rig import Peer, request_head, run
 
 
 def test_cores_serve_in_order_and_the_queue_is_bounded() -> None:
@@ -74,24 +74,24 @@
         config = PhotoConfig(id=1, work={"read": WorkOf(1, 1, 5, 10_000)})
         server = PhotoServer(config, Trace(None))
         peer = Peer(*await asyncio.open_connection("127.0.0.1", await server.start()))
-        await peer.write(get(more="idempotency-key: k\r\n"))
-        assert (await peer.response())[0] == 200
-        await peer.write(get(more="idempotency-key: k\r\n"))
-        assert "x-repeat: 1" in (await peer.response())[1]
+        await peer.write(request_head(extra_headers="idempotency-key: k\r\n"))
+        assert (await peer.read_response())[0] == 200
+        await peer.write(request_head(extra_headers="idempotency-key: k\r\n"))
+        assert "x-repeat: 1" in (await peer.read_response())[1]
         server.control("drain", {"on": True})
-        await peer.write(get())
-        status, head, _ = await peer.response()
+        await peer.write(request_head())
+        status, head, _ = await peer.read_response()
         assert status == 503 and "x-not-run: 1" in head
         server.control("drain", {"on": False})
         for do, told in (("errors", 500), ("resets", None), ("cuts", None)):
             server.control(do, {"share": 1.0})
             peer = Peer(*await asyncio.open_connection("127.0.0.1", server._port))
-            await peer.write(get())
+            await peer.write(request_head())
             if told:
-                assert (await peer.response())[0] == told
+                assert (await peer.read_response())[0] == told
             else:
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                    await peer.response()
+                    await peer.read_response()
             server.control(do, {"share": 0.0})
         with contextlib.suppress(ConnectionError):
             peer.close()
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -12,41 +12,41 @@
 import pytest
 
 from martenstep.proxy.connection_pool import ConnectionPool
-from tests.socket_rig import Peer, get, house, run
+from tests.socket_rig import Peer, request_head, run, running_gateway
 
 
 async def good(peer: Peer) -> None:
     """Answers every request with its target."""
     while True:
-        head = await peer.head()
-        await peer.answer(head.split()[1])
+        head = await peer.read_head()
+        await peer.send_response(head.split()[1])
 
 
 async def silent(peer: Peer) -> None:
     """Takes everything, answers nothing."""
-    await peer.rest()
+    await peer.read_to_end()
 
 
 def test_kept_alive_and_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with house(good) as door:
-            peer = await door.client()
-            await peer.write("".join(get(f"/read/{n}") for n in range(5)))
-            bodies = [(await peer.response())[2] for _ in range(5)]
+        async with running_gateway(good) as gateway:
+            peer = await gateway.connect()
+            await peer.write("".join(request_head(f"/read/{n}") for n in range(5)))
+            bodies = [(await peer.read_response())[2] for _ in range(5)]
             assert bodies == [b"/read/%d" % n for n in range(5)]
-            assert door.driver.pool.opened == 1  # one connection to the server serves them all
+            assert gateway.server.pool.opened == 1  # one connection to the server serves them all
 
     run(test())
 
 
 def test_a_head_one_byte_at_a_time() -> None:
     async def test() -> None:
-        async with house(good) as door:
-            peer = await door.client()
-            for byte in get().encode():
+        async with running_gateway(good) as gateway:
+            peer = await gateway.connect()
+            for byte in request_head().encode():
                 await peer.write(bytes([byte]))
                 await asyncio.sleep(0)
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
 
     run(test())
 
@@ -68,25 +68,25 @@
 )
 def test_bad_requests_get_a_4xx_and_the_connection_ends(sent: str, status: int) -> None:
     async def test() -> None:
-        async with house(good) as door:
-            peer = await door.client()
+        async with running_gateway(good) as gateway:
+            peer = await gateway.connect()
             await peer.write(sent.encode("latin-1"))
-            got = await peer.rest()
+            got = await peer.read_to_end()
             assert int(got.split()[1]) == status, got
             assert got.count(b"HTTP/1.1") == 1
-            assert (await door.ask())[0] == 200  # others are served as before
+            assert (await gateway.get())[0] == 200  # others are served as before
 
     run(test())
 
 
 def test_a_chunked_body_past_the_bound_is_a_413() -> None:
     async def test() -> None:
-        async with house(silent, text="listener { body_bytes: 1000 }") as door:
-            peer = await door.client()
-            await peer.write(get(method="POST", more="transfer-encoding: chunked\r\n"))
+        async with running_gateway(silent, text="listener { body_bytes: 1000 }") as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head(method="POST", extra_headers="transfer-encoding: chunked\r\n"))
             await peer.write("7d0\r\n" + "x" * 2000 + "\r\n")
-            assert (await peer.rest()).startswith(b"HTTP/1.1 413")
-            assert not door.driver.engine.unanswered
+            assert (await peer.read_to_end()).startswith(b"HTTP/1.1 413")
+            assert not gateway.server.engine.unanswered
 
     run(test())
 
@@ -94,7 +94,7 @@
 def test_bodies_go_both_ways_with_length_and_in_chunks() -> None:
     async def echo(peer: Peer) -> None:
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             if "transfer-encoding: chunked" in head:
                 body = b""
                 while size := int(await peer.reader.readline(), 16):
@@ -108,14 +108,14 @@
             )
 
     async def test() -> None:
-        async with house(echo) as door:
-            peer = await door.client()
-            await peer.write(get(method="POST", more="content-length: 5\r\n") + "hello")
-            assert (await peer.head()).startswith("http/1.1 200")
+        async with running_gateway(echo) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head(method="POST", extra_headers="content-length: 5\r\n") + "hello")
+            assert (await peer.read_head()).startswith("http/1.1 200")
             assert await peer.read(15) == b"5\r\nhello\r\n0\r\n\r\n"
-            await peer.write(get(method="PUT", more="transfer-encoding: chunked\r\n"))
+            await peer.write(request_head(method="PUT", extra_headers="transfer-encoding: chunked\r\n"))
             await peer.write("3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
-            assert (await peer.head()).startswith("http/1.1 200")
+            assert (await peer.read_head()).startswith("http/1.1 200")
             assert await peer.read(15) == b"5\r\nabcde\r\n0\r\n\r\n"
 
     run(test())
@@ -125,24 +125,24 @@
     size = 8 << 20
 
     async def echo(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         body = await peer.read(size)
         await peer.write(f"HTTP/1.1 200 OK\r\ncontent-length: {size}\r\n\r\n")
         await peer.write(body)
 
     async def test() -> None:
-        async with house(echo) as door:
-            peer = await door.client()
+        async with running_gateway(echo) as gateway:
+            peer = await gateway.connect()
             body = bytes(range(256)) * (size // 256)
-            head = get(method="POST", more=f"content-length: {size}\r\n").encode()
+            head = request_head(method="POST", extra_headers=f"content-length: {size}\r\n").encode()
             sending = asyncio.create_task(peer.write(head + body))
             # Nothing is read yet: the door may hold no more than its bounds.
             while not sending.done():
-                for flight in door.driver.requests.values():
+                for flight in gateway.server.requests.values():
                     assert flight.body is None or len(flight.body.buffer) <= 3 * 65536
                     assert flight.buffered_bytes <= 3 * 65536
                 await asyncio.sleep(0.001)
-            status, _, got = await peer.response()
+            status, _, got = await peer.read_response()
             assert status == 200 and got == body
 
     run(test())
@@ -150,22 +150,22 @@
 
 def test_expect_100_continue_is_answered_only_when_the_body_is_wanted() -> None:
     async def take(peer: Peer) -> None:
-        head = await peer.head()
+        head = await peer.read_head()
         assert "expect" not in head
         assert await peer.read(4) == b"body"
-        await peer.answer()
+        await peer.send_response()
 
     async def test() -> None:
-        async with house(take) as door:
-            peer = await door.client()
-            await peer.write(get(method="POST", more="content-length: 4\r\nexpect: 100-continue\r\n"))
-            assert (await peer.head()).startswith("http/1.1 100")
+        async with running_gateway(take) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head(method="POST", extra_headers="content-length: 4\r\nexpect: 100-continue\r\n"))
+            assert (await peer.read_head()).startswith("http/1.1 100")
             await peer.write("body")
-            assert (await peer.response())[0] == 200
-        async with house() as door:  # no server: refused, and the body is never asked for
-            peer = await door.client()
-            await peer.write(get(method="POST", more="content-length: 4\r\nexpect: 100-continue\r\n"))
-            got = await peer.rest()
+            assert (await peer.read_response())[0] == 200
+        async with running_gateway() as gateway:  # no server: refused, and the body is never asked for
+            peer = await gateway.connect()
+            await peer.write(request_head(method="POST", extra_headers="content-length: 4\r\nexpect: 100-continue\r\n"))
+            got = await peer.read_to_end()
             assert got.startswith(b"HTTP/1.1 503") and b"connection: close" in got.lower()
 
     run(test())
@@ -173,17 +173,17 @@
 
 def test_an_early_4xx_ends_the_sending_of_the_body() -> None:
     async def early(peer: Peer) -> None:
-        await peer.head()
-        await peer.answer("too much", "413 Content Too Large")
-        await peer.rest()
+        await peer.read_head()
+        await peer.send_response("too much", "413 Content Too Large")
+        await peer.read_to_end()
 
     async def test() -> None:
-        async with house(early) as door:
-            peer = await door.client()
-            await peer.write(get(method="POST", more="content-length: 1000000\r\n") + "x" * 100_000)
-            status, head, body = await peer.response()
+        async with running_gateway(early) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head(method="POST", extra_headers="content-length: 1000000\r\n") + "x" * 100_000)
+            status, head, body = await peer.read_response()
             assert (status, body) == (413, b"too much") and "connection: close" in head
-            assert len(door.answers()) == 1 and door.answers()[0]["attempts"] == 1
+            assert len(gateway.finished_requests()) == 1 and gateway.finished_requests()[0]["attempts"] == 1
 
     run(test())
 
@@ -191,26 +191,26 @@
 def test_head_has_the_length_and_no_body() -> None:
     async def headed(peer: Peer) -> None:
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             assert head.startswith(("head", "get"))
             await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n" + ("" if head[0] == "h" else "x" * 100))
 
     async def test() -> None:
-        async with house(headed) as door:
-            peer = await door.client()
-            await peer.write(get(method="HEAD") + get())
-            assert "content-length: 100" in await peer.head()
-            assert (await peer.response())[2] == b"x" * 100
+        async with running_gateway(headed) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head(method="HEAD") + request_head())
+            assert "content-length: 100" in await peer.read_head()
+            assert (await peer.read_response())[2] == b"x" * 100
 
     run(test())
 
 
 def test_http_1_0_is_answered_and_closed() -> None:
     async def test() -> None:
-        async with house(good) as door:
-            peer = await door.client()
+        async with running_gateway(good) as gateway:
+            peer = await gateway.connect()
             await peer.write("GET /read/9 HTTP/1.0\r\nx-customer: free\r\n\r\n")
-            got = await peer.rest()
+            got = await peer.read_to_end()
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"/read/9")
 
     run(test())
@@ -218,11 +218,11 @@
 
 def test_a_client_that_closed_its_half_is_still_answered() -> None:
     async def test() -> None:
-        async with house(good) as door:
-            peer = await door.client()
-            await peer.write(get("/read/5"))
+        async with running_gateway(good) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head("/read/5"))
             peer.writer.write_eof()
-            got = await peer.rest()
+            got = await peer.read_to_end()
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"/read/5")
 
     run(test())
@@ -230,13 +230,13 @@
 
 def test_a_client_that_closed_its_half_can_be_taken_for_gone() -> None:
     async def test() -> None:
-        async with house(silent, text="listener { leave_on_half_close: true }") as door:
-            peer = await door.client()
-            await peer.write(get())
-            await door.until(lambda: door.driver.engine.unanswered == 1)
+        async with running_gateway(silent, text="listener { leave_on_half_close: true }") as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head())
+            await gateway.wait_until(lambda: gateway.server.engine.unanswered == 1)
             peer.writer.write_eof()
-            await door.until(lambda: door.driver.engine.unanswered == 0)
-            assert door.answers()[0]["reason"] == "client left"
+            await gateway.wait_until(lambda: gateway.server.engine.unanswered == 0)
+            assert gateway.finished_requests()[0]["reason"] == "client left"
 
     run(test())
 
@@ -245,20 +245,20 @@
     got, ended = asyncio.Event(), asyncio.Event()
 
     async def waits(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         got.set()
-        await peer.rest()
+        await peer.read_to_end()
         ended.set()
 
     async def test() -> None:
-        async with house(waits) as door:
-            peer = await door.client()
-            await peer.write(get())
+        async with running_gateway(waits) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head())
             await got.wait()  # a client that goes before leaves the server with nothing
-            assert door.driver.requests and door.driver.engine.unanswered == 1
+            assert gateway.server.requests and gateway.server.engine.unanswered == 1
             peer.reset()
             await ended.wait()  # the server sees its connection end
-            assert door.answers()[0]["reason"] == "client left" and not door.driver.requests
+            assert gateway.finished_requests()[0]["reason"] == "client left" and not gateway.server.requests
 
     run(test())
 
@@ -267,35 +267,35 @@
     heads = []
 
     async def once(peer: Peer) -> None:
-        heads.append(await peer.head())
-        await peer.answer()  # and closes, without having said so
+        heads.append(await peer.read_head())
+        await peer.send_response()  # and closes, without having said so
 
     async def test() -> None:
-        async with house(once) as door:
+        async with running_gateway(once) as gateway:
             for _ in range(3):
-                assert (await door.ask("/pay/1"))[0] == 200  # unsafe: written to a dead connection it would fail
+                assert (await gateway.get("/pay/1"))[0] == 200  # unsafe: written to a dead connection it would fail
                 await asyncio.sleep(0.02)
-            assert len(heads) == 3 and all(line["attempts"] == 1 for line in door.answers())
+            assert len(heads) == 3 and all(line["attempts"] == 1 for line in gateway.finished_requests())
 
     run(test())
 
 
 def test_a_server_that_closes_as_the_request_is_written_may_have_run_it() -> None:
     async def closes(peer: Peer) -> None:
-        await peer.head()
-        await peer.answer()
-        await peer.head()
+        await peer.read_head()
+        await peer.send_response()
+        await peer.read_head()
         peer.reset()
 
     async def test() -> None:
-        async with house(closes) as door:
-            peer = await door.client()
-            await peer.write(get("/pay/1"))
-            assert (await peer.response())[0] == 200
-            await peer.write(get("/pay/2"))
-            status, _, body = await peer.response()
+        async with running_gateway(closes) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head("/pay/1"))
+            assert (await peer.read_response())[0] == 200
+            await peer.write(request_head("/pay/2"))
+            status, _, body = await peer.read_response()
             assert status == 502 and json.loads(body)["reason"] == "failed"
-            assert door.answers()[1]["attempts"] == 1
+            assert gateway.finished_requests()[1]["attempts"] == 1
 
     run(test())
 
@@ -305,35 +305,38 @@
 
     async def cuts(peer: Peer) -> None:
         while True:
-            await peer.head()
+            await peer.read_head()
             if state.pop("first", False):
                 await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf")
                 return
-            await peer.answer("whole")
+            await peer.send_response("whole")
 
     async def test() -> None:
-        async with house(cuts, cuts) as door:
-            status, _, body = await door.ask()
-            assert (status, body) == (200, b"whole") and door.answers()[0]["attempts"] == 2
+        async with running_gateway(cuts, cuts) as gateway:
+            status, _, body = await gateway.get()
+            assert (status, body) == (200, b"whole") and gateway.finished_requests()[0]["attempts"] == 2
 
     run(test())
 
 
 def test_a_long_answer_that_breaks_breaks_the_clients_connection() -> None:
     async def breaks(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\n\r\n" + "x" * 300_000)
         await asyncio.sleep(0.05)
         peer.reset()
 
     async def test() -> None:
-        async with house(breaks) as door:
-            peer = await door.client()
-            await peer.write(get())
-            got = await peer.rest()
+        async with running_gateway(breaks) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head())
+            got = await peer.read_to_end()
             assert got.startswith(b"HTTP/1.1 200") and len(got) < 1_000_000
-            await door.until(lambda: bool(door.answers()))
-            assert door.answers()[0]["reason"] == "broken answer" and door.answers()[0]["attempts"] == 1
+            await gateway.wait_until(lambda: bool(gateway.finished_requests()))
+            assert (
+                gateway.finished_requests()[0]["reason"] == "broken answer"
+                and gateway.finished_requests()[0]["attempts"] == 1
+            )
 
     run(test())
 
@@ -342,21 +345,21 @@
     bodies = []
 
     async def drops_first(peer: Peer) -> None:
-        head = await peer.head()
+        head = await peer.read_head()
         body = await peer.read(int(head.split("content-length: ")[1].split()[0]))
         bodies.append(body)
         if "x-attempt: 0" in head:
             peer.reset()
         else:
-            await peer.answer()
+            await peer.send_response()
 
     async def test() -> None:
-        async with house(drops_first, drops_first, text="upstream { keep_body_bytes: 1000 }") as door:
+        async with running_gateway(drops_first, drops_first, text="upstream { keep_body_bytes: 1000 }") as gateway:
             for size, status, attempts in ((1000, 200, 2), (200_000, 503, 1)):
                 bodies.clear()
-                peer = await door.client()
-                await peer.write(get(method="POST", more=f"content-length: {size}\r\n") + "b" * size)
-                assert (await peer.response())[0] == status
+                peer = await gateway.connect()
+                await peer.write(request_head(method="POST", extra_headers=f"content-length: {size}\r\n") + "b" * size)
+                assert (await peer.read_response())[0] == status
                 assert bodies == [b"b" * size] * attempts
 
     run(test())
@@ -365,7 +368,7 @@
 def test_a_second_answer_is_never_the_next_requests() -> None:
     async def twice(peer: Peer) -> None:
         while True:
-            path = (await peer.head()).split()[1]
+            path = (await peer.read_head()).split()[1]
             answer = f"HTTP/1.1 200 OK\r\ncontent-length: {len(path)}\r\n\r\n{path}"
             await peer.write(answer if path == "/read/late" else answer * 2)  # in one piece
             if path == "/read/late":
@@ -373,13 +376,13 @@
                 await peer.write(answer)  # when the connection is idle
 
     async def test() -> None:
-        async with house(twice) as door:
-            peer = await door.client()
+        async with running_gateway(twice) as gateway:
+            peer = await gateway.connect()
             for path in ("/read/1", "/read/late", "/read/2", "/read/3"):
-                await peer.write(get(path))
-                assert (await peer.response())[2] == path.encode()
+                await peer.write(request_head(path))
+                assert (await peer.read_response())[2] == path.encode()
                 await asyncio.sleep(0.02)
-            assert all(line["attempts"] == 1 for line in door.answers())
+            assert all(line["attempts"] == 1 for line in gateway.finished_requests())
 
     run(test())
 
@@ -390,10 +393,10 @@
         port = closed.sockets[0].getsockname()[1]
         closed.close()
         await closed.wait_closed()
-        async with house(good, ports=(port, port)) as door:
+        async with running_gateway(good, ports=(port, port)) as gateway:
             for _ in range(12):
-                assert (await door.ask("/pay/1"))[0] == 200  # unsafe: sent again only as nothing was written
-            assert max(line["attempts"] for line in door.answers()) > 1  # some met the closed port first
+                assert (await gateway.get("/pay/1"))[0] == 200  # unsafe: sent again only as nothing was written
+            assert max(line["attempts"] for line in gateway.finished_requests()) > 1  # some met the closed port first
 
     run(test())
 
@@ -403,34 +406,34 @@
     go = asyncio.Event()
 
     async def counts(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         most["now"] += 1
         most["most"] = max(most["most"], most["now"])
         await go.wait()
         most["now"] -= 1
-        await peer.answer()
+        await peer.send_response()
 
     async def test() -> None:
-        async with house(counts, counts, text="upstream { connections: 2 max_attempts: 2 }") as door:
-            asks = [asyncio.create_task(door.ask()) for _ in range(12)]
-            await door.until(lambda: sum(task.done() for task in asks) + most["now"] == 12)
+        async with running_gateway(counts, counts, text="upstream { connections: 2 max_attempts: 2 }") as gateway:
+            asks = [asyncio.create_task(gateway.get()) for _ in range(12)]
+            await gateway.wait_until(lambda: sum(task.done() for task in asks) + most["now"] == 12)
             go.set()
             statuses = [(await task)[0] for task in asks]
             assert most["most"] <= 4 and statuses.count(200) >= 2 and set(statuses) <= {200, 503}
-            assert door.driver.pool.connections <= 4
+            assert gateway.server.pool.connections <= 4
 
     run(test())
 
 
 def test_what_is_not_http_from_a_server_is_a_failed_attempt() -> None:
     async def babbles(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("SSH-2.0-nonsense\r\n\r\n")
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
-        async with house(babbles) as door:
-            assert (await door.ask("/pay/1"))[0] == 502
+        async with running_gateway(babbles) as gateway:
+            assert (await gateway.get("/pay/1"))[0] == 502
 
     run(test())
 
@@ -439,12 +442,12 @@
     got = []
 
     async def slow(peer: Peer) -> None:
-        got.append(await peer.head())
-        assert await peer.rest() == b""  # its end is all that follows
+        got.append(await peer.read_head())
+        assert await peer.read_to_end() == b""  # its end is all that follows
 
     async def test() -> None:
-        async with house(slow) as door:
-            status, head, _ = await door.ask("/pay/1", more="x-deadline-ms: 300\r\n")
+        async with running_gateway(slow) as gateway:
+            status, head, _ = await gateway.get("/pay/1", extra_headers="x-deadline-ms: 300\r\n")
             assert status == 504 and "retry-after" not in head
             assert len(got) == 1
 
@@ -455,21 +458,21 @@
     go = asyncio.Event()
 
     async def waits(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await go.wait()
-        await peer.answer("late but whole")
+        await peer.send_response("late but whole")
 
     async def test() -> None:
-        async with house(waits) as door:
-            idle, busy = await door.client(), await door.client()
-            await busy.write(get())
-            await door.until(lambda: door.driver.engine.unanswered == 1)
-            stopping = asyncio.create_task(door.driver.stop(10_000.0))
-            assert await idle.rest() == b""
+        async with running_gateway(waits) as gateway:
+            idle, busy = await gateway.connect(), await gateway.connect()
+            await busy.write(request_head())
+            await gateway.wait_until(lambda: gateway.server.engine.unanswered == 1)
+            stopping = asyncio.create_task(gateway.server.stop(10_000.0))
+            assert await idle.read_to_end() == b""
             with pytest.raises(OSError):
-                await door.client()
+                await gateway.connect()
             go.set()
-            status, head, body = await busy.response()
+            status, head, body = await busy.read_response()
             assert (status, body) == (200, b"late but whole") and "connection: close" in head
             assert await stopping is True
 
@@ -478,12 +481,14 @@
 
 def test_a_stop_that_takes_too_long_gives_the_rest_its_answer() -> None:
     async def test() -> None:
-        async with house(silent) as door:
-            peer = await door.client()
-            await peer.write(get("/pay/1"))
-            await door.until(lambda: any(flight.upstream for flight in door.driver.requests.values()))  # it may run
-            assert await door.driver.stop(20.0) is False
-            assert (await peer.response())[0] == 504
+        async with running_gateway(silent) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head("/pay/1"))
+            await gateway.wait_until(
+                lambda: any(flight.upstream for flight in gateway.server.requests.values())
+            )  # it may run
+            assert await gateway.server.stop(20.0) is False
+            assert (await peer.read_response())[0] == 504
 
     run(test())
 
@@ -493,21 +498,21 @@
         release = asyncio.Event()
 
         async def waits(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             await release.wait()
-            await peer.answer()
+            await peer.send_response()
 
-        async with house(waits, text="listener { max_connections: 3 }") as door:
-            held = [await door.client() for _ in range(3)]
+        async with running_gateway(waits, text="listener { max_connections: 3 }") as gateway:
+            held = [await gateway.connect() for _ in range(3)]
             for peer in held:
-                await peer.write(get())
-            await door.until(lambda: door.driver.engine.unanswered == 3)
-            more = await door.client()
-            assert (await more.rest()).startswith(b"HTTP/1.1 503")
+                await peer.write(request_head())
+            await gateway.wait_until(lambda: gateway.server.engine.unanswered == 3)
+            more = await gateway.connect()
+            assert (await more.read_to_end()).startswith(b"HTTP/1.1 503")
             release.set()
             for peer in held:
-                assert (await peer.response())[0] == 200
-            assert (await door.ask())[0] == 200, "a request is open on none: the longest idle makes room"
+                assert (await peer.read_response())[0] == 200
+            assert (await gateway.get())[0] == 200, "a request is open on none: the longest idle makes room"
 
     run(test())
 
@@ -516,10 +521,10 @@
     resource = pytest.importorskip("resource")
 
     async def test() -> None:
-        async with house(good) as door:
-            peer = await door.client()
-            await peer.write(get())
-            await peer.response()
+        async with running_gateway(good) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head())
+            await peer.read_response()
             faults: list[dict[str, object]] = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -534,29 +539,29 @@
                 for each in waiting:
                     each.setblocking(False)
                     with contextlib.suppress(BlockingIOError):
-                        each.connect(("127.0.0.1", door.port))
-                await door.until(lambda: any(event == "accept failed" for event, _ in door.notes))
+                        each.connect(("127.0.0.1", gateway.port))
+                await gateway.wait_until(lambda: any(event == "accept failed" for event, _ in gateway.log_events))
                 assert not faults
-                await peer.write(get("/read/still"))  # on a connection that it has
-                assert (await peer.response())[2] == b"/read/still"
+                await peer.write(request_head("/read/still"))  # on a connection that it has
+                assert (await peer.read_response())[2] == b"/read/still"
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
                 for number in spare:
                     os.close(number)
                 for each in waiting:
                     each.close()
-            assert (await door.ask())[0] == 200  # accepts again once there is room
+            assert (await gateway.get())[0] == 200  # accepts again once there is room
 
     run(test())
 
 
 def test_an_idle_or_slow_client_is_let_go() -> None:
     async def test() -> None:
-        async with house(good, text="listener { idle_ms: 30 head_ms: 30 }") as door:
-            idle, slow = await door.client(), await door.client()
+        async with running_gateway(good, text="listener { idle_ms: 30 head_ms: 30 }") as gateway:
+            idle, slow = await gateway.connect(), await gateway.connect()
             await slow.write("GET /read/1 HT")
-            assert await idle.rest() == b""
-            assert (await slow.rest()).startswith(b"HTTP/1.1 408")
+            assert await idle.read_to_end() == b""
+            assert (await slow.read_to_end()).startswith(b"HTTP/1.1 408")
 
     run(test())
 
@@ -571,24 +576,26 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             listener.setblocking(False)
-            async with house(ports=(listener.getsockname()[1],)) as door:
-                peer = await door.client()
-                await peer.write(get("/read/1", "content-length: 60000\r\n", "POST") + "b" * 60_000)
+            async with running_gateway(ports=(listener.getsockname()[1],)) as gateway:
+                peer = await gateway.connect()
+                await peer.write(request_head("/read/1", "content-length: 60000\r\n", "POST") + "b" * 60_000)
                 server, _ = await loop.sock_accept(listener)
                 with server:
-                    await door.until(
+                    await gateway.wait_until(
                         lambda: (
-                            bool(door.driver.requests)
+                            bool(gateway.server.requests)
                             and all(
                                 flight.body is not None
                                 and flight.body.complete
                                 and flight.body.written == flight.body.size
-                                for flight in door.driver.requests.values()
+                                for flight in gateway.server.requests.values()
                             )
                         )
                     )
                     peer.reset()
-                    await door.until(lambda: not door.driver.requests and not door.driver.pool.connections)
+                    await gateway.wait_until(
+                        lambda: not gateway.server.requests and not gateway.server.pool.connections
+                    )
                     with pytest.raises(ConnectionResetError):
                         while await loop.sock_recv(server, 65536):
                             pass
@@ -604,23 +611,25 @@
 
     async def tells(peer: Peer) -> None:
         while True:
-            heads.append(await peer.head())
-            await peer.answer()
+            heads.append(await peer.read_head())
+            await peer.send_response()
 
     async def test() -> None:
-        async with house(tells) as door:
-            peer = await door.client()
-            await peer.write(get("/read/1"))
-            await peer.response()
-            [client] = door.driver.clients
+        async with running_gateway(tells) as gateway:
+            peer = await gateway.connect()
+            await peer.write(request_head("/read/1"))
+            await peer.read_response()
+            [client] = gateway.server.clients
             assert not closed or client.close_idle()
-            client.reader.feed_data(get("/read/2").encode())  # read from the socket, and its reader not run yet
+            client.reader.feed_data(
+                request_head("/read/2").encode()
+            )  # read from the socket, and its reader not run yet
             assert client.reader.buffered and client.closing is closed and not client.close_idle()
-            assert await door.driver.stop(1000.0)
-            assert len(heads) == (1 if closed else 2) and not door.driver.requests
+            assert await gateway.server.stop(1000.0)
+            assert len(heads) == (1 if closed else 2) and not gateway.server.requests
             if not closed:
-                assert (await peer.response())[0] == 200, "and with an answer, not only an effect"
-            assert await peer.rest() == b""
+                assert (await peer.read_response())[0] == 200, "and with an answer, not only an effect"
+            assert await peer.read_to_end() == b""
 
     run(test())
 
@@ -629,27 +638,27 @@
     """It had broken the connection: the body that a refusal has was more than the answer to HEAD may hold."""
 
     async def test() -> None:
-        async with house(good) as door:
-            peer = await door.client()
+        async with running_gateway(good) as gateway:
+            peer = await gateway.connect()
             await peer.write("HEAD /nowhere HTTP/1.1\r\nhost: a\r\nx-customer: free\r\n\r\n")
-            head = await peer.head()
+            head = await peer.read_head()
             assert head.startswith("http/1.1 404 not found") and "content-length: " in head
-            await peer.write(get("/read/1"))  # on the same connection, nothing between
-            assert (await peer.response())[0] == 200
+            await peer.write(request_head("/read/1"))  # on the same connection, nothing between
+            assert (await peer.read_response())[0] == 200
 
     run(test())
 
 
 def test_an_old_client_may_keep_its_connection_if_it_says_so() -> None:
     async def test() -> None:
-        async with house(good) as door:
-            peer = await door.client()
+        async with running_gateway(good) as gateway:
+            peer = await gateway.connect()
             for _ in range(2):
                 await peer.write("GET /read/1 HTTP/1.0\r\nconnection: keep-alive\r\nx-customer: free\r\n\r\n")
-                status, headers, body = await peer.response()
+                status, headers, body = await peer.read_response()
                 assert (status, body) == (200, b"/read/1") and "connection: keep-alive" in headers
             await peer.write("GET /read/1 HTTP/1.0\r\nx-customer: free\r\n\r\n")
-            assert b"connection: close" in (await peer.rest())
+            assert b"connection: close" in (await peer.read_to_end())
 
     run(test())
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -19,7 +19,7 @@
 from martenstep.replication.transport import Transport
 from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
 from tests.replica_rig import KEYS, QUICK, ReplicaGroup, Sum
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 
 def test_committed_commands_survive_the_loss_of_the_leader_and_its_return(tmp_path: Path) -> None:
@@ -39,7 +39,7 @@
         await group.until(lambda: group.state_machines[lost].total == total)
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_an_empty_disk_joins_as_another_replica_catches_up_and_votes(tmp_path: Path) -> None:
@@ -73,7 +73,7 @@
         assert await group.add(1) == total + 1
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_replica_whose_machine_was_restarted_recovers_first(tmp_path: Path) -> None:
@@ -92,7 +92,7 @@
         await group.until(lambda: group.state_machines[follower].total == 7)
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_replica_that_stops_leaves_no_write_behind(tmp_path: Path) -> None:
@@ -119,7 +119,7 @@
         with pytest.raises(IndeterminateError):
             await asking
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_disk_that_fails_halts_its_replica_and_the_group_goes_on(
@@ -144,7 +144,7 @@
         assert any(event == "replica halted" and "No space" in fields["error"] for event, fields in group.events)
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_frames_of_another_key_or_for_another_disk_are_dropped(tmp_path: Path) -> None:
@@ -182,7 +182,7 @@
             await follower.confirm_leadership()
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_replica_that_is_alone_leads_and_serves_reads(tmp_path: Path) -> None:
@@ -197,7 +197,7 @@
         assert await group.add(1) == 7
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_proposals_of_one_turn_are_committed_in_their_order(tmp_path: Path) -> None:
@@ -215,7 +215,7 @@
         await group.until(lambda: all(machine.total == 300 for machine in group.state_machines.values()))
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 class Slow(Sum):
@@ -247,7 +247,7 @@
         assert await group.add(1) == total + 1
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_snapshot_that_fails_leaves_the_log(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -267,4 +267,4 @@
         assert (await group.leader()).raft.snapshot_index == 0
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
--- a/tests/test_replica_manager.py
+++ b/tests/test_replica_manager.py
@@ -12,7 +12,7 @@
 from martenstep.replication.replica_manager import ReplicaManager
 from tests.replica_fleet_rig import ReplicaFleet
 from tests.replica_rig import Sum
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 
 def test_a_wiped_disk_gets_a_replica_of_another_identity(tmp_path: Path) -> None:
@@ -41,7 +41,7 @@
         assert await fleet.add("g-0") == 121  # the new replica votes
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_an_old_disk_that_knows_only_lost_replicas_still_finds_whom_to_query(tmp_path: Path) -> None:
@@ -65,7 +65,7 @@
         await fleet.until(lambda: replica.raft.disk_verified and fleet.total("c", "g-0") == total)
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_another_node_replaces_a_lost_one_whose_replicas_are_removed_when_it_returns(
@@ -92,7 +92,7 @@
         assert await fleet.add("g-0") == 8
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_damaged_folder_is_set_aside_and_a_new_replica_catches_up(tmp_path: Path) -> None:
@@ -112,7 +112,7 @@
         assert list((tmp_path / "a" / "groups").glob("g-0.damaged.*"))
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_an_older_message_removes_no_replica_with_a_later_configuration(tmp_path: Path) -> None:
@@ -141,7 +141,7 @@
         await fleet.until(lambda: fleet.total("b", "g-0") == 1 and fleet.voter_nodes("g-0") == ["a", "b", "c"])
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_node_that_creates_no_replica_is_passed_over(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -170,4 +170,4 @@
         del fleet.managers["e"]
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -24,7 +24,7 @@
 from martenstep.counter.journal import AttemptJournal
 from martenstep.policy.messages import CallResult
 from tests.engine_rig import DOOR
-from tests.socket_rig import BOUND_S, House, Peer, get, house, run
+from tests.socket_rig import TEST_TIMEOUT_S, Peer, RunningGateway, request_head, run, running_gateway
 from tests.test_counter_service import served
 
 NOW = datetime.datetime.now(datetime.UTC)
@@ -88,28 +88,28 @@
     return client_context(pb.ClientTls(ca=issuer.file, certificate=certificate, key=key))
 
 
-async def secured(door: House, context: ssl.SSLContext) -> Peer:
-    return Peer(*await asyncio.open_connection("127.0.0.1", door.port, ssl=context, server_hostname="127.0.0.1"))
+async def secured(gateway: RunningGateway, context: ssl.SSLContext) -> Peer:
+    return Peer(*await asyncio.open_connection("127.0.0.1", gateway.port, ssl=context, server_hostname="127.0.0.1"))
 
 
 async def good(peer: Peer) -> None:
     while True:
-        await peer.answer((await peer.head()).split()[1])
+        await peer.send_response((await peer.read_head()).split()[1])
 
 
 def test_a_request_passes_under_tls_and_plain_http_does_not(tmp_path: Path) -> None:
     async def test() -> None:
         issuer = Issuer(tmp_path)
-        async with house(good, text=listener(issuer.issue("door"))) as door:
-            peer = await secured(door, trusting(issuer))
-            await peer.write(get("/read/1") + get("/read/2"))
-            assert [(await peer.response())[2] for _ in range(2)] == [b"/read/1", b"/read/2"]
+        async with running_gateway(good, text=listener(issuer.issue("door"))) as gateway:
+            peer = await secured(gateway, trusting(issuer))
+            await peer.write(request_head("/read/1") + request_head("/read/2"))
+            assert [(await peer.read_response())[2] for _ in range(2)] == [b"/read/1", b"/read/2"]
             peer.close()
-            plain = await door.client()
-            await plain.write(get())
-            assert not (await plain.rest()).startswith(b"HTTP")
-            await door.until(lambda: any(event == "handshake failed" for event, _ in door.notes))
-            [told] = [fields for event, fields in door.notes if event == "handshake failed"]
+            plain = await gateway.connect()
+            await plain.write(request_head())
+            assert not (await plain.read_to_end()).startswith(b"HTTP")
+            await gateway.wait_until(lambda: any(event == "handshake failed" for event, _ in gateway.log_events))
+            [told] = [fields for event, fields in gateway.log_events if event == "handshake failed"]
             assert told["peer"] == "127.0.0.1" and "HTTP_REQUEST" in told["reason"].upper()
 
     run(test())
@@ -119,16 +119,16 @@
     async def test() -> None:
         issuer, stranger = Issuer(tmp_path), Issuer(tmp_path, "other")
         files = issuer.issue("door")
-        async with house(good, text=listener(files, f'client_ca: "{issuer.file}"')) as door:
-            peer = await secured(door, trusting(issuer, issuer.issue("client")))
-            await peer.write(get())
-            assert (await peer.response())[0] == 200
+        async with running_gateway(good, text=listener(files, f'client_ca: "{issuer.file}"')) as gateway:
+            peer = await secured(gateway, trusting(issuer, issuer.issue("client")))
+            await peer.write(request_head())
+            assert (await peer.read_response())[0] == 200
             for shown in (None, stranger.issue("stranger"), issuer.issue("ended", days=-1)):
                 with pytest.raises((ssl.SSLError, ConnectionError, asyncio.IncompleteReadError)):
-                    refused = await secured(door, trusting(issuer, shown))
-                    await refused.write(get())
-                    await refused.response()
-            await door.until(lambda: sum(event == "handshake failed" for event, _ in door.notes) == 3)
+                    refused = await secured(gateway, trusting(issuer, shown))
+                    await refused.write(request_head())
+                    await refused.read_response()
+            await gateway.wait_until(lambda: sum(event == "handshake failed" for event, _ in gateway.log_events) == 3)
 
     run(test())
 
@@ -136,13 +136,15 @@
 def test_versions_before_1_2_are_refused_and_1_2_where_it_is_said(tmp_path: Path) -> None:
     async def test() -> None:
         issuer = Issuer(tmp_path)
-        async with house(good, text=listener(issuer.issue("door"), "only_1_3: true")) as door:
+        async with running_gateway(good, text=listener(issuer.issue("door"), "only_1_3: true")) as gateway:
             old = trusting(issuer)
             old.maximum_version = ssl.TLSVersion.TLSv1_2
             with pytest.raises((ssl.SSLError, ConnectionError)):
-                await secured(door, old)
-            await door.until(lambda: any("PROTOCOL" in fields.get("reason", "") for _, fields in door.notes))
-            assert (await secured(door, trusting(issuer))).writer.get_extra_info("ssl_object").version() == "TLSv1.3"
+                await secured(gateway, old)
+            await gateway.wait_until(
+                lambda: any("PROTOCOL" in fields.get("reason", "") for _, fields in gateway.log_events)
+            )
+            assert (await secured(gateway, trusting(issuer))).writer.get_extra_info("ssl_object").version() == "TLSv1.3"
         settings = pb.ServerTls(certificate=issuer.issue("x")[0], key=str(tmp_path / "x.key"))
         assert ServerContext(settings).context.minimum_version is ssl.TLSVersion.TLSv1_2
 
@@ -174,21 +176,21 @@
         async def serves(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             peer = Peer(reader, writer)
             try:
-                heads.append(await peer.head())
-                await peer.answer("secret")
+                heads.append(await peer.read_head())
+                await peer.send_response("secret")
             except (asyncio.IncompleteReadError, ConnectionError):
                 writer.close()
 
         context = ServerContext(pb.ServerTls(certificate=files[0], key=files[1])).context
         server = await asyncio.start_server(serves, "127.0.0.1", 0, ssl=context)
         text = f'upstream {{ max_attempts: 1 connect_ms: 5000 tls {{ ca: "{issuer.file}" }} }}'
-        async with house(text=text, ports=(server.sockets[0].getsockname()[1],)) as door:
-            status, _, body = await door.ask()
+        async with running_gateway(text=text, ports=(server.sockets[0].getsockname()[1],)) as gateway:
+            status, _, body = await gateway.get()
             if kind == "good":
                 assert (status, body) == (200, b"secret")
             else:
                 assert status == 503 and not heads
-                [told] = [fields for event, fields in door.notes if event == "upstream certificate rejected"]
+                [told] = [fields for event, fields in gateway.log_events if event == "upstream certificate rejected"]
                 assert reason in told["reason"]
         server.close()
 
@@ -203,7 +205,7 @@
 
         async def serves(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with suppress(asyncio.IncompleteReadError, ConnectionError):
-                heads.append(await Peer(reader, writer).head())
+                heads.append(await Peer(reader, writer).read_head())
             writer.close()
 
         context = ServerContext(pb.ServerTls(certificate=files[0], key=files[1])).context
@@ -214,10 +216,10 @@
             'default_plan: "open" '
             'route { name: "safe" path_prefix: "/safe/" class: "read" authenticate: true }'
         )
-        async with house(good, text=text) as door:
-            status, _, _ = await door.ask("/safe/1", "authorization: anna\r\n")
+        async with running_gateway(good, text=text) as gateway:
+            status, _, _ = await gateway.get("/safe/1", "authorization: anna\r\n")
             assert status == 503 and not heads
-            [told] = [fields for event, fields in door.notes if event == "upstream certificate rejected"]
+            [told] = [fields for event, fields in gateway.log_events if event == "upstream certificate rejected"]
             assert told["address"] == f"127.0.0.1:{port}" and "IP address mismatch" in told["reason"]
         service.close()
 
@@ -228,23 +230,23 @@
     async def test() -> None:
         issuer = Issuer(tmp_path)
         files = issuer.issue("door")
-        async with house(good, text=listener(files)) as door:
-            assert door.driver.tls is not None
-            old = await secured(door, trusting(issuer))
+        async with running_gateway(good, text=listener(files)) as gateway:
+            assert gateway.server.tls is not None
+            old = await secured(gateway, trusting(issuer))
             first = old.writer.get_extra_info("ssl_object").getpeercert()["serialNumber"]
             issuer.issue("door", days=20)  # new files in the place of the old
-            door.driver.tls.reload()
-            new = await secured(door, trusting(issuer))
+            gateway.server.tls.reload()
+            new = await secured(gateway, trusting(issuer))
             assert new.writer.get_extra_info("ssl_object").getpeercert()["serialNumber"] != first
             for peer in (old, new):
-                await peer.write(get())
-                assert (await peer.response())[0] == 200
+                await peer.write(request_head())
+                assert (await peer.read_response())[0] == 200
             Path(files[0]).write_text("half a certif")
             with pytest.raises(TlsError, match=r"door\.pem"):
-                door.driver.tls.reload()
-            again = await secured(door, trusting(issuer))  # the one that was good is still shown
-            await again.write(get())
-            assert (await again.response())[0] == 200
+                gateway.server.tls.reload()
+            again = await secured(gateway, trusting(issuer))  # the one that was good is still shown
+            await again.write(request_head())
+            assert (await again.read_response())[0] == 200
 
     run(test())
 
@@ -286,7 +288,7 @@
                 )
                 client.start()
                 client.add(1, 7, 1.0, 1e9)
-                async with asyncio.timeout(BOUND_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     while not answers:
                         await asyncio.sleep(0.005)
                 assert answers[0] in ((CallResult.OK,) if shown else (CallResult.CONNECT_FAILED, CallResult.TIMEOUT))
--- a/tests/test_usage_recording.py
+++ b/tests/test_usage_recording.py
@@ -8,7 +8,7 @@
 
 from martenstep.lab.rules import Traffic, Try, Visit, recorded
 from martenstep.proxy import engine_messages as ev
-from tests.socket_rig import Peer, get, house, run
+from tests.socket_rig import Peer, request_head, run, running_gateway
 from tests.test_proxy_sockets import good
 
 
@@ -25,39 +25,39 @@
 
 def test_an_answer_leaves_once_its_try_is_in_the_book() -> None:
     async def test() -> None:
-        async with house(good) as door:
+        async with running_gateway(good) as door:
             book = Promising()
-            door.driver.set_usage_recorder(book, 60_000.0)
-            door.driver.engine._state.dependencies.records_usage = True
-            peer = await door.client()
-            await peer.write(get("/read/7"))
-            await door.until(
-                lambda: bool(book.made) and any(flight.withheld_data for flight in door.driver.requests.values())
+            door.server.set_usage_recorder(book, 60_000.0)
+            door.server.engine._state.dependencies.records_usage = True
+            peer = await door.connect()
+            await peer.write(request_head("/read/7"))
+            await door.wait_until(
+                lambda: bool(book.made) and any(flight.withheld_data for flight in door.server.requests.values())
             )  # the server has answered
-            answer = asyncio.create_task(peer.response())
+            answer = asyncio.create_task(peer.read_response())
             await asyncio.sleep(0.02)
             assert not answer.done()
             book.made[0].set_result(True)
             assert (await answer)[::2] == (200, b"/read/7")
-            assert not door.driver.counts["answers_not_waited_for"]
+            assert not door.server.counts["answers_not_waited_for"]
 
     run(test())
 
 
 def test_an_answer_waits_no_longer_than_it_may_and_a_door_that_gives_up_answers_at_once() -> None:
     async def silent(peer: Peer) -> None:
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
-        async with house(good) as door:
-            door.driver.set_usage_recorder(Promising(), 30.0)
-            door.driver.engine._state.dependencies.records_usage = True
-            assert (await door.ask())[0] == 200
-            assert door.driver.counts["answers_not_waited_for"] == 1
-        async with house(silent) as door:
-            door.driver.set_usage_recorder(Promising(), 60_000.0)
-            door.driver.engine._state.dependencies.records_usage = True
-            assert (await door.ask())[0] == 503  # the door's own words wait for nothing
+        async with running_gateway(good) as door:
+            door.server.set_usage_recorder(Promising(), 30.0)
+            door.server.engine._state.dependencies.records_usage = True
+            assert (await door.get())[0] == 200
+            assert door.server.counts["answers_not_waited_for"] == 1
+        async with running_gateway(silent) as door:
+            door.server.set_usage_recorder(Promising(), 60_000.0)
+            door.server.engine._state.dependencies.records_usage = True
+            assert (await door.get())[0] == 503  # the door's own words wait for nothing
 
     run(test())
 
@@ -66,14 +66,14 @@
 def test_a_long_answer_is_not_held_beyond_its_bound(whole: bool) -> None:
     async def long(peer: Peer) -> None:
         while True:
-            await peer.head()
-            await peer.answer("x" * 200_000)
+            await peer.read_head()
+            await peer.send_response("x" * 200_000)
 
     async def test() -> None:
-        async with house(long, text="" if whole else "upstream { hold_answer_bytes: 50000 }") as door:
-            door.driver.set_usage_recorder(Promising(), 60_000.0 if not whole else 50.0)
-            door.driver.engine._state.dependencies.records_usage = True
-            status, _, body = await door.ask()
+        async with running_gateway(long, text="" if whole else "upstream { hold_answer_bytes: 50000 }") as door:
+            door.server.set_usage_recorder(Promising(), 60_000.0 if not whole else 50.0)
+            door.server.engine._state.dependencies.records_usage = True
+            status, _, body = await door.get()
             assert status == 200 and len(body) == 200_000
 
     run(test())
