--- a/martenstep/lab/soak/run.py
+++ b/martenstep/lab/soak/run.py
@@ -26,7 +26,7 @@
 from martenstep.lab.soak.faults import SHORT_COUNT, Call, FaultControl
 from martenstep.lab.soak.oracle import HELD_UP_S, Ceiling, Oracle, Rule, SlowStart
 from martenstep.lab.soak.parties import MODES, Agent, Backend, CounterParty, Membership
-from martenstep.proxy.permission import UNEXPECTED
+from martenstep.proxy.permission import UNEXPECTED_DENIALS
 
 DRAIN_GRACE_S = 0.7
 DEADLINE_MS = 1500.0
@@ -160,7 +160,7 @@
             except ValueError:
                 line = {"event": "fault", "text": raw.decode(errors="replace")}
             self.lines.append(line)
-            unexpected = {one.name for one in UNEXPECTED} & set(line.get("denials", ()))
+            unexpected = {one.name for one in UNEXPECTED_DENIALS} & set(line.get("denials", ()))
             if line.get("event") in QUIET_EVENTS or unexpected:
                 self._soak.broken(Rule.CRASH, self.target.name, json.dumps(line))
 
--- a/martenstep/proxy/attempt_outcomes.py
+++ b/martenstep/proxy/attempt_outcomes.py
@@ -1,20 +1,20 @@
-"""What each way an attempt can end proves of its execution.
+"""Maps each way in which an attempt can end to its result, and states whether that proves non-execution.
 
-| how it ended | result | proves that it was never executed, because |
+| how it ended | result | proves that the request was never executed |
 | --- | --- | --- |
-| no connection was made, or none may be | CONNECT_FAILED | nothing was written to a socket |
-| the connection ended before a write | CONNECT_FAILED | nothing was written to a socket |
-| the endpoint's rejection (status and header) | OVERLOADED | the endpoint says so |
-| closed after a write, response not complete | RESET | no: what was written may have been read |
+| no connection was opened, or the limit forbids one | CONNECT_FAILED | yes: nothing was written to a socket |
+| the connection ended before a write | CONNECT_FAILED | yes: nothing was written to a socket |
+| the endpoint rejected it (status and header) | OVERLOADED | yes: the endpoint says so |
+| closed after a write, response incomplete | RESET | no: the endpoint may have read the request |
 | an error status | ERROR | no |
-| not HTTP, or a response that stood still | ERROR, RESET | no |
-| timeout, nothing written yet | CONNECT_FAILED | nothing was written to a socket |
+| the response is not HTTP, or it stalled | ERROR, RESET | no |
+| timeout, nothing written yet | CONNECT_FAILED | yes: nothing was written to a socket |
 | timeout after a write | TIMEOUT | no |
-| cancelled, nothing written yet | CONNECT_FAILED | nothing was written to a socket |
+| cancelled, nothing written yet | CONNECT_FAILED | yes: nothing was written to a socket |
 | cancelled after a write | CANCELLED | no |
 
-A kept-alive connection that the endpoint closed is found before the write wherever its end has already come; a write
-that crosses the close on the wire is RESET, since the bytes may have been read before it.
+If the endpoint has closed a kept-alive connection and the close has arrived, it is detected before the write.  A write
+that crosses the close on the wire is RESET, because the endpoint may have read the bytes before it closed.
 """
 
 from __future__ import annotations
@@ -38,21 +38,20 @@
 
 
 def classify_stop(result: CallResult, written: bool) -> CallResult:
-    """The result of an attempt that the gateway itself stopped: `result` where it was written."""
+    """The result of an attempt that the gateway itself stopped: `result` if it was written."""
     return result if written else CallResult.CONNECT_FAILED
 
 
 class StatusTable:
-    """What the status of a response means.
+    """Classifies a response by its status.
 
-    A rejection is a status together with a header, so that a response of some part between, with the same status,
-    proves nothing.
+    A rejection needs a status together with a header: an intermediary can send the same status, which proves nothing.
     """
 
     __slots__ = ("_error_statuses", "_rejection_header", "_rejection_status")
 
     def __init__(self, rejection_status: int, rejection_header: str, error_statuses: frozenset[int]) -> None:
-        """The header's name in any case."""
+        """`rejection_header` is matched case-insensitively."""
         self._rejection_status, self._error_statuses = rejection_status, error_statuses
         self._rejection_header = rejection_header.lower().encode()
 
--- a/martenstep/proxy/client_connection.py
+++ b/martenstep/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: reads requests in turn, and writes their responses."""
+"""One client connection: reads its requests one after another and writes their responses."""
 
 from __future__ import annotations
 
@@ -26,15 +26,17 @@
     is_ready,
 )
 
-MAX_LINGER_BYTES = 262_144  # of an unread body that are read and discarded, so that a reset does not eat the response
+# Bytes of an unread body that are discarded before the close: a close with unread bytes sends a reset, which can
+# destroy a response that the client has not read yet.
+MAX_LINGER_BYTES = 262_144
 LINGER_MS = 1000.0
-REJECTED_LINGER_MS = 300.0  # a connection beyond the limit has this long to take its response
+REJECTED_LINGER_MS = 300.0  # time for a connection over the limit to read its response
 REQUEST_TIMEOUT, CONTENT_TOO_LARGE, UNAVAILABLE = 408, 413, 503
 CLOSE_HEADER = (b"connection", b"close")
 
 
 class ConnectionOwner(Protocol):
-    """What a client's connection needs of its server."""
+    """What a client connection needs from its server."""
 
     loop: asyncio.AbstractEventLoop
     listener: ListenerLimits
@@ -46,13 +48,13 @@
     stopping: bool
 
     def handle(self, event: ev.Event) -> None:
-        """Hand an event to the engine, and carry out its actions."""
+        """Pass an event to the engine and perform the actions that it returns."""
 
     def next_request_id(self) -> int:
-        """A number for the next request."""
+        """The id of the next request."""
 
     def local_reply(self, reason: str) -> tuple[ev.Headers, bytes]:
-        """Headers and body of a response to what is no request of the engine's."""
+        """Headers and body of a response to a message that never reaches the engine."""
 
 
 class ClientConnection:
@@ -65,16 +67,16 @@
         writer: asyncio.StreamWriter,
         protocol: WatchedProtocol,
     ) -> None:
-        """`protocol` reports the connection's end."""
+        """`protocol` reports the end of the connection."""
         self._server, self.reader, self.writer = server, reader, writer
         self.http = Http1ServerConnection(server.listener.head_bytes)
         self.request: ClientRequest | None = None
-        self.waiting_since = now_ms()  # for a head
-        self.has_partial_request = False  # a head has begun to come
+        self.waiting_since = now_ms()  # when the wait for the next request's head began
+        self.has_partial_request = False  # the first bytes of a request were received
         self.closing = False
-        self.is_established = False  # a request of it passed the gateway's own checks
-        self._received = 0  # bytes taken from the reader
-        self.lingering = False  # the gateway's half is closed: what still comes is discarded
+        self.has_accepted_request = False  # one of its requests has passed the gateway's own checks
+        self._received_bytes = 0  # bytes read from the reader
+        self.lingering = False  # the gateway has shut down writing and discards what it still receives
         peer = writer.get_extra_info("peername")
         self.client_address = str(peer[0]) if peer else ""
         protocol.on_lost = self._disconnected
@@ -91,10 +93,10 @@
             self.request.finish()
 
     def has_disconnected(self) -> bool:
-        """Whether the client has disconnected, by the kernel's word; its request ends then.
+        """Whether the kernel reports that the client has disconnected; if so, its request ends.
 
-        Of a client that sent so much that reading is paused the event loop never learns, and of any other a busy loop
-        learns late.
+        The event loop does not report the disconnect while reading is paused because the client sent too much, and
+        reports any other disconnect late while the loop is busy.
         """
         events = DISCONNECTED_EVENTS if self._server.listener.leave_on_half_close else LOST_EVENTS
         disconnected = self.writer.transport.is_closing() or is_ready(self.writer, events)
@@ -104,11 +106,11 @@
 
     @property
     def has_read_ahead(self) -> bool:
-        """Whether bytes have been read behind the present request: they may be a request that is owed its response."""
+        """Whether bytes after the current request were read: they may be another request, which must be answered."""
         return bool(self.http.buffered or self.reader.buffered)
 
     def close_idle(self) -> bool:
-        """Close a connection between two requests; False where one may have begun."""
+        """Close the connection between two requests; False if the next request may have begun."""
         if self.closing:
             return False
         bytes_read = self.has_partial_request or bool(self.reader.buffered)
@@ -126,11 +128,11 @@
         try:
             while not self.closing:
                 head = await self._read_head()
-                if head is None or self.closing:  # it came as the gateway closed: no response is owed
+                if head is None or self.closing:  # a request received while closing needs no response
                     await self._linger()
                     break
                 await self._serve(head)
-                if not await self._continues():
+                if not await self._prepare_next_request():
                     break
         except ProtocolError as error:
             if self.http.can_respond and not self.closing:
@@ -143,9 +145,9 @@
             self._abort_stalled(math.inf)
 
     def _abort_stalled(self, unsent_before: float) -> None:
-        """Cut off a closed connection whose client has stopped taking what is still to be written.
+        """Abort a closed connection whose client has stopped reading what is still to be written.
 
-        It would hold its descriptor for ever.
+        The connection would otherwise hold its descriptor for ever.
         """
         transport = self.writer.transport
         unsent = transport.get_write_buffer_size()
@@ -156,13 +158,13 @@
             self._server.loop.call_later(delay_s, self._abort_stalled, unsent)
 
     async def _next_event(self) -> RequestHead | Data | EndOfMessage | ConnectionClosed:
-        """The next event of the client's bytes; raises ProtocolError."""
+        """The next parsed event of the connection; raises ProtocolError."""
         while True:
             event = self.http.next_event()
             if event is not None:
                 return event
             data = await self.reader.read(READ_BYTES)
-            self._received += len(data)
+            self._received_bytes += len(data)
             if self.request is None and not self.has_partial_request:
                 self.has_partial_request, self.waiting_since = True, now_ms()
             self.http.feed(data)
@@ -171,14 +173,14 @@
         self.waiting_since = now_ms()
         self.has_partial_request = bool(self.http.buffered)
         idle_clients = self._server.idle_clients
-        if self.is_established:
+        if self.has_accepted_request:
             idle_clients[self] = None
         event = await self._next_event()
         idle_clients.pop(self, None)
         return event if isinstance(event, RequestHead) else None
 
     async def _serve(self, head: RequestHead) -> None:
-        """Carry one request to its final response."""
+        """Serve one request until its final response is sent."""
         server = self._server
         if head.length is not None and head.length > server.listener.body_bytes:
             await self._reject_body()
@@ -187,16 +189,17 @@
         if head.length or head.chunked:
             body = RequestBody(server.upstream.keep_body_bytes, head.length)
         else:
-            self.http.next_event()  # the end of a message without a body
+            self.http.next_event()  # consumes the end of a message without a body
         if server.listener.whole_body:
             if body is not None and not await self._read_complete_body(body):
                 return
-            self.reader.discard_excess()  # elsewhere what stands behind may be long, and waits
+            # Where bodies are not read whole first, the following bytes may be a long body and must wait.
+            self.reader.discard_excess()
         request_id = server.next_request_id()
         request = ClientRequest(request_id, self, body, server.loop.create_future())
         self.request = server.requests[request_id] = request
         try:
-            arrived_at = self.reader.arrival_time(self._received - self.http.buffered)
+            arrived_at = self.reader.arrival_time(self._received_bytes - self.http.buffered)
             server.handle(
                 ev.RequestReceived(request_id, head.method, head.target, head.headers, self.client_address, arrived_at)
             )
@@ -217,10 +220,10 @@
                 await task
 
     async def _drain(self) -> None:
-        """Wait until the client has taken its response.
+        """Wait until the client has read its response.
 
-        A client that stops taking it is cut off: its connection would hold a place, and the end of the gateway, for
-        ever.
+        The connection is aborted if the client stops reading: it would hold a slot, and delay the gateway's shutdown,
+        for ever.
         """
         transport = self.writer.transport
         while not transport.is_closing():
@@ -232,8 +235,8 @@
             if transport.get_write_buffer_size() >= unsent:
                 self.abort()
 
-    async def _continues(self) -> bool:
-        """Whether another request can follow on this connection; else it has been closed."""
+    async def _prepare_next_request(self) -> bool:
+        """Prepare for another request; False if none can follow and the connection has been closed."""
         closes = (self._server.stopping or self._server.draining) and not self.has_read_ahead
         if not (self.closing or closes or self.reader.has_discarded) and self.http.start_next_request():
             return True
@@ -247,20 +250,20 @@
         await self._linger()
 
     async def _read_complete_body(self, body: RequestBody) -> bool:
-        """Read a body to its end before the engine learns of its request; False where nothing is to be served.
+        """Read a body to its end before the request goes to the engine; False if there is nothing to serve.
 
-        The sweep limits how long it takes.
+        The server's periodic sweep limits how long this may take.
         """
         self.has_partial_request = True
-        if not await self._read_to_end(body, unlimited=True):
+        if not await self._read_body_to_end(body, unlimited=True):
             await self._reject_body()
             return False
         return not self.closing
 
-    async def _read_to_end(self, body: RequestBody, unlimited: bool) -> bool:
-        """Read a body to its end, no further ahead of its attempt than may be buffered unless `unlimited`.
+    async def _read_body_to_end(self, body: RequestBody, unlimited: bool) -> bool:
+        """Read a body to its end; False if it is too large.  Raises ProtocolError.
 
-        False where it is too large.  Raises ProtocolError.
+        Unless `unlimited`, reading stays ahead of the attempt's writes by no more than the buffer may hold.
         """
         interim_response = self.http.continue_response()
         if interim_response:
@@ -278,19 +281,19 @@
         return True
 
     async def read_body(self, request: ClientRequest) -> None:
-        """Read a request's body as its attempt writes it."""
+        """Read the body of a request while its attempt writes it."""
         body = request.body
         assert body is not None
         try:
-            if not await self._read_to_end(body, unlimited=False):
-                self._reject_begun(request, CONTENT_TOO_LARGE, "body too large")
+            if not await self._read_body_to_end(body, unlimited=False):
+                self._reject_during_body(request, CONTENT_TOO_LARGE, "body too large")
         except ProtocolError as error:
-            self._reject_begun(request, error.status, error.reason)
+            self._reject_during_body(request, error.status, error.reason)
         except (ConnectionError, OSError):
             self._disconnected()
 
-    def _reject_begun(self, request: ClientRequest, status: int, reason: str) -> None:
-        """The body is at fault, though the request is on its way: for the engine its client has disconnected."""
+    def _reject_during_body(self, request: ClientRequest, status: int, reason: str) -> None:
+        """Reject a request whose body turns out to be invalid; the engine receives ClientDisconnected."""
         self._server.handle(ev.ClientDisconnected(request.request_id))
         if request.streaming:
             self.abort()
@@ -307,29 +310,30 @@
         http = self.http
         try:
             out = [http.encode_head(status, headers), *(http.encode_data(part) for part in body), http.encode_end()]
-        except InvalidMessageError:  # a length that does not fit what came: it must not pass for complete
+        except InvalidMessageError:  # the length does not match the body, which must not look complete
             self.abort()
             return
         self.writer.write(b"".join(out))
 
     def send_local_reply(self, status: int, reason: str) -> None:
-        """Send a response of the gateway's own outside the engine; the connection closes after it."""
+        """Send a response that the gateway makes without the engine; the connection closes after it."""
         headers, body = self._server.local_reply(reason)
         self.closing = True
         self.send_response(status, [*headers, CLOSE_HEADER], [body])
 
     def time_out_request(self) -> None:
-        """Answer a client that takes too long over its request.
+        """Answer a client that takes too long to send its request.
 
-        What still comes of it is read: a close over it would reset the connection, and the response with it.
+        Its remaining bytes are still read: a close with unread bytes resets the connection, which can destroy the
+        response.
         """
         self._server.counts["requests_too_slow"] += 1
         self.send_local_reply(REQUEST_TIMEOUT, "head too slow")
-        self._close_half()  # `run` still reads, and lingers
+        self._shut_down_writing()  # `run` goes on reading, and lingers
         self._server.loop.call_later(LINGER_MS / MS_PER_S, self.writer.close)
 
     async def reject(self) -> None:
-        """Answer a connection beyond the limit.  A request that comes must not turn the close into a reset."""
+        """Answer a connection over the limit, and linger: an unread request would turn the close into a reset."""
         self.send_local_reply(UNAVAILABLE, "full house")
         await self._linger(REJECTED_LINGER_MS)
         self.writer.close()
@@ -337,19 +341,19 @@
     # Close --------------------------------------------------------------------------------------------------
 
     def abort(self) -> None:
-        """Reset the connection, so that the client sees that its response is not complete."""
+        """Reset the connection, so that the client can tell that its response is incomplete."""
         self.closing = True
         self.writer.transport.abort()
 
     async def _linger(self, timeout_ms: float = LINGER_MS) -> None:
-        """Close the gateway's half, and read on for a while what the client still writes.
+        """Shut down writing, then read and discard what the client still sends, for a limited time.
 
-        Closing over what is unread, or on its way, would reset the connection, and the response with it.
+        A close with bytes unread or still in transit would reset the connection, which can destroy the response.
         """
         if self.lingering or self.writer.transport.is_closing():
             return
         self.closing = self.lingering = True
-        self._close_half()
+        self._shut_down_writing()
         read_bytes = 0
         with suppress(TimeoutError, OSError):
             async with asyncio.timeout(timeout_ms / MS_PER_S):
@@ -359,6 +363,6 @@
                         break
                     read_bytes += len(data)
 
-    def _close_half(self) -> None:
+    def _shut_down_writing(self) -> None:
         with suppress(OSError, RuntimeError):
             self.writer.write_eof()
--- a/martenstep/proxy/client_request.py
+++ b/martenstep/proxy/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request on its way through the sockets: its body, its present attempt, and what came back."""
+"""The socket side of a client's request: its body, its current attempt, and the response received so far."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     __slots__ = ("_max_buffered", "buffer", "changed", "complete", "discarded", "length", "may_read", "size", "written")
 
     def __init__(self, max_buffered: int, length: int | None) -> None:
-        """At most `max_buffered` bytes are read ahead and kept; `length` as the head states it, None: chunked."""
+        """Buffer at most `max_buffered` bytes.  `length` is the Content-Length; None: the body is chunked."""
         self._max_buffered = max(max_buffered, 1)
         self.length = length
         self.buffer = bytearray()
-        self.discarded = 0  # bytes before those in the buffer
+        self.discarded = 0  # bytes discarded from the front of the buffer
         self.size = 0  # bytes read so far
-        self.written = 0  # bytes that the present attempt has written
+        self.written = 0  # bytes that the current attempt has written, counted from the start of the body
         self.complete = False
-        self.changed = asyncio.Event()  # more has come, or the end
+        self.changed = asyncio.Event()  # set when more bytes or the end of the body were received
         self.may_read = asyncio.Event()
         self.may_read.set()
 
@@ -38,18 +38,18 @@
             self.may_read.clear()
 
     def finish(self) -> None:
-        """The last byte has come."""
+        """Record that the last byte was received."""
         self.complete = True
         self.changed.set()
 
     def take_unwritten(self) -> bytes:
-        """What the present attempt has not written yet, which then counts as written."""
+        """Return the bytes that the current attempt has not written yet, and count them as written."""
         data = bytes(self.buffer[self.written - self.discarded :])
         self.written = self.size
         return data
 
     def trim(self) -> bool:
-        """Discard what has been written, where more must be read than is kept; True the first time."""
+        """Discard written bytes if the buffer is full; True the first time: the body can no longer be replayed."""
         if self.may_read.is_set():
             return False
         is_first = self.discarded == 0
@@ -60,23 +60,23 @@
         return is_first
 
     def rewind(self) -> None:
-        """Another attempt begins at the start."""
+        """Start again at the first byte of the buffer, for another attempt."""
         self.written = self.discarded
 
 
 class ClientRequest:
-    """One client request on its way, as its sockets have it."""
+    """One client request in flight."""
 
     __slots__ = (
         "attempt",
         "attempt_task",
         "body",
         "body_reader",
-        "buffered",
         "buffered_bytes",
+        "buffered_data",
         "client",
         "finished",
-        "progress_at",
+        "last_progress_at",
         "request_id",
         "response_bytes",
         "streaming",
@@ -88,26 +88,26 @@
     def __init__(
         self, request_id: int, client: ClientConnection, body: RequestBody | None, finished: asyncio.Future[None]
     ) -> None:
-        """`finished` is done once the client has its response, or can get none any more."""
+        """`finished` is done once the client was sent its response or can no longer receive one."""
         self.request_id, self.client, self.body, self.finished = request_id, client, body, finished
-        self.attempt = 0  # number of the present attempt
-        self.attempt_task: asyncio.Task[None] | None = None  # that connects or writes for it
-        self.body_reader: asyncio.Task[None] | None = None  # that reads the client's body
+        self.attempt = 0  # number of the current attempt
+        self.attempt_task: asyncio.Task[None] | None = None  # connects, or writes the body, for the current attempt
+        self.body_reader: asyncio.Task[None] | None = None  # reads the body from the client
         self.upstream: UpstreamConnection | None = None
-        self.buffered: list[bytes] = []  # of the response, not passed on yet
+        self.buffered_data: list[bytes] = []  # parts of the response body, not sent to the client yet
         self.buffered_bytes = 0
-        self.response_bytes = 0  # received so far of the present attempt's response
-        self.streaming = False  # the response has begun to go to the client
-        self.progress_at = 0.0  # when a response that has begun last moved
-        self.usage_recorded: asyncio.Future[bool] | None = None  # its usage is not recorded yet
-        self.withheld_data: list[tuple[UpstreamConnection, bytes]] = []  # received of responses meanwhile
+        self.response_bytes = 0  # body bytes received so far for the current attempt
+        self.streaming = False  # the start of an incomplete response was sent to the client
+        self.last_progress_at = 0.0  # when bytes of a streamed response were last received, or its reading was resumed
+        self.usage_recorded: asyncio.Future[bool] | None = None  # pending while the response waits for the usage record
+        self.withheld_data: list[tuple[UpstreamConnection, bytes]] = []  # received while that is pending
 
     def begin_attempt(self, number: int) -> None:
-        """Forget what was received for the attempt before."""
+        """Discard what was received for the previous attempt."""
         self.attempt = number
-        self.buffered, self.buffered_bytes, self.response_bytes = [], 0, 0
+        self.buffered_data, self.buffered_bytes, self.response_bytes = [], 0, 0
 
     def finish(self) -> None:
-        """The client has its response, or can get none any more."""
+        """Mark the request finished: the client was sent its response or can no longer receive one."""
         if not self.finished.done():
             self.finished.set_result(None)
--- a/martenstep/proxy/permission.py
+++ b/martenstep/proxy/permission.py
@@ -1,9 +1,10 @@
-"""Whether an attempt may be begun now, and whether a connection may be closed now: the one place that says so.  No I/O.
+"""The last checks before an attempt is written and before a client connection is closed.  No I/O.
 
-By then the policy has chosen the endpoint and the connection has been made, and time has passed: what was allowed when
-it was decided need not be when the first byte is written.  The server asks here at that moment, and does nothing that
-is denied; each denial is counted by its name and logged.  A denial that no crossing of events explains (`UNEXPECTED`)
-is a fault of the program's own: the soak test holds their count to zero.
+Time passes between the policy's decision and the first byte: the endpoint is chosen, then the connection is made.  What
+was allowed at the decision may no longer be allowed at the write, so the server checks again immediately before it, and
+does nothing that is denied.  Each denial is counted by its name and logged.  The denials in `UNEXPECTED_DENIALS` cannot
+come from events that cross each other; they are faults of this program, and the soak test requires their count to be
+zero.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Denial(Enum):
-    """Why something may not be done now.  Operators read names and values in the log."""
+    """Why an action is denied now.  Names and values appear in the log, so they stay as they are."""
 
     ANSWERED = "the request has its final answer, or its client is gone"
     ENDED = "the gateway has answered all that it held"
@@ -28,26 +29,26 @@
     BYTES_WAITING = "bytes have come that may be a request"
 
 
-UNEXPECTED = frozenset((Denial.EFFECT, Denial.ANOTHER_OUT))
+UNEXPECTED_DENIALS = frozenset((Denial.EFFECT, Denial.ANOTHER_OUT))
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFacts:
-    """What is known of an attempt at the moment of its first byte.  Times are milliseconds on one clock."""
+    """The state of an attempt immediately before its first byte is written.  Times are milliseconds on one clock."""
 
     now: float
     deadline: float
-    request_finished: bool  # the request has its final response, or its client has disconnected
-    gateway_stopped: bool  # the gateway has answered all that was in flight
-    is_current: bool  # it is the request's last attempt, and has not been given up
+    request_finished: bool  # the final response was sent, or the client has disconnected
+    gateway_stopped: bool  # the gateway has answered every request in flight
+    is_current: bool  # it is the request's latest attempt and was not aborted
     endpoint_accepts: bool  # the endpoint accepts new requests
     idempotency: Idempotency
-    may_have_run_since: float | None  # start of the first attempt that may have been executed
-    deduplication_window_ms: float  # how long endpoints know an idempotency key
+    may_have_run_since: float | None  # start of the first attempt that the endpoint may have executed; None: no attempt
+    deduplication_window_ms: float  # how long endpoints remember an idempotency key
 
 
 def may_begin(facts: AttemptFacts) -> Denial | None:
-    """Why an attempt may not be begun now; None where it may."""
+    """Why the attempt must not be written now; None if it may be."""
     if facts.request_finished:
         return Denial.ANSWERED
     if facts.gateway_stopped:
@@ -70,10 +71,10 @@
 
 
 def may_close(request_open: bool, bytes_read: bool, bytes_waiting: bool) -> Denial | None:
-    """Why a client's connection may not be closed between two requests; None where it may.
+    """Why a client's connection must not be closed between two requests; None if it may be.
 
-    `bytes_read` by the loop and taken by nobody; `bytes_waiting` in the kernel: a close over them resets the
-    connection.
+    `bytes_read`: the event loop has read bytes that are not processed yet.  `bytes_waiting`: the kernel holds unread
+    bytes.  A close with unread bytes would reset the connection.
     """
     if request_open:
         return Denial.REQUEST_OPEN
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -260,7 +260,7 @@
             if how == "reset":
                 raw.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             raw.socket.close()
-            driver._relay.fail(flight, AttemptFailure.CLOSED)
+            driver._relay.fail_attempt(flight, AttemptFailure.CLOSED)
             assert driver.counts["attempts"] == 1 and door.node.engine.response_counts == {"client left": 1}
             await until(lambda: not driver.requests)
 
