--- a/martenstep/proxy/__init__.py
+++ b/martenstep/proxy/__init__.py
@@ -1,5 +1,6 @@
-"""The proxy: carries requests from clients to endpoints as the policy decides.
+"""The proxy: forwards requests from clients to endpoints as the policy decides.
 
-`engine` drives the policy, free of I/O (events and the time in, actions out); `server` binds it to sockets; `http1`
-reads and writes HTTP/1.1; `daemon` is the process.  Decisions on quota, endpoints and attempts are the policy's alone.
+`engine` drives the policy without I/O: it receives events and the time, and returns actions.  `server` connects it to
+sockets, `http1` reads and writes HTTP/1.1, and `daemon` is the process.  Only the policy decides on quota, endpoints
+and attempts.
 """
--- a/martenstep/proxy/acceptor.py
+++ b/martenstep/proxy/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections, within their limit, and closes those that stay idle."""
+"""Accepts client connections up to a limit, and closes those that stay idle."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
     is_ready,
 )
 
-if TYPE_CHECKING:  # loaded where the settings name certificates
+if TYPE_CHECKING:  # loaded only if the settings name certificates
     from martenstep.config.tls import ServerContext
 
-# A new connection is not closed to make room: its first request may be on its way, and would be lost.
+# A newer connection is not closed to make room: its first request may still be in transit and would be lost.
 MIN_AGE_TO_CLOSE_MS = 300.0
-MAX_REJECTING = 8  # connections beyond the limit that are answered at once: each holds a descriptor
+MAX_CONCURRENT_REJECTIONS = 8  # connections over the limit that linger after the 503 response; each holds a descriptor
 
 
 class Acceptor:
-    """The clients' connections of a server."""
+    """Accepts and closes the client connections of one server."""
 
     def __init__(self, state: ServerState, tls: ServerContext | None, clock: LoopClock) -> None:
-        """`clock` tells when what the event loop finds ready came at the earliest."""
+        """`clock` gives the earliest arrival time of what the event loop finds ready."""
         self._state, self._tls, self._clock = state, tls, clock
         self.listener: Listener | None = None
-        self._rejecting: set[asyncio.Task[None]] = set()
+        self._rejection_tasks: set[asyncio.Task[None]] = set()
 
     def start(self, sock: socket.socket | None = None, reuse_port: bool = False) -> int:
-        """Bind, or take a socket that is bound already, and accept; returns the port.  Raises OSError."""
+        """Start accepting on a new socket, or on one that is bound already; returns the port.  Raises OSError."""
         limits = self._state.listener
         if sock is None:
             family = socket.AF_INET6 if ":" in limits.host else socket.AF_INET
@@ -49,16 +49,16 @@
         return self.listener.port
 
     async def close(self, timeout_ms: float) -> None:
-        """Accept the connections that wait, for a bounded time, and then none."""
+        """Accept the connections in the accept queue, for a bounded time, then stop accepting."""
         if self.listener is not None:
             await self.listener.close(timeout_ms / MS_PER_S)
 
     # Connections --------------------------------------------------------------------------------------------
 
     def _make_protocol(self, connected_since: float) -> asyncio.Protocol:
-        """The protocol of an accepted connection, which was made at the earliest at `connected_since`."""
+        """The protocol of an accepted connection that was established at `connected_since` at the earliest."""
         reader = WatchedReader(self._clock)
-        reader.connect_times = connected_since, self._clock.looked_ms
+        reader.connect_times = connected_since, self._clock.last_poll_ms
         protocol = ClientProtocol(reader, self._connected)
         if self._tls is None:
             return protocol
@@ -87,22 +87,22 @@
 
     def _reject(self, client: ClientConnection) -> None:
         self._state.counts["connections_turned_away"] += 1
-        if len(self._rejecting) >= MAX_REJECTING:
+        if len(self._rejection_tasks) >= MAX_CONCURRENT_REJECTIONS:
             client.send_local_reply(UNAVAILABLE, "full house")
             client.writer.close()
             return
         task = self._state.loop.create_task(client.reject())
-        self._rejecting.add(task)
-        task.add_done_callback(self._rejecting.discard)
+        self._rejection_tasks.add(task)
+        task.add_done_callback(self._rejection_tasks.discard)
 
     def _disconnected(self, client: ClientConnection, task: asyncio.Task[None]) -> None:
-        self._forget(client)
+        self._remove(client)
         error = None if task.cancelled() else task.exception()
         if error is not None:
             self._state.log_task_failure("client", error)
             client.abort()
 
-    def _forget(self, client: ClientConnection) -> None:
+    def _remove(self, client: ClientConnection) -> None:
         self._state.clients.discard(client)
         self._state.new_clients.pop(client, None)
         self._state.idle_clients.pop(client, None)
@@ -110,11 +110,11 @@
     # Limit ---------------------------------------------------------------------------------------------------
 
     def free_slot(self) -> bool:
-        """Close a connection without a request.
+        """Close one connection that has no open request; False if there is none that may be closed.
 
-        The oldest that never had one which could be accepted, else the one that has been idle for longest.  Whoever
-        opens hundreds, and says nothing or asks once and stays, must not keep out those who ask.  False where a request
-        is open on every one.
+        It closes the oldest connection that has not had an accepted request, or else the one that has been idle for
+        longest.  A client that opens hundreds of connections and sends nothing, or one request on each, must not keep
+        out clients that send requests.
         """
         state = self._state
         min_waiting_since = now_ms() - MIN_AGE_TO_CLOSE_MS
@@ -125,22 +125,22 @@
                 continue
             if not self._may_close(client):
                 continue
-            # It has its response, is silent, or has been at half a request all this time.
+            # It has had its response, has sent nothing, or has left a request incomplete for MIN_AGE_TO_CLOSE_MS.
             client.closing = True
             client.writer.close()
             state.counts["connections_closed_for_room"] += 1
-            self._forget(client)
+            self._remove(client)
             return True
         return False
 
     @staticmethod
     def _may_close(client: ClientConnection) -> bool:
-        """Whether no bytes have come of which it would be said that the gateway lost them."""
+        """Whether a close loses no bytes that the client has sent as part of a request."""
         bytes_read, bytes_waiting = bool(client.reader.buffered), is_ready(client.writer, select.POLLIN)
         return client.lingering or may_close(False, bytes_read, bytes_waiting) is None
 
     def close_expired(self, now: float) -> None:
-        """Close connections that have been idle, or at one request, for too long."""
+        """Close connections that have been idle, or have left a request incomplete, for too long."""
         limits = self._state.listener
         for client in list(self._state.clients):
             if client.request is not None or client.closing:
--- a/martenstep/proxy/clock_step_detector.py
+++ b/martenstep/proxy/clock_step_detector.py
@@ -1,7 +1,8 @@
-"""Detects steps of the wall clock against the monotonic one.
+"""Detects steps of the wall clock by comparing it with the monotonic clock.
 
-Gateways number the periods of a quota by the wall clock, since their monotonic clocks have nothing in common.  One that
-kept the wall clock as it found it at its start would number them otherwise than those that start after a step.
+Gateways derive the numbers of quota periods from the wall clock, because their monotonic clocks have no common origin.
+A gateway that kept the offset read at its start would number the periods differently from gateways started after a
+step.
 """
 
 from __future__ import annotations
@@ -10,31 +11,32 @@
 
 from martenstep.proxy.clock import now_ms, wall_clock_ms
 
-MIN_STEP_MS = 5.0  # less is within the bound on how far gateways' clocks may differ (policy/quota.py)
-MAX_READING_MS = 1.0  # between two readings of the monotonic clock, the wall clock read between them
-MAX_READINGS = 5  # to get one within that
+MIN_STEP_MS = 5.0  # smaller steps are within the permitted difference between gateways' clocks (policy/quota.py)
+# The longest time between the two readings of the monotonic clock that enclose a reading of the wall clock.
+MAX_READING_MS = 1.0
+MAX_READINGS = 5  # attempts to get a reading within MAX_READING_MS
 
 
 class ClockStepDetector:
-    """What the wall clock reads beyond the gateway's own, which runs on."""
+    """Tracks the difference between the wall clock and the gateway's clock, which is never stepped."""
 
     def __init__(self, clock: Callable[[], float] = now_ms, wall_clock: Callable[[], float] = wall_clock_ms) -> None:
-        """Both in milliseconds; at first they read the same."""
+        """Both clocks are in milliseconds and are taken to agree at first."""
         self._clock, self._wall_clock = clock, wall_clock
         self.shift_ms = 0.0
-        self._asked = False
+        self._compared_before = False
 
     def stepped(self) -> bool:
-        """Whether the wall clock was stepped since this was last asked, or may have been before it was first asked.
+        """Whether the wall clock was stepped since the last call; True on the first call, as it may have been before.
 
-        `shift_ms` has the difference now.
+        `shift_ms` then holds the difference.
         """
-        if not self._asked:
-            self._asked = True
+        if not self._compared_before:
+            self._compared_before = True
             return True
         if abs(self._wall_clock() - self._clock() - self.shift_ms) < MIN_STEP_MS:
             return False
-        measured_ms = self._measure_shift()  # this process may have been held up between the two readings
+        measured_ms = self._measure_shift()  # the process may have been delayed between the two readings above
         if measured_ms is None or abs(measured_ms - self.shift_ms) < MIN_STEP_MS:
             return False
         self.shift_ms = measured_ms
--- a/martenstep/proxy/connection_pool.py
+++ b/martenstep/proxy/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all endpoints: idle ones by address, within limits on how many there are."""
+"""The connections to all endpoints: keeps idle ones by address and limits how many are open."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from martenstep.proxy.upstream_connection import UpstreamConnection
 
 Address = tuple[str, int]
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER for no time: a close that resets
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: a close sends a reset
 
 
 class ConnectionPool:
-    """Connections in use, idle, or being made.  Each holds a slot under the limits."""
+    """Connections in use, idle, or being opened.  Each holds a slot that counts towards the limits."""
 
     def __init__(  # noqa: PLR0913  # limits and TLS, each a setting
         self,
@@ -29,31 +29,33 @@
         server_name: str = "",
         max_connections: int = 0,
     ) -> None:
-        """`max_connections` to all addresses together (0: no such limit).
+        """`max_connections` limits the connections to all addresses together (0: no such limit).
 
-        `handshake_rejected` is called where TLS rejects the other side.
+        `handshake_rejected` is called when a TLS handshake fails.
         """
         self._max_per_address, self._idle_timeout_ms = max_per_address, idle_timeout_ms
         self._max_connections = max_connections
         self._handshake_rejected = handshake_rejected
-        # A connection is not reused so soon after its response: a second one may come some ms behind, and would be
-        # taken for the next request's.
+        # A connection is not reused until this long after its response: a second response may follow some milliseconds
+        # later and would be read as the response to the next request.
         self.reuse_delay_ms = 0.0
         self._tls, self._server_name = tls, server_name
-        self._idle: dict[Address, list[UpstreamConnection]] = {}  # the one used last is the last
-        self._slots: dict[Address, int] = {}  # taken, by address
-        self._retired_at: dict[Address, float] = {}  # connections made before are not kept
-        self.opened = 0  # in all, since the start
+        self._idle: dict[Address, list[UpstreamConnection]] = {}  # the most recently used one is last
+        self._slots: dict[Address, int] = {}  # slots in use by address
+        self._retired_at: dict[
+            Address, float
+        ] = {}  # connections opened before this time are closed after their response
+        self.opened = 0  # connections opened since the start
 
     @property
     def connections(self) -> int:
-        """Connections in use, idle or being made."""
+        """Connections in use, idle or being opened."""
         return sum(self._slots.values())
 
     # Use ----------------------------------------------------------------------------------------------------
 
     def acquire_idle(self, address: Address) -> UpstreamConnection | None:
-        """An idle connection, the last used first; None where there is none.  Ended ones are discarded on the way."""
+        """Take the most recently used idle connection, discarding those that have ended; None if there is none."""
         idle = self._idle.get(address, [])
         latest_idle_since = now_ms() - self.reuse_delay_ms
         for index in reversed(range(len(idle))):
@@ -66,8 +68,9 @@
         return None
 
     def recycle(self, upstream: UpstreamConnection) -> None:
-        """Keep a connection whose response is complete for the next attempt, where it can be used again."""
-        has_unsent = upstream.writer.transport.get_write_buffer_size() > 0  # it was answered before it was all there
+        """Keep a connection after its response for another attempt, or discard it if it cannot be reused."""
+        # Request bytes are still unsent if the endpoint responded before it had received the whole request.
+        has_unsent = upstream.writer.transport.get_write_buffer_size() > 0
         is_retired = upstream.connected_at <= self._retired_at.get(upstream.address, -math.inf)
         if not upstream.http.reusable or upstream.reader.ended or has_unsent or is_retired:
             self.discard(upstream)
@@ -84,9 +87,9 @@
     # Slots --------------------------------------------------------------------------------------------------
 
     def reserve_slot(self, address: Address) -> bool:
-        """Take a slot for a new connection; False where a limit is reached."""
+        """Take a slot for a new connection; False if a limit is reached."""
         if self._slots.get(address, 0) >= self._max_per_address:
-            idle = self._idle.get(address)  # it may not be reused yet: `acquire_idle` has found none
+            idle = self._idle.get(address)  # `acquire_idle` found none, so these may not be reused yet
             if not idle:
                 return False
             self.discard(idle.pop(0))
@@ -96,7 +99,7 @@
         return True
 
     def _discard_longest_idle(self) -> bool:
-        """Make room under the limit of all; False where every connection is in use."""
+        """Discard the connection that has been idle for longest; False if every connection is in use."""
         oldest = (idle[0] for idle in self._idle.values() if idle)
         found = min(oldest, key=lambda upstream: upstream.idle_since, default=None)
         if found is None:
@@ -106,7 +109,7 @@
         return True
 
     def release_slot(self, address: Address) -> None:
-        """Give a slot back."""
+        """Return a slot."""
         remaining = self._slots.get(address, 1) - 1
         if remaining > 0:
             self._slots[address] = remaining
@@ -116,11 +119,11 @@
             self._retired_at.pop(address, None)
 
     async def connect(self, address: Address) -> UpstreamConnection:
-        """Make a connection in a slot that is reserved; raises OSError, after which the slot is released.
+        """Open a connection in a slot that was reserved.  Raises OSError after it has released the slot.
 
-        Its close is a reset from the begin, the kernel's as well when the process is killed.  A plain close would go on
-        delivering a request that was given up, for minutes where the network lost it: after its final response, and
-        beside its next attempt.
+        From the start every close of the connection sends a reset, also the kernel's close when the process is killed.
+        After a plain close the kernel goes on delivering an aborted request, for minutes if the network loses packets:
+        after the request's final response, and while its next attempt is open.
         """
         loop = asyncio.get_running_loop()
         reader = WatchedReader()
@@ -137,7 +140,7 @@
                 reason = getattr(error, "verify_message", "") or str(error.reason)
                 self._handshake_rejected(f"{address[0]}:{address[1]}", reason)
             raise
-        with suppress(OSError):  # it has ended already
+        with suppress(OSError):  # the connection has ended already
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         disable_nagle(transport)
         protocol.secure = self._tls is not None
@@ -147,9 +150,9 @@
     # Close --------------------------------------------------------------------------------------------------
 
     def retire_address(self, address: Address) -> None:
-        """Close the idle connections to an address whose endpoint has gone, and those in use after their response.
+        """Close the idle connections to an address whose endpoint was removed, and those in use after their response.
 
-        Another endpoint may come to it.
+        Another endpoint may be started at the same address.
         """
         if address in self._slots:
             self._retired_at[address] = now_ms()
@@ -157,7 +160,7 @@
             self.discard(upstream)
 
     def close_expired(self) -> None:
-        """Close what has been idle for too long, or has ended."""
+        """Close the connections that have been idle for too long or have ended."""
         now = now_ms()
         for address in list(self._idle):
             usable = []
--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -77,7 +77,7 @@
     credential_headers = set(authorization.credential_headers) if authorization is not None else set()
     if gateway.HasField("forward_auth"):
         credential_headers.add(_header_name(gateway.forward_auth.secret_header))
-    protected = {*message_builder.own_names, *customer_headers, *message_builder.auth_only}
+    protected = {*message_builder.gateway_header_names, *customer_headers, *message_builder.auth_only}
     return HookExtensionPoints(gateway, route_table, credential_headers - {b""}, protected, epoch_ms)
 
 
--- a/martenstep/proxy/graceful_shutdown.py
+++ b/martenstep/proxy/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a server: it drains, answers what is in flight, and closes in a bounded time."""
+"""Stops a server: drains it, finishes the requests in flight, and closes, all in a bounded time."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from martenstep.proxy.clock import MS_PER_S, now_ms
 from martenstep.proxy.server_state import ServerState
 
-ACCEPT_QUEUE_MS = 100.0  # in this time the accept queue is emptied before the listener closes
-CLOSE_MS = 150.0  # at the end: clients that have their last response close their connections in this time
-POLL_S = 0.01
+ACCEPT_QUEUE_MS = 100.0  # time to empty the accept queue before the listener closes
+CLIENT_CLOSE_MS = 150.0  # time for clients to read their last response and close their connections
+STATE_POLL_S = 0.01
 
 
 class GracefulShutdown:
     """Stops a server."""
 
     def __init__(self, state: ServerState, acceptor: Acceptor) -> None:
-        """`acceptor` has the clients' connections."""
+        """`acceptor` accepts the client connections."""
         self._state, self._acceptor = state, acceptor
 
     async def drain(self, accept_ms: float, serve_ms: float) -> None:
-        """Serve on, for clients that need time to notice.
+        """Go on serving while clients learn that the gateway is stopping.
 
-        Accept connections for `accept_ms`, serve those that stand for `serve_ms` in all, and close each with a
-        response.  Returns with no connection being accepted any more.
+        Accept connections for `accept_ms`, serve the open ones for `serve_ms` in total, and close each with its next
+        response.  No connection is accepted after the return.
         """
         began_at = now_ms()
         self._state.draining = True
@@ -36,25 +36,25 @@
         self._state.stopping = True
 
     async def finish_requests(self, timeout_ms: float) -> bool:
-        """Wait until all that is in flight is answered, and answer the rest; True where there was no rest."""
+        """Wait until all requests in flight are answered; at the timeout answer the rest.  True if none was left."""
         state = self._state
-        until = now_ms() + timeout_ms
+        deadline = now_ms() + timeout_ms
         while True:
-            # A client that stays has a request, or bytes that may become one and that nobody has read yet.
-            staying = [client for client in state.clients if not (client.closing or client.close_idle())]
-            if now_ms() >= until or not (state.engine.unanswered or staying):
+            # Clients that cannot be closed: each has a request, or unread bytes that may belong to one.
+            open_clients = [client for client in state.clients if not (client.closing or client.close_idle())]
+            if now_ms() >= deadline or not (state.engine.unanswered or open_clients):
                 break
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(STATE_POLL_S)
         all_answered = not state.engine.unanswered
         state.perform(state.engine.stop(now_ms()))
         return all_answered
 
     async def close_clients(self) -> None:
-        """Wait until the clients have taken the last responses and closed, and close the others."""
-        until = now_ms() + CLOSE_MS
+        """Wait until clients have read their last responses and closed, then close the remaining connections."""
+        deadline = now_ms() + CLIENT_CLOSE_MS
         while True:
-            await asyncio.sleep(POLL_S)
-            if not self._state.clients or now_ms() >= until:
+            await asyncio.sleep(STATE_POLL_S)
+            if not self._state.clients or now_ms() >= deadline:
                 break
         for client in list(self._state.clients):
             client.writer.close()
--- a/martenstep/proxy/listener.py
+++ b/martenstep/proxy/listener.py
@@ -1,8 +1,8 @@
-"""Accepts connections on a listening socket, through the failures that accept(2) documents.
+"""Accepts connections on a listening socket and handles the errors that accept(2) documents.
 
-The event loop's own server pauses for a second where descriptors or memory run short for a moment, and cannot be
-configured otherwise; requests of little time in the queue would be lost meanwhile, and with the queue's end those in
-it.
+The event loop's own server stops accepting for a second whenever descriptors or memory run short, and this cannot be
+configured.  Meanwhile requests with short deadlines in the accept queue would expire, and if the listener closed, all
+connections in the queue would be lost.
 """
 
 from __future__ import annotations
@@ -15,12 +15,13 @@
 from martenstep.proxy.loop_lag import LoopClock
 from martenstep.proxy.transport import has_pending_connections
 
-BACKLOG = 1024  # connections that wait to be accepted
-MAX_ACCEPTS = 4  # in one turn of the loop: up to five go by before the first is counted, or is closed
-RETRY_S = 0.02  # after an accept that failed for want of descriptors or memory
-# The connection that was to be accepted is lost, and nothing else: accept(2) tells pending network errors of the new
-# socket too.
-LOST_CONNECTION = frozenset(
+BACKLOG = 1024  # size of the accept queue
+# Accepts in one iteration of the event loop.  Up to five iterations pass before the first is counted, or closed.
+MAX_ACCEPTS_PER_TURN = 4
+ACCEPT_RETRY_S = 0.02  # delay after an accept that failed because descriptors or memory ran short
+# Errors that concern only the connection being accepted: accept(2) also reports pending network errors of the new
+# socket.
+LOST_CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -39,7 +40,7 @@
 
 
 class Listener:
-    """One listening socket and the connections that are being accepted from it."""
+    """One listening socket, and the accepted connections that are still being set up."""
 
     def __init__(
         self,
@@ -48,31 +49,31 @@
         accept_failed: Callable[[OSError], None],
         clock: LoopClock,
     ) -> None:
-        """`make_protocol` is given when a connection was made at the earliest, by `clock`.
+        """`make_protocol` receives the earliest time at which the connection was established, by `clock`.
 
-        `accept_failed` is called with each accept that failed for want of descriptors or memory.
+        `accept_failed` receives the error of each accept that failed because descriptors or memory ran short.
         """
         self._socket, self._make_protocol, self._accept_failed = sock, make_protocol, accept_failed
         self._clock = clock
-        self._queued_since: float | None = None  # the queue has not been emptied since; None: it has
+        self._queued_since: float | None = None  # the accept queue has held connections since; None: it is empty
         self._loop = asyncio.get_running_loop()
-        self._connecting: set[asyncio.Task[None]] = set()
-        self._retry: asyncio.TimerHandle | None = None
+        self._connect_tasks: set[asyncio.Task[None]] = set()
+        self._retry_timer: asyncio.TimerHandle | None = None
         self.accepting = True
         sock.setblocking(False)
         sock.listen(BACKLOG)
-        self._loop.add_reader(sock.fileno(), self._readable)
+        self._loop.add_reader(sock.fileno(), self._accept_ready)
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port that the socket listens on."""
         return int(self._socket.getsockname()[1])
 
-    def _readable(self) -> None:
+    def _accept_ready(self) -> None:
         if self._queued_since is None:
-            self._queued_since = self._clock.arrived_ms
+            self._queued_since = self._clock.earliest_arrival_ms
         connected_since = self._queued_since
-        for _ in range(MAX_ACCEPTS):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 accepted, _ = self._socket.accept()
             except BlockingIOError:
@@ -81,48 +82,48 @@
             except InterruptedError:
                 break
             except OSError as error:
-                if error.errno in LOST_CONNECTION:
+                if error.errno in LOST_CONNECTION_ERRNOS:
                     continue
                 self._accept_failed(error)
                 self._pause()
                 return
             task = self._loop.create_task(self._connect(accepted, connected_since))
-            self._connecting.add(task)
-            task.add_done_callback(self._connecting.discard)
-        if not has_pending_connections(self._socket):  # what is queued from now on has not waited
+            self._connect_tasks.add(task)
+            task.add_done_callback(self._connect_tasks.discard)
+        if not has_pending_connections(self._socket):  # the queue is empty, so later connections have not waited
             self._queued_since = None
 
     def _pause(self) -> None:
-        """Leave the queue alone for a moment: the socket stays readable, and the loop would do nothing else."""
+        """Stop accepting for ACCEPT_RETRY_S: the socket stays readable, and the event loop would spin on it."""
         self._loop.remove_reader(self._socket.fileno())
-        self._retry = self._loop.call_later(RETRY_S, self._resume)
+        self._retry_timer = self._loop.call_later(ACCEPT_RETRY_S, self._resume)
 
     def _resume(self) -> None:
-        self._retry = None
-        self._loop.add_reader(self._socket.fileno(), self._readable)
+        self._retry_timer = None
+        self._loop.add_reader(self._socket.fileno(), self._accept_ready)
 
     async def _connect(self, accepted: socket.socket, connected_since: float) -> None:
         try:
             accepted.setblocking(False)
             await self._loop.connect_accepted_socket(lambda: self._make_protocol(connected_since), accepted)
-        except OSError:  # it has ended already
+        except OSError:  # the connection has ended already
             accepted.close()
 
     async def close(self, timeout_s: float) -> None:
-        """Accept the connections that wait in the queue, for a bounded time, then none.
+        """Accept the connections in the accept queue, for a bounded time, then close the socket.
 
-        Closed over, they would be reset, perhaps over a request.
+        The close resets connections that are still in the queue, and a request may already have been sent on them.
         """
         if not self.accepting:
             return
-        until = self._loop.time() + timeout_s
-        while has_pending_connections(self._socket) and self._loop.time() < until:
+        deadline = self._loop.time() + timeout_s
+        while has_pending_connections(self._socket) and self._loop.time() < deadline:
             await asyncio.sleep(0)
         self.accepting = False
-        if self._retry is not None:
-            self._retry.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         else:
             self._loop.remove_reader(self._socket.fileno())
-        while self._connecting:
+        while self._connect_tasks:
             await asyncio.sleep(0)
         self._socket.close()
--- a/martenstep/proxy/loop_lag.py
+++ b/martenstep/proxy/loop_lag.py
@@ -1,7 +1,8 @@
-"""How old what the event loop finds ready may be.
+"""Measures how long ago the bytes and connections that the event loop finds ready may have arrived.
 
-A request that waited in the kernel while the process was busy, or stopped, has less time left than its head says.  When
-it came is not known, only that it was not there at the loop's last look; so its time is counted from that look.
+A request that waited in the kernel while the process was busy or stopped has less time left than its head says.  The
+kernel does not report when it arrived; it is only certain that it was not there at the event loop's previous poll of
+the selector.  Its time is therefore counted from that poll.
 """
 
 from __future__ import annotations
@@ -14,74 +15,74 @@
 
 from martenstep.proxy.clock import EPOCH_MS, MS_PER_S, now_ms
 
-AT_ONCE_S = 0.001  # a look that returns within this found what came before it
-OVERSHOOT_S = 0.02  # a wait that ends so late ended while the process did not run
-STALL_S = 0.3  # a process that stood still for so long may have missed notifications
+IMMEDIATE_POLL_S = 0.001  # what a poll finds within this time arrived before the poll
+OVERSHOOT_S = 0.02  # a poll that returns this much after its timeout returned late because the process did not run
+STALL_S = 0.3  # a process that did not run for this long may have missed notifications
 
 
 class LoopClock(Protocol):
-    """When the loop last looked for what is ready, and when what it found came at the earliest.
+    """The time of the event loop's last poll, and the earliest arrival time of what it found.
 
-    Both in milliseconds of the gateway's clock.  Kept by the loop, since a reading for each event would cost more than
-    many events.
+    Both are in milliseconds of the gateway's clock.  They are recorded once per poll, since reading the clock for each
+    event would cost more than processing many of the events.
     """
 
     @property
-    def looked_ms(self) -> float:
-        """The end of the last look."""
+    def last_poll_ms(self) -> float:
+        """The time at which the last poll returned."""
 
     @property
-    def arrived_ms(self) -> float:
-        """When the oldest of what it found came, at the earliest."""
+    def earliest_arrival_ms(self) -> float:
+        """The earliest time at which anything that the last poll found may have arrived."""
 
 
-class ClockNow:
-    """For an event loop that keeps neither: what it finds came just now."""
+class UntrackedLoopClock:
+    """For an event loop that records neither: assumes that what it finds has just arrived."""
 
     @property
-    def looked_ms(self) -> float:
+    def last_poll_ms(self) -> float:
         """Now."""
         return now_ms()
 
     @property
-    def arrived_ms(self) -> float:
+    def earliest_arrival_ms(self) -> float:
         """Now."""
         return now_ms()
 
 
 class LagSelector(selectors.DefaultSelector):
-    """A selector that knows how long before each look's end the oldest of what it found may have come (LoopClock)."""
+    """A selector that records how long before the end of each poll the oldest event may have arrived (LoopClock)."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic, epoch_ms: float = EPOCH_MS) -> None:
-        """`clock` in seconds; `epoch_ms` is added for the gateway's clock."""
+        """`clock` is in seconds; adding `epoch_ms` to it gives the gateway's clock."""
         super().__init__()
         self._clock, self._epoch_ms = clock, epoch_ms
-        self.looked_ms = self.arrived_ms = clock() * MS_PER_S + epoch_ms
-        self._looked_at_s: float | None = None  # when the last look ended; None: there was none
+        self.last_poll_ms = self.earliest_arrival_ms = clock() * MS_PER_S + epoch_ms
+        self._polled_at_s: float | None = None  # when the last poll returned; None: there was none
         self._lag_s = 0.0
-        self.stalled_at = -math.inf  # when the process was last seen to have stood still, by `clock`,
-        self.stalled_ms = 0.0  # and for how long
+        self.stalled_at = -math.inf  # when the end of the last stall of the process was detected, by `clock`
+        self.stalled_ms = 0.0  # how long that stall lasted
 
     @property
     def lag_ms(self) -> float:
-        """Of what the last look found: it came at most so long before that look."""
+        """The longest time by which what the last poll found may have arrived before that poll returned."""
         return self._lag_s * MS_PER_S
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Look, and wait up to `timeout` seconds if nothing is ready."""
+        """Poll, waiting up to `timeout` seconds if nothing is ready."""
         waits = timeout is None or timeout > 0
-        entered = self._clock() if waits else 0.0
+        began_at = self._clock() if waits else 0.0
         ready = super().select(timeout)
         now = self._clock()
-        overshot = waits and timeout is not None and now - entered > timeout + OVERSHOOT_S
-        if not waits or now - entered < AT_ONCE_S:
-            self._lag_s = now - self._looked_at_s if self._looked_at_s is not None else 0.0
+        overshot = waits and timeout is not None and now - began_at > timeout + OVERSHOOT_S
+        if not waits or now - began_at < IMMEDIATE_POLL_S:
+            self._lag_s = now - self._polled_at_s if self._polled_at_s is not None else 0.0
         else:
-            self._lag_s = now - entered if overshot else 0.0  # else it waited for what it found
+            self._lag_s = now - began_at if overshot else 0.0  # otherwise it was waiting when the event arrived
         if self._lag_s >= STALL_S:
             self.stalled_at, self.stalled_ms = now, self.lag_ms
-        # A wait that a stop of the process interrupted ends without a look, if its time is over by then.
-        self._looked_at_s = entered if overshot and not ready else now
-        self.looked_ms = now * MS_PER_S + self._epoch_ms
-        self.arrived_ms = self.looked_ms - self.lag_ms
+        # If a stop of the process interrupts a wait whose timeout passes meanwhile, the wait ends without a new poll.
+        self._polled_at_s = began_at if overshot and not ready else now
+        self.last_poll_ms = now * MS_PER_S + self._epoch_ms
+        self.earliest_arrival_ms = self.last_poll_ms - self.lag_ms
         return ready
--- a/martenstep/proxy/server.py
+++ b/martenstep/proxy/server.py
@@ -1,8 +1,8 @@
-"""The server of a gateway: the engine on sockets.
+"""The server of a gateway: connects the engine to sockets.
 
-One task for each client connection reads requests in turn; responses are relayed as their bytes come, and only
-connecting, long bodies and slow clients take tasks of their own.  Whatever is to be decided goes to the engine as an
-event, and the actions that it returns are carried out at once.
+One task for each client connection reads its requests one after another.  Responses are relayed in callbacks as their
+bytes are received; only opening connections, long bodies and slow clients need tasks of their own.  Every decision is
+the engine's: the server passes it events and performs the actions that it returns at once.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 from martenstep.proxy.dependencies import ListenerLimits, UpstreamLimits
 from martenstep.proxy.engine import Engine
 from martenstep.proxy.graceful_shutdown import GracefulShutdown
-from martenstep.proxy.loop_lag import ClockNow, LoopClock
+from martenstep.proxy.loop_lag import LoopClock, UntrackedLoopClock
 from martenstep.proxy.response_relay import RecordUsage, ResponseRelay
 from martenstep.proxy.server_state import ServerState
 from martenstep.tasks import start_supervised
 
-if TYPE_CHECKING:  # loaded where the settings name them
+if TYPE_CHECKING:  # loaded only if the settings name them
     from martenstep.config.tls import ClientContext, ServerContext
     from martenstep.proxy.auth_requests import AuthClient
     from martenstep.proxy.traces import Trace
 
-SWEEP_MS = 250.0  # how often idle and stalled connections are looked for
+SWEEP_MS = 250.0  # interval between checks for idle and stalled connections
 AddToCounter = Callable[[int, int, float, float, bool], None]
 
 
 class ProxyServer:
-    """One gateway on sockets."""
+    """The server of one gateway."""
 
-    def __init__(  # noqa: PLR0913  # puts the parts together
+    def __init__(  # noqa: PLR0913  # assembles the parts of the server
         self,
         listener: ListenerLimits,
         upstream: UpstreamLimits,
@@ -51,7 +51,7 @@
         server_name: str = "",
         clock: LoopClock | None = None,
     ) -> None:
-        """To be made in a running event loop.  `clock` tells when what the loop finds ready came at the earliest."""
+        """Requires a running event loop.  `clock` gives the earliest arrival time of what the loop finds ready."""
         self.engine, self.tls = engine, tls
         self.client_tls = [upstream_tls] if upstream_tls is not None else []
         self.state = ServerState(listener, upstream, engine, log_event)
@@ -63,16 +63,16 @@
             server_name,
             upstream.all_connections,
         )
-        self._acceptor = Acceptor(self.state, tls, clock or ClockNow())
+        self._acceptor = Acceptor(self.state, tls, clock or UntrackedLoopClock())
         self._relay = ResponseRelay(self.state, self.pool)
         self._sender = AttemptSender(self.state, self.pool, self._relay)
         self._shutdown = GracefulShutdown(self.state, self._acceptor)
-        self.add_to_counter: AddToCounter | None = None  # where there is a counter
-        self.subscribe_endpoints: Callable[[], None] | None = None  # where discovery has to be asked for changes
+        self.add_to_counter: AddToCounter | None = None  # set if there is a counter
+        self.subscribe_endpoints: Callable[[], None] | None = None  # set if discovery sends changes only on request
         self.export_trace: Callable[[Trace], None] | None = None
         self.auth_client: AuthClient | None = None
         self._sweeper: asyncio.Task[None] | None = None
-        self.state.dispatch_to(self._action_handlers())
+        self.state.set_action_handlers(self._action_handlers())
 
     def _action_handlers(self) -> Mapping[type, Callable[[Any], None]]:
         return {
@@ -90,22 +90,23 @@
             ev.StopAuthCheck: self._stop_auth_check,
         }
 
-    # Life ---------------------------------------------------------------------------------------------------
+    # Lifecycle ----------------------------------------------------------------------------------------------
 
     async def start(self, sock: socket.socket | None = None, reuse_port: bool = False) -> int:
-        """Bind, or take a socket that is bound already, and accept; returns the port.  Raises OSError."""
+        """Start accepting on a new socket, or on one that is bound already; returns the port.  Raises OSError."""
         port = self._acceptor.start(sock, reuse_port)
         self._sweeper = start_supervised(self._sweep, self.log_task_failure)
         return port
 
     def reconfigure(self, listener: ListenerLimits, upstream: UpstreamLimits) -> None:
-        """Take over limits that differ only in what may change in service."""
+        """Apply limits that differ only in settings that may change without a restart."""
         self.state.listener, self.state.upstream = listener, upstream
 
     async def stop(self, timeout_ms: float, accept_ms: float = 0.0, serve_ms: float = 0.0) -> bool:
-        """Drain, answer what is in flight within `timeout_ms`, and close; True where all was answered by itself.
+        """Drain, finish the requests in flight within `timeout_ms`, and close.
 
-        Connections are accepted for `accept_ms`, and those that stand are served for `serve_ms` in all.
+        New connections are accepted for `accept_ms`, and open ones are served for `serve_ms` in total.  True if every
+        request was answered before `timeout_ms` ran out.
         """
         await self._shutdown.drain(accept_ms, serve_ms)
         all_answered = await self._shutdown.finish_requests(timeout_ms)
@@ -132,68 +133,68 @@
             self._relay.fail_stalled(now)
 
     def handle(self, event: ev.Event) -> None:
-        """Hand an event to the engine, and carry out its actions."""
+        """Pass an event to the engine and perform the actions that it returns."""
         self.state.handle(event)
 
-    # Parts around -------------------------------------------------------------------------------------------
+    # Optional parts -----------------------------------------------------------------------------------------
 
     def set_auth_client(self, auth_client: AuthClient) -> None:
-        """Set what carries checks to authentication services."""
+        """Set the client that sends checks to authentication services."""
         self.auth_client = auth_client
         self.client_tls += auth_client.tls
 
     def set_usage_recorder(self, record_usage: RecordUsage, timeout_ms: float = 0.0) -> None:
-        """Set what records the usage of requests.
+        """Set the callback that records the usage of requests.
 
-        Where it returns a future, the response waits for that, and no longer than `timeout_ms`.
+        If it returns a future, the response waits for that, for at most `timeout_ms`.
         """
         self._relay.record_usage, self._relay.record_timeout_ms = record_usage, timeout_ms
 
     def set_staleness_check(self, endpoint_list_is_stale: Callable[[], bool]) -> None:
-        """Set what tells whether the endpoint list may lack what counts as notified: attempts wait then."""
+        """Set the check whether the endpoint list may lack a change that counts as notified; attempts then wait."""
         self._sender.endpoint_list_is_stale = endpoint_list_is_stale
 
     # Observation --------------------------------------------------------------------------------------------
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The event loop that it runs in."""
+        """The event loop that the server runs in."""
         return self.state.loop
 
     @property
     def listening(self) -> bool:
-        """Whether clients could come."""
+        """Whether the server was started."""
         return self._acceptor.listener is not None
 
     @property
     def counts(self) -> dict[str, int]:
-        """Totals since the start, by the names that the metrics have."""
+        """Totals since the start, by metric name."""
         return self.state.counts
 
     @property
     def requests(self) -> Mapping[int, ClientRequest]:
-        """The requests in flight, by id."""
+        """The requests in flight by id."""
         return self.state.requests
 
     @property
     def clients(self) -> set[ClientConnection]:
-        """The clients' connections."""
+        """The open client connections."""
         return self.state.clients
 
     # Log ----------------------------------------------------------------------------------------------------
 
     def log_task_failure(self, where: str, error: BaseException) -> None:
-        """Log that a background task ended by an error that nobody expected, and is started anew."""
+        """Log that a background task ended with an unexpected error and is restarted."""
         self.state.log_task_failure(where, error)
 
     def log_rejected_server(self, address: str, reason: str) -> None:
-        """Log that a server is not the one that its certificate must show."""
+        """Log that TLS rejected the certificate of an endpoint or of an authentication service."""
         self.state.log_event("upstream certificate rejected", {"address": address, "reason": reason})
 
     # Actions ------------------------------------------------------------------------------------------------
 
     def _add_to_counter(self, action: ev.AddToCounter) -> None:
-        assert self.add_to_counter is not None, "the policy counts only where the settings name a counter"
+        assert self.add_to_counter is not None, "AddToCounter action, but the settings name no counter"
         self.add_to_counter(action.call_id, action.key, action.units, action.expire_ms, action.bounds_ceiling)
 
     def _subscribe_endpoints(self, action: ev.SubscribeEndpoints) -> None:
@@ -208,9 +209,9 @@
             self.export_trace(action.trace)
 
     def _start_auth_check(self, action: ev.StartAuthCheck) -> None:
-        assert self.auth_client is not None, "the engine authorizes only where the settings name a service"
+        assert self.auth_client is not None, "StartAuthCheck action, but the settings name no authentication service"
         self.auth_client.start(action)
 
     def _stop_auth_check(self, action: ev.StopAuthCheck) -> None:
-        assert self.auth_client is not None
+        assert self.auth_client is not None, "StopAuthCheck action, but the settings name no authentication service"
         self.auth_client.stop(action)
--- a/martenstep/proxy/stages/__init__.py
+++ b/martenstep/proxy/stages/__init__.py
@@ -1,1 +1,1 @@
-"""What a message passes on its way through the engine: a stage a module, each with its own state and no other's."""
+"""The stages that a message passes in the engine.  Each stage is a module and keeps only its own state."""
--- a/martenstep/proxy/stages/upstream_request.py
+++ b/martenstep/proxy/stages/upstream_request.py
@@ -1,4 +1,4 @@
-"""Builds the headers of a gateway's attempts and responses: which of the client's are forwarded, and what it adds."""
+"""Builds the headers of attempts and responses: which received headers are forwarded, and which are added."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class GatewayMessageBuilder:
-    """The messages of one gateway, by its settings."""
+    """Builds the messages of one gateway from its settings."""
 
     sends_rate_limits = True
 
     def __init__(self, gateway_settings: pb.Door, auth_only: Collection[bytes], auth_copies: Collection[bytes]) -> None:
         """`auth_only`: headers that only an authentication service may set.
 
-        `auth_copies`: of its response, those that endpoints are sent.
+        `auth_copies`: headers of the authentication service's response that are sent to endpoints.
         """
         upstream, listener = gateway_settings.upstream, gateway_settings.listener
         self._via = f"1.1 {gateway_settings.name}".encode()
@@ -35,44 +35,44 @@
         self._key_header = upstream.key_header.lower().encode()
         self._deadline_header = listener.deadline_header.lower().encode()
         self._not_forwarded = NOT_FORWARDED | {self._id_header, self._attempt_header, self._deadline_header}
-        # Headers that only the gateway sets.
-        self.own_names = (self._id_header, self._attempt_header, self._key_header, self._deadline_header)
+        # Headers that only the gateway itself sets.
+        self.gateway_header_names = (self._id_header, self._attempt_header, self._key_header, self._deadline_header)
         self.auth_only, self._auth_copies = frozenset(auth_only), frozenset(auth_copies)
 
     def identity_headers(self, correlation_id: str) -> Headers:
-        """What every message of the gateway carries: the request's id, and who forwarded it."""
+        """The headers that every message of the gateway carries: the request id, and Via with the gateway's name."""
         return [(self._id_header, correlation_id.encode("latin-1", "replace")), (b"via", self._via)]
 
     def forwarded_headers(self, headers: Headers) -> Headers:
-        """Of the client's headers those that are forwarded.
+        """The client's headers that are forwarded.
 
-        They are end to end, and none that the gateway or an authentication service sets itself.
+        Hop-by-hop headers and those that the gateway or an authentication service sets are left out.
         """
         excluded = connection_header_names(headers, self._not_forwarded)
         if not self.auth_only:
             return [pair for pair in headers if pair[0] not in excluded]
-        # Some servers read x_auth_customer as x-auth-customer.
+        # Some servers treat x_auth_customer as x-auth-customer, so underscores are compared as hyphens.
         auth_only = self.auth_only
         return [pair for pair in headers if pair[0] not in excluded and pair[0].replace(b"_", b"-") not in auth_only]
 
     def copied_auth_headers(self, headers: Headers) -> Headers:
-        """Of an authentication service's response what endpoints are sent."""
+        """The headers of an authentication service's response that are sent to endpoints."""
         return [pair for pair in headers if pair[0] in self._auth_copies]
 
     def deadline_header(self, remaining_ms: float) -> tuple[bytes, bytes]:
-        """The header that tells an endpoint how long the gateway waits, in whole milliseconds."""
+        """The header that states how long the gateway still waits for the response, in whole milliseconds."""
         return self._deadline_header, f"{remaining_ms:.0f}".encode()
 
     def response_headers(self, headers: Headers) -> Headers:
-        """Of an endpoint's response what its client is sent: the request's id is the gateway's to set."""
+        """The headers of an endpoint's response that are sent to the client; only the gateway sets the request id."""
         return [pair for pair in end_to_end_headers(headers) if pair[0] != self._id_header]
 
     def local_reply(self, reason: str, correlation_id: str, retry_after_ms: float | None) -> tuple[Headers, bytes]:
-        """Headers and body of a response of the gateway's own."""
+        """Headers and body of a response that the gateway itself makes."""
         return local_reply(reason, correlation_id, retry_after_ms)
 
     def request_headers(self, request: UpstreamRequest) -> Headers:
-        """An attempt's headers: the client's, an authentication service's, a hook's, and the gateway's own."""
+        """The headers of an attempt: from the client, an authentication service, a hook, and the gateway itself."""
         forwarded = self.forwarded_headers(request.client_headers) + request.auth_headers
         headers = override_headers(forwarded, request.hook_headers)
         headers += [
--- a/martenstep/proxy/targets.py
+++ b/martenstep/proxy/targets.py
@@ -1,9 +1,10 @@
-"""A request's target and its Host, by RFC 9112 3.2 and RFC 9110 7.1 to 7.4: four forms, one of which is forwarded.
+"""Normalizes the target and the Host of a request (RFC 9112 3.2, RFC 9110 7.1 to 7.4).
 
-What is routed, checked and sent to an endpoint is the origin form (a path, maybe a query) under one Host.  A target in
-absolute form names the authority itself: it replaces the Host, which a sender may have set otherwise to be routed here
-and understood there.  Tunnels (CONNECT) are not supported, and whatever follows one may be a tunnel's bytes, so the
-connection ends.  `OPTIONS *` asks about the gateway and is answered by it.
+Of the four forms of a target only the origin form (a path with an optional query) is routed, checked and sent to an
+endpoint, with exactly one Host.  A target in absolute form contains the authority, which replaces the Host: a sender
+could set a different Host so that the gateway and the endpoint read the request differently.  Tunnels (CONNECT) are not
+supported, and the bytes after a CONNECT may belong to a tunnel, so the connection closes.  `OPTIONS *` asks about the
+gateway, which answers it itself.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 from martenstep.proxy.engine_messages import Headers
 
 DEFAULT_PORTS = {b"http": 80, b"https": 443}
-# Methods that endpoints may be asked by; a route may accept fewer.
+# Methods that the gateway forwards; a route may accept fewer.
 ALLOWED_METHODS = b"GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS"
-# RFC 3986 3.2.2: a name or an IPv4 address, or an IPv6 literal in brackets; RFC 3986 3.2.3: a port, which may be empty.
+# RFC 3986 3.2.2: a name, an IPv4 address, or an IPv6 literal in brackets; RFC 3986 3.2.3: a port, which may be empty.
 AUTHORITY = re.compile(rb"(?:\[([0-9a-fA-F:.]{2,45})\]|([A-Za-z0-9\-._~!$&'()*+,;=%]{1,255}))(?::(\d{0,5}))?")
 MAX_PORT = 65_535
 NO_CONTENT, BAD_REQUEST, METHOD_NOT_ALLOWED, MISDIRECTED_REQUEST = 204, 400, 405, 421
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NormalizedTarget:
-    """What is forwarded: the origin form, and the headers with the Host that counts."""
+    """What is forwarded: the target in origin form, and the headers with the effective Host."""
 
     target: bytes
     headers: Headers
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetRejection:
-    """A response of the gateway's own: its status, its reason and what it carries."""
+    """A response that the gateway makes itself: its status, its reason and its additional headers."""
 
     status: int
     reason: str
@@ -41,16 +42,16 @@
 
 
 class Authority(NamedTuple):
-    """A host in lower case, without its brackets, and a port, where one is named."""
+    """A host in lower case and without brackets, and its port if one is given."""
 
     host: str
     port: int | None
 
 
 def split_authority(authority: bytes) -> Authority | None:
-    """Host and port; None where it is no authority.
+    """Host and port; None if `authority` is not valid.
 
-    User information, which RFC 9110 4.2.4 has recipients take for a fault, is none.
+    An authority with user information is not valid: RFC 9110 4.2.4 has recipients treat it as an error.
     """
     match = AUTHORITY.fullmatch(authority)
     if match is None:
@@ -62,22 +63,22 @@
 
 
 class TargetNormalizer:
-    """The forms that one listener accepts."""
+    """Normalizes the targets of requests to one listener."""
 
     def __init__(self, secure: bool, names: list[str]) -> None:
-        """`names`: by which clients know the gateway, as host or host:port; none: any name will do."""
+        """`names`: the names of the gateway, each as host or host:port; empty: every name is accepted."""
         self._scheme = b"https" if secure else b"http"
         authorities = [split_authority(name.encode()) for name in names]
         self._names = {authority for authority in authorities if authority is not None}
 
     def normalize(self, method: bytes, target: bytes, headers: Headers) -> NormalizedTarget | TargetRejection:
-        """A request's target and headers, whose names are in lower case."""
+        """Normalize a target and headers, or reject the request.  Header names are in lower case."""
         if method == b"CONNECT":
             closing = [(b"allow", ALLOWED_METHODS), (b"connection", b"close")]
             return TargetRejection(METHOD_NOT_ALLOWED, "no tunnels", closing)
         if target[:1] == b"/":
             host = next((value for name, value in headers if name == b"host"), None)
-            if host and not self._is_ours(host):
+            if host and not self._is_gateway_name(host):
                 return self._misdirected(host)
             return NormalizedTarget(target, headers)
         if target == b"*":
@@ -87,22 +88,22 @@
         return self._normalize_absolute(target, headers)
 
     def _normalize_absolute(self, target: bytes, headers: Headers) -> NormalizedTarget | TargetRejection:
-        scheme, found, rest = target.partition(b"://")
+        scheme, separator, rest = target.partition(b"://")
         scheme = scheme.lower()
-        if not found or scheme not in DEFAULT_PORTS:
+        if not separator or scheme not in DEFAULT_PORTS:
             return TargetRejection(BAD_REQUEST, "bad target", [])
         end = min((index for index in (rest.find(b"/"), rest.find(b"?")) if index >= 0), default=len(rest))
         authority, path = rest[:end], rest[end:]
         if b"#" in authority or split_authority(authority) is None:
             return TargetRejection(BAD_REQUEST, "bad target", [])
-        if scheme != self._scheme or not self._is_ours(authority):
+        if scheme != self._scheme or not self._is_gateway_name(authority):
             return TargetRejection(MISDIRECTED_REQUEST, "misdirected", [])
         if path[:1] != b"/":
             path = b"/" + path
-        # The Host first, as RFC 9110 7.2 would have it; and once.
+        # The Host comes first, as RFC 9110 7.2 recommends, and only once.
         return NormalizedTarget(path, [(b"host", authority), *(pair for pair in headers if pair[0] != b"host")])
 
-    def _is_ours(self, authority: bytes) -> bool:
+    def _is_gateway_name(self, authority: bytes) -> bool:
         if not self._names:
             return True
         parts = split_authority(authority)
--- a/martenstep/proxy/transport.py
+++ b/martenstep/proxy/transport.py
@@ -1,7 +1,7 @@
-"""Streams of the standard library that report what happens to their connection, and looks at sockets.
+"""Subclasses of asyncio's streams that report what happens to their connection, and polls of single sockets.
 
-The reader tells at once of the end of its connection and of bytes that nobody asked for, so that no task has to wait on
-an idle connection and none is reused after its end has come.
+The reader reports the end of its connection and unsolicited bytes at once.  No task has to wait on an idle connection
+for that, and no connection is reused after its end was received.
 """
 
 from __future__ import annotations
@@ -19,43 +19,43 @@
 
 ConnectionCallback = Callable[[], None]
 DataCallback = Callable[[bytes], None]
-HandshakeRejected = Callable[[str, str], None]  # whose handshake, and why
+HandshakeRejected = Callable[[str, str], None]  # the address of the other side, and the reason
 ConnectionAccepted = Callable[["WatchedReader", asyncio.StreamWriter, "WatchedProtocol"], None]
 
 LOST_EVENTS = select.POLLHUP | select.POLLERR
-DISCONNECTED_EVENTS = LOST_EVENTS | select.POLLRDHUP  # the other side has closed its half, or all
-ARRIVAL_MERGE_MS = 10.0  # bytes that come so soon after others count as having come with them
-ACCEPT_ARRIVAL_MS = 20.0  # bytes found so soon after a connection was accepted may have come with it
-READ_BYTES = 65_536  # of one read, and what a stream buffers before it stops reading
+DISCONNECTED_EVENTS = LOST_EVENTS | select.POLLRDHUP  # the other side has shut down writing or closed
+ARRIVAL_MERGE_MS = 10.0  # bytes that arrive this soon after others share their arrival time
+ACCEPT_ARRIVAL_MS = 20.0  # bytes read this soon after the accept may have arrived with the connection
+READ_BYTES = 65_536  # the size of one read, and the bytes that a stream buffers before it pauses reading
 
 
 class WatchedReader(asyncio.StreamReader):
-    """A stream reader that remembers whether anything came since it was last asked.
+    """A stream reader that records whether anything was received since `has_activity` was last cleared.
 
-    It can hand on what comes at once: a task that waits for it costs more than all that is done with a short response.
+    It can pass received bytes directly to a callback: waking a task costs more than processing a short response.
     """
 
     def __init__(self, clock: LoopClock | None = None) -> None:
-        """`clock` tells when bytes that the loop hands on now came at the earliest; None: nobody asks."""
+        """`clock` gives the earliest arrival time of the bytes that the event loop reads; None: no times are kept."""
         super().__init__(limit=READ_BYTES)
         self._clock = clock
-        self._arrivals: deque[tuple[int, float]] = deque()  # bytes up to a count, and when the last of them came
+        self._arrivals: deque[tuple[int, float]] = deque()  # a byte count, and when the last of these bytes arrived
         self._received = 0
-        # When the connection was made at the earliest, and when it was accepted.
+        # The earliest time at which the connection was established, and when it was accepted.
         self.connect_times: tuple[float, float] | None = None
-        self.has_activity = False  # bytes or an end have come
+        self.has_activity = False  # bytes or the end of the connection were received
         self.ended = False
-        self.on_data: DataCallback | None = None  # takes the bytes in place of the buffer; none at the end
+        self.on_data: DataCallback | None = None  # receives the bytes instead of the buffer; empty bytes at the end
         self.discards_excess = False
-        self.has_discarded = False  # bytes were discarded: nothing can follow on this connection
+        self.has_discarded = False  # bytes were discarded, so no further request can be read from this connection
 
     @property
     def buffered(self) -> int:
-        """Bytes that the loop has read and nobody has taken yet."""
-        return len(self._buffer)  # type: ignore[attr-defined]  # the standard library tells it nowhere
+        """The number of bytes that the event loop has read and that are not consumed yet."""
+        return len(self._buffer)  # type: ignore[attr-defined]  # the standard library has no public name for it
 
-    def feed_data(self, data: Any) -> None:  # noqa: ANN401  # as the standard library has it  # as the standard library has it
-        """Bytes from the transport."""
+    def feed_data(self, data: Any) -> None:  # noqa: ANN401  # the signature of the base class
+        """Accept bytes from the transport."""
         self.has_activity = True
         if self._clock is not None:
             self._received += len(data)
@@ -68,15 +68,15 @@
                 self.discard_excess()
 
     def _record_arrival(self, clock: LoopClock) -> None:
-        """Keep when the bytes up to here came.
+        """Record when the bytes received so far arrived.
 
-        Those that came soon after others count as having come with them: a client that writes byte by byte must not
+        Bytes that arrive soon after others share their arrival time, so that a client that writes byte by byte cannot
         fill the memory.
         """
-        at, arrivals = clock.arrived_ms, self._arrivals
+        at, arrivals = clock.earliest_arrival_ms, self._arrivals
         if self.connect_times is not None:
             connected_at, accepted_at = self.connect_times
-            if clock.looked_ms - accepted_at < ACCEPT_ARRIVAL_MS:  # they may have come before it was accepted
+            if clock.last_poll_ms - accepted_at < ACCEPT_ARRIVAL_MS:  # they may have arrived before the accept
                 at = min(at, connected_at)
             self.connect_times = None
         if arrivals and at - arrivals[-1][1] < ARRIVAL_MERGE_MS:
@@ -84,9 +84,9 @@
         arrivals.append((self._received, at))
 
     def arrival_time(self, byte_count: int) -> float | None:
-        """When the last of the first `byte_count` bytes came, at the earliest; None where that is not kept.
+        """The earliest time at which the last of the first `byte_count` bytes arrived; None if no times are kept.
 
-        To be asked for in rising order.
+        Calls must be made with rising counts.
         """
         arrivals = self._arrivals
         while len(arrivals) > 1 and arrivals[0][0] < byte_count:
@@ -94,10 +94,10 @@
         return arrivals[0][1] if arrivals else None
 
     def discard_excess(self) -> None:
-        """From now on, until `discards_excess` is cleared, discard what is more than the buffer holds.
+        """Discard bytes that exceed the buffer's limit, now and until `discards_excess` is cleared.
 
-        While a client's request is in flight nobody takes what stands behind it; where reading stopped for that, the
-        end of the client's connection would not be noticed, and attempts would be begun for nobody.
+        While a client's request is in flight, the bytes after it are not consumed.  If a full buffer paused reading,
+        the end of the client's connection would go unnoticed, and attempts would be made for a client that has gone.
         """
         self.discards_excess = True
         if self.buffered > READ_BYTES:
@@ -106,13 +106,13 @@
             self._maybe_resume_transport()  # type: ignore[attr-defined]
 
     def feed_eof(self) -> None:
-        """The other side has closed its half."""
+        """Record that the other side has shut down writing."""
         self.has_activity = True
         super().feed_eof()
         self._end()
 
     def set_exception(self, exc: Exception) -> None:
-        """The connection is lost."""
+        """Record that the connection is lost."""
         self.has_activity = True
         super().set_exception(exc)
         self._end()
@@ -125,41 +125,41 @@
 
 
 class WatchedProtocol(asyncio.StreamReaderProtocol):
-    """Tells when the connection is lost, and whether the other side closed only its half."""
+    """Reports the loss of the connection, and a half-close by the other side."""
 
     def __init__(self, reader: WatchedReader) -> None:
-        """Its bytes go to `reader`."""
+        """Received bytes go to `reader`."""
         super().__init__(reader)
         self.on_lost: ConnectionCallback | None = None
         self.on_half_close: ConnectionCallback | None = None
         self.secure = False
 
     def eof_received(self) -> bool:
-        """The other side's half is closed; ours stays open, but under TLS, which knows no half."""
+        """Handle a half-close by the other side: our half stays open, except under TLS, which has no half-close."""
         super().eof_received()
         if self.on_half_close is not None:
             self.on_half_close()
         return not self.secure
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Both halves are closed."""
+        """Handle the end of the connection in both directions."""
         super().connection_lost(exc)
         if self.on_lost is not None:
             self.on_lost()
 
 
 class ClientProtocol(WatchedProtocol):
-    """Of a connection that a client made: hands its streams on."""
+    """The protocol of an accepted connection: passes its streams on once the connection is ready."""
 
     def __init__(self, reader: WatchedReader, accepted: ConnectionAccepted) -> None:
-        """`accepted` takes the streams once the connection is made."""
+        """`accepted` receives the streams once the connection is ready."""
         super().__init__(reader)
         self._client_reader, self._accepted = reader, accepted
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is made."""
+        """Create the streams and pass them on."""
         super().connection_made(transport)
-        # Not every loop's transports are asyncio's by class: uvloop's only behave alike.
+        # uvloop's transports behave like asyncio's but do not inherit from them.
         write_transport = cast(asyncio.WriteTransport, transport)
         disable_nagle(write_transport)
         writer = asyncio.StreamWriter(write_transport, self, self._client_reader, asyncio.get_running_loop())
@@ -167,20 +167,20 @@
 
 
 class TlsHandshakeProtocol(asyncio.Protocol):
-    """Of a connection that a client made and that TLS must secure first.
+    """The protocol of an accepted connection until its TLS handshake has finished.
 
-    The outcome of the handshake is known here, so that a failed one can be reported.
+    It performs the handshake itself, so that a failure can be reported.
     """
 
     def __init__(
         self, protocol: ClientProtocol, context: ssl.SSLContext, timeout_s: float, failed: HandshakeRejected
     ) -> None:
-        """`protocol` takes over after the handshake, `failed` is called where there is none."""
+        """`protocol` takes over after the handshake; `failed` is called if the handshake fails."""
         self._protocol, self._context, self._timeout_s, self._failed = protocol, context, timeout_s, failed
         self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is made; nothing is read before the handshake."""
+        """Start the handshake; nothing is read before it."""
         plain = cast(asyncio.Transport, transport)
         plain.pause_reading()
         self._task = asyncio.get_running_loop().create_task(self._secure(plain))
@@ -200,35 +200,35 @@
             reason = getattr(error, "reason", None) or str(error) or "closed"
             self._failed(str(peer[0]) if peer else "", reason)
             return
-        if secured is None:  # the connection ended meanwhile
+        if secured is None:  # the connection ended during the handshake
             return
         self._protocol.secure = True
         self._protocol.connection_made(secured)
 
 
 def disable_nagle(transport: asyncio.BaseTransport) -> None:
-    """Send small writes at once: what the kernel held back would be lost with a close that resets.
+    """Send small writes at once: bytes that Nagle's algorithm holds back would be lost with a close that resets.
 
-    The loop does so only for sockets that were made with the protocol's number, which accepted ones have from their
-    listener.
+    The event loop does so only for sockets that were created with an explicit protocol number, which accepted sockets
+    inherit from their listener.
     """
-    with suppress(OSError):  # it has ended already
+    with suppress(OSError):  # the connection has ended already
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def is_ready(writer: asyncio.StreamWriter, events: int) -> bool:
-    """Whether the kernel reports one of `events` (select.POLL...) of a connection now, before the loop has looked."""
+    """Whether the kernel reports one of `events` (select.POLL*) now, which the event loop may not have seen yet."""
     descriptor = writer.get_extra_info("socket").fileno()
     return descriptor < 0 or poll_descriptor(descriptor, events)
 
 
 def has_pending_connections(listener: socket.socket) -> bool:
-    """Whether connections wait in a listener's queue."""
+    """Whether connections wait in the accept queue of a listener."""
     return listener.fileno() >= 0 and poll_descriptor(listener.fileno(), select.POLLIN)
 
 
 def poll_descriptor(descriptor: int, events: int) -> bool:
-    """Whether the kernel reports one of `events` of a descriptor now."""
+    """Whether the kernel now reports one of `events` for a descriptor."""
     poll = select.poll()
     poll.register(descriptor, events)
     return any(reported & events for _, reported in poll.poll(0))
--- a/tests/test_fault_pauses.py
+++ b/tests/test_fault_pauses.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from martenstep.proxy.listener import MAX_ACCEPTS
+from martenstep.proxy.listener import MAX_ACCEPTS_PER_TURN
 from tests.node_rig import SETTINGS, request
 from tests.socket_rig import Peer
 from tests.test_fault_clocks import Agent
@@ -179,7 +179,7 @@
         async with running_gateway(tmp_path) as running:
             door, seen = running.gateway, running.seen
             door.signal(signal.SIGSTOP)
-            crowd = [await door.client() for _ in range(MAX_ACCEPTS)]
+            crowd = [await door.client() for _ in range(MAX_ACCEPTS_PER_TURN)]
             door.signal(signal.SIGCONT)
             await asyncio.sleep(STOP_S)
             peer = await door.client()
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -56,10 +56,10 @@
     """A reader whose bytes come at these times."""
 
     class Clock:
-        looked_ms = 0.0
+        last_poll_ms = 0.0
 
         @property
-        def arrived_ms(self) -> float:
+        def earliest_arrival_ms(self) -> float:
             return times.pop(0)
 
     return WatchedReader(Clock())
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -19,7 +19,7 @@
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine import Engine
 from martenstep.proxy.engine_messages import RequestReceived, Tick
-from martenstep.proxy.graceful_shutdown import CLOSE_MS
+from martenstep.proxy.graceful_shutdown import CLIENT_CLOSE_MS
 from tests.node_rig import SETTINGS, config, raw, request, target
 
 
@@ -120,7 +120,7 @@
     ]
     leaving = make_drain_plan(config(settings={**SETTINGS, "classes": classes}).settings)
     assert leaving.accept_ms >= 400.0, "new connections come for so long"
-    assert leaving.accept_ms <= leaving.serve_ms <= leaving.answer_ms <= grace - CLOSE_MS - 100.0
+    assert leaving.accept_ms <= leaving.serve_ms <= leaving.answer_ms <= grace - CLIENT_CLOSE_MS - 100.0
 
 
 def _spots(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -25,12 +25,12 @@
     EndpointListFollower,
 )
 from martenstep.proxy import graceful_shutdown
-from martenstep.proxy.acceptor import MAX_REJECTING, MIN_AGE_TO_CLOSE_MS
+from martenstep.proxy.acceptor import MAX_CONCURRENT_REJECTIONS, MIN_AGE_TO_CLOSE_MS
 from martenstep.proxy.client_connection import ClientConnection
 from martenstep.proxy.clock import now_ms
 from martenstep.proxy.connection_pool import ConnectionPool
 from martenstep.proxy.engine_messages import AttemptFailure
-from martenstep.proxy.listener import MAX_ACCEPTS
+from martenstep.proxy.listener import MAX_ACCEPTS_PER_TURN
 from martenstep.proxy.transport import DISCONNECTED_EVENTS, READ_BYTES
 from tests.node_rig import SETTINGS, request, target
 from tests.socket_rig import Peer, Script, ScriptedServer, run
@@ -562,7 +562,7 @@
 
 
 def test_half_a_request_is_waited_for_by_a_door_that_leaves(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(graceful_shutdown, "CLOSE_MS", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_MS", 0.0)
 
     async def test() -> None:
         async with place(tmp_path, serves) as door:
@@ -755,7 +755,9 @@
                 ):
                     await asyncio.sleep(0)
                     peak = max(peak, len(os.listdir("/proc/self/fd")))
-                assert peak - before <= most + MAX_REJECTING + 5 * MAX_ACCEPTS, "and no more of those that are reserved"
+                assert peak - before <= most + MAX_CONCURRENT_REJECTIONS + 5 * MAX_ACCEPTS_PER_TURN, (
+                    "and no more of those that are reserved"
+                )
 
     run(test())
 
@@ -852,7 +854,7 @@
             door.node.drain_plan = DrainPlan(30.0, LONG_MS, LONG_MS)
             stopping = asyncio.create_task(door.node.stop())
             await asyncio.sleep(0)
-            late = [Raw(door.port, request(number)) for number in range(3 * MAX_ACCEPTS)]
+            late = [Raw(door.port, request(number)) for number in range(3 * MAX_ACCEPTS_PER_TURN)]
             time.sleep(0.05)  # the loop stands: its next turn finds the queue full and the time over
             for one in late:
                 peer = await one.peer()
