--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Waits between attempts: bounded, drawn, and begun anew after a success; and that the clients do so."""
+"""Waits between attempts are bounded, random, and reset by a success; the counter client resets them as well."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from tests.test_counter_service import Desk, served
 
 
-def test_waits_double_to_the_bound_and_begin_anew() -> None:
+def test_waits_double_up_to_the_maximum_and_reset_after_a_success() -> None:
     backoff = Backoff(20.0, 100.0, random.Random(1))
-    turns = []
+    nominal_waits = []
     for _ in range(5):
-        turns.append(backoff.next_ms)
-        assert 0.5 * turns[-1] <= backoff.failed() <= 1.5 * turns[-1]
-    assert turns == [20.0, 40.0, 80.0, 100.0, 100.0]
+        nominal_waits.append(backoff.next_ms)
+        assert 0.5 * nominal_waits[-1] <= backoff.failed() <= 1.5 * nominal_waits[-1]
+    assert nominal_waits == [20.0, 40.0, 80.0, 100.0, 100.0]
     backoff.succeeded()
     assert backoff.next_ms == 20.0
 
 
-def test_doors_that_lose_a_thing_together_do_not_come_back_together() -> None:
+def test_waits_are_random_so_that_gateways_do_not_reconnect_together() -> None:
     waits = [Backoff(20.0, 100.0).failed() for _ in range(50)]
     assert max(waits) - min(waits) > 10.0
 
 
-def test_a_counters_client_begins_anew_with_each_session(tmp_path: Path) -> None:
+def test_the_counter_client_resets_its_backoff_with_each_session(tmp_path: Path) -> None:
     async def test() -> None:
         async with served(tmp_path / "log") as (service, port):
             desk = Desk(port, tmp_path / "door", timeout_ms=5000.0)
-            for _ in range(6):  # six sessions end; what a connection lost costs does not grow with a door's age
+            for _ in range(6):  # six lost sessions: the wait after a loss does not grow with the age of the gateway
                 desk.add(5)
                 await desk.quiet()
                 assert desk.client.backoff.next_ms == MIN_RECONNECT_MS
--- a/tests/test_clock_step_detector.py
+++ b/tests/test_clock_step_detector.py
@@ -1,49 +1,49 @@
-"""Steps of the wall clock are told from a process that was held up between two readings."""
+"""Steps of the wall clock are detected, and distinguished from a process delayed between two readings."""
 
 from __future__ import annotations
 
 from martenstep.proxy.clock_step_detector import MAX_READING_MS, MAX_READINGS, MIN_STEP_MS, ClockStepDetector
 
 
-class Clocks:
-    """A monotonic clock that moves on with each reading, and a wall clock beside it."""
+class FakeClocks:
+    """A monotonic clock whose readings can be delayed, and a wall clock at a settable shift from it."""
 
     def __init__(self) -> None:
         self.now, self.shift, self.delays = 1000.0, 0.0, list[float]()
 
     def monotonic(self) -> float:
-        """Each reading may come after a delay."""
+        """Read after the next delay, if one is set."""
         self.now += self.delays.pop(0) if self.delays else 0.0
         return self.now
 
     def wall(self) -> float:
-        """Read at once."""
+        """Read without a delay."""
         return self.now + self.shift
 
 
-def watch() -> tuple[Clocks, ClockStepDetector]:
-    """One that was asked before."""
-    clocks = Clocks()
-    made = ClockStepDetector(clocks.monotonic, clocks.wall)
-    assert made.stepped() and made.shift_ms == 0.0, "before the first look it may have been stepped"
-    return clocks, made
+def make_detector() -> tuple[FakeClocks, ClockStepDetector]:
+    """A detector whose first call was made already."""
+    clocks = FakeClocks()
+    detector = ClockStepDetector(clocks.monotonic, clocks.wall)
+    assert detector.stepped() and detector.shift_ms == 0.0, "the clock may have been stepped before the first call"
+    return clocks, detector
 
 
-def test_a_step_is_told_once_either_way() -> None:
-    clocks, made = watch()
-    assert not made.stepped()
+def test_a_step_in_either_direction_is_reported_once() -> None:
+    clocks, detector = make_detector()
+    assert not detector.stepped()
     for shift in (3_600_000.0, -40.0, -40.0 + MIN_STEP_MS):
         clocks.shift = shift
-        assert made.stepped() and made.shift_ms == shift
-        assert not made.stepped()
+        assert detector.stepped() and detector.shift_ms == shift
+        assert not detector.stepped()
     clocks.shift += MIN_STEP_MS - 1
-    assert not made.stepped()
+    assert not detector.stepped()
 
 
-def test_a_process_that_is_held_up_sees_no_step() -> None:
-    clocks, made = watch()
+def test_a_delay_between_two_readings_is_not_reported_as_a_step() -> None:
+    clocks, detector = make_detector()
     clocks.delays = [150.0]
-    assert not made.stepped(), "between the wall clock and the other"
+    assert not detector.stepped(), "a delay between the readings of the two clocks is no step"
     clocks.shift, clocks.delays = 900.0, [0.0] + [MAX_READING_MS + 1] * 2 * MAX_READINGS
-    assert not made.stepped(), "no reading to be trusted"
-    assert made.stepped() and made.shift_ms == 900.0
+    assert not detector.stepped(), "every reading took too long to be used"
+    assert detector.stepped() and detector.shift_ms == 900.0
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""How old what the event loop finds may be, and when bytes of a request came."""
+"""The longest age of what the event loop finds ready, and the arrival times of a request's bytes."""
 
 from __future__ import annotations
 
@@ -10,50 +10,50 @@
 from martenstep.proxy.transport import ARRIVAL_MERGE_MS, WatchedReader
 from tests.socket_rig import run
 
-FOUND: list[tuple[selectors.SelectorKey, int]] = [(selectors.SelectorKey(0, 0, 0, None), 1)]
+ONE_READY_EVENT: list[tuple[selectors.SelectorKey, int]] = [(selectors.SelectorKey(0, 0, 0, None), 1)]
 
 
-class Looks:
-    """A clock, and looks that each take a while and find something or not."""
+class FakePolls:
+    """A clock and a selector whose polls take a given time and find an event or none."""
 
-    def __init__(self, patch: pytest.MonkeyPatch) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 100.0
-        self._takes, self._found = 0.0, True
-        patch.setattr(selectors.DefaultSelector, "select", self._select)
+        self._duration_s, self._is_ready = 0.0, True
+        monkeypatch.setattr(selectors.DefaultSelector, "select", self._select)
         self.selector = LagSelector(lambda: self.now)
 
     def _select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        self.now += self._takes
-        return FOUND if self._found else []
+        self.now += self._duration_s
+        return ONE_READY_EVENT if self._is_ready else []
 
-    def look(self, takes: float, timeout: float | None, found: bool = True, after: float = 0.0) -> float:
-        """One look, so long after the one before; gives its lag in milliseconds."""
-        self.now += after
-        self._takes, self._found = takes, found
+    def poll(self, duration_s: float, timeout: float | None, is_ready: bool = True, after_s: float = 0.0) -> float:
+        """Poll `after_s` seconds after the previous poll returned; returns the lag in milliseconds."""
+        self.now += after_s
+        self._duration_s, self._is_ready = duration_s, is_ready
         self.selector.select(timeout)
         return self.selector.lag_ms
 
 
-def test_what_is_found_at_once_came_after_the_look_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    looks = Looks(monkeypatch)
-    assert looks.look(0.0, 0.0, after=5.0) == 0.0, "before the first look nobody was served"
-    assert looks.look(0.0, 0.0, after=0.08) == pytest.approx(80.0)
-    assert looks.look(0.2, 1.0) == 0.0, "it was waited for"
-    assert looks.look(0.0, 0.0, after=0.03) == pytest.approx(30.0)
+def test_events_found_at_once_arrived_after_the_previous_poll(monkeypatch: pytest.MonkeyPatch) -> None:
+    polls = FakePolls(monkeypatch)
+    assert polls.poll(0.0, 0.0, after_s=5.0) == 0.0, "there was no previous poll to count from"
+    assert polls.poll(0.0, 0.0, after_s=0.08) == pytest.approx(80.0)
+    assert polls.poll(0.2, 1.0) == 0.0, "the poll was waiting when the event arrived"
+    assert polls.poll(0.0, 0.0, after_s=0.03) == pytest.approx(30.0)
 
 
-def test_a_stop_of_the_process_is_seen_by_its_overshoot(monkeypatch: pytest.MonkeyPatch) -> None:
-    looks = Looks(monkeypatch)
-    looks.look(0.0, 0.0)
-    assert looks.look(2.0, 0.25) == pytest.approx(2000.0) and looks.selector.stalled_ms == pytest.approx(2000.0)
-    looks.look(0.01, 0.25)
-    assert looks.look(1.0, 0.25, found=False) == pytest.approx(1000.0), "interrupted, its time over: no look"
-    assert looks.look(0.0, 0.0) == pytest.approx(1000.0), "what this one finds may have come as that one began"
-    assert looks.look(0.0, 0.0, after=STALL_S / 2) == pytest.approx(STALL_S * 500)
+def test_a_stalled_process_is_detected_by_the_overshoot_of_a_poll(monkeypatch: pytest.MonkeyPatch) -> None:
+    polls = FakePolls(monkeypatch)
+    polls.poll(0.0, 0.0)
+    assert polls.poll(2.0, 0.25) == pytest.approx(2000.0) and polls.selector.stalled_ms == pytest.approx(2000.0)
+    polls.poll(0.01, 0.25)
+    assert polls.poll(1.0, 0.25, is_ready=False) == pytest.approx(1000.0), "interrupted past its timeout: no new poll"
+    assert polls.poll(0.0, 0.0) == pytest.approx(1000.0), "the event may have arrived when the interrupted poll began"
+    assert polls.poll(0.0, 0.0, after_s=STALL_S / 2) == pytest.approx(STALL_S * 500)
 
 
 def reader_at(times: list[float]) -> WatchedReader:
-    """A reader whose bytes come at these times."""
+    """A reader whose clock returns these arrival times in turn."""
 
     class Clock:
         last_poll_ms = 0.0
@@ -65,7 +65,7 @@
     return WatchedReader(Clock())
 
 
-def test_a_requests_time_is_that_of_its_last_byte() -> None:
+def test_a_request_has_the_arrival_time_of_its_last_byte() -> None:
     async def test() -> None:
         reader = reader_at([100.0, 200.0, 300.0])
         for data in (b"abcd", b"efgh", b"ijkl"):
@@ -75,7 +75,7 @@
     run(test())
 
 
-def test_who_writes_byte_by_byte_is_kept_few_times_of() -> None:
+def test_a_client_that_writes_byte_by_byte_does_not_fill_the_memory() -> None:
     async def test() -> None:
         reader = reader_at([number * 0.1 for number in range(2000)])
         for _ in range(2000):
--- a/tests/test_proxy_permission.py
+++ b/tests/test_proxy_permission.py
@@ -1,4 +1,4 @@
-"""Whether an attempt may be begun, and a connection closed, at this very moment."""
+"""The checks made immediately before an attempt is written or a client connection is closed."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
         ({"idempotency": Idempotency.KEYED, "may_have_run_since": 50.0}, Denial.WINDOW_OVER),
     ],
 )
-def test_an_attempt_is_begun_only_where_each_rule_allows_it(changed: dict[str, Any], denial: Denial | None) -> None:
+def test_an_attempt_may_be_written_only_if_every_rule_allows_it(changed: dict[str, Any], denial: Denial | None) -> None:
     assert may_begin(replace(ALLOWED, **changed)) is denial
 
 
 @pytest.mark.parametrize(
-    ("request_open", "read", "waiting", "denial"),
+    ("request_open", "bytes_read", "bytes_waiting", "denial"),
     [
         (False, False, False, None),
         (True, False, False, Denial.REQUEST_OPEN),
@@ -52,7 +52,7 @@
         (False, False, True, Denial.BYTES_WAITING),
     ],
 )
-def test_a_connection_is_closed_only_where_nothing_is_owed(
-    request_open: bool, read: bool, waiting: bool, denial: Denial | None
+def test_a_connection_may_be_closed_only_without_an_open_request_or_unread_bytes(
+    request_open: bool, bytes_read: bool, bytes_waiting: bool, denial: Denial | None
 ) -> None:
-    assert may_close(request_open, read, waiting) is denial
+    assert may_close(request_open, bytes_read, bytes_waiting) is denial
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -1,4 +1,4 @@
-"""The door on sockets: the hard cases of HTTP and of connections that end at a bad moment."""
+"""The gateway on sockets: edge cases of HTTP, and connections that end at any point of a request."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from tests.socket_rig import Peer, request_head, run, running_gateway
 
 
-async def good(peer: Peer) -> None:
-    """Answers every request with its target."""
+async def echo_target(peer: Peer) -> None:
+    """Respond to every request with its target."""
     while True:
         head = await peer.read_head()
         await peer.send_response(head.split()[1])
 
 
-async def silent(peer: Peer) -> None:
-    """Takes everything, answers nothing."""
+async def never_respond(peer: Peer) -> None:
+    """Read everything and send nothing."""
     await peer.read_to_end()
 
 
 def test_kept_alive_and_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with running_gateway(good) as gateway:
+        async with running_gateway(echo_target) as gateway:
             peer = await gateway.connect()
             await peer.write("".join(request_head(f"/read/{n}") for n in range(5)))
             bodies = [(await peer.read_response())[2] for _ in range(5)]
             assert bodies == [b"/read/%d" % n for n in range(5)]
-            assert gateway.server.pool.opened == 1  # one connection to the server serves them all
+            assert gateway.server.pool.opened == 1  # all over one connection to the endpoint
 
     run(test())
 
 
-def test_a_head_one_byte_at_a_time() -> None:
+def test_a_head_sent_one_byte_at_a_time_is_parsed() -> None:
     async def test() -> None:
-        async with running_gateway(good) as gateway:
+        async with running_gateway(echo_target) as gateway:
             peer = await gateway.connect()
             for byte in request_head().encode():
                 await peer.write(bytes([byte]))
@@ -66,22 +66,22 @@
         ("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400),
     ],
 )
-def test_bad_requests_get_a_4xx_and_the_connection_ends(sent: str, status: int) -> None:
+def test_malformed_requests_get_an_error_status_and_the_connection_closes(sent: str, status: int) -> None:
     async def test() -> None:
-        async with running_gateway(good) as gateway:
+        async with running_gateway(echo_target) as gateway:
             peer = await gateway.connect()
             await peer.write(sent.encode("latin-1"))
-            got = await peer.read_to_end()
-            assert int(got.split()[1]) == status, got
-            assert got.count(b"HTTP/1.1") == 1
-            assert (await gateway.get())[0] == 200  # others are served as before
+            received = await peer.read_to_end()
+            assert int(received.split()[1]) == status, received
+            assert received.count(b"HTTP/1.1") == 1
+            assert (await gateway.get())[0] == 200  # other clients are still served
 
     run(test())
 
 
-def test_a_chunked_body_past_the_bound_is_a_413() -> None:
+def test_a_chunked_body_over_the_limit_gets_a_413() -> None:
     async def test() -> None:
-        async with running_gateway(silent, text="listener { body_bytes: 1000 }") as gateway:
+        async with running_gateway(never_respond, text="listener { body_bytes: 1000 }") as gateway:
             peer = await gateway.connect()
             await peer.write(request_head(method="POST", extra_headers="transfer-encoding: chunked\r\n"))
             await peer.write("7d0\r\n" + "x" * 2000 + "\r\n")
@@ -91,7 +91,7 @@
     run(test())
 
 
-def test_bodies_go_both_ways_with_length_and_in_chunks() -> None:
+def test_bodies_with_a_length_and_chunked_bodies_are_forwarded_both_ways() -> None:
     async def echo(peer: Peer) -> None:
         while True:
             head = await peer.read_head()
@@ -121,7 +121,7 @@
     run(test())
 
 
-def test_a_large_body_and_answer_stream_through_with_back_pressure() -> None:
+def test_a_large_body_and_response_are_streamed_with_back_pressure() -> None:
     size = 8 << 20
 
     async def echo(peer: Peer) -> None:
@@ -136,49 +136,49 @@
             body = bytes(range(256)) * (size // 256)
             head = request_head(method="POST", extra_headers=f"content-length: {size}\r\n").encode()
             sending = asyncio.create_task(peer.write(head + body))
-            # Nothing is read yet: the door may hold no more than its bounds.
+            # The client reads nothing yet, so the gateway must buffer no more than its limits.
             while not sending.done():
-                for flight in gateway.server.requests.values():
-                    assert flight.body is None or len(flight.body.buffer) <= 3 * 65536
-                    assert flight.buffered_bytes <= 3 * 65536
+                for request in gateway.server.requests.values():
+                    assert request.body is None or len(request.body.buffer) <= 3 * 65536
+                    assert request.buffered_bytes <= 3 * 65536
                 await asyncio.sleep(0.001)
-            status, _, got = await peer.read_response()
-            assert status == 200 and got == body
+            status, _, received = await peer.read_response()
+            assert status == 200 and received == body
 
     run(test())
 
 
-def test_expect_100_continue_is_answered_only_when_the_body_is_wanted() -> None:
-    async def take(peer: Peer) -> None:
+def test_expect_100_continue_is_answered_only_when_the_body_is_read() -> None:
+    async def read_body(peer: Peer) -> None:
         head = await peer.read_head()
         assert "expect" not in head
         assert await peer.read(4) == b"body"
         await peer.send_response()
 
     async def test() -> None:
-        async with running_gateway(take) as gateway:
+        async with running_gateway(read_body) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head(method="POST", extra_headers="content-length: 4\r\nexpect: 100-continue\r\n"))
             assert (await peer.read_head()).startswith("http/1.1 100")
             await peer.write("body")
             assert (await peer.read_response())[0] == 200
-        async with running_gateway() as gateway:  # no server: refused, and the body is never asked for
+        async with running_gateway() as gateway:  # no endpoint: the request is rejected without a 100 Continue
             peer = await gateway.connect()
             await peer.write(request_head(method="POST", extra_headers="content-length: 4\r\nexpect: 100-continue\r\n"))
-            got = await peer.read_to_end()
-            assert got.startswith(b"HTTP/1.1 503") and b"connection: close" in got.lower()
+            received = await peer.read_to_end()
+            assert received.startswith(b"HTTP/1.1 503") and b"connection: close" in received.lower()
 
     run(test())
 
 
-def test_an_early_4xx_ends_the_sending_of_the_body() -> None:
-    async def early(peer: Peer) -> None:
+def test_a_response_before_the_end_of_the_body_stops_the_upload() -> None:
+    async def respond_early(peer: Peer) -> None:
         await peer.read_head()
         await peer.send_response("too much", "413 Content Too Large")
         await peer.read_to_end()
 
     async def test() -> None:
-        async with running_gateway(early) as gateway:
+        async with running_gateway(respond_early) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head(method="POST", extra_headers="content-length: 1000000\r\n") + "x" * 100_000)
             status, head, body = await peer.read_response()
@@ -188,15 +188,15 @@
     run(test())
 
 
-def test_head_has_the_length_and_no_body() -> None:
-    async def headed(peer: Peer) -> None:
+def test_a_response_to_head_has_a_length_and_no_body() -> None:
+    async def respond_to_head(peer: Peer) -> None:
         while True:
             head = await peer.read_head()
             assert head.startswith(("head", "get"))
             await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n" + ("" if head[0] == "h" else "x" * 100))
 
     async def test() -> None:
-        async with running_gateway(headed) as gateway:
+        async with running_gateway(respond_to_head) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head(method="HEAD") + request_head())
             assert "content-length: 100" in await peer.read_head()
@@ -205,32 +205,32 @@
     run(test())
 
 
-def test_http_1_0_is_answered_and_closed() -> None:
+def test_an_http_1_0_request_is_answered_and_its_connection_closed() -> None:
     async def test() -> None:
-        async with running_gateway(good) as gateway:
+        async with running_gateway(echo_target) as gateway:
             peer = await gateway.connect()
             await peer.write("GET /read/9 HTTP/1.0\r\nx-customer: free\r\n\r\n")
-            got = await peer.read_to_end()
-            assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"/read/9")
+            received = await peer.read_to_end()
+            assert received.startswith(b"HTTP/1.1 200") and received.endswith(b"/read/9")
 
     run(test())
 
 
-def test_a_client_that_closed_its_half_is_still_answered() -> None:
+def test_a_client_that_half_closed_is_still_answered() -> None:
     async def test() -> None:
-        async with running_gateway(good) as gateway:
+        async with running_gateway(echo_target) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head("/read/5"))
             peer.writer.write_eof()
-            got = await peer.read_to_end()
-            assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"/read/5")
+            received = await peer.read_to_end()
+            assert received.startswith(b"HTTP/1.1 200") and received.endswith(b"/read/5")
 
     run(test())
 
 
-def test_a_client_that_closed_its_half_can_be_taken_for_gone() -> None:
+def test_a_half_close_counts_as_a_disconnect_if_so_configured() -> None:
     async def test() -> None:
-        async with running_gateway(silent, text="listener { leave_on_half_close: true }") as gateway:
+        async with running_gateway(never_respond, text="listener { leave_on_half_close: true }") as gateway:
             peer = await gateway.connect()
             await peer.write(request_head())
             await gateway.wait_until(lambda: gateway.server.engine.unanswered == 1)
@@ -241,54 +241,54 @@
     run(test())
 
 
-def test_a_client_that_resets_is_gone_and_its_attempt_is_called_off() -> None:
-    got, ended = asyncio.Event(), asyncio.Event()
+def test_a_client_reset_ends_the_request_and_aborts_its_attempt() -> None:
+    received, ended = asyncio.Event(), asyncio.Event()
 
-    async def waits(peer: Peer) -> None:
+    async def wait_for_end(peer: Peer) -> None:
         await peer.read_head()
-        got.set()
+        received.set()
         await peer.read_to_end()
         ended.set()
 
     async def test() -> None:
-        async with running_gateway(waits) as gateway:
+        async with running_gateway(wait_for_end) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head())
-            await got.wait()  # a client that goes before leaves the server with nothing
+            await received.wait()  # a client that disconnects earlier never reaches the endpoint
             assert gateway.server.requests and gateway.server.engine.unanswered == 1
             peer.reset()
-            await ended.wait()  # the server sees its connection end
+            await ended.wait()  # the endpoint sees its connection end
             assert gateway.finished_requests()[0]["reason"] == "client left" and not gateway.server.requests
 
     run(test())
 
 
-def test_a_kept_connection_that_the_server_closed_is_not_written_to() -> None:
+def test_no_request_is_written_to_an_idle_connection_that_the_endpoint_closed() -> None:
     heads = []
 
-    async def once(peer: Peer) -> None:
+    async def respond_once(peer: Peer) -> None:
         heads.append(await peer.read_head())
-        await peer.send_response()  # and closes, without having said so
+        await peer.send_response()  # then closes the connection without a Connection: close header
 
     async def test() -> None:
-        async with running_gateway(once) as gateway:
+        async with running_gateway(respond_once) as gateway:
             for _ in range(3):
-                assert (await gateway.get("/pay/1"))[0] == 200  # unsafe: written to a dead connection it would fail
+                assert (await gateway.get("/pay/1"))[0] == 200  # unsafe: fails if it is written to a closed connection
                 await asyncio.sleep(0.02)
             assert len(heads) == 3 and all(line["attempts"] == 1 for line in gateway.finished_requests())
 
     run(test())
 
 
-def test_a_server_that_closes_as_the_request_is_written_may_have_run_it() -> None:
-    async def closes(peer: Peer) -> None:
+def test_a_request_is_not_retried_if_the_endpoint_resets_after_the_write() -> None:
+    async def reset_second(peer: Peer) -> None:
         await peer.read_head()
         await peer.send_response()
         await peer.read_head()
         peer.reset()
 
     async def test() -> None:
-        async with running_gateway(closes) as gateway:
+        async with running_gateway(reset_second) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head("/pay/1"))
             assert (await peer.read_response())[0] == 200
@@ -300,10 +300,10 @@
     run(test())
 
 
-def test_an_answer_cut_in_half_is_replaced_by_another_attempts() -> None:
+def test_a_truncated_buffered_response_is_replaced_by_another_attempts() -> None:
     state = {"first": True}
 
-    async def cuts(peer: Peer) -> None:
+    async def truncate_first(peer: Peer) -> None:
         while True:
             await peer.read_head()
             if state.pop("first", False):
@@ -312,26 +312,26 @@
             await peer.send_response("whole")
 
     async def test() -> None:
-        async with running_gateway(cuts, cuts) as gateway:
+        async with running_gateway(truncate_first, truncate_first) as gateway:
             status, _, body = await gateway.get()
             assert (status, body) == (200, b"whole") and gateway.finished_requests()[0]["attempts"] == 2
 
     run(test())
 
 
-def test_a_long_answer_that_breaks_breaks_the_clients_connection() -> None:
-    async def breaks(peer: Peer) -> None:
+def test_a_streamed_response_that_breaks_off_aborts_the_clients_connection() -> None:
+    async def break_off(peer: Peer) -> None:
         await peer.read_head()
         await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\n\r\n" + "x" * 300_000)
         await asyncio.sleep(0.05)
         peer.reset()
 
     async def test() -> None:
-        async with running_gateway(breaks) as gateway:
+        async with running_gateway(break_off) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head())
-            got = await peer.read_to_end()
-            assert got.startswith(b"HTTP/1.1 200") and len(got) < 1_000_000
+            received = await peer.read_to_end()
+            assert received.startswith(b"HTTP/1.1 200") and len(received) < 1_000_000
             await gateway.wait_until(lambda: bool(gateway.finished_requests()))
             assert (
                 gateway.finished_requests()[0]["reason"] == "broken answer"
@@ -341,10 +341,10 @@
     run(test())
 
 
-def test_a_body_within_the_bound_is_written_again_and_one_beyond_is_not() -> None:
+def test_a_body_within_the_buffer_limit_is_replayed_and_a_larger_one_is_not() -> None:
     bodies = []
 
-    async def drops_first(peer: Peer) -> None:
+    async def reset_first(peer: Peer) -> None:
         head = await peer.read_head()
         body = await peer.read(int(head.split("content-length: ")[1].split()[0]))
         bodies.append(body)
@@ -354,7 +354,7 @@
             await peer.send_response()
 
     async def test() -> None:
-        async with running_gateway(drops_first, drops_first, text="upstream { keep_body_bytes: 1000 }") as gateway:
+        async with running_gateway(reset_first, reset_first, text="upstream { keep_body_bytes: 1000 }") as gateway:
             for size, status, attempts in ((1000, 200, 2), (200_000, 503, 1)):
                 bodies.clear()
                 peer = await gateway.connect()
@@ -365,18 +365,18 @@
     run(test())
 
 
-def test_a_second_answer_is_never_the_next_requests() -> None:
-    async def twice(peer: Peer) -> None:
+def test_a_duplicate_response_is_not_read_as_the_next_requests_response() -> None:
+    async def respond_twice(peer: Peer) -> None:
         while True:
             path = (await peer.read_head()).split()[1]
             answer = f"HTTP/1.1 200 OK\r\ncontent-length: {len(path)}\r\n\r\n{path}"
-            await peer.write(answer if path == "/read/late" else answer * 2)  # in one piece
+            await peer.write(answer if path == "/read/late" else answer * 2)  # in one write
             if path == "/read/late":
                 await asyncio.sleep(0.01)
-                await peer.write(answer)  # when the connection is idle
+                await peer.write(answer)  # while the connection is idle
 
     async def test() -> None:
-        async with running_gateway(twice) as gateway:
+        async with running_gateway(respond_twice) as gateway:
             peer = await gateway.connect()
             for path in ("/read/1", "/read/late", "/read/2", "/read/3"):
                 await peer.write(request_head(path))
@@ -387,83 +387,84 @@
     run(test())
 
 
-def test_a_connection_that_cannot_be_made_proves_that_nothing_ran() -> None:
+def test_a_refused_connection_allows_the_retry_of_an_unsafe_request() -> None:
     async def test() -> None:
         closed = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         port = closed.sockets[0].getsockname()[1]
         closed.close()
         await closed.wait_closed()
-        async with running_gateway(good, ports=(port, port)) as gateway:
+        async with running_gateway(echo_target, ports=(port, port)) as gateway:
             for _ in range(12):
-                assert (await gateway.get("/pay/1"))[0] == 200  # unsafe: sent again only as nothing was written
-            assert max(line["attempts"] for line in gateway.finished_requests()) > 1  # some met the closed port first
+                assert (await gateway.get("/pay/1"))[0] == 200  # unsafe: retried only because nothing was written
+            # Some requests tried the closed port first.
+            assert max(line["attempts"] for line in gateway.finished_requests()) > 1
 
     run(test())
 
 
-def test_the_bound_of_connections_to_a_server_is_kept() -> None:
-    most = {"now": 0, "most": 0}
-    go = asyncio.Event()
+def test_the_limit_of_connections_to_an_endpoint_holds() -> None:
+    open_requests = {"now": 0, "most": 0}
+    release = asyncio.Event()
 
     async def counts(peer: Peer) -> None:
         await peer.read_head()
-        most["now"] += 1
-        most["most"] = max(most["most"], most["now"])
-        await go.wait()
-        most["now"] -= 1
+        open_requests["now"] += 1
+        open_requests["most"] = max(open_requests["most"], open_requests["now"])
+        await release.wait()
+        open_requests["now"] -= 1
         await peer.send_response()
 
     async def test() -> None:
         async with running_gateway(counts, counts, text="upstream { connections: 2 max_attempts: 2 }") as gateway:
-            asks = [asyncio.create_task(gateway.get()) for _ in range(12)]
-            await gateway.wait_until(lambda: sum(task.done() for task in asks) + most["now"] == 12)
-            go.set()
-            statuses = [(await task)[0] for task in asks]
-            assert most["most"] <= 4 and statuses.count(200) >= 2 and set(statuses) <= {200, 503}
+            requests = [asyncio.create_task(gateway.get()) for _ in range(12)]
+            await gateway.wait_until(lambda: sum(task.done() for task in requests) + open_requests["now"] == 12)
+            release.set()
+            statuses = [(await task)[0] for task in requests]
+            assert open_requests["most"] <= 4 and statuses.count(200) >= 2 and set(statuses) <= {200, 503}
             assert gateway.server.pool.connections <= 4
 
     run(test())
 
 
-def test_what_is_not_http_from_a_server_is_a_failed_attempt() -> None:
-    async def babbles(peer: Peer) -> None:
+def test_a_response_that_is_not_http_fails_the_attempt() -> None:
+    async def speak_ssh(peer: Peer) -> None:
         await peer.read_head()
         await peer.write("SSH-2.0-nonsense\r\n\r\n")
         await peer.read_to_end()
 
     async def test() -> None:
-        async with running_gateway(babbles) as gateway:
+        async with running_gateway(speak_ssh) as gateway:
             assert (await gateway.get("/pay/1"))[0] == 502
 
     run(test())
 
 
-def test_nothing_is_written_for_an_attempt_that_the_deadline_overtook() -> None:
-    got = []
+def test_no_second_attempt_is_written_after_the_deadline() -> None:
+    received = []
 
-    async def slow(peer: Peer) -> None:
-        got.append(await peer.read_head())
-        assert await peer.read_to_end() == b""  # its end is all that follows
+    async def never_answer(peer: Peer) -> None:
+        received.append(await peer.read_head())
+        assert await peer.read_to_end() == b""  # nothing but the end of the connection follows
 
     async def test() -> None:
-        async with running_gateway(slow) as gateway:
+        async with running_gateway(never_answer) as gateway:
             status, head, _ = await gateway.get("/pay/1", extra_headers="x-deadline-ms: 300\r\n")
             assert status == 504 and "retry-after" not in head
-            assert len(got) == 1
+            assert len(received) == 1
 
     run(test())
 
 
-def test_a_stop_answers_what_is_held_and_closes_idle_connections() -> None:
-    go = asyncio.Event()
+def test_a_stop_finishes_requests_in_flight_and_closes_idle_connections() -> None:
+    release = asyncio.Event()
 
-    async def waits(peer: Peer) -> None:
+    async def respond_on_release(peer: Peer) -> None:
         await peer.read_head()
-        await go.wait()
+        await release.wait()
         await peer.send_response("late but whole")
 
     async def test() -> None:
-        async with running_gateway(waits) as gateway:
+        async with running_gateway(respond_on_release) as gateway:
             idle, busy = await gateway.connect(), await gateway.connect()
             await busy.write(request_head())
             await gateway.wait_until(lambda: gateway.server.engine.unanswered == 1)
@@ -471,7 +472,7 @@
             assert await idle.read_to_end() == b""
             with pytest.raises(OSError):
                 await gateway.connect()
-            go.set()
+            release.set()
             status, head, body = await busy.read_response()
             assert (status, body) == (200, b"late but whole") and "connection: close" in head
             assert await stopping is True
@@ -479,56 +480,55 @@
     run(test())
 
 
-def test_a_stop_that_takes_too_long_gives_the_rest_its_answer() -> None:
+def test_a_stop_answers_the_remaining_requests_at_its_timeout() -> None:
     async def test() -> None:
-        async with running_gateway(silent) as gateway:
+        async with running_gateway(never_respond) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head("/pay/1"))
-            await gateway.wait_until(
-                lambda: any(flight.upstream for flight in gateway.server.requests.values())
-            )  # it may run
+            # Once the request has an upstream connection, the endpoint may execute it.
+            await gateway.wait_until(lambda: any(request.upstream for request in gateway.server.requests.values()))
             assert await gateway.server.stop(20.0) is False
             assert (await peer.read_response())[0] == 504
 
     run(test())
 
 
-def test_connections_past_the_bound_are_told_so() -> None:
+def test_connections_over_the_limit_get_a_503() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
-        async def waits(peer: Peer) -> None:
+        async def respond_on_release(peer: Peer) -> None:
             await peer.read_head()
             await release.wait()
             await peer.send_response()
 
-        async with running_gateway(waits, text="listener { max_connections: 3 }") as gateway:
+        async with running_gateway(respond_on_release, text="listener { max_connections: 3 }") as gateway:
             held = [await gateway.connect() for _ in range(3)]
             for peer in held:
                 await peer.write(request_head())
             await gateway.wait_until(lambda: gateway.server.engine.unanswered == 3)
-            more = await gateway.connect()
-            assert (await more.read_to_end()).startswith(b"HTTP/1.1 503")
+            over_limit = await gateway.connect()
+            assert (await over_limit.read_to_end()).startswith(b"HTTP/1.1 503")
             release.set()
             for peer in held:
                 assert (await peer.read_response())[0] == 200
-            assert (await gateway.get())[0] == 200, "a request is open on none: the longest idle makes room"
+            assert (await gateway.get())[0] == 200, "the longest idle connection is closed to make room"
 
     run(test())
 
 
-def test_running_out_of_file_descriptors_on_accept_ends_nothing() -> None:
+def test_accepting_resumes_after_file_descriptors_ran_out() -> None:
     resource = pytest.importorskip("resource")
 
     async def test() -> None:
-        async with running_gateway(good) as gateway:
+        async with running_gateway(echo_target) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head())
             await peer.read_response()
-            faults: list[dict[str, object]] = []
-            asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
+            loop_errors: list[dict[str, object]] = []
+            asyncio.get_running_loop().set_exception_handler(lambda _, context: loop_errors.append(context))
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-            # The clients' own sockets are made first; then no descriptor is left for the door's side of them.
+            # The clients' sockets are created first, so that no descriptor is left for the gateway's accepts.
             waiting = [socket.socket() for _ in range(4)]
             spare: list[int] = []
             try:
@@ -541,8 +541,8 @@
                     with contextlib.suppress(BlockingIOError):
                         each.connect(("127.0.0.1", gateway.port))
                 await gateway.wait_until(lambda: any(event == "accept failed" for event, _ in gateway.log_events))
-                assert not faults
-                await peer.write(request_head("/read/still"))  # on a connection that it has
+                assert not loop_errors
+                await peer.write(request_head("/read/still"))  # on a connection that is already open
                 assert (await peer.read_response())[2] == b"/read/still"
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
@@ -550,29 +550,30 @@
                     os.close(number)
                 for each in waiting:
                     each.close()
-            assert (await gateway.get())[0] == 200  # accepts again once there is room
+            assert (await gateway.get())[0] == 200  # accepts again when descriptors are free
 
     run(test())
 
 
-def test_an_idle_or_slow_client_is_let_go() -> None:
+def test_idle_clients_and_slow_requests_time_out() -> None:
     async def test() -> None:
-        async with running_gateway(good, text="listener { idle_ms: 30 head_ms: 30 }") as gateway:
-            idle, slow = await gateway.connect(), await gateway.connect()
-            await slow.write("GET /read/1 HT")
+        async with running_gateway(echo_target, text="listener { idle_ms: 30 head_ms: 30 }") as gateway:
+            idle, slow_sender = await gateway.connect(), await gateway.connect()
+            await slow_sender.write("GET /read/1 HT")
             assert await idle.read_to_end() == b""
-            assert (await slow.read_to_end()).startswith(b"HTTP/1.1 408")
+            assert (await slow_sender.read_to_end()).startswith(b"HTTP/1.1 408")
 
     run(test())
 
 
-def test_what_is_given_up_is_taken_back_from_the_network_too() -> None:
-    """A plain close would go on delivering what the kernel holds, long after the request's end."""
+def test_an_aborted_request_is_reset_and_not_delivered_later() -> None:
+    """After a plain close the kernel would go on delivering the request long after it has ended."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.socket() as listener:
-            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # most of the request waits at the door
+            # A small receive buffer keeps most of the request in the gateway's buffers.
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             listener.setblocking(False)
@@ -585,10 +586,10 @@
                         lambda: (
                             bool(gateway.server.requests)
                             and all(
-                                flight.body is not None
-                                and flight.body.complete
-                                and flight.body.written == flight.body.size
-                                for flight in gateway.server.requests.values()
+                                request.body is not None
+                                and request.body.complete
+                                and request.body.written == request.body.size
+                                for request in gateway.server.requests.values()
                             )
                         )
                     )
@@ -599,59 +600,57 @@
                     with pytest.raises(ConnectionResetError):
                         while await loop.sock_recv(server, 65536):
                             pass
-                        raise AssertionError("it ended as if all had been meant")
+                        raise AssertionError("the connection ended with a plain close, without a reset")
 
     run(test())
 
 
 @pytest.mark.parametrize("closed", [True, False])
-def test_a_request_that_crosses_the_doors_going_is_answered_or_reaches_no_server(closed: bool) -> None:
-    """Read before the door closes: it has it, and answers.  Read behind the close: nobody has it."""
+def test_a_request_that_crosses_the_shutdown_is_answered_or_never_forwarded(closed: bool) -> None:
+    """A request that was read before the close is answered; one that was read after it is never forwarded."""
     heads = []
 
-    async def tells(peer: Peer) -> None:
+    async def record_head(peer: Peer) -> None:
         while True:
             heads.append(await peer.read_head())
             await peer.send_response()
 
     async def test() -> None:
-        async with running_gateway(tells) as gateway:
+        async with running_gateway(record_head) as gateway:
             peer = await gateway.connect()
             await peer.write(request_head("/read/1"))
             await peer.read_response()
             [client] = gateway.server.clients
             assert not closed or client.close_idle()
-            client.reader.feed_data(
-                request_head("/read/2").encode()
-            )  # read from the socket, and its reader not run yet
+            client.reader.feed_data(request_head("/read/2").encode())  # received, but not processed yet
             assert client.reader.buffered and client.closing is closed and not client.close_idle()
             assert await gateway.server.stop(1000.0)
             assert len(heads) == (1 if closed else 2) and not gateway.server.requests
             if not closed:
-                assert (await peer.read_response())[0] == 200, "and with an answer, not only an effect"
+                assert (await peer.read_response())[0] == 200, "the executed request must also be answered"
             assert await peer.read_to_end() == b""
 
     run(test())
 
 
-def test_a_refused_head_request_gets_its_headers_and_no_body() -> None:
-    """It had broken the connection: the body that a refusal has was more than the answer to HEAD may hold."""
+def test_a_local_reply_to_head_has_no_body() -> None:
+    """A local reply with a body to HEAD is not valid HTTP, and writing one broke the connection."""
 
     async def test() -> None:
-        async with running_gateway(good) as gateway:
+        async with running_gateway(echo_target) as gateway:
             peer = await gateway.connect()
             await peer.write("HEAD /nowhere HTTP/1.1\r\nhost: a\r\nx-customer: free\r\n\r\n")
             head = await peer.read_head()
             assert head.startswith("http/1.1 404 not found") and "content-length: " in head
-            await peer.write(request_head("/read/1"))  # on the same connection, nothing between
+            await peer.write(request_head("/read/1"))  # on the same connection, with no bytes in between
             assert (await peer.read_response())[0] == 200
 
     run(test())
 
 
-def test_an_old_client_may_keep_its_connection_if_it_says_so() -> None:
+def test_an_http_1_0_client_can_ask_to_keep_its_connection() -> None:
     async def test() -> None:
-        async with running_gateway(good) as gateway:
+        async with running_gateway(echo_target) as gateway:
             peer = await gateway.connect()
             for _ in range(2):
                 await peer.write("GET /read/1 HTTP/1.0\r\nconnection: keep-alive\r\nx-customer: free\r\n\r\n")
@@ -663,7 +662,7 @@
     run(test())
 
 
-def test_the_kernel_is_told_how_long_a_repeat_may_be_on_its_way() -> None:
+def test_the_delivery_timeout_is_set_on_the_socket() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
@@ -672,16 +671,16 @@
         assert pool.reserve_slot(address)
         upstream = await pool.connect(address)
         sock = upstream.writer.get_extra_info("socket")
-        for within, told in ((250.4, 250), (0.2, 1), (None, 0)):
-            upstream.set_delivery_timeout(within)
-            assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == told
+        for timeout_ms, expected in ((250.4, 250), (0.2, 1), (None, 0)):
+            upstream.set_delivery_timeout(timeout_ms)
+            assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == expected
         pool.discard(upstream)
         server.close()
 
     run(test())
 
 
-KILLED = """
+KILLED_GATEWAY = """
 import asyncio, sys
 from martenstep.proxy.connection_pool import ConnectionPool
 
@@ -697,8 +696,8 @@
 """
 
 
-def test_what_a_killed_door_had_written_is_taken_back_too() -> None:
-    """Its client is told by the broken connection that it is over; the kernel would deliver the rest all the same."""
+def test_bytes_written_by_a_killed_gateway_are_not_delivered_later() -> None:
+    """The client sees the broken connection, but after a plain close the kernel would still deliver the rest."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -707,15 +706,15 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             listener.setblocking(False)
-            door = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", KILLED, str(listener.getsockname()[1]), stdout=asyncio.subprocess.PIPE
+            process = await asyncio.create_subprocess_exec(
+                sys.executable, "-c", KILLED_GATEWAY, str(listener.getsockname()[1]), stdout=asyncio.subprocess.PIPE
             )
-            assert door.stdout is not None
+            assert process.stdout is not None
             server, _ = await loop.sock_accept(listener)
             with server:
-                assert await door.stdout.readline() == b"written\n"
-                door.kill()
-                await door.wait()
+                assert await process.stdout.readline() == b"written\n"
+                process.kill()
+                await process.wait()
                 with pytest.raises(ConnectionResetError):
                     while await loop.sock_recv(server, 65536):
                         pass
--- a/tests/test_proxy_targets.py
+++ b/tests/test_proxy_targets.py
@@ -1,11 +1,11 @@
-"""Targets in their four forms, Hosts beside them, and that nothing is written which a server reads otherwise."""
+"""The four forms of a target with their Hosts, and that endpoints parse the forwarded request as intended."""
 
 from __future__ import annotations
 
 import h11
 import pytest
 from hypothesis import given
-from hypothesis import settings as hypo
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from martenstep.proxy.engine_messages import Headers
@@ -13,11 +13,11 @@
 from martenstep.proxy.targets import NormalizedTarget, TargetNormalizer, TargetRejection, split_authority
 
 HOST: Headers = [(b"host", b"a.example"), (b"accept", b"*/*")]
-TABLE: list[tuple[bytes, bytes, int | tuple[bytes, bytes]]] = [
-    # method, target; a status, or the target and Host that go on
+TARGET_CASES: list[tuple[bytes, bytes, int | tuple[bytes, bytes]]] = [
+    # method, target, and the status of the rejection or the forwarded target and Host
     (b"GET", b"/x", (b"/x", b"a.example")),
     (b"GET", b"/x?y#z", (b"/x?y#z", b"a.example")),
-    (b"GET", b"//b.example/x", (b"//b.example/x", b"a.example")),  # a path, whatever it looks like
+    (b"GET", b"//b.example/x", (b"//b.example/x", b"a.example")),  # a path, although it looks like an authority
     (b"GET", b"http://b.example/x", (b"/x", b"b.example")),
     (b"GET", b"HTTP://B.example:8080/x?y=/z", (b"/x?y=/z", b"B.example:8080")),
     (b"GET", b"http://b.example", (b"/", b"b.example")),
@@ -51,21 +51,23 @@
 ]
 
 
-@pytest.mark.parametrize(("method", "target", "wanted"), TABLE)
-def test_each_form_is_taken_or_declined(method: bytes, target: bytes, wanted: int | tuple[bytes, bytes]) -> None:
-    found = TargetNormalizer(False, []).normalize(method, target, HOST)
-    if isinstance(found, TargetRejection):
-        assert found.status == wanted
+@pytest.mark.parametrize(("method", "target", "expected"), TARGET_CASES)
+def test_each_form_of_target_is_normalized_or_rejected(
+    method: bytes, target: bytes, expected: int | tuple[bytes, bytes]
+) -> None:
+    result = TargetNormalizer(False, []).normalize(method, target, HOST)
+    if isinstance(result, TargetRejection):
+        assert result.status == expected
     else:
-        assert (found.target, dict(found.headers)[b"host"]) == wanted
-        assert (b"accept", b"*/*") in found.headers
-        assert sum(name == b"host" for name, _ in found.headers) == 1
+        assert (result.target, dict(result.headers)[b"host"]) == expected
+        assert (b"accept", b"*/*") in result.headers
+        assert sum(name == b"host" for name, _ in result.headers) == 1
 
 
-def test_a_declined_tunnel_ends_its_connection_and_says_what_is_taken() -> None:
-    found = TargetNormalizer(False, []).normalize(b"CONNECT", b"b.example:443", HOST)
-    assert isinstance(found, TargetRejection)
-    assert (b"connection", b"close") in found.headers and dict(found.headers)[b"allow"]
+def test_connect_is_rejected_with_allow_and_closes_the_connection() -> None:
+    result = TargetNormalizer(False, []).normalize(b"CONNECT", b"b.example:443", HOST)
+    assert isinstance(result, TargetRejection)
+    assert (b"connection", b"close") in result.headers and dict(result.headers)[b"allow"]
 
 
 @pytest.mark.parametrize(
@@ -84,13 +86,13 @@
         (b"photos.example", b"http://photos.example/x", 421),
     ],
 )
-def test_a_door_that_knows_its_names_answers_for_no_others(host: bytes, target: bytes, status: int) -> None:
+def test_a_gateway_with_configured_names_rejects_other_hosts(host: bytes, target: bytes, status: int) -> None:
     names = ["photos.example", "b.example:8443", "[::1]:443"]
-    found = TargetNormalizer(True, names).normalize(b"GET", target, [(b"host", host)])
-    assert (found.status if isinstance(found, TargetRejection) else 200) == status
+    result = TargetNormalizer(True, names).normalize(b"GET", target, [(b"host", host)])
+    assert (result.status if isinstance(result, TargetRejection) else 200) == status
 
 
-def test_authorities_are_taken_apart() -> None:
+def test_authorities_are_split_into_host_and_port() -> None:
     assert split_authority(b"A.example:80") == ("a.example", 80)
     assert split_authority(b"[::1]") == ("::1", None)
     assert split_authority(b"") is None and split_authority(b"a@b") is None and split_authority(b"a:b") is None
@@ -98,31 +100,31 @@
 
 NAMES = st.sampled_from([b"accept", b"x-a", b"cookie", b"content-type"])
 VALUES = st.text('abc ;=,/"', max_size=12).map(lambda text: text.strip().encode())
-VISIBLE = "/abc?&=%#:@[]*!$'()+,;._~-"
+TARGET_CHARACTERS = "/abc?&=%#:@[]*!$'()+,;._~-"
 
 
 @given(
     st.sampled_from([b"GET", b"POST", b"OPTIONS", b"DELETE"]),
     st.one_of(
-        st.text(VISIBLE, min_size=1, max_size=20),
-        st.text(VISIBLE, max_size=20).map("/{}".format),
-        st.text(VISIBLE, max_size=20).map("http://h.example{}".format),
+        st.text(TARGET_CHARACTERS, min_size=1, max_size=20),
+        st.text(TARGET_CHARACTERS, max_size=20).map("/{}".format),
+        st.text(TARGET_CHARACTERS, max_size=20).map("http://h.example{}".format),
     ),
     st.lists(st.tuples(NAMES, VALUES), max_size=4),
     st.sampled_from([b"h", b"[::1]:8", b"h.example"]),
 )
-@hypo(max_examples=400, deadline=None, derandomize=True)
-def test_what_is_taken_is_written_so_that_a_server_reads_the_same(
-    method: bytes, target: str, more: Headers, host: bytes
+@hypothesis_settings(max_examples=400, deadline=None, derandomize=True)
+def test_a_forwarded_request_is_read_unchanged_by_another_http_parser(
+    method: bytes, target: str, extra_headers: Headers, host: bytes
 ) -> None:
-    found = TargetNormalizer(False, []).normalize(method, target.encode(), [(b"host", host), *more])
-    if isinstance(found, TargetRejection):
+    result = TargetNormalizer(False, []).normalize(method, target.encode(), [(b"host", host), *extra_headers])
+    if isinstance(result, TargetRejection):
         return
-    assert isinstance(found, NormalizedTarget) and found.target.startswith(b"/")
+    assert isinstance(result, NormalizedTarget) and result.target.startswith(b"/")
     server = h11.Connection(h11.SERVER)
-    asking = Http1ClientConnection()
-    server.receive_data(asking.encode_head(method, found.target, found.headers) + asking.encode_end())
-    read = server.next_event()
-    assert isinstance(read, h11.Request) and (read.method, read.target) == (method, found.target)
-    assert sorted(read.headers) == sorted(found.headers)
+    upstream = Http1ClientConnection()
+    server.receive_data(upstream.encode_head(method, result.target, result.headers) + upstream.encode_end())
+    event = server.next_event()
+    assert isinstance(event, h11.Request) and (event.method, event.target) == (method, result.target)
+    assert sorted(event.headers) == sorted(result.headers)
     assert isinstance(server.next_event(), h11.EndOfMessage) and not server.trailing_data[0]
--- a/tests/test_redis_counter.py
+++ b/tests/test_redis_counter.py
@@ -22,7 +22,7 @@
 from martenstep.standins.redis.keyspace import Session, User
 from martenstep.standins.redis.server import RedisServer
 from tests.socket_rig import run
-from tests.test_tls import Issuer
+from tests.test_tls import CertificateAuthority
 
 
 @asynccontextmanager
@@ -534,7 +534,7 @@
 
 
 def test_tls_and_a_host_that_is_not_the_certificates(tmp_path: Path) -> None:
-    issuer = Issuer(tmp_path)
+    issuer = CertificateAuthority(tmp_path)
     certificate, key = issuer.issue("redis", "localhost")
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.load_cert_chain(certificate, key)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS: who is refused, who is let in, certificates changed in service.  Every certificate is made here."""
+"""TLS: which peers are accepted, and reloads of certificates.  The tests create every certificate themselves."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 NOW = datetime.datetime.now(datetime.UTC)
 
 
-class Issuer:
-    """An authority that writes certificates into a folder."""
+class CertificateAuthority:
+    """A certificate authority that writes the certificates it issues into a folder."""
 
     def __init__(self, folder: Path, name: str = "ca") -> None:
         self._folder, self._key = folder, ec.generate_private_key(ec.SECP256R1())
         self._name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-        made = (
+        certificate = (
             self._builder(self._name, self._key, 30)
             .issuer_name(self._name)
             .add_extension(x509.BasicConstraints(True, None), True)
             .sign(self._key, hashes.SHA256())
         )
         self.file = str(folder / f"{name}.pem")
-        Path(self.file).write_bytes(made.public_bytes(serialization.Encoding.PEM))
+        Path(self.file).write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
 
     @staticmethod
     def _builder(name: x509.Name, key: ec.EllipticCurvePrivateKey, days: float) -> x509.CertificateBuilder:
@@ -58,19 +58,19 @@
         )
 
     def issue(self, name: str, host: str = "127.0.0.1", days: float = 30) -> tuple[str, str]:
-        """A certificate and its key, as files."""
+        """Issue a certificate; returns the files of the certificate and of its key."""
         key = ec.generate_private_key(ec.SECP256R1())
         alt: x509.GeneralName = x509.DNSName(host)
         with contextlib.suppress(ValueError):
             alt = x509.IPAddress(ipaddress.ip_address(host))
-        made = (
+        certificate = (
             self._builder(x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)]), key, days)
             .issuer_name(self._name)
             .add_extension(x509.SubjectAlternativeName([alt]), False)
             .sign(self._key, hashes.SHA256())
         )
         files = str(self._folder / f"{name}.pem"), str(self._folder / f"{name}.key")
-        Path(files[0]).write_bytes(made.public_bytes(serialization.Encoding.PEM))
+        Path(files[0]).write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
         Path(files[1]).write_bytes(
             key.private_bytes(
                 serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
@@ -79,29 +79,29 @@
         return files
 
 
-def listener(files: tuple[str, str], more: str = "") -> str:
+def listener_settings(files: tuple[str, str], more: str = "") -> str:
     return f'listener {{ tls {{ certificate: "{files[0]}" key: "{files[1]}" {more} }} }}'
 
 
-def trusting(issuer: Issuer, files: tuple[str, str] | None = None) -> ssl.SSLContext:
+def client_tls(authority: CertificateAuthority, files: tuple[str, str] | None = None) -> ssl.SSLContext:
     certificate, key = files or ("", "")
-    return client_context(pb.ClientTls(ca=issuer.file, certificate=certificate, key=key))
+    return client_context(pb.ClientTls(ca=authority.file, certificate=certificate, key=key))
 
 
-async def secured(gateway: RunningGateway, context: ssl.SSLContext) -> Peer:
+async def connect_tls(gateway: RunningGateway, context: ssl.SSLContext) -> Peer:
     return Peer(*await asyncio.open_connection("127.0.0.1", gateway.port, ssl=context, server_hostname="127.0.0.1"))
 
 
-async def good(peer: Peer) -> None:
+async def echo_target(peer: Peer) -> None:
     while True:
         await peer.send_response((await peer.read_head()).split()[1])
 
 
-def test_a_request_passes_under_tls_and_plain_http_does_not(tmp_path: Path) -> None:
+def test_requests_are_served_over_tls_and_rejected_in_plain_http(tmp_path: Path) -> None:
     async def test() -> None:
-        issuer = Issuer(tmp_path)
-        async with running_gateway(good, text=listener(issuer.issue("door"))) as gateway:
-            peer = await secured(gateway, trusting(issuer))
+        authority = CertificateAuthority(tmp_path)
+        async with running_gateway(echo_target, text=listener_settings(authority.issue("gateway"))) as gateway:
+            peer = await connect_tls(gateway, client_tls(authority))
             await peer.write(request_head("/read/1") + request_head("/read/2"))
             assert [(await peer.read_response())[2] for _ in range(2)] == [b"/read/1", b"/read/2"]
             peer.close()
@@ -109,43 +109,49 @@
             await plain.write(request_head())
             assert not (await plain.read_to_end()).startswith(b"HTTP")
             await gateway.wait_until(lambda: any(event == "handshake failed" for event, _ in gateway.log_events))
-            [told] = [fields for event, fields in gateway.log_events if event == "handshake failed"]
-            assert told["peer"] == "127.0.0.1" and "HTTP_REQUEST" in told["reason"].upper()
+            [logged] = [fields for event, fields in gateway.log_events if event == "handshake failed"]
+            assert logged["peer"] == "127.0.0.1" and "HTTP_REQUEST" in logged["reason"].upper()
 
     run(test())
 
 
-def test_only_clients_with_a_certificate_of_the_authority_are_let_in(tmp_path: Path) -> None:
+def test_only_clients_with_a_certificate_of_the_authority_are_accepted(tmp_path: Path) -> None:
     async def test() -> None:
-        issuer, stranger = Issuer(tmp_path), Issuer(tmp_path, "other")
-        files = issuer.issue("door")
-        async with running_gateway(good, text=listener(files, f'client_ca: "{issuer.file}"')) as gateway:
-            peer = await secured(gateway, trusting(issuer, issuer.issue("client")))
+        authority, other_authority = CertificateAuthority(tmp_path), CertificateAuthority(tmp_path, "other")
+        files = authority.issue("gateway")
+        async with running_gateway(
+            echo_target, text=listener_settings(files, f'client_ca: "{authority.file}"')
+        ) as gateway:
+            peer = await connect_tls(gateway, client_tls(authority, authority.issue("client")))
             await peer.write(request_head())
             assert (await peer.read_response())[0] == 200
-            for shown in (None, stranger.issue("stranger"), issuer.issue("ended", days=-1)):
+            for client_files in (None, other_authority.issue("unknown"), authority.issue("expired", days=-1)):
                 with pytest.raises((ssl.SSLError, ConnectionError, asyncio.IncompleteReadError)):
-                    refused = await secured(gateway, trusting(issuer, shown))
-                    await refused.write(request_head())
-                    await refused.read_response()
+                    rejected = await connect_tls(gateway, client_tls(authority, client_files))
+                    await rejected.write(request_head())
+                    await rejected.read_response()
             await gateway.wait_until(lambda: sum(event == "handshake failed" for event, _ in gateway.log_events) == 3)
 
     run(test())
 
 
-def test_versions_before_1_2_are_refused_and_1_2_where_it_is_said(tmp_path: Path) -> None:
+def test_tls_below_1_2_is_rejected_and_1_2_too_if_so_configured(tmp_path: Path) -> None:
     async def test() -> None:
-        issuer = Issuer(tmp_path)
-        async with running_gateway(good, text=listener(issuer.issue("door"), "only_1_3: true")) as gateway:
-            old = trusting(issuer)
-            old.maximum_version = ssl.TLSVersion.TLSv1_2
+        authority = CertificateAuthority(tmp_path)
+        async with running_gateway(
+            echo_target, text=listener_settings(authority.issue("gateway"), "only_1_3: true")
+        ) as gateway:
+            old_client = client_tls(authority)
+            old_client.maximum_version = ssl.TLSVersion.TLSv1_2
             with pytest.raises((ssl.SSLError, ConnectionError)):
-                await secured(gateway, old)
+                await connect_tls(gateway, old_client)
             await gateway.wait_until(
                 lambda: any("PROTOCOL" in fields.get("reason", "") for _, fields in gateway.log_events)
             )
-            assert (await secured(gateway, trusting(issuer))).writer.get_extra_info("ssl_object").version() == "TLSv1.3"
-        settings = pb.ServerTls(certificate=issuer.issue("x")[0], key=str(tmp_path / "x.key"))
+            assert (await connect_tls(gateway, client_tls(authority))).writer.get_extra_info(
+                "ssl_object"
+            ).version() == "TLSv1.3"
+        settings = pb.ServerTls(certificate=authority.issue("x")[0], key=str(tmp_path / "x.key"))
         assert ServerContext(settings).context.minimum_version is ssl.TLSVersion.TLSv1_2
 
     run(test())
@@ -160,20 +166,20 @@
         ("unknown issuer", "unable to get local issuer certificate"),
     ],
 )
-def test_a_server_whose_certificate_is_not_good_gets_nothing_and_is_told_of(
+def test_an_endpoint_with_an_invalid_certificate_gets_no_request_and_is_logged(
     tmp_path: Path, kind: str, reason: str
 ) -> None:
     async def test() -> None:
-        issuer, other = Issuer(tmp_path), Issuer(tmp_path, "other")
+        authority, other_authority = CertificateAuthority(tmp_path), CertificateAuthority(tmp_path, "other")
         files = {
-            "good": issuer.issue("s"),
-            "wrong name": issuer.issue("w", "example.org"),
-            "expired": issuer.issue("e", days=-1),
-            "unknown issuer": other.issue("u"),
+            "good": authority.issue("s"),
+            "wrong name": authority.issue("w", "example.org"),
+            "expired": authority.issue("e", days=-1),
+            "unknown issuer": other_authority.issue("u"),
         }[kind]
         heads: list[str] = []
 
-        async def serves(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             peer = Peer(reader, writer)
             try:
                 heads.append(await peer.read_head())
@@ -182,131 +188,139 @@
                 writer.close()
 
         context = ServerContext(pb.ServerTls(certificate=files[0], key=files[1])).context
-        server = await asyncio.start_server(serves, "127.0.0.1", 0, ssl=context)
-        text = f'upstream {{ max_attempts: 1 connect_ms: 5000 tls {{ ca: "{issuer.file}" }} }}'
+        server = await asyncio.start_server(serve, "127.0.0.1", 0, ssl=context)
+        text = f'upstream {{ max_attempts: 1 connect_ms: 5000 tls {{ ca: "{authority.file}" }} }}'
         async with running_gateway(text=text, ports=(server.sockets[0].getsockname()[1],)) as gateway:
             status, _, body = await gateway.get()
             if kind == "good":
                 assert (status, body) == (200, b"secret")
             else:
                 assert status == 503 and not heads
-                [told] = [fields for event, fields in gateway.log_events if event == "upstream certificate rejected"]
-                assert reason in told["reason"]
+                [logged] = [fields for event, fields in gateway.log_events if event == "upstream certificate rejected"]
+                assert reason in logged["reason"]
         server.close()
 
     run(test())
 
 
-def test_an_authentication_service_whose_certificate_is_not_good_is_told_of(tmp_path: Path) -> None:
+def test_an_authentication_service_with_an_invalid_certificate_gets_no_request_and_is_logged(tmp_path: Path) -> None:
     async def test() -> None:
-        issuer = Issuer(tmp_path)
-        files = issuer.issue("w", "example.org")
+        authority = CertificateAuthority(tmp_path)
+        files = authority.issue("w", "example.org")
         heads: list[str] = []
 
-        async def serves(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with suppress(asyncio.IncompleteReadError, ConnectionError):
                 heads.append(await Peer(reader, writer).read_head())
             writer.close()
 
         context = ServerContext(pb.ServerTls(certificate=files[0], key=files[1])).context
-        service = await asyncio.start_server(serves, "127.0.0.1", 0, ssl=context)
+        service = await asyncio.start_server(serve, "127.0.0.1", 0, ssl=context)
         port = service.sockets[0].getsockname()[1]
         text = (
-            f'auth {{ service {{ port: {port} }} attempts: 1 attempt_ms: 3000 tls {{ ca: "{issuer.file}" }} }} '
+            f'auth {{ service {{ port: {port} }} attempts: 1 attempt_ms: 3000 tls {{ ca: "{authority.file}" }} }} '
             'default_plan: "open" '
             'route { name: "safe" path_prefix: "/safe/" class: "read" authenticate: true }'
         )
-        async with running_gateway(good, text=text) as gateway:
+        async with running_gateway(echo_target, text=text) as gateway:
             status, _, _ = await gateway.get("/safe/1", "authorization: anna\r\n")
             assert status == 503 and not heads
-            [told] = [fields for event, fields in gateway.log_events if event == "upstream certificate rejected"]
-            assert told["address"] == f"127.0.0.1:{port}" and "IP address mismatch" in told["reason"]
+            [logged] = [fields for event, fields in gateway.log_events if event == "upstream certificate rejected"]
+            assert logged["address"] == f"127.0.0.1:{port}" and "IP address mismatch" in logged["reason"]
         service.close()
 
     run(test())
 
 
-def test_a_certificate_is_changed_in_service_and_no_connection_is_dropped(tmp_path: Path) -> None:
+def test_a_certificate_reload_drops_no_connection(tmp_path: Path) -> None:
     async def test() -> None:
-        issuer = Issuer(tmp_path)
-        files = issuer.issue("door")
-        async with running_gateway(good, text=listener(files)) as gateway:
+        authority = CertificateAuthority(tmp_path)
+        files = authority.issue("gateway")
+        async with running_gateway(echo_target, text=listener_settings(files)) as gateway:
             assert gateway.server.tls is not None
-            old = await secured(gateway, trusting(issuer))
-            first = old.writer.get_extra_info("ssl_object").getpeercert()["serialNumber"]
-            issuer.issue("door", days=20)  # new files in the place of the old
+            old_client = await connect_tls(gateway, client_tls(authority))
+            first = old_client.writer.get_extra_info("ssl_object").getpeercert()["serialNumber"]
+            authority.issue("gateway", days=20)  # overwrites the files
             gateway.server.tls.reload()
-            new = await secured(gateway, trusting(issuer))
-            assert new.writer.get_extra_info("ssl_object").getpeercert()["serialNumber"] != first
-            for peer in (old, new):
+            new_client = await connect_tls(gateway, client_tls(authority))
+            assert new_client.writer.get_extra_info("ssl_object").getpeercert()["serialNumber"] != first
+            for peer in (old_client, new_client):
                 await peer.write(request_head())
                 assert (await peer.read_response())[0] == 200
             Path(files[0]).write_text("half a certif")
-            with pytest.raises(TlsError, match=r"door\.pem"):
+            with pytest.raises(TlsError, match=r"gateway\.pem"):
                 gateway.server.tls.reload()
-            again = await secured(gateway, trusting(issuer))  # the one that was good is still shown
-            await again.write(request_head())
-            assert (await again.read_response())[0] == 200
+            # After the failed reload the certificate that was loaded before is still used.
+            third_client = await connect_tls(gateway, client_tls(authority))
+            await third_client.write(request_head())
+            assert (await third_client.read_response())[0] == 200
 
     run(test())
 
 
-def test_what_a_door_shows_to_others_is_changed_too(tmp_path: Path) -> None:
-    issuer = Issuer(tmp_path)
-    files = issuer.issue("door")
-    made = ClientContext(pb.ClientTls(ca=issuer.file, certificate=files[0], key=files[1]))
-    before = made.context
-    issuer.issue("door", days=20)
-    made.reload()
-    assert made.context is before  # connections and pools hold it
+def test_a_reload_replaces_the_client_certificate_in_the_same_context(tmp_path: Path) -> None:
+    authority = CertificateAuthority(tmp_path)
+    files = authority.issue("gateway")
+    client = ClientContext(pb.ClientTls(ca=authority.file, certificate=files[0], key=files[1]))
+    before = client.context
+    authority.issue("gateway", days=20)
+    client.reload()
+    assert client.context is before  # connection pools keep a reference to it
     Path(files[1]).write_text("no key")
-    with pytest.raises(TlsError, match=r"door\.pem"):
-        made.reload()
+    with pytest.raises(TlsError, match=r"gateway\.pem"):
+        client.reload()
 
 
-def test_the_end_of_a_certificate_is_seen_coming(tmp_path: Path) -> None:
-    issuer = Issuer(tmp_path)
+def test_the_days_until_a_certificate_expires_are_reported(tmp_path: Path) -> None:
+    authority = CertificateAuthority(tmp_path)
     for days in (30.0, 3.0, -2.0):
-        files = issuer.issue("x", days=days)
+        files = authority.issue("x", days=days)
         assert abs(ServerContext(pb.ServerTls(certificate=files[0], key=files[1])).days_left() - days) < 0.1
 
 
-def test_a_counter_hears_only_doors_that_show_a_certificate(tmp_path: Path) -> None:
+def test_a_counter_accepts_only_gateways_with_a_client_certificate(tmp_path: Path) -> None:
     async def test() -> None:
-        issuer = Issuer(tmp_path)
-        files = issuer.issue("counter")
-        tls = f'tls {{ certificate: "{files[0]}" key: "{files[1]}" client_ca: "{issuer.file}" }}'
+        authority = CertificateAuthority(tmp_path)
+        files = authority.issue("counter")
+        tls = f'tls {{ certificate: "{files[0]}" key: "{files[1]}" client_ca: "{authority.file}" }}'
         async with served(tmp_path / "log", tls) as (service, port):
-            for shown, verdict in ((issuer.issue("door"), CallResult.OK), (None, CallResult.CONNECT_FAILED)):
+            for client_files, verdict in (
+                (authority.issue("gateway"), CallResult.OK),
+                (None, CallResult.CONNECT_FAILED),
+            ):
                 answers: list[CallResult] = []
                 client = CounterClient(
                     [("127.0.0.1", port)],
                     AttemptJournal(tmp_path / f"j{verdict.name}", 10),
                     lambda call, got, total, kept: answers.append(got),  # noqa: B023
                     lambda event, fields: None,
-                    ClientOptions("door-0", timeout_ms=5000.0 if shown else 300.0, tls=trusting(issuer, shown)),
+                    ClientOptions(
+                        "door-0", timeout_ms=5000.0 if client_files else 300.0, tls=client_tls(authority, client_files)
+                    ),
                 )
                 client.start()
                 client.add(1, 7, 1.0, 1e9)
                 async with asyncio.timeout(TEST_TIMEOUT_S):
                     while not answers:
                         await asyncio.sleep(0.005)
-                assert answers[0] in ((CallResult.OK,) if shown else (CallResult.CONNECT_FAILED, CallResult.TIMEOUT))
+                assert answers[0] in (
+                    (CallResult.OK,) if client_files else (CallResult.CONNECT_FAILED, CallResult.TIMEOUT)
+                )
                 await client.stop()
             assert service.pipeline.state.total(7) == 1.0
 
     run(test())
 
 
-def test_settings_of_tls_are_checked(tmp_path: Path) -> None:
-    for text, told in (
+def test_invalid_tls_settings_are_rejected(tmp_path: Path) -> None:
+    for text, message in (
         ("listener { tls { } }", "missing"),
         ('upstream { tls { certificate: "/no/such" } }', "there is no file '/no/such'"),
         (f'upstream {{ tls {{ key: "{__file__}" }} }}', "go together"),
     ):
         part = text.split(" ")[0]
         lines = [line for line in DOOR.split("\n") if not line.startswith(part)]
-        with pytest.raises(SettingsError, match=told):
+        with pytest.raises(SettingsError, match=message):
             parse_door("\n".join([*lines, text]), "d")
     with pytest.raises(TlsError, match="door_pb2"):
         client_context(pb.ClientTls(ca=str(Path(pb.__file__))))
--- a/tests/test_usage_recording.py
+++ b/tests/test_usage_recording.py
@@ -9,7 +9,7 @@
 from martenstep.lab.rules import Traffic, Try, Visit, recorded
 from martenstep.proxy import engine_messages as ev
 from tests.socket_rig import Peer, request_head, run, running_gateway
-from tests.test_proxy_sockets import good
+from tests.test_proxy_sockets import echo_target
 
 
 class Promising:
@@ -25,7 +25,7 @@
 
 def test_an_answer_leaves_once_its_try_is_in_the_book() -> None:
     async def test() -> None:
-        async with running_gateway(good) as door:
+        async with running_gateway(echo_target) as door:
             book = Promising()
             door.server.set_usage_recorder(book, 60_000.0)
             door.server.engine._state.dependencies.records_usage = True
@@ -49,7 +49,7 @@
         await peer.read_to_end()
 
     async def test() -> None:
-        async with running_gateway(good) as door:
+        async with running_gateway(echo_target) as door:
             door.server.set_usage_recorder(Promising(), 30.0)
             door.server.engine._state.dependencies.records_usage = True
             assert (await door.get())[0] == 200
