--- a/martenstep/proxy/acceptor.py
+++ b/martenstep/proxy/acceptor.py
@@ -59,7 +59,7 @@
         """The protocol of an accepted connection that was established at `connected_since` at the earliest."""
         reader = WatchedReader(self._clock)
         reader.connect_times = connected_since, self._clock.last_poll_ms
-        protocol = ClientProtocol(reader, self._connected)
+        protocol = ClientProtocol(reader, self._client_connected)
         if self._tls is None:
             return protocol
         timeout_s = self._state.listener.head_ms / MS_PER_S
@@ -73,7 +73,7 @@
         self._state.counts["handshakes_refused"] += 1
         self._state.log_event("handshake failed", {"peer": client_address, "reason": reason})
 
-    def _connected(self, reader: WatchedReader, writer: asyncio.StreamWriter, protocol: WatchedProtocol) -> None:
+    def _client_connected(self, reader: WatchedReader, writer: asyncio.StreamWriter, protocol: WatchedProtocol) -> None:
         state = self._state
         client = ClientConnection(state, reader, writer, protocol)
         at_limit = len(state.clients) >= state.listener.max_connections
@@ -83,7 +83,7 @@
         state.clients.add(client)
         state.new_clients[client] = None
         task = state.loop.create_task(client.run())
-        task.add_done_callback(lambda done: self._disconnected(client, done))
+        task.add_done_callback(lambda done: self._client_disconnected(client, done))
 
     def _reject(self, client: ClientConnection) -> None:
         self._state.counts["connections_turned_away"] += 1
@@ -95,7 +95,7 @@
         self._rejection_tasks.add(task)
         task.add_done_callback(self._rejection_tasks.discard)
 
-    def _disconnected(self, client: ClientConnection, task: asyncio.Task[None]) -> None:
+    def _client_disconnected(self, client: ClientConnection, task: asyncio.Task[None]) -> None:
         self._remove(client)
         error = None if task.cancelled() else task.exception()
         if error is not None:
--- a/martenstep/proxy/attempt_sender.py
+++ b/martenstep/proxy/attempt_sender.py
@@ -68,7 +68,7 @@
         self._state.counts["attempts"] += 1
         upstream = self._pool.acquire_idle(action.address)
         if upstream is not None:
-            self._begin(request, action, upstream)
+            self._start_on_connection(request, action, upstream)
         elif self._pool.reserve_slot(action.address):
             request.attempt_task = self._state.loop.create_task(self._connect_new(request, action))
         else:
@@ -97,11 +97,13 @@
             self._pool.recycle(upstream)
             return
         self._update_deadline(action)
-        self._begin(request, action, upstream)
+        self._start_on_connection(request, action, upstream)
 
     # Write --------------------------------------------------------------------------------------------------
 
-    def _begin(self, request: ClientRequest, action: ev.OpenAttempt, upstream: UpstreamConnection) -> None:
+    def _start_on_connection(
+        self, request: ClientRequest, action: ev.OpenAttempt, upstream: UpstreamConnection
+    ) -> None:
         """Write an attempt to a connection; the response is relayed as it is received."""
         request.upstream = upstream
         now = self._state.event_time
@@ -111,7 +113,7 @@
         upstream.set_delivery_timeout(action.deliver_by - now if action.deliver_by is not None else None)
         upstream.reader.on_data = lambda data: self._relay.data_received(request, upstream, data)
         try:
-            has_more = self._write(request, action, upstream)
+            has_more = self._write_head_and_buffered_body(request, action, upstream)
         except InvalidMessageError:  # the head was valid to receive but must not be forwarded
             self._relay.fail_attempt(request, AttemptFailure.NOT_WRITTEN)
             return
@@ -119,9 +121,11 @@
             loop = self._state.loop
             if request.body_reader is None:
                 request.body_reader = loop.create_task(request.client.read_body(request))
-            request.attempt_task = loop.create_task(self._write_rest(request, upstream))
+            request.attempt_task = loop.create_task(self._write_rest_of_body(request, upstream))
 
-    def _write(self, request: ClientRequest, action: ev.OpenAttempt, upstream: UpstreamConnection) -> bool:
+    def _write_head_and_buffered_body(
+        self, request: ClientRequest, action: ev.OpenAttempt, upstream: UpstreamConnection
+    ) -> bool:
         """Write the head and the part of the body that was read so far; True if more of the body follows.
 
         Raises InvalidMessageError before anything is written.
@@ -148,7 +152,7 @@
             self._state.handle(ev.RequestBodyNotReplayable(request.request_id))
         return has_more
 
-    async def _write_rest(self, request: ClientRequest, upstream: UpstreamConnection) -> None:
+    async def _write_rest_of_body(self, request: ClientRequest, upstream: UpstreamConnection) -> None:
         """Write the rest of the body as it is received from the client."""
         body = request.body
         assert body is not None
--- a/martenstep/proxy/client_connection.py
+++ b/martenstep/proxy/client_connection.py
@@ -71,7 +71,7 @@
         self._server, self.reader, self.writer = server, reader, writer
         self.http = Http1ServerConnection(server.listener.head_bytes)
         self.request: ClientRequest | None = None
-        self.waiting_since = now_ms()  # when the wait for the next request's head began
+        self.waiting_since = now_ms()  # start of the wait for a head, restarted by its first bytes
         self.has_partial_request = False  # the first bytes of a request were received
         self.closing = False
         self.has_accepted_request = False  # one of its requests has passed the gateway's own checks
@@ -79,13 +79,13 @@
         self.lingering = False  # the gateway has shut down writing and discards what it still receives
         peer = writer.get_extra_info("peername")
         self.client_address = str(peer[0]) if peer else ""
-        protocol.on_lost = self._disconnected
+        protocol.on_lost = self._handle_disconnect
         if server.listener.leave_on_half_close:
-            protocol.on_half_close = self._disconnected
+            protocol.on_half_close = self._handle_disconnect
 
     # State --------------------------------------------------------------------------------------------------
 
-    def _disconnected(self) -> None:
+    def _handle_disconnect(self) -> None:
         self.closing = True
         if self.request is not None:
             self._server.counts["clients_left"] += not self.request.finished.done()
@@ -101,7 +101,7 @@
         events = DISCONNECTED_EVENTS if self._server.listener.leave_on_half_close else LOST_EVENTS
         disconnected = self.writer.transport.is_closing() or is_ready(self.writer, events)
         if disconnected:
-            self._disconnected()
+            self._handle_disconnect()
         return disconnected
 
     @property
@@ -290,7 +290,7 @@
         except ProtocolError as error:
             self._reject_during_body(request, error.status, error.reason)
         except (ConnectionError, OSError):
-            self._disconnected()
+            self._handle_disconnect()
 
     def _reject_during_body(self, request: ClientRequest, status: int, reason: str) -> None:
         """Reject a request whose body turns out to be invalid; the engine receives ClientDisconnected."""
--- a/martenstep/proxy/connection_pool.py
+++ b/martenstep/proxy/connection_pool.py
@@ -42,9 +42,8 @@
         self._tls, self._server_name = tls, server_name
         self._idle: dict[Address, list[UpstreamConnection]] = {}  # the most recently used one is last
         self._slots: dict[Address, int] = {}  # slots in use by address
-        self._retired_at: dict[
-            Address, float
-        ] = {}  # connections opened before this time are closed after their response
+        # Connections opened before this time are closed after their response.
+        self._retired_at: dict[Address, float] = {}
         self.opened = 0  # connections opened since the start
 
     @property
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -369,11 +369,11 @@
     async def respond_twice(peer: Peer) -> None:
         while True:
             path = (await peer.read_head()).split()[1]
-            answer = f"HTTP/1.1 200 OK\r\ncontent-length: {len(path)}\r\n\r\n{path}"
-            await peer.write(answer if path == "/read/late" else answer * 2)  # in one write
+            response = f"HTTP/1.1 200 OK\r\ncontent-length: {len(path)}\r\n\r\n{path}"
+            await peer.write(response if path == "/read/late" else response * 2)  # in one write
             if path == "/read/late":
                 await asyncio.sleep(0.01)
-                await peer.write(answer)  # while the connection is idle
+                await peer.write(response)  # while the connection is idle
 
     async def test() -> None:
         async with running_gateway(respond_twice) as gateway:
