--- a/tests/test_counter_processes.py
+++ b/tests/test_counter_processes.py
@@ -16,7 +16,7 @@
 from martenstep.counter.pending_increments import AttemptRecord
 from martenstep.lab.copies import Copies
 from martenstep.policy.messages import CallResult
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 
 def make_client(copies: Copies, results: list[CallResult]) -> CounterClient:
@@ -83,7 +83,7 @@
         attempt_counts = [sum(totals.attempts for totals in counter.usage().values()) for counter in counters]
         assert sorted(count == sent for count in attempt_counts)[1:] == [True, True]
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_single_replica_grows_to_three_without_a_stop_and_can_then_be_lost(tmp_path: Path) -> None:
@@ -126,7 +126,7 @@
             await client.stop()
             await copies.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_disk_of_an_unlisted_replica_is_rejected(tmp_path: Path) -> None:
--- a/tests/test_counter_replicated.py
+++ b/tests/test_counter_replicated.py
@@ -37,7 +37,7 @@
 from martenstep.replication.replica import Replica
 from martenstep.replication.replica_storage import ReplicaStorage
 from tests.replica_rig import KEYS, ReplicaGroup
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 NOW_MS = 1_000_000.0
 SMALL_LIMITS = CounterLimits(
@@ -209,7 +209,7 @@
         assert {reply.status for reply in replies if isinstance(reply, RecordReply)} <= {Status.DONE, Status.REPEATED}
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 @pytest.mark.parametrize("first", [0, 1, 2])
@@ -229,7 +229,7 @@
         await client.stop()
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_clients_adds_and_attempts_count_once_across_lost_leaders(tmp_path: Path) -> None:
@@ -257,7 +257,7 @@
         await client.stop()
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_replica_that_does_not_lead_names_the_leader_and_unlisted_addresses_are_ignored(tmp_path: Path) -> None:
@@ -277,4 +277,4 @@
         await client.stop()
         await group.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
--- a/tests/test_counter_service.py
+++ b/tests/test_counter_service.py
@@ -28,7 +28,7 @@
 from martenstep.counter.state import CounterLimits
 from martenstep.policy.messages import CallResult
 from martenstep.storage.files import LockedError
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 FRAME_SAMPLES: list[fr.Frame] = [
     fr.Hello("door-0", 7, 2),
@@ -407,7 +407,7 @@
         assert sorted(recorded_ids) == sorted(request_ids)
         assert verify(tmp_path / "log").records > 0
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_the_command_line_tools_read_verify_and_repair_the_log(tmp_path: Path) -> None:
--- a/tests/test_fault_calls.py
+++ b/tests/test_fault_calls.py
@@ -70,12 +70,12 @@
                 for number, peer in enumerate(peers):
                     await peer.write(short_request(100 * round_number + number))
                 async with asyncio.timeout(PAUSE_S):
-                    statuses = [(await peer.response())[0] for peer in peers]
+                    statuses = [(await peer.read_response())[0] for peer in peers]
                 assert set(statuses) <= ANSWERED, (error, statuses)
                 assert control.hits(Call.ACCEPT) == round_number + 1
                 assert "fault" not in gateway.events(), (error, gateway.lines)
                 if aborted is not None:
-                    assert await aborted.rest() == b""
+                    assert await aborted.read_to_end() == b""
                 for peer in peers:
                     peer.close()
 
@@ -95,7 +95,7 @@
             peers = [await gateway.connect() for _ in range(3)]
             for number, peer in enumerate(peers):
                 await peer.write(short_request(number))
-            assert {(await peer.response())[0] for peer in peers} <= ANSWERED
+            assert {(await peer.read_response())[0] for peer in peers} <= ANSWERED
             assert control.hits(Call.ACCEPT) == 1
             assert await gateway.wait_for_exit() == 0
 
--- a/tests/test_fault_clocks.py
+++ b/tests/test_fault_clocks.py
@@ -18,7 +18,7 @@
 
 from martenstep.lab.soak.faults import FaultControl
 from tests.node_rig import SETTINGS, endpoint_entry, request
-from tests.socket_rig import Back, Peer, Script
+from tests.socket_rig import Peer, Script, ScriptedServer
 from tests.test_node_gateway import serve_echo
 from tests.test_node_processes import GatewayProcess, gateway_processes, run_test
 
@@ -41,11 +41,11 @@
         """Answer the polls of one connection."""
         sent_revision = -1
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             while "after=" in head and sent_revision == self.revision:
                 await _poll_interval()
             sent_revision = self.revision
-            await peer.answer(json.dumps({"rev": sent_revision, "all": True, "targets": self.targets}))
+            await peer.send_response(json.dumps({"rev": sent_revision, "all": True, "targets": self.targets}))
 
 
 async def _poll_interval() -> None:
@@ -57,10 +57,10 @@
 
     async def script(peer: Peer) -> None:
         while True:
-            await peer.head()
+            await peer.read_head()
             counts[name] = counts.get(name, 0) + 1
             await asyncio.sleep(delay_s)
-            await peer.answer("ok")
+            await peer.send_response("ok")
 
     return script
 
@@ -111,7 +111,7 @@
     peer = await gateway.connect()
     for number in range(count):
         await peer.write(request(number + time.monotonic_ns() % 10**12 * 1000))
-        assert (await peer.response())[0] in (200, 503)  # rejected if the slow backend is at its limit
+        assert (await peer.read_response())[0] in (200, 503)  # rejected if the slow backend is at its limit
     peer.close()
 
 
@@ -193,7 +193,7 @@
                 keys.append(words[4])
                 await peer.write(b"$1\r\n1\r\n")
 
-        agent, counter = Agent(), Back(records_keys)
+        agent, counter = Agent(), ScriptedServer(records_keys)
         plans = [{"name": "free", "units_per_s": 0.2, "most_at_once": 4.0, "beyond_costs": 0.5}]
         control = FaultControl(tmp_path / "faults")
         async with gateway_processes(
--- a/tests/test_fault_pauses.py
+++ b/tests/test_fault_pauses.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from martenstep.proxy.listener import MAX_ACCEPTS
+from martenstep.proxy.listener import MAX_ACCEPTS_PER_TURN
 from tests.node_rig import SETTINGS, request
 from tests.socket_rig import Peer
 from tests.test_fault_clocks import Agent
@@ -41,10 +41,10 @@
 
     async def script(peer: Peer) -> None:
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             seen.append((time.monotonic(), head))
             await asyncio.sleep(delay_s)
-            await peer.answer("ok")
+            await peer.send_response("ok")
 
     return script
 
@@ -91,7 +91,7 @@
             sent = time.monotonic()
             await peer.write("".join(request(n, X_Expires_In_Ms=str(DEADLINE_MS)) for n in range(4)))
             for _ in range(4):
-                await peer.response()
+                await peer.read_response()
             assert len(seen) == 4
             for at, head in seen:
                 assert remaining_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + GATEWAY_DELAY_S + TEST_DELAY_S
@@ -107,7 +107,7 @@
             gateway, seen = running.gateway, running.seen
             open_peer = await gateway.connect()
             await open_peer.write(request(1))
-            await open_peer.response()
+            await open_peer.read_response()
             seen.clear()
             gateway.send_signal(signal.SIGSTOP)
             new_peers = [await gateway.connect() for _ in range(6)]
@@ -117,7 +117,7 @@
             await asyncio.sleep(PAUSE_S)
             gateway.send_signal(signal.SIGCONT)
             for peer in (open_peer, *new_peers):
-                await peer.response()
+                await peer.read_response()
             assert seen
             for at, head in seen:
                 assert remaining_ms(head) / 1000 <= DEADLINE_MS / 1000 - (at - sent) + GATEWAY_DELAY_S + TEST_DELAY_S
@@ -136,7 +136,7 @@
             gateway, agent, seen = running.gateway, running.agent, running.seen
             open_peer = await gateway.connect()
             await open_peer.write(request(1))
-            await open_peer.response()
+            await open_peer.read_response()
             seen.clear()
             gateway.send_signal(signal.SIGSTOP)
             for number in range(2, 6):
@@ -146,7 +146,7 @@
             await asyncio.sleep(PAUSE_S + DRAIN_GRACE_S)
             gateway.send_signal(signal.SIGCONT)
             for _ in range(2, 6):
-                await open_peer.response()
+                await open_peer.read_response()
             assert seen == []
 
     run_test(test())
@@ -166,11 +166,11 @@
             for place in range(20, len(text) - 2):  # slowly, until the gateway has almost ended
                 await asyncio.sleep(0.012)
                 await partial.write(text[place])
-            status, _, _ = await complete.response()  # every complete request is answered
+            status, _, _ = await complete.read_response()  # every complete request is answered
             assert status in (502, 503, 504)
             seen.clear()
             await partial.write(text[-2:])
-            await partial.rest()
+            await partial.read_to_end()
             assert await gateway.wait_for_exit() == 0
             assert seen == []
 
@@ -185,12 +185,12 @@
         async with running_gateway(tmp_path) as running:
             gateway, seen = running.gateway, running.seen
             gateway.send_signal(signal.SIGSTOP)
-            batch = [await gateway.connect() for _ in range(MAX_ACCEPTS)]
+            batch = [await gateway.connect() for _ in range(MAX_ACCEPTS_PER_TURN)]
             gateway.send_signal(signal.SIGCONT)
             await asyncio.sleep(PAUSE_S)
             peer = await gateway.connect()
             await peer.write(request(1, X_Expires_In_Ms=str(int(PAUSE_S * 500))))
-            assert (await peer.response())[0] == 200 and len(seen) == 1
+            assert (await peer.read_response())[0] == 200 and len(seen) == 1
             for one in batch:
                 one.close()
 
--- a/tests/test_increment_ledger.py
+++ b/tests/test_increment_ledger.py
@@ -28,7 +28,7 @@
 from martenstep.replication.transport import Transport
 from tests.replica_fleet_rig import KEYS, QUICK, ReplicaFleet
 from tests.replica_rig import Sum
-from tests.socket_rig import LONG_S, run
+from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 
 def make_attempt(request_id: str) -> AttemptRecord:
@@ -195,7 +195,7 @@
         await fleet.wait_for_own_group("a")
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_a_gateway_that_was_wrongly_declared_lost_finds_its_group_fenced_and_creates_another(
@@ -219,7 +219,7 @@
         await fleet.replicate("a", "r2")
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
 
 
 def test_an_attempt_in_an_incomplete_group_is_reported_as_not_replicated(tmp_path: Path) -> None:
@@ -234,4 +234,4 @@
         await fleet.until(lambda: not fleet.state("a", fleet.ledgers["a"].own_group).pending)
         await fleet.stop()
 
-    run(test(), LONG_S)
+    run(test(), LONG_TEST_TIMEOUT_S)
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -19,7 +19,7 @@
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine import Engine
 from martenstep.proxy.engine_messages import RequestReceived, Tick
-from martenstep.proxy.graceful_shutdown import CLOSE_MS
+from martenstep.proxy.graceful_shutdown import CLIENT_CLOSE_MS
 from tests.node_rig import SETTINGS, endpoint_entry, make_config, raw_config, request
 
 
@@ -120,7 +120,7 @@
     ]
     plan = make_drain_plan(make_config(settings={**SETTINGS, "classes": classes}).settings)
     assert plan.accept_ms >= 400.0, "clients open new connections for this long"
-    assert plan.accept_ms <= plan.serve_ms <= plan.answer_ms <= grace - CLOSE_MS - 100.0
+    assert plan.accept_ms <= plan.serve_ms <= plan.answer_ms <= grace - CLIENT_CLOSE_MS - 100.0
 
 
 def _paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
--- a/tests/test_node_counter.py
+++ b/tests/test_node_counter.py
@@ -9,7 +9,7 @@
 from martenstep.node import counter as counter_module
 from martenstep.node.counter import CounterClient, InvalidReplyError, ReplyReader, encode_call
 from martenstep.policy.messages import CallResult
-from tests.socket_rig import Back, Peer, run
+from tests.socket_rig import Peer, ScriptedServer, run
 
 Results = list[tuple[int, CallResult, float]]
 
@@ -85,7 +85,7 @@
             await peer.write(b"$1\r\n%b\r\n" % words[4][:1])
 
     async def test() -> None:
-        server = Back(echo_key)
+        server = ScriptedServer(echo_key)
         results: Results = []
         client = CounterClient(("127.0.0.1", await server.start()), lambda *result: results.append(result))
         client.start()
@@ -126,14 +126,14 @@
             call_received.set()
             await address_changed.wait()
             await peer.write(b"$1\r\n3\r\n")
-            await peer.rest()
+            await peer.read_to_end()
 
         async def new(peer: Peer) -> None:
             await peer.read(9)
             await peer.write(b"$1\r\n8\r\n")
-            await peer.rest()
+            await peer.read_to_end()
 
-        old_counter, new_counter = Back(old), Back(new)
+        old_counter, new_counter = ScriptedServer(old), ScriptedServer(new)
         results: Results = []
         client = CounterClient(("127.0.0.1", await old_counter.start()), lambda *result: results.append(result))
         client.start()
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -24,15 +24,15 @@
 from martenstep.node.discovery import DiscoveryClient
 from martenstep.node.endpoint_list import EndpointListFollower
 from martenstep.proxy import graceful_shutdown
-from martenstep.proxy.acceptor import MAX_REJECTING, MIN_AGE_TO_CLOSE_MS
+from martenstep.proxy.acceptor import MAX_CONCURRENT_REJECTIONS, MIN_AGE_TO_CLOSE_MS
 from martenstep.proxy.client_connection import ClientConnection
 from martenstep.proxy.clock import now_ms
 from martenstep.proxy.connection_pool import ConnectionPool
 from martenstep.proxy.engine_messages import AttemptFailure
-from martenstep.proxy.listener import MAX_ACCEPTS
+from martenstep.proxy.listener import MAX_ACCEPTS_PER_TURN
 from martenstep.proxy.transport import DISCONNECTED_EVENTS, READ_BYTES
 from tests.node_rig import SETTINGS, endpoint_entry, request
-from tests.socket_rig import Back, Peer, Script, run
+from tests.socket_rig import Peer, Script, ScriptedServer, run
 from tests.test_node_gateway import InProcessGateway, in_process_gateway, serve_echo
 
 LONG_MS = 60_000.0  # longer than any test runs
@@ -59,9 +59,9 @@
 
     async def script(peer: Peer) -> None:
         while True:
-            await peer.head()
+            await peer.read_head()
             await gate.wait()
-            await peer.answer()
+            await peer.send_response()
 
     return script
 
@@ -91,7 +91,7 @@
     """Failed on the users' scenarios `split` and `zone`: half a response was relayed as a complete one."""
 
     async def resets_connection(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write(f"HTTP/1.1 200 OK\r\n{coding}\r\nhalf of ")
         peer.reset()
 
@@ -106,7 +106,7 @@
 
 def test_a_close_completes_a_response_without_a_length(tmp_path: Path) -> None:
     async def ends(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 200 OK\r\n\r\nall of it")
         peer.close()
 
@@ -114,7 +114,7 @@
         async with in_process_gateway(tmp_path, ends) as gateway:
             peer = await gateway.connect()
             await peer.write(request(1))
-            assert "transfer-encoding: chunked" in await peer.head()
+            assert "transfer-encoding: chunked" in await peer.read_head()
             assert await peer.read(9 + 3 + 2 + 5) == b"9\r\nall of it\r\n0\r\n\r\n"
             peer.close()
 
@@ -125,7 +125,7 @@
     """More than the response buffer has been relayed: the client must be able to detect that the rest is missing."""
 
     async def resets_connection(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 600_000)
         peer.reset()
 
@@ -133,7 +133,7 @@
         async with in_process_gateway(tmp_path, resets_connection) as gateway:
             peer = await gateway.connect()
             await peer.write(request(1))
-            assert not (await peer.rest()).endswith(b"0\r\n\r\n")
+            assert not (await peer.read_to_end()).endswith(b"0\r\n\r\n")
             assert gateway.node.engine.attempt_result_counts.get("ok") is None
 
     run(test())
@@ -147,11 +147,11 @@
     async def twice(peer: Peer) -> None:
         last = ""
         while True:
-            own = (await peer.head()).split("x-trace-id: ")[1][:16]
+            own = (await peer.read_head()).split("x-trace-id: ")[1][:16]
             if last:
-                await peer.answer(last)
+                await peer.send_response(last)
             last = own
-            await peer.answer(own)
+            await peer.send_response(own)
 
     async def test() -> None:
         async with in_process_gateway(tmp_path, twice) as gateway:
@@ -160,7 +160,7 @@
             peer = await gateway.connect()
             for number in (1, 2):
                 await peer.write(request(number))
-                body = (await peer.response())[2]
+                body = (await peer.read_response())[2]
             assert body == (b"%016x" % (2 if has_delay else 1)), "without the delay the connection is reused"
             assert gateway.node.server.pool.opened == (2 if has_delay else 1)
             peer.close()
@@ -186,7 +186,7 @@
         async def silent(peer: Peer) -> None:
             await asyncio.Event().wait()
 
-        back = Back(silent)
+        back = ScriptedServer(silent)
         pool = ConnectionPool(2, LONG_MS, lambda where, why: None)
         address = ("127.0.0.1", await back.start())
         assert pool.reserve_slot(address)
@@ -209,7 +209,7 @@
             ends.append(peer.writer.get_extra_info("socket"))
             await asyncio.Event().wait()
 
-        back = Back(never_answers)
+        back = ScriptedServer(never_answers)
         pool = ConnectionPool(2, LONG_MS, lambda where, why: None)
         address = ("127.0.0.1", await back.start())
         assert pool.reserve_slot(address)
@@ -230,7 +230,7 @@
         async with in_process_gateway(tmp_path, serve_echo) as gateway:
             peer = await gateway.connect()
             await peer.write(request(1))
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             client, pool = await only_client(gateway), gateway.node.server.pool
             [[upstream]] = pool._idle.values()
             for writer in (client.writer, upstream.writer):
@@ -248,7 +248,7 @@
     """The client's close is in the kernel, unread, as an attempt ends and the policy plans another."""
 
     async def never_answers(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -262,7 +262,7 @@
             if how == "reset":
                 blocking_client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             blocking_client.socket.close()
-            server._relay.fail(client_request, AttemptFailure.CLOSED)
+            server._relay.fail_attempt(client_request, AttemptFailure.CLOSED)
             assert server.counts["attempts"] == 1 and gateway.node.engine.response_counts == {"client left": 1}
             await wait_until(lambda: not server.requests)
 
@@ -274,7 +274,7 @@
     flight."""
 
     async def never_answers(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -297,7 +297,7 @@
             peer = await gateway.connect()
             await peer.write("".join(request(number) for number in range(100)))
             for _ in range(100):
-                assert (await peer.response())[0] == 200
+                assert (await peer.read_response())[0] == 200
             peer.close()
 
     run(test())
@@ -308,7 +308,7 @@
     heads: list[str] = []
 
     async def records_head(peer: Peer) -> None:
-        heads.append(await peer.head())
+        heads.append(await peer.read_head())
 
     async def test() -> None:
         async with in_process_gateway(
@@ -370,8 +370,8 @@
     heads: list[str] = []
 
     async def records_head(peer: Peer) -> None:
-        heads.append(await peer.head())
-        await peer.answer()
+        heads.append(await peer.read_head())
+        await peer.send_response()
 
     async def test() -> None:
         long_deadlines = {
@@ -402,9 +402,9 @@
 
     def backend(name: str) -> Callable[[Peer], Any]:
         async def script(peer: Peer) -> None:
-            taken.append(f"{name} {(await peer.head()).split()[1]}")
-            await peer.answer(name)
-            await peer.rest()
+            taken.append(f"{name} {(await peer.read_head()).split()[1]}")
+            await peer.send_response(name)
+            await peer.read_to_end()
 
         return script
 
@@ -444,7 +444,7 @@
             listed = node._follower.apply_list(changed_list)
             assert listed is not None
             node._endpoints_updated(listed)
-            assert (await peer.response())[2].decode() == uids[remaining] and len(taken) == 1
+            assert (await peer.read_response())[2].decode() == uids[remaining] and len(taken) == 1
             gate.set()
             assert node.engine.attempt_result_counts == {"moot": 1, "ok": 1}, "it counts as a failure of no backend"
             peer.close()
@@ -457,10 +457,10 @@
         gate = asyncio.Event()
 
         async def answers_after_gate(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             await gate.wait()
-            await peer.answer()
-            await peer.rest()
+            await peer.send_response()
+            await peer.read_to_end()
 
         async with in_process_gateway(tmp_path, answers_after_gate) as gateway:
             server = gateway.node.server
@@ -521,10 +521,10 @@
                 gateway.node.drain_plan = DrainPlan(0.0, 0.0, LONG_MS)
                 stopping = asyncio.create_task(gateway.node.stop())
             peer = await blocking_client.peer()
-            status, head, _ = await peer.response()
+            status, head, _ = await peer.read_response()
             assert status == 200 and ("connection: close" in head) is (way == "stop")
             if way == "stop":
-                assert await peer.rest() == b""
+                assert await peer.read_to_end() == b""
                 await stopping
             peer.close()
 
@@ -540,7 +540,7 @@
             blocking_client.send(request(1))
             assert not gateway.node.server._acceptor.free_slot()
             peer = await blocking_client.peer()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             peer.close()
 
     run(test())
@@ -558,7 +558,7 @@
             blocking_client.send(rest)  # the request times out in the same turn of the loop
             client.time_out_request()
             peer = await blocking_client.peer()
-            status, head, _ = await peer.response()
+            status, head, _ = await peer.read_response()
             assert status == 408 and "connection: close" in head
             assert await peer.reader.read() == b"", "a close, and no reset"
             peer.close()
@@ -569,7 +569,7 @@
 
 
 def test_a_draining_gateway_waits_for_a_partial_request(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(graceful_shutdown, "CLOSE_MS", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "CLIENT_CLOSE_MS", 0.0)
 
     async def test() -> None:
         async with in_process_gateway(tmp_path, serve_echo) as gateway:
@@ -584,9 +584,9 @@
             done, _ = await asyncio.wait({stopping}, timeout=0.2)
             assert not done, "the request must be answered once it is complete"
             await peer.write(whole[-3:])
-            status, head, body = await peer.response()
+            status, head, body = await peer.read_response()
             assert status == 200 and "connection: close" in head and body.endswith(b"|room 5")
-            assert await peer.rest() == b""
+            assert await peer.read_to_end() == b""
             await stopping
 
     run(test())
@@ -598,9 +598,9 @@
     heads: list[str] = []
 
     async def records_head(peer: Peer) -> None:
-        heads.append(await peer.head())
-        await peer.answer()
-        await peer.rest()
+        heads.append(await peer.read_head())
+        await peer.send_response()
+        await peer.read_to_end()
 
     async def test() -> None:
         async with in_process_gateway(tmp_path, records_head) as gateway:
@@ -615,7 +615,7 @@
             client.writer.write_eof = racing  # type: ignore[method-assign]
             blocking_client.send(request(1, Connection="close"))
             peer = await blocking_client.peer()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             assert await peer.reader.read() == b"", "a close, and no reset"
             assert len(heads) == 1 and blocking_client.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
             peer.close()
@@ -641,7 +641,7 @@
             blocking_client.send(request(1, Connection="close"))
             await wait_until(lambda: client.http.can_respond is False)
             peer = await blocking_client.peer()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             assert await peer.reader.read() == b"", "a close, and no reset"
             peer.close()
 
@@ -659,7 +659,7 @@
             for client in gateway.node.server.state.new_clients:
                 client.waiting_since += LONG_MS
             peer = await BlockingClient(gateway.port, request(1)).peer()
-            assert (await peer.response())[0] == 503
+            assert (await peer.read_response())[0] == 503
             assert await peer.reader.read() == b"", "a close, and no reset"
             for one in [peer, *new_peers]:
                 one.close()
@@ -672,7 +672,7 @@
     heads: list[str] = []
 
     async def never_answers(peer: Peer) -> None:
-        heads.append(await peer.head())
+        heads.append(await peer.read_head())
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -696,7 +696,7 @@
             gateway.node.drain_plan = DrainPlan(0.0, 0.0, 0.0)
             await gateway.node.stop()
             gate.set()
-            assert [(await peer.response())[0] for peer in (safe, keyed, connecting)] == [503, 504, 503]
+            assert [(await peer.read_response())[0] for peer in (safe, keyed, connecting)] == [503, 504, 503]
             await asyncio.sleep(0)
             assert len(heads) == 2 and server.counts["attempts"] == 3
 
@@ -723,7 +723,7 @@
             client = await only_client(gateway)
             await wait_until(lambda: swept)
             client.waiting_since -= LONG_MS
-            assert await peer.rest() == b"", "idle connections are still closed"
+            assert await peer.read_to_end() == b"", "idle connections are still closed"
             assert [event for event, _ in lines] == ["fault"] and "unexpected failure" in lines[0][1]["error"]
 
     run(test())
@@ -763,7 +763,7 @@
                 ):
                     await asyncio.sleep(0)
                     peak = max(peak, len(os.listdir("/proc/self/fd")))
-                assert peak - before <= limit + MAX_REJECTING + 5 * MAX_ACCEPTS, (
+                assert peak - before <= limit + MAX_CONCURRENT_REJECTIONS + 5 * MAX_ACCEPTS_PER_TURN, (
                     "no further descriptors of the reserve are in use"
                 )
 
@@ -826,10 +826,10 @@
             assert listed is not None
             node._endpoints_updated(listed)
             gate.set()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             assert pool.connections == 0 and not pool._retired_at
             await peer.write(request(2))
-            assert (await peer.response())[0] == 200 and pool.opened == 2 and pool.connections == 1
+            assert (await peer.read_response())[0] == 200 and pool.opened == 2 and pool.connections == 1
             peer.close()
 
     run(test())
@@ -839,7 +839,7 @@
     """Once more than the response buffer had arrived, the deadline no longer applied, and the client waited forever."""
 
     async def endless(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 300_000)
         with contextlib.suppress(ConnectionError):
             while True:
@@ -850,7 +850,7 @@
         async with in_process_gateway(tmp_path, endless) as gateway:
             peer = await gateway.connect()
             await peer.write(request(1, X_Expires_In_Ms="1500"))
-            assert not (await peer.rest()).endswith(b"0\r\n\r\n"), (
+            assert not (await peer.read_to_end()).endswith(b"0\r\n\r\n"), (
                 "the client can detect that the response is incomplete"
             )
             assert gateway.node.engine.response_counts == {
@@ -868,11 +868,11 @@
             gateway.node.drain_plan = DrainPlan(30.0, LONG_MS, LONG_MS)
             stopping = asyncio.create_task(gateway.node.stop())
             await asyncio.sleep(0)
-            queued = [BlockingClient(gateway.port, request(number)) for number in range(3 * MAX_ACCEPTS)]
+            queued = [BlockingClient(gateway.port, request(number)) for number in range(3 * MAX_ACCEPTS_PER_TURN)]
             time.sleep(0.05)  # blocks the loop: its next turn finds a full queue and the accept phase ended
             for one in queued:
                 peer = await one.peer()
-                assert (await peer.response())[0] in (200, 503), "served or rejected, and not reset"
+                assert (await peer.read_response())[0] in (200, 503), "served or rejected, and not reset"
                 peer.close()
             stopping.cancel()
             gateway.node.server.state.stopping = False
@@ -897,7 +897,7 @@
             status, head, _ = await gateway.fetch(request(2))
             assert status == 503 and "retry-after" in head and node.server.counts["attempts"] == 1
             gate.set()
-            assert (await peer.response())[0] == 200
+            assert (await peer.read_response())[0] == 200
             node._endpoints_updated(node._follower.full_list())
             assert (await gateway.fetch(request(3)))[0] == 200 and node.server.pool.opened <= 2
             peer.close()
@@ -912,12 +912,12 @@
         polled: list[str] = []
 
         async def agent(peer: Peer) -> None:
-            polled.append(await peer.head())
-            await peer.answer('{"rev": 1, "all": true, "targets": []}')
-            polled.append(await peer.head())
-            await peer.rest()
+            polled.append(await peer.read_head())
+            await peer.send_response('{"rev": 1, "all": true, "targets": []}')
+            polled.append(await peer.read_head())
+            await peer.read_to_end()
 
-        back = Back(agent)
+        back = ScriptedServer(agent)
         client = DiscoveryClient(
             ("127.0.0.1", 1), EndpointListFollower(), lambda listed: None, lambda event, fields: None
         )
@@ -938,7 +938,7 @@
     classes = [SETTINGS["classes"][0], {**SETTINGS["classes"][1], "window_ms": window_ms}]
 
     async def resets_connection(peer: Peer) -> None:
-        heads.append(await peer.head())
+        heads.append(await peer.read_head())
         peer.reset()
 
     async def test() -> None:
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -33,7 +33,7 @@
 )
 from martenstep.policy.messages import EndpointListScope, EndpointState
 from tests.node_rig import endpoint_entry
-from tests.socket_rig import Back, Peer, run
+from tests.socket_rig import Peer, ScriptedServer, run
 
 NOW_MS = 1_700_000_000_000.0  # on both clocks of a test that sets them
 SHORT_TIMING = DiscoveryTiming(60.0, 60.0, 60.0, 10.0, 1.0, 20.0)  # for tests that wait for a timeout
@@ -117,17 +117,17 @@
 
     async def test() -> None:
         async def agent(peer: Peer) -> None:
-            polled.append((await peer.head()).split()[1])
+            polled.append((await peer.read_head()).split()[1])
             await peer.write(response(list_body(1, True, endpoint_entry("s-a"))))
-            polled.append((await peer.head()).split()[1])
+            polled.append((await peer.read_head()).split()[1])
             peer.close()
 
         async def other(peer: Peer) -> None:
-            polled.append((await peer.head()).split()[1])
+            polled.append((await peer.read_head()).split()[1])
             await peer.write(response(list_body(1, True, endpoint_entry("s-z"))))
-            await peer.rest()
+            await peer.read_to_end()
 
-        first, second = Back(agent), Back(other)
+        first, second = ScriptedServer(agent), ScriptedServer(other)
         lists: list[EndpointListEvent] = []
         notes: list[str] = []
         client = DiscoveryClient(
@@ -163,15 +163,15 @@
     async def test() -> None:
         async def agent(peer: Peer) -> None:
             turn = len(polled)
-            polled.append((await peer.head()).split()[1])
+            polled.append((await peer.read_head()).split()[1])
             if turn in (1, 2):
-                await peer.rest()
+                await peer.read_to_end()
             await peer.write(response(list_body(turn, True, endpoint_entry(f"s-{turn}"))))
             if turn == 0:
-                polled.append((await peer.head()).split()[1])
-            await peer.rest()
+                polled.append((await peer.read_head()).split()[1])
+            await peer.read_to_end()
 
-        back = Back(agent)
+        back = ScriptedServer(agent)
         lists: list[EndpointListEvent] = []
         client = DiscoveryClient(
             ("127.0.0.1", await back.start()),
@@ -274,7 +274,7 @@
     timing: DiscoveryTiming = AGENT_TIMING,
 ) -> tuple[list[EndpointListEvent], list[str]]:
     """Follow a scripted agent until `wanted` updates have arrived; return them and the logged events."""
-    back = Back(script)
+    back = ScriptedServer(script)
     lists: list[EndpointListEvent] = []
     notes: list[str] = []
 
@@ -307,14 +307,14 @@
     polled: list[str] = []
 
     async def agent(peer: Peer) -> None:
-        polled.append((await peer.head()).split()[1])
+        polled.append((await peer.read_head()).split()[1])
         if len(polled) == 1:
             await peer.write(part)
-            await peer.rest()
+            await peer.read_to_end()
         await peer.write(response(list_body(1, True, endpoint_entry("s-a"))))
-        polled.append((await peer.head()).split()[1])
+        polled.append((await peer.read_head()).split()[1])
         await peer.write(part)
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         lists, notes = await _collect_updates(agent, 2, timing=SHORT_TIMING)
@@ -335,15 +335,15 @@
     polled: list[str] = []
 
     async def agent(peer: Peer) -> None:
-        polled.append((await peer.head()).split()[1])
+        polled.append((await peer.read_head()).split()[1])
         body = response(list_body(1, True, endpoint_entry("s-a")))
         if len(polled) == 1:
             for place in range(len(body) - 1):
                 await peer.write(body[place : place + 1])
                 await asyncio.sleep(0.005)
-            await peer.rest()
+            await peer.read_to_end()
         await peer.write(body)
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         lists, _ = await _collect_updates(
@@ -358,9 +358,9 @@
     """The task ended, and the list never changed again."""
 
     async def agent(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write(response(list_body(1, True, endpoint_entry("s-a"))))
-        await peer.rest()
+        await peer.read_to_end()
 
     def fails(listed: EndpointListEvent) -> None:
         if not failed:
@@ -384,17 +384,17 @@
         gate = asyncio.Event()
 
         async def old(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             await gate.wait()
             await peer.write(response(list_body(7, True, endpoint_entry("s-old"))))
-            await peer.rest()
+            await peer.read_to_end()
 
         async def new(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             await peer.write(response(list_body(1, True, endpoint_entry("s-new"))))
-            await peer.rest()
+            await peer.read_to_end()
 
-        first, second = Back(old), Back(new)
+        first, second = ScriptedServer(old), ScriptedServer(new)
         lists: list[EndpointListEvent] = []
         follower = EndpointListFollower()
         client = DiscoveryClient(("127.0.0.1", await first.start()), follower, lists.append, lambda event, fields: None)
@@ -436,10 +436,10 @@
     polled: list[str] = []
 
     async def late(peer: Peer) -> None:
-        polled.append(await peer.head())
+        polled.append(await peer.read_head())
         await asyncio.sleep(0.06)
         await peer.write(response(list_body(1, True, endpoint_entry("s-a"))))
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         lists, notes = await _collect_updates(late, 1, timing=DiscoveryTiming(0.0, 60_000.0, 10.0, 1500.0, 1.0, 1.0))
@@ -461,14 +461,14 @@
     polled: list[str] = []
 
     async def rejects(peer: Peer) -> None:
-        polled.append(await peer.head())
+        polled.append(await peer.read_head())
         if len(polled) < 8:
-            await peer.answer("", "503 Service Unavailable", "connection: close\r\n")
+            await peer.send_response("", "503 Service Unavailable", "connection: close\r\n")
         await peer.write(response(list_body(1, True, endpoint_entry("s-a"))))
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
-        back, lists = Back(rejects), list[EndpointListEvent]()
+        back, lists = ScriptedServer(rejects), list[EndpointListEvent]()
         client = DiscoveryClient(
             ("127.0.0.1", await back.start()),
             EndpointListFollower(),
@@ -496,11 +496,11 @@
 
     async def rejects(peer: Peer) -> None:
         while True:
-            polled.append((await peer.head()).split()[1])
+            polled.append((await peer.read_head()).split()[1])
             if len(polled) in (2, 3):
-                await peer.answer("", "503 Service Unavailable")
+                await peer.send_response("", "503 Service Unavailable")
             elif len(polled) > 4:
-                await peer.rest()
+                await peer.read_to_end()
             else:
                 await peer.write(response(list_body(len(polled), len(polled) == 1, endpoint_entry(f"s-{len(polled)}"))))
 
@@ -653,18 +653,18 @@
 
     async def rejects(peer: Peer) -> None:
         while True:
-            polled.append((await peer.head()).split()[1])
+            polled.append((await peer.read_head()).split()[1])
             if len(polled) == 1:
                 await peer.write(
                     response(list_body(1, True, endpoint_entry("s-a"), endpoint_entry("s-b", state="draining")))
                 )
             elif not gate.is_set():
-                await peer.answer("", "503 Service Unavailable")
+                await peer.send_response("", "503 Service Unavailable")
             elif result == "accepted":
-                await peer.rest()
+                await peer.read_to_end()
             else:
                 await peer.write(response(list_body(2, False, endpoint_entry("s-c"))))
-                await peer.rest()
+                await peer.read_to_end()
 
     def record(listed: EndpointListEvent) -> None:
         lists.append(listed)
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from tests.node_rig import SETTINGS, endpoint_entry, request
-from tests.socket_rig import Back, Peer
+from tests.socket_rig import Peer, ScriptedServer
 from tests.test_node_gateway import serve_list
 from tests.test_node_processes import GatewayProcess, gateway_processes, run_test
 
@@ -41,7 +41,7 @@
             text = request(self.number, customer=rng.choice(customers), **replaced)
             try:
                 await peer.write(text)
-                status, head, _ = await peer.response()
+                status, head, _ = await peer.read_response()
             except (ConnectionError, asyncio.IncompleteReadError):
                 peer = await gateway.connect()
                 continue
@@ -68,16 +68,16 @@
     def serve(times: list[float]) -> Any:
         async def script(peer: Peer) -> None:
             while True:
-                await peer.head()
+                await peer.read_head()
                 times.append(time.monotonic())
                 await asyncio.sleep(0.01)
-                await peer.answer()
+                await peer.send_response()
 
         return script
 
     async def test() -> None:
         warm_times: list[float] = []
-        cold = Back(serve(cold_times))
+        cold = ScriptedServer(serve(cold_times))
         port = await cold.start()
         changed = asyncio.Event()
         targets: list[dict[str, Any]] = []
@@ -86,12 +86,12 @@
             await serve_list(peer, targets) if changed.is_set() else await first_list(peer)
 
         async def first_list(peer: Peer) -> None:
-            await peer.head()
-            await peer.answer(json.dumps({"rev": 0, "all": True, "targets": targets}))
-            await peer.head()
+            await peer.read_head()
+            await peer.send_response(json.dumps({"rev": 0, "all": True, "targets": targets}))
+            await peer.read_head()
             await changed.wait()  # the watches of all gateways are answered at the same time
-            await peer.answer(json.dumps({"rev": 1, "all": True, "targets": targets}))
-            await peer.rest()
+            await peer.send_response(json.dumps({"rev": 1, "all": True, "targets": targets}))
+            await peer.read_to_end()
 
         async with gateway_processes(
             tmp_path, 3, agent, *[serve(warm_times)] * 3, settings={**SETTINGS, "rules": rules}
@@ -147,12 +147,12 @@
 
     async def serve(peer: Peer) -> None:
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             arrivals.append((time.monotonic(), head.split()[1][-16:]))
-            await peer.answer()
+            await peer.send_response()
 
     async def test() -> None:
-        shared = Back(add_and_total)
+        shared = ScriptedServer(add_and_total)
         address = f"127.0.0.1:{await shared.start()}"
         targets: list[dict[str, Any]] = []
         async with gateway_processes(
--- a/tests/test_node_gateway.py
+++ b/tests/test_node_gateway.py
@@ -17,7 +17,7 @@
 from martenstep.node.daemon import GatewayNode
 from martenstep.proxy.acceptor import MIN_AGE_TO_CLOSE_MS
 from tests.node_rig import endpoint_entry, raw_config, request
-from tests.socket_rig import Back, Peer, Script, run
+from tests.socket_rig import Peer, Script, ScriptedServer, run
 
 
 class InProcessGateway:
@@ -35,17 +35,17 @@
         """Send one request on a connection of its own; return status, head and body of its response."""
         peer = await self.connect()
         await peer.write(text)
-        answer = await peer.response()
+        answer = await peer.read_response()
         peer.close()
         return answer
 
 
 async def serve_list(peer: Peer, targets: list[dict[str, Any]]) -> None:
     """Send the full endpoint list once, and no change afterwards."""
-    await peer.head()
+    await peer.read_head()
     body = json.dumps({"rev": 1, "all": True, "targets": targets})
-    await peer.answer(body)
-    await peer.rest()
+    await peer.send_response(body)
+    await peer.read_to_end()
 
 
 async def serve_counter(peer: Peer) -> None:
@@ -59,9 +59,9 @@
 @contextlib.asynccontextmanager
 async def in_process_gateway(tmp_path: Path, *scripts: Script, **more: Any) -> AsyncIterator[InProcessGateway]:
     """Run a gateway in front of backends, one for each script."""
-    backs = [Back(script) for script in scripts]
+    backs = [ScriptedServer(script) for script in scripts]
     targets = [endpoint_entry(f"s-{number}", await back.start()) for number, back in enumerate(backs)]
-    agent, counter = Back(lambda peer: serve_list(peer, targets)), Back(serve_counter)
+    agent, counter = ScriptedServer(lambda peer: serve_list(peer, targets)), ScriptedServer(serve_counter)
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
@@ -90,19 +90,21 @@
 async def serve_echo(peer: Peer) -> None:
     """Answer each request with its own request line and body."""
     while True:
-        head = await peer.head()
+        head = await peer.read_head()
         length = next((int(line.split(":")[1]) for line in head.split("\r\n") if line.startswith("content-length")), 0)
         body = (await peer.read(length)).decode()
-        await peer.answer(f"{head.splitlines()[0]}|{body}", more="x-other: 1\r\nendpoint-load-metrics: noise\r\n")
+        await peer.send_response(
+            f"{head.splitlines()[0]}|{body}", extra_headers="x-other: 1\r\nendpoint-load-metrics: noise\r\n"
+        )
 
 
 def test_a_request_is_forwarded_and_its_response_relayed(tmp_path: Path) -> None:
     heads: list[str] = []
 
     async def records_head(peer: Peer) -> None:
-        heads.append(await peer.head())
-        await peer.answer("served")
-        await peer.rest()
+        heads.append(await peer.read_head())
+        await peer.send_response("served")
+        await peer.read_to_end()
 
     async def test() -> None:
         async with in_process_gateway(tmp_path, records_head) as gateway:
@@ -142,8 +144,8 @@
     heads: list[str] = []
 
     async def records_head(peer: Peer) -> None:
-        heads.append(await peer.head())
-        await peer.answer("served")
+        heads.append(await peer.read_head())
+        await peer.send_response("served")
 
     async def test() -> None:
         async with in_process_gateway(tmp_path, records_head) as gateway:
@@ -163,32 +165,32 @@
 
     async def sends_twice(peer: Peer) -> None:
         for turn in range(5):
-            await peer.head()
-            await peer.answer(f"answer {turn}")
-            await peer.answer(f"answer {turn}")
+            await peer.read_head()
+            await peer.send_response(f"answer {turn}")
+            await peer.send_response(f"answer {turn}")
 
     async def test() -> None:
         async with in_process_gateway(tmp_path, sends_twice) as gateway:
             peer = await gateway.connect()
             for number in range(4):
                 await peer.write(request(number))
-                assert (await peer.response())[2] == b"answer 0", "each request on a new connection"
+                assert (await peer.read_response())[2] == b"answer 0", "each request on a new connection"
 
     run(test())
 
 
 def test_a_response_above_the_size_limit_is_a_failed_attempt(tmp_path: Path) -> None:
     async def endless(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
         with contextlib.suppress(ConnectionError):
             while True:
                 await peer.write(b"10000\r\n" + b"x" * 65536 + b"\r\n")
 
     async def huge(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nxxx")
-        await peer.rest()
+        await peer.read_to_end()
 
     async def test() -> None:
         async with in_process_gateway(tmp_path, huge) as gateway:
@@ -198,8 +200,8 @@
         async with in_process_gateway(tmp_path, endless) as gateway:
             peer = await gateway.connect()
             await peer.write(request(2))
-            assert (await peer.head()).startswith("http/1.1 200")
-            assert not (await peer.rest()).endswith(b"0\r\n\r\n"), (
+            assert (await peer.read_head()).startswith("http/1.1 200")
+            assert not (await peer.read_to_end()).endswith(b"0\r\n\r\n"), (
                 "the client can detect that the response is incomplete"
             )
             assert gateway.node.server.counts["broken"] == 1
@@ -213,7 +215,7 @@
 
     async def large(peer: Peer) -> None:
         while True:
-            await peer.head()
+            await peer.read_head()
             size = sizes.pop(0)
             await peer.write(f"HTTP/1.1 200 OK\r\ncontent-length: {size}\r\n\r\n")
             await peer.write(b"x" * size)
@@ -230,10 +232,10 @@
 
 def test_interim_responses_are_skipped(tmp_path: Path) -> None:
     async def sends_interim_responses(peer: Peer) -> None:
-        await peer.head()
+        await peer.read_head()
         await peer.write("HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n")
-        await peer.answer("served")
-        await peer.rest()
+        await peer.send_response("served")
+        await peer.read_to_end()
 
     async def test() -> None:
         async with in_process_gateway(tmp_path, sends_interim_responses) as gateway:
@@ -247,7 +249,7 @@
         async with in_process_gateway(tmp_path, serve_echo) as gateway:
             open_peer = await gateway.connect()
             await open_peer.write(request(1))
-            assert (await open_peer.response())[0] == 200
+            assert (await open_peer.read_response())[0] == 200
             gateway.node.drain_plan = DrainPlan(100.0, 500.0, 1000.0)
             stopping = asyncio.create_task(gateway.node.stop())
             await asyncio.sleep(0)
@@ -258,9 +260,9 @@
             while listener.accepting:
                 await asyncio.sleep(0.001)
             await open_peer.write(request(3))
-            status, head, _ = await open_peer.response()
+            status, head, _ = await open_peer.read_response()
             assert status == 200 and "connection: close" in head
-            assert await open_peer.rest() == b""
+            assert await open_peer.read_to_end() == b""
             await stopping
 
     run(test())
@@ -272,7 +274,7 @@
             server, limit = gateway.node.server, gateway.node.config.listener.max_connections
             regular = await gateway.connect()
             await regular.write(request(1))
-            assert (await regular.response())[0] == 200
+            assert (await regular.read_response())[0] == 200
             silent = [await gateway.connect() for _ in range(limit - 1)]
             while len(server.clients) < limit:
                 await asyncio.sleep(0.001)
@@ -281,11 +283,11 @@
             active = [await gateway.connect() for _ in range(limit - 1)]
             for number, peer in enumerate(active):
                 await peer.write(request(10 + number))
-                assert (await peer.response())[0] == 200
+                assert (await peer.read_response())[0] == 200
             for peer in silent:
-                assert await peer.rest() == b""
+                assert await peer.read_to_end() == b""
             await regular.write(request(2))
-            assert (await regular.response())[0] == 200, "a connection that was served before is closed last"
+            assert (await regular.read_response())[0] == 200, "a connection that was served before is closed last"
             assert (await gateway.fetch(request(99)))[0] == 200, "even then an idle connection is closed to make room"
             assert server.counts["connections_closed_for_room"] == limit
             assert server.counts["connections_turned_away"] == 0
@@ -306,9 +308,9 @@
                 await asyncio.sleep(0.001)
             for client in gateway.node.server.state.new_clients:
                 client.waiting_since += 60_000.0
-            assert (await (await gateway.connect()).rest()).startswith(b"HTTP/1.1 503")
+            assert (await (await gateway.connect()).read_to_end()).startswith(b"HTTP/1.1 503")
             await peers[0].write(request(1))
-            assert (await peers[0].response())[0] == 200
+            assert (await peers[0].read_response())[0] == 200
             for peer in peers:
                 peer.close()
 
@@ -323,8 +325,8 @@
             for target, status in (("/_health", 200), ("/", 400)):
                 peer = await gateway.connect()
                 await peer.write(f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n")
-                assert (await peer.response())[0] == status
-                assert await peer.rest() == b""
+                assert (await peer.read_response())[0] == status
+                assert await peer.read_to_end() == b""
 
     run(test())
 
@@ -334,12 +336,12 @@
         heads: list[str] = []
 
         async def new_agent(peer: Peer) -> None:
-            heads.append(await peer.head())
-            await peer.answer(json.dumps({"rev": 1, "all": True, "targets": []}))
-            await peer.rest()
+            heads.append(await peer.read_head())
+            await peer.send_response(json.dumps({"rev": 1, "all": True, "targets": []}))
+            await peer.read_to_end()
 
         async with in_process_gateway(tmp_path, serve_echo) as gateway:
-            other = Back(new_agent)
+            other = ScriptedServer(new_agent)
             document = json.loads(gateway.path.read_text(encoding="utf-8"))
             gateway.path.write_text("{", encoding="utf-8")
             gateway.node.reload()
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -29,7 +29,7 @@
 from martenstep.node.discovery import DiscoveryClient
 from martenstep.node.poll_timing import DiscoveryTiming
 from tests.node_rig import SETTINGS, endpoint_entry, raw_config, request
-from tests.socket_rig import Back, Peer, Script, run
+from tests.socket_rig import Peer, Script, ScriptedServer, run
 from tests.test_node_gateway import serve_counter, serve_echo, serve_list
 
 TEST_TIMEOUT_S = 60.0
@@ -109,7 +109,7 @@
         """Send one request on a connection of its own; return status, head and body of its response."""
         peer = await self.connect()
         await peer.write(text)
-        answer = await peer.response()
+        answer = await peer.read_response()
         peer.close()
         return answer
 
@@ -124,7 +124,7 @@
     tmp_path: Path, count: int, agent: Script, *scripts: Script, **more: Any
 ) -> AsyncIterator[list[GatewayProcess]]:
     """Prepare `count` gateways, not started yet, with one agent script and one script for each backend."""
-    backs = [Back(script) for script in (agent, serve_counter, *scripts)]
+    backs = [ScriptedServer(script) for script in (agent, serve_counter, *scripts)]
     ports = [await back.start() for back in backs]
     gateways = []
     for number in range(count):
@@ -170,7 +170,7 @@
 
 async def silent_agent(peer: Peer) -> None:
     """Never answer, as an agent does while discovery is down."""
-    await peer.rest()
+    await peer.read_to_end()
 
 
 async def write_to(fifo: Path, text: str, before: Callable[[], None] = lambda: None) -> None:
@@ -190,9 +190,9 @@
     """Return an agent script that records the first poll of each connection and answers it with one list."""
 
     async def script(peer: Peer) -> None:
-        heads.append(await peer.head())
-        await peer.answer(json.dumps({"rev": 1, "all": True, "targets": targets}))
-        await peer.rest()
+        heads.append(await peer.read_head())
+        await peer.send_response(json.dumps({"rev": 1, "all": True, "targets": targets}))
+        await peer.read_to_end()
 
     return script
 
@@ -203,7 +203,7 @@
 
     async def test() -> None:
         heads: list[str] = []
-        new_agent = Back(recording_agent([], heads))
+        new_agent = ScriptedServer(recording_agent([], heads))
         async with gateway_processes(tmp_path, 1, silent_agent) as [gateway]:
             text, changed = gateway.path.read_text(encoding="utf-8"), tmp_path / "changed.json"
             other = {**json.loads(text), "discovery": f"127.0.0.1:{await new_agent.start()}"}
@@ -258,9 +258,9 @@
         polled = asyncio.Event()
 
         async def records_poll(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             polled.set()
-            await peer.rest()
+            await peer.read_to_end()
 
         async with gateway_processes(tmp_path, 1, records_poll) as [gateway]:
             await gateway.start()
@@ -284,21 +284,21 @@
         served_by: list[str] = []
 
         async def answers_after_gate(peer: Peer) -> None:
-            await peer.head()
+            await peer.read_head()
             polled.set()
             await gate.wait()
-            await peer.answer(json.dumps({"rev": 2, "all": True, "targets": [endpoint_entry("s-1", ports[1])]}))
-            await peer.rest()
+            await peer.send_response(json.dumps({"rev": 2, "all": True, "targets": [endpoint_entry("s-1", ports[1])]}))
+            await peer.read_to_end()
 
         def backend(name: str) -> Callable[[Peer], Awaitable[None]]:
             async def script(peer: Peer) -> None:
-                await peer.head()
+                await peer.read_head()
                 served_by.append(name)
-                await peer.answer(name)
+                await peer.send_response(name)
 
             return script
 
-        servers = [Back(answers_after_gate), Back(backend("s-0")), Back(backend("s-1"))]
+        servers = [ScriptedServer(answers_after_gate), ScriptedServer(backend("s-0")), ScriptedServer(backend("s-1"))]
         agent_port, *ports = [await back.start() for back in servers]
         [port] = held_ports(1)
         path = tmp_path / "config.json"
@@ -330,7 +330,7 @@
         assert await starting == port
         peer = Peer(*await asyncio.open_connection("127.0.0.1", port))
         await peer.write(request(1))
-        assert (await peer.response())[2] == b"s-1" and served_by == ["s-1"]
+        assert (await peer.read_response())[2] == b"s-1" and served_by == ["s-1"]
         peer.close()
         node.drain_plan = EMPTY_DRAIN_PLAN
         await node.stop()
@@ -349,13 +349,15 @@
 
         async def rejects(peer: Peer) -> None:
             while not gate.is_set():
-                rejected_polls.append(await peer.head())
-                await peer.answer("", "503 Service Unavailable")
-            await peer.head()
-            await peer.answer(json.dumps({"rev": 9, "all": True, "targets": [endpoint_entry("s-1", fresh_port)]}))
-            await peer.rest()
+                rejected_polls.append(await peer.read_head())
+                await peer.send_response("", "503 Service Unavailable")
+            await peer.read_head()
+            await peer.send_response(
+                json.dumps({"rev": 9, "all": True, "targets": [endpoint_entry("s-1", fresh_port)]})
+            )
+            await peer.read_to_end()
 
-        fresh = Back(serve_echo)
+        fresh = ScriptedServer(serve_echo)
         fresh_port = await fresh.start()
         async with gateway_processes(
             tmp_path, 1, rejects, serve_echo, settings={**settings_with_deadline(), "discovery": "subscribe"}
@@ -481,16 +483,16 @@
 
         async def answers_after_gate(peer: Peer) -> None:
             while True:
-                await peer.head()
+                await peer.read_head()
                 gates.append(asyncio.Event())
                 await gates[-1].wait()
-                await peer.answer("held")
+                await peer.send_response("held")
 
-        back = Back(answers_after_gate)
+        back = ScriptedServer(answers_after_gate)
         ports.append(await back.start())
         targets = [endpoint_entry("s-0", ports[0])]
         heads: list[str] = []
-        new_agent = Back(recording_agent(targets, heads))
+        new_agent = ScriptedServer(recording_agent(targets, heads))
         new_address = f"127.0.0.1:{await new_agent.start()}"
         async with gateway_processes(
             tmp_path, 3, lambda peer: serve_list(peer, targets), settings=settings_with_deadline(60_000.0)
@@ -501,7 +503,7 @@
                 gates.clear()
                 idle, busy = await gateway.connect(), await gateway.connect()
                 await idle.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-                assert (await idle.response())[0] == 200
+                assert (await idle.read_response())[0] == 200
                 await busy.write(request(number, X_Expires_In_Ms="60000"))
                 while not gates:
                     await asyncio.sleep(0.005)
@@ -515,11 +517,11 @@
                 while not heads:
                     await asyncio.sleep(0.005)
                 gates[0].set()
-                status, head, body = await busy.response()
+                status, head, body = await busy.read_response()
                 # On a starved machine the request is rejected at the end of the grace period.
                 clean = (status, body) == (200, b"held")
                 assert (clean or status == 503) and "connection: close" in head
-                assert await busy.rest() == b"" and await idle.rest() == b""
+                assert await busy.read_to_end() == b"" and await idle.read_to_end() == b""
                 assert await gateway.wait_for_exit() == 0 and gateway.lines[-1]["clean"] is clean
         back.stop()
         new_agent.stop()
@@ -562,10 +564,10 @@
         heads: list[str] = []
 
         async def records_head(peer: Peer) -> None:
-            heads.append(await peer.head())
-            await peer.answer("new")
+            heads.append(await peer.read_head())
+            await peer.send_response("new")
 
-        fresh = Back(records_head)
+        fresh = ScriptedServer(records_head)
         targets = [endpoint_entry("s-0", 1, state="draining"), endpoint_entry("s-new", await fresh.start())]
         async with gateway_processes(
             tmp_path, 1, silent_agent, serve_echo, discovery=f"127.0.0.1:{port}", limits={"sockets": sockets}
@@ -581,7 +583,7 @@
                 assert (await gateway.fetch(request(1, X_Plan="small")))[0] in (200, 503), (
                     "served, or rejected for lack of a connection"
                 )
-                back = Back(recording_agent(targets, []))
+                back = ScriptedServer(recording_agent(targets, []))
                 back._server = await asyncio.start_server(back._serve, "127.0.0.1", port)
                 await gateway.wait_for_event("discovery connection recovered")
                 while True:  # new connections of the same burst are not closed to make room for a while
--- a/tests/test_node_sites.py
+++ b/tests/test_node_sites.py
@@ -78,9 +78,9 @@
 
     async def serve(peer: Peer) -> None:
         while True:
-            head = await peer.head()
+            head = await peer.read_head()
             await peer.read(1 if head.startswith("post") else 0)
-            await peer.answer(head.split()[1])
+            await peer.send_response(head.split()[1])
 
     async def test() -> None:
         targets: list[dict[str, Any]] = []
@@ -124,7 +124,7 @@
     heads: list[str] = []
 
     async def resets_connection(peer: Peer) -> None:
-        heads.append(await peer.head())
+        heads.append(await peer.read_head())
         peer.reset()
 
     async def test() -> None:
