--- a/tests/engine_rig.py
+++ b/tests/engine_rig.py
@@ -1,4 +1,4 @@
-"""An engine in virtual time, and what it did."""
+"""Drives an engine in virtual time and records the actions that it returns."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_factory import make_engine
 
-DOOR = """
+SETTINGS = """
 name: "door-0" instance: 0 instances: 2 zone: "a" max_units: 4
 listener { answer_margin_ms: 0 }
 upstream { max_attempts: 3 connect_ms: 200 }
@@ -30,125 +30,125 @@
 route { name: "pay" path_prefix: "/pay/" class: "pay" customer_header: "x-customer" units: 2 }
 rules { answer_slack_ms: 8 }
 """
-START = 100_000.0
-A = TypeVar("A")
+START_MS = 100_000.0
+ActionT = TypeVar("ActionT")
 
 
-def settings(text: str = "") -> pb.Door:
-    """The usual door, or with settings merged in."""
-    door = parse_door(DOOR, "door.txtpb")
+def gateway_settings(text: str = "") -> pb.Door:
+    """SETTINGS parsed, with the settings in `text` merged in."""
+    gateway = parse_door(SETTINGS, "door.txtpb")
     if text:
         from google.protobuf import text_format
 
-        text_format.Merge(text, door)
-    return door
+        text_format.Merge(text, gateway)
+    return gateway
 
 
-def listed(
+def endpoint_list_event(
     *numbers: int, scope: EndpointListScope = EndpointListScope.FULL, state: EndpointState = EndpointState.UP
 ) -> EndpointListEvent:
-    """Servers by number, in two zones."""
-    servers = tuple(Endpoint(n, "a" if n % 2 else "b", "std", n % 2, state) for n in numbers)
-    return EndpointListEvent(scope, servers, {n: ("127.0.0.1", 9000 + n) for n in numbers})
+    """An update of the endpoint list: endpoints with odd numbers are in zone "a", the others in zone "b"."""
+    endpoints = tuple(Endpoint(n, "a" if n % 2 else "b", "std", n % 2, state) for n in numbers)
+    return EndpointListEvent(scope, endpoints, {n: ("127.0.0.1", 9000 + n) for n in numbers})
 
 
 class Rig:
-    """The engine, its clock and all actions so far."""
+    """An engine, its virtual clock and all actions that the engine has returned."""
 
     def __init__(
         self,
         text: str = "",
         servers: tuple[int, ...] = (1, 2, 3, 4),
         seed: int = 1,
-        shelf: ReleaseManager | None = None,
+        hook_releases: ReleaseManager | None = None,
     ) -> None:
-        self.engine = make_engine(settings(text), seed, shelf)
-        self.now = START
-        self.did: list[ev.Action] = []
+        self.engine = make_engine(gateway_settings(text), seed, hook_releases)
+        self.now = START_MS
+        self.actions: list[ev.Action] = []
         self._request_id = 0
-        self.tell(listed(*servers, scope=EndpointListScope.CACHED))
+        self.handle(endpoint_list_event(*servers, scope=EndpointListScope.CACHED))
 
-    def tell(self, event: ev.Event) -> list[ev.Action]:
-        """One event at the present time."""
+    def handle(self, event: ev.Event) -> list[ev.Action]:
+        """Pass one event to the engine at the current time."""
         actions = self.engine.handle(self.now, event)
-        self.did += actions
+        self.actions += actions
         return actions
 
     def pass_time(self, ms: float) -> list[ev.Action]:
-        """Let time pass; every timer fires at its own moment."""
+        """Advance the clock; each timer fires at the time for which it is scheduled."""
         until, out = self.now + ms, []
         while (at := self.engine.next_at()) is not None and at <= until:
             self.now = max(self.now, at)
-            out += self.tell(ev.Tick())
+            out += self.handle(ev.Tick())
         self.now = until
         return out
 
-    def ask(self, path: str = "/read/1", customer: str = "free", method: str = "GET", **headers: str) -> int:
-        """A client request; gives its request_id."""
+    def send(self, path: str = "/read/1", customer: str = "free", method: str = "GET", **headers: str) -> int:
+        """Pass the head of a client request to the engine; returns the request's id."""
         self._request_id += 1
-        told = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
-        told.append((b"x-customer", customer.encode()))
-        self.tell(ev.RequestReceived(self._request_id, method.encode(), path.encode(), told, "10.0.0.1"))
+        sent = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
+        sent.append((b"x-customer", customer.encode()))
+        self.handle(ev.RequestReceived(self._request_id, method.encode(), path.encode(), sent, "10.0.0.1"))
         return self._request_id
 
-    def of(self, kind: type[A], request_id: int | None = None) -> list[A]:
-        """All actions of a kind so far, of one request or of all."""
+    def actions_of(self, kind: type[ActionT], request_id: int | None = None) -> list[ActionT]:
+        """All actions of a type so far, of one request or of all."""
         return [
             action
-            for action in self.did
+            for action in self.actions
             if isinstance(action, kind)
             and (request_id is None or getattr(action, "request_id", request_id) == request_id)
         ]
 
-    def opened(self, request_id: int) -> ev.OpenAttempt:
+    def last_attempt(self, request_id: int) -> ev.OpenAttempt:
         """The last attempt of a request."""
-        return self.of(ev.OpenAttempt, request_id)[-1]
+        return self.actions_of(ev.OpenAttempt, request_id)[-1]
 
     def write(self, request_id: int) -> None:
-        """The last attempt's first bytes are written."""
-        self.tell(ev.AttemptWritten(request_id, self.opened(request_id).attempt))
+        """Report that the first bytes of the last attempt are being written."""
+        self.handle(ev.AttemptWritten(request_id, self.last_attempt(request_id).attempt))
 
     def serve(self, request_id: int, status: int = 200, headers: ev.Headers | None = None) -> list[ev.Action]:
-        """The last attempt is written and answered whole."""
-        number = self.opened(request_id).attempt
+        """Report that the last attempt was written and has a complete response."""
+        number = self.last_attempt(request_id).attempt
         self.write(request_id)
-        out = self.tell(ev.ResponseHeadReceived(request_id, number, status, headers or []))
-        return out + self.tell(ev.ResponseCompleted(request_id, number))
+        out = self.handle(ev.ResponseHeadReceived(request_id, number, status, headers or []))
+        return out + self.handle(ev.ResponseCompleted(request_id, number))
 
-    def end(self, request_id: int, how: ev.AttemptFailure, written: bool = True) -> list[ev.Action]:
-        """The last attempt ends without an answer."""
+    def fail_attempt(self, request_id: int, failure: ev.AttemptFailure, written: bool = True) -> list[ev.Action]:
+        """Report that the last attempt ended without a complete response."""
         if written:
             self.write(request_id)
-        return self.tell(ev.AttemptFailed(request_id, self.opened(request_id).attempt, how))
+        return self.handle(ev.AttemptFailed(request_id, self.last_attempt(request_id).attempt, failure))
 
-    def count_all(self, total: float) -> None:
-        """The store answers every Add that is out, and those that follow."""
+    def answer_counter_calls(self, total: float) -> None:
+        """Reply with `total` to each counter call so far, and to those that the engine makes in response."""
         answered: set[int] = set()
-        while todo := [add.call_id for add in self.of(ev.AddToCounter) if add.call_id not in answered]:
-            answered.add(todo[0])
-            self.tell(ev.CounterReplied(todo[0], CallResult.OK, total))
+        while pending := [call.call_id for call in self.actions_of(ev.AddToCounter) if call.call_id not in answered]:
+            answered.add(pending[0])
+            self.handle(ev.CounterReplied(pending[0], CallResult.OK, total))
 
-    def finals(self, request_id: int) -> list[ev.SendLocalReply | ev.RelayResponse | ev.ResetClientConnection]:
-        """The final answers of a request: there must be one."""
+    def responses(self, request_id: int) -> list[ev.SendLocalReply | ev.RelayResponse | ev.ResetClientConnection]:
+        """The final responses of a request, from the gateway or from an endpoint."""
         return [
             action
-            for action in self.did
+            for action in self.actions
             if isinstance(action, ev.SendLocalReply | ev.RelayResponse) and action.request_id == request_id
         ]
 
     def reply(self, request_id: int) -> ev.SendLocalReply:
-        """The door's own answer to a request."""
-        [found] = self.of(ev.SendLocalReply, request_id)
+        """The gateway's own response to a request; fails unless there is exactly one."""
+        [found] = self.actions_of(ev.SendLocalReply, request_id)
         return found
 
-    def quiet(self) -> dict[str, int]:
-        """What is still kept when all is quiet, but for timers and servers."""
+    def held(self) -> dict[str, int]:
+        """The numbers of requests and calls that the engine holds; timers and endpoints are not among them."""
         return {name: self.engine.held_counts[name] for name in ("exchanges", "calls", "open")}
 
 
-QUIET = {"exchanges": 0, "calls": 0, "open": 0}
+NOTHING_HELD = {"exchanges": 0, "calls": 0, "open": 0}
 
 
-def head(action: ev.SendLocalReply | ev.RelayResponse | ev.OpenAttempt, name: str) -> str | None:
-    """A header of an action."""
+def header(action: ev.SendLocalReply | ev.RelayResponse | ev.OpenAttempt, name: str) -> str | None:
+    """The value of an action's first header with a name; None if there is none."""
     return next((value.decode() for key, value in action.headers if key == name.encode()), None)
--- a/tests/hook_rig.py
+++ b/tests/hook_rig.py
@@ -48,7 +48,7 @@
             begin_deadline=begin_deadline,
         )
         self.hook_releases.replace_releases(releases)
-        super().__init__('hooks { directory: "hooks" } ' + text, servers, shelf=self.hook_releases)
+        super().__init__('hooks { directory: "hooks" } ' + text, servers, hook_releases=self.hook_releases)
 
     def events(self) -> list[str]:
         """The names of the logged events."""
--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -16,7 +16,7 @@
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine_factory import make_engine, make_server
 from martenstep.proxy.server import ProxyServer
-from tests.engine_rig import settings
+from tests.engine_rig import gateway_settings
 
 BOUND_S = 15.0
 LONG_S = 120.0  # for what waits for elections and the filling of copies, on a machine that does much else
@@ -152,7 +152,7 @@
     """A door in front of servers, one for each script."""
     backs = [Back(script) for script in scripts]
     notes: list[tuple[str, dict[str, Any]]] = []
-    door = settings(text)
+    door = gateway_settings(text)
     door.ClearField("store")
     driver = make_server(door, make_engine(door, 1), lambda event, fields: notes.append((event, fields)))
     numbers = [await back.start() for back in backs] + list(ports)
--- a/tests/test_auth_proxy.py
+++ b/tests/test_auth_proxy.py
@@ -13,7 +13,7 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
-from tests.engine_rig import DOOR, QUIET, Rig, head
+from tests.engine_rig import NOTHING_HELD, SETTINGS, Rig, header
 from tests.socket_rig import Back, House, Peer, Script, get, house, run
 
 AUTH = """
@@ -34,18 +34,18 @@
         super().__init__(AUTH + more)
 
     def asked(self) -> ev.StartAuthCheck:
-        return self.of(ev.StartAuthCheck)[-1]
+        return self.actions_of(ev.StartAuthCheck)[-1]
 
     def verdict(self, status: int = 200, headers: ev.Headers | None = None, body: bytes = b"") -> list[ev.Action]:
         told = self.asked()
-        return self.tell(
+        return self.handle(
             ev.AuthCheckReplied(told.check_id, told.attempt, status, YES if headers is None else headers, body)
         )
 
 
 def test_nothing_goes_to_a_server_without_a_verdict_and_identity_is_the_services() -> None:
     rig = Door()
-    request_id = rig.ask(
+    request_id = rig.send(
         "/safe/1",
         authorization="Bearer t",
         cookie="c=1",
@@ -54,147 +54,148 @@
         x_forwarded_uri="/else",
         accept="image/*",
     )
-    assert not rig.of(ev.OpenAttempt) and not rig.of(ev.AddToCounter)
+    assert not rig.actions_of(ev.OpenAttempt) and not rig.actions_of(ev.AddToCounter)
     asked = rig.asked()
     told = dict(asked.headers)
     assert asked.target == b"/auth" and told[b"authorization"] == b"Bearer t" and told[b"cookie"] == b"c=1"
     assert told[b"x-forwarded-uri"] == b"/safe/1" and told[b"x-forwarded-method"] == b"GET"
     assert told[b"x-forwarded-for"] == b"10.0.0.1" and b"accept" not in told and b"x-auth-customer" not in told
     rig.verdict()
-    assert rig.of(ev.AddToCounter)  # anna's plan has a quota: the module decides on her
-    rig.count_all(1.0)
-    sent = rig.opened(request_id)
+    assert rig.actions_of(ev.AddToCounter)  # anna's plan has a quota: the module decides on her
+    rig.answer_counter_calls(1.0)
+    sent = rig.last_attempt(request_id)
     names = [(name, value) for name, value in sent.headers if name in (b"x-auth-customer", b"x-role", b"x-secret")]
     assert names == [(b"x-auth-customer", b"anna"), (b"x-role", b"owner")]  # by the allow list, and only the service's
     rig.serve(request_id)
-    assert len(rig.finals(request_id)) == 1 and rig.quiet() == QUIET and rig.engine.held_counts["auth_passed"] == 0
+    assert len(rig.responses(request_id)) == 1
+    assert rig.held() == NOTHING_HELD and rig.engine.held_counts["auth_passed"] == 0
 
 
 def test_underscored_twins_of_identity_headers_do_not_pass() -> None:
     rig = Door()
     request_id = rig._request_id = 1
-    rig.tell(ev.RequestReceived(1, b"GET", b"/safe/1", [(b"x_auth_customer", b"eve"), (b"x_role", b"admin")]))
+    rig.handle(ev.RequestReceived(1, b"GET", b"/safe/1", [(b"x_auth_customer", b"eve"), (b"x_role", b"admin")]))
     rig.verdict(headers=[(b"x-auth-customer", b"free")])
-    assert head(rig.opened(request_id), "x_auth_customer") is None and head(rig.opened(request_id), "x_role") is None
+    sent = rig.last_attempt(request_id)
+    assert header(sent, "x_auth_customer") is None and header(sent, "x_role") is None
 
 
 def test_anything_but_2xx_is_the_clients_answer() -> None:
     rig = Door()
-    request_id = rig.ask("/safe/1", authorization="bad")
+    request_id = rig.send("/safe/1", authorization="bad")
     rig.verdict(401, [(b"www-authenticate", b"Bearer"), (b"server", b"x")], b"log in")
     reply = rig.reply(request_id)
     assert (reply.status, reply.body) == (401, b"log in")
-    assert head(reply, "www-authenticate") == "Bearer" and head(reply, "server") is None
-    redirected = rig.ask("/safe/1", authorization="none")
+    assert header(reply, "www-authenticate") == "Bearer" and header(reply, "server") is None
+    redirected = rig.send("/safe/1", authorization="none")
     rig.verdict(302, [(b"location", b"/login")])
-    assert rig.reply(redirected).status == 302 and head(rig.reply(redirected), "location") == "/login"
-    assert not rig.of(ev.OpenAttempt) and not rig.of(ev.AddToCounter) and rig.quiet() == QUIET
+    assert rig.reply(redirected).status == 302 and header(rig.reply(redirected), "location") == "/login"
+    assert not rig.actions_of(ev.OpenAttempt) and not rig.actions_of(ev.AddToCounter) and rig.held() == NOTHING_HELD
 
 
 def test_a_check_that_eats_its_part_of_the_time_is_answered_with_the_true_reason_and_uncharged() -> None:
     rig = Door("auth { attempt_ms: 5000 }")
-    request_id = rig.ask("/safe/1", x_deadline_ms="1500", authorization="t")
+    request_id = rig.send("/safe/1", x_deadline_ms="1500", authorization="t")
     rig.pass_time(749)
-    assert not rig.finals(request_id)
+    assert not rig.responses(request_id)
     rig.pass_time(1)
     reply = rig.reply(request_id)
-    assert reply.status == 503 and json.loads(reply.body)["reason"] == "check late" and head(reply, "retry-after")
+    assert reply.status == 503 and json.loads(reply.body)["reason"] == "check late" and header(reply, "retry-after")
     rig.pass_time(650)  # 1.4 s of 1.5: too late, and nobody's
     rig.verdict()
     assert (
-        not rig.of(ev.OpenAttempt)
-        and not rig.of(ev.AddToCounter)
-        and len(rig.finals(request_id)) == 1
-        and rig.quiet() == QUIET
+        not rig.actions_of(ev.OpenAttempt)
+        and not rig.actions_of(ev.AddToCounter)
+        and len(rig.responses(request_id)) == 1
+        and rig.held() == NOTHING_HELD
     )
 
 
 def test_a_service_that_fails_is_followed_by_another_then_the_route_fails_closed_or_open() -> None:
     rig = Door()
-    closed, opened = rig.ask("/safe/1", authorization="a"), rig.ask("/loose/1", authorization="b")
+    closed, opened = rig.send("/safe/1", authorization="a"), rig.send("/loose/1", authorization="b")
     for _ in range(2):
-        for asked in rig.of(ev.StartAuthCheck)[-2:]:
-            rig.tell(ev.AuthCheckFailed(asked.check_id, asked.attempt))
-    assert len(rig.of(ev.StartAuthCheck)) == 4 and {asked.address[1] for asked in rig.of(ev.StartAuthCheck)} == {
-        7001,
-        7002,
-    }
+        for asked in rig.actions_of(ev.StartAuthCheck)[-2:]:
+            rig.handle(ev.AuthCheckFailed(asked.check_id, asked.attempt))
+    checks = rig.actions_of(ev.StartAuthCheck)
+    assert len(checks) == 4 and {asked.address[1] for asked in checks} == {7001, 7002}
     assert json.loads(rig.reply(closed).body)["reason"] == "check failed"
-    rig.count_all(1.0)
-    assert rig.opened(opened) and head(rig.opened(opened), "x-auth-customer") is None
+    rig.answer_counter_calls(1.0)
+    assert rig.last_attempt(opened) and header(rig.last_attempt(opened), "x-auth-customer") is None
 
 
 def test_a_5xx_of_the_service_is_no_verdict() -> None:
     rig = Door()
-    request_id = rig.ask("/safe/1")
+    request_id = rig.send("/safe/1")
     rig.verdict(500, [])
-    assert not rig.finals(request_id) and len(rig.of(ev.StartAuthCheck)) == 2
+    assert not rig.responses(request_id) and len(rig.actions_of(ev.StartAuthCheck)) == 2
     rig.verdict()
-    rig.count_all(1.0)
-    assert rig.opened(request_id)
+    rig.answer_counter_calls(1.0)
+    assert rig.last_attempt(request_id)
 
 
 def test_an_unknown_plan_in_the_answer_fails_rather_than_passes() -> None:
     rig = Door()
-    request_id = rig.ask("/safe/1")
+    request_id = rig.send("/safe/1")
     rig.verdict(200, [(b"x-auth-customer", b"anna"), (b"x-auth-plan", b"gold")])
-    assert rig.reply(request_id).status == 502 and not rig.of(ev.OpenAttempt)
-    nobody = rig.ask("/safe/1", authorization="x")
+    assert rig.reply(request_id).status == 502 and not rig.actions_of(ev.OpenAttempt)
+    nobody = rig.send("/safe/1", authorization="x")
     rig.verdict(200, [])
     assert rig.reply(nobody).status == 403
 
 
 def test_a_credential_revoked_while_the_counter_is_asked_is_not_sent_on() -> None:
     rig = Door()
-    waits = rig.ask("/safe/1", authorization="t")
+    waits = rig.send("/safe/1", authorization="t")
     rig.verdict()  # let pass; the counter is asked
-    assert rig.of(ev.AddToCounter) and not rig.of(ev.OpenAttempt)
-    rig.ask("/safe/2", authorization="t")
+    assert rig.actions_of(ev.AddToCounter) and not rig.actions_of(ev.OpenAttempt)
+    rig.send("/safe/2", authorization="t")
     rig.verdict(403, [], b"revoked")
     assert rig.reply(waits).status == 403
-    rig.count_all(1.0)
-    assert not rig.of(ev.OpenAttempt) and rig.quiet() == QUIET
+    rig.answer_counter_calls(1.0)
+    assert not rig.actions_of(ev.OpenAttempt) and rig.held() == NOTHING_HELD
 
 
 def test_the_client_leaves_while_its_check_is_out() -> None:
     rig = Door()
-    request_id = rig.ask("/safe/1")
-    rig.tell(ev.ClientDisconnected(request_id))
-    assert rig.of(ev.StopAuthCheck) and rig.quiet() == QUIET and rig.engine.held_counts["auth_checks"] == 0
+    request_id = rig.send("/safe/1")
+    rig.handle(ev.ClientDisconnected(request_id))
+    assert rig.actions_of(ev.StopAuthCheck)
+    assert rig.held() == NOTHING_HELD and rig.engine.held_counts["auth_checks"] == 0
     rig.verdict()
-    assert not rig.finals(request_id) and not rig.of(ev.OpenAttempt)
+    assert not rig.responses(request_id) and not rig.actions_of(ev.OpenAttempt)
 
 
 def test_a_stampede_asks_once_and_is_answered_each_once() -> None:
     rig = Door("listener { max_open: 9000 }")
-    request_ids = [rig.ask("/safe/1", authorization="same") for _ in range(5000)]
-    assert len(rig.of(ev.StartAuthCheck)) == 1
+    request_ids = [rig.send("/safe/1", authorization="same") for _ in range(5000)]
+    assert len(rig.actions_of(ev.StartAuthCheck)) == 1
     rig.verdict(200, [(b"x-auth-customer", b"anna")])
-    rig.count_all(1000.0)
+    rig.answer_counter_calls(1000.0)
     rig.pass_time(10_000)
-    assert all(len(rig.finals(request_id)) == 1 for request_id in request_ids[::50]) and rig.quiet() == QUIET
-    assert len(rig.of(ev.SendLocalReply)) + len(rig.of(ev.RelayResponse)) == 5000
+    assert all(len(rig.responses(request_id)) == 1 for request_id in request_ids[::50]) and rig.held() == NOTHING_HELD
+    assert len(rig.actions_of(ev.SendLocalReply)) + len(rig.actions_of(ev.RelayResponse)) == 5000
 
 
 def test_where_too_many_wait_the_largest_plan_gives_way() -> None:
     rig = Door("auth { waiting: 6 total: 1 per_service: 1 }")
     for plan, customers in (("plain", ("p1", "p2")), ("open", ("o1", "o2", "o3", "o4", "o5", "o6"))):
         for customer in customers:  # each credential's plan is learnt by a first verdict
-            rig.ask("/safe/1", authorization=customer)
+            rig.send("/safe/1", authorization=customer)
             rig.verdict(200, [(b"x-auth-customer", customer.encode()), (b"x-auth-plan", plan.encode())])
-            rig.count_all(1.0)
-    rig.ask("/safe/1", authorization="first")  # the one check that may be out
-    waits = {name: rig.ask("/safe/2", authorization=name) for name in ("p1", "p2", "o1", "o2", "o3", "o4", "o5", "o6")}
-    shed = {name for name, request_id in waits.items() if rig.finals(request_id)}
+            rig.answer_counter_calls(1.0)
+    rig.send("/safe/1", authorization="first")  # the one check that may be out
+    waits = {name: rig.send("/safe/2", authorization=name) for name in ("p1", "p2", "o1", "o2", "o3", "o4", "o5", "o6")}
+    shed = {name for name, request_id in waits.items() if rig.responses(request_id)}
     assert shed == {"o1", "o2"} and all(b"check shed" in rig.reply(waits[name]).body for name in shed)
 
 
 def test_an_unsafe_request_is_checked_once_for_all_its_attempts() -> None:
     rig = Door()
-    request_id = rig.ask("/bill/1", authorization="t")
+    request_id = rig.send("/bill/1", authorization="t")
     rig.verdict(200, [(b"x-auth-customer", b"free")])
-    rig.end(request_id, AttemptFailure.NOT_CONNECTED, written=False)
-    assert len(rig.of(ev.OpenAttempt, request_id)) == 2 and len(rig.of(ev.StartAuthCheck)) == 1
+    rig.fail_attempt(request_id, AttemptFailure.NOT_CONNECTED, written=False)
+    assert len(rig.actions_of(ev.OpenAttempt, request_id)) == 2 and len(rig.actions_of(ev.StartAuthCheck)) == 1
 
 
 @pytest.mark.parametrize(
@@ -209,7 +210,7 @@
 )
 def test_settings_are_checked(text: str, told: str) -> None:
     with pytest.raises(SettingsError, match=told):
-        parse_door(DOOR + text, "d")
+        parse_door(SETTINGS + text, "d")
 
 
 # On sockets -----------------------------------------------------------------------------------------------
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner, Result
 
 from martenstep.cli.main import cli
-from tests.engine_rig import DOOR
+from tests.engine_rig import SETTINGS
 
 
 def call(*words: str) -> Result:
@@ -55,8 +55,8 @@
 
 def test_settings_are_checked_and_all_faults_told(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.txtpb", tmp_path / "bad.txtpb"
-    good.write_text(DOOR)
-    bad.write_text(DOOR.replace("port: 1", "port: 0").replace('zone: "a"', ""))
+    good.write_text(SETTINGS)
+    bad.write_text(SETTINGS.replace("port: 1", "port: 0").replace('zone: "a"', ""))
     assert call("config", "check", str(good)).exit_code == 0
     done = call("config", "check", str(good), str(bad))
     assert done.exit_code == 2
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,7 +17,7 @@
 from martenstep.config.policy_settings import build_policy_settings, customer_id
 from martenstep.config.text_format import SettingsError
 from martenstep.policy.messages import DeduplicationScope, Idempotency
-from tests.engine_rig import DOOR
+from tests.engine_rig import SETTINGS
 
 
 def faults(text: str) -> list[str]:
@@ -33,7 +33,7 @@
 
 
 def test_settings_become_the_modules() -> None:
-    told = build_policy_settings(parse_door(DOOR, "d"))
+    told = build_policy_settings(parse_door(SETTINGS, "d"))
     assert (told.instance, told.instances, told.max_attempts, told.has_counter) == (0, 2, 3, True)
     write = told.classes[1]
     assert (write.idempotency, write.deduplication_scope, write.deduplication_window_ms) == (
@@ -229,14 +229,14 @@
     ],
 )
 def test_each_fault_is_told_in_one_line(old: str, new: str, mark: str, told: str) -> None:
-    assert DOOR.count(old) == 1
-    text = DOOR.replace(old, new)
+    assert SETTINGS.count(old) == 1
+    text = SETTINGS.replace(old, new)
     assert faults(text) == [f"d:{at(text, mark)}: {told}"]
 
 
 def test_all_faults_are_told_not_just_the_first() -> None:
     text = (
-        DOOR.replace('zone: "a"', "zone: 1")
+        SETTINGS.replace('zone: "a"', "zone: 1")
         .replace("port: 1 timeout", "prot: 1 timeout")
         .replace("deadline_ms: 4000 effect: UNSAFE", 'deadline_ms: "long" effect: UNSAFE')
     )
@@ -255,12 +255,12 @@
 
 
 def test_what_the_program_writes_it_reads() -> None:
-    door = parse_door(DOOR, "d")
+    door = parse_door(SETTINGS, "d")
     assert parse_door(text_format.MessageToString(door), "d") == door
 
 
 def test_comments_lists_and_the_other_forms_of_text_format_are_read() -> None:
-    text = DOOR.replace("upstream {", "upstream < # comment }\n error_status: [500,\n 502] error_status: 0x1F6;")
+    text = SETTINGS.replace("upstream {", "upstream < # comment }\n error_status: [500,\n 502] error_status: 0x1F6;")
     text = text.replace("connect_ms: 200 }", "connect_ms: 2e2 >").replace('"door-0"', "'door' \"-0\"")
     door = parse_door(text, "d")
     assert list(door.upstream.error_status) == [500, 502, 502] and door.upstream.connect_ms == 200.0
@@ -275,11 +275,11 @@
     assert all(line.startswith("d:") for line in str(caught.value).split("\n"))
 
 
-@given(st.sampled_from(DOOR.split()), st.sampled_from(["", "}", "{", '"', "-1", "1e400", "nan", "[", "x: 1"]))
+@given(st.sampled_from(SETTINGS.split()), st.sampled_from(["", "}", "{", '"', "-1", "1e400", "nan", "[", "x: 1"]))
 @hypo(max_examples=300, deadline=None, derandomize=True)
 def test_no_damage_to_a_good_file_brings_it_down(word: str, other: str) -> None:
     try:
-        door = parse_door(DOOR.replace(word, other), "d")
+        door = parse_door(SETTINGS.replace(word, other), "d")
     except SettingsError as error:
         assert error.problems
     else:
--- a/tests/test_config_changes.py
+++ b/tests/test_config_changes.py
@@ -9,7 +9,7 @@
 
 from martenstep.config import door_pb2 as pb
 from martenstep.config.changes import LIVE, PARTS, differences
-from tests.engine_rig import settings
+from tests.engine_rig import gateway_settings
 
 
 def fields(descriptor: Any = pb.Door.DESCRIPTOR, prefix: str = "") -> list[tuple[str, Any]]:
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize(("path", "field"), fields(), ids=[path for path, _ in fields()])
 def test_a_change_of_any_field_is_named(path: str, field: Any) -> None:
-    before, after = settings("hooks {}"), settings("hooks {}")
+    before, after = gateway_settings("hooks {}"), gateway_settings("hooks {}")
     change(after, path, field)
     found = differences(before, after)
     if not field.is_repeated and field.message_type is not None:
@@ -69,8 +69,8 @@
 
 
 def test_entries_of_lists_are_named_and_secrets_are_not() -> None:
-    before = settings("forward_auth { secret: 'one' }")
-    after = settings("forward_auth { secret: 'two' } customer { key: 'new' plan: 'open' }")
+    before = gateway_settings("forward_auth { secret: 'one' }")
+    after = gateway_settings("forward_auth { secret: 'two' } customer { key: 'new' plan: 'open' }")
     after.customer[0].plan = "open"
     told = {one.path: one.describe() for one in differences(before, after)}
     assert told["customer"] == "customer: 2 entries ('anna') -> 3 entries ('new', 'anna')"
@@ -78,7 +78,7 @@
 
 
 def test_the_order_of_routes_is_a_difference() -> None:
-    before, after = settings(), settings()
+    before, after = gateway_settings(), gateway_settings()
     first = pb.Route()
     first.CopyFrom(after.route[0])
     del after.route[0]
--- a/tests/test_counter_shards.py
+++ b/tests/test_counter_shards.py
@@ -18,7 +18,7 @@
 from martenstep.counter.shards import ShardedClient, owning_service
 from martenstep.counter.state import CounterLimits
 from martenstep.policy.messages import CallResult
-from tests.engine_rig import DOOR
+from tests.engine_rig import SETTINGS
 from tests.socket_rig import run
 from tests.test_counter_service import served
 
@@ -104,7 +104,7 @@
 
 
 def test_the_settings_of_several_services_are_checked() -> None:
-    base = DOOR.replace("store { port: 1 timeout_ms: 50 }", 'counter { journal: "/tmp/j" SERVICES }')
+    base = SETTINGS.replace("store { port: 1 timeout_ms: 50 }", 'counter { journal: "/tmp/j" SERVICES }')
     good = 'service { name: "a" port: 1 } service { name: "b" port: 2 }'
     assert len(parse_door(base.replace("SERVICES", good), "d").counter.service) == 2
     copies = parse_door(base.replace("SERVICES", 'service { name: "a" copy { port: 1 } copy { port: 2 } }'), "d")
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -9,7 +9,7 @@
 from martenstep.policy.messages import CallResult, EndpointListScope, EndpointState
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
-from tests.engine_rig import QUIET, Rig, listed
+from tests.engine_rig import NOTHING_HELD, Rig, endpoint_list_event
 from tests.test_auth_proxy import Door as Guarded
 
 PATHS = ("/read/1", "/write/free/1", "/pay/1")
@@ -31,7 +31,7 @@
 
     def _look(self) -> None:
         """Carry out what the engine did, and check each step of it."""
-        for action in self.rig.did[self.seen :]:
+        for action in self.rig.actions[self.seen :]:
             match action:
                 case ev.OpenAttempt(request_id=request_id, attempt=number):
                     assert request_id not in self.over, "an attempt after the final answer"
@@ -51,7 +51,7 @@
                     assert request_id in self.begun
                 case ev.AddToCounter(call_id=call):
                     self.calls.append(call)
-        self.seen = len(self.rig.did)
+        self.seen = len(self.rig.actions)
 
     @rule(
         path=st.sampled_from(PATHS),
@@ -59,7 +59,7 @@
         deadline=st.sampled_from(("50", "400", "4000")),
     )
     def arrive(self, path: str, customer: str, deadline: str) -> None:
-        self.request_ids.append(self.rig.ask(path, customer, "POST", x_deadline_ms=deadline))
+        self.request_ids.append(self.rig.send(path, customer, "POST", x_deadline_ms=deadline))
         self._look()
 
     @precondition(lambda self: self.out)
@@ -68,8 +68,8 @@
         request_id = data.draw(st.sampled_from(sorted(self.out)))
         number = self.out.pop(request_id)
         if how not in (AttemptFailure.NOT_CONNECTED, AttemptFailure.CONNECTION_LIMIT, AttemptFailure.NOT_WRITTEN):
-            self.rig.tell(ev.AttemptWritten(request_id, number))
-        self.rig.tell(ev.AttemptFailed(request_id, number, how))
+            self.rig.handle(ev.AttemptWritten(request_id, number))
+        self.rig.handle(ev.AttemptFailed(request_id, number, how))
         self._look()
 
     @precondition(lambda self: self.out)
@@ -83,9 +83,9 @@
     def answer(self, data: st.DataObject, status: int, refused: bool, begins: bool, ends: bool) -> None:
         request_id = data.draw(st.sampled_from(sorted(self.out)))
         number = self.out[request_id]
-        self.rig.tell(ev.AttemptWritten(request_id, number))
+        self.rig.handle(ev.AttemptWritten(request_id, number))
         if request_id not in self.begun:
-            self.rig.tell(
+            self.rig.handle(
                 ev.ResponseHeadReceived(request_id, number, status, [(b"x-not-run", b"1")] if refused else [])
             )
             self._look()
@@ -93,17 +93,17 @@
             return  # it was no answer to pass on
         if begins and request_id not in self.begun and request_id not in self.left:
             self.begun.add(request_id)
-            self.rig.tell(ev.ResponseBufferExceeded(request_id, number))
+            self.rig.handle(ev.ResponseBufferExceeded(request_id, number))
         if ends:
             del self.out[request_id]
-            self.rig.tell(ev.ResponseCompleted(request_id, number))
+            self.rig.handle(ev.ResponseCompleted(request_id, number))
         self._look()
 
     @precondition(lambda self: self.request_ids)
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
         request_id = data.draw(st.sampled_from(self.request_ids))
-        self.rig.tell(ev.ClientDisconnected(request_id))
+        self.rig.handle(ev.ClientDisconnected(request_id))
         self.left.add(request_id)
         self._look()
 
@@ -115,7 +115,7 @@
     )
     def count(self, data: st.DataObject, verdict: CallResult, total: float) -> None:
         call = data.draw(st.sampled_from(self.calls))  # an old one as well: a late or doubled reply
-        self.rig.tell(ev.CounterReplied(call, verdict, total))
+        self.rig.handle(ev.CounterReplied(call, verdict, total))
         self._look()
 
     @rule(ms=st.sampled_from((1.0, 30.0, 300.0, 5000.0)))
@@ -129,7 +129,7 @@
         scope=st.sampled_from((EndpointListScope.FULL, EndpointListScope.DELTA, EndpointListScope.LOST)),
     )
     def list_changes(self, numbers: set[int], state: EndpointState, scope: EndpointListScope) -> None:
-        self.rig.tell(listed(*sorted(numbers), scope=scope, state=state))
+        self.rig.handle(endpoint_list_event(*sorted(numbers), scope=scope, state=state))
         self._look()
 
     @invariant()
@@ -141,11 +141,11 @@
     def teardown(self) -> None:
         for request_id, number in list(self.out.items()):
             if request_id in self.begun:
-                self.rig.tell(ev.ResponseCompleted(request_id, number))
+                self.rig.handle(ev.ResponseCompleted(request_id, number))
                 del self.out[request_id]
         self.rig.pass_time(20_000)
         self._look()
-        assert self.rig.quiet() == QUIET
+        assert self.rig.held() == NOTHING_HELD
         for request_id in self.request_ids:
             assert request_id in self.over or request_id in self.left, "a request without its final answer"
         assert not self.out
@@ -167,7 +167,7 @@
         self.given: set[str] = set()  # credentials with a positive verdict
 
     def _look(self) -> None:
-        for action in self.rig.did[self.seen :]:
+        for action in self.rig.actions[self.seen :]:
             match action:
                 case ev.StartAuthCheck(check_id=check, attempt=attempt):
                     assert check not in self.checks, "two attempts of one check"
@@ -186,7 +186,7 @@
     def arrive_guarded(self, path: str, who: str, deadline: str) -> None:
         if path != "/loose/1":
             self.credential[self.rig._request_id + 1] = who
-        self.request_ids.append(self.rig.ask(path, method="POST", authorization=who, x_deadline_ms=deadline))
+        self.request_ids.append(self.rig.send(path, method="POST", authorization=who, x_deadline_ms=deadline))
         self._look()
 
     @precondition(lambda self: self.checks)
@@ -194,15 +194,15 @@
     def verdict(self, data: st.DataObject, status: int, keep: bool, fails: bool) -> None:
         check = data.draw(st.sampled_from(sorted(self.checks)))
         attempt = self.checks.pop(check)
-        asked = next(ask for ask in self.rig.of(ev.StartAuthCheck) if ask.check_id == check)
+        asked = next(ask for ask in self.rig.actions_of(ev.StartAuthCheck) if ask.check_id == check)
         who = dict(asked.headers)[b"authorization"].decode()
         if fails:
-            self.rig.tell(ev.AuthCheckFailed(check, attempt))
+            self.rig.handle(ev.AuthCheckFailed(check, attempt))
         else:
             if status == 200:
                 self.given.add(who)
             headers = [(b"x-auth-customer", b"free"), *([(b"cache-control", b"max-age=5")] if keep else [])]
-            self.rig.tell(ev.AuthCheckReplied(check, attempt, status, headers))
+            self.rig.handle(ev.AuthCheckReplied(check, attempt, status, headers))
         self._look()
 
     def teardown(self) -> None:
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -18,7 +18,7 @@
 from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.proxy.daemon import Daemon
 from martenstep.proxy.headers import REASON_TEXTS, REJECTION_STATUS, local_reply
-from tests.engine_rig import Rig, settings
+from tests.engine_rig import Rig, gateway_settings
 from tests.hook_rig import HookRig, release
 from tests.schema_text import file_lines
 from tests.socket_rig import Peer, get, house, run
@@ -119,7 +119,7 @@
 def test_the_metrics_of_a_gateway() -> None:
     async def test() -> None:
         text = 'auth { service { port: 1 } } hooks { directory: "none" } forward_auth { } listener { max_open: 10 }'
-        daemon = Daemon(settings(text), 1)
+        daemon = Daemon(gateway_settings(text), 1)
         admin = AdminListener(GatewayCollector(daemon.counts, daemon.gauges), lambda: True)
         status, kind, body = admin.respond_status("/metrics")
         assert (status, kind) == (200, "text/plain; version=0.0.4")
@@ -132,27 +132,27 @@
 
 
 def fields_of(rig: Rig, event: str) -> list[list[str]]:
-    return [list(note.fields) for note in rig.of(ev.LogEvent) if note.event == event]
+    return [list(note.fields) for note in rig.actions_of(ev.LogEvent) if note.event == event]
 
 
 def test_the_fields_of_the_line_of_each_response() -> None:
     rig = Rig()
-    rig.serve(rig.ask())
-    rig.ask(customer="anna")
-    rig.count_all(500.0)
+    rig.serve(rig.send())
+    rig.send(customer="anna")
+    rig.answer_counter_calls(500.0)
     fields = ["request", "customer", "plan", "class", "status", "reason", "attempts", "servers", "ms"]
     assert fields_of(rig, FINAL) == [fields, [*fields, "retry_after_ms"]]
     assert fields_of(rig, REJECTED) == []
-    rig.ask("/none")
+    rig.send("/none")
     assert fields_of(rig, REJECTED) == [["request", "status", "reason"]]
 
 
 def test_the_values_of_the_line_of_a_response() -> None:
     rig = Rig()
-    request = rig.ask("/pay/1", x_request_id="abc")
+    request = rig.send("/pay/1", x_request_id="abc")
     rig.pass_time(12.3456)
     rig.serve(request)
-    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == FINAL]
+    [line] = [note.fields for note in rig.actions_of(ev.LogEvent) if note.event == FINAL]
     servers = line.pop("servers")
     assert len(servers) == 1 and servers[0] in (1, 2, 3, 4)
     assert line == {
@@ -169,7 +169,7 @@
 
 def test_hooks_add_their_version_and_fields() -> None:
     rig = HookRig(release(7, 'on log(r, a) { [Field { name: "tier", value: "gold" }] }'))
-    rig.serve(rig.ask())
+    rig.serve(rig.send())
     [names] = fields_of(rig, FINAL)
     assert names[9:] == ["hooks", "hook_tier"]
 
--- a/tests/test_formats_supervise.py
+++ b/tests/test_formats_supervise.py
@@ -25,7 +25,7 @@
 )
 from martenstep.supervise.reloader import Reloader, ReloadTarget
 from martenstep.supervise.worker_settings import build_worker_settings
-from tests.engine_rig import settings
+from tests.engine_rig import gateway_settings
 
 STORED = Path(__file__).parent / "formats" / "supervise"
 
@@ -76,7 +76,7 @@
 
 
 def test_the_settings_of_the_workers() -> None:
-    door = settings(
+    door = gateway_settings(
         "workers { count: 3 share: REUSE_PORT } admin { port: 9000 } pid_file: '/run/door.pid' "
         'customer { key: "part" plan: "open" first_door: 1 doors: 1 }'
         'hooks { directory: "h" history: "h.jsonl" } counter { journal: "j" } members { warm_copy: "w" } '
--- a/tests/test_forward_auth.py
+++ b/tests/test_forward_auth.py
@@ -17,9 +17,9 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_factory import make_engine
-from tests.engine_rig import DOOR, QUIET, Rig, head
+from tests.engine_rig import NOTHING_HELD, SETTINGS, Rig, header
 
-LINES = [line for line in DOOR.split("\n") if not line.startswith("members")]
+LINES = [line for line in SETTINGS.split("\n") if not line.startswith("members")]
 SAFE = "\n".join(LINES).replace("effect: KEYED group: ZONE window_ms: 3000", "").replace("effect: UNSAFE", "")
 FORWARDED = SAFE + "forward_auth { trusted_peer: '10.0.0.0/8' }\n"
 
@@ -31,7 +31,7 @@
         door = parse_door(FORWARDED, "d")
         text_format.Merge(more, door)
         self.engine = make_engine(door, 1)
-        self.now, self.did, self._request_id = 100_000.0, [], 0
+        self.now, self.actions, self._request_id = 100_000.0, [], 0
 
     def sub(self, uri: str = "/read/1", customer: str = "free", peer: str = "10.0.0.1", **more: str) -> int:
         self._request_id += 1
@@ -41,7 +41,7 @@
             "x-customer": customer,
             **{name.replace("_", "-"): value for name, value in more.items()},
         }
-        self.tell(
+        self.handle(
             ev.RequestReceived(
                 self._request_id,
                 b"GET",
@@ -56,26 +56,26 @@
 def test_a_request_that_may_pass_is_answered_at_once_with_what_is_left() -> None:
     rig = Asked()
     request_id = rig.sub(customer="anna")
-    rig.count_all(1.0)
+    rig.answer_counter_calls(1.0)
     reply = rig.reply(request_id)
-    assert reply.status == 200 and reply.body == b"" and head(reply, "x-customer") == "anna"
-    assert head(reply, "ratelimit-policy") == '"plain";q=20;w=2' and head(reply, "ratelimit")
-    assert not rig.of(ev.OpenAttempt) and rig.quiet() == QUIET
+    assert reply.status == 200 and reply.body == b"" and header(reply, "x-customer") == "anna"
+    assert header(reply, "ratelimit-policy") == '"plain";q=20;w=2' and header(reply, "ratelimit")
+    assert not rig.actions_of(ev.OpenAttempt) and rig.held() == NOTHING_HELD
 
 
 def test_one_beyond_its_quota_is_told_when_to_come_back() -> None:
     rig = Asked()
     request_id = rig.sub(customer="anna")
-    rig.count_all(500.0)
+    rig.answer_counter_calls(500.0)
     reply = rig.reply(request_id)
-    assert reply.status == 429 and float(head(reply, "retry-after-ms") or "0") > 0
+    assert reply.status == 429 and float(header(reply, "retry-after-ms") or "0") > 0
     assert json.loads(reply.body)["reason"] == "quota"
 
 
 def test_each_send_has_its_outcome_so_that_the_module_never_closes_its_brake() -> None:
     rig = Asked()
     request_ids = [rig.sub() for _ in range(500)]
-    assert all(rig.reply(request_id).status == 200 for request_id in request_ids) and rig.quiet() == QUIET
+    assert all(rig.reply(request_id).status == 200 for request_id in request_ids) and rig.held() == NOTHING_HELD
     assert rig.engine._policy.gateway._cluster.limit.in_flight == 0
 
 
@@ -116,7 +116,7 @@
 def test_doubled_or_underscored_twins_are_turned_away() -> None:
     for twin in (b"x-forwarded-uri", b"x_forwarded_uri", b"x-forwarded_uri"):
         rig = Asked()
-        rig.tell(
+        rig.handle(
             ev.RequestReceived(
                 1,
                 b"GET",
@@ -170,7 +170,7 @@
 @pytest.mark.parametrize(
     ("text", "told"),
     [
-        (DOOR + "forward_auth { }", "given beside members"),
+        (SETTINGS + "forward_auth { }", "given beside members"),
         (SAFE + "forward_auth { trusted_peer: '10.0.0.1/8' }", "has host bits set"),
         (SAFE + "forward_auth { path_prefix: 'x' }", "expected a path"),
         ("\n".join(LINES) + "forward_auth { }", "SAFE is all that fits"),
--- a/tests/test_hooks_extension_points.py
+++ b/tests/test_hooks_extension_points.py
@@ -9,7 +9,7 @@
 from martenstep.hooks.runner import HealthLimits
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
-from tests.engine_rig import QUIET, START, head
+from tests.engine_rig import NOTHING_HELD, START_MS, header
 from tests.hook_rig import HookRig, release, words
 
 LOOP = words("text(for x in range(100000), n = 0 { n + 1 })")
@@ -22,9 +22,9 @@
 def refused(rig: HookRig, customer: str = "anna") -> ev.SendLocalReply:
     """The first request of a customer that is refused for its quota."""
     for _ in range(40):
-        request_id = rig.ask(customer=customer, accept_language="de-AT, en;q=0.5", accept="text/html;q=1, */*")
-        rig.count_all(0.0)
-        found = rig.of(ev.SendLocalReply, request_id)
+        request_id = rig.send(customer=customer, accept_language="de-AT, en;q=0.5", accept="text/html;q=1, */*")
+        rig.answer_counter_calls(0.0)
+        found = rig.actions_of(ev.SendLocalReply, request_id)
         if found:
             return found[0]
         rig.serve(request_id)
@@ -41,14 +41,15 @@
         )
     )
     reply = refused(rig)
-    assert reply.status == 429 and reply.body == f"anna de-AT text/html 429 quota {START / 1000:.15g}".encode()
-    assert head(reply, "content-type") == "text/html" and head(reply, "x-help") == "/help"
-    assert head(reply, "content-length") == str(len(reply.body)) and head(reply, "x-reason") == "quota"
+    assert reply.status == 429 and reply.body == f"anna de-AT text/html 429 quota {START_MS / 1000:.15g}".encode()
+    assert header(reply, "content-type") == "text/html" and header(reply, "x-help") == "/help"
+    assert header(reply, "content-length") == str(len(reply.body)) and header(reply, "x-reason") == "quota"
     own = refused(HookRig())
-    assert head(reply, "retry-after-ms") == head(own, "retry-after-ms")  # 1 ms would be earlier
-    assert float(head(own, "retry-after-ms") or 0) > 1
-    [line] = [note for note in rig.of(ev.LogEvent) if note.event == "request finished" and note.fields["status"] == 429]
-    assert line.fields["hooks"] == 3 and rig.quiet() == QUIET
+    assert header(reply, "retry-after-ms") == header(own, "retry-after-ms")  # 1 ms would be earlier
+    assert float(header(own, "retry-after-ms") or 0) > 1
+    notes = rig.actions_of(ev.LogEvent)
+    [line] = [note for note in notes if note.event == "request finished" and note.fields["status"] == 429]
+    assert line.fields["hooks"] == 3 and rig.held() == NOTHING_HELD
 
 
 def test_a_later_return_is_a_hooks_to_ask_for_up_to_the_settings_most() -> None:
@@ -57,7 +58,7 @@
         text="max_retry_after_ms: 30000",
     )
     reply = refused(rig)
-    assert head(reply, "retry-after-ms") == "30000.000" and head(reply, "content-type") == "text/plain"
+    assert header(reply, "retry-after-ms") == "30000.000" and header(reply, "content-type") == "text/plain"
 
 
 @pytest.mark.parametrize(
@@ -83,8 +84,8 @@
     rig = HookRig(release(1, source))
     reply = refused(rig)
     assert reply.status == 429 and json.loads(reply.body)["reason"] == "quota"
-    assert rig.hook_releases.counts == {f"refusal {kind}": 1} and rig.quiet() == QUIET
-    assert len(rig.finals(reply.request_id)) == 1
+    assert rig.hook_releases.counts == {f"refusal {kind}": 1} and rig.held() == NOTHING_HELD
+    assert len(rig.responses(reply.request_id)) == 1
 
 
 def test_a_hook_that_stands_still_ends_at_the_hosts_backstop() -> None:
@@ -96,21 +97,21 @@
     rig = HookRig(release(1, LOOP), limits=HealthLimits(min_runs=1000))
     refusals = 0
     for _ in range(200):
-        request_id = rig.ask(customer="anna")
-        rig.count_all(0.0)
-        if rig.of(ev.OpenAttempt, request_id):
+        request_id = rig.send(customer="anna")
+        rig.answer_counter_calls(0.0)
+        if rig.actions_of(ev.OpenAttempt, request_id):
             rig.serve(request_id)
-        refusals += bool(rig.of(ev.SendLocalReply, request_id))
-        assert len(rig.finals(request_id)) == 1
+        refusals += bool(rig.actions_of(ev.SendLocalReply, request_id))
+        assert len(rig.responses(request_id)) == 1
     assert refusals >= 150 and rig.hook_releases.counts["refusal steps"] == 10  # then it is left alone
-    assert rig.hook_releases.counts["refusal left alone"] == refusals - 10 and rig.quiet() == QUIET
+    assert rig.hook_releases.counts["refusal left alone"] == refusals - 10 and rig.held() == NOTHING_HELD
 
 
 def test_classify_moves_a_request_within_what_the_settings_leave_open() -> None:
     rig = HookRig(release(1, 'on classify(r) { Class { class: "pay", customer: "free", units: 3 } }'), text=OPEN)
-    request_id = rig.ask(customer="anna")
+    request_id = rig.send(customer="anna")
     rig.serve(request_id)
-    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "request finished"]
+    [line] = [note.fields for note in rig.actions_of(ev.LogEvent) if note.event == "request finished"]
     assert (line["class"], line["customer"], line["plan"]) == ("pay", "free", "open")
 
 
@@ -128,9 +129,9 @@
 )
 def test_classify_loosens_nothing(made: str) -> None:
     rig = HookRig(release(1, f"on classify(r) {{ Class {{ {made} }} }}"), text=OPEN)
-    request_id = rig.ask("/pay/1", customer="free")
-    rig.end(request_id, AttemptFailure.CLOSED)  # an attempt that may have run
-    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "request finished"]
+    request_id = rig.send("/pay/1", customer="free")
+    rig.fail_attempt(request_id, AttemptFailure.CLOSED)  # an attempt that may have run
+    [line] = [note.fields for note in rig.actions_of(ev.LogEvent) if note.event == "request finished"]
     assert (line["class"], line["customer"], line["plan"], line["attempts"]) == ("pay", "free", "open", 1)
     assert rig.hook_releases.counts == {"classify border": 1}
 
@@ -143,10 +144,10 @@
         rig = HookRig(
             release(1, f'on classify(r) {{ Class {{ class: "{name}" }} }}'), text=text + f' hooks {{ class: "{name}" }}'
         )
-        request_id = rig.ask(customer="free")
-        assert head(rig.opened(request_id), "x-deadline-ms") == f"{ends:.0f}"
+        request_id = rig.send(customer="free")
+        assert header(rig.last_attempt(request_id), "x-deadline-ms") == f"{ends:.0f}"
         rig.pass_time(ends)
-        assert rig.reply(request_id).status in (503, 504) and rig.quiet() == QUIET
+        assert rig.reply(request_id).status in (503, 504) and rig.held() == NOTHING_HELD
 
 
 def test_what_is_sent_is_the_same_at_each_attempt() -> None:
@@ -159,12 +160,12 @@
         ),
         text=OPEN,
     )
-    request_id = rig.ask(accept="image/png")
-    first = rig.opened(request_id)
-    rig.end(request_id, AttemptFailure.CLOSED)
-    second = rig.opened(request_id)
+    request_id = rig.send(accept="image/png")
+    first = rig.last_attempt(request_id)
+    rig.fail_attempt(request_id, AttemptFailure.CLOSED)
+    second = rig.last_attempt(request_id)
     assert (first.attempt, second.attempt) == (0, 1) and first.target == second.target == b"/inside/1"
-    assert head(second, "x-studio") == "free" and [v for n, v in second.headers if n == b"accept"] == [b"a/b"]
+    assert header(second, "x-studio") == "free" and [v for n, v in second.headers if n == b"accept"] == [b"a/b"]
     rig.serve(request_id)
     assert rig.hook_releases.counts == {"sending good": 1}
 
@@ -174,13 +175,13 @@
 )
 def test_a_path_of_another_class_is_not_sent(path: str) -> None:
     rig = HookRig(release(1, f'on sending(r) {{ Sending {{ path: "{path}" }} }}'), text=OPEN)
-    assert rig.opened(rig.ask("/read/7?a=b")).target == b"/read/7?a=b"
+    assert rig.last_attempt(rig.send("/read/7?a=b")).target == b"/read/7?a=b"
     assert rig.hook_releases.counts == {"sending border": 1}
 
 
 def test_a_path_of_the_same_class_may_be_sent() -> None:
     rig = HookRig(release(1, 'on sending(r) { Sending { path: replace(r.path, "old", "new") } }'))
-    assert rig.opened(rig.ask("/read/old?a=b")).target == b"/read/new?a=b"
+    assert rig.last_attempt(rig.send("/read/old?a=b")).target == b"/read/new?a=b"
 
 
 @pytest.mark.parametrize(
@@ -188,7 +189,7 @@
 )
 def test_headers_that_say_who_and_how_often_are_no_hooks(name: str) -> None:
     rig = HookRig(release(1, f'on sending(r) {{ Sending {{ headers: [Header {{ name: "{name}", value: "1" }}] }} }}'))
-    rig.ask("/write/free/1", method="POST")
+    rig.send("/write/free/1", method="POST")
     assert rig.hook_releases.counts == {"sending border": 1}
 
 
@@ -200,11 +201,11 @@
             'on log(r, a) { [Field { name: "studio", value: "${r.customer} ${a.status} ${a.attempts}" }] }',
         )
     )
-    request_id = rig.ask()
+    request_id = rig.send()
     rig.serve(request_id, 201, [(b"etag", b"e")])
-    [passed] = rig.of(ev.RelayResponse, request_id)
+    [passed] = rig.actions_of(ev.RelayResponse, request_id)
     assert [value for name, value in passed.headers if name == b"etag"] == [b"e!"]
-    [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "request finished"]
+    [line] = [note.fields for note in rig.actions_of(ev.LogEvent) if note.event == "request finished"]
     assert line["hook_studio"] == "free 201 1"
 
 
@@ -216,26 +217,28 @@
             'header(r.headers, "cookie") + header(r.headers, "authorization") + "none" }] } }',
         )
     )
-    assert head(rig.opened(rig.ask(cookie="secret", authorization="secret")), "x-seen") == "none"
+    assert header(rig.last_attempt(rig.send(cookie="secret", authorization="secret")), "x-seen") == "none"
 
 
 def test_a_thousand_requests_keep_the_hooks_that_they_began_with() -> None:
     source = 'on answer(r, a) {{ [Header {{ name: "x-release", value: "{}" }}] }}'
     rig = HookRig(release(1, source.format("one")), servers=tuple(range(1, 301)))
-    request_ids = [rig.ask() for _ in range(1000)]
+    request_ids = [rig.send() for _ in range(1000)]
     inside = [
-        request_id for request_id in request_ids if rig.of(ev.OpenAttempt, request_id) and not rig.finals(request_id)
+        request_id
+        for request_id in request_ids
+        if rig.actions_of(ev.OpenAttempt, request_id) and not rig.responses(request_id)
     ]
     rig.hook_releases.replace_releases([release(1, source.format("one")), release(2, source.format("two"))])
-    late = rig.ask()
+    late = rig.send()
     for request_id in [*inside, late]:
-        if not rig.finals(request_id):
+        if not rig.responses(request_id):
             rig.serve(request_id)
-    made = {action.request_id: head(action, "x-release") for action in rig.of(ev.RelayResponse)}
-    assert len(inside) > 100 and all(made[request_id] == "one" for request_id in inside) and rig.quiet() == QUIET
-    newest = rig.ask()
+    made = {action.request_id: header(action, "x-release") for action in rig.actions_of(ev.RelayResponse)}
+    assert len(inside) > 100 and all(made[request_id] == "one" for request_id in inside) and rig.held() == NOTHING_HELD
+    newest = rig.send()
     rig.serve(newest)
-    assert head(rig.of(ev.RelayResponse, newest)[0], "x-release") == "two"
+    assert header(rig.actions_of(ev.RelayResponse, newest)[0], "x-release") == "two"
 
 
 def test_a_hook_for_some_leaves_the_others_alone() -> None:
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -21,7 +21,7 @@
     ROTATION_PROBABILITY,
     LoadBalancer,
 )
-from tests.engine_rig import settings
+from tests.engine_rig import gateway_settings
 
 FAILURES = (
     api.CallResult.ERROR,
@@ -72,7 +72,7 @@
 def play(seed: int, endpoints: int, gateways: int, rate: float, warm_ms: float) -> int:
     """A stream of events for both; gives how many sends there were."""
     rng = random.Random(seed)
-    door = settings("store { timeout_ms: 50 }")
+    door = gateway_settings("store { timeout_ms: 50 }")
     door.instances = gateways
     rules = door.rules
     rules.warm_within_ms, rules.cold_from, rules.fall_multiple, rules.fall_window_ms = warm_ms, 0.25, 4, 1000
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -24,7 +24,7 @@
 from martenstep.proxy.admin import AdminListener, GatewayCollector
 from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
 from martenstep.storage.files import Disk
-from tests.engine_rig import DOOR
+from tests.engine_rig import SETTINGS
 from tests.socket_rig import run
 
 OLD, NEW = "ab" * 32, "cd" * 32
@@ -252,7 +252,7 @@
 def test_problems_of_the_settings_are_reported_by_field() -> None:
     with pytest.raises(SettingsError) as told:
         parse_door(
-            DOOR + 'fleet { host: "0.0.0.0" period_ms: 100 ack_ms: 80 suspect_least_ms: 5 seed { } '
+            SETTINGS + 'fleet { host: "0.0.0.0" period_ms: 100 ack_ms: 80 suspect_least_ms: 5 seed { } '
             "way { to { port: 1 } } }\nworkers { count: 2 }",
             "d",
         )
--- a/tests/test_proxy_traces.py
+++ b/tests/test_proxy_traces.py
@@ -12,7 +12,7 @@
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
 from martenstep.proxy.traces import Exporter, Sampler, Trace
-from tests.engine_rig import Rig, head
+from tests.engine_rig import Rig, header
 from tests.test_auth_proxy import Door
 
 TRACING = 'tracing { file: "x" share: 1 }'
@@ -20,18 +20,18 @@
 
 
 def traces(rig: Rig) -> list[Trace]:
-    return [action.trace for action in rig.of(ev.ExportTrace)]
+    return [action.trace for action in rig.actions_of(ev.ExportTrace)]
 
 
 def test_a_request_makes_one_tree_with_all_its_parts() -> None:
     rig = Door(TRACING)
-    request_id = rig.ask("/safe/1?token=secret", authorization="Bearer secret", x_request_id="r1")
+    request_id = rig.send("/safe/1?token=secret", authorization="Bearer secret", x_request_id="r1")
     rig.pass_time(7)
     rig.verdict()
     rig.pass_time(3)
-    rig.count_all(1.0)
+    rig.answer_counter_calls(1.0)
     rig.pass_time(5)
-    rig.end(request_id, AttemptFailure.CLOSED)
+    rig.fail_attempt(request_id, AttemptFailure.CLOSED)
     rig.pass_time(20)
     rig.serve(request_id)
     [trace] = traces(rig)
@@ -55,29 +55,29 @@
     }
     assert [span.attributes["verdict"] for span in trace.parts[2:]] == ["reset", "ok"]
     assert "secret" not in repr(trace)
-    for sent, span in zip(rig.of(ev.OpenAttempt, request_id), trace.parts[2:], strict=True):
-        assert head(sent, "traceparent") == f"00-{trace.id:032x}-{span.id:016x}-01"
+    for sent, span in zip(rig.actions_of(ev.OpenAttempt, request_id), trace.parts[2:], strict=True):
+        assert header(sent, "traceparent") == f"00-{trace.id:032x}-{span.id:016x}-01"
 
 
 def test_a_trace_ends_with_its_last_attempt_and_every_request_has_one() -> None:
     rig = Rig(TRACING + " upstream { cancel: false }")
-    left = rig.ask(x_deadline_ms="900")
+    left = rig.send(x_deadline_ms="900")
     rig.write(left)
-    rig.tell(ev.ClientDisconnected(left))
+    rig.handle(ev.ClientDisconnected(left))
     assert not traces(rig)  # an attempt is still out
     rig.pass_time(900)
     [trace] = traces(rig)
     assert trace.root.attributes["reason"] == "client left" and trace.parts[0].end > trace.root.end
-    refused = rig.ask(customer="anna")
-    rig.count_all(900.0)
-    assert rig.finals(refused) and traces(rig)[1].root.attributes["status"] == 429
+    refused = rig.send(customer="anna")
+    rig.answer_counter_calls(900.0)
+    assert rig.responses(refused) and traces(rig)[1].root.attributes["status"] == 429
 
 
 def test_context_comes_from_the_client_and_a_broken_one_is_none() -> None:
     rig = Rig(TRACING)
-    rig.serve(rig.ask(traceparent=PARENT))
+    rig.serve(rig.send(traceparent=PARENT))
     for bad in (PARENT.upper(), PARENT[:-3], "00-" + "0" * 32 + PARENT[35:], "ff" + PARENT[2:], "x"):
-        rig.serve(rig.ask(traceparent=bad))
+        rig.serve(rig.send(traceparent=bad))
     first, *others = traces(rig)
     assert first.id == int("ab" * 16, 16) and first.parent == int("cd" * 8, 16)
     assert all(trace.parent == 0 and trace.id != first.id for trace in others)
@@ -91,14 +91,14 @@
     assert none.trace(PARENT.encode(), 0.0) is not None and none.trace(PARENT[:-1].encode() + b"0", 0.0) is None
     assert none.trace(None, 0.0) is None
     rig = Rig()  # without tracing, context passes through as it came
-    assert head(rig.opened(rig.ask(traceparent=PARENT)), "traceparent") == PARENT
+    assert header(rig.last_attempt(rig.send(traceparent=PARENT)), "traceparent") == PARENT
 
 
 def test_a_time_line_is_printed_from_the_file(tmp_path: Path) -> None:
     rig = Rig(TRACING)
-    request_id = rig.ask(x_request_id="r1", traceparent=PARENT)
+    request_id = rig.send(x_request_id="r1", traceparent=PARENT)
     rig.pass_time(4)
-    rig.end(request_id, AttemptFailure.CLOSED)
+    rig.fail_attempt(request_id, AttemptFailure.CLOSED)
     rig.pass_time(6)
     rig.serve(request_id)
     file = tmp_path / "traces.jsonl"
@@ -127,11 +127,11 @@
     def played(text: str) -> list[int]:
         rig = Rig(text, seed=5)
         for number in range(60):
-            request_id = rig.ask(customer="anna" if number % 3 else "free")
-            rig.count_all(1.0)
+            request_id = rig.send(customer="anna" if number % 3 else "free")
+            rig.answer_counter_calls(1.0)
             rig.pass_time(3)
-            if rig.of(ev.OpenAttempt, request_id):
+            if rig.actions_of(ev.OpenAttempt, request_id):
                 rig.serve(request_id)
-        return [opened.endpoint for opened in rig.of(ev.OpenAttempt)]
+        return [opened.endpoint for opened in rig.actions_of(ev.OpenAttempt)]
 
     assert played(f'tracing {{ file: "x" share: {share} }}') == played("")
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -36,7 +36,7 @@
 )
 from martenstep.supervise.supervisor import Supervisor
 from martenstep.supervise.worker_settings import build_worker_settings
-from tests.engine_rig import settings
+from tests.engine_rig import gateway_settings
 from tests.hook_rig import words
 
 ASKED = """
@@ -99,7 +99,7 @@
 
 
 def test_workers_are_instances_of_their_own() -> None:
-    door = settings(
+    door = gateway_settings(
         "workers { count: 4 } admin { port: 9000 } "
         'customer { key: "part" plan: "open" first_door: 1 doors: 1 }'
         'hooks { directory: "h" history: "h.jsonl" }'
@@ -152,7 +152,7 @@
 
 
 def test_connections_are_fitted_to_the_open_files() -> None:
-    need = resources.estimate_need(settings("listener { max_connections: 1000 } upstream { connections: 10 }"))
+    need = resources.estimate_need(gateway_settings("listener { max_connections: 1000 } upstream { connections: 10 }"))
     assert need.files == 1000 + 10 * resources.ASSUMED_ENDPOINTS + 4 + resources.OWN_FILES
     assert resources.limit_connections(need, 1000, need.files) == 1000
     assert resources.limit_connections(need, 1000, need.files - 300) == 700
@@ -162,7 +162,7 @@
 
 def test_what_the_machine_cannot_hold_is_told_before_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     told: dict[str, dict[str, Any]] = {}
-    door = settings("listener { max_connections: 1000 }")
+    door = gateway_settings("listener { max_connections: 1000 }")
     monkeypatch.setattr(resources, "raise_file_limit", lambda need: need - 164)
     monkeypatch.setattr(resources, "available_memory_bytes", lambda: 1)
     resources.apply_limits(door, lambda event, fields: told.update({event: fields}))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -23,7 +23,7 @@
 from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
 from martenstep.policy.messages import CallResult
-from tests.engine_rig import DOOR
+from tests.engine_rig import SETTINGS
 from tests.socket_rig import BOUND_S, House, Peer, get, house, run
 from tests.test_counter_service import served
 
@@ -303,7 +303,7 @@
         (f'upstream {{ tls {{ key: "{__file__}" }} }}', "go together"),
     ):
         part = text.split(" ")[0]
-        lines = [line for line in DOOR.split("\n") if not line.startswith(part)]
+        lines = [line for line in SETTINGS.split("\n") if not line.startswith(part)]
         with pytest.raises(SettingsError, match=told):
             parse_door("\n".join([*lines, text]), "d")
     with pytest.raises(TlsError, match="door_pb2"):
