--- a/martenstep/proxy/engine/admission.py
+++ b/martenstep/proxy/engine/admission.py
@@ -1,4 +1,4 @@
-"""From a request's head to the policy: whether it is accepted, where it is routed, and whose it is."""
+"""Admission of requests: accepts or rejects each one by its head, routes it and submits it to the policy."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
     from martenstep.proxy.engine.forward_auth import ForwardAuth
 
 BAD_REQUEST = 400
-OVERLOAD_RETRY_AFTER_MS = 1000.0  # where the gateway holds all it may: about the time a request takes
-MAX_CORRELATION_ID_LENGTH = 200  # of a client's own: longer ones are cut
-UNKNOWN_CUSTOMER_PLAN = api.Plan("")  # until an authentication service has named the customer
+OVERLOAD_RETRY_AFTER_MS = 1000.0  # at the limit of requests in flight: about the duration of one request
+MAX_CORRELATION_ID_LENGTH = 200  # longer ids of clients are truncated
+UNKNOWN_CUSTOMER_PLAN = api.Plan("")  # stands in until an authentication service has named the customer
 
 
 class Admission:
-    """Accepts requests, or rejects them before the policy learns of them."""
+    """Accepts requests, or rejects them before they are submitted to the policy."""
 
     def __init__(
         self, state: EngineState, policy: PolicyDriver, responses: Responses, hook_releases: ReleaseManager | None
     ) -> None:
-        """`hook_releases` has the hooks, where there are any."""
+        """`hook_releases` is None for a gateway without hooks."""
         self._state, self._policy, self._responses = state, policy, responses
         self._dependencies = state.dependencies
         self._hook_releases = hook_releases
@@ -67,14 +67,14 @@
             self._accept(event, line, route, ids, remaining_ms)
 
     def _correlation_id(self, event: ev.RequestReceived, policy_id: str) -> str:
-        """The id that the client gave the request, or one that no other gateway gives."""
-        own = get_header(event.headers, self._dependencies.request_id_header)
-        if own:
-            return own.decode("latin-1")[:MAX_CORRELATION_ID_LENGTH]
+        """The id that the client gave the request, or a generated one that no other gateway generates."""
+        client_id = get_header(event.headers, self._dependencies.request_id_header)
+        if client_id:
+            return client_id.decode("latin-1")[:MAX_CORRELATION_ID_LENGTH]
         return f"{self._dependencies.name}-{self._state.seed:x}-{policy_id}"
 
     def _request_line(self, event: ev.RequestReceived, correlation_id: str) -> RequestLine | None:
-        """The request line that counts; None where there is none, and the request has been rejected."""
+        """The request line to route by; None if it is invalid and the request has been rejected."""
         if self.forward_auth is not None:
             return self.forward_auth.read_request_line(event, correlation_id)
         normalized = self._state.targets.normalize(event.method, event.target, event.headers)
@@ -93,7 +93,7 @@
         ids: RequestIds,
         remaining_ms: float,
     ) -> None:
-        """Take a request in flight."""
+        """Accept a request: record it as in flight, schedule its deadline, and authorize or submit it."""
         state = self._state
         now = state.now
         unauthenticated = route if isinstance(route, UnauthenticatedRequest) else None
@@ -112,11 +112,11 @@
         if unauthenticated is None:
             self.admit(request, route)
             return
-        assert self.authorization is not None, "settings with a route that authenticates name a service"
+        assert self.authorization is not None, "a route requires authentication, but no service is set"
         self.authorization.authorize(request, unauthenticated, remaining_ms)
 
     def _sample(self, request: InFlightRequest, line: RequestLine) -> None:
-        """Begin a trace of a request, where it is sampled."""
+        """Start a trace of a request if the sampler selects it."""
         sampler = self._dependencies.trace_sampler
         assert sampler is not None
         request.trace = sampler.trace(
@@ -131,7 +131,7 @@
             request.trace.root.attributes["class"] = request.route.request_class.name
 
     def admit(self, request: InFlightRequest, route: RoutedRequest) -> None:
-        """Submit a request whose customer is known to the policy."""
+        """Submit a request to the policy; its customer has been identified."""
         now = self._state.now
         if request.trace is not None:
             request.trace.end("auth", now)
@@ -154,17 +154,17 @@
             )
         )
         if request.trace is not None and not request.finished and not request.endpoints:
-            request.trace.begin("counter", self._state.now)  # the policy waits for the counter
+            request.trace.begin("counter", self._state.now)  # no attempt was started: the policy waits for the counter
 
     def _reclassify(self, request: InFlightRequest, route: RoutedRequest) -> RoutedRequest:
-        """The route as a hook has it."""
+        """The route as the classify hook changed it."""
         state, runner = self._state, request.hook_runner
         assert state.extension_points is not None and runner is not None
         request.route = route
         changed = state.extension_points.classify(state.now, runner, request)
         deadline_ms = changed.request_class.deadline_ms
-        if deadline_ms < route.request_class.deadline_ms:  # an earlier deadline takes effect, a later one never
-            earlier = max(request.arrived_at + deadline_ms - state.deadline_margin_ms, state.now)
-            request.deadline = min(request.deadline, earlier)
+        if deadline_ms < route.request_class.deadline_ms:  # a hook can only shorten the deadline
+            shortened = max(request.arrived_at + deadline_ms - state.deadline_margin_ms, state.now)
+            request.deadline = min(request.deadline, shortened)
             state.timers.schedule(request.deadline, RequestDeadline(request.request_id))
         return changed
--- a/martenstep/proxy/engine/attempts.py
+++ b/martenstep/proxy/engine/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of requests: started by the policy, carried by the driver, and each ended exactly once."""
+"""The attempts of requests: the policy starts them, the driver carries them out, and each is reported as ended once."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class Attempts:
-    """Starts, follows and ends attempts."""
+    """Starts attempts, records their progress and ends them."""
 
     def __init__(
         self, state: EngineState, policy: PolicyDriver, responses: Responses, endpoints: EndpointAddresses
     ) -> None:
-        """`endpoints` knows where the listed endpoints are."""
+        """`endpoints` has the addresses of the listed endpoints."""
         self._state, self._policy, self._responses, self._endpoints = state, policy, responses, endpoints
         self._dependencies = state.dependencies
         self._messages = state.dependencies.message_builder
@@ -38,14 +38,14 @@
         # Called with the id of each request whose first attempt starts.
         self.on_first_attempt: Callable[[int], None] | None = None
         self.result_counts: dict[str, int] = {}
-        self.denial_counts: dict[str, int] = {}  # of attempts at the moment of their first byte, by name
+        self.denial_counts: dict[str, int] = {}  # attempts denied before their first byte, by name
 
     # Start --------------------------------------------------------------------------------------------------
 
     def start(self, action: api.StartAttempt) -> None:
-        """Start the attempt that the policy has decided on."""
+        """Start an attempt that the policy has requested."""
         state = self._state
-        request = state.requests.of_policy(action.id)
+        request = state.requests.get_by_policy_id(action.id)
         number = len(request.endpoints)
         request.endpoints.append(action.endpoint)
         if request.trace is not None:
@@ -81,7 +81,7 @@
         )
 
     def record_usage(self, request: InFlightRequest, over_quota: bool) -> None:
-        """Have the counter service keep that a request was forwarded."""
+        """Emit the action that records a forwarded request at the counter service."""
         route = request.route
         self._state.actions.append(
             ev.RecordUsage(
@@ -96,7 +96,7 @@
         )
 
     def _upstream_message(self, attempt: Attempt) -> UpstreamTarget:
-        """The target and the headers of an attempt."""
+        """The target and the headers to send with an attempt."""
         request, now, messages = attempt.request, self._state.now, self._messages
         received = request.received
         auth_response = request.auth_response
@@ -125,7 +125,7 @@
         return target, headers
 
     def _hooked_target(self, request: InFlightRequest, runner: Runner) -> UpstreamTarget:
-        """The target and the additional headers of all attempts, as a hook may have set them."""
+        """The target and additional headers of all attempts; the sending hook may set them, and runs once."""
         if not runner.has("sending"):
             return request.received.target, NO_HEADERS
         if request.upstream_target is None:
@@ -136,9 +136,10 @@
 
     @staticmethod
     def _deliver_by(request: InFlightRequest) -> float | None:
-        """A retry with an idempotency key must reach its endpoint while endpoints still know the key.
+        """The latest time at which a retry with an idempotency key may be delivered; None for other attempts.
 
-        What the network holds for longer must not be delivered any more.
+        After that time endpoints may have forgotten the key, and a retry that the network delayed for so long would
+        be executed a second time.
         """
         request_class, since = request.route.request_class, request.may_have_run_since
         if since is None or request_class.idempotency is not Idempotency.KEYED:
@@ -146,15 +147,15 @@
         return since + request_class.deduplication_window_ms
 
     def update_deadline_header(self, now: float, action: ev.OpenAttempt) -> None:
-        """Have an attempt that had to wait state what is left of its time by now.
+        """Set the deadline header of an attempt that had to wait to the time that remains now.
 
-        An endpoint that believes in more works for nobody.
+        With an outdated header the endpoint would work on after the gateway has stopped waiting.
         """
         name, value = self._messages.deadline_header(max(action.deadline - now, 0.0))
         action.headers = [(name, value) if pair[0] == name else pair for pair in action.headers]
 
     def check_permission(self, now: float, action: ev.OpenAttempt) -> Denial | None:
-        """Why an attempt may not be written now; None where it may."""
+        """Why an attempt may not be written now; None if it may."""
         request = self._state.requests.find(action.request_id)
         attempt = request.attempt if request is not None else None
         if request is None or attempt is None:
@@ -207,7 +208,7 @@
         attempt.status, attempt.headers = event.status, event.headers
 
     def response_buffer_exceeded(self, event: ev.ResponseBufferExceeded) -> None:
-        """More of a response has come than is buffered: it belongs to the client from now on."""
+        """A response is larger than the buffer: from now on it is streamed to the client."""
         attempt = self._state.requests.find_open_attempt(event.request_id, event.attempt)
         if attempt is None or attempt.streaming or attempt.request.finished:
             return
@@ -216,7 +217,7 @@
         self._responses.relay(attempt, complete=False)
 
     def response_completed(self, event: ev.ResponseCompleted) -> None:
-        """The last byte of an attempt's response has come."""
+        """The last byte of an attempt's response has been received."""
         attempt = self._state.requests.find_open_attempt(event.request_id, event.attempt)
         if attempt is None:
             return
@@ -239,36 +240,36 @@
 
     def cancel(self, action: api.CancelAttempt) -> None:
         """The policy cancels an attempt."""
-        request = self._state.requests.of_policy(action.id)
+        request = self._state.requests.get_by_policy_id(action.id)
         attempt = request.attempt
         if attempt is not None and attempt.number == action.attempt and attempt.open and not attempt.streaming:
             self.stop(attempt, CallResult.CANCELLED)
 
     def connect_timed_out(self, timer: ConnectTimeout) -> None:
-        """An attempt was not written in time."""
+        """The connect timeout of an attempt has passed."""
         attempt = self._state.requests.find_open_attempt(timer.request_id, timer.attempt)
         if attempt is not None and not attempt.written:
             self.stop(attempt, CallResult.CONNECT_FAILED)
 
     def connect_timeout_is_obsolete(self, timer: ConnectTimeout) -> bool:
-        """Whether an attempt has been written, or has ended."""
+        """Whether the attempt has been written or has ended, so that its timer has no effect."""
         attempt = self._state.requests.find_open_attempt(timer.request_id, timer.attempt)
         return attempt is None or attempt.written
 
     def stop(self, attempt: Attempt, result: CallResult) -> None:
-        """Stop an attempt by the gateway's own decision; `result` counts where it has been written."""
-        attempt.open = False  # nothing that still comes from it counts
+        """Stop an attempt by the gateway's own decision; `result` is reported if the attempt has been written."""
+        attempt.open = False  # later events of the attempt are ignored
         self._state.actions.append(ev.AbortAttempt(attempt.request.request_id, attempt.number))
         self._end_without_response(attempt, classify_stop(result, attempt.written))
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Never begin an attempt that is not written yet: that is no failure of its endpoint."""
+        """Abort an attempt that is not written yet; this does not count as a failure of its endpoint."""
         attempt.open = False
         self._state.actions.append(ev.AbortAttempt(attempt.request.request_id, attempt.number))
         self._end(attempt, CallResult.NOT_SENT, attempt.request.finished)
 
     def _end(self, attempt: Attempt, result: CallResult, request_complete: bool) -> None:
-        """Report the end of an attempt; the one place that does."""
+        """Report the end of an attempt to the policy; only this method does so."""
         request = attempt.request
         attempt.open = False
         self.result_counts[result.value] = self.result_counts.get(result.value, 0) + 1
@@ -290,7 +291,7 @@
                 self._responses.finish(request, 0, "broken answer")
                 self._state.actions.append(ev.ResetClientConnection(request.request_id))
             elif not request.replayable:
-                # A part of its body is gone: the policy is not asked for another attempt, which could not be made.
+                # Part of the body is no longer buffered, so the policy must not start another attempt.
                 idempotent = request.route.request_class.idempotency is Idempotency.IDEMPOTENT
                 self._responses.give_up(request, idempotent or result.never_executed, "spent")
         request_complete = request.finished
--- a/martenstep/proxy/engine/authorization.py
+++ b/martenstep/proxy/engine/authorization.py
@@ -1,4 +1,4 @@
-"""Authorization of requests whose customer an authentication service must name first."""
+"""Authorization of requests whose customer must first be identified by an authentication service."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from martenstep.proxy.engine.state import EngineState
 from martenstep.proxy.headers import get_header
 
-MAX_KNOWN_PLANS = 20_000  # credentials whose plan is remembered, to shed load by it
+MAX_KNOWN_PLANS = 20_000  # credentials whose plan is remembered, to group requests for load shedding
 MIN_SUCCESS_STATUS, MIN_SERVER_ERROR_STATUS = 200, 500
-# Of a denying response, what a client needs to do better: where to log in, and how.
+# Headers of a denying response that tell the client how to authenticate, such as where to log in.
 DENIAL_HEADERS = frozenset(
     (b"content-type", b"www-authenticate", b"location", b"set-cookie", b"retry-after", b"cache-control")
 )
@@ -42,11 +42,11 @@
         settings: AuthorizationSettings,
         admit: Admit,
     ) -> None:
-        """`admit` is called with each request whose customer is known, and its route."""
+        """`admit` is called with each authorized request and its route."""
         self._state, self._policy, self._responses, self._admit = state, policy, responses, admit
         self._settings = settings
         self._checks = auth.Core(settings.rules, len(settings.services), random.Random(state.seed))
-        self._plan_by_credential: OrderedDict[bytes, str] = OrderedDict()  # as a service named it last
+        self._plan_by_credential: OrderedDict[bytes, str] = OrderedDict()  # from the last response of a service
 
     @property
     def held_counts(self) -> dict[str, int]:
@@ -54,15 +54,15 @@
         return self._checks.held
 
     def next_at(self) -> float | None:
-        """When `tick` is due; None where nothing is waited for."""
+        """When `tick` is due; None if no timer is pending."""
         return self._checks.next_at()
 
     def tick(self) -> None:
-        """Time has passed."""
+        """Handle the timers that are due."""
         self._perform(self._checks.tick(self._state.now))
 
     def first_attempt_started(self, request_id: int) -> None:
-        """A request is being forwarded: its permission needs no longer be kept."""
+        """A request is being forwarded, so its authorization need not be held any longer."""
         self._checks.sent(request_id)
 
     def request_finished(self, request_id: int) -> None:
@@ -72,7 +72,7 @@
     # Checks -------------------------------------------------------------------------------------------------
 
     def authorize(self, request: InFlightRequest, unauthenticated: UnauthenticatedRequest, remaining_ms: float) -> None:
-        """Have a request's credential checked."""
+        """Request the check of a request's credential."""
         if request.trace is not None:
             request.trace.begin("auth", self._state.now)
         request.unauthenticated = unauthenticated
@@ -89,7 +89,7 @@
         self._perform(actions)
 
     def _credential_digest(self, received: ev.RequestReceived) -> bytes:
-        """Tells checks apart: requests of one digest share one check."""
+        """The key of a check: requests with the same digest share one check."""
         digest = hashlib.blake2b(digest_size=16)
         for name, value in received.headers:
             if name in self._settings.credential_headers:
@@ -111,10 +111,9 @@
         ]
 
     def _shedding_group(self, request: InFlightRequest) -> str:
-        """The group of requests that share load shedding where too many wait.
+        """The group that a request belongs to when load is shed because too many requests wait.
 
-        Those of a plan, as the credential's last check named it, and those that no service has vouched for yet by their
-        host.
+        It is the plan that the credential's last check returned, or the request's host if there was no such check.
         """
         plan = self._plan_by_credential.get(request.credential_digest)
         if plan:
@@ -125,7 +124,7 @@
     def replied(self, event: ev.AuthCheckReplied) -> None:
         """A service answered a check."""
         if event.status >= MIN_SERVER_ERROR_STATUS or event.status < MIN_SUCCESS_STATUS:
-            # A fault of the service says nothing about the credential.
+            # A failure of the service says nothing about the credential.
             self._perform(self._checks.failed(self._state.now, event.check_id, event.attempt))
             return
         answer = auth.Answer(
@@ -134,7 +133,7 @@
         self._perform(self._checks.answered(self._state.now, event.check_id, event.attempt, answer))
 
     def check_failed(self, event: ev.AuthCheckFailed) -> None:
-        """An attempt of a check gave no response that can be read."""
+        """An attempt of a check yielded no readable response."""
         self._perform(self._checks.failed(self._state.now, event.check_id, event.attempt))
 
     def _perform(self, actions: list[auth.Action]) -> None:
@@ -157,7 +156,7 @@
     # Verdicts -----------------------------------------------------------------------------------------------
 
     def _allow(self, request: InFlightRequest, answer: auth.Answer | None) -> None:
-        """A request may pass; without an answer where its route fails open."""
+        """Admit a request; `answer` is None if the check failed and the route fails open."""
         assert request.unauthenticated is not None
         if answer is None:
             route = self._state.route_table.anonymous(request.unauthenticated)
@@ -186,7 +185,7 @@
             known.popitem(last=False)
 
     def _deny(self, request: InFlightRequest, answer: auth.Answer) -> None:
-        """The service's response is the client's, also where the request waits for the counter by now."""
+        """Send the service's denial to the client, even if the request has been submitted and waits for the counter."""
         if request.submitted:
             self._policy.submit(api.ClientDisconnected(request.policy_id))
         headers = [pair for pair in answer.headers if pair[0] in DENIAL_HEADERS]
--- a/martenstep/proxy/engine/counter_calls.py
+++ b/martenstep/proxy/engine/counter_calls.py
@@ -1,4 +1,4 @@
-"""Counter calls that the policy asked for, and their timeouts."""
+"""Counter calls that the policy requested, and their timeouts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from martenstep.proxy.engine.state import EngineState
 from martenstep.proxy.engine.timers import CounterTimeout
 
-TIMEOUT_GRACE_MS = 1.0  # the counter's client reports its timeouts itself; this long after them the engine does
+TIMEOUT_GRACE_MS = 1.0  # the counter client should report a timeout first; the engine does so this much later
 
 
 class _PendingCall(NamedTuple):
@@ -22,7 +22,7 @@
     """The counter calls that have no reply yet."""
 
     def __init__(self, state: EngineState, policy: PolicyDriver) -> None:
-        """Replies go to `policy`."""
+        """Replies are submitted to `policy`."""
         self._state, self._policy = state, policy
         self._timeout_ms = state.dependencies.settings.counter_timeout_ms
         self._pending: dict[int, _PendingCall] = {}
@@ -31,7 +31,7 @@
         return len(self._pending)
 
     def start(self, action: api.IncrementCounter) -> None:
-        """Make a call."""
+        """Start a call and schedule its timeout."""
         state = self._state
         call_id = state.next_serial()
         self._pending[call_id] = _PendingCall(action.key, state.now)
@@ -43,15 +43,15 @@
     def replied(self, event: ev.CounterReplied) -> None:
         """A call has ended."""
         call = self._pending.pop(event.call_id, None)
-        if call is None:  # its timeout was reported already
+        if call is None:  # its timeout has already been reported
             return
         rtt_ms = self._state.now - call.started_at
         self._policy.submit(api.CounterReply(call.key, event.result, rtt_ms, event.total, event.retained_ms))
 
     def timed_out(self, timer: CounterTimeout) -> None:
-        """A call's timeout has come."""
+        """Report the timeout of a call."""
         self.replied(ev.CounterReplied(timer.call_id, api.CallResult.TIMEOUT))
 
     def is_obsolete(self, timer: CounterTimeout) -> bool:
-        """Whether a call has ended before its timeout."""
+        """Whether the call has ended, so that its timer has no effect."""
         return timer.call_id not in self._pending
--- a/martenstep/proxy/engine/deadlines.py
+++ b/martenstep/proxy/engine/deadlines.py
@@ -1,4 +1,4 @@
-"""What ends a request besides its response: its deadline, its client, and the end of the gateway."""
+"""Ends requests for other reasons than a response: their deadline, disconnection of the client, and shutdown."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 
 
 class RequestTermination:
-    """Ends requests that cannot be waited for any longer."""
+    """Ends requests at their deadline, when their client disconnects, and when the gateway stops."""
 
     def __init__(self, state: EngineState, policy: PolicyDriver, responses: Responses, attempts: Attempts) -> None:
-        """Ends their attempts with them."""
+        """`attempts` stops the open attempt of a request that ends."""
         self._state, self._policy, self._responses, self._attempts = state, policy, responses, attempts
         self._dependencies = state.dependencies
 
     def deadline_is_obsolete(self, timer: RequestDeadline) -> bool:
-        """Whether a request has ended before its deadline."""
+        """Whether the request has ended, so that its timer has no effect."""
         return timer.request_id not in self._state.requests
 
     def deadline_reached(self, timer: RequestDeadline) -> None:
-        """A request's time is over."""
+        """Time out a request at its deadline, if it is still in flight."""
         request = self._state.requests.find(timer.request_id)
         if request is not None:
             self.time_out(request)
 
     def time_out(self, request: InFlightRequest) -> None:
-        """End a request whose time is over: its open attempt ends, and its response goes out at once."""
+        """Stop the open attempt of a request at its deadline, and send its final response at once."""
         attempt = request.attempt
         if attempt is not None and attempt.streaming and self._dependencies.streams_past_deadline:
-            return  # a streamed response that has begun belongs to the client
+            return  # a response that is being streamed may continue past the deadline
         request.timed_out = True
         is_open = attempt is not None and attempt.open
         if attempt is not None and is_open:
-            # Also where the client has disconnected, and the attempt could not be cancelled then.
+            # This also ends an attempt that could not be cancelled when its client disconnected.
             self._attempts.stop(attempt, CallResult.TIMEOUT)
         if request.finished:
             return
-        # No attempt was open: the policy holds the request, and cannot be waited for any longer.
+        # No attempt was open: the request still waits for the policy or for its authorization.
         self._responses.send_local_reply(request, GATEWAY_TIMEOUT, "timed out", None)
         if request.submitted:
             self._policy.submit(api.ClientDisconnected(request.policy_id))
 
     def client_disconnected(self, event: ev.ClientDisconnected) -> None:
-        """A client has disconnected, or its request broke off."""
+        """A client has disconnected, or its request ended prematurely."""
         request = self._state.requests.find(event.request_id)
         if request is None or request.finished:
             return
@@ -65,13 +65,13 @@
         self._responses.release(request)
 
     def body_not_replayable(self, event: ev.RequestBodyNotReplayable) -> None:
-        """A request's body cannot be written again: its attempt is the last one."""
+        """A request's body cannot be written again, so no further attempt is possible."""
         request = self._state.requests.find(event.request_id)
         if request is not None:
             request.replayable = False
 
     def stop_all(self) -> None:
-        """The gateway ends: every request that is still in flight gets its response now, and no further attempt."""
+        """Send every request in flight its final response now; no further attempt is started."""
         self._state.stopped = True
         for request in self._state.requests:
             self._stop(request)
@@ -79,11 +79,11 @@
     def _stop(self, request: InFlightRequest) -> None:
         attempt = request.attempt
         if request.finished or (attempt is not None and attempt.streaming):
-            # The end of the connection tells that a streamed response is not complete.
+            # The closing of its connection shows the client that a streamed response is incomplete.
             if request.request_id in self._state.requests:
                 self.time_out(request)
             return
-        if request.submitted:  # else the policy would answer the end of the attempt with another one
+        if request.submitted:  # otherwise the policy would start another attempt when this one ends
             self._policy.submit(api.ClientDisconnected(request.policy_id))
         open_attempt = attempt if attempt is not None and attempt.open else None
         may_have_run = request.may_have_run_since is not None or (open_attempt is not None and open_attempt.written)
--- a/martenstep/proxy/engine/endpoints.py
+++ b/martenstep/proxy/engine/endpoints.py
@@ -1,4 +1,4 @@
-"""Where the listed endpoints are, and which of them accept requests."""
+"""The addresses of the listed endpoints, and which of them accept requests."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class EndpointAddresses:
-    """The endpoints as the last updates of the list have them."""
+    """The endpoints according to the updates of the endpoint list so far."""
 
     def __init__(self, accepts_all: bool = False) -> None:
-        """`accepts_all` where the endpoints are not those of a list."""
+        """`accepts_all` is set if the endpoints do not come from an endpoint list."""
         self._accepts_all = accepts_all
         self.addresses: dict[int, tuple[str, int]] = {}
         self._accepting: set[int] = set()
@@ -20,15 +20,15 @@
         return self._accepts_all or endpoint in self._accepting
 
     def update_addresses(self, update: EndpointListEvent) -> None:
-        """Take over the addresses of an update, before the policy learns of it."""
+        """Apply the addresses of an update, before the update is submitted to the policy."""
         self.addresses.update(update.addresses)
         if update.scope is EndpointListScope.FULL:
             listed = {endpoint.id for endpoint in update.endpoints}
             self.addresses = {number: address for number, address in self.addresses.items() if number in listed}
 
     def update_states(self, update: EndpointListEvent) -> None:
-        """Take over the states of an update, once the policy knows of it."""
-        for endpoint in update.endpoints:  # one that is removed comes back under another number, if at all
+        """Apply the states of an update, after the update has been submitted to the policy."""
+        for endpoint in update.endpoints:  # a removed endpoint may return only with another number
             if endpoint.state is EndpointState.REMOVED:
                 self.addresses.pop(endpoint.id, None)
         accepting = accepting_endpoints(update)
--- a/martenstep/proxy/engine/engine.py
+++ b/martenstep/proxy/engine/engine.py
@@ -1,4 +1,4 @@
-"""The engine puts its parts together, and dispatches events to them in order of time."""
+"""The engine connects its components and dispatches events to them in order of time."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     def __init__(
         self, dependencies: EngineDependencies, seed: int, hook_releases: ReleaseManager | None = None
     ) -> None:
-        """`hook_releases` has the hooks, where there are any."""
+        """`hook_releases` is None for a gateway without hooks."""
         self.settings = dependencies.settings
         self._state = EngineState(dependencies, seed)
         self._policy = PolicyDriver(self._state)
@@ -42,7 +42,7 @@
         self._termination = RequestTermination(self._state, self._policy, self._responses, self._attempts)
         self._admission = Admission(self._state, self._policy, self._responses, hook_releases)
         self._authorization = self._make_authorization()
-        self._policy.dispatch_to(self._policy_action_handlers())
+        self._policy.set_action_handlers(self._policy_action_handlers())
         self._timer_handlers = self._make_timer_handlers()
         self._event_handlers = self._make_event_handlers()
 
@@ -61,7 +61,7 @@
         return authorization
 
     def _start_handler(self) -> Callable[[api.StartAttempt], None]:
-        """Forwards requests, or answers an edge proxy that asks whether it may."""
+        """The handler of StartAttempt: forwards a request, or answers the sub-request of an edge proxy."""
         reader = self._state.dependencies.forward_auth_reader
         if reader is None:
             return self._attempts.start
@@ -84,7 +84,7 @@
         }
 
     def _make_timer_handlers(self) -> Mapping[type, Callable[[Any], None]]:
-        self._state.timers.skip_obsolete(
+        self._state.timers.set_obsolete_predicates(
             {
                 CounterTimeout: self._counter_calls.is_obsolete,
                 RequestDeadline: self._termination.deadline_is_obsolete,
@@ -121,19 +121,19 @@
     # Driver -------------------------------------------------------------------------------------------------
 
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
-        """Take one event in; returns what is to be done, in order."""
+        """Handle one event; returns the actions that the driver must carry out, in order."""
         state = self._state
-        if now > state.now:  # it never goes back
+        if now > state.now:  # the engine's time never goes back
             state.now = now
         due_at = state.timers.next_at() if self._authorization is None else self.next_at()
         if due_at is not None and due_at <= state.now and type(event) is not ev.Tick:
-            self._fire_timers()  # what was due before this event goes first, however late the driver is
+            self._fire_timers()  # timers that were due before this event fire first, even if the driver is late
         self._event_handlers[type(event)](event)
         actions, state.actions = state.actions, []
         return actions
 
     def next_at(self) -> float | None:
-        """When the next Tick is due; None where nothing is waited for."""
+        """When the next Tick is due; None if no timer is pending."""
         own_at = self._state.timers.next_at()
         authorization_at = self._authorization.next_at() if self._authorization is not None else None
         if own_at is None or authorization_at is None:
@@ -141,23 +141,23 @@
         return min(own_at, authorization_at)
 
     def may_begin(self, now: float, action: ev.OpenAttempt) -> Denial | None:
-        """Why an attempt may not be written now; None where it may.  Asked at the moment of its first byte."""
+        """Why an attempt may not be written now; None if it may.  To be called just before its first byte."""
         return self._attempts.check_permission(now, action)
 
     def update_deadline_header(self, now: float, action: ev.OpenAttempt) -> None:
-        """Have an attempt that had to wait state what is left of its time by now."""
+        """Set the deadline header of an attempt that had to wait to the time that remains now."""
         self._attempts.update_deadline_header(now, action)
 
     def local_reply(self, reason: str) -> tuple[ev.Headers, bytes]:
-        """Headers and body of a response to what is no request of the engine's."""
+        """Headers and body of a gateway response to a message that was not passed to the engine as a request."""
         return self._state.dependencies.message_builder.local_reply(reason, "", None)
 
     def reconfigure(self, dependencies: EngineDependencies) -> None:
-        """Take over dependencies that differ only in what may change in service."""
+        """Replace the dependencies by new ones that differ only in what may change without a restart."""
         self._state.reconfigure(dependencies)
 
     def stop(self, now: float) -> list[ev.Action]:
-        """The process ends: every request that is still in flight gets its response now, and no further attempt."""
+        """Send every request in flight its final response, before the process ends; no further attempt is started."""
         state = self._state
         state.now = max(now, state.now)
         self._termination.stop_all()
@@ -168,12 +168,12 @@
 
     @property
     def unanswered(self) -> int:
-        """Requests that are owed a final response."""
+        """The number of requests without a final response."""
         return self._state.unanswered
 
     @property
     def addresses(self) -> Mapping[int, tuple[str, int]]:
-        """Where the listed endpoints are."""
+        """The addresses of the listed endpoints, by endpoint number."""
         return self._endpoints.addresses
 
     @property
@@ -193,7 +193,7 @@
 
     @property
     def held_counts(self) -> dict[str, int]:
-        """Numbers of what is held in memory, under the names that the metrics have."""
+        """Numbers of objects held in memory, under their names in the metrics."""
         held = {
             "exchanges": len(self._state.requests),
             "calls": len(self._counter_calls),
@@ -208,7 +208,7 @@
     # Policy actions -----------------------------------------------------------------------------------------
 
     def _fail(self, action: api.Fail) -> None:
-        self._responses.fail(self._state.requests.of_policy(action.id))
+        self._responses.fail(self._state.requests.get_by_policy_id(action.id))
 
     def _set_timer(self, action: api.SetTimer) -> None:
         self._state.timers.schedule(action.at_ms, PolicyTimer(action.token))
@@ -246,7 +246,7 @@
         self._withdraw_attempts(update)
 
     def _withdraw_attempts(self, update: EndpointListEvent) -> None:
-        """Withdraw attempts that are not written yet to endpoints that no longer accept requests.
+        """Abort attempts to endpoints that no longer accept requests, if they are not written yet.
 
         Connecting may take longer than the grace period of an endpoint that drains.
         """
--- a/martenstep/proxy/engine/forward_auth.py
+++ b/martenstep/proxy/engine/forward_auth.py
@@ -1,4 +1,4 @@
-"""The gateway as the service that an edge proxy asks about its requests: it allows them or rejects them itself."""
+"""Forward authentication: an edge proxy sends a sub-request for each request, which the gateway allows or rejects."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from martenstep.proxy.engine.responses import Rejection, Responses
 from martenstep.proxy.engine.state import EngineState
 
-EDGE_PROXY = 0  # the number of the edge proxy as an endpoint, the only one there is
+EDGE_PROXY = 0  # the policy's only endpoint: the edge proxy
 ALLOWED_STATUS = 200
 
 
 class ForwardAuth:
-    """Answers sub-requests in place of forwarding them."""
+    """Answers sub-requests instead of forwarding requests."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         attempts: Attempts,
         reader: Answerer,
     ) -> None:
-        """Tells the policy of the edge proxy as its endpoint; `reader` reads the proxy's sub-requests."""
+        """Lists the edge proxy as the policy's endpoint; `reader` reads the proxy's sub-requests."""
         self._state, self._policy, self._responses, self._attempts = state, policy, responses, attempts
         self._reader = reader
         settings = state.dependencies.settings
@@ -36,7 +36,7 @@
         policy.gateway.handle(0.0, api.EndpointListUpdate(api.EndpointListScope.FULL, (edge,)))
 
     def read_request_line(self, event: ev.RequestReceived, correlation_id: str) -> RequestLine | None:
-        """The request line that a sub-request asks about; None where there is none, and it has been rejected."""
+        """The request line that a sub-request states; None if it states none and has been rejected."""
         subject = self._reader.read(event.method, event.target, event.headers, event.client_address)
         if isinstance(subject, auth.Unasked):
             rejection = Rejection(subject.status, subject.reason)
@@ -45,13 +45,13 @@
         return subject.method, subject.target
 
     def allow(self, action: api.StartAttempt) -> None:
-        """The edge proxy may forward a request: that is the sub-request's response, and its attempt has ended.
+        """Allow the edge proxy to forward a request, and report the attempt as successful at once.
 
-        How the request itself ends is never reported here.  So the policy learns of no latency and no failure: its
-        concurrency limit stays open, and what it enforces are quota and ceiling.
+        The edge proxy does not report how the request ends.  The policy therefore receives no latencies or failures
+        of endpoints: its concurrency limit never tightens, and it enforces only quota and ceiling.
         """
         state = self._state
-        request = state.requests.of_policy(action.id)
+        request = state.requests.get_by_policy_id(action.id)
         number = len(request.endpoints)
         request.endpoints.append(action.endpoint)
         if request.trace is not None:
--- a/martenstep/proxy/engine/policy_driver.py
+++ b/martenstep/proxy/engine/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives the policy: hands it one event at a time and dispatches the actions that it returns."""
+"""Drives the policy: passes it one event at a time and dispatches the actions that it returns."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class PolicyDriver:
-    """The policy's Gateway, and what is still to be submitted to it."""
+    """The policy's Gateway and the queue of events for it."""
 
     def __init__(self, state: EngineState) -> None:
-        """Makes a Gateway by the settings of the engine's dependencies."""
+        """Creates a Gateway with the policy settings in the engine's dependencies."""
         self._state = state
         self.gateway = Gateway(state.dependencies.settings, state.seed)
         self._events: deque[api.Event] = deque()
         self._handlers: Mapping[type, ActionHandler] = {}
 
-    def dispatch_to(self, handlers: Mapping[type, ActionHandler]) -> None:
+    def set_action_handlers(self, handlers: Mapping[type, ActionHandler]) -> None:
         """Set the handler of each type of action; actions of other types are ignored."""
         self._handlers = handlers
 
     def submit(self, event: api.Event) -> None:
-        """Hand an event to the policy, and carry out what it decides.
+        """Pass an event to the policy and dispatch the resulting actions.
 
-        An event that is submitted while an action is carried out follows after it, in order.
+        An event that a handler submits is queued, and passed on once all actions of the current event are dispatched.
         """
         events = self._events
         events.append(event)
--- a/martenstep/proxy/engine/request.py
+++ b/martenstep/proxy/engine/request.py
@@ -1,4 +1,4 @@
-"""The record of a request in flight and of its attempts, and the table of them."""
+"""Requests in flight, their attempts, and the table that holds them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 RequestLine = tuple[bytes, bytes]  # method and target, by which a request is routed
-RequestIds = tuple[str, str]  # what names a request to the policy, and what names it in logs and to endpoints
+RequestIds = tuple[str, str]  # the policy id, and the correlation id for logs and endpoints
 
 
 class Attempt:
@@ -25,7 +25,7 @@
     __slots__ = ("endpoint", "headers", "number", "open", "request", "started_at", "status", "streaming", "written")
 
     def __init__(self, request: InFlightRequest, number: int, endpoint: int, started_at: float) -> None:
-        """`number` counts a request's attempts from 0."""
+        """`number` is the index of the attempt within its request."""
         self.request = request
         self.number, self.endpoint, self.started_at = number, endpoint, started_at
         self.open, self.written, self.streaming = True, False, False
@@ -77,27 +77,27 @@
         arrived_at: float,
         deadline: float,
     ) -> None:
-        """Without an attempt, and not known to the policy yet."""
+        """Starts without an attempt, and not yet submitted to the policy."""
         self.request_id = received.request_id
         self.policy_id, self.correlation_id = ids
         self.received, self.route = received, route
         self.arrived_at, self.deadline = arrived_at, deadline
         self.attempt: Attempt | None = None  # the last one
         self.endpoints: list[int] = []  # of all attempts
-        self.finished = False  # it has its final response, or its client has disconnected
-        self.submitted = False  # the policy knows of it
+        self.finished = False  # the final response was sent, or the client has disconnected
+        self.submitted = False  # to the policy
         self.timed_out = False
-        self.replayable = True  # its body can be written again
+        self.replayable = True  # the whole body is buffered for a further attempt
         self.may_have_run_since: float | None = None  # start of the first attempt that may have been executed
-        self.unauthenticated: UnauthenticatedRequest | None = None  # an authentication service must name its customer
+        self.unauthenticated: UnauthenticatedRequest | None = None  # set if a service must identify the customer
         self.auth_response: auth.Answer | None = None
         self.credential_digest = b""
         self.trace: Trace | None = None
-        self.active_hooks: ActiveReleases | None = None  # the hooks that were in service when it arrived
-        self.hook_runner: Runner | None = None  # those of them that apply to its customer
-        self.hook_record: tuple[Any, ...] | None = None  # the record that hooks are given,
-        self.hook_record_route: RoutedRequest | None = None  # and the route that it was made for
-        self.upstream_target: UpstreamTarget | None = None  # of all attempts, where a hook rewrote it
+        self.active_hooks: ActiveReleases | None = None  # the hooks that were active when it arrived
+        self.hook_runner: Runner | None = None  # those of active_hooks that apply to its customer
+        self.hook_record: tuple[Any, ...] | None = None  # what hooks receive, cached
+        self.hook_record_route: RoutedRequest | None = None  # the route that hook_record was built from
+        self.upstream_target: UpstreamTarget | None = None  # for all attempts, once the hook has run
 
 
 class RequestTable:
@@ -122,24 +122,24 @@
         self._by_request_id[request.request_id] = self._by_policy_id[request.policy_id] = request
 
     def remove(self, request: InFlightRequest) -> None:
-        """Remove a request, where it is still there."""
+        """Remove a request, if it is still there."""
         self._by_request_id.pop(request.request_id, None)
         self._by_policy_id.pop(request.policy_id, None)
 
     def find(self, request_id: int) -> InFlightRequest | None:
-        """The request with an id; None where it is no longer in flight."""
+        """The request with an id; None if it is no longer in flight."""
         return self._by_request_id.get(request_id)
 
     def get(self, request_id: int) -> InFlightRequest:
-        """The request with an id; raises KeyError where it is no longer in flight."""
+        """The request with an id; raises KeyError if it is no longer in flight."""
         return self._by_request_id[request_id]
 
-    def of_policy(self, policy_id: str) -> InFlightRequest:
-        """The request that the policy names; raises KeyError where it is no longer in flight."""
+    def get_by_policy_id(self, policy_id: str) -> InFlightRequest:
+        """The request with a policy id; raises KeyError if it is no longer in flight."""
         return self._by_policy_id[policy_id]
 
     def find_open_attempt(self, request_id: int, number: int) -> Attempt | None:
-        """The attempt with a number, where it is its request's last one and still open."""
+        """The attempt with a number, if it is its request's last one and still open; else None."""
         request = self._by_request_id.get(request_id)
         if request is None:
             return None
--- a/martenstep/proxy/engine/responses.py
+++ b/martenstep/proxy/engine/responses.py
@@ -1,4 +1,4 @@
-"""The final responses of requests: one for each, from an endpoint or of the gateway's own."""
+"""The final responses of requests: exactly one for each, from an endpoint or from the gateway itself."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 GATEWAY_ERROR, UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 NO_CONTENT = 204
 FIRST_ERROR_STATUS = 400
-RETRY_AFTER_SHARE = 0.1  # of the latency objective, where the gateway itself gives up
+RETRY_AFTER_SHARE = 0.1  # of the latency objective, if the gateway gives up without a decision of the policy
 MS_PER_S = 1000.0
 NO_HEADERS: ev.Headers = []
 
 
 class Rejection(NamedTuple):
-    """Why a request is not accepted, and what its response says."""
+    """Why a request is not accepted, and what its response states."""
 
     status: int
     reason: str
@@ -41,10 +41,10 @@
 
 
 class Responses:
-    """Gives requests their final responses."""
+    """Builds and emits the final responses of requests."""
 
     def __init__(self, state: EngineState, policy: PolicyDriver) -> None:
-        """`policy` knows what is left of a customer's quota."""
+        """`policy` states the remaining units of a customer for the RateLimit header fields."""
         self._state, self._policy = state, policy
         self._messages = state.dependencies.message_builder
         self._max_retry_after_ms = state.dependencies.max_retry_after_ms
@@ -52,23 +52,23 @@
         self.on_finished: Callable[[int], None] | None = None  # called with the id of each finished request
         self.counts: dict[str, int] = {}  # final responses, by reason
 
-    # The gateway's own --------------------------------------------------------------------------------------
+    # Local replies ------------------------------------------------------------------------------------------
 
     def reject(self, action: api.Reject) -> None:
-        """The policy rejects a request."""
+        """Send the response to a request that the policy rejects."""
         retry_after_ms = min(action.retry_after_ms, self._max_retry_after_ms)
-        request = self._state.requests.of_policy(action.id)
+        request = self._state.requests.get_by_policy_id(action.id)
         self.send_local_reply(request, REJECTION_STATUS[action.reason], action.reason.value, retry_after_ms)
 
     def fail(self, request: InFlightRequest) -> None:
-        """The final response that promises nothing of what happened."""
+        """Send the final response of a failed request; it does not state whether the request was executed."""
         if request.timed_out:
             self.send_local_reply(request, GATEWAY_TIMEOUT, "timed out", None)
         else:
             self.send_local_reply(request, GATEWAY_ERROR, "failed", None)
 
     def give_up(self, request: InFlightRequest, retry_is_harmless: bool, reason: str) -> None:
-        """The final response where the policy is not asked for another attempt."""
+        """Send the final response of a request that gets no further attempt, without a decision of the policy."""
         if retry_is_harmless:
             retry_after_ms = request.route.request_class.latency_objective_ms * RETRY_AFTER_SHARE
             self.send_local_reply(request, UNAVAILABLE, reason, retry_after_ms)
@@ -78,7 +78,7 @@
     def send_local_reply(
         self, request: InFlightRequest, status: int, reason: str, retry_after_ms: float | None
     ) -> None:
-        """Send a final response of the gateway's own.  A wait in `retry_after_ms` says that a retry does no harm."""
+        """Send a final response of the gateway itself; `retry_after_ms` tells the client that a retry is harmless."""
         headers, body = self._messages.local_reply(reason, request.correlation_id, retry_after_ms)
         if retry_after_ms is not None:
             custom = self._custom_rejection(request, RejectionSummary(status, reason, retry_after_ms))
@@ -100,7 +100,7 @@
     def _custom_rejection(
         self, request: InFlightRequest, rejection: RejectionSummary
     ) -> result_validation.RejectionContent | None:
-        """The response that a hook gives in place of the gateway's own; None where none does."""
+        """The response that the refusal hook returns in place of the gateway's own; None if there is none."""
         runner = request.hook_runner
         if runner is None and request.active_hooks is not None:
             runner = request.active_hooks.runner(request.route.customer_key)
@@ -111,13 +111,13 @@
         return points.refusal(self._state.now, runner, request, rejection)
 
     def reject_unaccepted(self, received: ev.RequestReceived, correlation_id: str, rejection: Rejection) -> None:
-        """Answer a request that is not accepted: the policy never learns of it."""
+        """Respond to a request that is not accepted and is never submitted to the policy."""
         status, reason, retry_after_ms, headers = rejection
         own_headers, body = NO_HEADERS, b""
         if status != NO_CONTENT:
             own_headers, body = self._messages.local_reply(reason, correlation_id, retry_after_ms)
         all_headers = [*own_headers, *headers, *self._messages.identity_headers(correlation_id)]
-        if status >= FIRST_ERROR_STATUS:  # health checks of a quiet gateway would be most of its lines
+        if status >= FIRST_ERROR_STATUS:  # otherwise health checks would fill the log of an idle gateway
             fields = {"request": correlation_id, "status": status, "reason": reason}
             self._state.actions.append(ev.LogEvent("request rejected", fields))
         self._state.actions.append(ev.SendLocalReply(received.request_id, status, all_headers, body))
@@ -131,10 +131,10 @@
         full_in_ms = 0.0 if remaining is None else max(plan.burst - remaining, 0.0) / plan.rate * MS_PER_S
         return rate_limit_headers(plan, remaining, full_in_ms)
 
-    # Of endpoints -------------------------------------------------------------------------------------------
+    # Relayed ------------------------------------------------------------------------------------------------
 
     def relay(self, attempt: Attempt, complete: bool) -> None:
-        """Pass an attempt's response on to the client; `complete` where all of it has come."""
+        """Pass an attempt's response on to the client; `complete` is set if all of it has been received."""
         request, headers = attempt.request, self._messages.response_headers(attempt.headers)
         runner = request.hook_runner
         if runner is not None and runner.has("answer"):
@@ -154,9 +154,9 @@
     # The end of a request -----------------------------------------------------------------------------------
 
     def finish(self, request: InFlightRequest, status: int, reason: str, retry_after_ms: float | None = None) -> None:
-        """Record the final response: the one place where a request stops being owed one.
+        """Record that a request has its final response; only this method marks a request as finished.
 
-        Status 0 is of a client that gets none.
+        Status 0 stands for a client that receives no complete response.
         """
         request.finished = True
         if self.on_finished is not None:
@@ -205,11 +205,11 @@
         self._state.actions.append(ev.LogEvent("request finished", fields))
 
     def release(self, request: InFlightRequest) -> None:
-        """Forget a request that is finished and has no attempt open."""
+        """Remove a request from the table if it is finished and no attempt is open."""
         if not request.finished or (request.attempt is not None and request.attempt.open):
             return
         self._state.requests.remove(request)
-        request.attempt = None  # they refer to each other
+        request.attempt = None  # breaks the reference cycle between request and attempt
         if request.trace is not None:
             trace, request.trace = request.trace, None
             self._state.actions.append(ev.ExportTrace(trace))
--- a/martenstep/proxy/engine/state.py
+++ b/martenstep/proxy/engine/state.py
@@ -1,4 +1,4 @@
-"""What the parts of an engine share: the time, the requests in flight, the timers and the actions to be carried out."""
+"""The state that the components of an engine share: time, requests in flight, timers and pending actions."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
     """The shared state of one engine.  Times are milliseconds on the driver's clock."""
 
     def __init__(self, dependencies: EngineDependencies, seed: int) -> None:
-        """`seed` distinguishes the ids that this process gives to requests from those of others."""
+        """`seed` distinguishes the request ids that this process generates from those of other processes."""
         self.dependencies = dependencies
         self.seed = seed
         self.now = 0.0
-        self.stopped = False  # no request is accepted any more
+        self.stopped = False  # no further request is accepted
         self.requests = RequestTable()
         self.unanswered = 0  # requests without a final response
         self.timers = TimerQueue()
-        self.actions: list[ev.Action] = []  # to be carried out, in order
+        self.actions: list[ev.Action] = []  # to be returned to the driver, in order
         self._serial = 0
         self.reconfigure(dependencies)
 
     def reconfigure(self, dependencies: EngineDependencies) -> None:
-        """Take over what may change in service; requests in flight keep their routes."""
+        """Apply the settings that may change without a restart; requests in flight keep their routes."""
         self.route_table, self.targets = dependencies.route_table, dependencies.targets
         self.extension_points = dependencies.extension_points
         self.deadline_margin_ms, self.max_in_flight = dependencies.deadline_margin_ms, dependencies.max_in_flight
 
     def next_serial(self) -> int:
-        """A number that no request and no counter call of this engine has had."""
+        """The next unused number for a request or a counter call of this engine."""
         self._serial += 1
         return self._serial
--- a/martenstep/proxy/engine/timers.py
+++ b/martenstep/proxy/engine/timers.py
@@ -1,4 +1,4 @@
-"""The engine's timers: what each one is for, and a queue in order of time."""
+"""The engine's types of timer, and a queue of timers in order of time."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class CounterTimeout:
-    """A counter call has not been answered in time."""
+    """Ends a counter call that has not been answered in time."""
 
     call_id: int
 
 
 @dataclass(slots=True)
 class RequestDeadline:
-    """A request's time is over."""
+    """Ends a request at its deadline."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class ConnectTimeout:
-    """An attempt has not been written in time."""
+    """Ends an attempt that has not been written in time."""
 
     request_id: int
     attempt: int
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class PolicyTimer:
-    """The policy asked for a TimerFired event."""
+    """Sends the policy the TimerFired event that it requested."""
 
     token: int
 
@@ -41,7 +41,7 @@
 
 
 class TimerQueue:
-    """Timers in order of their times; those of one time in the order in which they were scheduled."""
+    """Timers in order of due time; timers with the same due time keep the order in which they were scheduled."""
 
     def __init__(self) -> None:
         """Starts empty."""
@@ -52,10 +52,10 @@
     def __len__(self) -> int:
         return len(self._heap)
 
-    def skip_obsolete(self, predicates: Mapping[type, Callable[[Any], bool]]) -> None:
-        """Set, by the type of a timer, the predicate that is true once the timer has no effect any more.
+    def set_obsolete_predicates(self, predicates: Mapping[type, Callable[[Any], bool]]) -> None:
+        """Set for each type of timer the predicate that tells whether a timer no longer has an effect.
 
-        Most have none by their time, and each would wake the process for nothing.
+        Most timers are obsolete by the time they are due; skipping them avoids waking the process for nothing.
         """
         self._obsolete = predicates
 
@@ -65,7 +65,7 @@
         heapq.heappush(self._heap, (at, self._scheduled, timer))
 
     def next_at(self) -> float | None:
-        """When the next timer that still has an effect is due; None where there is none."""
+        """When the next timer that still has an effect is due; None if there is none."""
         heap = self._heap
         while heap:
             at, _, timer = heap[0]
@@ -76,7 +76,7 @@
         return None
 
     def pop_due(self, now: float) -> Timer | None:
-        """Remove and return the first timer that is due; None where none is."""
+        """Remove and return the first timer that is due; None if there is none."""
         heap = self._heap
         if heap and heap[0][0] <= now:
             return heapq.heappop(heap)[2]
