--- a/martenstep/proxy/dependencies.py
+++ b/martenstep/proxy/dependencies.py
@@ -1,8 +1,9 @@
-"""What an engine and a server are put together from: the interfaces behind which one protocol differs from another.
+"""The dependencies of an engine and a server: interfaces for everything that depends on the protocol of requests.
 
-An engine is the same whatever the requests look like.  How a request states its class and customer, how attempts and
-responses are written, what the status of a response proves and which forms of a target are accepted is given to it
-here: `engine_factory` makes these from a gateway's settings, `martenstep.node` from a platform's configuration.
+An engine does not depend on the format of requests.  These interfaces define how a request states its class and
+customer, how attempts and responses are written, what the status of a response proves, and which forms of a target are
+accepted.  `engine_factory` creates the dependencies from a gateway's settings, and `martenstep.node` from a platform's
+configuration.
 """
 
 from __future__ import annotations
@@ -29,21 +30,21 @@
 
 @dataclass(slots=True)
 class RoutedRequest:
-    """Where a request belongs."""
+    """The request class, plan and customer of a request."""
 
     request_class: api.RequestClass
     plan: api.Plan
     customer: int
     customer_key: str
     units: float
-    instances: int  # through so many gateways the customer's requests come,
-    first_instance: int  # from this one on
+    instances: int  # the number of gateways that receive the customer's requests
+    first_instance: int  # the first of these gateways
     is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class UnauthenticatedRequest:
-    """A request whose customer an authentication service must name first."""
+    """A request whose customer must first be identified by an authentication service."""
 
     request_class: api.RequestClass
     units: float
@@ -52,37 +53,37 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRejection:
-    """Why a request belongs nowhere: the status and the reason of its response."""
+    """Why a request cannot be routed: the status and the reason of its response."""
 
     status: int
     reason: str
 
 
 class RouteTable(Protocol):
-    """From a request's head to what the policy learns of it."""
+    """Derives what is submitted to the policy from a request's head."""
 
     def route(
         self, method: bytes, target: bytes, headers: Headers
     ) -> RoutedRequest | UnauthenticatedRequest | RouteRejection:
-        """Where a request belongs."""
+        """Route a request."""
 
     def deadline_ms(self, request_class: api.RequestClass, headers: Headers) -> float | None:
-        """How long its client waits; None where that is stated and is no number."""
+        """How long the client waits; None if the client states a value that is not a valid number."""
 
     def identify(
         self, unauthenticated: UnauthenticatedRequest, customer_key: str, plan: str
     ) -> RoutedRequest | RouteRejection:
-        """Where a request belongs, once its customer is known."""
+        """Route a request once its customer is known."""
 
     def anonymous(self, unauthenticated: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
-        """Where a request belongs that passes without a verdict."""
+        """Route a request that is admitted without a verdict, because its route fails open."""
 
 
 class TargetPolicy(Protocol):
     """Which forms of a target are accepted."""
 
     def normalize(self, method: bytes, target: bytes, headers: Headers) -> NormalizedTarget | TargetRejection:
-        """What is forwarded, or the gateway's own response."""
+        """The target and headers to forward, or the gateway's own response."""
 
 
 # Messages -----------------------------------------------------------------------------------------------
@@ -97,10 +98,10 @@
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """What the headers of an attempt are made from."""
+    """The inputs for the headers of an attempt."""
 
     client_headers: Headers
-    auth_headers: Headers  # of an authentication service's response
+    auth_headers: Headers  # from the response of an authentication service
     hook_headers: Headers
     correlation_id: str
     policy_id: str
@@ -114,42 +115,42 @@
 class MessageBuilder(Protocol):
     """Builds the headers of attempts and the responses."""
 
-    sends_rate_limits: bool  # responses state what is left of the plan
+    sends_rate_limits: bool  # responses have RateLimit header fields
 
     def identity_headers(self, correlation_id: str) -> Headers:
-        """What every message of the gateway carries."""
+        """The headers of every message of the gateway."""
 
     def copied_auth_headers(self, headers: Headers) -> Headers:
-        """Of an authentication service's response what endpoints are sent."""
+        """The headers of an authentication service's response that are forwarded to endpoints."""
 
     def request_headers(self, request: UpstreamRequest) -> Headers:
-        """An attempt's headers."""
+        """The headers of an attempt."""
 
     def deadline_header(self, remaining_ms: float) -> tuple[bytes, bytes]:
-        """The header among an attempt's that tells its endpoint how long the gateway waits."""
+        """The header of an attempt that tells its endpoint how long the gateway waits."""
 
     def response_headers(self, headers: Headers) -> Headers:
-        """Of an endpoint's response what its client is sent."""
+        """The headers of an endpoint's response that are relayed to the client."""
 
     def local_reply(self, reason: str, correlation_id: str, retry_after_ms: float | None) -> tuple[Headers, bytes]:
-        """Headers and body of a response of the gateway's own."""
+        """Headers and body of a response of the gateway itself."""
 
 
 # Hooks --------------------------------------------------------------------------------------------------
 
 
 class HookSubject(Protocol):
-    """A request, as far as hooks have to do with it."""
+    """The parts of a request that hooks use."""
 
     received: RequestReceived
     route: RoutedRequest
     arrived_at: float
-    hook_record: tuple[Any, ...] | None  # the record that hooks were given last,
-    hook_record_route: RoutedRequest | None  # and the route that it was made for
+    hook_record: tuple[Any, ...] | None  # what hooks received last, cached
+    hook_record_route: RoutedRequest | None  # the route that hook_record was built from
 
 
 class RejectionSummary(NamedTuple):
-    """What hooks learn of a rejection."""
+    """What hooks receive about a rejection."""
 
     status: int
     reason: str
@@ -157,7 +158,7 @@
 
 
 class ResponseSummary(NamedTuple):
-    """What hooks learn of a response."""
+    """What hooks receive about a response."""
 
     status: int
     attempts: int
@@ -165,18 +166,18 @@
 
 
 class ExtensionPoints(Protocol):
-    """Where hooks act on a request.  Times are milliseconds."""
+    """The points at which hooks act on a request.  Times are milliseconds."""
 
     def classify(self, now: float, runner: Runner, subject: HookSubject) -> RoutedRequest:
-        """Class, customer, plan and units."""
+        """The route of a request, with the class, customer, plan and units that the hook sets."""
 
     def sending(self, now: float, runner: Runner, subject: HookSubject) -> tuple[bytes, Headers]:
-        """Target and additional headers of what goes to an endpoint."""
+        """Target and additional headers of a request to an endpoint."""
 
     def refusal(
         self, now: float, runner: Runner, subject: HookSubject, rejection: RejectionSummary
     ) -> result_validation.RejectionContent | None:
-        """The response to a rejected request; None: the gateway's own."""
+        """The response to a rejected request; None for the gateway's own."""
 
     def answer(
         self, now: float, runner: Runner, subject: HookSubject, response: ResponseSummary, headers: Headers
@@ -187,17 +188,17 @@
         """Additional fields of the log line of a response."""
 
 
-# All of it ----------------------------------------------------------------------------------------------
+# The engine ---------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class AuthorizationSettings:
-    """How authentication services are asked, and what of their responses counts.  Names are in lower case."""
+    """How authentication services are called and how their responses are read.  Names are in lower case."""
 
     rules: auth.Rules
     services: Sequence[tuple[str, int]]
     path: bytes
-    includes_target: bool  # checks of different targets are told apart
+    includes_target: bool  # requests with different targets need separate checks
     credential_headers: Sequence[bytes]
     customer_header: bytes
     plan_header: bytes
@@ -205,7 +206,7 @@
 
 @dataclass(slots=True)
 class EngineDependencies:
-    """What an engine is made from.  Times are milliseconds."""
+    """The dependencies of an engine.  Times are milliseconds."""
 
     name: str
     settings: api.Settings
@@ -214,13 +215,13 @@
     status_classifier: StatusClassifier
     message_builder: MessageBuilder
     request_id_header: bytes  # names a request in logs and to endpoints
-    deadline_margin_ms: float  # a request ends so much before its client's deadline
+    deadline_margin_ms: float  # a request ends this long before its client's deadline
     max_in_flight: int
     connect_timeout_ms: float
     can_cancel: bool  # an attempt may be cancelled before its end
     max_retry_after_ms: float
-    streams_past_deadline: bool = True  # a response that has begun may go on beyond its request's deadline
-    records_usage: bool = False  # the counter service keeps forwarded requests
+    streams_past_deadline: bool = True  # a streamed response may continue past its request's deadline
+    records_usage: bool = False  # the counter service records forwarded requests
     logs_responses: bool = True
     authorization: AuthorizationSettings | None = None
     forward_auth_reader: Answerer | None = None
@@ -229,76 +230,76 @@
 
 
 # Limits -------------------------------------------------------------------------------------------------
-# Named as the settings (door.proto) and the platform's configuration have them, which satisfy these.
+# The properties have the names of the settings (door.proto) and of the platform's configuration, which implement them.
 
 
 class ListenerLimits(Protocol):
-    """What a server holds its clients to.  Sizes are bytes, times milliseconds."""
+    """The limits that a server enforces on its clients.  Sizes are bytes, times milliseconds."""
 
     @property
     def host(self) -> str:
-        """Where it listens."""
+        """The address to listen on."""
 
     @property
     def port(self) -> int:
-        """And the port; 0: any that is free."""
+        """The port to listen on; 0 for any free one."""
 
     @property
     def max_connections(self) -> int:
-        """Connections at once."""
+        """The maximum number of concurrent connections."""
 
     @property
     def head_bytes(self) -> int:
-        """Of a request's line and headers."""
+        """The maximum size of a request's line and headers."""
 
     @property
     def body_bytes(self) -> int:
-        """Of a request's body."""
+        """The maximum size of a request's body."""
 
     @property
     def idle_ms(self) -> float:
-        """A connection without a request is closed after this."""
+        """The time after which a connection without a request is closed."""
 
     @property
     def head_ms(self) -> float:
-        """A head, and with `whole_body` the body too, must be complete within this."""
+        """The time within which a head, and with `whole_body` also the body, must be complete."""
 
     @property
     def leave_on_half_close(self) -> bool:
-        """A client that closed its half is taken for disconnected."""
+        """Whether a client that closed its half of the connection is treated as disconnected."""
 
     @property
     def whole_body(self) -> bool:
-        """A request is accepted once its body is complete."""
+        """Whether a request is accepted only once its body is complete."""
 
 
 class UpstreamLimits(Protocol):
-    """What a server holds its connections to endpoints to.  Sizes are bytes, times milliseconds."""
+    """The limits of a server's connections to endpoints.  Sizes are bytes, times milliseconds."""
 
     @property
     def connections(self) -> int:
-        """To one endpoint, in use and idle."""
+        """The maximum number of connections to one endpoint, in use and idle."""
 
     @property
     def idle_ms(self) -> float:
-        """An idle connection is closed after this."""
+        """The time after which an idle connection is closed."""
 
     @property
     def answer_idle_ms(self) -> float:
-        """Between two parts of a response that has begun."""
+        """The maximum time between two parts of a response."""
 
     @property
     def keep_body_bytes(self) -> int:
-        """Of a request's body, for another attempt."""
+        """How much of a request's body is buffered for another attempt."""
 
     @property
     def hold_answer_bytes(self) -> int:
-        """Of a response, before it belongs to the client."""
+        """How much of a response is buffered before it is streamed to the client."""
 
     @property
     def answer_bytes(self) -> int:
-        """Of a response: a longer one is a failed attempt; 0: no limit."""
+        """The maximum size of a response; a longer one is a failed attempt.  0 for no limit."""
 
     @property
     def all_connections(self) -> int:
-        """To all endpoints together; 0: no limit."""
+        """The maximum number of connections to all endpoints; 0 for no limit."""
--- a/martenstep/proxy/engine_factory.py
+++ b/martenstep/proxy/engine_factory.py
@@ -1,4 +1,4 @@
-"""Makes an engine and a server from a gateway's settings (gateway.proto)."""
+"""Creates an engine and a server from a gateway's settings (door.proto)."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     if authorization is None:
         return GatewayMessageBuilder(gateway, frozenset(), frozenset())
     copies = frozenset(_header_name(name) for name in gateway.auth.copy_header)
-    # What only the service may set: a client that sets it itself is ignored.
+    # Headers that only the service may set; they are removed from requests of clients.
     auth_only = copies | {authorization.customer_header, authorization.plan_header}
     return GatewayMessageBuilder(gateway, auth_only, copies)
 
@@ -84,9 +84,9 @@
 def make_dependencies(
     gateway: pb.Door, seed: int, hook_releases: ReleaseManager | None = None, epoch_ms: float = 0.0
 ) -> EngineDependencies:
-    """All that an engine needs of the settings.
+    """The dependencies of an engine with a gateway's settings.
 
-    `hook_releases` has the hooks, where there are any; `epoch_ms` turns the engine's clock into Unix time, for them.
+    `hook_releases` is None for a gateway without hooks.  `epoch_ms` converts the engine's clock to Unix time for hooks.
     """
     upstream, listener = gateway.upstream, gateway.listener
     route_table, authorization = GatewayRouteTable(gateway), _authorization_settings(gateway)
@@ -108,7 +108,7 @@
         connect_timeout_ms=upstream.connect_ms,
         can_cancel=upstream.cancel,
         max_retry_after_ms=gateway.max_retry_after_ms,
-        records_usage=gateway.HasField("counter"),  # the counter service keeps them, Redis only counts
+        records_usage=gateway.HasField("counter"),  # the counter service records usage; Redis only counts
         authorization=authorization,
         forward_auth_reader=Answerer(gateway.forward_auth) if gateway.HasField("forward_auth") else None,
         trace_sampler=Sampler(gateway.tracing.share, random.Random(~seed)) if gateway.HasField("tracing") else None,
@@ -119,12 +119,12 @@
 def make_engine(
     gateway: pb.Door, seed: int, hook_releases: ReleaseManager | None = None, epoch_ms: float = 0.0
 ) -> Engine:
-    """An engine by a gateway's settings (see `make_dependencies`)."""
+    """Create an engine with a gateway's settings (see `make_dependencies`)."""
     return Engine(make_dependencies(gateway, seed, hook_releases, epoch_ms), seed, hook_releases)
 
 
 def make_server(gateway: pb.Door, engine: Engine, log_event: EventLog) -> ProxyServer:
-    """A server by a gateway's settings; raises TlsError."""
+    """Create a server with a gateway's settings; raises TlsError."""
     listener, upstream = gateway.listener, gateway.upstream
     server = ProxyServer(
         listener,
--- a/martenstep/proxy/engine_messages.py
+++ b/martenstep/proxy/engine_messages.py
@@ -1,6 +1,6 @@
 """The messages between an engine and its driver: events in, actions out.
 
-A request id is the driver's number of one client request; an attempt is numbered within its request, from 0.  Times are
+The driver numbers client requests by request ids; attempts are numbered within their request, from 0.  Times are
 milliseconds on the driver's clock.  Header names are in lower case.
 """
 
@@ -15,14 +15,14 @@
 from martenstep.event_log import LogFields
 from martenstep.policy.messages import CallResult
 
-if TYPE_CHECKING:  # a gateway that traces nothing does not load what traces need
+if TYPE_CHECKING:  # not loaded by a gateway without tracing
     from martenstep.proxy.traces import Trace
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class AttemptFailure(Enum):
-    """How an attempt ended without a complete response; `attempt_outcomes` says what each proves."""
+    """How an attempt ended without a complete response; `attempt_outcomes` states what each proves."""
 
     NOT_CONNECTED = "no connection was made"
     CONNECTION_LIMIT = "the limit of connections to the endpoint is reached"
@@ -44,33 +44,33 @@
     target: bytes
     headers: Headers
     client_address: str = ""
-    received_at: float | None = None  # when its last byte came; None: now
+    received_at: float | None = None  # when the last byte of the head was received; None: now
 
 
 @dataclass(slots=True)
 class ClockStepped:
-    """The wall clock was stepped: it now reads so much beyond the driver's clock."""
+    """The wall clock was stepped: it now differs from the driver's clock by `shift_ms`."""
 
     shift_ms: float
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client's connection has ended, or its request broke off."""
+    """The client's connection has ended, or its request ended prematurely."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class RequestBodyNotReplayable:
-    """The request's body has outgrown its buffer: it cannot be written again."""
+    """The request's body is larger than its buffer, so it cannot be written again."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class AttemptWritten:
-    """The first bytes of an attempt are being written: from here it may be executed."""
+    """The first bytes of an attempt are being written; from now on it may be executed."""
 
     request_id: int
     attempt: int
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class ResponseBufferExceeded:
-    """More of a response has come than is buffered: it must go to the client now."""
+    """A response is larger than its buffer, so it must be streamed to the client from now on."""
 
     request_id: int
     attempt: int
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class ResponseCompleted:
-    """The last byte of an attempt's response has come."""
+    """The last byte of an attempt's response has been received."""
 
     request_id: int
     attempt: int
@@ -113,17 +113,17 @@
 
 @dataclass(slots=True)
 class CounterReplied:
-    """A counter call ended."""
+    """A counter call has ended."""
 
     call_id: int
     result: CallResult
     total: float = 0.0
-    retained_ms: float = math.inf  # for so long the counter is known to have lost nothing
+    retained_ms: float = math.inf  # how long the counter is known to have lost no increments
 
 
 @dataclass(slots=True)
 class Tick:
-    """Time has passed: the timers that are due fire."""
+    """Fires the timers that are due."""
 
 
 @dataclass(slots=True)
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True)
 class AuthCheckFailed:
-    """A check's attempt gave no response that can be read."""
+    """An attempt of a check yielded no readable response."""
 
     check_id: int
     attempt: int
@@ -167,7 +167,7 @@
 
 @dataclass(slots=True)
 class OpenAttempt:
-    """Begin an attempt: take or make a connection to the address and write the request."""
+    """Start an attempt: use an idle or a new connection to the address, and write the request."""
 
     request_id: int
     attempt: int
@@ -177,12 +177,12 @@
     target: bytes
     headers: Headers
     deadline: float  # of the request
-    deliver_by: float | None = None  # not to be delivered later than this
+    deliver_by: float | None = None  # the network must not deliver it later than this
 
 
 @dataclass(slots=True)
 class AbortAttempt:
-    """Give an attempt up and close its connection; nothing more may be written for it."""
+    """Abort an attempt and close its connection; nothing more may be written for it."""
 
     request_id: int
     attempt: int
@@ -190,7 +190,7 @@
 
 @dataclass(slots=True)
 class RelayResponse:
-    """Pass the attempt's response, with this head, on to the client; what is buffered first, the rest as it comes."""
+    """Send the attempt's response with this head to the client: the buffered part first, the rest as it arrives."""
 
     request_id: int
     attempt: int
@@ -201,7 +201,7 @@
 
 @dataclass(slots=True)
 class SendLocalReply:
-    """Send a final response of the gateway's own."""
+    """Send a final response of the gateway itself."""
 
     request_id: int
     status: int
@@ -211,25 +211,25 @@
 
 @dataclass(slots=True)
 class ResetClientConnection:
-    """A response that had begun broke off: close the client's connection to say so."""
+    """Close the client's connection, to show that the response that is being streamed is incomplete."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add units to a key of the counter and learn the total."""
+    """Add units to a key of the counter, and request the total."""
 
     call_id: int
     key: int
     units: float
     expire_ms: float
-    bounds_ceiling: bool = False  # how long nothing was lost is to be proved
+    bounds_ceiling: bool = False  # the reply must state for how long no increments were lost
 
 
 @dataclass(slots=True)
 class StartAuthCheck:
-    """Ask an authentication service."""
+    """Start an attempt of a check at an authentication service."""
 
     check_id: int
     attempt: int
@@ -240,7 +240,7 @@
 
 @dataclass(slots=True)
 class StopAuthCheck:
-    """Give an attempt of a check up and close its connection."""
+    """Abort an attempt of a check and close its connection."""
 
     check_id: int
     attempt: int
@@ -248,7 +248,7 @@
 
 @dataclass(slots=True)
 class RecordUsage:
-    """A request was forwarded for the first time: to be recorded, once."""
+    """Record once that a request was forwarded."""
 
     correlation_id: str
     customer: str
@@ -261,19 +261,19 @@
 
 @dataclass(slots=True)
 class ExportTrace:
-    """A traced request is over."""
+    """Export the trace of a request that has ended."""
 
     trace: Trace
 
 
 @dataclass(slots=True)
 class SubscribeEndpoints:
-    """Ask discovery for changes of the endpoint list from now on."""
+    """Subscribe to changes of the endpoint list at discovery."""
 
 
 @dataclass(slots=True)
 class LogEvent:
-    """Write one line for the operators."""
+    """Write one line to the event log."""
 
     event: str
     fields: LogFields
--- a/martenstep/proxy/http1/__init__.py
+++ b/martenstep/proxy/http1/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 on a connection, both sides, as bytes in and events out: no socket, no clock, no task.
+"""HTTP/1.1 for both sides of a connection, as a codec from bytes to events without sockets, clocks or tasks.
 
-Here are: reading heads (llhttp, with checks where it is laxer than RFC 9112 and than h11), bodies by length, by chunks
-and to the connection's end, and writing.  What is rejected is raised as ProtocolError with a status; nothing here
-decides on it.
+Heads are parsed by llhttp, with further checks where it is laxer than RFC 9112 and than h11.  Bodies are read by their
+length, by chunks or up to the end of the connection.  A rejected message raises ProtocolError with a status; the caller
+decides what to do about it.
 """
--- a/martenstep/proxy/http1/message_body.py
+++ b/martenstep/proxy/http1/message_body.py
@@ -1,4 +1,4 @@
-"""Bodies as their bytes come: by length, by chunks (RFC 9112 7.1), or to the connection's end."""
+"""Incremental readers of bodies: by length, by chunks (RFC 9112 7.1), or up to the end of the connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from martenstep.proxy.http1.message_head import END_OF_HEAD, ProtocolError
 
 CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
-MAX_CHUNK_LINE_BYTES = 1024  # extensions are read past, not kept
+MAX_CHUNK_LINE_BYTES = 1024  # with chunk extensions, which are discarded
 MAX_TRAILER_BYTES = 8192
 TRAILER = re.compile(rb"(?:[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[\t\x20-\x7e\x80-\xff]*\r\n)*\r\n")
 CRLF = b"\r\n"
@@ -23,50 +23,50 @@
 
     def __init__(self, length: int) -> None:
         """`length` in bytes."""
-        self.remaining = length  # bytes that are still to come
+        self.remaining = length  # bytes not yet received
 
     @property
     def complete(self) -> bool:
-        """Whether its last byte has come."""
+        """Whether the last byte has been received."""
         return self.remaining == 0
 
-    def take(self, data: bytearray) -> Iterator[bytes]:
-        """Its bytes, taken off the front of `data`."""
+    def consume(self, data: bytearray) -> Iterator[bytes]:
+        """Yield the bytes of the body, and remove them from the front of `data`."""
         if data and self.remaining:
             part = bytes(data[: self.remaining])
             del data[: len(part)]
             self.remaining -= len(part)
             yield part
 
-    def end(self) -> None:
-        """The connection is at its end; raises ProtocolError where the body is not complete."""
+    def connection_ended(self) -> None:
+        """The connection has ended; raises ProtocolError if the body is incomplete."""
         if self.remaining:
             raise ProtocolError(BAD_REQUEST, "body broke off")
 
 
 class BodyUntilClose:
-    """A body that ends with its connection."""
+    """A body that ends with the connection."""
 
     __slots__ = ("complete",)
 
     def __init__(self) -> None:
-        """Of a length that nobody knows."""
+        """Starts with an unknown length."""
         self.complete = False
 
-    def take(self, data: bytearray) -> Iterator[bytes]:
-        """All bytes, taken off the front of `data`."""
+    def consume(self, data: bytearray) -> Iterator[bytes]:
+        """Yield all bytes of `data`, and clear it."""
         if data:
             part = bytes(data)
             data.clear()
             yield part
 
-    def end(self) -> None:
-        """The connection is at its end, and so is the body."""
+    def connection_ended(self) -> None:
+        """The connection has ended, which completes the body."""
         self.complete = True
 
 
 class _ChunkState(Enum):
-    """What comes next of a chunked body."""
+    """Which part of a chunked body is expected next."""
 
     SIZE = auto()
     DATA = auto()
@@ -75,19 +75,19 @@
 
 
 class ChunkedBody:
-    """A body in chunks; its trailers are read past."""
+    """A chunked body; trailers are discarded."""
 
     __slots__ = ("_remaining", "_state", "complete")
 
     def __init__(self) -> None:
         """Starts before the first chunk."""
-        self._remaining = 0  # bytes of the present chunk
+        self._remaining = 0  # bytes of the current chunk that are not yet received
         self._state = _ChunkState.SIZE
         self.complete = False
 
-    def take(self, data: bytearray) -> Iterator[bytes]:
-        """What the chunks hold, taken off the front of `data`; raises ProtocolError."""
-        position = 0  # behind what is done with: deleted once, since each deletion moves the rest
+    def consume(self, data: bytearray) -> Iterator[bytes]:
+        """Yield the content of chunks, and remove what was read from the front of `data`; raises ProtocolError."""
+        position = 0  # end of what was read; it is deleted once, since each deletion moves the remaining bytes
         try:
             while not self.complete:
                 if self._state is _ChunkState.DATA:
@@ -108,7 +108,7 @@
             del data[:position]
 
     def _read_framing(self, data: bytearray, position: int) -> int | None:
-        """Read what stands between chunks; returns the position behind it, None where more bytes must come."""
+        """Read the framing between chunks; returns the position after it, or None if more bytes are needed."""
         if self._state is _ChunkState.LINE_END:
             return self._read_line_end(data, position)
         if self._state is _ChunkState.SIZE:
@@ -152,8 +152,8 @@
         self.complete = True
         return end
 
-    def end(self) -> None:
-        """The connection is at its end; raises ProtocolError where the body is not complete."""
+    def connection_ended(self) -> None:
+        """The connection has ended; raises ProtocolError if the body is incomplete."""
         if not self.complete:
             raise ProtocolError(BAD_REQUEST, "body broke off")
 
--- a/martenstep/proxy/http1/message_head.py
+++ b/martenstep/proxy/http1/message_head.py
@@ -1,9 +1,9 @@
-"""Heads of requests and responses: parsed by llhttp once they are complete, and held to more than it asks for.
+"""Heads of requests and responses: parsed by llhttp once they are complete, with stricter checks.
 
-llhttp accepts what is rejected here: two spaces in a request line, HTTP/0.9 and other versions, an empty line in front,
-an HTTP/1.1 request with no Host or several, a target with bytes outside ASCII, Transfer-Encoding other than one
-`chunked` or in HTTP/1.0, and any head that goes on behind its end.  A method that it has no number for is read by h11,
-so that an endpoint's own methods pass.
+llhttp accepts the following, which is rejected here: two spaces in a request line, HTTP/0.9 and other versions, an
+empty line before the head, an HTTP/1.1 request with no Host or several, a target with bytes outside ASCII,
+Transfer-Encoding other than one `chunked` or in HTTP/1.0, and any bytes after the end of a head.  A request whose
+method is unknown to llhttp is parsed by h11, so that endpoints can use methods of their own.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 Headers = list[tuple[bytes, bytes]]
 END_OF_HEAD = b"\r\n\r\n"
 WHITESPACE = b" \t"
-MAX_LENGTH_DIGITS = 19  # of a content-length: more is no length that anybody means
+MAX_LENGTH_DIGITS = 19  # of a Content-Length; more digits than any real length has
 STATUSES_WITHOUT_BODY = (204, 304)
 MIN_STATUS, MAX_STATUS = 100, 599
 MINOR_VERSIONS = {"1.1": 1, "1.0": 0}
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class ProtocolError(Exception):
-    """What came is not HTTP that is accepted; the status that tells a client so, and the reason."""
+    """Received bytes are not acceptable HTTP; has the status and the reason of the response to a client."""
 
     status: int
     reason: str
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """A request's line and headers, names in lower case.  A length of None with `chunked`: it is stated as it comes."""
+    """A request's line and headers, names in lower case.  With `chunked`, `length` is None."""
 
     method: bytes
     target: bytes
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class ResponseHead:
-    """A response's line and headers.  Neither a length nor chunks: its body ends with the connection."""
+    """A response's line and headers.  Without `length` and `chunked`, the body ends with the connection."""
 
     status: int
     reason: bytes
@@ -60,7 +60,7 @@
 
 
 class _HeadCallbacks:
-    """What llhttp calls."""
+    """The callbacks that llhttp invokes while it parses a head."""
 
     __slots__ = ("complete", "headers", "status", "target")
 
@@ -83,7 +83,7 @@
 
 
 class _Framing(NamedTuple):
-    """What the headers state of the message's body and of the connection."""
+    """What the headers state about the message's body and the connection."""
 
     length: int | None
     chunked: bool
@@ -93,7 +93,7 @@
 
 
 def _read_framing(headers: Headers, minor_version: int) -> _Framing:
-    """Raises ProtocolError where the headers contradict each other."""
+    """Read the headers that frame a message; raises ProtocolError if one is invalid or they contradict each other."""
     length: int | None = None
     chunked = close = expects_continue = keep_alive = False
     host_count = 0
@@ -115,26 +115,27 @@
             case b"host":
                 host_count += 1
     if chunked and (length is not None or minor_version == 0):
-        # RFC 9112 6.1 and 6.3: two lengths, or one that an old reader does not know, are how requests are smuggled.
+        # RFC 9112 6.1 and 6.3: with two lengths, or a coding that an HTTP/1.0 recipient does not understand, recipients
+        # may disagree about where a request ends, which enables request smuggling.
         reason = "both content-length and transfer-encoding" if length is not None else "bad request"
         raise ProtocolError(BAD_REQUEST, reason)
-    keeps = not close and (minor_version == 1 or keep_alive)
-    return _Framing(length, chunked, keeps, expects_continue and minor_version == 1, host_count)
+    persistent = not close and (minor_version == 1 or keep_alive)
+    return _Framing(length, chunked, persistent, expects_continue and minor_version == 1, host_count)
 
 
 def parse_request_head(raw: bytes) -> RequestHead:
-    """A complete head, with its empty line; raises ProtocolError."""
+    """Parse a complete head, which includes its empty line; raises ProtocolError."""
     callbacks = _HeadCallbacks()
     parser = httptools.HttpRequestParser(callbacks)
     try:
         parser.feed_data(raw)
         method = parser.get_method()
-    except httptools.HttpParserUpgrade:  # nothing here is switched to another protocol: a request like any other
+    except httptools.HttpParserUpgrade:  # upgrades are not supported: an ordinary request
         method = parser.get_method()
     except httptools.HttpParserInvalidMethodError:
         return _parse_by_h11(raw)
     except httptools.HttpParserError as error:
-        _parse_by_h11(raw)  # it distinguishes a transfer coding that is not known from a malformed head
+        _parse_by_h11(raw)  # raises a different status for an unknown transfer coding than for a malformed head
         raise ProtocolError(BAD_REQUEST, "bad request") from error
     version, target = parser.get_http_version(), callbacks.target
     minor_version = MINOR_VERSIONS.get(version)
@@ -177,7 +178,7 @@
 
 
 def parse_response_head(raw: bytes) -> ResponseHead:
-    """A complete head of an endpoint's response; raises ProtocolError, whose status is nobody's concern."""
+    """Parse a complete head of an endpoint's response; raises ProtocolError, whose status is not used."""
     callbacks = _HeadCallbacks()
     parser = httptools.HttpResponseParser(callbacks)
     try:
@@ -185,12 +186,12 @@
     except httptools.HttpParserUpgrade:
         pass
     except httptools.HttpParserError as error:
-        raise ProtocolError(BAD_GATEWAY, "bad answer") from error
+        raise ProtocolError(BAD_GATEWAY, "response head: expected a status line and header fields") from error
     minor_version = MINOR_VERSIONS.get(parser.get_http_version())
     status = parser.get_status_code()
     is_valid = callbacks.complete and minor_version is not None and MIN_STATUS <= status <= MAX_STATUS
     if minor_version is None or not is_valid or not raw.startswith(b"HTTP/1.%d %03d" % (minor_version, status)):
-        raise ProtocolError(BAD_GATEWAY, "bad answer")
+        raise ProtocolError(BAD_GATEWAY, "response status line: expected HTTP/1.0 or 1.1 and a status from 100 to 599")
     framing = _read_framing(callbacks.headers, minor_version)
     return ResponseHead(
         status,
--- a/martenstep/proxy/http1/message_reader.py
+++ b/martenstep/proxy/http1/message_reader.py
@@ -1,7 +1,7 @@
-"""Reads one message after another off a connection's bytes.
+"""Reads the messages of a connection one after another.
 
-The next head is not looked at before `start_next`, so that what was pipelined stays as it came until the message before
-it is done with.
+The next head is not parsed before `start_next`, so that pipelined bytes stay unread until the previous message has been
+dealt with.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Data:
-    """Bytes of the body."""
+    """A part of a message's body."""
 
     data: bytes
 
@@ -44,20 +44,20 @@
 
 
 class _MessageReader:
-    """What the readers of requests and of responses share."""
+    """The common part of the readers of requests and of responses."""
 
     def __init__(self, max_head_bytes: int) -> None:
         self._max_head_bytes = max_head_bytes
         self._data = bytearray()
-        # Bytes of a body of known length as they came, not copied; what is behind them is in the buffer.
+        # Received bytes of a body of known length, kept without a copy; bytes that follow them are in `_data`.
         self._uncopied = b""
-        self._searched = 0  # bytes of the head that have been searched for its end
+        self._searched = 0  # bytes of the head that have been searched for the end of the head
         self._ended = False
         self._body: Body | None = None
-        self._complete = False  # and `start_next` has not been called
+        self._complete = False  # the message is complete and `start_next` has not been called
 
     def feed(self, data: bytes) -> None:
-        """Bytes of the connection; none: its end."""
+        """Add received bytes; empty `data` marks the end of the connection."""
         body = self._body
         if not data:
             self._ended = True
@@ -72,15 +72,15 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes that wait behind the present message, or of one that has begun."""
+        """The number of received bytes that have not been parsed: of this message or of the following ones."""
         return len(self._data)
 
     def start_next(self) -> None:
-        """The next message may be read."""
+        """Allow the next message to be read."""
         self._complete, self._body, self._searched = False, None, 0
 
-    def _take_head(self) -> bytes | None:
-        """A head with its empty line, taken off the front; None where more must come.  Raises ProtocolError."""
+    def _consume_head(self) -> bytes | None:
+        """Remove and return a head with its empty line; None if more bytes are needed.  Raises ProtocolError."""
         data = self._data
         if data and data[0] in b"\r\n":
             raise ProtocolError(BAD_REQUEST, "bad request")
@@ -95,9 +95,9 @@
         return raw
 
     def _check_partial_head(self) -> None:
-        """Raise ProtocolError where a head that has not come to its end never will."""
+        """Raise ProtocolError if an incomplete head can no longer become a valid one."""
         data, searched = self._data, self._searched
-        # A line that ends without a carriage return ends none here, and its head would be waited for in vain.
+        # A line feed without a carriage return does not end a line, so the end of such a head would never be found.
         if data.find(b"\n\n", max(searched - 1, 0)) >= 0 or data.find(b"\n\r\n", max(searched - 2, 0)) >= 0:
             raise ProtocolError(BAD_REQUEST, "bad request")
         if len(data) > self._max_head_bytes:
@@ -114,10 +114,10 @@
             assert isinstance(body, FixedLengthBody)
             body.remaining -= len(part)
             return Data(part)
-        for part in body.take(self._data):
+        for part in body.consume(self._data):
             return Data(part)
         if not body.complete and self._ended:
-            body.end()
+            body.connection_ended()
         if body.complete:
             self._complete = True
             return EndOfMessage()
@@ -125,18 +125,18 @@
 
 
 class RequestReader(_MessageReader):
-    """Reads requests, at the server's side."""
+    """Reads requests on the server's side."""
 
     def next_event(self) -> RequestHead | Data | EndOfMessage | ConnectionClosed | None:
-        """What has come next; None where more bytes are needed, or `start_next`.
+        """The next event; None if more bytes are needed or `start_next` must be called.
 
-        Raises ProtocolError, after which nothing may follow.
+        Raises ProtocolError, after which the connection must not be read any further.
         """
         if self._complete:
             return None
         if self._body is not None:
             return self._next_body_event()
-        raw = self._take_head()
+        raw = self._consume_head()
         if raw is None:
             return ConnectionClosed() if self._ended else None
         head = parse_request_head(raw)
@@ -145,32 +145,32 @@
 
 
 class ResponseReader(_MessageReader):
-    """Reads responses, at the client's side: `request_sent` before each."""
+    """Reads responses on the client's side; `request_sent` must be called before each."""
 
     def __init__(self, max_head_bytes: int) -> None:
-        """`max_head_bytes` of one response's head."""
+        """`max_head_bytes` limits the head of one response."""
         super().__init__(max_head_bytes)
         self._method = b""
 
     def request_sent(self, method: bytes) -> None:
-        """A request of this method was written: its response is the next."""
+        """Record the method of the request whose response comes next."""
         self._method = method
 
     def next_event(self) -> ResponseHead | Data | EndOfMessage | ConnectionClosed | None:
-        """What has come next; interim responses (1xx) are read past.  Raises ProtocolError."""
+        """The next event, as for requests; interim responses (1xx) are skipped.  Raises ProtocolError."""
         if self._complete:
             return None
         if self._body is not None:
             return self._next_body_event()
         while True:
-            raw = self._take_head()
+            raw = self._consume_head()
             if raw is None:
                 return ConnectionClosed() if self._ended else None
             head = parse_response_head(raw)
             if head.status >= MIN_FINAL_STATUS:
                 break
-            if head.status == SWITCHING_PROTOCOLS:  # which nobody asked for
-                raise ProtocolError(BAD_GATEWAY, "bad answer")
+            if head.status == SWITCHING_PROTOCOLS:  # no request asks for an upgrade
+                raise ProtocolError(BAD_GATEWAY, "response status 101: expected another one, no upgrade was requested")
             self._searched = 0
         self._body = self._make_body(head)
         return head
--- a/martenstep/proxy/http1/server_connection.py
+++ b/martenstep/proxy/http1/server_connection.py
@@ -1,4 +1,4 @@
-"""The server's side of one connection: requests read, responses written under the framing that the request allows."""
+"""The server's side of a connection: reads requests, and writes responses with a framing that the client supports."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 CLOSE = (b"connection", b"close")
-KEEP_ALIVE = (b"connection", b"keep-alive")  # HTTP/1.0 takes silence for an end
+KEEP_ALIVE = (b"connection", b"keep-alive")  # HTTP/1.0 closes the connection without it
 CHUNKED = (b"transfer-encoding", b"chunked")
 
 
 class Http1ServerConnection:
-    """The requests of one connection, one at a time."""
+    """The server's side of one connection, for one request at a time."""
 
     __slots__ = (
         "_chunked",
@@ -35,7 +35,7 @@
     )
 
     def __init__(self, max_head_bytes: int) -> None:
-        """`max_head_bytes` of one request's head."""
+        """`max_head_bytes` limits the head of one request."""
         self._reader = RequestReader(max_head_bytes)
         self.closes = False  # the connection closes once the response is complete
         self._start()
@@ -44,17 +44,17 @@
         self._request: RequestHead | None = None
         self._response_begun = self._response_complete = self._chunked = self._has_no_body = False
         self._expects_continue = False
-        self._remaining: int | None = None  # bytes that the response's length still asks for; None: it has no length
+        self._remaining: int | None = None  # response bytes still to be written by its length; None without one
         self.request_complete = False
 
     # The request --------------------------------------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
-        """Bytes that have come; none: the connection's end."""
+        """Add received bytes; empty `data` marks the end of the connection."""
         self._reader.feed(data)
 
     def next_event(self) -> RequestHead | Data | EndOfMessage | ConnectionClosed | None:
-        """What has come of the request; raises ProtocolError, after which only a response may follow."""
+        """The next event of the request; raises ProtocolError, after which only a response may be written."""
         event = self._reader.next_event()
         if isinstance(event, RequestHead):
             self._request, self._expects_continue = event, event.expects_continue
@@ -67,11 +67,11 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes that have come and were not read yet."""
+        """The number of received bytes that have not been parsed."""
         return self._reader.buffered
 
     def continue_response(self) -> bytes:
-        """The interim response that a client waits for before it sends the body, where it does."""
+        """The interim response 100 Continue if the client waits for it before it sends the body; else nothing."""
         wanted, self._expects_continue = self._expects_continue and not self._response_begun, False
         return CONTINUE_RESPONSE if wanted else b""
 
@@ -79,11 +79,11 @@
 
     @property
     def can_respond(self) -> bool:
-        """Whether a response may begin: also to what was no request."""
+        """Whether a response may be written; one is also allowed if no valid request was received."""
         return not self._response_begun
 
     def encode_head(self, status: int, headers: Headers) -> bytes:
-        """The head of the response; raises InvalidMessageError."""
+        """The bytes of the response's head; raises InvalidMessageError."""
         request = self._request
         is_http_1_0 = request is not None and request.minor_version == 0
         has_no_body = status in STATUSES_WITHOUT_BODY
@@ -110,30 +110,31 @@
         return out
 
     def encode_data(self, data: bytes) -> bytes:
-        """Bytes of its body, none where the request or the status allows none.
+        """The encoding of a part of the body; nothing if the request or the status allows no body.
 
-        Raises InvalidMessageError where they are more than its length says.
+        Raises InvalidMessageError if the body exceeds its Content-Length.
         """
         if self._has_no_body:
             return b""
         if self._remaining is not None:
             self._remaining -= len(data)
             if self._remaining < 0:
-                raise InvalidMessageError("more than its length")
+                raise InvalidMessageError("response body is longer than its Content-Length")
         return encode_chunk(data) if self._chunked else data
 
     def encode_end(self) -> bytes:
-        """The end of the response.
+        """The encoding of the end of the response.
 
-        Raises InvalidMessageError where bytes are missing, since it must not pass for complete.
+        Raises InvalidMessageError if the body is shorter than its Content-Length, since the response must not appear
+        complete.
         """
         if self._remaining and not self._has_no_body:
-            raise InvalidMessageError("less than its length")
+            raise InvalidMessageError("response body is shorter than its Content-Length")
         self._response_complete = True
         return LAST_CHUNK if self._chunked and not self._has_no_body else b""
 
     def start_next_request(self) -> bool:
-        """Whether another request may follow: then the next one is read."""
+        """Start reading the next request if one may follow on this connection; returns whether it may."""
         if not (self._response_complete and self.request_complete) or self.closes:
             return False
         self._start()
