--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine in virtual time: the hard cases of the door, one by one."""
+"""The engine in virtual time: routing, attempts, failures, deadlines, counter calls and shutdown."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.engine_rig import NOTHING_HELD, Rig, endpoint_list_event, header
 
 
-def test_a_request_is_sent_on_and_served_as_it_came() -> None:
+def test_request_is_forwarded_without_connection_headers_and_response_relayed() -> None:
     rig = Rig()
     request_id = rig.send(x_request_id="mine", connection="close, x-hop", x_hop="1", te="trailers", accept="image/*")
     sent = rig.last_attempt(request_id)
@@ -31,7 +31,7 @@
     assert rig.held() == NOTHING_HELD
 
 
-def test_a_request_id_is_made_where_none_came_and_cut_where_too_long() -> None:
+def test_request_id_is_generated_if_missing_and_truncated_if_too_long() -> None:
     rig = Rig()
     one, two = rig.last_attempt(rig.send()), rig.last_attempt(rig.send())
     assert header(one, "x-request-id") and header(one, "x-request-id") != header(two, "x-request-id")
@@ -43,7 +43,7 @@
     ("path", "customer", "method", "status", "reason"),
     [
         ("/nope", "free", "GET", 404, "no route"),
-        ("/write/free/1", "free", "GET", 404, "no route"),  # the method does not fit
+        ("/write/free/1", "free", "GET", 404, "no route"),  # the route has another method
         ("/read/1", "nobody", "GET", 403, "unknown customer"),
         ("/read/1", "", "GET", 403, "no customer"),
         ("/read/../pay/1", "free", "GET", 400, "bad target"),
@@ -54,7 +54,7 @@
         ("https://photos.example/read/1", "free", "GET", 421, "misdirected"),
     ],
 )
-def test_what_cannot_be_routed_is_turned_away_at_once(
+def test_request_that_cannot_be_routed_is_rejected_without_an_attempt(
     path: str, customer: str, method: str, status: int, reason: str
 ) -> None:
     rig = Rig()
@@ -64,20 +64,20 @@
     assert not rig.actions_of(ev.OpenAttempt) and rig.held() == NOTHING_HELD
 
 
-def test_the_customer_can_stand_in_the_path() -> None:
+def test_customer_is_read_from_the_path() -> None:
     rig = Rig()
     request_id = rig.send("/write/fr%65e/1?x=../..", "anna", "POST")
     assert rig.last_attempt(request_id).target == b"/write/fr%65e/1?x=../.."
 
 
-def test_an_absolute_target_is_routed_by_its_path() -> None:
+def test_absolute_target_is_routed_by_its_path_and_sets_host() -> None:
     rig = Rig()
     opened = rig.last_attempt(rig.send("http://photos.example:81/read/1?a=b", host="other.example"))
     assert opened.target == b"/read/1?a=b"
     assert [value for name, value in opened.headers if name == b"host"] == [b"photos.example:81"]
 
 
-def test_options_of_the_door_itself_are_answered_by_it() -> None:
+def test_options_for_the_server_is_answered_by_the_gateway() -> None:
     rig = Rig()
     reply = rig.reply(rig.send("*", method="OPTIONS"))
     assert reply.status == 204 and reply.body == b"" and header(reply, "allow")
@@ -86,30 +86,30 @@
 
 
 @pytest.mark.parametrize("value", ["soon", "-5", "0", "nan", "inf"])
-def test_a_deadline_header_must_be_a_figure(value: str) -> None:
+def test_invalid_deadline_header_is_rejected(value: str) -> None:
     rig = Rig()
     assert rig.reply(rig.send(x_deadline_ms=value)).status == 400
 
 
-def test_the_deadline_is_the_least_of_the_classes_and_the_clients() -> None:
+def test_deadline_is_the_earlier_one_of_request_class_and_client() -> None:
     rig = Rig()
-    for asked, left in (("1500", "1500"), ("9000", "4000")):
-        assert header(rig.last_attempt(rig.send(x_deadline_ms=asked)), "x-deadline-ms") == left
+    for client_ms, effective_ms in (("1500", "1500"), ("9000", "4000")):
+        assert header(rig.last_attempt(rig.send(x_deadline_ms=client_ms)), "x-deadline-ms") == effective_ms
 
 
-def test_at_the_deadline_the_attempt_is_given_up_and_the_answer_goes_out_at_once() -> None:
+def test_at_the_deadline_the_attempt_is_aborted_and_the_response_sent_at_once() -> None:
     rig = Rig("upstream { cancel: false }")
     request_id = rig.send(x_deadline_ms="700")
     rig.write(request_id)
     rig.pass_time(699)
     assert not rig.responses(request_id)
     actions = rig.pass_time(1)
-    assert isinstance(actions[0], ev.AbortAttempt)  # before the answer: nothing may follow it
-    assert rig.reply(request_id).status == 503  # safe to repeat: a refusal says so
+    assert isinstance(actions[0], ev.AbortAttempt)  # the abort comes first, since nothing may follow the response
+    assert rig.reply(request_id).status == 503  # the request is idempotent, so that a rejection may invite a retry
     assert rig.held() == NOTHING_HELD
 
 
-def test_a_time_out_of_an_unsafe_request_is_a_failure_and_promises_nothing() -> None:
+def test_timeout_of_an_unsafe_request_fails_without_retry_after() -> None:
     rig = Rig()
     request_id = rig.send("/pay/1")
     rig.write(request_id)
@@ -119,16 +119,16 @@
     assert len(rig.actions_of(ev.OpenAttempt, request_id)) == 1
 
 
-def test_the_deadline_between_connect_and_write_proves_that_it_never_ran() -> None:
+def test_request_that_was_not_written_by_its_deadline_may_be_retried_by_the_client() -> None:
     rig = Rig("upstream { connect_ms: 60000 }")
     request_id = rig.send("/pay/1", x_deadline_ms="300")
-    rig.pass_time(300)  # connected or not: nothing was written
+    rig.pass_time(300)  # nothing was written, whether a connection was made or not
     assert rig.actions_of(ev.AbortAttempt, request_id)
-    assert rig.reply(request_id).status == 503  # may be repeated: it never ran
-    assert rig.handle(ev.AttemptWritten(request_id, 0)) == []  # the driver is late: the attempt is no more
+    assert rig.reply(request_id).status == 503  # it was never executed, so that the client may retry
+    assert rig.handle(ev.AttemptWritten(request_id, 0)) == []  # the event is late: the attempt has ended
 
 
-def test_no_connection_within_the_time_out_goes_elsewhere() -> None:
+def test_connect_timeout_starts_an_attempt_at_another_endpoint() -> None:
     rig = Rig()
     request_id = rig.send("/pay/1")
     rig.pass_time(200)
@@ -139,11 +139,11 @@
     assert len(rig.responses(request_id)) == 1 and first.endpoint != second.endpoint
 
 
-def test_an_answer_after_its_attempt_was_called_off_is_nobodys() -> None:
+def test_response_to_an_ended_attempt_is_ignored() -> None:
     rig = Rig()
     request_id = rig.send()
     rig.fail_attempt(request_id, AttemptFailure.CLOSED)
-    assert [open_.attempt for open_ in rig.actions_of(ev.OpenAttempt, request_id)] == [0, 1]
+    assert [attempt.attempt for attempt in rig.actions_of(ev.OpenAttempt, request_id)] == [0, 1]
     assert rig.handle(ev.ResponseHeadReceived(request_id, 0, 200, [])) == []
     assert rig.handle(ev.ResponseCompleted(request_id, 0)) == []
     rig.serve(request_id)
@@ -151,43 +151,44 @@
     assert rig.handle(ev.ResponseCompleted(request_id, 1)) == []
 
 
-def test_a_silent_server_is_given_up_by_the_module_and_another_tried() -> None:
+def test_policy_cancels_an_attempt_without_response_and_starts_another() -> None:
     rig = Rig()
-    for _ in range(12):  # answers are quick, so that silence tells
+    for _ in range(12):  # fast responses, against which a missing one stands out
         request_id = rig.send()
         rig.pass_time(10)
         rig.serve(request_id)
     request_id = rig.send()
     rig.write(request_id)
     rig.pass_time(450)
-    assert [abandon.attempt for abandon in rig.actions_of(ev.AbortAttempt, request_id)] == [0]
-    assert [open_.attempt for open_ in rig.actions_of(ev.OpenAttempt, request_id)] == [0, 1]
+    assert [abort.attempt for abort in rig.actions_of(ev.AbortAttempt, request_id)] == [0]
+    assert [attempt.attempt for attempt in rig.actions_of(ev.OpenAttempt, request_id)] == [0, 1]
 
 
 @pytest.mark.parametrize(
-    ("path", "how", "written", "attempts"),
+    ("path", "failure", "written", "attempts"),
     [
-        ("/pay/1", AttemptFailure.NOT_CONNECTED, False, 2),  # nothing was written: even an unsafe one may go again
+        # Nothing was written: even an unsafe request may be retried.
+        ("/pay/1", AttemptFailure.NOT_CONNECTED, False, 2),
         ("/pay/1", AttemptFailure.CONNECTION_LIMIT, False, 2),
         ("/pay/1", AttemptFailure.NOT_WRITTEN, False, 2),
-        ("/pay/1", AttemptFailure.CLOSED, True, 1),  # it may have run
+        ("/pay/1", AttemptFailure.CLOSED, True, 1),  # it may have been executed
         ("/pay/1", AttemptFailure.MALFORMED_RESPONSE, True, 1),
         ("/read/1", AttemptFailure.CLOSED, True, 2),
         ("/read/1", AttemptFailure.MALFORMED_RESPONSE, True, 2),
     ],
 )
-def test_what_an_ending_proves_decides_on_a_further_attempt(
-    path: str, how: AttemptFailure, written: bool, attempts: int
+def test_further_attempt_depends_on_whether_the_failed_one_may_have_run(
+    path: str, failure: AttemptFailure, written: bool, attempts: int
 ) -> None:
     rig = Rig()
     request_id = rig.send(path)
-    rig.fail_attempt(request_id, how, written)
+    rig.fail_attempt(request_id, failure, written)
     assert len(rig.actions_of(ev.OpenAttempt, request_id)) == attempts
     if attempts == 1:
         assert rig.reply(request_id).status == 502
 
 
-def test_a_refusal_needs_status_and_header() -> None:
+def test_rejection_by_an_endpoint_needs_status_and_header() -> None:
     rig = Rig()
     refused = rig.send("/pay/1")
     rig.write(refused)
@@ -195,22 +196,23 @@
     assert len(rig.actions_of(ev.OpenAttempt, refused)) == 2
     unknown = rig.send("/pay/1")
     rig.write(unknown)
-    rig.handle(ev.ResponseHeadReceived(unknown, 0, 503, []))  # from something between: it proves nothing
+    # The response may come from an intermediary: the status alone proves nothing.
+    rig.handle(ev.ResponseHeadReceived(unknown, 0, 503, []))
     assert len(rig.actions_of(ev.OpenAttempt, unknown)) == 1 and rig.reply(unknown).status == 502
 
 
-def test_a_keyed_request_carries_one_key_through_its_attempts() -> None:
+def test_all_attempts_of_a_keyed_request_have_the_same_idempotency_key() -> None:
     rig = Rig()
     request_id = rig.send("/write/free/1", method="POST")
     rig.fail_attempt(request_id, AttemptFailure.CLOSED)
     first, second = rig.actions_of(ev.OpenAttempt, request_id)
     assert header(first, "idempotency-key") and header(first, "idempotency-key") == header(second, "idempotency-key")
-    assert first.endpoint % 2 == second.endpoint % 2  # the zone that drops repeats
+    assert first.endpoint % 2 == second.endpoint % 2  # the zone within which the key is deduplicated
     own = rig.send("/write/free/1", method="POST", idempotency_key="k1")
     assert header(rig.last_attempt(own), "idempotency-key") == "k1"
 
 
-def test_a_body_that_is_partly_gone_allows_one_attempt() -> None:
+def test_request_whose_body_is_not_replayable_gets_one_attempt() -> None:
     rig = Rig()
     safe = rig.send()
     rig.handle(ev.RequestBodyNotReplayable(safe))
@@ -223,7 +225,7 @@
     assert rig.held() == NOTHING_HELD
 
 
-def test_an_answer_that_has_begun_belongs_to_the_client() -> None:
+def test_streamed_response_may_continue_past_the_deadline() -> None:
     rig = Rig()
     request_id = rig.send(x_deadline_ms="500")
     rig.write(request_id)
@@ -231,12 +233,12 @@
     rig.handle(ev.ResponseBufferExceeded(request_id, 0))
     [passed] = rig.actions_of(ev.RelayResponse, request_id)
     assert not passed.complete
-    assert not rig.pass_time(10_000)  # neither its time-out nor the deadline runs any more
+    assert not rig.pass_time(10_000)  # neither a timeout nor the deadline applies any more
     rig.handle(ev.ResponseCompleted(request_id, 0))
     assert len(rig.responses(request_id)) == 1 and rig.held() == NOTHING_HELD
 
 
-def test_a_begun_answer_that_breaks_breaks_the_clients_connection() -> None:
+def test_failure_of_a_streamed_response_resets_the_client_connection() -> None:
     rig = Rig()
     request_id = rig.send()
     rig.write(request_id)
@@ -247,7 +249,7 @@
     assert rig.held() == NOTHING_HELD
 
 
-def test_the_client_leaves_while_its_counter_call_is_out() -> None:
+def test_client_disconnects_during_its_counter_call() -> None:
     rig = Rig()
     request_id = rig.send(customer="anna")
     assert rig.actions_of(ev.AddToCounter) and not rig.actions_of(ev.OpenAttempt)
@@ -257,58 +259,59 @@
     assert rig.held() == NOTHING_HELD
 
 
-def test_the_client_leaves_while_an_attempt_is_out() -> None:
+def test_client_disconnects_during_an_attempt() -> None:
     rig = Rig()
     request_id = rig.send()
     rig.write(request_id)
     rig.handle(ev.ClientDisconnected(request_id))
     assert rig.actions_of(ev.AbortAttempt, request_id) and rig.held() == NOTHING_HELD
     assert not rig.responses(request_id)
-    kept = Rig("upstream { cancel: false }")
-    request_id = kept.send(x_deadline_ms="900")
-    kept.write(request_id)
-    kept.handle(ev.ClientDisconnected(request_id))
-    assert not kept.actions_of(ev.AbortAttempt)  # cancellation is off: the attempt runs until the deadline
-    kept.pass_time(900)
-    assert kept.actions_of(ev.AbortAttempt) and kept.held() == NOTHING_HELD
+    uncancellable = Rig("upstream { cancel: false }")
+    request_id = uncancellable.send(x_deadline_ms="900")
+    uncancellable.write(request_id)
+    uncancellable.handle(ev.ClientDisconnected(request_id))
+    assert not uncancellable.actions_of(ev.AbortAttempt)  # cancellation is off: the attempt runs until the deadline
+    uncancellable.pass_time(900)
+    assert uncancellable.actions_of(ev.AbortAttempt) and uncancellable.held() == NOTHING_HELD
 
 
-def test_a_late_reply_of_the_store_is_not_taken_for_the_next_calls() -> None:
+def test_late_reply_of_the_counter_is_not_attributed_to_the_next_call() -> None:
     rig = Rig()
     first = rig.send(customer="anna")
     [add] = rig.actions_of(ev.AddToCounter)
-    rig.pass_time(60)  # its time-out is told by the engine, whatever the store does
+    rig.pass_time(60)  # the engine reports the timeout of 50 ms, even if the counter client does not
     assert rig.responses(first) or len(rig.actions_of(ev.OpenAttempt, first)) == 1
     rig.send(customer="anna")
     later = rig.actions_of(ev.AddToCounter)
     assert len(later) == 2 and later[1].call_id != add.call_id
     before = len(rig.actions)
-    rig.handle(ev.CounterReplied(add.call_id, CallResult.OK, 1e6))  # late: it would look like a flood
+    # Attributed to the second call, this late total would exceed the quota.
+    rig.handle(ev.CounterReplied(add.call_id, CallResult.OK, 1e6))
     assert len(rig.actions) == before
 
 
-def test_a_refusal_tells_the_wait_in_seconds_and_exactly() -> None:
+def test_rejection_states_the_wait_in_seconds_and_in_milliseconds() -> None:
     rig = Rig()
     request_id = rig.send(customer="anna")
     rig.answer_counter_calls(500.0)
     reply = rig.reply(request_id)
-    told = json.loads(reply.body)
-    assert reply.status == 429 and told["reason"] == "quota"
+    body = json.loads(reply.body)
+    assert reply.status == 429 and body["reason"] == "quota"
     exact = float(header(reply, "retry-after-ms") or "")
-    assert exact == told["retry_after_ms"] > 0
+    assert exact == body["retry_after_ms"] > 0
     assert int(header(reply, "retry-after") or "") == -(-exact // 1000)
     assert header(reply, "ratelimit-policy") == '"plain";q=20;w=2'
     assert (header(reply, "ratelimit") or "").startswith('"plain";r=0;t=')
 
 
-def test_no_server_is_a_503_with_a_wait() -> None:
+def test_without_endpoints_the_response_is_503_with_retry_after() -> None:
     rig = Rig(servers=())
     reply = rig.reply(rig.send())
     assert reply.status == 503 and json.loads(reply.body)["reason"] == "no server"
     assert header(reply, "retry-after")
 
 
-def test_a_full_house_turns_away_before_the_module_is_asked() -> None:
+def test_request_beyond_the_limit_in_flight_is_rejected_before_the_policy() -> None:
     rig = Rig("listener { max_open: 2 }")
     first, _, third = rig.send(), rig.send(), rig.send()
     assert rig.reply(third).status == 503 and header(rig.reply(third), "retry-after") == "1"
@@ -316,38 +319,39 @@
     assert rig.last_attempt(rig.send())
 
 
-def test_servers_that_leave_the_list_get_nothing_more() -> None:
+def test_endpoints_that_are_removed_or_drain_get_no_further_requests() -> None:
     rig = Rig()
     rig.handle(endpoint_list_event(1, 2))
     for _ in range(20):
         rig.serve(rig.send())
-    assert {open_.endpoint for open_ in rig.actions_of(ev.OpenAttempt)} == {1, 2}
+    assert {attempt.endpoint for attempt in rig.actions_of(ev.OpenAttempt)} == {1, 2}
     rig.handle(endpoint_list_event(1, scope=EndpointListScope.DELTA, state=EndpointState.DRAINING))
     before = len(rig.actions_of(ev.OpenAttempt))
     for _ in range(20):
         rig.serve(rig.send())
-    assert {open_.endpoint for open_ in rig.actions_of(ev.OpenAttempt)[before:]} == {2}
+    assert {attempt.endpoint for attempt in rig.actions_of(ev.OpenAttempt)[before:]} == {2}
 
 
-def test_a_stop_answers_all_that_is_held() -> None:
+def test_stop_sends_a_response_to_every_request_in_flight() -> None:
     rig = Rig()
-    out, held = rig.send(), rig.send(customer="anna")
-    rig.write(out)
+    written, waiting = rig.send(), rig.send(customer="anna")
+    rig.write(written)
     rig.actions += rig.engine.stop(rig.now)
-    assert len(rig.responses(out)) == 1 and len(rig.responses(held)) == 1
+    assert len(rig.responses(written)) == 1 and len(rig.responses(waiting)) == 1
     assert rig.engine.unanswered == 0
 
 
-def test_a_held_request_is_answered_at_its_deadline_even_if_the_module_holds_it() -> None:
+def test_request_gets_a_response_at_its_deadline_although_the_policy_holds_it() -> None:
     rig = Rig()
-    request_id = rig.send(customer="anna")  # the counter is asked; nothing answers, and the engine's own timer is lost
+    request_id = rig.send(customer="anna")  # the policy waits for the counter, which never replies
     timers = rig.engine._state.timers
+    # Without the timer of the counter call, only the deadline can end the request.
     timers._heap = [entry for entry in timers._heap if isinstance(entry[2], RequestDeadline)]
     rig.pass_time(4000)
     assert rig.reply(request_id).status == 504 and rig.engine.unanswered == 0
 
 
-def test_timers_keep_no_finished_request_alive() -> None:
+def test_timers_of_finished_requests_are_not_kept() -> None:
     rig = Rig()
     for _ in range(50):
         rig.serve(rig.send())
@@ -356,18 +360,18 @@
     assert rig.engine.held_counts["timers"] == 0
 
 
-def test_a_try_is_told_for_the_record_once_when_it_is_first_sent_on() -> None:
+def test_usage_is_recorded_once_when_the_first_attempt_starts() -> None:
     rig = Rig()
     rig.engine._state.dependencies.records_usage = True
     request_id = rig.send("/pay/1", x_request_id="t1")
-    rig.fail_attempt(request_id, AttemptFailure.NOT_CONNECTED, written=False)  # a further attempt is no further try
+    rig.fail_attempt(request_id, AttemptFailure.NOT_CONNECTED, written=False)  # a further attempt is not recorded again
     refused = rig.send(customer="nobody")
     rig.serve(request_id)
     assert rig.actions_of(ev.RecordUsage) == [ev.RecordUsage("t1", "free", "open", "pay", 2.0, False, 1)]
     assert rig.reply(refused)
 
 
-def test_a_try_beyond_the_quota_is_told_as_such() -> None:
+def test_usage_record_states_that_a_request_was_over_quota() -> None:
     rig = Rig("plan { name: 'paid' rate: 1 burst: 1 over_worth: 2 over_cost: 1 } customer { key: 'eve' plan: 'paid' }")
     rig.engine._state.dependencies.records_usage = True
     for _ in range(3):
@@ -377,8 +381,11 @@
     assert {record.over_quota for record in records} == {True}
 
 
-def test_the_addresses_of_servers_that_have_gone_go_too() -> None:
-    """Servers replaced one by one under new numbers left theirs for good: 106 of 116 after four minutes."""
+def test_addresses_of_removed_endpoints_are_removed() -> None:
+    """Guards against a leak: when endpoints were replaced one by one under new numbers, their addresses stayed.
+
+    After four minutes 106 of 116 addresses were those of removed endpoints.
+    """
     rig = Rig(servers=(1, 2))
     for number in range(3, 200):
         rig.handle(endpoint_list_event(number, scope=EndpointListScope.DELTA))
@@ -386,20 +393,23 @@
     assert rig.engine.held_counts["servers"] == 2
 
 
-def test_a_timer_whose_cause_has_passed_wakes_nobody() -> None:
-    """Of 2,400 wakings in 20 s of a calm day most were for connections made, calls answered and requests served."""
+def test_obsolete_timers_do_not_wake_the_process() -> None:
+    """Guards against useless wake-ups: most of 2,400 in 20 s of low load came from obsolete timers.
+
+    Those timers were for connections made, calls answered and requests served.
+    """
     rig = Rig()
     request_id = rig.send("/pay/1")
-    assert rig.engine.next_at() == rig.now + 200.0, "no connection within its time"
+    assert rig.engine.next_at() == rig.now + 200.0, "the connect timeout is the first timer"
     rig.write(request_id)
-    silence = rig.engine.next_at()  # the module's own look at what may be silent
-    assert silence is not None and rig.now + 200.0 < silence < rig.now + 4000.0
+    check_at = rig.engine.next_at()  # the policy's check for attempts without a response
+    assert check_at is not None and rig.now + 200.0 < check_at < rig.now + 4000.0
     rig.serve(request_id)
-    rig.now = silence
+    rig.now = check_at
     rig.handle(ev.Tick())
-    assert rig.engine.next_at() is None and rig.engine.held_counts["timers"] == 0, "nor its deadline"
+    assert rig.engine.next_at() is None and rig.engine.held_counts["timers"] == 0, "the deadline timer is obsolete"
     counted = rig.send(customer="anna")
     assert rig.actions_of(ev.AddToCounter)
     rig.answer_counter_calls(1.0)
     rig.serve(counted)
-    assert rig.engine.next_at() != rig.now + 51.0, "nor a call that is answered"
+    assert rig.engine.next_at() != rig.now + 51.0, "the timeout of an answered call is obsolete"
--- a/tests/test_forward_auth.py
+++ b/tests/test_forward_auth.py
@@ -1,4 +1,4 @@
-"""The door as the one that is asked by an edge proxy."""
+"""Forward authentication: the gateway answers the sub-requests of an edge proxy."""
 
 from __future__ import annotations
 
@@ -19,21 +19,25 @@
 from martenstep.proxy.engine_factory import make_engine
 from tests.engine_rig import NOTHING_HELD, SETTINGS, Rig, header
 
-LINES = [line for line in SETTINGS.split("\n") if not line.startswith("members")]
-SAFE = "\n".join(LINES).replace("effect: KEYED group: ZONE window_ms: 3000", "").replace("effect: UNSAFE", "")
-FORWARDED = SAFE + "forward_auth { trusted_peer: '10.0.0.0/8' }\n"
+SETTINGS_LINES = [line for line in SETTINGS.split("\n") if not line.startswith("members")]
+IDEMPOTENT_SETTINGS = (
+    "\n".join(SETTINGS_LINES).replace("effect: KEYED group: ZONE window_ms: 3000", "").replace("effect: UNSAFE", "")
+)
+FORWARD_AUTH_SETTINGS = IDEMPOTENT_SETTINGS + "forward_auth { trusted_peer: '10.0.0.0/8' }\n"
 
 
-class Asked(Rig):
-    """A door that is asked."""
+class ForwardAuthRig(Rig):
+    """A gateway that answers the sub-requests of an edge proxy."""
 
     def __init__(self, more: str = "") -> None:
-        door = parse_door(FORWARDED, "d")
-        text_format.Merge(more, door)
-        self.engine = make_engine(door, 1)
+        gateway = parse_door(FORWARD_AUTH_SETTINGS, "d")
+        text_format.Merge(more, gateway)
+        self.engine = make_engine(gateway, 1)
         self.now, self.actions, self._request_id = 100_000.0, [], 0
 
-    def sub(self, uri: str = "/read/1", customer: str = "free", peer: str = "10.0.0.1", **more: str) -> int:
+    def send_sub_request(
+        self, uri: str = "/read/1", customer: str = "free", peer: str = "10.0.0.1", **more: str
+    ) -> int:
         self._request_id += 1
         headers = {
             "x-forwarded-method": "GET",
@@ -53,9 +57,9 @@
         return self._request_id
 
 
-def test_a_request_that_may_pass_is_answered_at_once_with_what_is_left() -> None:
-    rig = Asked()
-    request_id = rig.sub(customer="anna")
+def test_allowed_request_is_answered_with_customer_and_rate_limits() -> None:
+    rig = ForwardAuthRig()
+    request_id = rig.send_sub_request(customer="anna")
     rig.answer_counter_calls(1.0)
     reply = rig.reply(request_id)
     assert reply.status == 200 and reply.body == b"" and header(reply, "x-customer") == "anna"
@@ -63,27 +67,27 @@
     assert not rig.actions_of(ev.OpenAttempt) and rig.held() == NOTHING_HELD
 
 
-def test_one_beyond_its_quota_is_told_when_to_come_back() -> None:
-    rig = Asked()
-    request_id = rig.sub(customer="anna")
+def test_request_beyond_its_quota_is_rejected_with_retry_after() -> None:
+    rig = ForwardAuthRig()
+    request_id = rig.send_sub_request(customer="anna")
     rig.answer_counter_calls(500.0)
     reply = rig.reply(request_id)
     assert reply.status == 429 and float(header(reply, "retry-after-ms") or "0") > 0
     assert json.loads(reply.body)["reason"] == "quota"
 
 
-def test_each_send_has_its_outcome_so_that_the_module_never_closes_its_brake() -> None:
-    rig = Asked()
-    request_ids = [rig.sub() for _ in range(500)]
+def test_allowed_requests_leave_no_attempt_in_the_concurrency_limit() -> None:
+    rig = ForwardAuthRig()
+    request_ids = [rig.send_sub_request() for _ in range(500)]
     assert all(rig.reply(request_id).status == 200 for request_id in request_ids) and rig.held() == NOTHING_HELD
     assert rig.engine._policy.gateway._cluster.limit.in_flight == 0
 
 
-def test_a_sub_request_is_routed_by_what_it_asks_about() -> None:
-    rig = Asked()
-    assert rig.reply(rig.sub("/nope")).status == 404
-    assert rig.reply(rig.sub("/read/../pay/1")).status == 400
-    assert rig.reply(rig.sub(customer="nobody")).status == 403
+def test_sub_request_is_routed_by_the_request_that_it_describes() -> None:
+    rig = ForwardAuthRig()
+    assert rig.reply(rig.send_sub_request("/nope")).status == 404
+    assert rig.reply(rig.send_sub_request("/read/../pay/1")).status == 400
+    assert rig.reply(rig.send_sub_request(customer="nobody")).status == 403
 
 
 @pytest.mark.parametrize(
@@ -100,22 +104,22 @@
         ({"uri": "/read/ 1"}, 400),
     ],
 )
-def test_what_does_not_tell_of_one_request_by_a_trusted_peer_is_turned_away(
+def test_sub_request_from_an_untrusted_peer_or_without_one_valid_request_is_rejected(
     changes: dict[str, str], status: int
 ) -> None:
-    rig = Asked()
-    assert rig.reply(rig.sub(**changes)).status == status
+    rig = ForwardAuthRig()
+    assert rig.reply(rig.send_sub_request(**changes)).status == status
 
 
-@pytest.mark.parametrize(("shown", "status"), [("s3cret", 200), ("s3cre", 403), ("", 403), ("S3CRET", 403)])
-def test_a_shared_secret_must_be_shown_where_one_is_set(shown: str, status: int) -> None:
-    rig = Asked("forward_auth { secret_header: 'X-Edge' secret: 's3cret' }")
-    assert rig.reply(rig.sub(x_edge=shown)).status == status
+@pytest.mark.parametrize(("secret", "status"), [("s3cret", 200), ("s3cre", 403), ("", 403), ("S3CRET", 403)])
+def test_sub_request_must_have_the_shared_secret_if_one_is_set(secret: str, status: int) -> None:
+    rig = ForwardAuthRig("forward_auth { secret_header: 'X-Edge' secret: 's3cret' }")
+    assert rig.reply(rig.send_sub_request(x_edge=secret)).status == status
 
 
-def test_doubled_or_underscored_twins_are_turned_away() -> None:
-    for twin in (b"x-forwarded-uri", b"x_forwarded_uri", b"x-forwarded_uri"):
-        rig = Asked()
+def test_duplicate_headers_also_with_underscores_are_rejected() -> None:
+    for duplicate in (b"x-forwarded-uri", b"x_forwarded_uri", b"x-forwarded_uri"):
+        rig = ForwardAuthRig()
         rig.handle(
             ev.RequestReceived(
                 1,
@@ -124,7 +128,7 @@
                 [
                     (b"x-forwarded-method", b"GET"),
                     (b"x-forwarded-uri", b"/read/1"),
-                    (twin, b"/pay/1"),
+                    (duplicate, b"/pay/1"),
                     (b"x-customer", b"free"),
                 ],
                 "10.0.0.1",
@@ -133,21 +137,23 @@
         assert rig.reply(1).status == 400
 
 
-def asked(profile: pb.ForwardAuth.Profile, target: bytes, headers: list[tuple[bytes, bytes]]) -> About | Unasked:
+def read_sub_request(
+    profile: pb.ForwardAuth.Profile, target: bytes, headers: list[tuple[bytes, bytes]]
+) -> About | Unasked:
     return Answerer(pb.ForwardAuth(profile=profile)).read(b"POST", target, headers, "127.0.0.1")
 
 
-def test_the_profiles_of_the_common_proxies() -> None:
+def test_profiles_of_common_proxies() -> None:
     about = About(b"PUT", b"/read/1?x=1")
     forwarded = [(b"x-forwarded-method", b"PUT"), (b"x-forwarded-uri", b"/read/1?x=1")]
-    assert asked(pb.ForwardAuth.FORWARDED, b"/auth", forwarded) == about
+    assert read_sub_request(pb.ForwardAuth.FORWARDED, b"/auth", forwarded) == about
     for name in (b"x-original-uri", b"x-original-url"):
-        told = [(b"x-original-method", b"put"), (name, b"/read/1?x=1")]
-        assert asked(pb.ForwardAuth.ORIGINAL, b"/auth", told) == about
-    assert asked(pb.ForwardAuth.SAME, b"/auth/read/1?x=1", []) == About(b"POST", b"/read/1?x=1")
-    assert asked(pb.ForwardAuth.SAME, b"/auth", []) == About(b"POST", b"/")
-    assert asked(pb.ForwardAuth.SAME, b"/authority/read", []) == Unasked(404, "no route")
-    assert asked(pb.ForwardAuth.ORIGINAL, b"/auth", forwarded) == Unasked(400, "no request told")
+        original = [(b"x-original-method", b"put"), (name, b"/read/1?x=1")]
+        assert read_sub_request(pb.ForwardAuth.ORIGINAL, b"/auth", original) == about
+    assert read_sub_request(pb.ForwardAuth.SAME, b"/auth/read/1?x=1", []) == About(b"POST", b"/read/1?x=1")
+    assert read_sub_request(pb.ForwardAuth.SAME, b"/auth", []) == About(b"POST", b"/")
+    assert read_sub_request(pb.ForwardAuth.SAME, b"/authority/read", []) == Unasked(404, "no route")
+    assert read_sub_request(pb.ForwardAuth.ORIGINAL, b"/auth", forwarded) == Unasked(400, "no request told")
 
 
 @given(
@@ -162,20 +168,20 @@
     st.text(max_size=20),
 )
 @hypo(max_examples=300, deadline=None, derandomize=True)
-def test_no_sub_request_brings_it_down(headers: list[tuple[bytes, bytes]], target: bytes, peer: str) -> None:
+def test_random_sub_requests_raise_no_error(headers: list[tuple[bytes, bytes]], target: bytes, peer: str) -> None:
     found = Answerer(pb.ForwardAuth()).read(b"GET", b"/auth" + target, headers, peer or "127.0.0.1")
     assert isinstance(found, Unasked) or not any(byte <= 0x20 for byte in found.target)
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         (SETTINGS + "forward_auth { }", "given beside members"),
-        (SAFE + "forward_auth { trusted_peer: '10.0.0.1/8' }", "has host bits set"),
-        (SAFE + "forward_auth { path_prefix: 'x' }", "expected a path"),
-        ("\n".join(LINES) + "forward_auth { }", "SAFE is all that fits"),
+        (IDEMPOTENT_SETTINGS + "forward_auth { trusted_peer: '10.0.0.1/8' }", "has host bits set"),
+        (IDEMPOTENT_SETTINGS + "forward_auth { path_prefix: 'x' }", "expected a path"),
+        ("\n".join(SETTINGS_LINES) + "forward_auth { }", "SAFE is all that fits"),
     ],
 )
-def test_settings_are_checked(text: str, told: str) -> None:
-    with pytest.raises(SettingsError, match=told):
+def test_invalid_settings_are_rejected(text: str, message: str) -> None:
+    with pytest.raises(SettingsError, match=message):
         parse_door(text, "d")
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Framing, case by case, by our readers and by h11: what h11 refuses is refused, what both take they read alike."""
+"""Framing of messages, compared with h11: what h11 rejects is rejected, and what both accept is read alike."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from martenstep.proxy.http1.message_reader import ConnectionClosed, Data, EndOfMessage, RequestReader, ResponseReader
 from martenstep.proxy.http1.message_writer import InvalidMessageError
 
-BOUND = 2000
+MAX_HEAD_BYTES = 2000
 HOST = b"Host: h\r\n"
 CHUNKED = b"POST / HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
-Read = tuple[list[Any], int]  # messages, as (method, target, body) or (status, body); a status of refusal, or 0
+ReadResult = tuple[list[Any], int]  # (method, target, body) of each message; the status of a rejection, or 0
 
 
-def requests(raw: bytes, cuts: list[int] | None = None, ends: bool = True) -> Read:
-    """What our reader makes of a connection's bytes, cut into so many feeds."""
-    reader, made, body = RequestReader(BOUND), [], b""
+def read_requests(raw: bytes, cuts: list[int] | None = None, ends: bool = True) -> ReadResult:
+    """Read a connection's bytes with RequestReader, split at `cuts` into several calls of `feed`."""
+    reader, messages, body = RequestReader(MAX_HEAD_BYTES), [], b""
     head: RequestHead | None = None
-    for part in [*_cut(raw, cuts or []), *([b""] if ends else [])]:
+    for part in [*_split(raw, cuts or []), *([b""] if ends else [])]:
         reader.feed(part)
         try:
             while (event := reader.next_event()) is not None:
@@ -37,25 +37,25 @@
                         body += data
                     case EndOfMessage():
                         assert head is not None
-                        made.append((head.method, head.target, body))
+                        messages.append((head.method, head.target, body))
                         if not head.keep_alive:
-                            return made, 0
+                            return messages, 0
                         reader.start_next()
                     case ConnectionClosed():
-                        return made, 0
-        except ProtocolError as fault:
-            return made, fault.status
-    return made, 0
+                        return messages, 0
+        except ProtocolError as error:
+            return messages, error.status
+    return messages, 0
 
 
-def _cut(raw: bytes, cuts: list[int]) -> list[bytes]:
+def _split(raw: bytes, cuts: list[int]) -> list[bytes]:
     edges = [0, *sorted(min(cut, len(raw)) for cut in cuts), len(raw)]
     return [raw[low:high] for low, high in pairwise(edges) if low < high]
 
 
-def by_h11(raw: bytes) -> Read:
-    """What h11 makes of them."""
-    connection, made, body = h11.Connection(h11.SERVER, max_incomplete_event_size=BOUND), [], b""
+def read_by_h11(raw: bytes) -> ReadResult:
+    """Read a connection's bytes with h11."""
+    connection, messages, body = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES), [], b""
     head: h11.Request | None = None
     connection.receive_data(raw)
     connection.receive_data(b"")
@@ -68,19 +68,19 @@
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
-                made.append((head.method, head.target, body))
+                messages.append((head.method, head.target, body))
                 connection.send(h11.Response(status_code=200, headers=[(b"content-length", b"0")]))
                 connection.send(h11.EndOfMessage())
                 if connection.our_state is not h11.DONE:
-                    return made, 0
+                    return messages, 0
                 connection.start_next_cycle()
             else:
-                return made, 0
+                return messages, 0
     except h11.RemoteProtocolError as error:
-        return made, error.error_status_hint
+        return messages, error.error_status_hint
 
 
-OK: list[bytes] = [
+ACCEPTED: list[bytes] = [
     b"GET / HTTP/1.1\r\n" + HOST + b"\r\n",
     b"GET /?a=%20b HTTP/1.1\r\n" + HOST + b"Accept: */*\r\n\r\n",
     b"GET / HTTP/1.1\r\nHOST: h\r\n\r\n",
@@ -114,8 +114,8 @@
     CHUNKED + b"1\r\nx\r\n0\r\nX-T: a\r\nX-U:\r\n\r\n",
     CHUNKED + b"1\r\nx\r\n0\r\n\r\nGET /2 HTTP/1.1\r\n" + HOST + b"\r\n",
 ]
-# Refused by both, with our status.
-BAD: list[tuple[bytes, int]] = [
+# Rejected by both; the status is that of RequestReader.
+REJECTED: list[tuple[bytes, int]] = [
     (b"\r\nGET / HTTP/1.1\r\n" + HOST + b"\r\n", 400),
     (b"\nGET / HTTP/1.1\r\n" + HOST + b"\r\n", 400),
     (b" GET / HTTP/1.1\r\n" + HOST + b"\r\n", 400),
@@ -165,11 +165,14 @@
     (CHUNKED + b"1" + b"0" * 30 + b"\r\nx\r\n0\r\n\r\n", 400),
     (CHUNKED + b"0\r\nX T: a\r\n\r\n", 400),
     (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400),
-    (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 /\r\n\r\n", 400),  # TLS on the clear port
+    (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 /\r\n\r\n", 400),  # a TLS handshake on the port for plain HTTP
 ]
-# Taken by h11 and not here.
+# Accepted by h11 and rejected by RequestReader.
 STRICTER: list[tuple[bytes, int]] = [
-    (b"GET / HTTP/1.1\r\n" + HOST + b"X-A: " + b"a" * BOUND + b"\r\n\r\n", 431),  # whole at once
+    (
+        b"GET / HTTP/1.1\r\n" + HOST + b"X-A: " + b"a" * MAX_HEAD_BYTES + b"\r\n\r\n",
+        431,
+    ),  # the complete head arrives at once
     (b"GET / HTTP/1.1\r\n" + HOST + b"X-A: \x01\r\n\r\n", 400),
     (b"GET / HTTP/1.1\r\nX-A: a\r\n\tb\r\n" + HOST + b"\r\n", 400),
     (b"GET / HTTP/1.1\r\n" + HOST + b" X-A: b\r\n\r\n", 400),  # obsolete folding
@@ -185,59 +188,59 @@
 ]
 
 
-@pytest.mark.parametrize("raw", OK)
-def test_what_is_taken_is_read_as_h11_reads_it(raw: bytes) -> None:
-    read = requests(raw)
-    assert read == by_h11(raw) and read[0] and not read[1]
-    assert requests(raw, list(range(len(raw)))) == read  # byte by byte
+@pytest.mark.parametrize("raw", ACCEPTED)
+def test_accepted_requests_are_read_as_h11_reads_them(raw: bytes) -> None:
+    read = read_requests(raw)
+    assert read == read_by_h11(raw) and read[0] and not read[1]
+    assert read_requests(raw, list(range(len(raw)))) == read  # byte by byte
 
 
-@pytest.mark.parametrize(("raw", "status"), BAD)
-def test_what_h11_refuses_is_refused(raw: bytes, status: int) -> None:
-    assert by_h11(raw)[1], "h11 takes it"
-    assert requests(raw) == ([], status) == requests(raw, list(range(len(raw))))
+@pytest.mark.parametrize(("raw", "status"), REJECTED)
+def test_requests_that_h11_rejects_are_rejected(raw: bytes, status: int) -> None:
+    assert read_by_h11(raw)[1], "h11 accepts it"
+    assert read_requests(raw) == ([], status) == read_requests(raw, list(range(len(raw))))
 
 
 @pytest.mark.parametrize(("raw", "status"), STRICTER)
-def test_what_only_h11_takes_is_refused_on_purpose(raw: bytes, status: int) -> None:
-    assert by_h11(raw)[0]
-    assert requests(raw) == ([], status)
+def test_requests_that_only_h11_accepts_are_rejected(raw: bytes, status: int) -> None:
+    assert read_by_h11(raw)[0]
+    assert read_requests(raw) == ([], status)
 
 
-@given(st.lists(st.sampled_from(OK), min_size=1, max_size=4), st.lists(st.integers(0, 400), max_size=12))
+@given(st.lists(st.sampled_from(ACCEPTED), min_size=1, max_size=4), st.lists(st.integers(0, 400), max_size=12))
 @hypo(max_examples=150, deadline=None, derandomize=True)
-def test_pipelined_requests_read_the_same_however_they_are_cut(raws: list[bytes], cuts: list[int]) -> None:
+def test_pipelined_requests_are_read_alike_however_the_bytes_are_split(raws: list[bytes], cuts: list[int]) -> None:
     raw = b"".join(raws)
-    assert requests(raw, cuts) == requests(raw)
+    assert read_requests(raw, cuts) == read_requests(raw)
 
 
 @given(st.lists(st.binary(min_size=1, max_size=40), max_size=20), st.lists(st.integers(0, 900), max_size=12))
 @hypo(max_examples=150, deadline=None, derandomize=True)
-def test_any_chunks_come_together_as_what_was_sent(parts: list[bytes], cuts: list[int]) -> None:
+def test_chunks_are_joined_to_the_body_that_was_sent(parts: list[bytes], cuts: list[int]) -> None:
     writer = h11.Connection(h11.CLIENT)
     out = writer.send(h11.Request(method="POST", target="/", headers=[("host", "h"), ("transfer-encoding", "chunked")]))
     raw = (out or b"") + b"".join(writer.send(h11.Data(data=part)) or b"" for part in parts)
     raw += writer.send(h11.EndOfMessage()) or b""
-    assert requests(raw, cuts) == ([(b"POST", b"/", b"".join(parts))], 0)
+    assert read_requests(raw, cuts) == ([(b"POST", b"/", b"".join(parts))], 0)
 
 
-@given(st.binary(max_size=60), st.sampled_from(OK), st.integers(0, 80))
+@given(st.binary(max_size=60), st.sampled_from(ACCEPTED), st.integers(0, 80))
 @hypo(max_examples=400, deadline=None, derandomize=True)
-def test_no_bytes_bring_it_down_and_what_h11_refuses_first_is_refused(noise: bytes, raw: bytes, at: int) -> None:
-    """Noise in the middle of a good request: never taken as more than h11 takes."""
-    spoilt = raw[:at] + noise + raw[at:]
-    ours, theirs = requests(spoilt), by_h11(spoilt)
+def test_random_bytes_are_rejected_if_h11_rejects_them(noise: bytes, raw: bytes, at: int) -> None:
+    """Random bytes in a valid request raise only ProtocolError; a first request that h11 rejects is rejected."""
+    damaged = raw[:at] + noise + raw[at:]
+    ours, theirs = read_requests(damaged), read_by_h11(damaged)
     if theirs[1] and not theirs[0]:
-        assert ours[1], "h11 refuses its first request"
+        assert ours[1], "h11 rejects the first request"
 
 
-def test_the_table_is_long_enough_to_mean_something() -> None:
-    assert len({*OK, *(raw for raw, _ in (*BAD, *STRICTER))}) >= 90
+def test_the_tables_have_at_least_90_different_requests() -> None:
+    assert len({*ACCEPTED, *(raw for raw, _ in (*REJECTED, *STRICTER))}) >= 90
 
 
-def test_the_next_request_is_not_looked_at_before_its_turn() -> None:
-    reader = RequestReader(BOUND)
-    reader.feed(OK[0] + b"nonsense\r\n\r\n")
+def test_pipelined_request_is_not_parsed_before_start_next() -> None:
+    reader = RequestReader(MAX_HEAD_BYTES)
+    reader.feed(ACCEPTED[0] + b"nonsense\r\n\r\n")
     assert isinstance(reader.next_event(), RequestHead) and isinstance(reader.next_event(), EndOfMessage)
     assert reader.next_event() is None and reader.buffered == len(b"nonsense\r\n\r\n")
     reader.start_next()
@@ -245,27 +248,27 @@
         reader.next_event()
 
 
-def test_a_hundred_thousand_chunks_of_one_byte_are_read() -> None:
+def test_body_of_100_000_chunks_of_one_byte_is_read() -> None:
     raw = CHUNKED + b"" + b"1\r\nx\r\n" * 100_000 + b"0\r\n\r\n"
-    [(_, _, body)], status = requests(raw, list(range(0, len(raw), 65536)))
+    [(_, _, body)], status = read_requests(raw, list(range(0, len(raw), 65536)))
     assert body == b"x" * 100_000 and not status
 
 
-def test_a_head_without_end_is_refused_at_the_bound_and_not_before() -> None:
-    reader = RequestReader(BOUND)
-    reader.feed(b"GET / HTTP/1.1\r\nX-A: " + b"a" * (BOUND - 21))
+def test_incomplete_head_is_rejected_only_above_the_limit() -> None:
+    reader = RequestReader(MAX_HEAD_BYTES)
+    reader.feed(b"GET / HTTP/1.1\r\nX-A: " + b"a" * (MAX_HEAD_BYTES - 21))
     assert reader.next_event() is None
     reader.feed(b"a")
     with pytest.raises(ProtocolError, match="431"):
         reader.next_event()
 
 
-# Answers ------------------------------------------------------------------------------------------------
+# Responses ----------------------------------------------------------------------------------------------
 
 
-def answers(raw: bytes, method: bytes = b"GET", ends: bool = True) -> tuple[list[tuple[int, bytes]], bool, bool]:
-    """Status and body of each answer; whether they were refused; whether the connection may go on."""
-    reader, made, body, keep = ResponseReader(BOUND), [], b"", True
+def read_responses(raw: bytes, method: bytes = b"GET", ends: bool = True) -> tuple[list[tuple[int, bytes]], bool, bool]:
+    """Status and body of each response; whether one was rejected; whether the connection persists."""
+    reader, messages, body, keep = ResponseReader(MAX_HEAD_BYTES), [], b"", True
     reader.feed(raw)
     if ends:
         reader.feed(b"")
@@ -279,13 +282,13 @@
                 body += event.data
             elif isinstance(event, EndOfMessage):
                 assert head is not None
-                made.append((head.status, body))
+                messages.append((head.status, body))
                 reader.start_next()
             else:
                 break
     except ProtocolError:
-        return made, True, False
-    return made, False, keep
+        return messages, True, False
+    return messages, False, keep
 
 
 @pytest.mark.parametrize(
@@ -312,8 +315,8 @@
         ),
     ],
 )
-def test_answers_are_read_by_their_framing(raw: bytes, method: bytes, wanted: list[tuple[int, bytes]]) -> None:
-    assert answers(raw, method)[:2] == (wanted, False)
+def test_responses_are_read_by_their_framing(raw: bytes, method: bytes, wanted: list[tuple[int, bytes]]) -> None:
+    assert read_responses(raw, method)[:2] == (wanted, False)
 
 
 @pytest.mark.parametrize(
@@ -336,18 +339,18 @@
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ],
 )
-def test_an_answer_that_is_none_is_refused(raw: bytes) -> None:
-    made, refused, _ = answers(raw)
-    assert refused and not made
+def test_invalid_responses_are_rejected(raw: bytes) -> None:
+    messages, rejected, _ = read_responses(raw)
+    assert rejected and not messages
 
 
-def test_an_answer_that_ends_its_connection_says_so() -> None:
-    assert answers(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")[2]
-    assert not answers(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")[2]
-    assert not answers(b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")[2]
+def test_response_head_tells_whether_the_connection_persists() -> None:
+    assert read_responses(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")[2]
+    assert not read_responses(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")[2]
+    assert not read_responses(b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")[2]
 
 
-# Asking -------------------------------------------------------------------------------------------------
+# Writing requests ---------------------------------------------------------------------------------------
 
 
 @given(
@@ -358,40 +361,40 @@
     st.booleans(),
 )
 @hypo(max_examples=300, deadline=None, derandomize=True)
-def test_no_header_or_target_opens_a_line_of_its_own(more: Headers, target: bytes, host: bool) -> None:
+def test_no_header_or_target_can_add_a_line_to_a_request(more: Headers, target: bytes, host: bool) -> None:
     headers = [*([(b"host", b"h")] if host else []), *more]
-    asking = Http1ClientConnection()
+    connection = Http1ClientConnection()
     try:
-        raw = asking.encode_head(b"GET", target, headers) + asking.encode_end()
+        raw = connection.encode_head(b"GET", target, headers) + connection.encode_end()
     except InvalidMessageError:
         assert not host or any(byte in b"".join((target, *(value for _, value in more))) for byte in b"\r\n\0 ")
         return
-    reader = RequestReader(BOUND)
+    reader = RequestReader(MAX_HEAD_BYTES)
     reader.feed(raw)
     try:
         head = reader.next_event()
     except ProtocolError:
-        assert not target.startswith(b"/")  # which no request that is routed has
+        assert not target.startswith(b"/")  # every routed request has a target with a leading slash
         return
     assert isinstance(head, RequestHead) and (head.target, len(head.headers)) == (target, len(headers))
     assert isinstance(reader.next_event(), EndOfMessage) and not reader.buffered
 
 
-def test_a_connection_is_asked_again_only_when_all_of_the_last_is_whole() -> None:
-    def asked(answer: bytes, *, whole: bool = True, chunked: bool = False) -> bool:
-        asking = Http1ClientConnection()
+def test_connection_is_reusable_only_after_a_complete_exchange() -> None:
+    def reusable_after(response: bytes, *, request_complete: bool = True, chunked: bool = False) -> bool:
+        connection = Http1ClientConnection()
         coding = [(b"transfer-encoding", b"chunked")] if chunked else [(b"content-length", b"2")]
-        asking.encode_head(b"POST", b"/", [(b"host", b"h"), *coding])
-        assert asking.encode_data(b"ab") == (b"2\r\nab\r\n" if chunked else b"ab")
-        if whole:
-            assert asking.encode_end() == (b"0\r\n\r\n" if chunked else b"")
-        asking.feed(answer)
-        while isinstance(asking.next_event(), ResponseHead | Data):
+        connection.encode_head(b"POST", b"/", [(b"host", b"h"), *coding])
+        assert connection.encode_data(b"ab") == (b"2\r\nab\r\n" if chunked else b"ab")
+        if request_complete:
+            assert connection.encode_end() == (b"0\r\n\r\n" if chunked else b"")
+        connection.feed(response)
+        while isinstance(connection.next_event(), ResponseHead | Data):
             pass
-        return asking.reusable
+        return connection.reusable
 
     good = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
-    assert asked(good) and asked(good, chunked=True)
-    assert not asked(good, whole=False)  # an early answer
-    assert not asked(good[:-1]) and not asked(good + b"y")
-    assert not asked(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+    assert reusable_after(good) and reusable_after(good, chunked=True)
+    assert not reusable_after(good, request_complete=False)  # the response came before the end of the request
+    assert not reusable_after(good[:-1]) and not reusable_after(good + b"y")
+    assert not reusable_after(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
