--- a/tests/engine_rig.py
+++ b/tests/engine_rig.py
@@ -58,7 +58,7 @@
     def __init__(
         self,
         text: str = "",
-        servers: tuple[int, ...] = (1, 2, 3, 4),
+        endpoints: tuple[int, ...] = (1, 2, 3, 4),
         seed: int = 1,
         hook_releases: ReleaseManager | None = None,
     ) -> None:
@@ -66,7 +66,7 @@
         self.now = START_MS
         self.actions: list[ev.Action] = []
         self._request_id = 0
-        self.handle(endpoint_list_event(*servers, scope=EndpointListScope.CACHED))
+        self.handle(endpoint_list_event(*endpoints, scope=EndpointListScope.CACHED))
 
     def handle(self, event: ev.Event) -> list[ev.Action]:
         """Pass one event to the engine at the current time."""
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -190,10 +190,10 @@
 
 def test_rejection_by_an_endpoint_needs_status_and_header() -> None:
     rig = Rig()
-    refused = rig.send("/pay/1")
-    rig.write(refused)
-    rig.handle(ev.ResponseHeadReceived(refused, 0, 503, [(b"x-not-run", b"1")]))
-    assert len(rig.actions_of(ev.OpenAttempt, refused)) == 2
+    rejected = rig.send("/pay/1")
+    rig.write(rejected)
+    rig.handle(ev.ResponseHeadReceived(rejected, 0, 503, [(b"x-not-run", b"1")]))
+    assert len(rig.actions_of(ev.OpenAttempt, rejected)) == 2
     unknown = rig.send("/pay/1")
     rig.write(unknown)
     # The response may come from an intermediary: the status alone proves nothing.
@@ -305,7 +305,7 @@
 
 
 def test_without_endpoints_the_response_is_503_with_retry_after() -> None:
-    rig = Rig(servers=())
+    rig = Rig(endpoints=())
     reply = rig.reply(rig.send())
     assert reply.status == 503 and json.loads(reply.body)["reason"] == "no server"
     assert header(reply, "retry-after")
@@ -365,10 +365,10 @@
     rig.engine._state.dependencies.records_usage = True
     request_id = rig.send("/pay/1", x_request_id="t1")
     rig.fail_attempt(request_id, AttemptFailure.NOT_CONNECTED, written=False)  # a further attempt is not recorded again
-    refused = rig.send(customer="nobody")
+    rejected = rig.send(customer="nobody")
     rig.serve(request_id)
     assert rig.actions_of(ev.RecordUsage) == [ev.RecordUsage("t1", "free", "open", "pay", 2.0, False, 1)]
-    assert rig.reply(refused)
+    assert rig.reply(rejected)
 
 
 def test_usage_record_states_that_a_request_was_over_quota() -> None:
@@ -386,7 +386,7 @@
 
     After four minutes 106 of 116 addresses were those of removed endpoints.
     """
-    rig = Rig(servers=(1, 2))
+    rig = Rig(endpoints=(1, 2))
     for number in range(3, 200):
         rig.handle(endpoint_list_event(number, scope=EndpointListScope.DELTA))
         rig.handle(endpoint_list_event(number - 2, scope=EndpointListScope.DELTA, state=EndpointState.REMOVED))
