--- a/martenstep/proxy/engine_messages.py
+++ b/martenstep/proxy/engine_messages.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class ClockStepped:
-    """The wall clock was stepped: it now differs from the driver's clock by `shift_ms`."""
+    """The wall clock was stepped: it is now `shift_ms` ahead of the driver's clock."""
 
     shift_ms: float
 
