--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -16,7 +16,7 @@
 from martenstep.policy.messages import Endpoint, EndpointListScope, EndpointState
 from martenstep.proxy.engine_factory import make_engine, make_server
 from martenstep.proxy.server import ProxyServer
-from tests.engine_rig import settings
+from tests.engine_rig import gateway_settings
 
 TEST_TIMEOUT_S = 15.0
 LONG_TEST_TIMEOUT_S = 120.0  # for tests that wait for elections and for replicas to catch up on a busy machine
@@ -153,7 +153,7 @@
     """A gateway in front of one server for each script, and of the ports given."""
     scripted_servers = [ScriptedServer(script) for script in scripts]
     log_events: list[tuple[str, dict[str, Any]]] = []
-    gateway_settings = settings(text)
+    gateway_settings = gateway_settings(text)
     gateway_settings.ClearField("store")
     server = make_server(
         gateway_settings, make_engine(gateway_settings, 1), lambda event, fields: log_events.append((event, fields))
