--- a/martenstep/__init__.py
+++ b/martenstep/__init__.py
@@ -1,4 +1,4 @@
-"""martenstep: the decisions of a gateway that keeps each customer of a shared back end to its plan."""
+"""martenstep: an API gateway that holds each customer of a shared back end to its plan."""
 
 from martenstep.policy.gateway import Gateway
 
--- a/martenstep/__main__.py
+++ b/martenstep/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m martenstep`, and the command that is installed."""
+"""The entry point of `python -m martenstep` and of the installed command."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def main() -> None:
-    """Mind signals first, since the imports take their time; then the command line."""
+    """Install signal handlers before the slow imports, then run the command line."""
     early_signals.install(sys.argv[1:])
-    from martenstep.cli.main import main as commands
+    from martenstep.cli.main import main as run_command_line
 
-    commands()
+    run_command_line()
 
 
 if __name__ == "__main__":
--- a/martenstep/discovery/__init__.py
+++ b/martenstep/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""How a gateway learns of its endpoints: the discovery protocol's client, and the list cached over a restart."""
+"""Endpoint discovery: the client of the endpoint feed, and the endpoint list that is cached across restarts."""
--- a/martenstep/discovery/endpoint_list.py
+++ b/martenstep/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""What the discovery client tells its host of the endpoint list."""
+"""The events that the discovery client reports about the endpoint list."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class EndpointListEvent:
-    """A list, a change of it, or the loss of its source; addresses are by endpoint id."""
+    """An endpoint list, a delta to it, or the loss of its source; `addresses` is by endpoint id."""
 
     scope: EndpointListScope
     endpoints: tuple[Endpoint, ...] = ()
--- a/martenstep/discovery/feed.py
+++ b/martenstep/discovery/feed.py
@@ -1,4 +1,4 @@
-"""The client of the endpoint feed: polls over a socket, and caches the list on disk."""
+"""The client of the endpoint feed: polls it over a socket, and caches the list on disk."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from martenstep.policy.messages import EndpointListScope
 
 MIN_RETRY_MS, MAX_RETRY_MS = 100.0, 2000.0  # between polls that fail
-ANSWER_GRACE_MS = 5000.0  # a poll that is not answered so long after its wait has failed
-MAX_ANSWER_BYTES = 16 << 20
+RESPONSE_GRACE_MS = 5000.0  # a poll without a response this long after its wait has failed
+MAX_RESPONSE_BYTES = 16 << 20
 READ_BYTES = 65536
 CACHE_SUFFIX = ".new"
 POLL_ERRORS = (OSError, TimeoutError, FeedError, h11.ProtocolError, asyncio.IncompleteReadError)
 
 
 class EndpointFeed:
-    """Follows the feed of one instance."""
+    """Polls the feed for one instance and reports each change."""
 
     def __init__(
         self,
@@ -44,17 +44,17 @@
         self._log_text = log_text
         self._clock = clock
         self._state = EndpointListState()
-        self._cache = Path(settings.warm_copy) if settings.warm_copy else None
+        self._cache_path = Path(settings.warm_copy) if settings.warm_copy else None
         self.backoff = Backoff(MIN_RETRY_MS, MAX_RETRY_MS)
         self._subscribed = asyncio.Event()
-        self._lost = False
+        self._is_lost = False
 
     def restore(self) -> None:
-        """Tell the list as last cached; an empty one where there is none."""
+        """Report the cached list, or an empty one if there is none or it cannot be read."""
         event = EndpointListEvent(EndpointListScope.CACHED)
-        if self._cache is not None:
+        if self._cache_path is not None:
             try:
-                event = self._state.restore(self._cache.read_bytes(), self._clock(), time.time() * 1000)
+                event = self._state.restore(self._cache_path.read_bytes(), self._clock(), time.time() * 1000)
             except FileNotFoundError:
                 pass
             except (OSError, FeedError) as error:
@@ -62,32 +62,32 @@
         self._on_event(event)
 
     def subscribe(self) -> None:
-        """The decisions ask for changes from now on."""
+        """Start polling, since the policy subscribes to changes of the endpoint list."""
         self._subscribed.set()
 
     async def run(self) -> None:
-        """Poll until cancelled."""
+        """Wait for `subscribe`, then poll until cancelled."""
         await self._subscribed.wait()
         while True:
             try:
                 await self._poll()
             except POLL_ERRORS as error:
-                if not self._lost:
-                    self._lost = True
+                if not self._is_lost:
+                    self._is_lost = True
                     self._log_text("endpoint feed lost", f"{type(error).__name__}: {error}")
                     self._on_event(EndpointListEvent(EndpointListScope.LOST))
                 await asyncio.sleep(self.backoff.failed() / 1000)
 
     async def _poll(self) -> None:
-        """Poll over one connection until it breaks."""
-        async with asyncio.timeout(ANSWER_GRACE_MS / 1000):
+        """Poll over one connection until it fails."""
+        async with asyncio.timeout(RESPONSE_GRACE_MS / 1000):
             reader, writer = await asyncio.open_connection(self._settings.host, self._settings.port)
         connection = h11.Connection(h11.CLIENT)
         try:
             while True:
                 self._send_request(writer, connection)
-                async with asyncio.timeout((self._settings.wait_ms + ANSWER_GRACE_MS) / 1000):
-                    body = await self._read_answer(reader, connection)
+                async with asyncio.timeout((self._settings.wait_ms + RESPONSE_GRACE_MS) / 1000):
+                    body = await self._read_response(reader, connection)
                 self._apply(body)
                 connection.start_next_cycle()
         finally:
@@ -101,7 +101,7 @@
         writer.write(connection.send(h11.EndOfMessage()) or b"")
 
     @staticmethod
-    async def _read_answer(reader: asyncio.StreamReader, connection: h11.Connection) -> bytes:
+    async def _read_response(reader: asyncio.StreamReader, connection: h11.Connection) -> bytes:
         body = bytearray()
         while True:
             event = connection.next_event()
@@ -109,36 +109,36 @@
                 connection.receive_data(await reader.read(READ_BYTES))
             elif isinstance(event, h11.Response):
                 if event.status_code != 200:
-                    raise FeedError(f"the feed answered {event.status_code}")
+                    raise FeedError(f"the feed responded with status {event.status_code}, expected 200")
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MAX_ANSWER_BYTES:
-                    raise FeedError(f"an answer of over {MAX_ANSWER_BYTES} bytes")
+                if len(body) > MAX_RESPONSE_BYTES:
+                    raise FeedError(f"the feed's response is longer than {MAX_RESPONSE_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             elif isinstance(event, h11.ConnectionClosed):
-                raise FeedError("the feed closed the connection")
+                raise FeedError("the feed closed the connection before its response was complete")
 
     def _apply(self, body: bytes) -> None:
         update = self._state.apply(body, self._clock())
         self.backoff.succeeded()
         for anomaly in update.anomalies:
             self._log_text("endpoint list anomaly", anomaly)
-        if self._lost:
-            self._lost = False
+        if self._is_lost:
+            self._is_lost = False
             self._log_text("endpoint feed recovered", f"index {self._state.index}")
         if update.event is not None:
             self._write_cache()
             self._on_event(update.event)
 
     def _write_cache(self) -> None:
-        """Write a temporary file, then rename: a kill leaves the old list or the new one."""
-        if self._cache is None:
+        """Write a temporary file, then rename it, so that a kill leaves either the old list or the new one."""
+        if self._cache_path is None:
             return
-        temporary = self._cache.with_name(self._cache.name + CACHE_SUFFIX)
+        temporary = self._cache_path.with_name(self._cache_path.name + CACHE_SUFFIX)
         try:
             temporary.write_bytes(self._state.encode(time.time() * 1000))
-            os.replace(temporary, self._cache)
+            os.replace(temporary, self._cache_path)
         except OSError as error:
             self._log_text("cached endpoint list not written", str(error))
             with contextlib.suppress(OSError):
--- a/martenstep/discovery/feed_protocol.py
+++ b/martenstep/discovery/feed_protocol.py
@@ -1,13 +1,14 @@
-"""The endpoint feed's protocol: a long poll with an index, after the public form of Consul's blocking queries.
+"""The endpoint feed's protocol: a long poll with an index, modelled on Consul's blocking queries.
 
-`GET /v1/members?index=N&wait=MS` is held until the list is newer than N or the wait is over.  The answer is JSON:
+The feed holds `GET /v1/members?index=N&wait=MS` until its list is newer than N or the wait is over.  The response is
+JSON:
 
     {"index": 42, "scope": "changes" | "full", "now_unix_ms": 1.7e12, "servers": [
       {"id": 7, "host": "10.0.0.7", "port": 8080, "zone": "a", "kind": "std", "cell": 0, "state": "up",
        "size": 1.0, "started_unix_ms": 1.7e12}]}
 
-`changes` applies to the list of index N; the feed gives `full` where it no longer holds the changes since.  An index
-that went back means that the feed was restarted: the next poll asks from 0, which gives the whole list.
+`changes` applies to the list of index N; the feed sends `full` if it no longer has all changes since N.  An index that
+went back means that the feed was restarted: the next poll has index 0, which requests the whole list.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 
 
 class FeedError(Exception):
-    """An answer of the feed, or a cached list, that cannot be used."""
+    """A response of the feed, or a cached list, cannot be used."""
 
 
 class EndpointEntry(msgspec.Struct):
-    """One endpoint as the feed lists it."""
+    """One endpoint in a response of the feed."""
 
     id: int
     host: str
@@ -39,7 +40,7 @@
 
 
 class FeedResponse(msgspec.Struct):
-    """One answer of the feed, and the format of the cached list."""
+    """One response of the feed; the cached list has the same format."""
 
     index: int
     scope: Literal["changes", "full"]
@@ -48,12 +49,12 @@
 
     @property
     def is_full(self) -> bool:
-        """It holds the whole list."""
+        """Whether it contains the whole list."""
         return self.scope == FULL
 
 
 def decode_response(body: bytes, source: str) -> FeedResponse:
-    """Raises FeedError; `source` begins its text."""
+    """Decode a response; raises FeedError, whose text begins with `source`."""
     try:
         return msgspec.json.decode(body, type=FeedResponse)
     except msgspec.DecodeError as error:
@@ -61,10 +62,10 @@
 
 
 def encode_response(response: FeedResponse) -> bytes:
-    """The bytes of an answer, or of a cached list."""
+    """Encode a response or a cached list."""
     return msgspec.json.encode(response)
 
 
 def poll_target(path: str, index: int, wait_ms: float, instance: str) -> str:
-    """The request target of a poll."""
+    """Return the request target of a poll."""
     return f"{path}?index={index}&wait={wait_ms:.0f}&door={instance}"
--- a/martenstep/event_log.py
+++ b/martenstep/event_log.py
@@ -4,11 +4,11 @@
 
 from typing import Any, Protocol
 
-LogFields = dict[str, Any]  # values that the log's renderer can write
+LogFields = dict[str, Any]  # the values must be ones that the log's renderer can write
 
 
 class EventLog(Protocol):
-    """Writes one log line: the name of an event, in the words that operators search for, and its fields."""
+    """Writes log lines; each has the name of an event, by which operators search, and fields."""
 
     def __call__(self, event: str, fields: LogFields, /) -> None:
         """Write one line."""
--- a/martenstep/lifetime.py
+++ b/martenstep/lifetime.py
@@ -1,4 +1,4 @@
-"""The lifetime of a process that only serves: ready line on standard output, then until SIGTERM or SIGINT."""
+"""Runs a server process until SIGTERM or SIGINT, after a ready line on standard output."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 ) -> None:
     """Print the ready line, wait for SIGTERM or SIGINT, then call `stop`.
 
-    `ready` names what is bound; `more` are further members of the line's JSON object.
+    `ready` has the bound ports by name; `more` are further members of the line's JSON object.
     """
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     sys.stdout.write(json.dumps({"ready": ready, "pid": os.getpid(), **more}) + "\n")
     sys.stdout.flush()
     await stopped.wait()
--- a/martenstep/proxy/admin.py
+++ b/martenstep/proxy/admin.py
@@ -1,6 +1,6 @@
 """The admin listener: health, readiness, metrics, membership, replicas and maintenance.
 
-For operators only: bind it to a host that clients don't reach.
+It is for operators only and must be bound to an address that clients cannot reach.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-if TYPE_CHECKING:  # a gateway without maintenance does not load it
+if TYPE_CHECKING:  # loaded only if the settings have maintenance
     from martenstep.maintenance.commands import Command
 
 REQUEST_TIMEOUT_MS = 5000.0
@@ -28,7 +28,7 @@
 
 
 class AdminResponse(NamedTuple):
-    """One response."""
+    """One response of the admin listener."""
 
     status: int
     content_type: str
@@ -36,55 +36,55 @@
 
 
 class MembershipAdmin(Protocol):
-    """What the listener asks of the membership."""
+    """The membership, as the admin listener uses it."""
 
     def view(self) -> object:
-        """What this gateway knows of the others; encoded as JSON."""
+        """Return this gateway's view of the cluster, to be encoded as JSON."""
 
     async def wait_newer(self, version: int, wait_s: float) -> None:
-        """Wait until the view is newer."""
+        """Wait up to `wait_s` for a view newer than `version`."""
 
     async def leave(self) -> None:
-        """Announce that this gateway leaves."""
+        """Announce that this gateway leaves the cluster."""
 
 
 class ReplicationAdmin(Protocol):
-    """What the listener asks of the replicas that are here."""
+    """The replicas on this gateway, as the admin listener uses them."""
 
     def view(self) -> dict[str, Any]:
-        """The groups and their replicas."""
+        """Return the groups and their replicas."""
 
     def transfer_leadership(self, group: str, to: str) -> bool:
-        """Transfer a group's leadership; False where this gateway can't."""
+        """Transfer a group's leadership; False if this gateway cannot."""
 
 
 class MaintenanceAdmin(Protocol):
-    """What the listener asks of the maintenance queue."""
+    """The maintenance queue, as the admin listener uses it."""
 
     async def submit(self, command: Command) -> object:
-        """Submit a change."""
+        """Submit a change of the queue."""
 
     async def fetch(self) -> object:
-        """All of the queue."""
+        """Return the whole queue."""
 
 
-def _text(status: int, text: str) -> AdminResponse:
+def _text_response(status: int, text: str) -> AdminResponse:
     return AdminResponse(status, TEXT, f"{text}\n".encode())
 
 
-def _json(content: object) -> AdminResponse:
+def _json_response(content: object) -> AdminResponse:
     return AdminResponse(OK, JSON, msgspec.json.encode(content))
 
 
 class GatewayCollector(Collector):
-    """The gateway's counts as Prometheus metrics, read when they are asked for."""
+    """The gateway's counters and gauges as Prometheus metrics, read at each scrape."""
 
     def __init__(self, counts: Callable[[], dict[str, float]], gauges: Callable[[], dict[str, float]]) -> None:
-        """Both return values by metric name, without the prefix."""
+        """`counts` and `gauges` return values by metric name without the prefix."""
         self._counts, self._gauges = counts, gauges
 
     def collect(self) -> list[Metric]:
-        """All of them."""
+        """Return all metrics."""
         counters: list[Metric] = [
             CounterMetricFamily(f"martenstep_{name}", name.replace("_", " "), value=value)
             for name, value in self._counts().items()
@@ -97,33 +97,33 @@
 
 
 class AdminListener:
-    """Answers requests for a few paths."""
+    """Serves the admin pages; each connection carries one request."""
 
     def __init__(self, collector: Collector, is_ready: Callable[[], bool]) -> None:
-        """`collector` has the metrics."""
+        """`collector` provides the metrics; `is_ready` returns whether the gateway serves requests."""
         self._registry = prometheus_client.CollectorRegistry()
         self._registry.register(collector)
         self._is_ready = is_ready
         self._server: asyncio.Server | None = None
-        # Each where the settings have it.
+        # Each is set once that part of the settings has been started.
         self.membership: MembershipAdmin | None = None
         self.replication: ReplicationAdmin | None = None
         self.maintenance: MaintenanceAdmin | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Bind; returns the port.  Raises OSError."""
+        """Bind the address and return the port; raises OSError."""
         self._server = await asyncio.start_server(self._serve, host, port)
         return int(self._server.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
     # Pages --------------------------------------------------------------------------------------------------
 
     async def respond(self, method: str, path: str, query: str) -> AdminResponse:
-        """The response to a request."""
+        """Return the response to a request."""
         page = path.split("/")[1] if path.startswith("/") else ""
         if page == "members":
             return await self._respond_membership(method, path, query)
@@ -134,70 +134,70 @@
         return self.respond_status(path)
 
     def respond_status(self, path: str) -> AdminResponse:
-        """Health, readiness and metrics."""
+        """Return the page of health, readiness or metrics."""
         if path == "/healthz":
-            return _text(OK, "ok")
+            return _text_response(OK, "ok")
         if path == "/readyz":
-            return _text(OK, "ready") if self._is_ready() else _text(UNAVAILABLE, "not ready")
+            return _text_response(OK, "ready") if self._is_ready() else _text_response(UNAVAILABLE, "not ready")
         if path == "/metrics":
             return AdminResponse(OK, METRICS, prometheus_client.generate_latest(self._registry))
-        return _text(NOT_FOUND, "there are: /healthz /readyz /metrics /members /copies /maintenance")
+        return _text_response(NOT_FOUND, "there are: /healthz /readyz /metrics /members /copies /maintenance")
 
     async def _respond_membership(self, method: str, path: str, query: str) -> AdminResponse:
-        """`GET /members?after=VERSION&wait_ms=MS` waits for a newer view, `POST /members/leave` leaves."""
+        """`GET /members?after=VERSION&wait_ms=MS` waits for a newer view; `POST /members/leave` leaves the cluster."""
         if self.membership is None:
-            return _text(NOT_FOUND, "the settings have no fleet")
+            return _text_response(NOT_FOUND, "the settings have no fleet")
         if path == "/members/leave":
             if method != "POST":
-                return _text(METHOD_NOT_ALLOWED, "POST leaves")
+                return _text_response(METHOD_NOT_ALLOWED, "POST leaves")
             await self.membership.leave()
         elif path != "/members":
-            return _text(NOT_FOUND, "there are: /members /members/leave")
+            return _text_response(NOT_FOUND, "there are: /members /members/leave")
         elif query:
             parameters = parse_qs(query, keep_blank_values=True)
             try:
                 after = int(parameters.get("after", ["-1"])[-1])
                 wait_ms = float(parameters.get("wait_ms", ["0"])[-1])
             except ValueError:
-                return _text(BAD_REQUEST, "after and wait_ms are numbers")
+                return _text_response(BAD_REQUEST, "after and wait_ms are numbers")
             if not 0 <= wait_ms <= MAX_VIEW_WAIT_MS:
-                return _text(BAD_REQUEST, f"wait_ms: expected 0 to {MAX_VIEW_WAIT_MS:.0f}")
+                return _text_response(BAD_REQUEST, f"wait_ms: expected 0 to {MAX_VIEW_WAIT_MS:.0f}")
             await self.membership.wait_newer(after, wait_ms / MS_PER_S)
-        return _json(self.membership.view())
+        return _json_response(self.membership.view())
 
     def _respond_replication(self, method: str, path: str, query: str) -> AdminResponse:
-        """`GET /copies`; `POST /copies/move?group=GROUP&to=GATEWAY` transfers the leadership of a group."""
+        """`GET /copies` returns the groups; `POST /copies/move?group=GROUP&to=GATEWAY` transfers leadership."""
         if self.replication is None:
-            return _text(NOT_FOUND, "the settings have no copies")
+            return _text_response(NOT_FOUND, "the settings have no copies")
         if path == "/copies/move":
             if method != "POST":
-                return _text(METHOD_NOT_ALLOWED, "POST moves")
+                return _text_response(METHOD_NOT_ALLOWED, "POST moves")
             parameters = parse_qs(query)
-            group, to = parameters.get("group", [""])[-1], parameters.get("to", [""])[-1]
-            if not self.replication.transfer_leadership(group, to):
-                return _text(CONFLICT, "this door does not lead that group, or the other does not hold it")
+            group, target = parameters.get("group", [""])[-1], parameters.get("to", [""])[-1]
+            if not self.replication.transfer_leadership(group, target):
+                return _text_response(CONFLICT, "this door does not lead that group, or the other does not hold it")
         elif path != "/copies":
-            return _text(NOT_FOUND, "there are: /copies /copies/move")
-        return _json(self.replication.view())
+            return _text_response(NOT_FOUND, "there are: /copies /copies/move")
+        return _json_response(self.replication.view())
 
     async def _respond_maintenance(self, method: str, path: str, query: str) -> AdminResponse:
-        """`GET /maintenance` returns the queue, `POST /maintenance?what=JSON` submits a change."""
+        """`GET /maintenance` returns the queue; `POST /maintenance?what=JSON` submits a change."""
         if self.maintenance is None:
-            return _text(NOT_FOUND, "the settings have no maintenance")
+            return _text_response(NOT_FOUND, "the settings have no maintenance")
         if path != "/maintenance":
-            return _text(NOT_FOUND, "there is: /maintenance")
+            return _text_response(NOT_FOUND, "there is: /maintenance")
         from martenstep.maintenance.commands import Command
         from martenstep.replication.errors import LeaderUnreachableError
 
         try:
             if method != "POST":
-                return _json(await self.maintenance.fetch())
-            what = msgspec.json.decode(parse_qs(query).get("what", [""])[-1], type=Command)
-            return _json(await self.maintenance.submit(what))
+                return _json_response(await self.maintenance.fetch())
+            command = msgspec.json.decode(parse_qs(query).get("what", [""])[-1], type=Command)
+            return _json_response(await self.maintenance.submit(command))
         except msgspec.DecodeError as error:
-            return _text(BAD_REQUEST, f"what: {error}")
+            return _text_response(BAD_REQUEST, f"what: {error}")
         except LeaderUnreachableError as error:
-            return _text(UNAVAILABLE, str(error))
+            return _text_response(UNAVAILABLE, str(error))
 
     # Connections --------------------------------------------------------------------------------------------
 
--- a/martenstep/proxy/auth_requests.py
+++ b/martenstep/proxy/auth_requests.py
@@ -1,4 +1,4 @@
-"""Carries checks to authentication services: one GET each, the response read whole within a limit."""
+"""Sends checks to authentication services: one GET for each, whose response is read whole within a size limit."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class CheckObserver(Protocol):
-    """Receives what comes of checks."""
+    """Receives the results of checks."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The event loop that it runs in."""
+        """The event loop that the observer runs in."""
 
     def handle(self, event: ev.Event) -> None:
-        """Hand an event to the engine."""
+        """Pass an event to the engine."""
 
     def log_rejected_server(self, address: str, reason: str) -> None:
-        """Log that TLS rejected a service."""
+        """Log that the TLS handshake rejected a service."""
 
 
 class _CheckAttempt:
@@ -44,10 +44,10 @@
 
 
 class AuthClient:
-    """The checks that are under way, by their ids."""
+    """Runs the checks in flight, by check id."""
 
     def __init__(self, observer: CheckObserver, settings: pb.Auth) -> None:
-        """`observer` receives the responses; raises TlsError."""
+        """`observer` receives the results; raises TlsError."""
         self._observer, self._max_body_bytes = observer, settings.body_bytes
         self.tls = [ClientContext(settings.tls)] if settings.HasField("tls") else []
         self.pool = ConnectionPool(
@@ -60,24 +60,24 @@
         self._attempts: dict[int, _CheckAttempt] = {}
 
     def start(self, action: ev.StartAuthCheck) -> None:
-        """Start an attempt."""
+        """Start an attempt of a check."""
         attempt = self._attempts[action.check_id] = _CheckAttempt(action.attempt)
         upstream = self.pool.acquire_idle(action.address)
         if upstream is not None:
-            self._begin(action, attempt, upstream)
+            self._send_request(action, attempt, upstream)
         elif self.pool.reserve_slot(action.address):
             attempt.task = self._observer.loop.create_task(self._connect(action, attempt))
         else:
             self._fail(action.check_id, attempt)
 
     def stop(self, action: ev.StopAuthCheck) -> None:
-        """End an attempt and its connection; what still comes of it reaches nobody."""
+        """Abort an attempt and close its connection; its later events are discarded."""
         attempt = self._attempts.pop(action.check_id, None)
         if attempt is not None:
             self._release(attempt)
 
     def close(self) -> None:
-        """End all."""
+        """Abort all attempts and close all connections."""
         for attempt in self._attempts.values():
             self._release(attempt)
         self._attempts.clear()
@@ -108,15 +108,15 @@
         if self._attempts.get(action.check_id) is not attempt:
             self.pool.discard(upstream)
             return
-        self._begin(action, attempt, upstream)
+        self._send_request(action, attempt, upstream)
 
-    def _begin(self, action: ev.StartAuthCheck, attempt: _CheckAttempt, upstream: UpstreamConnection) -> None:
+    def _send_request(self, action: ev.StartAuthCheck, attempt: _CheckAttempt, upstream: UpstreamConnection) -> None:
         attempt.upstream = upstream
         upstream.reader.on_data = lambda data: self._data_received(action.check_id, attempt, upstream, data)
         host = f"{action.address[0]}:{action.address[1]}".encode()
         try:
-            out = upstream.http.encode_head(b"GET", action.target, [(b"host", host), *action.headers])
-            upstream.writer.write(out + upstream.http.encode_end())
+            head = upstream.http.encode_head(b"GET", action.target, [(b"host", host), *action.headers])
+            upstream.writer.write(head + upstream.http.encode_end())
         except InvalidMessageError:
             self._fail(action.check_id, attempt)
 
@@ -146,7 +146,7 @@
         upstream.reader.on_data = None
         attempt.upstream = None
         self._attempts.pop(check_id, None)
-        self.pool.recycle(upstream)  # discarded there where bytes stand behind the response
+        self.pool.recycle(upstream)  # the pool discards it if further bytes follow the response
         self._observer.handle(
             ev.AuthCheckReplied(check_id, attempt.number, attempt.status, attempt.headers, bytes(attempt.body))
         )
--- a/martenstep/proxy/certificates.py
+++ b/martenstep/proxy/certificates.py
@@ -1,4 +1,4 @@
-"""The certificates of a gateway: reloaded on demand, and warned of before they end."""
+"""Reloads the certificates of a gateway on demand, and logs a warning before the server's own expires."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from martenstep.event_log import EventLog
 from martenstep.proxy.server import ProxyServer
 
-EXPIRY_CHECK_S = 3600.0  # between two looks at the certificate's end
+EXPIRY_CHECK_INTERVAL_S = 3600.0
 
 
 class Certificates:
-    """The certificates that a server shows, and those by which it knows others."""
+    """The certificate that a server presents, and those by which it verifies others."""
 
     def __init__(self, server: ProxyServer, log_event: EventLog) -> None:
-        """`server` has the TLS contexts."""
+        """`server` owns the TLS contexts."""
         self._server, self._log_event = server, log_event
 
     def reload(self) -> None:
-        """Read all of them anew; connections that stand keep theirs."""
+        """Read all certificates from their files again; open connections keep the previous ones."""
         contexts: list[ServerContext | ClientContext] = [*self._server.client_tls]
         if self._server.tls is not None:
             contexts.append(self._server.tls)
@@ -31,10 +31,10 @@
             self._log_event("certificate reloaded", fields)
 
     def warn_of_expiry(self) -> None:
-        """Warn of a certificate that ends soon, now and each hour."""
+        """Log a warning if the server's certificate expires soon; repeats every hour."""
         if self._server.tls is None:
             return
         days_left = self._server.tls.days_left()
         if days_left < EXPIRY_WARNING_DAYS:
             self._log_event("certificate expires soon", {"days_left": round(days_left, 1)})
-        self._server.loop.call_later(EXPIRY_CHECK_S, self.warn_of_expiry)
+        self._server.loop.call_later(EXPIRY_CHECK_INTERVAL_S, self.warn_of_expiry)
--- a/martenstep/proxy/cluster.py
+++ b/martenstep/proxy/cluster.py
@@ -1,6 +1,6 @@
-"""What a gateway does together with the others: membership, replicas, and turns of maintenance.
+"""The parts of a gateway that work with other gateways: membership, replicas and the maintenance queue.
 
-What is wrong with any of it keeps no gateway from serving: the others go on.
+A part that cannot start is logged; the gateway still serves requests, and parts that do not depend on it still run.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from martenstep.event_log import EventLog
 from martenstep.proxy.admin import AdminListener
 
-if TYPE_CHECKING:  # a gateway without them loads none of it
+if TYPE_CHECKING:  # loaded only if the settings have these parts
     from martenstep.counter.pending_increments import AttemptRecord
     from martenstep.counter.sharded_counter import ShardedCounter
     from martenstep.maintenance.coordinator import MaintenanceCoordinator
@@ -22,19 +22,22 @@
 
 
 class Cluster:
-    """This gateway's part in the cluster, as far as the settings have one."""
+    """Runs this gateway's membership, replicas and maintenance queue, as far as the settings have them."""
 
     def __init__(
         self, gateway_settings: pb.Door, admin: AdminListener, is_ready: Callable[[], bool], log_event: EventLog
     ) -> None:
-        """`admin` shows what is started here; `is_ready` tells whether this gateway serves."""
+        """`admin` shows the parts that are started here; `is_ready` returns whether this gateway serves requests."""
         self._settings, self._admin, self._is_ready, self._log_event = gateway_settings, admin, is_ready, log_event
         self.membership: MembershipService | None = None
         self.replicas: ShardedCounter | None = None
         self.maintenance: MaintenanceCoordinator | None = None
 
     async def start(self, deliver: Callable[[AttemptRecord], bool]) -> dict[str, int]:
-        """Join the others; returns the ports by name.  `deliver` takes what a ledger that this gateway leads has."""
+        """Join the cluster; returns the bound ports by name.
+
+        `deliver` passes a record from a ledger that this gateway leads to the counter; False if none can accept it now.
+        """
         from martenstep.membership.keyring import KeyFileError
         from martenstep.membership.service import MembershipService
 
@@ -89,24 +92,27 @@
         self._admin.maintenance = self.maintenance
 
     def _known_gateways(self) -> list[tuple[str, str]]:
-        """Names and zones of the gateways that the membership knows."""
+        """Return names and zones of the gateways in the membership table."""
         core = self.membership.core if self.membership is not None else None
         return [(member.name, member.zone) for member in core.table] if core is not None else []
 
     def _leave_for_maintenance(self, request: str) -> None:
-        """This machine's turn: the gateway stops as on SIGTERM, answers what is in flight, hands over, and ends."""
+        """Shut down because the maintenance queue has reached this machine.
+
+        SIGTERM lets the gateway answer its requests in flight, hand over its leaderships, and exit.
+        """
         self._log_event("maintenance shutdown", {"request": request})
         os.kill(os.getpid(), signal.SIGTERM)
 
     async def stop(self) -> None:
-        """End all but the membership."""
+        """Stop maintenance and replicas; the membership is stopped by its owner."""
         if self.maintenance is not None:
             self.maintenance.stop()
         if self.replicas is not None:
             await self.replicas.stop()
 
     def counts(self) -> dict[str, float]:
-        """Totals by metric name."""
+        """Return the counters by metric name."""
         counts: dict[str, float] = {}
         if self.membership is not None:
             counts.update(self.membership.counters())
@@ -119,7 +125,7 @@
         return counts
 
     def gauges(self) -> dict[str, float]:
-        """Present values by metric name."""
+        """Return the gauges by metric name."""
         gauges: dict[str, float] = {}
         if self.membership is not None:
             gauges.update(self.membership.gauges())
--- a/martenstep/proxy/daemon.py
+++ b/martenstep/proxy/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway as a process: settings in, sockets bound, signals obeyed."""
+"""Assembles one gateway from its settings: starts, reconfigures and stops its parts, and collects their metrics."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from martenstep.proxy.engine_messages import CounterReplied
 from martenstep.proxy.event_logger import EventLogger
 from martenstep.proxy.hook_service import HookService
-from martenstep.proxy.traces import Exporter
+from martenstep.proxy.traces import TraceExporter
 from martenstep.proxy.usage_recorder import UsageRecorder
 from martenstep.redis_counter.redis_client import RedisCounter
 
-if TYPE_CHECKING:  # loaded where the settings have replicas
+if TYPE_CHECKING:  # loaded only if the settings have replicas
     from martenstep.counter.pending_increments import AttemptRecord
 
 SEED_BITS = 63
@@ -35,7 +35,7 @@
     """One gateway with its counter, its discovery and its admin listener."""
 
     def __init__(self, settings: pb.Door, seed: int | None = None) -> None:
-        """To be made in a running event loop; raises TlsError.  `seed` in place of a random one."""
+        """Must be called in a running event loop; raises TlsError.  Without `seed`, a random one is drawn."""
         self.settings = settings
         self.event_logger = EventLogger(settings.log, settings.name)
         self._log_event = self.event_logger.log
@@ -50,14 +50,16 @@
         self._redis: RedisCounter | None = None
         if settings.HasField("store"):
             self._redis = RedisCounter(settings.store, self._counter_replied, settings.name, self._log_event)
-        self._feed = EndpointFeed(settings.members, settings.name, self._endpoints_updated, self._feed_problem, now_ms)
+        self._feed = EndpointFeed(
+            settings.members, settings.name, self._endpoints_updated, self._log_feed_event, now_ms
+        )
         self._feed_task: asyncio.Task[None] | None = None
         self._admin = AdminListener(GatewayCollector(self.counts, self.gauges), lambda: self.ready)
         self.cluster = Cluster(settings, self._admin, lambda: self.ready, self._log_event)
         self._usage_recorder: UsageRecorder | None = None
         if settings.HasField("counter"):
             self._usage_recorder = UsageRecorder(settings, self.cluster, self._counter_replied, self._log_event)
-        self._trace_exporter: Exporter | None = None
+        self._trace_exporter: TraceExporter | None = None
         self._reload_task: asyncio.Task[None] | None = None
         self.ports: dict[str, int] = {}
 
@@ -67,15 +69,15 @@
 
     @staticmethod
     def _epoch_ms() -> float:
-        """What turns the gateway's clock into Unix time."""
+        """Return the offset that is added to the gateway's clock to get Unix time."""
         return wall_clock_ms() - now_ms()
 
-    # Life ---------------------------------------------------------------------------------------------------
+    # Lifecycle ----------------------------------------------------------------------------------------------
 
     async def start(self, sock: socket.socket | None = None, reuse_port: bool = False) -> None:
-        """Bind everything; raises OSError.
+        """Start all parts; raises OSError if an address cannot be bound.
 
-        The listener comes last, or a socket that is bound already, so that the first request finds the endpoint list.
+        The listener, or `sock` which is bound already, starts last, so that the first request finds the endpoint list.
         """
         await self._load_hooks()
         self.server.subscribe_endpoints = self._feed.subscribe
@@ -83,8 +85,10 @@
             self._redis.start()
             self.server.add_to_counter = self._redis.add
         if self.settings.HasField("tracing"):
-            self._trace_exporter = Exporter(Path(self.settings.tracing.file), self.settings.name, wall_clock_ms, now_ms)
-            self.server.export_trace = self._trace_exporter.take
+            self._trace_exporter = TraceExporter(
+                Path(self.settings.tracing.file), self.settings.name, wall_clock_ms, now_ms
+            )
+            self.server.export_trace = self._trace_exporter.export
         if self.settings.HasField("members"):
             self._feed.restore()
             self._feed_task = asyncio.create_task(self._feed.run())
@@ -111,7 +115,7 @@
             await self._hooks.load()
 
     def reconfigure(self, settings: pb.Door) -> None:
-        """Take over settings that differ only in what may change in service (config.changes)."""
+        """Apply settings that differ only in fields that may change without a restart (see config.changes)."""
         self.settings = settings
         self.event_logger.reconfigure(settings.log)
         if self._hooks is not None:
@@ -121,18 +125,18 @@
         self.engine.reconfigure(dependencies)
 
     def renew(self) -> None:
-        """Take over new hooks, keys and certificates; requests and connections that stand keep theirs."""
+        """Reload hooks, keys and certificates; requests in flight and open connections keep the previous ones."""
         self._reload_task = asyncio.create_task(self._load_hooks())
         if self.cluster.membership is not None:
             self.cluster.membership.reload_keys()
         self._certificates.reload()
 
     async def stop(self) -> bool:
-        """Shut down gracefully in a bounded time; True where all that was in flight was answered by itself."""
+        """Shut down gracefully in a bounded time; True if every request in flight was answered before the timeout."""
         self.ready = False
         self._log_event("stopping", {"open": self.engine.unanswered})
         membership = self.cluster.membership
-        leaving = asyncio.create_task(membership.leave()) if membership is not None else None
+        leave_task = asyncio.create_task(membership.leave()) if membership is not None else None
         clean = await self.server.stop(self.settings.stop_ms)
         if self._feed_task is not None:
             self._feed_task.cancel()
@@ -143,8 +147,8 @@
         if self._trace_exporter is not None:
             self._trace_exporter.close()
         await self.cluster.stop()
-        if membership is not None and leaving is not None:
-            await leaving
+        if membership is not None and leave_task is not None:
+            await leave_task
             await membership.stop()
         self._admin.stop()
         self._log_event("stopped", {"clean": clean, **self.engine.held_counts})
@@ -155,15 +159,15 @@
     def _counter_replied(self, call_id: int, result: CallResult, total: float, retained_ms: float) -> None:
         self.server.handle(CounterReplied(call_id, result, total, retained_ms))
 
-    def _deliver(self, pending: AttemptRecord) -> bool:
-        return self._usage_recorder is not None and self._usage_recorder.deliver(pending)
+    def _deliver(self, record: AttemptRecord) -> bool:
+        return self._usage_recorder is not None and self._usage_recorder.deliver(record)
 
     def _endpoints_updated(self, update: EndpointListEvent) -> None:
         if update.scope is not EndpointListScope.DELTA:
             self._log_event("endpoint list", {"scope": update.scope.value, "servers": len(update.endpoints)})
         self.server.handle(update)
 
-    def _feed_problem(self, event: str, text: str) -> None:
+    def _log_feed_event(self, event: str, text: str) -> None:
         self._log_event(event, {"text": text})
 
     def _feed_ended(self, task: asyncio.Task[None]) -> None:
@@ -174,7 +178,7 @@
     # Metrics ------------------------------------------------------------------------------------------------
 
     def counts(self) -> dict[str, float]:
-        """Totals by metric name."""
+        """Return the counters by metric name."""
         counts: dict[str, float] = {
             **self.server.counts,
             "upstream_connections_opened": self.server.pool.opened,
@@ -189,7 +193,7 @@
         return {**counts, **self.cluster.counts()}
 
     def gauges(self) -> dict[str, float]:
-        """Present values by metric name."""
+        """Return the gauges by metric name."""
         gauges: dict[str, float] = {f"held_{name}": value for name, value in self.engine.held_counts.items()}
         releases = self._hook_releases
         if releases is not None:
@@ -203,7 +207,7 @@
 
 
 def log_loop_error(daemon: Daemon, context: dict[str, Any]) -> None:
-    """Log what the event loop cannot hand to anybody; running out of file descriptors on accept is the usual one."""
+    """Log an error that no task receives; the usual one is that accept runs out of file descriptors."""
     error = context.get("exception")
     fields = {"where": str(context.get("message", "")), "error": repr(error) if error else ""}
     daemon.event_logger.log("fault", fields)
--- a/martenstep/proxy/event_logger.py
+++ b/martenstep/proxy/event_logger.py
@@ -1,7 +1,7 @@
-"""Structured lines for the operators, bounded under overload.
+"""Writes structured log lines for operators, at a limited rate under overload.
 
-One line a final response; past the limit of lines a second they are left out, and the next second's first line states
-how many.  Other lines are few and always written.
+Each final response is one line.  Lines beyond the limit of a second are dropped, and a warning at the beginning of the
+next second states how many.  Other lines are rare and are always written.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 
 class LineLogger(Protocol):
-    """What of structlog's loggers is used here."""
+    """The methods of structlog's loggers that are used here."""
 
     def info(self, event: str, **fields: object) -> object:
-        """Write a line."""
+        """Write a line at level info."""
 
     def warning(self, event: str, **fields: object) -> object:
-        """Write a line that needs attention."""
+        """Write a line at level warning."""
 
 
-LIMITED_EVENTS = ("request finished", "request rejected", "policy")
+RATE_LIMITED_EVENTS = ("request finished", "request rejected", "policy")
 
 
-def configure(form: pb.Log.Form) -> None:
-    """Set the form of all lines: JSON for machines, or console; to standard error."""
+def configure(log_format: pb.Log.Form) -> None:
+    """Set the format of all lines, JSON or console; they go to standard error."""
     renderer: Any = (
         structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
-        if form == pb.Log.CONSOLE
+        if log_format == pb.Log.CONSOLE
         else structlog.processors.JSONRenderer()
     )
     structlog.configure(
@@ -58,25 +58,25 @@
         clock: Callable[[], float] = time.monotonic,
         logger: LineLogger | None = None,
     ) -> None:
-        """`clock` in seconds; `logger` in place of structlog's."""
+        """`clock` returns seconds; `logger` replaces structlog's."""
         self._max_lines_per_s, self._clock = settings.lines_per_s, clock
         self._logger: LineLogger = logger if logger is not None else structlog.get_logger().bind(door=gateway)
-        self._second, self._written, self._left_out = 0, 0, 0
+        self._second, self._written, self._dropped = 0, 0, 0
 
     def reconfigure(self, settings: pb.Log) -> None:
-        """Set another limit of lines a second."""
+        """Set another limit of lines per second."""
         self._max_lines_per_s = settings.lines_per_s
 
     def log(self, event: str, fields: LogFields) -> None:
-        """Write one line, or none past the limit."""
-        if event in LIMITED_EVENTS:
+        """Write one line; drop it if it is limited and the second's limit is reached."""
+        if event in RATE_LIMITED_EVENTS:
             second = int(self._clock())
             if second != self._second:
-                if self._left_out:
-                    self._logger.warning("log lines dropped", lines=self._left_out)
-                self._second, self._written, self._left_out = second, 0, 0
+                if self._dropped:
+                    self._logger.warning("log lines dropped", lines=self._dropped)
+                self._second, self._written, self._dropped = second, 0, 0
             if self._written >= self._max_lines_per_s:
-                self._left_out += 1
+                self._dropped += 1
                 return
             self._written += 1
         self._logger.info(event, **fields)
--- a/martenstep/proxy/extension_points.py
+++ b/martenstep/proxy/extension_points.py
@@ -1,6 +1,6 @@
-"""Where hooks act on a request: what each hook is given, and what becomes of what it returns.
+"""The extension points at which hooks act on a request: the arguments of each hook, and how its result is applied.
 
-No I/O.  The limits come from the settings; `hooks.result_validation` holds what a hook returns within them.
+No I/O.  The limits come from the settings; `hooks.result_validation` rejects a result that exceeds them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from martenstep.proxy.headers import encode_headers, parse_path
 from martenstep.proxy.route_table import GatewayRouteTable
 
-# Hooks read no credential; the settings name more of them.
+# Hooks must not read credentials; the settings may name more headers that carry them.
 CREDENTIAL_HEADERS = frozenset((b"authorization", b"cookie", b"proxy-authorization"))
 MAX_HOOK_HEADERS = 100
 DEFAULT_CONTENT_TYPE = "text/plain"
@@ -25,19 +25,19 @@
 
 
 def origin_form(target: bytes) -> str:
-    """A target from its path on, with the query."""
+    """Return a request target in origin form: path and query, without scheme, authority and fragment."""
     if target[:1] != b"/":
         target = b"/" + target.partition(b"://")[2].partition(b"/")[2]
     return target.partition(b"#")[0].decode("latin-1")
 
 
 def _first_entry(value: bytes) -> str:
-    """The first entry of a list in a header, without its parameters."""
+    """Return the first entry of a header's list, without its parameters."""
     return str(value.partition(b",")[0].partition(b";")[0].strip(), "latin-1") if value else ""
 
 
 def _visible_headers(headers: Headers) -> list[tuple[str, str]]:
-    """Of a response's headers those that hooks are shown."""
+    """Return the response headers that hooks may read."""
     return [
         (str(name, "latin-1"), str(value, "latin-1"))
         for name, value in headers[:MAX_HOOK_HEADERS]
@@ -45,13 +45,13 @@
     ]
 
 
-def _response_record(response: ResponseSummary, headers: list[tuple[str, str]]) -> tuple[Any, ...]:
-    """The Answer record (see hooks.types)."""
+def _build_response_record(response: ResponseSummary, headers: list[tuple[str, str]]) -> tuple[Any, ...]:
+    """Build the Answer record (see hooks.types)."""
     return float(response.status), float(response.attempts), response.took_ms, headers
 
 
 class HookExtensionPoints:
-    """The five points of one gateway where hooks act."""
+    """The five extension points of one gateway."""
 
     def __init__(
         self,
@@ -61,9 +61,9 @@
         protected_headers: set[bytes],
         epoch_ms: float,
     ) -> None:
-        """`credential_headers` are neither shown to hooks nor set by them, `protected_headers` not set.
+        """Hooks may neither read nor set `credential_headers`, and may not set `protected_headers`.
 
-        `epoch_ms` turns the engine's clock into Unix time.
+        `epoch_ms` is added to the engine's clock to get Unix time.
         """
         settings = gateway_settings.hooks
         self._route_table, self._epoch_ms = route_table, epoch_ms
@@ -86,16 +86,16 @@
             for name, request_class in classes.items()
         }
 
-    # The points ---------------------------------------------------------------------------------------------
+    # Extension points ---------------------------------------------------------------------------------------
 
     def classify(self, now: float, runner: Runner, subject: HookSubject) -> RoutedRequest:
-        """Class, customer, plan and units."""
+        """Return the request's class, customer, plan and units."""
         route = subject.route
         before = result_validation.Classification(
             route.request_class.name, route.customer_key, route.plan.name, route.units
         )
         limits = self._limits(route)
-        placed = self._call(
+        classification = self._call(
             now,
             runner,
             subject,
@@ -104,25 +104,27 @@
             lambda returned: result_validation.validate_classification(returned, before, limits),
             before,
         )
-        if placed == before:
+        if classification == before:
             return route
-        return self._route_table.reclassified(route, placed.class_name, placed.customer, placed.plan, placed.units)
+        return self._route_table.reclassify(
+            route, classification.class_name, classification.customer, classification.plan, classification.units
+        )
 
     def sending(self, now: float, runner: Runner, subject: HookSubject) -> tuple[bytes, Headers]:
-        """Target and additional headers of what goes to an endpoint: the same at each attempt."""
+        """Return target and additional headers of the forwarded request; every attempt uses the same."""
         received, route = subject.received, subject.route
         limits, before = self._limits(route), origin_form(received.target)
 
-        def accept(returned: Any) -> tuple[bytes, Headers]:  # noqa: ANN401  # what a hook returned
+        def accept(returned: Any) -> tuple[bytes, Headers]:  # noqa: ANN401  # any value of a hook
             forwarded = result_validation.validate_forwarded_request(returned, before, limits)
             path, headers = forwarded.path, forwarded.headers
             if path == before:
                 return received.target, encode_headers(headers)
             target = path.encode("latin-1")
-            # A path of another class could be one whose retries do what this one's may not.
+            # The request is retried by the rules of its own class, which may be wrong for a path of another class.
             if parse_path(target) is None or not self._may_rewrite(received.method, target, route):
                 raise result_validation.InvalidResultError(
-                    f"path {path[:64]!r}: is of another class, and below no path_prefix"
+                    f"path {path[:64]!r}: belongs to another request class, and is below no path_prefix of the settings"
                 )
             return target, encode_headers(headers)
 
@@ -137,14 +139,14 @@
     def refusal(
         self, now: float, runner: Runner, subject: HookSubject, rejection: RejectionSummary
     ) -> result_validation.RejectionContent | None:
-        """The response to a rejected request; None: the gateway's own."""
+        """Return the response to a rejected request; None for the gateway's default response."""
         limits = self._limits(subject.route)
         status, reason, retry_after_ms = rejection
 
-        def accept(returned: Any) -> result_validation.RejectionContent | None:  # noqa: ANN401  # what a hook returned
+        def accept(returned: Any) -> result_validation.RejectionContent | None:  # noqa: ANN401  # any value of a hook
             body, content_type, retry_after, headers = returned
-            words = (body, content_type or DEFAULT_CONTENT_TYPE, retry_after, headers)
-            return result_validation.validate_rejection(words, retry_after_ms, limits)
+            content = (body, content_type or DEFAULT_CONTENT_TYPE, retry_after, headers)
+            return result_validation.validate_rejection(content, retry_after_ms, limits)
 
         return self._call(
             now,
@@ -159,34 +161,34 @@
     def answer(
         self, now: float, runner: Runner, subject: HookSubject, response: ResponseSummary, headers: Headers
     ) -> Headers:
-        """Additional headers of a relayed response."""
+        """Return additional headers of a relayed response."""
         limits = self._limits(subject.route)
         return self._call(
             now,
             runner,
             subject,
             "answer",
-            lambda: (self._request_record(subject), _response_record(response, _visible_headers(headers))),
+            lambda: (self._request_record(subject), _build_response_record(response, _visible_headers(headers))),
             lambda returned: encode_headers(result_validation.validate_headers(returned, limits)),
             [],
         )
 
     def fields(self, now: float, runner: Runner, subject: HookSubject, response: ResponseSummary) -> dict[str, str]:
-        """Additional fields of the log line of a response."""
+        """Return additional fields of the log line of a response."""
         return self._call(
             now,
             runner,
             subject,
             "log",
-            lambda: (self._request_record(subject), _response_record(response, [])),
+            lambda: (self._request_record(subject), _build_response_record(response, [])),
             result_validation.validate_log_fields,
             {},
         )
 
-    # What hooks are given, and held to ----------------------------------------------------------------------
+    # Arguments and limits of hooks --------------------------------------------------------------------------
 
     @staticmethod
-    def _call(  # noqa: PLR0913  # what Runner.call takes
+    def _call(  # noqa: PLR0913  # the parameters of Runner.call
         now: float,
         runner: Runner,
         subject: HookSubject,
@@ -195,18 +197,18 @@
         accept: Callable[[Any], HookResult],
         default: HookResult,
     ) -> HookResult:
-        """What the hook at a point returns, once it is accepted; `default` where it fails."""
+        """Return the result of the hook at a point if `accept` accepts it; `default` if the hook fails."""
         route = subject.route
         return runner.call(now, point, route.customer_key, route.plan.name, arguments, accept, default)
 
     def _limits(self, route: RoutedRequest) -> result_validation.ResultLimits:
         key = route.request_class.name, route.units
         limits = self._limits_cache.get(key)
-        if limits is None:  # as many as there are routes
-            limits = self._limits_cache[key] = self._make_limits(route)
+        if limits is None:  # the cache has at most one entry for each route
+            limits = self._limits_cache[key] = self._build_limits(route)
         return limits
 
-    def _make_limits(self, route: RoutedRequest) -> result_validation.ResultLimits:
+    def _build_limits(self, route: RoutedRequest) -> result_validation.ResultLimits:
         min_units = min(route.units, self._min_units) if self._has_min_units else route.units
         return result_validation.ResultLimits(
             self._allowed_classes[route.request_class.name],
@@ -218,13 +220,13 @@
         )
 
     def _request_record(self, subject: HookSubject) -> tuple[Any, ...]:
-        """The Request record (see hooks.types), made once for all points as long as the request keeps its route."""
+        """Return the Request record (see hooks.types), built once and reused until the request's route changes."""
         if subject.hook_record is None or subject.hook_record_route is not subject.route:
             subject.hook_record_route = subject.route
-            subject.hook_record = self._make_request_record(subject)
+            subject.hook_record = self._build_request_record(subject)
         return subject.hook_record
 
-    def _make_request_record(self, subject: HookSubject) -> tuple[Any, ...]:
+    def _build_request_record(self, subject: HookSubject) -> tuple[Any, ...]:
         received, route = subject.received, subject.route
         host = language = accept = b""
         visible = []
--- a/martenstep/proxy/headers.py
+++ b/martenstep/proxy/headers.py
@@ -1,4 +1,4 @@
-"""The HTTP rules that the engine follows: which headers are forwarded, and what a response of its own says.
+"""HTTP rules of the engine: which headers are forwarded, and what the gateway's own responses contain.
 
 Sources: RFC 9110 (7.6.1 connection-specific fields, 7.6.3 Via, 10.2.3 Retry-After) and the IETF draft
 "RateLimit header fields for HTTP" (RateLimit, RateLimit-Policy).
@@ -14,7 +14,7 @@
 from martenstep.policy.messages import Plan, RejectionReason
 from martenstep.proxy.engine_messages import Headers
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -27,7 +27,7 @@
         b"upgrade",
     )
 )
-NOT_FORWARDED = HOP_BY_HOP | {b"expect"}  # the gateway answers 100-continue itself
+NOT_FORWARDED = HOP_BY_HOP_HEADERS | {b"expect"}  # the gateway itself responds to `Expect: 100-continue`
 REJECTION_STATUS = {
     RejectionReason.OVER_QUOTA: 429,
     RejectionReason.UNCONFIRMED: 429,
@@ -38,7 +38,7 @@
     RejectionReason.RETRIES_EXHAUSTED: 503,
     RejectionReason.DEADLINE: 503,
 }
-# What clients read, by the reason as it stands in responses and logs.
+# The texts shown to clients, by the reason that responses and logs contain.
 REASON_TEXTS = {
     "quota": "the plan's quota is used for now",
     "unheard": "the plan's quota may be used: its count is not known at the moment",
@@ -70,7 +70,7 @@
 
 
 def connection_header_names(headers: Headers, names: frozenset[bytes]) -> frozenset[bytes]:
-    """`names` together with those that a message itself names as of its connection."""
+    """Return `names` together with the header names that the message lists in its Connection header."""
     connection_options = [value for name, value in headers if name == b"connection"]
     if not connection_options:
         return names
@@ -78,13 +78,13 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """The headers of a message without those of its connection."""
+    """Return the headers of a message without its hop-by-hop headers and Expect."""
     excluded = connection_header_names(headers, NOT_FORWARDED)
     return [pair for pair in headers if pair[0] not in excluded]
 
 
 def get_header(headers: Headers, name: bytes) -> bytes | None:
-    """The first value of a header; None where there is none."""
+    """Return the first value of a header, or None if the message does not have it."""
     for key, value in headers:
         if key == name:
             return value
@@ -92,10 +92,10 @@
 
 
 def parse_path(target: bytes) -> str | None:
-    """The path of a request's target; None where it is not one that is routed.
+    """Return the path of a request target, or None if the target cannot be routed.
 
-    Dot segments are rejected, plain or encoded: an endpoint may remove them, and the request would then be another than
-    the one that was routed.
+    Plain and percent-encoded dot segments are rejected: an endpoint may resolve them, and would then execute another
+    request than the one that was routed.
     """
     if target[:1] != b"/":
         scheme, found, rest = target.partition(b"://")
@@ -111,7 +111,7 @@
 
 
 def rate_limit_headers(plan: Plan, remaining: float | None, full_in_ms: float) -> Headers:
-    """RateLimit-Policy and RateLimit, where the plan has a quota and its use is known."""
+    """Return RateLimit-Policy and RateLimit; none if the plan has no quota or its remaining quota is unknown."""
     if plan.rate <= 0 or remaining is None:
         return []
     window_s = max(math.ceil(plan.burst / plan.rate), 1)
@@ -123,7 +123,7 @@
 
 
 def override_headers(headers: Headers, overrides: Headers) -> Headers:
-    """Headers with `overrides` in place of any of the same names."""
+    """Return the headers with `overrides` in place of all headers of the same names."""
     if not overrides:
         return headers
     names = {name for name, _ in overrides}
@@ -131,7 +131,7 @@
 
 
 def retry_after_headers(retry_after_ms: float) -> Headers:
-    """Retry-After in whole seconds (RFC 9110), and the exact time."""
+    """Return Retry-After in whole seconds (RFC 9110), and a header with the exact time in milliseconds."""
     return [
         (b"retry-after", str(math.ceil(retry_after_ms / MS_PER_S)).encode()),
         (b"retry-after-ms", f"{retry_after_ms:.3f}".encode()),
@@ -139,12 +139,12 @@
 
 
 def reason_header(reason: str) -> tuple[bytes, bytes]:
-    """What tells clients and operators a response of the gateway's own from an endpoint's."""
+    """Return the header that distinguishes a response of the gateway itself from an endpoint's response."""
     return b"x-reason", reason.replace(" ", "-").encode()
 
 
 def local_reply(reason: str, correlation_id: str, retry_after_ms: float | None) -> tuple[Headers, bytes]:
-    """Headers and body of a response of the gateway's own."""
+    """Return headers and body of a response that the gateway itself generates."""
     content: dict[str, object] = {
         "reason": reason,
         "text": REASON_TEXTS.get(reason, reason),
@@ -160,5 +160,5 @@
 
 
 def encode_headers(pairs: tuple[tuple[str, str], ...]) -> Headers:
-    """Headers of a hook as they are written; what hooks return has been checked to be Latin-1."""
+    """Encode headers that a hook returned; result validation has checked that they are Latin-1."""
     return [(name.encode("latin-1"), value.encode("latin-1")) for name, value in pairs]
--- a/martenstep/proxy/hook_service.py
+++ b/martenstep/proxy/hook_service.py
@@ -1,4 +1,4 @@
-"""The hooks of a gateway: which releases are in service, and the history of what happened to them."""
+"""The hooks of a gateway: loads releases, and records their events in the history file."""
 
 from __future__ import annotations
 
@@ -14,49 +14,49 @@
 from martenstep.hooks.release_manager import ReleaseManager
 from martenstep.hooks.runner import HealthLimits
 
-# Events that go into the history as well.
+# Log events that are also written to the history.
 RECORDED_EVENTS = ("hooks", "hooks withdrawn", "hook left alone", "hooks changed under a known version")
 MS_PER_S = 1000.0
 
 
 class RunDeadline:
-    """The end of a hook's run by the clock, for what its steps do not bound: a machine that stands still."""
+    """A time limit for one run of a hook, for delays that the step limit does not bound, such as a stalled machine."""
 
     def __init__(self, max_ms: float) -> None:
-        """`max_ms` of one run."""
+        """`max_ms` is the longest duration of one run."""
         self.max_ms = max_ms
 
     def begin(self) -> Callable[[], bool]:
-        """Begin a run; returns whether it has taken too long, each time that it is called."""
-        until = time.perf_counter() + self.max_ms / MS_PER_S
-        return lambda: time.perf_counter() > until
+        """Begin a run; the returned function tells whether the run has exceeded its time limit."""
+        deadline = time.perf_counter() + self.max_ms / MS_PER_S
+        return lambda: time.perf_counter() > deadline
 
 
-def _limits(settings: pb.Hooks) -> HealthLimits:
+def _health_limits(settings: pb.Hooks) -> HealthLimits:
     return HealthLimits(settings.failure_share, settings.mean_steps, settings.least_runs)
 
 
 class HookService:
-    """Takes up releases of hooks.
+    """Loads the releases of hooks.
 
-    Hooks never keep a gateway from its service: what cannot be read is logged and left out, and what is in service goes
-    on.
+    A fault in hooks never stops the gateway: a release that cannot be read is logged and skipped, and the releases in
+    service stay in service.
     """
 
     def __init__(self, settings: pb.Hooks, gateway: str, log_event: EventLog) -> None:
-        """Reads the history, where the settings name one."""
+        """Read the history if the settings name one."""
         self._settings, self._log_event = settings, log_event
         self._history = ReleaseHistory(Path(settings.history), gateway) if settings.history else None
         self._run_deadline = RunDeadline(settings.backstop_ms)
         self.releases = ReleaseManager(
-            _limits(settings),
+            _health_limits(settings),
             self._log_and_record,
             rolled_back=self._read_rolled_back(),
             begin_deadline=self._run_deadline.begin,
         )
 
     async def load(self) -> None:
-        """Take up the releases that stand in the directory."""
+        """Load the releases in the directory."""
         directory = self._settings.directory
         try:
             contents = await asyncio.to_thread(read_directory, Path(directory), self._settings.trusted_key)
@@ -68,13 +68,13 @@
         self.releases.replace_releases(contents.releases)
 
     def reconfigure(self, settings: pb.Hooks) -> None:
-        """Take over settings that differ only in what may change in service."""
+        """Apply settings that differ only in fields that may change without a restart."""
         self._settings = settings
-        self.releases.set_limits(_limits(settings))
+        self.releases.set_limits(_health_limits(settings))
         self._run_deadline.max_ms = settings.backstop_ms
 
     def _read_rolled_back(self) -> set[int]:
-        """The versions that were rolled back before."""
+        """Return the versions that the history has as rolled back."""
         try:
             return self._history.rolled_back_versions() if self._history is not None else set()
         except OSError as error:
--- a/martenstep/proxy/route_table.py
+++ b/martenstep/proxy/route_table.py
@@ -1,4 +1,4 @@
-"""From a request's head to what the policy learns of it: class, customer, plan, units and deadline."""
+"""Derives from a request's head what the policy needs: class, customer, plan, units and deadline."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 class _Route:
     """One route of the settings."""
 
-    methods: frozenset[bytes]  # none: all
+    methods: frozenset[bytes]  # empty: all methods
     path_prefix: str
     request_class: api.RequestClass
     units: float
-    customer_header: bytes  # none: the customer stands in a segment of the path
+    customer_header: bytes  # empty: `customer_segment` of the path names the customer
     customer_segment: int
     authenticate: bool
     fail_open: bool
@@ -42,10 +42,10 @@
 
 
 class GatewayRouteTable:
-    """The routes and the customers, as the settings have them."""
+    """The routes and customers of the settings."""
 
     def __init__(self, gateway_settings: pb.Door) -> None:
-        """The settings name every class and plan that they refer to."""
+        """The settings must define every class and plan that they refer to."""
         self.classes: Mapping[str, api.RequestClass] = {
             entry.name: build_request_class(entry) for entry in getattr(gateway_settings, "class")
         }
@@ -79,7 +79,7 @@
     def route(
         self, method: bytes, target: bytes, headers: Headers
     ) -> RoutedRequest | UnauthenticatedRequest | RouteRejection:
-        """Where a request belongs: the first route that matches decides."""
+        """Classify a request by the first route that matches its method and path."""
         path = parse_path(target)
         if path is None:
             return RouteRejection(400, "bad target")
@@ -95,7 +95,7 @@
             segments = path.split("/")
             has_segment = route.customer_segment < len(segments)
             customer_key = unquote(segments[route.customer_segment]) if has_segment else ""
-        return self._of_customer(route.request_class, route.units, customer_key)
+        return self._resolve_customer(route.request_class, route.units, customer_key)
 
     def _match(self, method: bytes, path: str) -> _Route | None:
         for route in self._routes:
@@ -104,33 +104,35 @@
         return None
 
     def class_of_target(self, method: bytes, target: bytes) -> str | None:
-        """The class of requests to a target; None where no route matches."""
+        """Return the name of the request class of a target, or None if no route matches."""
         path = parse_path(target)
         route = self._match(method, path) if path is not None else None
         return route.request_class.name if route is not None else None
 
-    def reclassified(
+    def reclassify(
         self, routed: RoutedRequest, request_class: str, customer_key: str, plan: str, units: float
     ) -> RoutedRequest:
-        """A request under another class, customer, plan or units, each one that the settings know."""
+        """Return a request with another class, customer, plan or units; the settings must define each of them."""
         customer, instances, first_instance = routed.customer, routed.instances, routed.first_instance
         if customer_key != routed.customer_key:
             other = self._customers[customer_key]
             customer, instances, first_instance = other.number, other.instances, other.first_instance
-            plan = plan if plan != routed.plan.name else other.plan.name  # the other's own, unless one was chosen
+            plan = (
+                plan if plan != routed.plan.name else other.plan.name
+            )  # the new customer's plan, unless one was chosen
         chosen = routed.plan if plan == routed.plan.name else self._plans[plan]
         return RoutedRequest(
             self.classes[request_class], chosen, customer, customer_key, units, instances, first_instance
         )
 
-    def _of_customer(
+    def _resolve_customer(
         self,
         request_class: api.RequestClass,
         units: float,
         customer_key: str,
         plan: api.Plan | None = None,
     ) -> RoutedRequest | RouteRejection:
-        """The request of a customer, under its own plan unless another is given."""
+        """Route a request to a customer, under the customer's own plan unless `plan` is given."""
         if not customer_key:
             return RouteRejection(403, "no customer")
         customer = self._customers.get(customer_key)
@@ -152,26 +154,26 @@
     def identify(
         self, unauthenticated: UnauthenticatedRequest, customer_key: str, plan: str
     ) -> RoutedRequest | RouteRejection:
-        """Where a request belongs, once a service has named its customer.
+        """Route a request after an authentication service has named its customer.
 
-        A plan that is not known is the service's fault, and the request fails rather than pass under another.
+        An unknown plan is a fault of the service: the request is rejected, since any other plan would be a guess.
         """
         named_plan = self._plans.get(plan) if plan else None
         if plan and named_plan is None:
             return RouteRejection(502, "unknown plan")
-        return self._of_customer(unauthenticated.request_class, unauthenticated.units, customer_key, named_plan)
+        return self._resolve_customer(unauthenticated.request_class, unauthenticated.units, customer_key, named_plan)
 
     def anonymous(self, unauthenticated: UnauthenticatedRequest) -> RoutedRequest | RouteRejection:
-        """Where a request belongs that passes without a verdict."""
-        return self._of_customer(unauthenticated.request_class, unauthenticated.units, ANONYMOUS_CUSTOMER)
+        """Route a request that is admitted without a verdict of an authentication service."""
+        return self._resolve_customer(unauthenticated.request_class, unauthenticated.units, ANONYMOUS_CUSTOMER)
 
     def deadline_ms(self, request_class: api.RequestClass, headers: Headers) -> float | None:
-        """The least of the class's deadline and the one a header asks for; None where that is no number above 0."""
+        """Return the smaller of the class's and the header's deadline; None if the header is not a number above 0."""
         value = get_header(headers, self._deadline_header)
         if value is None:
             return request_class.deadline_ms
         try:
-            asked_ms = float(value)
+            requested_ms = float(value)
         except ValueError:
             return None
-        return min(asked_ms, request_class.deadline_ms) if 0 < asked_ms < math.inf else None
+        return min(requested_ms, request_class.deadline_ms) if 0 < requested_ms < math.inf else None
--- a/martenstep/proxy/traces.py
+++ b/martenstep/proxy/traces.py
@@ -1,8 +1,8 @@
-"""What became of a request, as spans.
+"""Request traces: a root span for each request, and child spans for its checks, counter calls and attempts.
 
-The engine gathers them, with its own times and ids and without I/O; `Exporter` hands them to the OpenTelemetry SDK when
-the request is over.  Context comes and goes in `traceparent` (W3C Trace Context, level 1).  Neither credentials nor
-bodies nor query strings are in a span.
+The engine records the spans with its own times and ids and without I/O; `TraceExporter` passes them to the
+OpenTelemetry SDK when the request is over.  Trace context is received and sent in `traceparent` (W3C Trace Context,
+level 1).  A span contains no credentials, bodies or query strings.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Span:
-    """One part of a request's time, in the engine's milliseconds."""
+    """One step of a request, in milliseconds on the engine's clock; `end` is 0 while it is open."""
 
     name: str
     id: int
@@ -41,38 +41,38 @@
 
 @dataclass(slots=True)
 class Trace:
-    """One request: its root and the parts."""
+    """The spans of one request."""
 
     id: int
-    parent: int  # span id of whoever sent it; 0: none
+    parent_span_id: int  # of the client's span; 0: none
     root: Span
-    parts: list[Span] = field(default_factory=list)
-    ids: random.Random = field(default_factory=random.Random)
+    children: list[Span] = field(default_factory=list)
+    rng: random.Random = field(default_factory=random.Random)
 
     def begin(self, name: str, now: float, **attributes: AttributeValue) -> Span:
-        """A part begins."""
-        span = Span(name, self.ids.getrandbits(SPAN_ID_BITS) or 1, now, attributes=attributes)
-        self.parts.append(span)
+        """Open a child span."""
+        span = Span(name, self.rng.getrandbits(SPAN_ID_BITS) or 1, now, attributes=attributes)
+        self.children.append(span)
         return span
 
-    def last(self, name: str) -> Span | None:
-        """The last part of a name that has not ended."""
-        return next((span for span in reversed(self.parts) if span.name == name and not span.end), None)
+    def _last_open(self, name: str) -> Span | None:
+        """Return the newest open child span of a name."""
+        return next((span for span in reversed(self.children) if span.name == name and not span.end), None)
 
     def end(self, name: str, now: float, **attributes: AttributeValue) -> None:
-        """A part ends, where one has begun."""
-        span = self.last(name)
+        """Close the newest open child span of a name, if there is one."""
+        span = self._last_open(name)
         if span is not None:
             span.end = now
             span.attributes.update(attributes)
 
     def outgoing(self, span: Span) -> bytes:
-        """The `traceparent` of what a part sends."""
+        """Return the `traceparent` of a message that is sent within a span."""
         return b"00-%032x-%016x-01" % (self.id, span.id)
 
 
 class _TraceContext(NamedTuple):
-    """What a `traceparent` states."""
+    """The content of a `traceparent` header."""
 
     trace_id: int
     span_id: int
@@ -80,7 +80,7 @@
 
 
 def _parse_traceparent(header: bytes | None) -> _TraceContext | None:
-    """None where there is none, or none that can be read: the specification has them treated alike."""
+    """Return None if the header is missing or invalid: the specification treats both alike."""
     match = TRACEPARENT.match(header) if header else None
     if match is None:
         return None
@@ -89,14 +89,14 @@
 
 
 class Sampler:
-    """Decides which requests are traced: those that come sampled, and a share of the others by their id alone."""
+    """Traces the requests whose client sampled them, and a share of the others that their trace id alone selects."""
 
     def __init__(self, share: float, rng: random.Random) -> None:
-        """`share` from 0 to 1; `rng` makes the ids."""
+        """`share` is from 0 to 1; `rng` draws the ids."""
         self._share, self._rng = share, rng
 
     def trace(self, traceparent: bytes | None, now: float, **attributes: AttributeValue) -> Trace | None:
-        """A trace for a request with this `traceparent`; None where it is not traced."""
+        """Begin the trace of a request that came with this `traceparent`; None if the request is not traced."""
         context = _parse_traceparent(traceparent)
         if context is None:
             context = _TraceContext(self._rng.getrandbits(TRACE_ID_BITS) or 1, 0, False)
@@ -104,11 +104,11 @@
         if not context.sampled and context.trace_id % span_range >= self._share * span_range:
             return None
         root = Span("request", self._rng.getrandbits(SPAN_ID_BITS) or 1, now, attributes=attributes)
-        return Trace(context.trace_id, context.span_id, root, ids=self._rng)
+        return Trace(context.trace_id, context.span_id, root, rng=self._rng)
 
 
-class _ChosenIds(IdGenerator):
-    """Gives the ids that the engine has chosen: they are in what was sent already."""
+class _PresetIdGenerator(IdGenerator):
+    """Returns the ids that the engine has drawn, since messages already sent contain them."""
 
     def __init__(self) -> None:
         self.trace_id = self.span_id = 1
@@ -121,7 +121,7 @@
 
 
 class _JsonLinesExporter(SpanExporter):
-    """JSON lines in a file."""
+    """Appends spans to a file as JSON lines."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("a", encoding="utf-8")
@@ -136,12 +136,12 @@
         self._file.close()
 
 
-class Exporter:
-    """Hands finished traces to the SDK; a thread of its own writes them, and what it cannot keep up with is dropped."""
+class TraceExporter:
+    """Passes finished traces to the SDK, whose own thread writes them and drops those that exceed its queue."""
 
     def __init__(self, path: Path, gateway: str, wall_ms: Callable[[], float], clock_ms: Callable[[], float]) -> None:
-        """`path` of the file that is appended to; raises OSError."""
-        self._ids = _ChosenIds()
+        """Spans are appended to the file at `path`; raises OSError."""
+        self._ids = _PresetIdGenerator()
         self._provider = TracerProvider(
             resource=Resource({"service.name": "martenstep", "door": gateway}),
             id_generator=self._ids,
@@ -152,23 +152,23 @@
         self._epoch_ms = wall_ms() - clock_ms()
 
     def _unix_ns(self, at: float) -> int:
-        return round((at + self._epoch_ms) * US_PER_MS) * NS_PER_US  # what a double still holds of a wall time
+        return round((at + self._epoch_ms) * US_PER_MS) * NS_PER_US  # a double holds Unix time to microseconds only
 
-    def take(self, trace: Trace) -> None:
-        """Export one finished request."""
+    def export(self, trace: Trace) -> None:
+        """Export the spans of one finished request."""
         self._ids.trace_id = trace.id
         sampled = TraceFlags(TraceFlags.SAMPLED)
-        parent = NonRecordingSpan(SpanContext(trace.id, trace.parent or trace.root.id, True, sampled))
-        context = set_span_in_context(parent) if trace.parent else None
-        for span in (trace.root, *trace.parts):
+        parent = NonRecordingSpan(SpanContext(trace.id, trace.parent_span_id or trace.root.id, True, sampled))
+        context = set_span_in_context(parent) if trace.parent_span_id else None
+        for span in (trace.root, *trace.children):
             self._ids.span_id = span.id
-            started = self._tracer.start_span(
+            exported = self._tracer.start_span(
                 span.name, context, start_time=self._unix_ns(span.start), attributes=span.attributes
             )
-            started.end(self._unix_ns(span.end or trace.root.end))
+            exported.end(self._unix_ns(span.end or trace.root.end))
             if span is trace.root:
                 context = set_span_in_context(NonRecordingSpan(SpanContext(trace.id, span.id, False, sampled)))
 
     def close(self) -> None:
-        """Write what is left."""
+        """Write the remaining spans and close the file."""
         self._provider.shutdown()
--- a/martenstep/proxy/usage_recorder.py
+++ b/martenstep/proxy/usage_recorder.py
@@ -1,4 +1,4 @@
-"""The gateway's side of the counter service: counter calls, and the record of each forwarded request."""
+"""The gateway's clients of the counter service: they make counter calls and record each forwarded request."""
 
 from __future__ import annotations
 
@@ -19,32 +19,35 @@
 from martenstep.proxy.cluster import Cluster
 from martenstep.proxy.engine_messages import RecordUsage
 
-FLUSH_TIMEOUT_MS = 2000.0  # at a stop: what is not acknowledged by then stays in the journal
+FLUSH_TIMEOUT_MS = 2000.0  # at shutdown: records not acknowledged by then stay in the journal
 MS_PER_S = 1000.0
-CounterReplied = Callable[[int, CallResult, float, float], None]
+CounterReplyHandler = Callable[[int, CallResult, float, float], None]
 Address = tuple[str, int]
 
 
 class UsageRecorder:
-    """The clients of the counter service, one a shard."""
+    """The clients of the counter service, one for each shard."""
 
     def __init__(
-        self, gateway_settings: pb.Door, cluster: Cluster, replied: CounterReplied, log_event: EventLog
+        self, gateway_settings: pb.Door, cluster: Cluster, on_reply: CounterReplyHandler, log_event: EventLog
     ) -> None:
-        """`replied` is called with the outcome of each counter call: its id, result, total and time retained."""
+        """`on_reply` is called with the id, result and total of each counter call.
+
+        Its fourth argument is the time (ms) for which the counter is known to have lost nothing.
+        """
         self._gateway_settings, self._settings, self._cluster = gateway_settings, gateway_settings.counter, cluster
-        self._replied, self._log_event = replied, log_event
+        self._on_reply, self._log_event = on_reply, log_event
         self.client_tls: list[ClientContext] = []
         self._shards: ShardedClient | None = None
 
     def start(self) -> None:
-        """Connect; raises TlsError."""
+        """Start connecting to all services; raises TlsError."""
         clients = self._replica_clients() if self._settings.held_by_doors else self._service_clients()
         self._shards = ShardedClient(clients)
         self._shards.start()
 
     async def stop(self) -> None:
-        """Write what is left, for a bounded time, and end."""
+        """Send the remaining records within FLUSH_TIMEOUT_MS, then close the clients."""
         if self._shards is not None:
             await self._shards.flush(FLUSH_TIMEOUT_MS)
             await self._shards.stop()
@@ -60,7 +63,7 @@
         return AttemptJournal(Path(self._settings.journal) / name, self._settings.journal_tries, self._log_event)
 
     def _service_clients(self) -> dict[str, CounterClient]:
-        """One client a service, each with a journal of its own."""
+        """Build one client for each service, each with its own journal."""
         settings = self._settings
         tls = None
         if settings.HasField("tls"):
@@ -75,7 +78,7 @@
             name: CounterClient(
                 service_addresses,
                 self._journal(name),
-                self._replied,
+                self._on_reply,
                 self._log_event,
                 ClientOptions(
                     self._gateway_settings.name,
@@ -90,9 +93,9 @@
         }
 
     def _replica_clients(self) -> dict[str, CounterClient]:
-        """One client a slot.
+        """Build one client for each slot of the counter that the gateways replicate.
 
-        A gateway that knows of no other asks nobody, and decides without: as with a counter that is away.
+        A gateway that has no replica's address sends no calls and decides unconfirmed, as with an unreachable counter.
         """
         from martenstep.counter.sharded_counter import slot_groups
 
@@ -101,7 +104,7 @@
             slot: CounterClient(
                 partial(self._replica_addresses, slot),
                 self._journal(slot),
-                self._replied,
+                self._on_reply,
                 self._log_event,
                 ClientOptions(
                     self._gateway_settings.name,
@@ -110,7 +113,7 @@
                     map_version=self._gateway_settings.copies.slots,
                     group=slot,
                     route=membership.route if membership is not None else lambda address: address,
-                    on_acknowledged=self._recorded,
+                    on_acknowledged=self._record_acknowledged,
                 ),
             )
             for slot in slot_groups(self._gateway_settings.copies)
@@ -123,10 +126,10 @@
     # Records ------------------------------------------------------------------------------------------------
 
     def record(self, usage: RecordUsage) -> asyncio.Future[bool] | None:
-        """Record a forwarded request; returns a future where its response has to wait for the record."""
+        """Record a forwarded request; returns a future if its response must wait until the record is replicated."""
         assert self._shards is not None
-        recorded = self._record_pending(usage)
-        written = self._shards.record(
+        replicated = self._replicate_record(usage)
+        accepted = self._shards.record(
             AttemptRecord(
                 usage.correlation_id,
                 time.time() * MS_PER_S,
@@ -137,7 +140,7 @@
                 usage.request_class,
             )
         )
-        if not written:
+        if not accepted:
             self._log_event(
                 "usage not recorded",
                 {
@@ -148,14 +151,14 @@
                     "beyond": usage.over_quota,
                 },
             )
-        return recorded
+        return replicated
 
-    def _record_pending(self, usage: RecordUsage) -> asyncio.Future[bool] | None:
-        """Have the ledger of this gateway's replicas keep the request until the counter has it."""
+    def _replicate_record(self, usage: RecordUsage) -> asyncio.Future[bool] | None:
+        """Replicate the record in this gateway's ledger, which holds it until the counter acknowledges it."""
         replicas = self._cluster.replicas
         if replicas is None or replicas.ledger is None:
             return None
-        recorded = replicas.ledger.replicate(
+        replicated = replicas.ledger.replicate(
             AttemptRecord(
                 usage.correlation_id,
                 time.time() * MS_PER_S,
@@ -166,13 +169,13 @@
                 usage.request_class,
             )
         )
-        return recorded if self._gateway_settings.copies.book.before_answer else None
+        return replicated if self._gateway_settings.copies.book.before_answer else None
 
     def deliver(self, pending: AttemptRecord) -> bool:
-        """Record a request out of a ledger that this gateway leads; False where it can't be taken now."""
+        """Record a request from a ledger that this gateway leads; False if no client can accept it now."""
         return self._shards is not None and self._shards.record(pending)
 
-    def _recorded(self, correlation_id: str) -> None:
+    def _record_acknowledged(self, correlation_id: str) -> None:
         replicas = self._cluster.replicas
         if replicas is not None and replicas.ledger is not None:
             replicas.ledger.on_acknowledged(correlation_id)
--- a/martenstep/tasks.py
+++ b/martenstep/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that nobody awaits: kept alive, their failures logged, ended together."""
+"""Background tasks that no caller awaits: references to them are kept, and their failures are logged."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from martenstep.event_log import EventLog
 
-RESTART_DELAY_S = 0.05  # after a failure: a task that fails at once must not take all the time
+RESTART_DELAY_S = 0.05  # keeps a task that fails at once from occupying the event loop
 
 
 def start_supervised(
     work: Callable[[], Coroutine[Any, Any, None]],
-    failed: Callable[[str, BaseException], None],
+    on_failure: Callable[[str, BaseException], None],
 ) -> asyncio.Task[None]:
-    """Start a task that runs as long as its owner: whatever it raises is passed to `failed`, and it is restarted."""
+    """Start a task that is restarted after each exception; `on_failure` receives its name and the exception."""
 
     async def run() -> None:
         while True:
             try:
                 return await work()
             except Exception as error:
-                failed(work.__qualname__, error)
+                on_failure(work.__qualname__, error)
             await asyncio.sleep(RESTART_DELAY_S)
 
     return asyncio.get_running_loop().create_task(run())
@@ -37,23 +37,23 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Start one."""
+        """Start a task."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_ended)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_ended(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._log_event("fault", {"where": self._where, "error": repr(task.exception())})
 
     async def finish(self, within_s: float) -> None:
-        """Wait for all; those that have not ended after `within_s` are cancelled."""
+        """Wait for all tasks; those still running after `within_s` are cancelled."""
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=within_s)
         self.cancel()
 
     def cancel(self) -> None:
-        """Cancel all."""
+        """Cancel all tasks."""
         for task in list(self._tasks):
             task.cancel()
--- a/martenstep/transient_errors.py
+++ b/martenstep/transient_errors.py
@@ -1,4 +1,4 @@
-"""Repeats work that fails for a reason that passes, such as a full disk, until a time is over."""
+"""Retries work that fails for a transient reason, such as a full disk, for a limited time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def retry_transient(
     work: Callable[[], Result], is_transient: Callable[[Exception], bool], *, within_s: float, interval_s: float
 ) -> Result:
-    """Return what `work` returns; raises its error if that does not pass, or not within the time."""
+    """Return the result of `work`; raises its error if that is not transient or persists beyond `within_s`."""
     deadline = time.monotonic() + within_s
     while True:
         try:
--- a/tests/test_proxy_traces.py
+++ b/tests/test_proxy_traces.py
@@ -11,7 +11,7 @@
 from martenstep.cli.main import cli
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
-from martenstep.proxy.traces import Exporter, Sampler, Trace
+from martenstep.proxy.traces import Sampler, Trace, TraceExporter
 from tests.engine_rig import Rig, head
 from tests.test_auth_proxy import Door
 
@@ -35,7 +35,7 @@
     rig.pass_time(20)
     rig.serve(request_id)
     [trace] = traces(rig)
-    assert [(span.name, span.start - 100_000.0, span.end - 100_000.0) for span in (trace.root, *trace.parts)] == [
+    assert [(span.name, span.start - 100_000.0, span.end - 100_000.0) for span in (trace.root, *trace.children)] == [
         ("request", 0, 35),
         ("auth", 0, 7),
         ("counter", 7, 10),
@@ -53,9 +53,9 @@
         "customer": "anna",
         "plan": "plain",
     }
-    assert [span.attributes["verdict"] for span in trace.parts[2:]] == ["reset", "ok"]
+    assert [span.attributes["verdict"] for span in trace.children[2:]] == ["reset", "ok"]
     assert "secret" not in repr(trace)
-    for sent, span in zip(rig.of(ev.OpenAttempt, request_id), trace.parts[2:], strict=True):
+    for sent, span in zip(rig.of(ev.OpenAttempt, request_id), trace.children[2:], strict=True):
         assert head(sent, "traceparent") == f"00-{trace.id:032x}-{span.id:016x}-01"
 
 
@@ -67,7 +67,7 @@
     assert not traces(rig)  # an attempt is still out
     rig.pass_time(900)
     [trace] = traces(rig)
-    assert trace.root.attributes["reason"] == "client left" and trace.parts[0].end > trace.root.end
+    assert trace.root.attributes["reason"] == "client left" and trace.children[0].end > trace.root.end
     refused = rig.ask(customer="anna")
     rig.count_all(900.0)
     assert rig.finals(refused) and traces(rig)[1].root.attributes["status"] == 429
@@ -79,8 +79,8 @@
     for bad in (PARENT.upper(), PARENT[:-3], "00-" + "0" * 32 + PARENT[35:], "ff" + PARENT[2:], "x"):
         rig.serve(rig.ask(traceparent=bad))
     first, *others = traces(rig)
-    assert first.id == int("ab" * 16, 16) and first.parent == int("cd" * 8, 16)
-    assert all(trace.parent == 0 and trace.id != first.id for trace in others)
+    assert first.id == int("ab" * 16, 16) and first.parent_span_id == int("cd" * 8, 16)
+    assert all(trace.parent_span_id == 0 and trace.id != first.id for trace in others)
 
 
 def test_sampling_follows_the_sender_and_else_the_id_alone() -> None:
@@ -102,9 +102,9 @@
     rig.pass_time(6)
     rig.serve(request_id)
     file = tmp_path / "traces.jsonl"
-    exporter = Exporter(file, "door-0", lambda: 1_700_000_000_000.0, lambda: 100_000.0)
+    exporter = TraceExporter(file, "door-0", lambda: 1_700_000_000_000.0, lambda: 100_000.0)
     for trace in traces(rig):
-        exporter.take(trace)
+        exporter.export(trace)
     exporter.close()
     with file.open("a") as more:
         more.write('{"name": "cut of')
