--- a/martenstep/proxy/auth_requests.py
+++ b/martenstep/proxy/auth_requests.py
@@ -146,7 +146,8 @@
         upstream.reader.on_data = None
         attempt.upstream = None
         self._attempts.pop(check_id, None)
-        self.pool.recycle(upstream)  # the pool discards it if further bytes follow the response
+        # The pool discards a connection with further bytes, which would be read as the next check's verdict.
+        self.pool.recycle(upstream)
         self._observer.handle(
             ev.AuthCheckReplied(check_id, attempt.number, attempt.status, attempt.headers, bytes(attempt.body))
         )
--- a/martenstep/proxy/cluster.py
+++ b/martenstep/proxy/cluster.py
@@ -36,7 +36,7 @@
     async def start(self, deliver: Callable[[AttemptRecord], bool]) -> dict[str, int]:
         """Join the cluster; returns the bound ports by name.
 
-        `deliver` passes a record from a ledger that this gateway leads to the counter; False if none can accept it now.
+        `deliver` passes a record of a ledger that this gateway leads to the counter; False if that cannot be done now.
         """
         from martenstep.membership.keyring import KeyFileError
         from martenstep.membership.service import MembershipService
@@ -86,12 +86,12 @@
             self._leave_for_maintenance,
         )
         self.maintenance = MaintenanceCoordinator(
-            instance, replicas.replica_manager, self._known_gateways, self._log_event
+            instance, replicas.replica_manager, self._member_gateways, self._log_event
         )
         self.maintenance.start()
         self._admin.maintenance = self.maintenance
 
-    def _known_gateways(self) -> list[tuple[str, str]]:
+    def _member_gateways(self) -> list[tuple[str, str]]:
         """Return names and zones of the gateways in the membership table."""
         core = self.membership.core if self.membership is not None else None
         return [(member.name, member.zone) for member in core.table] if core is not None else []
--- a/martenstep/proxy/extension_points.py
+++ b/martenstep/proxy/extension_points.py
@@ -121,7 +121,7 @@
             if path == before:
                 return received.target, encode_headers(headers)
             target = path.encode("latin-1")
-            # The request is retried by the rules of its own class, which may be wrong for a path of another class.
+            # Retries follow the rules of the request's own class, which may allow what the path's class forbids.
             if parse_path(target) is None or not self._may_rewrite(received.method, target, route):
                 raise result_validation.InvalidResultError(
                     f"path {path[:64]!r}: belongs to another request class, and is below no path_prefix of the settings"
--- a/martenstep/proxy/route_table.py
+++ b/martenstep/proxy/route_table.py
@@ -156,7 +156,7 @@
     ) -> RoutedRequest | RouteRejection:
         """Route a request after an authentication service has named its customer.
 
-        An unknown plan is a fault of the service: the request is rejected, since any other plan would be a guess.
+        An unknown plan is a fault of the service: the request is rejected, not admitted under another plan.
         """
         named_plan = self._plans.get(plan) if plan else None
         if plan and named_plan is None:
--- a/tests/test_auth_proxy.py
+++ b/tests/test_auth_proxy.py
@@ -1,4 +1,4 @@
-"""The door that asks an authentication service first: in virtual time, and on sockets."""
+"""A gateway that checks requests at an authentication service first: in virtual time, and on sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.engine_rig import DOOR, QUIET, Rig, head
 from tests.socket_rig import Back, House, Peer, Script, get, house, run
 
-AUTH = """
+AUTH_SETTINGS = """
 auth { service { port: 7001 } service { port: 7002 } attempt_ms: 300
   copy_header: "x-auth-customer" copy_header: "x-role" }
 default_plan: "open"
@@ -24,27 +24,29 @@
 route { name: "loose" path_prefix: "/loose/" class: "read" authenticate: true fail_open: true }
 route { name: "bill" path_prefix: "/bill/" class: "pay" authenticate: true }
 """
-YES: ev.Headers = [(b"x-auth-customer", b"anna"), (b"x-role", b"owner"), (b"x-secret", b"s")]
+ALLOW_HEADERS: ev.Headers = [(b"x-auth-customer", b"anna"), (b"x-role", b"owner"), (b"x-secret", b"s")]
 
 
-class Door(Rig):
-    """A rig whose last check can be answered."""
+class AuthRig(Rig):
+    """A rig with authentication services, whose last check the test answers."""
 
     def __init__(self, more: str = "") -> None:
-        super().__init__(AUTH + more)
+        super().__init__(AUTH_SETTINGS + more)
 
-    def asked(self) -> ev.StartAuthCheck:
+    def last_check(self) -> ev.StartAuthCheck:
         return self.of(ev.StartAuthCheck)[-1]
 
-    def verdict(self, status: int = 200, headers: ev.Headers | None = None, body: bytes = b"") -> list[ev.Action]:
-        told = self.asked()
+    def send_verdict(self, status: int = 200, headers: ev.Headers | None = None, body: bytes = b"") -> list[ev.Action]:
+        check = self.last_check()
         return self.tell(
-            ev.AuthCheckReplied(told.check_id, told.attempt, status, YES if headers is None else headers, body)
+            ev.AuthCheckReplied(
+                check.check_id, check.attempt, status, ALLOW_HEADERS if headers is None else headers, body
+            )
         )
 
 
-def test_nothing_goes_to_a_server_without_a_verdict_and_identity_is_the_services() -> None:
-    rig = Door()
+def test_no_request_is_forwarded_without_a_verdict_and_only_the_service_sets_identity_headers() -> None:
+    rig = AuthRig()
     request_id = rig.ask(
         "/safe/1",
         authorization="Bearer t",
@@ -55,52 +57,55 @@
         accept="image/*",
     )
     assert not rig.of(ev.OpenAttempt) and not rig.of(ev.AddToCounter)
-    asked = rig.asked()
-    told = dict(asked.headers)
-    assert asked.target == b"/auth" and told[b"authorization"] == b"Bearer t" and told[b"cookie"] == b"c=1"
-    assert told[b"x-forwarded-uri"] == b"/safe/1" and told[b"x-forwarded-method"] == b"GET"
-    assert told[b"x-forwarded-for"] == b"10.0.0.1" and b"accept" not in told and b"x-auth-customer" not in told
-    rig.verdict()
-    assert rig.of(ev.AddToCounter)  # anna's plan has a quota: the module decides on her
+    asked = rig.last_check()
+    headers = dict(asked.headers)
+    assert asked.target == b"/auth" and headers[b"authorization"] == b"Bearer t" and headers[b"cookie"] == b"c=1"
+    assert headers[b"x-forwarded-uri"] == b"/safe/1" and headers[b"x-forwarded-method"] == b"GET"
+    assert headers[b"x-forwarded-for"] == b"10.0.0.1" and b"accept" not in headers and b"x-auth-customer" not in headers
+    rig.send_verdict()
+    assert rig.of(ev.AddToCounter)  # anna's plan has a quota, so that the policy needs the counter
     rig.count_all(1.0)
     sent = rig.opened(request_id)
     names = [(name, value) for name, value in sent.headers if name in (b"x-auth-customer", b"x-role", b"x-secret")]
-    assert names == [(b"x-auth-customer", b"anna"), (b"x-role", b"owner")]  # by the allow list, and only the service's
+    assert names == [
+        (b"x-auth-customer", b"anna"),
+        (b"x-role", b"owner"),
+    ]  # the copied headers, as the service set them
     rig.serve(request_id)
     assert len(rig.finals(request_id)) == 1 and rig.quiet() == QUIET and rig.engine.held_counts["auth_passed"] == 0
 
 
-def test_underscored_twins_of_identity_headers_do_not_pass() -> None:
-    rig = Door()
+def test_identity_headers_spelled_with_underscores_are_not_forwarded() -> None:
+    rig = AuthRig()
     request_id = rig._request_id = 1
     rig.tell(ev.RequestReceived(1, b"GET", b"/safe/1", [(b"x_auth_customer", b"eve"), (b"x_role", b"admin")]))
-    rig.verdict(headers=[(b"x-auth-customer", b"free")])
+    rig.send_verdict(headers=[(b"x-auth-customer", b"free")])
     assert head(rig.opened(request_id), "x_auth_customer") is None and head(rig.opened(request_id), "x_role") is None
 
 
-def test_anything_but_2xx_is_the_clients_answer() -> None:
-    rig = Door()
+def test_a_verdict_other_than_2xx_is_relayed_to_the_client() -> None:
+    rig = AuthRig()
     request_id = rig.ask("/safe/1", authorization="bad")
-    rig.verdict(401, [(b"www-authenticate", b"Bearer"), (b"server", b"x")], b"log in")
+    rig.send_verdict(401, [(b"www-authenticate", b"Bearer"), (b"server", b"x")], b"log in")
     reply = rig.reply(request_id)
     assert (reply.status, reply.body) == (401, b"log in")
     assert head(reply, "www-authenticate") == "Bearer" and head(reply, "server") is None
     redirected = rig.ask("/safe/1", authorization="none")
-    rig.verdict(302, [(b"location", b"/login")])
+    rig.send_verdict(302, [(b"location", b"/login")])
     assert rig.reply(redirected).status == 302 and head(rig.reply(redirected), "location") == "/login"
     assert not rig.of(ev.OpenAttempt) and not rig.of(ev.AddToCounter) and rig.quiet() == QUIET
 
 
-def test_a_check_that_eats_its_part_of_the_time_is_answered_with_the_true_reason_and_uncharged() -> None:
-    rig = Door("auth { attempt_ms: 5000 }")
+def test_a_check_beyond_its_share_of_the_deadline_is_rejected_as_check_late_and_not_charged() -> None:
+    rig = AuthRig("auth { attempt_ms: 5000 }")
     request_id = rig.ask("/safe/1", x_deadline_ms="1500", authorization="t")
     rig.pass_time(749)
     assert not rig.finals(request_id)
     rig.pass_time(1)
     reply = rig.reply(request_id)
     assert reply.status == 503 and json.loads(reply.body)["reason"] == "check late" and head(reply, "retry-after")
-    rig.pass_time(650)  # 1.4 s of 1.5: too late, and nobody's
-    rig.verdict()
+    rig.pass_time(650)  # 1.4 s of the 1.5 s: the request is over, and the verdict is ignored
+    rig.send_verdict()
     assert (
         not rig.of(ev.OpenAttempt)
         and not rig.of(ev.AddToCounter)
@@ -109,8 +114,8 @@
     )
 
 
-def test_a_service_that_fails_is_followed_by_another_then_the_route_fails_closed_or_open() -> None:
-    rig = Door()
+def test_a_failed_check_is_retried_at_another_service_before_the_route_fails_closed_or_open() -> None:
+    rig = AuthRig()
     closed, opened = rig.ask("/safe/1", authorization="a"), rig.ask("/loose/1", authorization="b")
     for _ in range(2):
         for asked in rig.of(ev.StartAuthCheck)[-2:]:
@@ -125,80 +130,80 @@
 
 
 def test_a_5xx_of_the_service_is_no_verdict() -> None:
-    rig = Door()
+    rig = AuthRig()
     request_id = rig.ask("/safe/1")
-    rig.verdict(500, [])
+    rig.send_verdict(500, [])
     assert not rig.finals(request_id) and len(rig.of(ev.StartAuthCheck)) == 2
-    rig.verdict()
+    rig.send_verdict()
     rig.count_all(1.0)
     assert rig.opened(request_id)
 
 
-def test_an_unknown_plan_in_the_answer_fails_rather_than_passes() -> None:
-    rig = Door()
+def test_a_verdict_with_an_unknown_plan_or_without_a_customer_rejects_the_request() -> None:
+    rig = AuthRig()
     request_id = rig.ask("/safe/1")
-    rig.verdict(200, [(b"x-auth-customer", b"anna"), (b"x-auth-plan", b"gold")])
+    rig.send_verdict(200, [(b"x-auth-customer", b"anna"), (b"x-auth-plan", b"gold")])
     assert rig.reply(request_id).status == 502 and not rig.of(ev.OpenAttempt)
     nobody = rig.ask("/safe/1", authorization="x")
-    rig.verdict(200, [])
+    rig.send_verdict(200, [])
     assert rig.reply(nobody).status == 403
 
 
-def test_a_credential_revoked_while_the_counter_is_asked_is_not_sent_on() -> None:
-    rig = Door()
+def test_a_request_whose_credential_is_revoked_during_its_counter_call_is_not_forwarded() -> None:
+    rig = AuthRig()
     waits = rig.ask("/safe/1", authorization="t")
-    rig.verdict()  # let pass; the counter is asked
+    rig.send_verdict()  # allowed; its counter call is in flight
     assert rig.of(ev.AddToCounter) and not rig.of(ev.OpenAttempt)
     rig.ask("/safe/2", authorization="t")
-    rig.verdict(403, [], b"revoked")
+    rig.send_verdict(403, [], b"revoked")
     assert rig.reply(waits).status == 403
     rig.count_all(1.0)
     assert not rig.of(ev.OpenAttempt) and rig.quiet() == QUIET
 
 
-def test_the_client_leaves_while_its_check_is_out() -> None:
-    rig = Door()
+def test_a_client_that_disconnects_during_its_check_stops_the_check() -> None:
+    rig = AuthRig()
     request_id = rig.ask("/safe/1")
     rig.tell(ev.ClientDisconnected(request_id))
     assert rig.of(ev.StopAuthCheck) and rig.quiet() == QUIET and rig.engine.held_counts["auth_checks"] == 0
-    rig.verdict()
+    rig.send_verdict()
     assert not rig.finals(request_id) and not rig.of(ev.OpenAttempt)
 
 
-def test_a_stampede_asks_once_and_is_answered_each_once() -> None:
-    rig = Door("listener { max_open: 9000 }")
+def test_concurrent_requests_with_one_credential_share_one_check() -> None:
+    rig = AuthRig("listener { max_open: 9000 }")
     request_ids = [rig.ask("/safe/1", authorization="same") for _ in range(5000)]
     assert len(rig.of(ev.StartAuthCheck)) == 1
-    rig.verdict(200, [(b"x-auth-customer", b"anna")])
+    rig.send_verdict(200, [(b"x-auth-customer", b"anna")])
     rig.count_all(1000.0)
     rig.pass_time(10_000)
     assert all(len(rig.finals(request_id)) == 1 for request_id in request_ids[::50]) and rig.quiet() == QUIET
     assert len(rig.of(ev.SendLocalReply)) + len(rig.of(ev.RelayResponse)) == 5000
 
 
-def test_where_too_many_wait_the_largest_plan_gives_way() -> None:
-    rig = Door("auth { waiting: 6 total: 1 per_service: 1 }")
+def test_too_many_waiting_requests_shed_the_oldest_of_the_plan_with_the_most() -> None:
+    rig = AuthRig("auth { waiting: 6 total: 1 per_service: 1 }")
     for plan, customers in (("plain", ("p1", "p2")), ("open", ("o1", "o2", "o3", "o4", "o5", "o6"))):
-        for customer in customers:  # each credential's plan is learnt by a first verdict
+        for customer in customers:  # the first verdict on a credential determines its plan
             rig.ask("/safe/1", authorization=customer)
-            rig.verdict(200, [(b"x-auth-customer", customer.encode()), (b"x-auth-plan", plan.encode())])
+            rig.send_verdict(200, [(b"x-auth-customer", customer.encode()), (b"x-auth-plan", plan.encode())])
             rig.count_all(1.0)
-    rig.ask("/safe/1", authorization="first")  # the one check that may be out
+    rig.ask("/safe/1", authorization="first")  # the only check that may be in flight
     waits = {name: rig.ask("/safe/2", authorization=name) for name in ("p1", "p2", "o1", "o2", "o3", "o4", "o5", "o6")}
     shed = {name for name, request_id in waits.items() if rig.finals(request_id)}
     assert shed == {"o1", "o2"} and all(b"check shed" in rig.reply(waits[name]).body for name in shed)
 
 
 def test_an_unsafe_request_is_checked_once_for_all_its_attempts() -> None:
-    rig = Door()
+    rig = AuthRig()
     request_id = rig.ask("/bill/1", authorization="t")
-    rig.verdict(200, [(b"x-auth-customer", b"free")])
+    rig.send_verdict(200, [(b"x-auth-customer", b"free")])
     rig.end(request_id, AttemptFailure.NOT_CONNECTED, written=False)
     assert len(rig.of(ev.OpenAttempt, request_id)) == 2 and len(rig.of(ev.StartAuthCheck)) == 1
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("route { name: 'x' class: 'read' authenticate: true }", "there is no auth to ask"),
         ("auth { path: 'x' service { port: 1 } }", "expected a path that begins with"),
@@ -207,8 +212,8 @@
         ("auth { service { port: 1 } share: 2 }", "expected from 0.01 to 1"),
     ],
 )
-def test_settings_are_checked(text: str, told: str) -> None:
-    with pytest.raises(SettingsError, match=told):
+def test_invalid_authentication_settings_are_rejected(text: str, message: str) -> None:
+    with pytest.raises(SettingsError, match=message):
         parse_door(DOOR + text, "d")
 
 
@@ -216,7 +221,7 @@
 
 
 @asynccontextmanager
-async def guarded(service: Script, *servers: Script, more: str = "") -> AsyncIterator[tuple[House, Back]]:
+async def gateway_with_auth(service: Script, *servers: Script, more: str = "") -> AsyncIterator[tuple[House, Back]]:
     back = Back(service)
     port = await back.start()
     text = (
@@ -228,44 +233,44 @@
     back.stop()
 
 
-async def serves(peer: Peer) -> None:
+async def echo_path(peer: Peer) -> None:
     while True:
         await peer.answer((await peer.head()).split()[1])
 
 
-async def allows(peer: Peer) -> None:
+async def allow_credential(peer: Peer) -> None:
     while True:
-        told = await peer.head()
-        who = told.split("authorization: ")[1].split()[0] if "authorization: " in told else ""
+        request = await peer.head()
+        who = request.split("authorization: ")[1].split()[0] if "authorization: " in request else ""
         if who:
             await peer.answer("", more=f"x-auth-customer: {who}\r\n")
         else:
             await peer.answer("who are you?", "401 Unauthorized", "www-authenticate: Basic\r\n")
 
 
-def test_a_request_passes_end_to_end_and_one_without_a_credential_does_not() -> None:
+def test_a_request_with_a_credential_is_served_and_one_without_gets_the_services_response() -> None:
     async def test() -> None:
-        async with guarded(allows, serves) as (door, _):
+        async with gateway_with_auth(allow_credential, echo_path) as (door, _):
             assert (await door.ask("/safe/1", "authorization: anna\r\n"))[2] == b"/safe/1"
-            status, told, body = await door.ask("/safe/1")
-            assert (status, body) == (401, b"who are you?") and "www-authenticate: basic" in told
-            assert (await door.ask("/read/1"))[0] == 200  # other routes ask nobody
+            status, headers, body = await door.ask("/safe/1")
+            assert (status, body) == (401, b"who are you?") and "www-authenticate: basic" in headers
+            assert (await door.ask("/read/1"))[0] == 200  # other routes make no check
 
     run(test())
 
 
-def test_a_second_verdict_never_becomes_the_next_requests() -> None:
+def test_a_surplus_response_of_the_service_is_not_the_next_requests_verdict() -> None:
     async def twice(peer: Peer) -> None:
         while True:
-            told = await peer.head()
-            who = told.split("authorization: ")[1].split()[0]
-            if who == "anna":  # allows, and allows once more
+            request = await peer.head()
+            who = request.split("authorization: ")[1].split()[0]
+            if who == "anna":  # sends a second, surplus response that allows
                 await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-auth-customer: anna\r\n\r\n" * 2)
             else:
                 await peer.answer("no", "403 Forbidden")
 
     async def test() -> None:
-        async with guarded(twice, serves) as (door, back):
+        async with gateway_with_auth(twice, echo_path) as (door, back):
             for _ in range(3):
                 assert (await door.ask("/safe/1", "authorization: anna\r\n"))[0] == 200
                 assert (await door.ask("/safe/1", "authorization: eve\r\n"))[0] == 403
@@ -285,21 +290,21 @@
         "HTTP/1.1 200 OK\r\ncontent-length: 999999\r\n\r\n" + "x" * 200_000,
     ],
 )
-def test_an_answer_that_cannot_be_used_is_a_failure_and_never_a_pass(bad: str) -> None:
+def test_an_unusable_response_of_the_service_fails_the_check(bad: str) -> None:
     async def broken(peer: Peer) -> None:
         await peer.head()
         await peer.write(bad)
 
     async def test() -> None:
-        async with guarded(broken, serves) as (door, _):
+        async with gateway_with_auth(broken, echo_path) as (door, _):
             status, _, body = await door.ask("/safe/1", "authorization: anna\r\n")
             assert status == 503 and json.loads(body)["reason"] == "check failed"
 
     run(test())
 
 
-def test_a_verdict_that_is_reset_before_its_end_is_none() -> None:
-    """It has no length: a reset must not pass for its end."""
+def test_a_verdict_cut_off_by_a_reset_fails_the_check() -> None:
+    """The response has no length and ends with its connection; a reset must not count as that end."""
 
     async def cuts(peer: Peer) -> None:
         await peer.head()
@@ -307,14 +312,14 @@
         peer.reset()
 
     async def test() -> None:
-        async with guarded(cuts, serves) as (door, _):
+        async with gateway_with_auth(cuts, echo_path) as (door, _):
             status, _, body = await door.ask("/safe/1", "authorization: anna\r\n")
             assert status == 503 and json.loads(body)["reason"] == "check failed"
 
     run(test())
 
 
-def test_1xx_before_the_verdict_and_a_dripping_one_are_read() -> None:
+def test_a_verdict_after_a_1xx_that_arrives_byte_by_byte_is_read() -> None:
     async def drips(peer: Peer) -> None:
         await peer.head()
         early, final = b"HTTP/1.1 103 Early Hints\r\n\r\n", b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n"
@@ -324,18 +329,18 @@
         await peer.rest()
 
     async def test() -> None:
-        async with guarded(drips, serves) as (door, _):
+        async with gateway_with_auth(drips, echo_path) as (door, _):
             assert (await door.ask("/safe/1", "authorization: a\r\n"))[0] == 200
 
     run(test())
 
 
-def test_a_silent_service_costs_its_budget_and_no_connection_is_kept() -> None:
+def test_a_silent_service_fails_the_check_and_its_connection_is_closed() -> None:
     async def silent(peer: Peer) -> None:
         await peer.rest()
 
     async def test() -> None:
-        async with guarded(silent, serves, more="attempt_ms: 60") as (door, _):
+        async with gateway_with_auth(silent, echo_path, more="attempt_ms: 60") as (door, _):
             peer = await door.client()
             await peer.write(get("/safe/1"))
             status, _, body = await peer.response()
--- a/tests/test_config_changes.py
+++ b/tests/test_config_changes.py
@@ -1,4 +1,4 @@
-"""What differs between two settings is named, each field of the schema, and what needs a restart is."""
+"""Differences between two settings: a change of any field is reported, with whether it needs a restart."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 def fields(descriptor: Any = pb.Door.DESCRIPTOR, prefix: str = "") -> list[tuple[str, Any]]:
-    """Every field of the schema but those within lists, by path."""
-    made = []
+    """All fields of the schema with their paths, except fields within lists."""
+    found = []
     for field in descriptor.fields:
-        made.append((prefix + field.name, field))
+        found.append((prefix + field.name, field))
         if field.message_type is not None and not field.is_repeated:
-            made += fields(field.message_type, f"{prefix}{field.name}.")
-    return made
+            found += fields(field.message_type, f"{prefix}{field.name}.")
+    return found
 
 
 def change(door: pb.Door, path: str, field: Any) -> None:
-    """Give a field another value."""
+    """Set a field to another value."""
     *parents, name = path.split(".")
     message: Any = door
     for parent in parents:
@@ -51,30 +51,30 @@
 
 
 @pytest.mark.parametrize(("path", "field"), fields(), ids=[path for path, _ in fields()])
-def test_a_change_of_any_field_is_named(path: str, field: Any) -> None:
+def test_a_change_of_any_field_is_reported(path: str, field: Any) -> None:
     before, after = settings("hooks {}"), settings("hooks {}")
     change(after, path, field)
     found = differences(before, after)
     if not field.is_repeated and field.message_type is not None:
-        there = path.split(".")[0] in ("store", "members", "hooks") and "." not in path
-        assert bool(found) == (field.name in PARTS and not there)
+        is_present = path.split(".")[0] in ("store", "members", "hooks") and "." not in path
+        assert bool(found) == (field.name in PARTS and not is_present)
     else:
         named = [one for one in found if one.path == path or path.startswith(one.path + ".")]
         assert named and named == found and named[0].live == (path in LIVE)
     assert not differences(after, after) and all(one.before != one.after for one in found)
 
 
-def test_all_that_is_called_live_is_in_the_schema() -> None:
+def test_every_live_field_is_in_the_schema() -> None:
     assert {path for path, _ in fields()} >= LIVE
 
 
-def test_entries_of_lists_are_named_and_secrets_are_not() -> None:
+def test_changed_list_entries_are_named_and_secrets_are_hidden() -> None:
     before = settings("forward_auth { secret: 'one' }")
     after = settings("forward_auth { secret: 'two' } customer { key: 'new' plan: 'open' }")
     after.customer[0].plan = "open"
-    told = {one.path: one.describe() for one in differences(before, after)}
-    assert told["customer"] == "customer: 2 entries ('anna') -> 3 entries ('new', 'anna')"
-    assert "two" not in told["forward_auth.secret"] and "one" not in told["forward_auth.secret"]
+    described = {one.path: one.describe() for one in differences(before, after)}
+    assert described["customer"] == "customer: 2 entries ('anna') -> 3 entries ('new', 'anna')"
+    assert "two" not in described["forward_auth.secret"] and "one" not in described["forward_auth.secret"]
 
 
 def test_the_order_of_routes_is_a_difference() -> None:
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -10,7 +10,7 @@
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_messages import AttemptFailure
 from tests.engine_rig import QUIET, Rig, listed
-from tests.test_auth_proxy import Door as Guarded
+from tests.test_auth_proxy import AuthRig as Guarded
 
 PATHS = ("/read/1", "/write/free/1", "/pay/1")
 
--- a/tests/test_formats_proxy.py
+++ b/tests/test_formats_proxy.py
@@ -25,21 +25,19 @@
 
 FORMATS = Path(__file__).parent / "formats" / "proxy"
 HEAD_END = b"\r\n\r\n"
-FINAL, REJECTED = (
-    "request finished",
-    "request rejected",
-)  # names of events, which are not held here: only their fields are
+# These tests hold the fields of the events, not the names of the events.
+FINAL, REJECTED = "request finished", "request rejected"
 
 
-def stored(name: str) -> str:
+def expected_text(name: str) -> str:
     return (FORMATS / name).read_text(encoding="utf-8")
 
 
 # Admin pages --------------------------------------------------------------------------------------------
 
 
-class View:
-    """What the admin listener asks of the parts behind it."""
+class FakeAdminParts:
+    """Stands in for the membership, the replicas and the maintenance queue behind the admin listener."""
 
     def view(self) -> dict[str, Any]:
         return {"version": 3, "list": [{"name": "d0", "share": 0.5}], "none": None, "flag": True, "text": "ä"}
@@ -84,7 +82,7 @@
     ready: list[bool] = []
 
     async def test() -> None:
-        admin, view = AdminListener(GatewayCollector(dict, dict), lambda: bool(ready)), View()
+        admin, view = AdminListener(GatewayCollector(dict, dict), lambda: bool(ready)), FakeAdminParts()
         port = await admin.start("127.0.0.1", 0)
 
         async def ask(line: str) -> None:
@@ -104,11 +102,11 @@
         admin.stop()
 
     run(test())
-    assert "".join(transcript).replace("\r\n", "\n") == stored("admin_pages.txt")
+    assert "".join(transcript).replace("\r\n", "\n") == expected_text("admin_pages.txt")
 
 
-def described(text: str) -> Iterator[str]:
-    """Of each metric its name, labels and type; values and help are left out."""
+def metric_lines(text: str) -> Iterator[str]:
+    """The name, labels and type of each metric, without its value and help."""
     for line in text.splitlines():
         if line.startswith("# TYPE "):
             yield line
@@ -123,7 +121,7 @@
         admin = AdminListener(GatewayCollector(daemon.counts, daemon.gauges), lambda: True)
         status, kind, body = admin.respond_status("/metrics")
         assert (status, kind) == (200, "text/plain; version=0.0.4")
-        assert "\n".join(described(body.decode())) + "\n" == stored("metrics.txt")
+        assert "\n".join(metric_lines(body.decode())) + "\n" == expected_text("metrics.txt")
 
     run(test())
 
@@ -131,7 +129,7 @@
 # Log ----------------------------------------------------------------------------------------------------
 
 
-def fields_of(rig: Rig, event: str) -> list[list[str]]:
+def log_fields(rig: Rig, event: str) -> list[list[str]]:
     return [list(note.fields) for note in rig.of(ev.LogEvent) if note.event == event]
 
 
@@ -141,10 +139,10 @@
     rig.ask(customer="anna")
     rig.count_all(500.0)
     fields = ["request", "customer", "plan", "class", "status", "reason", "attempts", "servers", "ms"]
-    assert fields_of(rig, FINAL) == [fields, [*fields, "retry_after_ms"]]
-    assert fields_of(rig, REJECTED) == []
+    assert log_fields(rig, FINAL) == [fields, [*fields, "retry_after_ms"]]
+    assert log_fields(rig, REJECTED) == []
     rig.ask("/none")
-    assert fields_of(rig, REJECTED) == [["request", "status", "reason"]]
+    assert log_fields(rig, REJECTED) == [["request", "status", "reason"]]
 
 
 def test_the_values_of_the_line_of_a_response() -> None:
@@ -170,24 +168,24 @@
 def test_hooks_add_their_version_and_fields() -> None:
     rig = HookRig(release(7, 'on log(r, a) { [Field { name: "tier", value: "gold" }] }'))
     rig.serve(rig.ask())
-    [names] = fields_of(rig, FINAL)
+    [names] = log_fields(rig, FINAL)
     assert names[9:] == ["hooks", "hook_tier"]
 
 
-# Responses of its own -----------------------------------------------------------------------------------
+# Local replies ------------------------------------------------------------------------------------------
 
 
-def test_the_responses_that_a_gateway_words_itself() -> None:
+def test_the_responses_that_a_gateway_generates_itself() -> None:
     lines: list[str] = []
     for reason in (*REASON_TEXTS, "another reason"):
         for wait_ms in (None, 1234.5678):
             headers, body = local_reply(reason, "id-1", wait_ms)
             head = "".join(f"{name.decode()}: {value.decode()}\n" for name, value in headers)
             lines.append(f"{head}\n{body.decode()}\n")
-    assert "".join(lines) == stored("own_responses.txt")
+    assert "".join(lines) == expected_text("own_responses.txt")
 
 
-def test_the_status_of_each_reason_to_reject() -> None:
+def test_the_status_of_each_rejection_reason() -> None:
     assert {reason.value: status for reason, status in REJECTION_STATUS.items()} == {
         "quota": 429,
         "unheard": 429,
@@ -235,11 +233,11 @@
 
 
 def test_the_bytes_of_a_sub_request_for_authentication() -> None:
-    asked: list[bytes] = []
+    check_requests: list[bytes] = []
     sent: list[bytes] = []
 
     async def service(peer: Peer) -> None:
-        asked.append(await peer.reader.readuntil(HEAD_END))
+        check_requests.append(await peer.reader.readuntil(HEAD_END))
         await peer.answer("", more="x-auth-customer: free\r\nx-role: owner\r\nx-other: 1\r\n")
         await peer.rest()
 
@@ -259,7 +257,7 @@
             more = "Authorization: Bearer t\r\nCookie: c=1\r\nX-Role: admin\r\nX-Request-Id: r1\r\nX-Else: 1\r\n"
             assert (await gateway.ask("/safe/1?q=2", more))[0] == 200
         server.close()
-        assert asked == [
+        assert check_requests == [
             b"GET /check HTTP/1.1\r\n"
             b"host: 127.0.0.1:%d\r\n"
             b"authorization: Bearer t\r\n"
@@ -281,4 +279,4 @@
 
 @pytest.mark.filterwarnings("ignore::DeprecationWarning")
 def test_the_messages_of_the_settings() -> None:
-    assert "\n".join(file_lines(pb.DESCRIPTOR)) + "\n" == stored("door_descriptor.txt")
+    assert "\n".join(file_lines(pb.DESCRIPTOR)) + "\n" == expected_text("door_descriptor.txt")
--- a/tests/test_hooks_extension_points.py
+++ b/tests/test_hooks_extension_points.py
@@ -1,4 +1,4 @@
-"""Hooks on the door's own requests: what each point changes, and that no hook holds, breaks or loosens one."""
+"""Hooks at a gateway's extension points: what each may change; none may delay or break a request or loosen a limit."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from tests.engine_rig import QUIET, START, head
 from tests.hook_rig import HookRig, release, words
 
-LOOP = words("text(for x in range(100000), n = 0 { n + 1 })")
-OPEN = (
+EXCEEDS_STEP_LIMIT = words("text(for x in range(100000), n = 0 { n + 1 })")
+ALLOWED_CHANGES = (
     'hooks { class: "read" class: "pay" class: "write" plan: "open" customer: "free" most_units: 4 '
     'path_prefix: "/inside/" } '
 )
 
 
-def refused(rig: HookRig, customer: str = "anna") -> ev.SendLocalReply:
-    """The first request of a customer that is refused for its quota."""
+def first_rejection(rig: HookRig, customer: str = "anna") -> ev.SendLocalReply:
+    """The response to the customer's first request that is rejected for its quota."""
     for _ in range(40):
         request_id = rig.ask(customer=customer, accept_language="de-AT, en;q=0.5", accept="text/html;q=1, */*")
         rig.count_all(0.0)
@@ -28,10 +28,10 @@
         if found:
             return found[0]
         rig.serve(request_id)
-    raise AssertionError("nothing was refused")
+    raise AssertionError("no request was rejected")
 
 
-def test_a_refusal_is_worded_and_stays_a_refusal() -> None:
+def test_a_refusal_hook_sets_the_content_but_neither_the_status_nor_an_earlier_retry() -> None:
     rig = HookRig(
         release(
             3,
@@ -40,30 +40,30 @@
             'headers: [Header { name: "X-Help", value: "/help" }] } }',
         )
     )
-    reply = refused(rig)
+    reply = first_rejection(rig)
     assert reply.status == 429 and reply.body == f"anna de-AT text/html 429 quota {START / 1000:.15g}".encode()
     assert head(reply, "content-type") == "text/html" and head(reply, "x-help") == "/help"
     assert head(reply, "content-length") == str(len(reply.body)) and head(reply, "x-reason") == "quota"
-    own = refused(HookRig())
-    assert head(reply, "retry-after-ms") == head(own, "retry-after-ms")  # 1 ms would be earlier
+    own = first_rejection(HookRig())
+    assert head(reply, "retry-after-ms") == head(own, "retry-after-ms")  # the hook's 1 ms is earlier and is ignored
     assert float(head(own, "retry-after-ms") or 0) > 1
     [line] = [note for note in rig.of(ev.LogEvent) if note.event == "request finished" and note.fields["status"] == 429]
     assert line.fields["hooks"] == 3 and rig.quiet() == QUIET
 
 
-def test_a_later_return_is_a_hooks_to_ask_for_up_to_the_settings_most() -> None:
+def test_a_refusal_hook_may_delay_the_retry_up_to_the_maximum_of_the_settings() -> None:
     rig = HookRig(
         release(1, 'on refusal(r, why) { Words { body: "", content_type: "", retry_after: 10m } }'),
         text="max_retry_after_ms: 30000",
     )
-    reply = refused(rig)
+    reply = first_rejection(rig)
     assert head(reply, "retry-after-ms") == "30000.000" and head(reply, "content-type") == "text/plain"
 
 
 @pytest.mark.parametrize(
-    ("source", "kind"),
+    ("source", "error_kind"),
     [
-        (LOOP, "steps"),
+        (EXCEEDS_STEP_LIMIT, "steps"),
         (words('for x in range(40), s = "ab" { s + s }'), "bytes"),
         (words("text(1 / 0)"), "number"),
         (words("text([1][5])"), "index"),
@@ -79,21 +79,23 @@
         ),
     ],
 )
-def test_a_refusal_hook_that_fails_leaves_the_doors_own_words(source: str, kind: str) -> None:
+def test_a_failed_refusal_hook_leaves_the_default_response(source: str, error_kind: str) -> None:
     rig = HookRig(release(1, source))
-    reply = refused(rig)
+    reply = first_rejection(rig)
     assert reply.status == 429 and json.loads(reply.body)["reason"] == "quota"
-    assert rig.hook_releases.counts == {f"refusal {kind}": 1} and rig.quiet() == QUIET
+    assert rig.hook_releases.counts == {f"refusal {error_kind}": 1} and rig.quiet() == QUIET
     assert len(rig.finals(reply.request_id)) == 1
 
 
-def test_a_hook_that_stands_still_ends_at_the_hosts_backstop() -> None:
+def test_a_hook_is_ended_at_its_time_limit() -> None:
     rig = HookRig(release(1, words('for x in range(1000), s = "" { s }')), begin_deadline=lambda: lambda: True)
-    assert json.loads(refused(rig).body)["reason"] == "quota" and rig.hook_releases.counts == {"refusal late": 1}
+    assert json.loads(first_rejection(rig).body)["reason"] == "quota" and rig.hook_releases.counts == {
+        "refusal late": 1
+    }
 
 
-def test_every_refusal_fails_and_each_request_still_has_its_one_answer() -> None:
-    rig = HookRig(release(1, LOOP), limits=HealthLimits(min_runs=1000))
+def test_each_request_has_one_response_though_its_refusal_hook_always_fails() -> None:
+    rig = HookRig(release(1, EXCEEDS_STEP_LIMIT), limits=HealthLimits(min_runs=1000))
     refusals = 0
     for _ in range(200):
         request_id = rig.ask(customer="anna")
@@ -102,12 +104,14 @@
             rig.serve(request_id)
         refusals += bool(rig.of(ev.SendLocalReply, request_id))
         assert len(rig.finals(request_id)) == 1
-    assert refusals >= 150 and rig.hook_releases.counts["refusal steps"] == 10  # then it is left alone
+    assert refusals >= 150 and rig.hook_releases.counts["refusal steps"] == 10  # then its circuit breaker opens
     assert rig.hook_releases.counts["refusal left alone"] == refusals - 10 and rig.quiet() == QUIET
 
 
-def test_classify_moves_a_request_within_what_the_settings_leave_open() -> None:
-    rig = HookRig(release(1, 'on classify(r) { Class { class: "pay", customer: "free", units: 3 } }'), text=OPEN)
+def test_classify_changes_class_customer_and_units_as_the_settings_allow() -> None:
+    rig = HookRig(
+        release(1, 'on classify(r) { Class { class: "pay", customer: "free", units: 3 } }'), text=ALLOWED_CHANGES
+    )
     request_id = rig.ask(customer="anna")
     rig.serve(request_id)
     [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "request finished"]
@@ -115,9 +119,9 @@
 
 
 @pytest.mark.parametrize(
-    "made",
+    "changes",
     [
-        'class: "read"',  # of a request of "pay": it could be repeated then
+        'class: "read"',  # the request is of class "pay": under "read" it could be repeated
         'class: "write"',
         'customer: "anna"',
         'plan: "plain"',
@@ -126,30 +130,30 @@
         "units: 0 - 1",
     ],
 )
-def test_classify_loosens_nothing(made: str) -> None:
-    rig = HookRig(release(1, f"on classify(r) {{ Class {{ {made} }} }}"), text=OPEN)
+def test_classify_results_that_would_loosen_a_limit_are_rejected(changes: str) -> None:
+    rig = HookRig(release(1, f"on classify(r) {{ Class {{ {changes} }} }}"), text=ALLOWED_CHANGES)
     request_id = rig.ask("/pay/1", customer="free")
-    rig.end(request_id, AttemptFailure.CLOSED)  # an attempt that may have run
+    rig.end(request_id, AttemptFailure.CLOSED)  # indeterminate: the attempt may have been executed
     [line] = [note.fields for note in rig.of(ev.LogEvent) if note.event == "request finished"]
     assert (line["class"], line["customer"], line["plan"], line["attempts"]) == ("pay", "free", "open", 1)
     assert rig.hook_releases.counts == {"classify border": 1}
 
 
-def test_a_class_with_an_earlier_end_ends_earlier_and_never_later() -> None:
-    text = OPEN + (
+def test_a_class_chosen_by_classify_may_shorten_the_deadline_but_not_extend_it() -> None:
+    text = ALLOWED_CHANGES + (
         'class { name: "short" aim_ms: 100 deadline_ms: 500 } class { name: "long" aim_ms: 1 deadline_ms: 9000 }'
     )
-    for name, ends in (("short", 500.0), ("long", 4000.0)):
+    for name, deadline_ms in (("short", 500.0), ("long", 4000.0)):
         rig = HookRig(
             release(1, f'on classify(r) {{ Class {{ class: "{name}" }} }}'), text=text + f' hooks {{ class: "{name}" }}'
         )
         request_id = rig.ask(customer="free")
-        assert head(rig.opened(request_id), "x-deadline-ms") == f"{ends:.0f}"
-        rig.pass_time(ends)
+        assert head(rig.opened(request_id), "x-deadline-ms") == f"{deadline_ms:.0f}"
+        rig.pass_time(deadline_ms)
         assert rig.reply(request_id).status in (503, 504) and rig.quiet() == QUIET
 
 
-def test_what_is_sent_is_the_same_at_each_attempt() -> None:
+def test_the_sending_hook_runs_once_for_all_attempts() -> None:
     rig = HookRig(
         release(
             1,
@@ -157,7 +161,7 @@
             '[Header { name: "x-studio", value: r.customer }, '
             'Header { name: "accept", value: "a/b" }] } }',
         ),
-        text=OPEN,
+        text=ALLOWED_CHANGES,
     )
     request_id = rig.ask(accept="image/png")
     first = rig.opened(request_id)
@@ -172,13 +176,13 @@
 @pytest.mark.parametrize(
     "path", ["/pay/1", "/nowhere", "/inside/../pay/1", "/inside/%2e%2e/pay", "/in side", "inside/1"]
 )
-def test_a_path_of_another_class_is_not_sent(path: str) -> None:
-    rig = HookRig(release(1, f'on sending(r) {{ Sending {{ path: "{path}" }} }}'), text=OPEN)
+def test_the_sending_hook_cannot_set_a_path_of_another_class_or_an_invalid_one(path: str) -> None:
+    rig = HookRig(release(1, f'on sending(r) {{ Sending {{ path: "{path}" }} }}'), text=ALLOWED_CHANGES)
     assert rig.opened(rig.ask("/read/7?a=b")).target == b"/read/7?a=b"
     assert rig.hook_releases.counts == {"sending border": 1}
 
 
-def test_a_path_of_the_same_class_may_be_sent() -> None:
+def test_the_sending_hook_may_set_a_path_of_the_same_class() -> None:
     rig = HookRig(release(1, 'on sending(r) { Sending { path: replace(r.path, "old", "new") } }'))
     assert rig.opened(rig.ask("/read/old?a=b")).target == b"/read/new?a=b"
 
@@ -186,13 +190,13 @@
 @pytest.mark.parametrize(
     "name", ["x-customer", "X-Request-Id", "idempotency-key", "x-attempt", "x_deadline_ms", "host"]
 )
-def test_headers_that_say_who_and_how_often_are_no_hooks(name: str) -> None:
+def test_the_sending_hook_cannot_set_protected_headers(name: str) -> None:
     rig = HookRig(release(1, f'on sending(r) {{ Sending {{ headers: [Header {{ name: "{name}", value: "1" }}] }} }}'))
     rig.ask("/write/free/1", method="POST")
     assert rig.hook_releases.counts == {"sending border": 1}
 
 
-def test_answers_get_headers_and_lines_get_fields() -> None:
+def test_the_answer_hook_adds_headers_and_the_log_hook_adds_fields() -> None:
     rig = HookRig(
         release(
             1,
@@ -208,7 +212,7 @@
     assert line["hook_studio"] == "free 201 1"
 
 
-def test_a_hook_reads_no_credential() -> None:
+def test_hooks_cannot_read_credential_headers() -> None:
     rig = HookRig(
         release(
             1,
@@ -219,27 +223,27 @@
     assert head(rig.opened(rig.ask(cookie="secret", authorization="secret")), "x-seen") == "none"
 
 
-def test_a_thousand_requests_keep_the_hooks_that_they_began_with() -> None:
+def test_requests_in_flight_keep_the_release_that_they_began_with() -> None:
     source = 'on answer(r, a) {{ [Header {{ name: "x-release", value: "{}" }}] }}'
     rig = HookRig(release(1, source.format("one")), servers=tuple(range(1, 301)))
     request_ids = [rig.ask() for _ in range(1000)]
-    inside = [
+    in_flight = [
         request_id for request_id in request_ids if rig.of(ev.OpenAttempt, request_id) and not rig.finals(request_id)
     ]
     rig.hook_releases.replace_releases([release(1, source.format("one")), release(2, source.format("two"))])
     late = rig.ask()
-    for request_id in [*inside, late]:
+    for request_id in [*in_flight, late]:
         if not rig.finals(request_id):
             rig.serve(request_id)
     made = {action.request_id: head(action, "x-release") for action in rig.of(ev.RelayResponse)}
-    assert len(inside) > 100 and all(made[request_id] == "one" for request_id in inside) and rig.quiet() == QUIET
+    assert len(in_flight) > 100 and all(made[request_id] == "one" for request_id in in_flight) and rig.quiet() == QUIET
     newest = rig.ask()
     rig.serve(newest)
     assert head(rig.of(ev.RelayResponse, newest)[0], "x-release") == "two"
 
 
-def test_a_hook_for_some_leaves_the_others_alone() -> None:
+def test_a_hook_for_some_customers_does_not_run_for_others() -> None:
     rig = HookRig(release(1, words('"for anna"'), customers=("anna",)))
-    assert refused(rig).body == b"for anna"
+    assert first_rejection(rig).body == b"for anna"
     other = HookRig(release(1, words('"for bert"'), customers=("bert",)))
-    assert json.loads(refused(other).body)["reason"] == "quota" and not other.hook_releases.counts
+    assert json.loads(first_rejection(other).body)["reason"] == "quota" and not other.hook_releases.counts
--- a/tests/test_proxy_traces.py
+++ b/tests/test_proxy_traces.py
@@ -1,4 +1,4 @@
-"""Traces: one span tree a request, context in and out, a time line of it."""
+"""Traces: the spans of each request, the trace context that is received and sent, and the printed timeline."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from martenstep.proxy.engine_messages import AttemptFailure
 from martenstep.proxy.traces import Sampler, Trace, TraceExporter
 from tests.engine_rig import Rig, head
-from tests.test_auth_proxy import Door
+from tests.test_auth_proxy import AuthRig
 
 TRACING = 'tracing { file: "x" share: 1 }'
 PARENT = "00-" + "ab" * 16 + "-" + "cd" * 8 + "-01"
 
 
-def traces(rig: Rig) -> list[Trace]:
+def exported_traces(rig: Rig) -> list[Trace]:
     return [action.trace for action in rig.of(ev.ExportTrace)]
 
 
-def test_a_request_makes_one_tree_with_all_its_parts() -> None:
-    rig = Door(TRACING)
+def test_a_request_exports_one_trace_with_a_span_for_each_step() -> None:
+    rig = AuthRig(TRACING)
     request_id = rig.ask("/safe/1?token=secret", authorization="Bearer secret", x_request_id="r1")
     rig.pass_time(7)
-    rig.verdict()
+    rig.send_verdict()
     rig.pass_time(3)
     rig.count_all(1.0)
     rig.pass_time(5)
     rig.end(request_id, AttemptFailure.CLOSED)
     rig.pass_time(20)
     rig.serve(request_id)
-    [trace] = traces(rig)
+    [trace] = exported_traces(rig)
     assert [(span.name, span.start - 100_000.0, span.end - 100_000.0) for span in (trace.root, *trace.children)] == [
         ("request", 0, 35),
         ("auth", 0, 7),
@@ -59,42 +59,42 @@
         assert head(sent, "traceparent") == f"00-{trace.id:032x}-{span.id:016x}-01"
 
 
-def test_a_trace_ends_with_its_last_attempt_and_every_request_has_one() -> None:
+def test_a_trace_is_exported_after_the_last_attempt_and_for_rejected_requests_too() -> None:
     rig = Rig(TRACING + " upstream { cancel: false }")
     left = rig.ask(x_deadline_ms="900")
     rig.write(left)
     rig.tell(ev.ClientDisconnected(left))
-    assert not traces(rig)  # an attempt is still out
+    assert not exported_traces(rig)  # an attempt is still in flight
     rig.pass_time(900)
-    [trace] = traces(rig)
+    [trace] = exported_traces(rig)
     assert trace.root.attributes["reason"] == "client left" and trace.children[0].end > trace.root.end
     refused = rig.ask(customer="anna")
     rig.count_all(900.0)
-    assert rig.finals(refused) and traces(rig)[1].root.attributes["status"] == 429
+    assert rig.finals(refused) and exported_traces(rig)[1].root.attributes["status"] == 429
 
 
-def test_context_comes_from_the_client_and_a_broken_one_is_none() -> None:
+def test_trace_context_is_taken_from_the_client_unless_it_is_invalid() -> None:
     rig = Rig(TRACING)
     rig.serve(rig.ask(traceparent=PARENT))
     for bad in (PARENT.upper(), PARENT[:-3], "00-" + "0" * 32 + PARENT[35:], "ff" + PARENT[2:], "x"):
         rig.serve(rig.ask(traceparent=bad))
-    first, *others = traces(rig)
+    first, *others = exported_traces(rig)
     assert first.id == int("ab" * 16, 16) and first.parent_span_id == int("cd" * 8, 16)
     assert all(trace.parent_span_id == 0 and trace.id != first.id for trace in others)
 
 
-def test_sampling_follows_the_sender_and_else_the_id_alone() -> None:
+def test_sampling_follows_the_clients_flag_and_otherwise_the_trace_id_alone() -> None:
     sampler = Sampler(0.25, random.Random(1))
     found = [sampler.trace(None, 0.0) for _ in range(4000)]
     assert 900 < sum(trace is not None for trace in found) < 1100
     none = Sampler(0.0, random.Random(1))
     assert none.trace(PARENT.encode(), 0.0) is not None and none.trace(PARENT[:-1].encode() + b"0", 0.0) is None
     assert none.trace(None, 0.0) is None
-    rig = Rig()  # without tracing, context passes through as it came
+    rig = Rig()  # without tracing, `traceparent` is forwarded unchanged
     assert head(rig.opened(rig.ask(traceparent=PARENT)), "traceparent") == PARENT
 
 
-def test_a_time_line_is_printed_from_the_file(tmp_path: Path) -> None:
+def test_trace_show_prints_the_timeline_of_a_request(tmp_path: Path) -> None:
     rig = Rig(TRACING)
     request_id = rig.ask(x_request_id="r1", traceparent=PARENT)
     rig.pass_time(4)
@@ -103,28 +103,28 @@
     rig.serve(request_id)
     file = tmp_path / "traces.jsonl"
     exporter = TraceExporter(file, "door-0", lambda: 1_700_000_000_000.0, lambda: 100_000.0)
-    for trace in traces(rig):
+    for trace in exported_traces(rig):
         exporter.export(trace)
     exporter.close()
     with file.open("a") as more:
         more.write('{"name": "cut of')
-    done = CliRunner().invoke(cli, ["trace", "show", str(file), "r1"])
-    assert done.exit_code == 0, done.output
-    lines = done.output.splitlines()
+    shown = CliRunner().invoke(cli, ["trace", "show", str(file), "r1"])
+    assert shown.exit_code == 0, shown.output
+    lines = shown.output.splitlines()
     assert "ab" * 16 in lines[0] and [line.rsplit("| ", 1)[1].split()[0] for line in lines[1:]] == [
         "request",
         "attempt",
         "attempt",
     ]
     assert lines[1].split()[2] == "10.000" and lines[3].split()[0] == "4.000" and "verdict=ok" in lines[3]
-    for words in ((str(file), "nobody"), ("/no/such/file", "r1")):
-        missing = CliRunner().invoke(cli, ["trace", "show", *words])
+    for arguments in ((str(file), "nobody"), ("/no/such/file", "r1")):
+        missing = CliRunner().invoke(cli, ["trace", "show", *arguments])
         assert missing.exit_code == 2 and "Traceback" not in missing.output
 
 
 @pytest.mark.parametrize("share", [0.0, 1.0])
 def test_tracing_changes_no_decision(share: float) -> None:
-    def played(text: str) -> list[int]:
+    def chosen_endpoints(text: str) -> list[int]:
         rig = Rig(text, seed=5)
         for number in range(60):
             request_id = rig.ask(customer="anna" if number % 3 else "free")
@@ -134,4 +134,4 @@
                 rig.serve(request_id)
         return [opened.endpoint for opened in rig.of(ev.OpenAttempt)]
 
-    assert played(f'tracing {{ file: "x" share: {share} }}') == played("")
+    assert chosen_endpoints(f'tracing {{ file: "x" share: {share} }}') == chosen_endpoints("")
--- a/tests/test_usage_recording.py
+++ b/tests/test_usage_recording.py
@@ -1,4 +1,4 @@
-"""An answer waits until its try is in the door's book, and no longer than it may."""
+"""A response waits until its usage record is replicated, and no longer than its timeout."""
 
 from __future__ import annotations
 
@@ -12,66 +12,66 @@
 from tests.test_proxy_sockets import good
 
 
-class Promising:
-    """Stands for the book: each try's promise is kept when the test says so."""
+class FakeLedger:
+    """Records usage; the test resolves the future of each record."""
 
     def __init__(self) -> None:
-        self.made: list[asyncio.Future[bool]] = []
+        self.futures: list[asyncio.Future[bool]] = []
 
-    def __call__(self, tried: ev.RecordUsage) -> asyncio.Future[bool]:
-        self.made.append(asyncio.get_running_loop().create_future())
-        return self.made[-1]
+    def __call__(self, usage: ev.RecordUsage) -> asyncio.Future[bool]:
+        self.futures.append(asyncio.get_running_loop().create_future())
+        return self.futures[-1]
 
 
-def test_an_answer_leaves_once_its_try_is_in_the_book() -> None:
+def test_a_response_is_sent_once_its_usage_is_recorded() -> None:
     async def test() -> None:
         async with house(good) as door:
-            book = Promising()
-            door.driver.set_usage_recorder(book, 60_000.0)
+            ledger = FakeLedger()
+            door.driver.set_usage_recorder(ledger, 60_000.0)
             door.driver.engine._state.dependencies.records_usage = True
             peer = await door.client()
             await peer.write(get("/read/7"))
             await door.until(
-                lambda: bool(book.made) and any(flight.withheld_data for flight in door.driver.requests.values())
-            )  # the server has answered
+                lambda: bool(ledger.futures) and any(flight.withheld_data for flight in door.driver.requests.values())
+            )  # the server has responded
             answer = asyncio.create_task(peer.response())
             await asyncio.sleep(0.02)
             assert not answer.done()
-            book.made[0].set_result(True)
+            ledger.futures[0].set_result(True)
             assert (await answer)[::2] == (200, b"/read/7")
             assert not door.driver.counts["answers_not_waited_for"]
 
     run(test())
 
 
-def test_an_answer_waits_no_longer_than_it_may_and_a_door_that_gives_up_answers_at_once() -> None:
+def test_a_response_waits_for_its_record_up_to_the_timeout_and_a_local_reply_does_not_wait() -> None:
     async def silent(peer: Peer) -> None:
         await peer.rest()
 
     async def test() -> None:
         async with house(good) as door:
-            door.driver.set_usage_recorder(Promising(), 30.0)
+            door.driver.set_usage_recorder(FakeLedger(), 30.0)
             door.driver.engine._state.dependencies.records_usage = True
             assert (await door.ask())[0] == 200
             assert door.driver.counts["answers_not_waited_for"] == 1
         async with house(silent) as door:
-            door.driver.set_usage_recorder(Promising(), 60_000.0)
+            door.driver.set_usage_recorder(FakeLedger(), 60_000.0)
             door.driver.engine._state.dependencies.records_usage = True
-            assert (await door.ask())[0] == 503  # the door's own words wait for nothing
+            assert (await door.ask())[0] == 503  # a local reply does not wait for a record
 
     run(test())
 
 
-@pytest.mark.parametrize("whole", [True, False])
-def test_a_long_answer_is_not_held_beyond_its_bound(whole: bool) -> None:
+@pytest.mark.parametrize("fits_buffer", [True, False])
+def test_a_long_response_is_not_withheld_beyond_the_timeout_or_the_buffer(fits_buffer: bool) -> None:
     async def long(peer: Peer) -> None:
         while True:
             await peer.head()
             await peer.answer("x" * 200_000)
 
     async def test() -> None:
-        async with house(long, text="" if whole else "upstream { hold_answer_bytes: 50000 }") as door:
-            door.driver.set_usage_recorder(Promising(), 60_000.0 if not whole else 50.0)
+        async with house(long, text="" if fits_buffer else "upstream { hold_answer_bytes: 50000 }") as door:
+            door.driver.set_usage_recorder(FakeLedger(), 60_000.0 if not fits_buffer else 50.0)
             door.driver.engine._state.dependencies.records_usage = True
             status, _, body = await door.ask()
             assert status == 200 and len(body) == 200_000
@@ -79,16 +79,18 @@
     run(test())
 
 
-def test_what_a_lost_door_had_answered_for_must_be_recorded() -> None:
-    def tried(rid: str, answered: float | None) -> Try:
-        made = Try(rid, 0, "ada", "read", 1.0, 100.0, 4000.0)
-        made.visits.append(Visit(rid, 0, 1, "door-0", "", 110.0))
-        if answered is not None:
-            made.ends.append({"what": "answer", "status": 200, "t": answered})
-        return made
+def test_the_checker_requires_records_of_requests_answered_before_their_gateway_was_lost() -> None:
+    def forwarded(rid: str, answered_at: float | None) -> Try:
+        request = Try(rid, 0, "ada", "read", 1.0, 100.0, 4000.0)
+        request.visits.append(Visit(rid, 0, 1, "door-0", "", 110.0))
+        if answered_at is not None:
+            request.ends.append({"what": "answer", "status": 200, "t": answered_at})
+        return request
 
-    traffic = Traffic(tries={one.rid: one for one in (tried("r1", 150.0), tried("r2", None), tried("r3", 250.0))})
+    traffic = Traffic(
+        tries={one.rid: one for one in (forwarded("r1", 150.0), forwarded("r2", None), forwarded("r3", 250.0))}
+    )
     assert [breach.text for breach in recorded(traffic, [])] == ["reached a server, and is not recorded"] * 3
     traffic.lost[0].append(200.0)
-    assert len(list(recorded(traffic, []))) == 1  # r1 was answered before its door was lost
+    assert len(list(recorded(traffic, []))) == 1  # only r1 was answered before its gateway was lost
     assert list(recorded(traffic, [("r1", "ada", 1.0)])) == []
