--- a/martenstep/proxy/event_logger.py
+++ b/martenstep/proxy/event_logger.py
@@ -1,7 +1,7 @@
 """Writes structured log lines for operators, at a limited rate under overload.
 
-Each final response is one line.  Lines beyond the limit of a second are dropped, and a warning at the beginning of the
-next second states how many.  Other lines are rare and are always written.
+Each final response is one line.  Lines beyond the limit per second are dropped, and a warning before the next second's
+first line states how many.  Other lines are rare and are always written.
 """
 
 from __future__ import annotations
--- a/martenstep/proxy/route_table.py
+++ b/martenstep/proxy/route_table.py
@@ -117,9 +117,8 @@
         if customer_key != routed.customer_key:
             other = self._customers[customer_key]
             customer, instances, first_instance = other.number, other.instances, other.first_instance
-            plan = (
-                plan if plan != routed.plan.name else other.plan.name
-            )  # the new customer's plan, unless one was chosen
+            # The new customer's own plan, unless the hook chose one.
+            plan = plan if plan != routed.plan.name else other.plan.name
         chosen = routed.plan if plan == routed.plan.name else self._plans[plan]
         return RoutedRequest(
             self.classes[request_class], chosen, customer, customer_key, units, instances, first_instance
--- a/tests/test_auth_proxy.py
+++ b/tests/test_auth_proxy.py
@@ -57,9 +57,9 @@
         accept="image/*",
     )
     assert not rig.of(ev.OpenAttempt) and not rig.of(ev.AddToCounter)
-    asked = rig.last_check()
-    headers = dict(asked.headers)
-    assert asked.target == b"/auth" and headers[b"authorization"] == b"Bearer t" and headers[b"cookie"] == b"c=1"
+    check = rig.last_check()
+    headers = dict(check.headers)
+    assert check.target == b"/auth" and headers[b"authorization"] == b"Bearer t" and headers[b"cookie"] == b"c=1"
     assert headers[b"x-forwarded-uri"] == b"/safe/1" and headers[b"x-forwarded-method"] == b"GET"
     assert headers[b"x-forwarded-for"] == b"10.0.0.1" and b"accept" not in headers and b"x-auth-customer" not in headers
     rig.send_verdict()
@@ -118,9 +118,9 @@
     rig = AuthRig()
     closed, opened = rig.ask("/safe/1", authorization="a"), rig.ask("/loose/1", authorization="b")
     for _ in range(2):
-        for asked in rig.of(ev.StartAuthCheck)[-2:]:
-            rig.tell(ev.AuthCheckFailed(asked.check_id, asked.attempt))
-    assert len(rig.of(ev.StartAuthCheck)) == 4 and {asked.address[1] for asked in rig.of(ev.StartAuthCheck)} == {
+        for check in rig.of(ev.StartAuthCheck)[-2:]:
+            rig.tell(ev.AuthCheckFailed(check.check_id, check.attempt))
+    assert len(rig.of(ev.StartAuthCheck)) == 4 and {check.address[1] for check in rig.of(ev.StartAuthCheck)} == {
         7001,
         7002,
     }
@@ -144,9 +144,9 @@
     request_id = rig.ask("/safe/1")
     rig.send_verdict(200, [(b"x-auth-customer", b"anna"), (b"x-auth-plan", b"gold")])
     assert rig.reply(request_id).status == 502 and not rig.of(ev.OpenAttempt)
-    nobody = rig.ask("/safe/1", authorization="x")
+    unnamed = rig.ask("/safe/1", authorization="x")
     rig.send_verdict(200, [])
-    assert rig.reply(nobody).status == 403
+    assert rig.reply(unnamed).status == 403
 
 
 def test_a_request_whose_credential_is_revoked_during_its_counter_call_is_not_forwarded() -> None:
@@ -241,9 +241,9 @@
 async def allow_credential(peer: Peer) -> None:
     while True:
         request = await peer.head()
-        who = request.split("authorization: ")[1].split()[0] if "authorization: " in request else ""
-        if who:
-            await peer.answer("", more=f"x-auth-customer: {who}\r\n")
+        customer = request.split("authorization: ")[1].split()[0] if "authorization: " in request else ""
+        if customer:
+            await peer.answer("", more=f"x-auth-customer: {customer}\r\n")
         else:
             await peer.answer("who are you?", "401 Unauthorized", "www-authenticate: Basic\r\n")
 
@@ -263,8 +263,8 @@
     async def twice(peer: Peer) -> None:
         while True:
             request = await peer.head()
-            who = request.split("authorization: ")[1].split()[0]
-            if who == "anna":  # sends a second, surplus response that allows
+            customer = request.split("authorization: ")[1].split()[0]
+            if customer == "anna":  # sends a second, surplus response that allows
                 await peer.write("HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-auth-customer: anna\r\n\r\n" * 2)
             else:
                 await peer.answer("no", "403 Forbidden")
--- a/tests/test_hooks_extension_points.py
+++ b/tests/test_hooks_extension_points.py
@@ -235,8 +235,8 @@
     for request_id in [*in_flight, late]:
         if not rig.finals(request_id):
             rig.serve(request_id)
-    made = {action.request_id: head(action, "x-release") for action in rig.of(ev.RelayResponse)}
-    assert len(in_flight) > 100 and all(made[request_id] == "one" for request_id in in_flight) and rig.quiet() == QUIET
+    sent = {action.request_id: head(action, "x-release") for action in rig.of(ev.RelayResponse)}
+    assert len(in_flight) > 100 and all(sent[request_id] == "one" for request_id in in_flight) and rig.quiet() == QUIET
     newest = rig.ask()
     rig.serve(newest)
     assert head(rig.of(ev.RelayResponse, newest)[0], "x-release") == "two"
