--- a/tests/socket_rig.py
+++ b/tests/socket_rig.py
@@ -153,11 +153,9 @@
     """A gateway in front of one server for each script, and of the ports given."""
     scripted_servers = [ScriptedServer(script) for script in scripts]
     log_events: list[tuple[str, dict[str, Any]]] = []
-    gateway_settings = gateway_settings(text)
-    gateway_settings.ClearField("store")
-    server = make_server(
-        gateway_settings, make_engine(gateway_settings, 1), lambda event, fields: log_events.append((event, fields))
-    )
+    settings = gateway_settings(text)
+    settings.ClearField("store")
+    server = make_server(settings, make_engine(settings, 1), lambda event, fields: log_events.append((event, fields)))
     server_ports = [await scripted.start() for scripted in scripted_servers] + list(ports)
     endpoints = tuple(Endpoint(n, "a", "std", 0, EndpointState.UP) for n in range(1, len(server_ports) + 1))
     addresses = {index + 1: ("127.0.0.1", port) for index, port in enumerate(server_ports)}
