--- a/martenstep/hooks/built_ins.py
+++ b/martenstep/hooks/built_ins.py
@@ -1,4 +1,4 @@
-"""The built-in functions of the hook language, each charged before it does its work."""
+"""The built-in functions of the hook language; each charges its cost before it does the work."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from martenstep.hooks.types import BUILT_INS
 
 MAX_NUMBER_LENGTH = 40
-MAX_CASE_GROWTH = 3  # a character may become three when its case changes
+MAX_CASE_GROWTH = 3  # changing the case turns one character into at most three
 MAX_RANGE = 1e9
 HASH_BYTES = 6
 HASH_RANGE = 2.0 ** (8 * HASH_BYTES)
@@ -30,7 +30,7 @@
 
 
 def _clamp(value: float, maximum: float) -> int:
-    """A whole number from 0 to `maximum`."""
+    """The value limited to 0 and `maximum`, without its fraction."""
     return int(min(max(value, 0.0), maximum))
 
 
@@ -204,9 +204,9 @@
 
 
 def _not_callable(_context: RunContext, _arguments: list[Any]) -> None:
-    """`text` is an instruction of its own; only code that no compiler made calls it."""
-    raise TypeError("not a function of the machine")
+    """Stands in for `text`, which compiles to an instruction; only code from elsewhere can call it."""
+    raise TypeError("the built-in function has no implementation: it compiles to an instruction")
 
 
-# By the numbers that instructions use.
+# The functions by the numbers that CALL_BUILT_IN uses.
 BUILT_IN_FUNCTIONS: tuple[BuiltIn, ...] = tuple(_IMPLEMENTATIONS.get(name, _not_callable) for name in BUILT_INS)
--- a/martenstep/hooks/bytecode.py
+++ b/martenstep/hooks/bytecode.py
@@ -1,6 +1,6 @@
-"""Programs of the hooks' virtual machine: instructions, and their form as bytes.
+"""Programs of the hooks' virtual machine: instructions, and their encoding as bytes.
 
-The machine has a stack and, for each function, numbered local variables.  An instruction is three whole numbers: its
+The machine has a stack of values and, for each call, numbered local variables.  An instruction is three integers: its
 opcode and two arguments, `a` and `b`.
 """
 
@@ -12,25 +12,25 @@
 
 from martenstep.hooks.types import RECORDS
 
-FORMAT = 1  # raised with each change of what the bytes mean
+FORMAT = 1  # increased whenever the meaning of the bytes changes
 MAX_INSTRUCTIONS = 20_000  # of one function
 MAX_FUNCTIONS = 500
-RECORD_TYPES = tuple(RECORDS)  # an instruction names a record by its place here
+RECORD_TYPES = tuple(RECORDS)  # an instruction refers to a record type by its index here
 Constant = float | str | bool
-Instruction = tuple[int, int, int]  # a plain tuple: the interpreter takes it apart at each step
+Instruction = tuple[int, int, int]  # a plain tuple, because the interpreter unpacks it at each step
 
 
 class Opcode(IntEnum):
-    """What an instruction does."""
+    """The kinds of instructions; a comment gives what one does with the arguments `a` and `b`."""
 
     LOAD_CONSTANT = 0  # push constant a
     LOAD_LOCAL = auto()  # push local a
     STORE_LOCAL = auto()  # pop into local a
-    JUMP = auto()  # to a
-    JUMP_IF_FALSE = auto()  # pop; to a if it is false
+    JUMP = auto()  # to position a
+    JUMP_IF_FALSE = auto()  # pop a bool; to position a if it is false
     NEGATE = auto()
     NOT = auto()
-    ADD = auto()  # of numbers, as the four that follow
+    ADD = auto()  # this and the next four: pop two numbers, push the result
     SUBTRACT = auto()
     MULTIPLY = auto()
     DIVIDE = auto()
@@ -42,20 +42,22 @@
     EQUAL = auto()
     IN_TEXT = auto()
     IN_LIST = auto()
-    LOAD_FIELD = auto()  # field a of the record on top
+    LOAD_FIELD = auto()  # pop a record, push its field a
     LOAD_ITEM = auto()
-    BUILD_RECORD = auto()  # of type a, from its fields
-    BUILD_LIST = auto()  # of the a values on top
-    JOIN_TEXTS = auto()  # the a texts on top
-    FORMAT_VALUE = auto()  # a number, bool or duration as text; a: 1 for a duration
-    CALL = auto()  # function a of the program with b arguments
-    CALL_BUILT_IN = auto()  # built-in function a with b arguments
-    FOR_NEXT = auto()  # local a is a list, local a + 1 a position in it: push the next item, or jump to b
+    BUILD_RECORD = auto()  # pop the fields of a record of type a, push the record
+    BUILD_LIST = auto()  # pop a values, push a list of them
+    JOIN_TEXTS = auto()  # pop a texts, push their concatenation
+    FORMAT_VALUE = auto()  # pop a number, bool or duration, push it as text; a is 1 for a duration
+    CALL = auto()  # call function a of the program with b arguments
+    CALL_BUILT_IN = auto()  # call built-in function a with b arguments
+    FOR_NEXT = (
+        auto()
+    )  # push the next item of the list in local a, whose position is in local a + 1; at its end jump to b
     RETURN = auto()
 
 
 class BytecodeError(Exception):
-    """Bytes or instructions that are no program of the machine."""
+    """Bytes or instructions that are not a valid program."""
 
 
 class Function(msgspec.Struct, frozen=True, array_like=True):
@@ -63,12 +65,12 @@
 
     name: str
     parameter_count: int
-    local_count: int  # with the parameters
+    local_count: int  # including the parameters
     instructions: list[Instruction]
 
 
 class Program(msgspec.Struct, frozen=True, array_like=True):
-    """A compiled file; hooks by their extension point, and tests by their titles, name functions by their number."""
+    """A compiled file; `points` and `tests` map extension points and titles to indexes of `functions`."""
 
     format: int
     constants: list[Constant]
@@ -78,12 +80,12 @@
 
 
 def encode_program(program: Program) -> bytes:
-    """A program as bytes."""
+    """Encode a program as bytes."""
     return msgspec.msgpack.encode(program)
 
 
 def decode_program(data: bytes) -> Program:
-    """A program from bytes, not verified; raises BytecodeError."""
+    """Decode a program without verifying it; raises BytecodeError."""
     try:
         return msgspec.msgpack.decode(data, type=Program)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as error:
--- a/martenstep/hooks/compiler.py
+++ b/martenstep/hooks/compiler.py
@@ -1,4 +1,4 @@
-"""Compiles a hook's source to a program of the virtual machine."""
+"""Compiles the source of hooks to a program of the virtual machine."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from martenstep.hooks.types import BUILT_INS, DEFAULT_VALUES, DURATION, RECORDS, TEXT, Type
 
 BUILT_IN_NAMES = tuple(BUILT_INS)
-# The instructions of each operator, by the name of its left operand's type or, where that is missing, of any type.
-# There are no instructions for > and >=: both operands are finite and ordered.
+# The instructions of each operator; the two tables below replace some of them for texts and lists.
+# > and >= compile to the negation of <= and <: operands are totally ordered, since numbers are always finite.
 OPERATOR_INSTRUCTIONS: dict[str, tuple[Opcode, ...]] = {
     "+": (Opcode.ADD,),
     "-": (Opcode.SUBTRACT,),
@@ -66,7 +66,7 @@
         }
 
     def program(self) -> Program:
-        """The compiled file."""
+        """Compile the file."""
         functions = [
             self._function(function.name, [name for name, _ in function.parameters], function.body)
             for function in self._file.functions
@@ -96,7 +96,7 @@
         return len(self._instructions) - 1
 
     def _set_target(self, position: int) -> None:
-        """Let the jump at a position lead to the next instruction."""
+        """Make the jump at `position` lead to the next instruction to be emitted."""
         opcode, a, b = self._instructions[position]
         target = len(self._instructions)
         self._instructions[position] = (opcode, a, target) if opcode == Opcode.FOR_NEXT else (opcode, target, b)
@@ -113,7 +113,7 @@
         self._emit(Opcode.LOAD_CONSTANT, self._constant_numbers[key])
 
     def _load_default(self, field_type: Type) -> None:
-        """The value of a field that is left out."""
+        """Load the value of an omitted field."""
         if field_type.is_list:
             self._emit(Opcode.BUILD_LIST, 0)
         else:
@@ -187,7 +187,7 @@
             self._emit(opcode)
 
     def _short_circuit(self, operation: tree.BinaryOperation, names: Locals) -> None:
-        """`and` or `or`, once the left operand is on the stack."""
+        """Compile the rest of `and` or `or` after the left operand, whose value is on the stack."""
         jump_if_false = self._emit(Opcode.JUMP_IF_FALSE)
         if operation.operator == "and":
             self._expression(operation.right, names)
@@ -233,7 +233,7 @@
             self._set_target(jump)
 
     def _match_literals(self, arm: tree.MatchArm, subject: int, names: Locals) -> int:
-        """Go on where the subject is one of an arm's literals; returns the position of the jump for all others."""
+        """Continue if the subject equals one of an arm's literals; returns the position of the jump taken otherwise."""
         jumps_to_result = []
         for literal in arm.literals[:-1]:
             self._compare_with(subject, literal, names)
@@ -253,7 +253,7 @@
     def _fold(self, fold: tree.Fold, names: Locals) -> None:
         self._expression(fold.items, names)
         items = self._new_local()
-        position = self._new_local()  # FOR_NEXT expects it behind the list
+        position = self._new_local()  # FOR_NEXT expects the position in the local after the list
         self._emit(Opcode.STORE_LOCAL, items)
         self._load_constant(0.0)
         self._emit(Opcode.STORE_LOCAL, position)
--- a/martenstep/hooks/expression_parser.py
+++ b/martenstep/hooks/expression_parser.py
@@ -16,27 +16,27 @@
 
 
 class ExpressionParser:
-    """The rules of blocks and expressions.
+    """Parses blocks and expressions.
 
-    `in_head` says that an expression stands in the head of if, match or for, where a brace begins the block.
+    `in_head` means that the expression is in the head of if, match or for, where a brace begins the block.
     """
 
     def __init__(self, tokens: Sequence[Token], nesting: int = 0) -> None:
-        """`nesting` is the depth at which the tokens stand in their source."""
+        """`nesting` is the nesting depth of the tokens in the whole source."""
         self.tokens = TokenStream(tokens)
         self._nesting = nesting
 
     @contextmanager
     def nested(self) -> Iterator[None]:
-        """One level deeper; raises HookSourceError beyond MAX_NESTING."""
+        """Parse one nesting level deeper; raises HookSourceError beyond MAX_NESTING."""
         self._nesting += 1
         if self._nesting > MAX_NESTING:
-            raise HookSourceError(self.tokens.next.location, f"nested deeper than {MAX_NESTING}")
+            raise HookSourceError(self.tokens.next.location, f"nested deeper than {MAX_NESTING} levels")
         yield
         self._nesting -= 1
 
     def list_of(self, opening: str, closing: str, parse_item: Callable[[], Item]) -> list[Item]:
-        """Items between two marks, with commas between them and at most one behind the last."""
+        """Items between two marks, separated by commas; a comma after the last item is allowed."""
         self.tokens.expect(opening)
         items: list[Item] = []
         while not self.tokens.is_next(closing):
@@ -47,13 +47,13 @@
         return items
 
     def block(self) -> tree.Block:
-        """Bindings and a result between braces."""
+        """Parse bindings and a result between braces."""
         location = self.tokens.expect("{").location
         with self.nested():
             bindings = []
             while self.tokens.is_next("let"):
                 self.tokens.take()
-                name = self.tokens.take_name("a name")
+                name = self.tokens.take_name("the name of a binding")
                 self.tokens.expect("=")
                 bindings.append((name, self.expression()))
                 self.tokens.expect(";")
@@ -62,21 +62,21 @@
         return tree.Block(bindings, result, location=location)
 
     def expression(self, in_head: bool = False) -> tree.Expression:
-        """A whole expression."""
+        """Parse a whole expression."""
         with self.nested():
             return self._operations(("or",), self._conjunction, in_head)
 
     def _operations(
         self, operators: tuple[str, ...], parse_operand: Callable[[bool], tree.Expression], in_head: bool
     ) -> tree.Expression:
-        """Operands with operators of one precedence between them, grouped from the left."""
+        """Parse operands separated by operators of one precedence, grouped from the left."""
         parsed = parse_operand(in_head)
         count = 0
         while self.tokens.is_next(*operators):
             token = self.tokens.take()
             count += 1
-            if count > MAX_NESTING:  # each makes the tree one level deeper
-                message = f"more than {MAX_NESTING} {token.text!r} in a row: use parentheses or let"
+            if count > MAX_NESTING:  # each operator makes the tree one level deeper
+                message = f"more than {MAX_NESTING} operators in a row, at {token.text!r}: use parentheses or let"
                 raise HookSourceError(token.location, message)
             parsed = tree.BinaryOperation(token.text, parsed, parse_operand(in_head), location=token.location)
         return parsed
@@ -117,7 +117,7 @@
             token = self.tokens.take()
             count += 1
             if count > MAX_NESTING:
-                raise HookSourceError(token.location, f"nested deeper than {MAX_NESTING}")
+                raise HookSourceError(token.location, f"more than {MAX_NESTING} field or index accesses in a row")
             if token.text == ".":
                 field_name = self.tokens.take_name("a field's name")
                 parsed = tree.FieldAccess(parsed, field_name, location=token.location)
@@ -147,7 +147,7 @@
             "for": self._fold,
         }.get(token.text)
         if parse_rule is None:
-            raise self.tokens.unexpected("a value")
+            raise self.tokens.unexpected("an expression")
         return parse_rule()
 
     def _named(self, in_head: bool) -> tree.Expression:
@@ -213,7 +213,7 @@
         return tree.MatchArm(literals, self.expression(), location=token.location)
 
     def _literal(self) -> tree.Expression:
-        """A number, duration, text or bool that is known before the hook runs."""
+        """Parse a number, duration, bool, or text without templates."""
         location = self.tokens.next.location
         is_negative = self.tokens.is_next("-")
         if is_negative:
@@ -225,7 +225,9 @@
             return parsed
         is_plain_text = isinstance(parsed, tree.TextLiteral) and all(isinstance(part, str) for part in parsed.parts)
         if is_negative or not (is_plain_text or isinstance(parsed, tree.BoolLiteral)):
-            raise HookSourceError(location, "expected a plain number, text, duration, true or false")
+            raise HookSourceError(
+                location, "match arm: expected a number, a duration, a text without templates, true or false"
+            )
         return parsed
 
     def _fold(self) -> tree.Expression:
@@ -234,7 +236,7 @@
         self.tokens.expect("in")
         items = self.expression(in_head=True)
         self.tokens.expect(",")
-        accumulator_name = self.tokens.take_name("the name of what is carried along")
+        accumulator_name = self.tokens.take_name("the accumulator's name")
         self.tokens.expect("=")
         initial = self.expression(in_head=True)
         return tree.Fold(item_name, items, accumulator_name, initial, self.block(), location=location)
--- a/martenstep/hooks/formatter.py
+++ b/martenstep/hooks/formatter.py
@@ -1,6 +1,7 @@
-"""Writes a syntax tree in the one usual form, which parses to the same tree.
+"""Formats a syntax tree as source in the standard layout, which parses to the same tree.
 
-Comments between functions, hooks and tests are kept; one inside of them has no place in the form and is an error.
+Comments between functions, hooks and tests are kept.  The syntax tree has no place for a comment inside one of them, so
+such a comment is an error.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 from martenstep.hooks.lexer import DURATION_UNITS_MS
 from martenstep.hooks.source import HookSourceError
 
-MAX_ONE_LINE_BLOCK = 70  # characters of a block that stands on one line, with its indent
+MAX_ONE_LINE_BLOCK = 70  # characters of a block on one line, including its indent
 INDENT = "  "
 ESCAPES = {"\n": "\\n", "\t": "\\t", '"': '\\"', "\\": "\\\\"}
-# How strongly an expression binds: what binds weaker than its place asks for needs parentheses.
+# The precedence of expressions: one of a lower precedence than its context requires needs parentheses.
 NEEDS_PARENTHESES = -1
 ANY_PRECEDENCE = 0
 NOT_PRECEDENCE = 3
@@ -40,20 +41,20 @@
 }
 
 
-class _Written(NamedTuple):
+class _Formatted(NamedTuple):
     text: str
     precedence: int
 
 
-class _Position(NamedTuple):
-    """Where an expression stands; in the head of if, match or for a record needs parentheses."""
+class _Context(NamedTuple):
+    """The context of an expression; in the head of if, match or for, a record needs parentheses."""
 
     depth: int  # of indentation
     in_head: bool = False
 
 
 def format_number(literal: tree.NumberLiteral) -> str:
-    """A number or duration that is not negative."""
+    """Format a number or duration that is not negative."""
     value = literal.value
     if not literal.is_duration:
         return f"{value:.17g}" if value != int(value) else f"{value:.0f}"
@@ -65,26 +66,26 @@
 
 
 def escape_text(text: str) -> str:
-    """The inside of a text."""
+    """Escape a piece of a text for use between quotes."""
     return "".join(ESCAPES.get(character, character) for character in text).replace("${", "\\${")
 
 
 def format_type(reference: tree.TypeReference) -> str:
-    """A type."""
+    """Format a type."""
     if reference.item_type is None:
         return reference.name
     return f"{reference.name}<{format_type(reference.item_type)}>"
 
 
-class _ExpressionWriter:
-    """Writes blocks and expressions."""
+class _ExpressionFormatter:
+    """Formats blocks and expressions."""
 
     def __init__(self) -> None:
-        self._rules: dict[type, Callable[[Any, _Position], _Written]] = {
+        self._rules: dict[type, Callable[[Any, _Context], _Formatted]] = {
             tree.NumberLiteral: self._number,
-            tree.BoolLiteral: lambda node, _: _Written("true" if node.value else "false", PRIMARY_PRECEDENCE),
+            tree.BoolLiteral: lambda node, _: _Formatted("true" if node.value else "false", PRIMARY_PRECEDENCE),
             tree.TextLiteral: self._text,
-            tree.NameReference: lambda node, _: _Written(node.name, PRIMARY_PRECEDENCE),
+            tree.NameReference: lambda node, _: _Formatted(node.name, PRIMARY_PRECEDENCE),
             tree.Call: self._call,
             tree.RecordLiteral: self._record,
             tree.ListLiteral: self._list,
@@ -95,111 +96,118 @@
             tree.Conditional: self._conditional,
             tree.Match: self._match,
             tree.Fold: self._fold,
-            tree.Block: lambda node, position: _Written(self.block(node, position.depth), PRIMARY_PRECEDENCE),
+            tree.Block: lambda node, context: _Formatted(self.block(node, context.depth), PRIMARY_PRECEDENCE),
         }
 
     def block(self, block: tree.Block, depth: int) -> str:
-        """A block: on one line where it is short and has no bindings."""
-        result = self._anywhere(block.result, depth + 1)
+        """Format a block, on one line if it is short and has no bindings."""
+        result = self._format_unparenthesized(block.result, depth + 1)
         is_short = "\n" not in result and len(result) + len(INDENT) * depth < MAX_ONE_LINE_BLOCK
         if depth and is_short and not block.bindings:
             return f"{{ {result} }}"
         indent = INDENT * (depth + 1)
         bindings = "".join(
-            f"{indent}let {name} = {self._anywhere(value, depth + 1)};\n" for name, value in block.bindings
+            f"{indent}let {name} = {self._format_unparenthesized(value, depth + 1)};\n"
+            for name, value in block.bindings
         )
         return f"{{\n{bindings}{indent}{result}\n{INDENT * depth}}}"
 
-    def _write(self, expression: tree.Expression, position: _Position, min_precedence: int) -> str:
-        """An expression, in parentheses where it binds weaker than `min_precedence`."""
-        text, precedence = self._rules[type(expression)](expression, position)
+    def _format(self, expression: tree.Expression, context: _Context, min_precedence: int) -> str:
+        """Format an expression, in parentheses if its precedence is below `min_precedence`."""
+        text, precedence = self._rules[type(expression)](expression, context)
         return f"({text})" if precedence < min_precedence else text
 
-    def _anywhere(self, expression: tree.Expression, depth: int) -> str:
-        """An expression where none needs parentheses."""
-        return self._write(expression, _Position(depth), ANY_PRECEDENCE)
+    def _format_unparenthesized(self, expression: tree.Expression, depth: int) -> str:
+        """Format an expression where no precedence needs parentheses."""
+        return self._format(expression, _Context(depth), ANY_PRECEDENCE)
 
-    def _head(self, expression: tree.Expression, depth: int) -> str:
-        return self._write(expression, _Position(depth, in_head=True), ANY_PRECEDENCE)
+    def _format_head(self, expression: tree.Expression, depth: int) -> str:
+        return self._format(expression, _Context(depth, in_head=True), ANY_PRECEDENCE)
 
-    def _row(self, expressions: list[tree.Expression], depth: int) -> str:
-        return ", ".join(self._anywhere(expression, depth) for expression in expressions)
+    def _comma_separated(self, expressions: list[tree.Expression], depth: int) -> str:
+        return ", ".join(self._format_unparenthesized(expression, depth) for expression in expressions)
 
-    def _number(self, literal: tree.NumberLiteral, _position: _Position) -> _Written:
+    def _number(self, literal: tree.NumberLiteral, _context: _Context) -> _Formatted:
         if literal.value >= 0:
-            return _Written(format_number(literal), PRIMARY_PRECEDENCE)
+            return _Formatted(format_number(literal), PRIMARY_PRECEDENCE)
         positive = tree.NumberLiteral(-literal.value, literal.is_duration, location=literal.location)
-        return _Written(f"-{format_number(positive)}", MINUS_PRECEDENCE)
+        return _Formatted(f"-{format_number(positive)}", MINUS_PRECEDENCE)
 
-    def _text(self, literal: tree.TextLiteral, _position: _Position) -> _Written:
+    def _text(self, literal: tree.TextLiteral, _context: _Context) -> _Formatted:
         parts = [
-            escape_text(part) if isinstance(part, str) else "${" + self._anywhere(part, 0) + "}"
+            escape_text(part) if isinstance(part, str) else "${" + self._format_unparenthesized(part, 0) + "}"
             for part in literal.parts
         ]
-        return _Written('"' + "".join(parts) + '"', PRIMARY_PRECEDENCE)
+        return _Formatted('"' + "".join(parts) + '"', PRIMARY_PRECEDENCE)
 
-    def _call(self, call: tree.Call, position: _Position) -> _Written:
-        arguments = self._row(call.arguments, position.depth)
-        return _Written(f"{call.function_name}({arguments})", PRIMARY_PRECEDENCE)
+    def _call(self, call: tree.Call, context: _Context) -> _Formatted:
+        arguments = self._comma_separated(call.arguments, context.depth)
+        return _Formatted(f"{call.function_name}({arguments})", PRIMARY_PRECEDENCE)
 
-    def _record(self, literal: tree.RecordLiteral, position: _Position) -> _Written:
-        fields = ", ".join(f"{name}: {self._anywhere(value, position.depth + 1)}" for name, value in literal.fields)
+    def _record(self, literal: tree.RecordLiteral, context: _Context) -> _Formatted:
+        fields = ", ".join(
+            f"{name}: {self._format_unparenthesized(value, context.depth + 1)}" for name, value in literal.fields
+        )
         text = f"{literal.type_name} {{ {fields} }}" if fields else f"{literal.type_name} {{}}"
-        return _Written(text, NEEDS_PARENTHESES if position.in_head else PRIMARY_PRECEDENCE)
+        return _Formatted(text, NEEDS_PARENTHESES if context.in_head else PRIMARY_PRECEDENCE)
 
-    def _list(self, literal: tree.ListLiteral, position: _Position) -> _Written:
-        return _Written(f"[{self._row(literal.items, position.depth)}]", PRIMARY_PRECEDENCE)
+    def _list(self, literal: tree.ListLiteral, context: _Context) -> _Formatted:
+        return _Formatted(f"[{self._comma_separated(literal.items, context.depth)}]", PRIMARY_PRECEDENCE)
 
-    def _field(self, access: tree.FieldAccess, position: _Position) -> _Written:
-        record = self._write(access.record, position, PRIMARY_PRECEDENCE)
-        return _Written(f"{record}.{access.field_name}", PRIMARY_PRECEDENCE)
+    def _field(self, access: tree.FieldAccess, context: _Context) -> _Formatted:
+        record = self._format(access.record, context, PRIMARY_PRECEDENCE)
+        return _Formatted(f"{record}.{access.field_name}", PRIMARY_PRECEDENCE)
 
-    def _index(self, access: tree.IndexAccess, position: _Position) -> _Written:
-        list_value = self._write(access.list_value, position, PRIMARY_PRECEDENCE)
-        return _Written(f"{list_value}[{self._anywhere(access.index, position.depth)}]", PRIMARY_PRECEDENCE)
+    def _index(self, access: tree.IndexAccess, context: _Context) -> _Formatted:
+        list_value = self._format(access.list_value, context, PRIMARY_PRECEDENCE)
+        return _Formatted(
+            f"{list_value}[{self._format_unparenthesized(access.index, context.depth)}]", PRIMARY_PRECEDENCE
+        )
 
-    def _unary(self, operation: tree.UnaryOperation, position: _Position) -> _Written:
+    def _unary(self, operation: tree.UnaryOperation, context: _Context) -> _Formatted:
         if operation.operator == "not":
-            return _Written(f"not {self._write(operation.operand, position, NOT_PRECEDENCE)}", NOT_PRECEDENCE)
-        return _Written(f"-{self._write(operation.operand, position, MINUS_PRECEDENCE)}", MINUS_PRECEDENCE)
+            return _Formatted(f"not {self._format(operation.operand, context, NOT_PRECEDENCE)}", NOT_PRECEDENCE)
+        return _Formatted(f"-{self._format(operation.operand, context, MINUS_PRECEDENCE)}", MINUS_PRECEDENCE)
 
-    def _binary(self, operation: tree.BinaryOperation, position: _Position) -> _Written:
+    def _binary(self, operation: tree.BinaryOperation, context: _Context) -> _Formatted:
         precedence = OPERATOR_PRECEDENCE[operation.operator]
-        is_comparison = precedence == COMPARISON_PRECEDENCE  # does not chain
-        left = self._write(operation.left, position, precedence + is_comparison)
-        right = self._write(operation.right, position, precedence + 1)
-        return _Written(f"{left} {operation.operator} {right}", precedence)
-
-    def _conditional(self, conditional: tree.Conditional, position: _Position) -> _Written:
-        depth = position.depth
-        condition = self._head(conditional.condition, depth)
+        is_comparison = (
+            precedence == COMPARISON_PRECEDENCE
+        )  # comparisons do not chain, so an operand that is one needs parentheses
+        left = self._format(operation.left, context, precedence + is_comparison)
+        right = self._format(operation.right, context, precedence + 1)
+        return _Formatted(f"{left} {operation.operator} {right}", precedence)
+
+    def _conditional(self, conditional: tree.Conditional, context: _Context) -> _Formatted:
+        depth = context.depth
+        condition = self._format_head(conditional.condition, depth)
         head = f"if {condition} {self.block(conditional.then_branch, depth)} else "
         other = conditional.else_branch
         if not other.bindings and isinstance(other.result, tree.Conditional):
-            return _Written(head + self._conditional(other.result, position).text, PRIMARY_PRECEDENCE)
-        return _Written(head + self.block(other, depth), PRIMARY_PRECEDENCE)
+            return _Formatted(head + self._conditional(other.result, context).text, PRIMARY_PRECEDENCE)
+        return _Formatted(head + self.block(other, depth), PRIMARY_PRECEDENCE)
 
-    def _match(self, match: tree.Match, position: _Position) -> _Written:
-        depth = position.depth
+    def _match(self, match: tree.Match, context: _Context) -> _Formatted:
+        depth = context.depth
         arms = "".join(self._match_arm(arm, depth) for arm in match.arms)
-        text = f"match {self._head(match.subject, depth)} {{\n{arms}{INDENT * depth}}}"
-        return _Written(text, PRIMARY_PRECEDENCE)
+        text = f"match {self._format_head(match.subject, depth)} {{\n{arms}{INDENT * depth}}}"
+        return _Formatted(text, PRIMARY_PRECEDENCE)
 
     def _match_arm(self, arm: tree.MatchArm, depth: int) -> str:
-        literals = " | ".join(self._anywhere(literal, depth) for literal in arm.literals) or "_"
-        return f"{INDENT * (depth + 1)}{literals} -> {self._anywhere(arm.result, depth + 1)},\n"
+        literals = " | ".join(self._format_unparenthesized(literal, depth) for literal in arm.literals) or "_"
+        return f"{INDENT * (depth + 1)}{literals} -> {self._format_unparenthesized(arm.result, depth + 1)},\n"
 
-    def _fold(self, fold: tree.Fold, position: _Position) -> _Written:
-        items = self._head(fold.items, position.depth)
-        initial = self._head(fold.initial, position.depth)
+    def _fold(self, fold: tree.Fold, context: _Context) -> _Formatted:
+        items = self._format_head(fold.items, context.depth)
+        initial = self._format_head(fold.initial, context.depth)
         head = f"for {fold.item_name} in {items}, {fold.accumulator_name} = {initial}"
-        return _Written(f"{head} {self.block(fold.body, position.depth)}", PRIMARY_PRECEDENCE)
+        return _Formatted(f"{head} {self.block(fold.body, context.depth)}", PRIMARY_PRECEDENCE)
 
 
 def format_file(file: tree.SourceFile) -> str:
-    """A whole file in its order; raises HookSourceError on a comment that would be lost."""
+    """Format a whole file in its order; raises HookSourceError for a comment that would be lost."""
     unordered: list[tree.Definition] = [*file.functions, *file.hooks, *file.tests]
-    definitions = file.definitions or [(each, each.location) for each in unordered]  # a tree that was not parsed
+    definitions = file.definitions or [(each, each.location) for each in unordered]  # built without the parser
     comments = list(file.comments)
     parts = []
     for definition, end in definitions:
@@ -207,7 +215,7 @@
         while comments and comments[0][0] < definition.location:
             comments_above += comments.pop(0)[1] + "\n"
         if comments and comments[0][0] < end:
-            message = "a comment inside a block: put it above the function, hook or test"
+            message = "comment inside a function, hook or test: move it above, the formatter cannot keep it"
             raise HookSourceError(comments[0][0], message)
         parts.append(comments_above + _format_definition(definition))
     if comments:
@@ -216,7 +224,7 @@
 
 
 def _format_definition(definition: tree.Definition) -> str:
-    body = _ExpressionWriter().block(definition.body, 0)
+    body = _ExpressionFormatter().block(definition.body, 0)
     match definition:
         case tree.FunctionDefinition():
             parameters = ", ".join(f"{name}: {format_type(kind)}" for name, kind in definition.parameters)
--- a/martenstep/hooks/lexer.py
+++ b/martenstep/hooks/lexer.py
@@ -16,13 +16,13 @@
 ESCAPE_SEQUENCES = {"n": "\n", "t": "\t", '"': '"', "\\": "\\", "$": "$"}
 TOKEN_PATTERN = re.compile(
     r"(?P<space>[ \t\r\n]+)|(?P<comment>#[^\n]*)|(?P<number>\d+(?:\.\d+)?(?P<unit>[A-Za-z_]\w*)?)"
-    r"|(?P<name>[A-Za-z_]\w*)|(?P<sign>->|==|!=|<=|>=|[-+*/%<>=(){}\[\],;:.|])",
+    r"|(?P<name>[A-Za-z_]\w*)|(?P<punctuation>->|==|!=|<=|>=|[-+*/%<>=(){}\[\],;:.|])",
     re.ASCII,
 )
 
 
 class TokenKind(Enum):
-    """What a token is."""
+    """The kinds of tokens."""
 
     NUMBER = auto()
     DURATION = auto()
@@ -44,7 +44,8 @@
 class Token:
     """One token.
 
-    `value` is a number's, in milliseconds for a duration; `parts` are a text's pieces and templates, by turns.
+    `value` is that of a number or, in milliseconds, of a duration; `parts` are the pieces of a text, alternating with
+    its templates.
     """
 
     kind: TokenKind
@@ -55,10 +56,10 @@
 
 
 class Lexer:
-    """Reads one source; `comments` has its comments once `tokens` has returned."""
+    """Splits one source into tokens; `comments` has its comments after `tokens` has returned."""
 
     def __init__(self, source: str) -> None:
-        """`source` is read by `tokens`."""
+        """`source` is split by `tokens`."""
         self._source = source
         self._position = 0
         self._line = 1
@@ -66,7 +67,7 @@
         self.comments: list[tuple[SourceLocation, str]] = []
 
     def tokens(self) -> list[Token]:
-        """All tokens, END as the last; raises HookSourceError."""
+        """All tokens, of which the last is END; raises HookSourceError."""
         found: list[Token] = []
         while self._position < len(self._source):
             token = self._next_token(template_nesting=0)
@@ -81,7 +82,7 @@
     def _template_tokens(self, nesting: int) -> tuple[Token, ...]:
         """The tokens up to the brace that closes a template."""
         if nesting > MAX_TEMPLATE_NESTING:
-            raise HookSourceError(self._location(), "templates are nested too deep")
+            raise HookSourceError(self._location(), f"templates are nested deeper than {MAX_TEMPLATE_NESTING} levels")
         found: list[Token] = []
         open_braces = 0
         while self._position < len(self._source):
@@ -94,16 +95,16 @@
             if token.kind is TokenKind.PUNCTUATION:
                 open_braces += (token.text == "{") - (token.text == "}")
             found.append(token)
-        raise HookSourceError(self._location(), "expected '}' that closes the template, got the end of the file")
+        raise HookSourceError(self._location(), "expected '}' to close the template, got the end of the file")
 
     def _next_token(self, template_nesting: int) -> Token | None:
-        """The token at the position; None for space and comments."""
+        """The token at the current position, or None for white space and comments."""
         location = self._location()
         if self._source[self._position] == '"':
             return self._text(template_nesting)
         match = TOKEN_PATTERN.match(self._source, self._position)
         if match is None:
-            raise HookSourceError(location, f"no word begins with {self._source[self._position]!r}")
+            raise HookSourceError(location, f"no token begins with the character {self._source[self._position]!r}")
         text = match.group()
         self._advance_to(match.end())
         if match["space"] is not None:
@@ -131,7 +132,7 @@
         if unit is None:
             return Token(TokenKind.NUMBER, text, location, float(text))
         if unit not in DURATION_UNITS_MS:
-            raise HookSourceError(location, f"expected a number, or one with ms, s, m or h, got {text!r}")
+            raise HookSourceError(location, f"expected a number, or a duration in ms, s, m or h, got {text!r}")
         milliseconds = float(text[: -len(unit)]) * DURATION_UNITS_MS[unit]
         return Token(TokenKind.DURATION, text, location, milliseconds)
 
@@ -142,7 +143,7 @@
         characters: list[str] = []
         while True:
             if self._position >= len(self._source) or self._source[self._position] == "\n":
-                raise HookSourceError(location, "a text that is not closed on its line")
+                raise HookSourceError(location, "the text is not closed with '\"' on the same line")
             character = self._source[self._position]
             if character == '"':
                 self._position += 1
@@ -162,6 +163,8 @@
     def _escape_sequence(self) -> str:
         escape = self._source[self._position + 1 : self._position + 2]
         if escape not in ESCAPE_SEQUENCES:
-            raise HookSourceError(self._location(), f'no such escape: \\{escape} (there are: \\n \\t \\" \\\\ \\$)')
+            raise HookSourceError(
+                self._location(), f'unknown escape sequence \\{escape} in a text (there are: \\n \\t \\" \\\\ \\$)'
+            )
         self._position += 2
         return ESCAPE_SEQUENCES[escape]
--- a/martenstep/hooks/operators.py
+++ b/martenstep/hooks/operators.py
@@ -1,4 +1,4 @@
-"""The binary operators of the virtual machine, and how it writes a value as text."""
+"""The binary operators of the virtual machine, and the formatting of values as text."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def format_value(value: float | str | bool, is_duration: bool) -> str:
-    """A scalar as a text."""
+    """Format a scalar as text."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, str):
@@ -25,9 +25,9 @@
 
 
 def require_finite(value: float) -> float:
-    """The number itself; raises HookRunError if it is infinite or none."""
+    """Return the number; raises HookRunError if it is infinite or NaN."""
     if not math.isfinite(value):
-        raise HookRunError("number", "not a finite number")
+        raise HookRunError("number", "the result is not a finite number")
     return value
 
 
@@ -45,13 +45,13 @@
 
 def _divide(_context: RunContext, left: float, right: float) -> float:
     if not right:
-        raise HookRunError("number", "divided by nothing")
+        raise HookRunError("number", "division by zero")
     return require_finite(left / right)
 
 
 def _modulo(_context: RunContext, left: float, right: float) -> float:
     if not right:
-        raise HookRunError("number", "divided by nothing")
+        raise HookRunError("number", "division by zero")
     return require_finite(math.fmod(left, right))
 
 
@@ -87,7 +87,7 @@
 
 def _load_item(_context: RunContext, items: list[Any], index: float) -> Any:  # noqa: ANN401  # a value of the language
     if not 0 <= index < len(items):
-        raise HookRunError("index", f"no item {format_value(index, False)} of {len(items)}")
+        raise HookRunError("index", f"item {format_value(index, False)} does not exist, the list has {len(items)}")
     return items[int(index)]
 
 
--- a/martenstep/hooks/parser.py
+++ b/martenstep/hooks/parser.py
@@ -1,4 +1,4 @@
-"""From a hook's source to its syntax tree.
+"""Parses the source of hooks to a syntax tree.
 
 The grammar:
 
@@ -24,8 +24,8 @@
              | "for" NAME "in" expr "," NAME "=" expr block ;
     arm      = ( "_" | literal { "|" literal } ) "->" expr ;
 
-A TEXT holds templates: "${expr}".  A DURATION is a number with ms, s, m or h behind it.  "#" begins a comment.  In the
-head of if, match and for, a record needs parentheses: else its brace would be the block's.
+A TEXT holds templates: "${expr}".  A DURATION is a number followed by ms, s, m or h.  "#" begins a comment.  In the
+head of if, match and for, a record needs parentheses: without them its brace would begin the block.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 
 
 class _FileParser(ExpressionParser):
-    """The rules of functions, hooks and tests."""
+    """Parses functions, hooks and tests."""
 
     def file(self) -> tree.SourceFile:
-        """The whole file; raises HookSourceError."""
+        """Parse the whole file; raises HookSourceError."""
         parsed = tree.SourceFile([], [], [])
         while not self.tokens.at_end:
             definition = self._definition(parsed)
@@ -72,15 +72,15 @@
 
     def _hook(self) -> tree.HookDefinition:
         location = self.tokens.take().location
-        point = self.tokens.take_name("the point's name")
-        parameters = self.list_of("(", ")", lambda: self.tokens.take_name("a name"))
+        point = self.tokens.take_name("the name of an extension point")
+        parameters = self.list_of("(", ")", lambda: self.tokens.take_name("a parameter's name"))
         return tree.HookDefinition(point, parameters, self.block(), location=location)
 
     def _test(self) -> tree.TestDefinition:
         location = self.tokens.take().location
         title = self.tokens.next
         if title.kind is not TokenKind.TEXT or len(title.parts) != 1:
-            raise self.tokens.unexpected("the test's title as a plain text")
+            raise self.tokens.unexpected("the test's title, a text without templates")
         self.tokens.take()
         return tree.TestDefinition(str(title.parts[0]), self.block(), location=location)
 
@@ -103,8 +103,11 @@
 
 def parse(source: str) -> tree.SourceFile:
     """The syntax tree of a source; raises HookSourceError."""
-    if len(source.encode("utf-8", "surrogatepass")) > MAX_SOURCE_BYTES:
-        raise HookSourceError(SourceLocation(1, 1), f"expected no more than {MAX_SOURCE_BYTES} bytes")
+    size = len(source.encode("utf-8", "surrogatepass"))
+    if size > MAX_SOURCE_BYTES:
+        raise HookSourceError(
+            SourceLocation(1, 1), f"expected a source of at most {MAX_SOURCE_BYTES} bytes, got {size}"
+        )
     lexer = Lexer(source)
     parsed = _FileParser(lexer.tokens()).file()
     parsed.comments = lexer.comments
--- a/martenstep/hooks/pattern_parser.py
+++ b/martenstep/hooks/pattern_parser.py
@@ -1,7 +1,7 @@
-"""Parses regular expressions of the hook language.
+r"""Parses regular expressions of the hook language.
 
-Known: characters, `.`, classes `[a-z0-9]` and `[^...]`, the escapes of digits, word characters and space with their
-capitals, `^`, `$`, `( )`, `|`, `* + ?`, `{m}`, `{m,}` and `{m,n}`.  There are no back-references.
+A pattern may use characters, `.`, classes such as `[a-z0-9]` and `[^...]`, the escapes `\d`, `\w`, `\s` and their
+inversions `\D`, `\W`, `\S`, `^`, `$`, `( )`, `|`, `* + ?`, `{m}`, `{m,}` and `{m,n}`.  There are no back-references.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 import string
 from dataclasses import dataclass
 
-MAX_REPEATS = 32  # of a counted repeat, whose states are made so often
+MAX_REPEATS = 32  # of a counted repeat, which copies the states of its part as many times
 MAX_NESTING = 20
 ESCAPED_CLASSES = {"d": string.digits, "w": string.ascii_letters + string.digits + "_", "s": string.whitespace}
 REPEAT_MARKS = ("*", "+", "?", "{")
 
 
 class PatternError(Exception):
-    """A pattern that cannot be compiled; the message has the position, counted from 0."""
+    """A pattern that cannot be compiled; the message has the position in the pattern, counted from 0."""
 
 
 @dataclass(frozen=True, slots=True)
 class CharacterSet:
-    """The characters of some ranges, or all but these."""
+    """The characters in some ranges or, if inverted, all others."""
 
     ranges: tuple[tuple[str, str], ...]
     is_inverted: bool = False
@@ -33,31 +33,31 @@
 
 @dataclass(frozen=True, slots=True)
 class TextStart:
-    """`^`."""
+    """`^`: matches at the start of the text."""
 
 
 @dataclass(frozen=True, slots=True)
 class TextEnd:
-    """`$`."""
+    """`$`: matches at the end of the text."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sequence:
-    """Parts one behind the other."""
+    """Parts that match one after the other."""
 
     parts: tuple[PatternNode, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Alternatives:
-    """One of several."""
+    """`|`: matches if one of the options does."""
 
     options: tuple[PatternNode, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Repeat:
-    """A part several times; without a maximum, any number of times."""
+    """A repeated part; a maximum of None means any number of times."""
 
     part: PatternNode
     min_times: int
@@ -75,26 +75,26 @@
     """Parses one pattern."""
 
     def __init__(self, pattern: str) -> None:
-        """`pattern` is read by `parse`."""
+        """`pattern` is parsed by `parse`."""
         self._pattern = pattern
         self._position = 0
 
     def parse(self) -> PatternNode:
-        """The whole pattern; raises PatternError."""
+        """Parse the whole pattern; raises PatternError."""
         parsed = self._alternatives(0)
         if self._position < len(self._pattern):
-            raise self._error("a ')' that nothing opened")
+            raise self._error("')' without '('")
         return parsed
 
     def _error(self, message: str, offset: int = 0) -> PatternError:
-        return PatternError(f"at {self._position + offset}: {message}")
+        return PatternError(f"at position {self._position + offset}: {message}")
 
     def _peek(self) -> str:
         return self._pattern[self._position : self._position + 1]
 
     def _alternatives(self, nesting: int) -> PatternNode:
         if nesting > MAX_NESTING:
-            raise self._error(f"nested deeper than {MAX_NESTING}")
+            raise self._error(f"groups are nested deeper than {MAX_NESTING} levels")
         options = [self._sequence(nesting)]
         while self._peek() == "|":
             self._position += 1
@@ -117,7 +117,7 @@
             self._position += 1
             repeat = Repeat(part, 1 if mark == "+" else 0, 1 if mark == "?" else None)
         if self._peek() in REPEAT_MARKS:
-            raise self._error("a repeat of a repeat")
+            raise self._error("a repeat directly after another repeat")
         return repeat
 
     def _counted_repeat(self, part: PatternNode) -> Repeat:
@@ -127,7 +127,7 @@
             end > 0 and low.isascii() and low.isdigit() and (not high or (high.isascii() and high.isdigit()))
         )
         if not is_well_formed or max(int(low), int(high or 0)) > MAX_REPEATS or (high and int(high) < int(low)):
-            raise self._error(f"expected a repeat such as {{2,5}} of no more than {MAX_REPEATS}")
+            raise self._error(f"expected a repeat such as {{2,5}} with counts of at most {MAX_REPEATS}")
         self._position = end + 1
         if high:
             return Repeat(part, int(low), int(high))
@@ -150,13 +150,13 @@
             case "$":
                 return TextEnd()
         if character in REPEAT_MARKS:
-            raise self._error("nothing to repeat", offset=-1)
+            raise self._error(f"nothing before {character!r} to repeat", offset=-1)
         return _single(character)
 
     def _group(self, nesting: int) -> PatternNode:
         parsed = self._alternatives(nesting + 1)
         if self._peek() != ")":
-            raise self._error("expected ')'")
+            raise self._error("expected ')' to close the group")
         self._position += 1
         return parsed
 
@@ -167,7 +167,7 @@
             members = ESCAPED_CLASSES[character.lower()]
             return CharacterSet(tuple((member, member) for member in members), character.isupper())
         if not character or character.isalnum():
-            raise self._error(f"no such escape: \\{character}", offset=-1)
+            raise self._error(f"unknown escape sequence \\{character}", offset=-1)
         return _single(character)
 
     def _character_class(self) -> CharacterSet:
@@ -180,15 +180,15 @@
         return CharacterSet(tuple(ranges), is_inverted)
 
     def _class_ranges(self) -> tuple[tuple[str, str], ...]:
-        """One character, range or escape of a class."""
+        """Parse one character, range or escape in a class."""
         low = self._peek()
         if not low:
-            raise self._error("expected ']'")
+            raise self._error("expected ']' to close the character class")
         self._position += 1
         if low == "\\":
             escaped = self._escape()
             if escaped.is_inverted:
-                raise self._error("not in a class: a capital's escape")
+                raise self._error("an inverted escape such as \\D is not allowed in a character class")
             return escaped.ranges
         is_range = self._peek() == "-" and self._pattern[self._position + 1 : self._position + 2] not in ("", "]")
         if not is_range:
@@ -196,5 +196,5 @@
         high = self._pattern[self._position + 1]
         self._position += 2
         if high < low:
-            raise self._error("a range that runs backwards")
+            raise self._error(f"the range {low}-{high} runs backwards")
         return ((low, high),)
--- a/martenstep/hooks/regex.py
+++ b/martenstep/hooks/regex.py
@@ -23,10 +23,10 @@
 
 
 class _StateKind(Enum):
-    CHARACTER = auto()  # on to `next` by a character of the set
-    SPLIT = auto()  # on to `next` and to `alternative`
-    TEXT_START = auto()
-    TEXT_END = auto()
+    CHARACTER = auto()  # consumes a character of the set, then `next`
+    SPLIT = auto()  # continues at both `next` and `alternative`
+    TEXT_START = auto()  # continues at `next` only at the start of the text
+    TEXT_END = auto()  # continues at `next` only at the end of the text
     ACCEPT = auto()
 
 
@@ -34,11 +34,11 @@
     kind: _StateKind
     next: int = 0
     alternative: int = 0
-    characters: CharacterSet | None = None  # of a CHARACTER state only
+    characters: CharacterSet | None = None  # only in a CHARACTER state
 
 
 class Pattern:
-    """A compiled pattern, which may match anywhere in a text."""
+    """A compiled pattern, which matches anywhere in a text unless it is anchored."""
 
     def __init__(self, text: str) -> None:
         """Compiles `text`; raises PatternError."""
@@ -48,17 +48,17 @@
 
     @property
     def state_count(self) -> int:
-        """What one character of a text may cost."""
+        """The number of states, which bounds the cost of one character of a text."""
         return len(self._states)
 
     def _add(self, state: _State) -> int:
         if len(self._states) >= MAX_STATES:
-            raise PatternError(f"more than {MAX_STATES} states")
+            raise PatternError(f"the pattern needs more than {MAX_STATES} states")
         self._states.append(state)
         return len(self._states) - 1
 
     def _compile(self, node: PatternNode, then: int) -> int:
-        """Make the states of a part that goes on to `then`; returns its first state."""
+        """Add the states of a node, after which matching continues at `then`; returns the first of them."""
         match node:
             case CharacterSet():
                 return self._add(_State(_StateKind.CHARACTER, then, characters=node))
@@ -91,7 +91,7 @@
         return then
 
     def search(self, text: str) -> bool:
-        """Whether it matches anywhere in a text; each character looks at each state once."""
+        """Whether the pattern matches anywhere in a text; each character visits each state at most once."""
         current: set[int] = set()
         for position in range(len(text) + 1):
             self._add_reachable(self._start, position, len(text), current)
@@ -108,7 +108,7 @@
         return False
 
     def _add_reachable(self, start: int, position: int, text_length: int, reachable: set[int]) -> None:
-        """Add the states that are reached from `start` without a character."""
+        """Add the states that can be reached from `start` without consuming a character."""
         pending = [start]
         while pending:
             state = pending.pop()
--- a/martenstep/hooks/release_history.py
+++ b/martenstep/hooks/release_history.py
@@ -1,4 +1,7 @@
-"""What happened to the releases at one gateway: lines of JSON, so that a release stays rolled back over a restart."""
+"""The history of the releases at one gateway, as lines of JSON.
+
+A restarted gateway reads it, so that a release that was rolled back stays out of service.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +13,15 @@
 
 from martenstep.event_log import LogFields
 
-MAX_READ_BYTES = 1_048_576  # at the end of the file
+MAX_READ_BYTES = 1_048_576  # from the end of the file
 ROLLED_BACK_EVENT = "hooks withdrawn"
 
 
 class ReleaseHistory:
-    """The history of one gateway."""
+    """The history file of one gateway."""
 
     def __init__(self, path: Path, gateway: str) -> None:
-        """`gateway` is named in each line."""
+        """`gateway` is the name written to each line."""
         self._path = path
         self._gateway = gateway
 
@@ -30,7 +33,7 @@
             file.write(json.dumps(line).encode() + b"\n")
 
     def lines(self) -> list[dict[str, Any]]:
-        """The lines, the oldest first, without those that cannot be read; raises OSError."""
+        """The lines from the oldest to the newest, without malformed ones; raises OSError."""
         if not self._path.exists():
             return []
         with self._path.open("rb") as file:
--- a/martenstep/hooks/release_manager.py
+++ b/martenstep/hooks/release_manager.py
@@ -1,12 +1,12 @@
-"""Which release of hooks is in service for whom, and when one is rolled back.
+"""Selects the releases of hooks in service for each customer, and rolls back unhealthy ones.  No I/O, no clock.
 
-No I/O, no clock.
+The newest full release is in service for all customers except those of a newer canary release.  A hash of the customer
+alone decides whether the customer belongs to a canary, so that all gateways agree without messages and a wider canary
+includes the customers of a narrower one.
 
-The newest full release is in service for all customers but those of a canary release beyond it.  Who belongs to a
-canary follows from a hash of the customer alone, so that all gateways agree without a message between them, and a wider
-canary keeps the customers of a narrower one.  A release that fails or costs too much is rolled back at this gateway: a
-canary when the circuit breaker of a hook opens, a full one once that has happened several times in a row, and either by
-its share of failures or its mean steps.  It stays rolled back; a release of a higher version takes its place.
+A release that fails or costs too much is rolled back at this gateway: a canary when the circuit breaker of one hook
+opens, a full release when that happens MAX_OPENINGS times in a row, and either when its share of failures or its mean
+steps exceed a limit.  It stays rolled back; a release of a higher version replaces it.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 
 class SelectedReleases(NamedTuple):
-    """The full release that is to be in service, and the canary beside it."""
+    """The full release and the canary that should be in service."""
 
     full: Release | None
     canary: Release | None
 
 
 def select_releases(releases: Iterable[Release], rolled_back: Collection[int]) -> SelectedReleases:
-    """Which of some releases are to be in service; `rolled_back` has versions that are not."""
+    """The releases that should be in service, without the versions in `rolled_back`."""
     candidates = sorted(
         (release for release in releases if release.version not in rolled_back), key=lambda release: release.version
     )
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveReleases:
-    """What is in service at one moment; a request keeps the one that it began with."""
+    """The runners in service at one moment; a request keeps the object that it began with."""
 
     full: Runner | None = None
     canary: Runner | None = None
@@ -53,7 +53,7 @@
 
 
 class ReleaseManager:
-    """The releases that one gateway knows."""
+    """The releases of one gateway, and the runners of those in service."""
 
     def __init__(
         self,
@@ -63,19 +63,19 @@
         rolled_back: Iterable[int] = (),
         begin_deadline: Callable[[], Callable[[], bool]] = lambda: never_overdue,
     ) -> None:
-        """`rolled_back` has versions that were rolled back before; `begin_deadline` begins the deadline of a run."""
+        """`rolled_back` has the versions rolled back before; `begin_deadline` starts the deadline of a run."""
         self._limits = limits
         self._log_event = log_event
         self._known: dict[int, Release] = {}
         self._runners: dict[int, Runner] = {}
         self.rolled_back = set(rolled_back)
         self.active = ActiveReleases()
-        self.counts: Counter[str] = Counter()  # over all releases
+        self.counts: Counter[str] = Counter()  # of all releases
         self._runner_context = RunnerContext(log_event, self.counts, begin_deadline, self._roll_back)
 
     @property
     def active_versions(self) -> dict[str, int]:
-        """The versions in service, under the names that metrics and log lines have for them; 0 where there is none."""
+        """The versions in service under their names in metrics and log lines; 0 where none is in service."""
         full, canary = self.active.full, self.active.canary
         return {
             "whole": full.release.version if full else 0,
@@ -83,13 +83,13 @@
         }
 
     def set_limits(self, limits: HealthLimits) -> None:
-        """Take over other limits, also for the releases in service."""
+        """Replace the limits, also for the releases in service."""
         self._limits = limits
         for runner in self._runners.values():
             runner.limits = limits
 
     def replace_releases(self, releases: Sequence[Release]) -> None:
-        """Take up the releases that there are now.  A version keeps the contents under which it is known."""
+        """Replace the known releases; a version that was known before keeps the contents that it had."""
         found: dict[int, Release] = {}
         for release in releases:
             known = self._known.get(release.version)
@@ -102,7 +102,7 @@
         self._activate("loaded")
 
     def _activate(self, cause: str) -> None:
-        """Put the releases into service that are to be there."""
+        """Put the selected releases into service, and log a change."""
         full, canary = select_releases(self._known.values(), self.rolled_back)
         selected = [release for release in (full, canary) if release is not None]
         self._runners = {release.version: self._runner_of(release) for release in selected}
@@ -119,7 +119,7 @@
         return known if known is not None else Runner(release, self._limits, self._runner_context)
 
     def _roll_back(self, release: Release, reason: str) -> None:
-        """Take an unhealthy release out of service, so that the one before it is in service again."""
+        """Take an unhealthy release out of service, and put the previous one into service."""
         if release.version in self.rolled_back:
             return
         self.rolled_back.add(release.version)
--- a/martenstep/hooks/runner.py
+++ b/martenstep/hooks/runner.py
@@ -1,10 +1,10 @@
-"""Runs the hooks of one release at their extension points, and keeps their failures from the requests.
+"""Runs the hooks of one release at their extension points, and isolates requests from their failures.
 
 No I/O, no clock.
 
-A hook that fails in any way (its budget, its deadline, its result) costs its request nothing but the default.  The
-failure is counted and, within a bound, logged; a circuit breaker stops the hook for a while once it has failed too
-often.  The health of the release as a whole is watched as well: see `HealthLimits`.
+When a hook fails (budget exceeded, deadline exceeded, result not accepted), its request continues with the default.
+The failure is counted and, up to MAX_LOGGED_FAILURES in a window, logged.  After MAX_FAILURES in a window, a circuit
+breaker stops the hook for OPEN_MS.  The health of the whole release is checked as well: see `HealthLimits`.
 """
 
 from __future__ import annotations
@@ -20,32 +20,33 @@
 from martenstep.hooks.run_context import HookRunError, never_overdue
 from martenstep.hooks.virtual_machine import VirtualMachine
 
-MAX_FAILURES = 10  # within a window, then the circuit breaker opens
+MAX_FAILURES = 10  # of a hook within a window; the circuit breaker opens at the last of them
 FAILURE_WINDOW_MS = 10_000.0
-OPEN_MS = 30_000.0  # of the circuit breaker; then one run is a trial
+OPEN_MS = 30_000.0  # the circuit breaker stays open; then one run tests the hook (half-open)
 MAX_LOGGED_FAILURES = 3  # of a hook within a window
-MAX_OPENINGS = 3  # in a row, without a good run between, of a full release
+MAX_OPENINGS = 3  # of a circuit breaker without a successful run in between; then a full release is unhealthy
 MAX_ERROR_CHARACTERS = 300  # in a log line
-INVALID_RESULT_KIND = "border"  # in metrics and log lines
+INVALID_RESULT_KIND = "border"  # its name in metrics
 
 Result = TypeVar("Result")
 
 
 @dataclass(frozen=True, slots=True)
 class HealthLimits:
-    """What all runs of a release may fail and cost within a window before it is unhealthy."""
+    """The failures and the cost of all runs within a window above which a release is unhealthy."""
 
     max_failure_share: float = 0.05
     max_mean_steps: float = 400.0
-    min_runs: int = 100  # fewer prove nothing
+    min_runs: int = 100  # fewer are too small a sample to judge a release
     window_ms: float = 60_000.0
 
 
 @dataclass(slots=True)
 class RunnerContext:
-    """What a runner is given by its gateway.
+    """The functions and counts that a gateway gives to its runners.
 
-    `begin_deadline` begins the deadline of a run, `on_unhealthy` is called once with the release and the reason.
+    `begin_deadline` starts the deadline of a run and returns a check whether the run is overdue; `on_unhealthy` is
+    called once for each runner, with the release and the reason.
     """
 
     log_event: EventLog
@@ -62,30 +63,30 @@
     machine: VirtualMachine
     function: int
     applies_to_all: bool
-    good_runs_key: str  # of the counts
-    window_began: float = 0.0
+    success_count_key: str  # the name in the counts of its successful runs
+    window_start: float = 0.0
     failures: int = 0  # within the window
     open_until: float = 0.0
     is_half_open: bool = False
-    openings: int = 0  # in a row
+    consecutive_openings: int = 0  # of the circuit breaker, without a successful run in between
 
     def begin_window(self, now: float) -> None:
-        self.window_began = now
+        self.window_start = now
         self.failures = 0
 
 
 @dataclass(slots=True)
 class _WindowTotals:
-    """Of all hooks of the release, within one window."""
+    """The runs of all hooks of the release within one window."""
 
-    began: float = 0.0
+    start: float = 0.0
     runs: int = 0
     failures: int = 0
     steps: int = 0
 
 
 class Runner:
-    """The hooks of one release; a request keeps the runner that it began with."""
+    """Runs the hooks of one release; a request keeps the runner that it began with."""
 
     def __init__(self, release: Release, limits: HealthLimits, context: RunnerContext) -> None:
         """`limits` may be replaced at any time."""
@@ -109,14 +110,14 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Runs, failures and openings, by extension point."""
+        """Successful runs, failures by kind, skipped runs and openings of circuit breakers, by extension point."""
         return self._counts
 
     def has(self, point: str) -> bool:
-        """Whether there is a hook at an extension point."""
+        """Whether the release has a hook at an extension point."""
         return point in self._hooks_by_point
 
-    def call(  # noqa: PLR0913  # once for each request and point: no object is made for its arguments
+    def call(  # noqa: PLR0913  # called for each request and point: avoids allocating an object for its arguments
         self,
         now: float,
         point: str,
@@ -126,9 +127,10 @@
         accept: Callable[[Any], Result],
         default: Result,
     ) -> Result:
-        """What `accept` makes of the result of the hook for a customer; the default where there is none, or it fails.
+        """Run the hook for a customer and return its result as converted by `accept`.
 
-        `accept` raises InvalidResultError; times are in milliseconds.
+        Returns the default if no hook applies, its circuit breaker is open, or it fails.  `accept` raises
+        InvalidResultError for a result that is not allowed.  Times are in milliseconds.
         """
         for installed in self._hooks_by_point.get(point, ()):
             if installed.applies_to_all or installed.hook.applies_to(customer, plan):
@@ -138,9 +140,9 @@
         if installed.open_until > now:
             self._counts[f"{point} left alone"] += 1
             return default
-        if now - installed.window_began >= FAILURE_WINDOW_MS:
+        if now - installed.window_start >= FAILURE_WINDOW_MS:
             installed.begin_window(now)
-        if now - self._totals.began >= self.limits.window_ms:
+        if now - self._totals.start >= self.limits.window_ms:
             self._totals = _WindowTotals(now)
         machine = installed.machine
         machine.begin(self._context.begin_deadline())
@@ -152,8 +154,8 @@
             result = default
         else:
             installed.is_half_open = False
-            installed.openings = 0
-            self._counts[installed.good_runs_key] += 1
+            installed.consecutive_openings = 0
+            self._counts[installed.success_count_key] += 1
         self._record_cost(machine.used_steps)
         return result
 
@@ -180,10 +182,10 @@
         installed.open_until = now + OPEN_MS
         installed.is_half_open = True
         installed.failures = 0
-        installed.openings += 1
+        installed.consecutive_openings += 1
         self._counts[f"{hook.point} breaks"] += 1
         self._context.log_event("hook left alone", {**self._log_fields(hook), "for_ms": OPEN_MS})
-        if self.release.is_canary or installed.openings >= MAX_OPENINGS:
+        if self.release.is_canary or installed.consecutive_openings >= MAX_OPENINGS:
             self._set_unhealthy(f"{hook.name}: {error}"[:MAX_ERROR_CHARACTERS])
 
     def _log_fields(self, hook: Hook) -> dict[str, Any]:
@@ -193,10 +195,14 @@
         limits = self.limits
         totals = self._totals
         if totals.failures > limits.max_failure_share * totals.runs:
-            self._set_unhealthy(f"{totals.failures} of {totals.runs} runs failed")
+            self._set_unhealthy(
+                f"{totals.failures} of {totals.runs} runs failed, the allowed share is {limits.max_failure_share:g}"
+            )
         elif totals.steps > limits.max_mean_steps * totals.runs:
             mean_steps = totals.steps / totals.runs
-            self._set_unhealthy(f"{mean_steps:.0f} steps a run, at most {limits.max_mean_steps:g}")
+            self._set_unhealthy(
+                f"a run takes {mean_steps:.0f} steps on average, the allowed mean is {limits.max_mean_steps:g}"
+            )
 
     def _set_unhealthy(self, reason: str) -> None:
         if not self._is_unhealthy:
--- a/martenstep/hooks/signing.py
+++ b/martenstep/hooks/signing.py
@@ -1,4 +1,4 @@
-"""Signatures of releases: Ed25519 (RFC 8032) over the bytes of a manifest, which vouch for the sources."""
+"""Signatures of releases: Ed25519 (RFC 8032) over the bytes of a manifest, which has the SHA-256 of each source."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from martenstep.hooks.bounded_files import ReleaseError, read_bounded
 
 SIGNATURE_FILE = "manifest.sig"
-SIGNING_DOMAIN = b"martenstep hooks manifest 1\n"  # a signature made for this is not valid for anything else
+SIGNING_DOMAIN = b"martenstep hooks manifest 1\n"  # makes a signature valid for manifests only
 PUBLIC_KEY_BYTES = 32
 MAX_SIGNATURE_BYTES = 1024
 MAX_KEY_FILE_BYTES = 16_384
@@ -29,18 +29,18 @@
 
 
 def parse_public_key(text: str) -> Ed25519PublicKey:
-    """A public key from hex; raises ValueError."""
+    """Parse a public key from hex; raises ValueError."""
     try:
         raw = bytes.fromhex(text)
     except ValueError:
         raw = b""
     if len(raw) != PUBLIC_KEY_BYTES:
-        raise ValueError("expected an Ed25519 key of 64 hex digits")
+        raise ValueError("expected an Ed25519 public key of 64 hex digits")
     return Ed25519PublicKey.from_public_bytes(raw)
 
 
 def create_private_key(path: Path) -> str:
-    """Write a new private key that only its owner may read; returns the public one in hex.
+    """Write a new private key to a file that only its owner may read; returns the public key in hex.
 
     Raises OSError, also if the file exists.
     """
@@ -53,23 +53,23 @@
 
 
 def load_private_key(path: Path) -> Ed25519PrivateKey:
-    """A private key from a PEM file; raises ReleaseError."""
+    """Load an unencrypted private key from a PEM file; raises ReleaseError."""
     try:
         key = load_pem_private_key(read_bounded(path, MAX_KEY_FILE_BYTES), None)
     except (ValueError, TypeError, UnsupportedAlgorithm):
-        raise ReleaseError(f"{path.name}: not a private key that can be read") from None
+        raise ReleaseError(f"{path.name}: expected an unencrypted private key in PEM format") from None
     if not isinstance(key, Ed25519PrivateKey):
-        raise ReleaseError(f"{path.name}: not an Ed25519 key")
+        raise ReleaseError(f"{path.name}: expected an Ed25519 private key, got one of another kind")
     return key
 
 
 def sign_manifest(manifest: bytes, key: Ed25519PrivateKey) -> bytes:
-    """The contents of a signature's file."""
+    """The contents of the signature file of a manifest."""
     return base64.b64encode(key.sign(SIGNING_DOMAIN + manifest)) + b"\n"
 
 
 def find_signer(folder: Path, manifest: bytes, trusted_keys: Sequence[str]) -> str:
-    """Which trusted key has signed a manifest; empty where there are no trusted keys.  Raises ReleaseError."""
+    """The trusted key that signed a manifest; raises ReleaseError if none did.  Empty if no key is required."""
     if not trusted_keys:
         return ""
     if not (folder / SIGNATURE_FILE).exists():
@@ -78,7 +78,7 @@
         encoded = read_bounded(folder / SIGNATURE_FILE, MAX_SIGNATURE_BYTES).strip()
         signature = base64.b64decode(encoded, validate=True)
     except (binascii.Error, ValueError):
-        raise ReleaseError(f"{SIGNATURE_FILE}: not base64") from None
+        raise ReleaseError(f"{SIGNATURE_FILE}: expected base64") from None
     for key in trusted_keys:
         try:
             parse_public_key(key).verify(signature, SIGNING_DOMAIN + manifest)
--- a/martenstep/hooks/source.py
+++ b/martenstep/hooks/source.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 MAX_SOURCE_BYTES = 65_536
-# Bound on nesting: every pass over the syntax tree recurses this deep on the interpreter's own stack.
+# Limits the recursion of the parser and of every pass over the syntax tree, which use Python's own stack.
 MAX_NESTING = 40
 MAX_EXCERPT_CHARACTERS = 100
 EXCERPT_CHARACTERS_BEFORE = 60
@@ -20,7 +20,7 @@
 
 
 class HookSourceError(Exception):
-    """A source that does not compile: where, and what was expected there."""
+    """A source that does not compile: the location, and what was expected there."""
 
     def __init__(self, location: SourceLocation, message: str) -> None:
         """`message` says what was expected at `location`."""
@@ -29,7 +29,7 @@
         self.message = message
 
     def format_with_source(self, source: str, file_name: str) -> str:
-        """The message, the line that it is about, and a mark below the column."""
+        """The message, the source line that it refers to, and a mark below the column."""
         lines = source.split("\n")
         line = lines[self.location.line - 1] if self.location.line <= len(lines) else ""
         start = max(self.location.column - EXCERPT_CHARACTERS_BEFORE, 0)
--- a/martenstep/hooks/syntax_tree.py
+++ b/martenstep/hooks/syntax_tree.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Node:
-    """A part of a program."""
+    """A node of the tree, with its location in the source."""
 
     location: SourceLocation = field(compare=False, repr=False)
 
@@ -24,28 +24,28 @@
 
 @dataclass(slots=True)
 class TextLiteral(Node):
-    """Pieces of text, and the expressions whose values stand between them."""
+    """Pieces of text, and the expressions of the templates between them."""
 
     parts: list[str | Expression]
 
 
 @dataclass(slots=True)
 class BoolLiteral(Node):
-    """true or false."""
+    """`true` or `false`."""
 
     value: bool
 
 
 @dataclass(slots=True)
 class NameReference(Node):
-    """A parameter or a binding."""
+    """A use of a parameter, a binding, or a name of a `for`."""
 
     name: str
 
 
 @dataclass(slots=True)
 class Call(Node):
-    """A call of a function of the file, or of a built-in one."""
+    """A call of a function of the file, or of a built-in function."""
 
     function_name: str
     arguments: list[Expression]
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class RecordLiteral(Node):
-    """A record; fields that are left out have the default value of their type."""
+    """A new record; omitted fields get the default value of their type."""
 
     type_name: str
     fields: list[tuple[str, Expression]]
@@ -61,14 +61,14 @@
 
 @dataclass(slots=True)
 class ListLiteral(Node):
-    """A list."""
+    """A new list."""
 
     items: list[Expression]
 
 
 @dataclass(slots=True)
 class FieldAccess(Node):
-    """A field of a record."""
+    """The value of a record's field."""
 
     record: Expression
     field_name: str
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class IndexAccess(Node):
-    """An item of a list, counted from 0."""
+    """The value of a list's item; the index counts from 0."""
 
     list_value: Expression
     index: Expression
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class BinaryOperation(Node):
-    """An operator between two operands; `and` and `or` evaluate the second only if they need it."""
+    """An operator between two operands; `and` and `or` evaluate the right operand only if they need it."""
 
     operator: str
     left: Expression
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True)
 class Match(Node):
-    """The result of the first arm that matches the subject."""
+    """`match`: its value is the result of the first arm that matches the subject."""
 
     subject: Expression
     arms: list[MatchArm]
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True)
 class Fold(Node):
-    """`for`: the body gives the accumulator's next value for each item."""
+    """`for`: for each item, the body computes the accumulator's next value; the last one is the result."""
 
     item_name: str
     items: Expression
@@ -137,7 +137,7 @@
 
 @dataclass(slots=True)
 class Block(Node):
-    """Bindings (`let`) and a result."""
+    """Bindings (`let`) and a result in braces."""
 
     bindings: list[tuple[str, Expression]]
     result: Expression
@@ -164,7 +164,7 @@
 
 @dataclass(slots=True)
 class TypeReference(Node):
-    """A type as the source writes it."""
+    """A type as written in the source."""
 
     name: str
     item_type: TypeReference | None = None
@@ -182,7 +182,7 @@
 
 @dataclass(slots=True)
 class HookDefinition(Node):
-    """What is done at an extension point."""
+    """A hook: the block that runs at an extension point."""
 
     point: str
     parameters: list[str]
@@ -191,7 +191,7 @@
 
 @dataclass(slots=True)
 class TestDefinition(Node):
-    """A test that stands in the file itself."""
+    """A test of the file's functions, in the same file."""
 
     title: str
     body: Block
@@ -215,5 +215,5 @@
 
 
 def result_location(expression: Expression) -> SourceLocation:
-    """Where the value of an expression is written: for a block, that of its result."""
+    """The location of an expression or, for a block, of its result."""
     return expression.result.location if isinstance(expression, Block) else expression.location
--- a/martenstep/hooks/translation.py
+++ b/martenstep/hooks/translation.py
@@ -1,13 +1,14 @@
 """Translates a program's functions to Python functions that do the same at a fraction of the cost.
 
-A local becomes a variable, and the instructions between two jumps become straight lines, charged together at their
-beginning.  A run that ends costs the same steps and bytes as an interpreted one; one that runs out of its budget is cut
-off up to a block earlier.  A function of very many blocks is left to the interpreter, since going from one block to
-another walks past those between them.
-
-The text is made of verified instructions only; values of the program never stand in it.  Its names: `m` the machine,
-`b` the next block, `p` a position in a list, `v` locals, `s` the stack between two blocks, `t` other values, `k`
-constants, `f` functions, `i` built-in functions, `o` operators.
+A local becomes a Python variable.  The instructions between two jumps become a block of straight-line code, whose steps
+are charged at its beginning.  A run that completes costs the same steps and bytes as an interpreted one; a run that
+exceeds its budget is stopped up to one block earlier.  Each jump compares the block number with that of every block in
+between, so functions with more than MAX_BLOCKS blocks are left to the interpreter.
+
+The Python text is built from verified instructions only, and never contains values of the program.  Its names are `m`
+for the machine, `b` for the next block, `p` for a position in a list and, followed by a number, `v` for locals, `s` for
+the stack between two blocks, `t` for other values, `k` for constants, `f` for functions, `i` for built-in functions and
+`o` for operators.
 """
 
 from __future__ import annotations
@@ -23,15 +24,15 @@
 from martenstep.hooks.virtual_machine import FIELD_COUNTS, TranslatedFunctions
 
 MAX_BLOCKS = 48
-MAX_TRANSLATED_INSTRUCTIONS = 1500  # Python's compiler lets nothing else run while it compiles one function
-MAX_SUMMANDS = 8  # Python's compiler recurses as deep as a sum is long
+MAX_TRANSLATED_INSTRUCTIONS = 1500  # Python's compiler blocks all other threads while it compiles a function
+MAX_SUMMANDS = 8  # Python's compiler recurses once for each operand of a sum
 BLOCK_ENDS = (Opcode.JUMP, Opcode.JUMP_IF_FALSE, Opcode.FOR_NEXT, Opcode.RETURN)
 ARITHMETIC = {Opcode.ADD: "+", Opcode.SUBTRACT: "-", Opcode.MULTIPLY: "*"}
 COMPARISONS = {Opcode.EQUAL: "==", Opcode.LESS: "<", Opcode.LESS_EQUAL: "<="}
 
 
 class _FunctionTranslator:
-    """Writes the Python text of one function."""
+    """Generates the Python text of one function."""
 
     def __init__(self, program: Program, function: Function, number: int) -> None:
         self._constants = program.constants
@@ -59,7 +60,7 @@
         }
 
     def text(self) -> str:
-        """The text of the whole function."""
+        """Generate the text of the whole function."""
         parameters = [f"v{local}" for local in range(self._function.parameter_count)]
         other_locals = [f"v{local}" for local in range(self._function.parameter_count, self._function.local_count)]
         out = [f"def f{self._number}({', '.join(['m', *parameters])}):"]
@@ -69,7 +70,7 @@
         ends = [*self.block_starts[1:], len(self._function.instructions)]
         for block, (start, end) in enumerate(zip(self.block_starts, ends, strict=True)):
             self._lines = []
-            if start in self._heights:  # else nothing leads here
+            if start in self._heights:  # otherwise the block is unreachable
                 self._stack = [f"s{index}" for index in range(self._heights[start])]
                 self._translate_block(start, end)
             out.append(f"        if b == {block}:")
@@ -79,7 +80,7 @@
     # The stack ----------------------------------------------------------------------------------------------
 
     def _push(self, expression: str) -> str:
-        """Push a new value; returns its variable."""
+        """Assign an expression to a new variable and push it; returns the variable."""
         self._value_count += 1
         variable = f"t{self._value_count}"
         self._lines.append(f"{variable} = {expression}")
@@ -97,7 +98,7 @@
         return values
 
     def _spill_stack(self) -> None:
-        """Put the stack where the next block expects it."""
+        """Assign the values on the stack to the variables in which the next block expects them."""
         moves = [(f"s{index}", name) for index, name in enumerate(self._stack) if name != f"s{index}"]
         if moves:
             targets = ", ".join(target for target, _ in moves)
@@ -134,7 +135,7 @@
             self._lines.append(f"{indent}continue")
 
     def _jump_if_false(self, target: int, next_position: int, here: int) -> None:
-        condition = self._push(self._pop())  # a variable of its own: the spill may overwrite where it stood
+        condition = self._push(self._pop())  # a new variable, since _spill_stack may overwrite the old one
         self._pop()
         self._spill_stack()
         self._lines.append(f"if not {condition}:")
@@ -157,14 +158,14 @@
     # Values -------------------------------------------------------------------------------------------------
 
     def _translate_value(self, opcode: Opcode, a: int, b: int) -> None:
-        """An instruction that is no jump."""
+        """Translate an instruction that is not a jump."""
         if opcode in self._value_rules:
             self._value_rules[opcode](a, b)
             return
         left, right = self._pop_values(2)
         if opcode in ARITHMETIC:
             result = self._push(f"{left} {ARITHMETIC[opcode]} {right}")
-            # Differs from zero only for an infinite number and for none: cheaper than a call.
+            # The difference is not zero only if the result is infinite or NaN; the test is cheaper than a call.
             self._lines.append(f"if {result} - {result} != 0.0: require_finite({result})")
         elif opcode in COMPARISONS:
             if not self._is_free_to_compare(right):
@@ -176,7 +177,7 @@
     def _store_local(self, local: int, _b: int) -> None:
         value = self._pop()
         variable = f"v{local}"
-        if variable in self._stack:  # what was loaded stays as it was
+        if variable in self._stack:  # a value loaded before the store must not change
             self._value_count += 1
             copy = f"t{self._value_count}"
             self._lines.append(f"{copy} = {variable}")
@@ -208,12 +209,12 @@
         self._push(f"[{', '.join(self._pop_values(count))}]")
 
     def _charge_bytes(self, size: int) -> None:
-        """As RunContext.charge_bytes, without a call as long as there are bytes left."""
+        """Inline RunContext.charge_bytes, which is called only when the budget is exceeded."""
         self._lines.append(f"m.remaining_bytes -= {size}")
         self._lines.append("if m.remaining_bytes < 0: m.charge_bytes(0)")
 
     def _is_free_to_compare(self, name: str) -> bool:
-        """Whether comparing costs no steps: with a constant number, bool or short text."""
+        """Whether a comparison costs no steps, which holds for a constant number, bool or short text."""
         if not name.startswith("k"):
             return False
         value = self._constants[int(name[1:])]
@@ -221,7 +222,7 @@
 
 
 def _each_with_comma(expressions: list[str]) -> str:
-    """The inside of a tuple, also of one item."""
+    """The inside of a tuple display; the final comma is needed for a single item."""
     return "".join(f"{expression}, " for expression in expressions)
 
 
@@ -238,7 +239,7 @@
 
 
 def translate(program: Program) -> TranslatedFunctions:
-    """The functions of a verified program; None for those that are left to the interpreter."""
+    """Translate the functions of a verified program; None for those that are left to the interpreter."""
     names: dict[str, Any] = {"format_value": format_value, "require_finite": require_finite}
     names |= {f"k{number}": value for number, value in enumerate(program.constants)}
     names |= {f"i{number}": built_in for number, built_in in enumerate(BUILT_IN_FUNCTIONS)}
--- a/martenstep/hooks/type_checker.py
+++ b/martenstep/hooks/type_checker.py
@@ -12,6 +12,7 @@
 from martenstep.hooks.regex import Pattern, PatternError
 from martenstep.hooks.source import MAX_NESTING, HookSourceError, SourceLocation
 from martenstep.hooks.types import (
+    ANY_SCALAR,
     BOOL,
     BUILT_INS,
     DURATION,
@@ -29,9 +30,10 @@
     list_of,
 )
 
-MAX_LOCALS = 200  # of one function
-MAX_SUGGESTED_NAMES = 20  # in a message
-MAX_FOLD_ROUNDS = 4  # until the accumulator has its type: an empty list at the start becomes that of the body
+MAX_LOCALS = 200  # parameters, bindings and loops of one function
+MAX_SUGGESTED_NAMES = 20  # in one error message
+# Rounds of inference until an accumulator's type is stable: an initial empty list takes its item type from the body.
+MAX_FOLD_ROUNDS = 4
 ORDERED_TYPES = (NUMBER, DURATION, TEXT)
 ARITHMETIC_RESULTS: dict[tuple[str, Type, Type], Type] = {
     ("+", NUMBER, NUMBER): NUMBER,
@@ -56,14 +58,14 @@
 
 
 class TypeChecker:
-    """Checks one file; `types` has the type of each expression by its identity."""
+    """Checks one file; `types` has the type of each expression by the expression's `id`."""
 
     def __init__(self, file: tree.SourceFile) -> None:
         """`file` is checked by `check`."""
         self._file = file
         self.types: dict[int, Type] = {}
         self._functions: dict[str, Signature] = {}
-        self._calls: dict[str, dict[str, SourceLocation]] = {}  # caller to callees, with the first call of each
+        self._calls: dict[str, dict[str, SourceLocation]] = {}  # callees by caller, with the location of the first call
         self._current_function = ""  # empty in a hook or a test
         self._local_count = 0
         self._rules: dict[type, Callable[[Any, Scope], Type]] = {
@@ -102,14 +104,14 @@
     def _declare_functions(self) -> None:
         for function in self._file.functions:
             if function.name in self._functions or function.name in BUILT_INS:
-                raise HookSourceError(function.location, f"the function {function.name!r} is there already")
+                raise HookSourceError(function.location, f"function {function.name!r} is already defined or built in")
             parameters = tuple(self._resolve(reference) for _, reference in function.parameters)
             self._functions[function.name] = Signature(parameters, self._resolve(function.result_type))
 
     def _resolve(self, reference: tree.TypeReference) -> Type:
         if reference.name == "list":
             if reference.item_type is None:
-                raise HookSourceError(reference.location, "expected what the list holds, such as list<text>")
+                raise HookSourceError(reference.location, "list: expected the type of its items, such as list<text>")
             return list_of(self._resolve(reference.item_type))
         found = TYPES_BY_NAME.get(reference.name)
         if found is None or reference.item_type is not None:
@@ -118,17 +120,19 @@
         return found
 
     def _reject_recursion(self) -> None:
-        """No function calls itself, so that a run ends even without a budget."""
+        """Reject functions that call themselves, so that a run ends even without a budget."""
         checked: set[str] = set()
 
         def visit(name: str, callers: tuple[str, ...]) -> None:
             for callee, location in self._calls.get(name, {}).items():
                 if callee in (*callers, name):
-                    raise HookSourceError(location, f"{callee!r} calls itself, here or over others")
+                    raise HookSourceError(
+                        location, f"function {callee!r} calls itself, directly or through other functions"
+                    )
                 if callee in checked:
                     continue
                 if len(callers) > MAX_NESTING:
-                    raise HookSourceError(location, f"calls nested deeper than {MAX_NESTING}")
+                    raise HookSourceError(location, f"function calls nested deeper than {MAX_NESTING} levels")
                 visit(callee, (*callers, name))
             checked.add(name)
 
@@ -140,23 +144,23 @@
         for hook in self._file.hooks:
             if hook.point not in EXTENSION_POINTS:
                 known = _known_names(EXTENSION_POINTS)
-                raise HookSourceError(hook.location, f"no point is named {hook.point!r} {known}")
+                raise HookSourceError(hook.location, f"no extension point is named {hook.point!r} {known}")
             if hook.point in checked:
-                raise HookSourceError(hook.location, f"a second hook at {hook.point!r}")
+                raise HookSourceError(hook.location, f"the file has another hook at {hook.point!r}")
             checked.add(hook.point)
             signature = EXTENSION_POINTS[hook.point]
             if len(hook.parameters) != len(signature.parameters):
-                given = ", ".join(map(str, signature.parameters))
+                expected = ", ".join(map(str, signature.parameters))
                 message = (
-                    f"{hook.point} is given {len(signature.parameters)} values ({given}), "
-                    f"named are {len(hook.parameters)}"
+                    f"hook at {hook.point}: expected {len(signature.parameters)} parameters ({expected}), "
+                    f"got {len(hook.parameters)}"
                 )
                 raise HookSourceError(hook.location, message)
             self._check_body(hook, hook.parameters, signature)
 
     def _check_body(self, definition: tree.Definition, names: Sequence[str], signature: Signature) -> None:
         if len(set(names)) < len(names):
-            raise HookSourceError(definition.location, "two parameters of one name")
+            raise HookSourceError(definition.location, "two parameters have the same name")
         self._local_count = len(names)
         scope = dict(zip(names, signature.parameters, strict=True))
         self._require(definition.body, signature.result, scope)
@@ -164,13 +168,13 @@
     # Expressions --------------------------------------------------------------------------------------------
 
     def _infer(self, expression: tree.Expression, scope: Scope) -> Type:
-        """The type of an expression, recorded for the compiler."""
+        """Infer the type of an expression, and record it for the compiler."""
         found = self._rules[type(expression)](expression, scope)
         self.types[id(expression)] = found
         return found
 
     def _require(self, expression: tree.Expression, expected: Type, scope: Scope, context: str = "") -> None:
-        """The expression must have a type; `context` begins the message."""
+        """Check that an expression has the expected type; `context` begins the error message."""
         actual = self._infer(expression, scope)
         if not is_assignable(actual, expected):
             message = f"{context}expected {expected}, got {actual}"
@@ -179,7 +183,7 @@
     def _add_local(self, location: SourceLocation) -> None:
         self._local_count += 1
         if self._local_count > MAX_LOCALS:
-            raise HookSourceError(location, f"more than {MAX_LOCALS} names in one function")
+            raise HookSourceError(location, f"more than {MAX_LOCALS} parameters, bindings and loops in one function")
 
     def _text(self, text: tree.TextLiteral, scope: Scope) -> Type:
         for part in text.parts:
@@ -187,7 +191,7 @@
                 continue
             actual = self._infer(part, scope)
             if actual not in SCALARS.values():
-                message = f"expected something plain to put into a text, got {actual}"
+                message = f"template in a text: expected {ANY_SCALAR}, got {actual}"
                 raise HookSourceError(part.location, message)
         return TEXT
 
@@ -203,7 +207,7 @@
             actual = self._infer(item, scope)
             common = common_type(item_type, actual) if item_type != NOTHING else actual
             if common is None:
-                raise HookSourceError(item.location, f"expected {item_type} as the others, got {actual}")
+                raise HookSourceError(item.location, f"list: expected {item_type} like the items before, got {actual}")
             item_type = common
         return list_of(item_type)
 
@@ -219,7 +223,7 @@
                 message = f"{record} has no field {name!r} {_known_names(field_types)}"
                 raise HookSourceError(value.location, message)
             if name in given:
-                raise HookSourceError(value.location, f"{name!r} is given twice")
+                raise HookSourceError(value.location, f"{record}: the field {name!r} is given twice")
             given.add(name)
             self._require(value, field_types[name], scope, f"{record}.{name}: ")
         return record
@@ -235,7 +239,7 @@
     def _index(self, access: tree.IndexAccess, scope: Scope) -> Type:
         actual = self._infer(access.list_value, scope)
         if actual.item_type is None or actual.item_type == NOTHING:
-            raise HookSourceError(access.list_value.location, f"expected a list, got {actual}")
+            raise HookSourceError(access.list_value.location, f"index: expected a list with items, got {actual}")
         self._require(access.index, NUMBER, scope)
         return actual.item_type
 
@@ -245,7 +249,7 @@
             return BOOL
         actual = self._infer(operation.operand, scope)
         if actual not in (NUMBER, DURATION):
-            raise HookSourceError(operation.operand.location, f"expected number or duration, got {actual}")
+            raise HookSourceError(operation.operand.location, f"'-': expected number or duration, got {actual}")
         return actual
 
     def _binary(self, operation: tree.BinaryOperation, scope: Scope) -> Type:
@@ -257,7 +261,7 @@
         right = self._infer(operation.right, scope)
         found = _operation_result(operation.operator, left, right)
         if found is None:
-            raise HookSourceError(operation.location, f"{left} {operation.operator} {right} is nothing")
+            raise HookSourceError(operation.location, f"{operation.operator!r} is not defined for {left} and {right}")
         return found
 
     def _block(self, block: tree.Block, scope: Scope) -> Type:
@@ -273,16 +277,16 @@
         second = self._infer(conditional.else_branch, scope)
         found = common_type(first, second)
         if found is None:
-            message = f"expected {first} as in the first way, got {second}"
+            message = f"else: expected {first} as in the branch before, got {second}"
             raise HookSourceError(tree.result_location(conditional.else_branch), message)
         return found
 
     def _match(self, match: tree.Match, scope: Scope) -> Type:
         subject = self._infer(match.subject, scope)
         if subject not in SCALARS.values():
-            raise HookSourceError(match.subject.location, f"expected something plain to match, got {subject}")
+            raise HookSourceError(match.subject.location, f"match: expected {ANY_SCALAR}, got {subject}")
         if not match.arms or match.arms[-1].literals or any(not arm.literals for arm in match.arms[:-1]):
-            raise HookSourceError(match.location, "expected '_' as the last arm, and only there")
+            raise HookSourceError(match.location, "match: expected '_' as the last arm, and only there")
         found: Type | None = None
         for arm in match.arms:
             for literal in arm.literals:
@@ -290,7 +294,9 @@
             actual = self._infer(arm.result, scope)
             common = actual if found is None else common_type(found, actual)
             if common is None:
-                raise HookSourceError(arm.result.location, f"expected {found} as in the first arm, got {actual}")
+                raise HookSourceError(
+                    arm.result.location, f"match arm: expected {found} as in the arms before, got {actual}"
+                )
             found = common
         assert found is not None  # there is at least one arm
         return found
@@ -298,22 +304,24 @@
     def _fold(self, fold: tree.Fold, scope: Scope) -> Type:
         items = self._infer(fold.items, scope)
         if items.item_type is None:
-            raise HookSourceError(fold.items.location, f"expected a list, got {items}")
+            raise HookSourceError(fold.items.location, f"for: expected a list, got {items}")
         accumulator = self._infer(fold.initial, scope)
         if fold.item_name == fold.accumulator_name:
-            raise HookSourceError(fold.location, "the item and what is carried along have one name")
+            raise HookSourceError(fold.location, "for: the item and the accumulator have the same name")
         for _ in range(MAX_FOLD_ROUNDS):
             self._add_local(fold.location)
             inner = {**scope, fold.item_name: items.item_type, fold.accumulator_name: accumulator}
             actual = self._infer(fold.body, inner)
             common = common_type(accumulator, actual)
             if common is None:
-                message = f"expected {accumulator} as it began, got {actual}"
+                message = f"for: expected {accumulator} like the accumulator, got {actual}"
                 raise HookSourceError(fold.body.result.location, message)
             if common == accumulator:
                 return accumulator
             accumulator = common
-        raise HookSourceError(fold.location, "what is carried along has no one type")
+        raise HookSourceError(
+            fold.location, f"for: the accumulator's type is not stable after {MAX_FOLD_ROUNDS} rounds of inference"
+        )
 
     def _call(self, call: tree.Call, scope: Scope) -> Type:
         name = call.function_name
@@ -324,17 +332,17 @@
         if name in self._functions and self._current_function:
             self._calls.setdefault(self._current_function, {}).setdefault(name, call.location)
         if len(signature.parameters) != len(call.arguments):
-            message = f"{name} takes {len(signature.parameters)} values, got {len(call.arguments)}"
+            message = f"{name}: expected {len(signature.parameters)} arguments, got {len(call.arguments)}"
             raise HookSourceError(call.location, message)
         for number, argument in enumerate(call.arguments, 1):
-            self._require(argument, signature.parameters[number - 1], scope, f"{name}, value {number}: ")
+            self._require(argument, signature.parameters[number - 1], scope, f"{name}, argument {number}: ")
         if name in ("matches", "count"):
             _require_constant_text(name, call.arguments[-1])
         return signature.result
 
 
 def _operation_result(operator: str, left: Type, right: Type) -> Type | None:
-    """The type of a binary operation other than `and` and `or`; None where there is no such operation."""
+    """The type of a binary operation other than `and` and `or`; None if it is not defined for the operands."""
     if operator in ("==", "!="):
         return BOOL if common_type(left, right) is not None else None
     if operator in ("<", "<=", ">", ">="):
@@ -348,10 +356,10 @@
 
 
 def _require_constant_text(function_name: str, argument: tree.Expression) -> None:
-    """The argument must be known at compile time, and a pattern one that can be compiled."""
+    """Check that an argument is a text without templates and, for `matches`, a valid pattern."""
     parts = argument.parts if isinstance(argument, tree.TextLiteral) else []
     if len(parts) != 1 or not isinstance(parts[0], str):
-        raise HookSourceError(argument.location, f"{function_name}: expected a plain text, known before the hook runs")
+        raise HookSourceError(argument.location, f"{function_name}: expected a text without templates")
     if function_name == "matches":
         try:
             Pattern(parts[0])
@@ -360,7 +368,7 @@
 
 
 def check_types(file: tree.SourceFile) -> dict[int, Type]:
-    """The type of each expression of a file, by its identity; raises HookSourceError."""
+    """The type of each expression of a file, by the expression's `id`; raises HookSourceError."""
     checker = TypeChecker(file)
     checker.check()
     return checker.types
--- a/martenstep/hooks/types.py
+++ b/martenstep/hooks/types.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Type:
-    """A type; a list has the type of its items, which is NOTHING for an empty one."""
+    """A type; that of a list includes the type of the items, which is NOTHING for an empty list."""
 
     name: str
     item_type: Type | None = None
@@ -18,12 +18,12 @@
 
     @property
     def is_list(self) -> bool:
-        """Whether it is a type of lists."""
+        """Whether values of the type are lists."""
         return self.name == "list"
 
 
 class Signature(NamedTuple):
-    """What a function takes, and the type of its result."""
+    """The types of a function's parameters and of its result."""
 
     parameters: tuple[Type, ...]
     result: Type
@@ -38,7 +38,7 @@
 
 
 def list_of(item_type: Type) -> Type:
-    """The type of lists of such items."""
+    """The type of lists whose items have a given type."""
     return Type("list", item_type)
 
 
@@ -84,10 +84,10 @@
     "log": Signature((REQUEST, RESPONSE), list_of(LOG_FIELD)),
 }
 
-# The value of a record's field that is left out, by the name of its type.
+# The values of omitted fields of a record, by the name of the field's type.
 DEFAULT_VALUES: dict[str, float | str | bool] = {"number": 0.0, "duration": 0.0, "text": "", "bool": False}
 
-# Parameters of built-in functions that take several types.
+# Types of parameters of built-in functions that accept several types.
 ANY_LIST_OR_TEXT = Type("list or text")
 ANY_SCALAR = Type("number, text, bool or duration")
 
@@ -119,7 +119,7 @@
 
 
 def is_assignable(actual: Type, expected: Type) -> bool:
-    """Whether a value of one type may stand where the other is expected."""
+    """Whether a value of the actual type is valid where the expected type is required."""
     if expected is ANY_LIST_OR_TEXT:
         return actual == TEXT or actual.is_list
     if expected is ANY_SCALAR:
@@ -130,7 +130,7 @@
 
 
 def common_type(first: Type, second: Type) -> Type | None:
-    """The type that holds the values of both; None where there is none."""
+    """The type to which the values of both types are assignable; None if there is none."""
     if is_assignable(first, second):
         return second
     return first if is_assignable(second, first) else None
--- a/martenstep/hooks/verifier.py
+++ b/martenstep/hooks/verifier.py
@@ -1,7 +1,7 @@
-"""Verifies that a program can run on the virtual machine, whoever made it.
+"""Verifies that a program from any source can run on the virtual machine.
 
-Every jump lands in its function, the stack has the same height on all ways to an instruction and as many values as it
-needs, and every argument names something that exists.  Types are not verified.
+Every jump stays in its function, the stack has the same height on all paths to an instruction and as many values as the
+instruction needs, and every argument refers to something that exists.  Types are not verified.
 """
 
 from __future__ import annotations
@@ -46,37 +46,37 @@
 def verify_program(program: Program) -> None:
     """Verify the whole program; raises BytecodeError."""
     if program.format != FORMAT:
-        raise BytecodeError(f"format {program.format}, known is {FORMAT}")
+        raise BytecodeError(f"bytecode format {program.format}, expected {FORMAT}")
     if len(program.functions) > MAX_FUNCTIONS:
-        raise BytecodeError("too many functions")
+        raise BytecodeError(f"expected at most {MAX_FUNCTIONS} functions, got {len(program.functions)}")
     if any(isinstance(value, float) and not math.isfinite(value) for value in program.constants):
-        raise BytecodeError("a constant that is no finite number")
+        raise BytecodeError("a constant is not a finite number")
     for point, number in program.points.items():
         if point not in EXTENSION_POINTS or not 0 <= number < len(program.functions):
-            raise BytecodeError(f"point {point!r}: not known, or no such function")
+            raise BytecodeError(f"extension point {point!r}: unknown, or its function {number} does not exist")
         if program.functions[number].parameter_count != len(EXTENSION_POINTS[point].parameters):
-            raise BytecodeError(f"point {point!r}: a function of other values")
+            raise BytecodeError(f"extension point {point!r}: its function has the wrong number of parameters")
     for _, number in program.tests:
         if not 0 <= number < len(program.functions) or program.functions[number].parameter_count:
-            raise BytecodeError("a test that is no function without values")
+            raise BytecodeError("a test refers to a missing function, or to one with parameters")
     for function in program.functions:
         stack_heights(program, function)
 
 
 def decode_verified(data: bytes) -> Program:
-    """A program from bytes, verified; raises BytecodeError."""
+    """Decode and verify a program; raises BytecodeError."""
     program = decode_program(data)
     verify_program(program)
     return program
 
 
 def stack_heights(program: Program, function: Function) -> dict[int, int]:
-    """How high the stack is before each instruction that can be reached; raises BytecodeError."""
+    """The height of the stack before each reachable instruction, by its position; raises BytecodeError."""
     return _FunctionVerifier(program, function).heights()
 
 
 class _FunctionVerifier:
-    """Follows all ways through one function."""
+    """Follows all paths through one function."""
 
     def __init__(self, program: Program, function: Function) -> None:
         self._program = program
@@ -98,30 +98,32 @@
         function = self._function
         sizes_fit = 0 < len(function.instructions) <= MAX_INSTRUCTIONS
         if not sizes_fit or not 0 <= function.parameter_count <= function.local_count <= MAX_LOCAL_COUNT:
-            raise self._error("sizes out of bounds")
+            raise self._error("number of instructions, parameters or locals out of bounds")
         heights: dict[int, int] = {}
         pending = [(0, 0)]
         while pending:
             position, height = pending.pop()
             if not 0 <= position < len(function.instructions):
-                raise self._error("a way out of the code")
+                raise self._error(f"position {position} is reached, but is not in the function")
             if position not in heights:
                 heights[position] = height
                 pending += self._successors(position, height)
             elif heights[position] != height:
-                raise self._error(f"two heights at {position}")
+                raise self._error(
+                    f"the instruction at {position} is reached with {heights[position]} and with {height} values"
+                )
         return heights
 
     def _successors(self, position: int, height: int) -> list[tuple[int, int]]:
-        """Where an instruction leads, each with the stack's height there."""
+        """The positions that may follow an instruction, each with the height of the stack there."""
         number, a, b = self._function.instructions[position]
         try:
             opcode = Opcode(number)
         except ValueError:
-            raise self._error(f"no instruction {number}") from None
+            raise self._error(f"unknown opcode {number} at {position}") from None
         popped = self._popped_values(opcode, a, b)
         if popped > height:
-            raise self._error(f"{opcode.name} at {position} finds {height} values")
+            raise self._error(f"{opcode.name} at {position} needs {popped} values, the stack has {height}")
         height_after = height - popped + (opcode not in PUSH_NOTHING)
         match opcode:
             case Opcode.RETURN:
@@ -135,7 +137,7 @@
         return [(position + 1, height_after)]
 
     def _popped_values(self, opcode: Opcode, a: int, b: int) -> int:
-        """How many values an instruction takes from the stack, once its arguments are checked."""
+        """Check the arguments of an instruction; returns how many values it pops."""
         check = self._argument_checks.get(opcode)
         if check is not None:
             return check(opcode, a, b)
@@ -146,7 +148,7 @@
 
     def _require_below(self, bound: int, opcode: Opcode, value: int) -> None:
         if not 0 <= value < bound:
-            raise self._error(f"{opcode.name} {value} is out of bounds")
+            raise self._error(f"{opcode.name}: expected an argument from 0 and below {bound}, got {value}")
 
     def _check_constant(self, opcode: Opcode, a: int, _b: int) -> int:
         self._require_below(len(self._program.constants), opcode, a)
@@ -182,5 +184,5 @@
 
     def _require_arguments(self, expected: int, actual: int) -> int:
         if expected != actual:
-            raise self._error("a call with other values")
+            raise self._error(f"a call passes {actual} arguments, expected {expected}")
         return actual
--- a/martenstep/hooks/virtual_machine.py
+++ b/martenstep/hooks/virtual_machine.py
@@ -1,4 +1,4 @@
-"""The virtual machine that runs hooks: without I/O, and within a budget of steps and bytes."""
+"""The virtual machine that runs hooks within a budget of steps and bytes.  No I/O."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from martenstep.hooks.types import RECORDS
 
 FIELD_COUNTS = tuple(len(RECORDS[record]) for record in RECORD_TYPES)
-# Plain numbers: comparing with members of an enum would cost most of a step.
+# Plain integers, because a comparison with members of an enum would take most of the time of a step.
 LOAD_CONSTANT = int(Opcode.LOAD_CONSTANT)
 LOAD_LOCAL = int(Opcode.LOAD_LOCAL)
 STORE_LOCAL = int(Opcode.STORE_LOCAL)
@@ -40,7 +40,7 @@
 
 
 def _pop_values(stack: list[Any], count: int) -> list[Any]:
-    """Take the last values off the stack."""
+    """Pop `count` values; returns them in the order in which they were pushed."""
     values = stack[len(stack) - count :]
     del stack[len(stack) - count :]
     return values
@@ -76,7 +76,7 @@
     stack[-1] = -stack[-1]
 
 
-# The instructions that make one value of any number on the stack, with their arguments and the stack.
+# The instructions that replace any number of values on the stack by one value; called with `a`, `b` and the stack.
 BUILDERS: dict[int, Callable[[RunContext, int, int, list[Any]], None]] = {
     int(Opcode.JOIN_TEXTS): _join_texts,
     int(Opcode.FORMAT_VALUE): _format_value,
@@ -88,7 +88,7 @@
 
 
 class _Frame(NamedTuple):
-    """Where a caller goes on."""
+    """The state of a caller, restored at the return."""
 
     instructions: list[Instruction]
     position: int
@@ -96,7 +96,7 @@
 
 
 class VirtualMachine(RunContext):
-    """Runs the functions of one program, one run after the other."""
+    """Runs the functions of one program, one run at a time."""
 
     __slots__ = ("_program", "_translated")
 
@@ -109,13 +109,13 @@
         is_overdue: Callable[[], bool] = never_overdue,
         translated: TranslatedFunctions | None = None,
     ) -> None:
-        """`translated` has the program's functions as `translation` makes them; all others are interpreted."""
+        """`translated` has the functions that `translation` made, and None for those to be interpreted."""
         super().__init__(counters if counters is not None else Counters(), budget, is_overdue)
         self._program = program
         self._translated = translated
 
     def run(self, function: int, arguments: tuple[Any, ...]) -> Any:  # noqa: ANN401  # a value of the language
-        """The result of a function; raises HookRunError, whatever the program and the arguments are."""
+        """Run a function; raises no other error than HookRunError, whatever the program and the arguments are."""
         try:
             translated = self._translated[function] if self._translated is not None else None
             return self._interpret(function, arguments) if translated is None else translated(self, *arguments)
@@ -130,24 +130,24 @@
             RecursionError,
             PatternError,
         ) as error:
-            # A program that was type-checked does not come here; one that was only verified may.
+            # Only a program that was verified but not type-checked can cause these errors.
             raise HookRunError("ill-typed", f"{type(error).__name__}: {error}") from None
 
     def call(self, function: int, arguments: tuple[Any, ...]) -> Any:  # noqa: ANN401  # a value of the language
-        """A call from a translated function; raises HookRunError."""
+        """Call a function from a translated one; raises HookRunError."""
         if self.call_depth >= MAX_CALL_DEPTH:
-            raise HookRunError("calls", f"more than {MAX_CALL_DEPTH} in one another")
+            raise HookRunError("calls", f"nested deeper than {MAX_CALL_DEPTH} levels")
         self.charge_steps(self._program.functions[function].local_count // ITEMS_PER_STEP)
         self.call_depth += 1
         translated = self._translated[function] if self._translated is not None else None
         result = self._interpret(function, arguments) if translated is None else translated(self, *arguments)
-        self.call_depth -= 1  # a run that fails is over: its depth does not matter
+        self.call_depth -= 1  # not restored on an error, which ends the run
         return result
 
     def _interpret(self, number: int, arguments: tuple[Any, ...]) -> Any:  # noqa: ANN401, C901, PLR0912, PLR0915
         """Interpret a function.
 
-        The loop is a flat table of the instructions: a call for each would cost more than what most of them do.
+        The loop handles the frequent instructions inline: a call would cost more than most of them do.
         """
         functions = self._program.functions
         constants = self._program.constants
@@ -191,7 +191,7 @@
                     position = b
             elif opcode == CALL:
                 if len(frames) + self.call_depth >= MAX_CALL_DEPTH:
-                    raise HookRunError("calls", f"more than {MAX_CALL_DEPTH} in one another")
+                    raise HookRunError("calls", f"nested deeper than {MAX_CALL_DEPTH} levels")
                 frames.append(_Frame(instructions, position, local_values))
                 function = functions[a]
                 local_values = [*_pop_values(stack, b), *([0.0] * (function.local_count - b))]
--- a/tests/hook_rig.py
+++ b/tests/hook_rig.py
@@ -1,4 +1,4 @@
-"""Releases of hooks for tests, and a gateway in virtual time that runs them."""
+"""Builds releases of hooks for tests, and a gateway in virtual time that runs them."""
 
 from __future__ import annotations
 
@@ -14,24 +14,28 @@
 
 
 def release(
-    version: int, *sources: str, share: float = 1.0, customers: tuple[str, ...] = (), trial: tuple[str, ...] = ()
+    version: int,
+    *sources: str,
+    share: float = 1.0,
+    customers: tuple[str, ...] = (),
+    canary_customers: tuple[str, ...] = (),
 ) -> Release:
-    """A release of whole sources, each with one hook, for all customers or for some."""
+    """A release of sources with one hook each; without `customers`, the hooks apply to all of them."""
     hooks = []
     for number, source in enumerate(sources):
         program = compile_source(source)
         [point] = program.points
         hooks.append(Hook(point, f"h{number}.hook", program, frozenset(customers)))
-    return Release(version, f"digest {version}", tuple(hooks), share, frozenset(trial))
+    return Release(version, f"digest {version}", tuple(hooks), share, frozenset(canary_customers))
 
 
 def words(body: str) -> str:
-    """A refusal hook with a body."""
+    """The source of a refusal hook; `body` is the expression for the body of the response."""
     return f'on refusal(r, why) {{ Words {{ body: {body}, content_type: "text/plain" }} }}'
 
 
 class HookRig(Rig):
-    """A gateway with a release manager."""
+    """A gateway in virtual time with a release manager."""
 
     def __init__(
         self,
@@ -51,5 +55,5 @@
         super().__init__('hooks { directory: "hooks" } ' + text, servers, shelf=self.hook_releases)
 
     def events(self) -> list[str]:
-        """The names of the logged events."""
+        """The names of the events that the release manager logged."""
         return [event for event, _ in self.logged]
--- a/tests/test_formats_hooks.py
+++ b/tests/test_formats_hooks.py
@@ -1,4 +1,4 @@
-"""Releases of hooks and their history on disk, byte by byte, against files that an earlier text wrote."""
+"""Releases of hooks and their history on disk equal files that an earlier version of the program wrote."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 
 
 def private_key() -> Ed25519PrivateKey:
-    """The same each time."""
+    """A fixed key, so that signatures are the same in each run."""
     return Ed25519PrivateKey.from_private_bytes(bytes([1]) * 32)
 
 
-def folder(path: Path) -> dict[str, bytes]:
-    """All files of a release."""
-    return {file.name: file.read_bytes() for file in sorted(path.iterdir())}
+def read_files(folder: Path) -> dict[str, bytes]:
+    """The contents of all files of a folder, by name."""
+    return {file.name: file.read_bytes() for file in sorted(folder.iterdir())}
 
 
-def publish_trial(directory: Path) -> Path:
-    """A signed trial of the hooks of the committed drafts."""
+def publish_canary(directory: Path) -> Path:
+    """Publish a signed canary release of the committed sources."""
     return publish(STORED / "drafts", directory, 7, Rollout(0.25, ("ada", "bob"), "a triäl"), key=private_key())
 
 
 def test_a_release_is_published_as_committed(tmp_path: Path) -> None:
-    assert folder(publish_trial(tmp_path / "hooks")) == folder(STORED / "releases" / "7")
-    assert sorted(folder(STORED / "releases" / "7")) == ["log.hook", "manifest.sig", "manifest.txtpb", "words.hook"]
+    assert read_files(publish_canary(tmp_path / "hooks")) == read_files(STORED / "releases" / "7")
+    assert sorted(read_files(STORED / "releases" / "7")) == ["log.hook", "manifest.sig", "manifest.txtpb", "words.hook"]
 
 
 def test_the_committed_release_is_read() -> None:
     release = read_release(STORED / "releases" / "7", (PUBLIC_KEY,))
     assert parse_public_key(PUBLIC_KEY) == private_key().public_key()
     assert (release.version, release.share, release.about, release.signer) == (7, 0.25, "a triäl", PUBLIC_KEY)
-    assert release.trial_customers == {"ada", "bob"}
+    assert release.canary_customers == {"ada", "bob"}
     assert [(hook.point, hook.name) for hook in release.hooks] == [("log", "log.hook"), ("refusal", "words.hook")]
     assert release.digest == "3335071a3dbf62ac938da3c727dcfe92ceb9ab86d41a02124480e4692a042b11"
     assert [release.includes(customer) for customer in ("ada", "carl", "dora", "emil", "fritz")] == [
@@ -54,12 +54,12 @@
         True,
     ]
     contents = read_directory(STORED / "releases", (PUBLIC_KEY,))
-    assert [one.version for one in contents.releases] == [7] and not contents.problems
+    assert [release.version for release in contents.releases] == [7] and not contents.problems
     assert select_releases(contents.releases, ()) == (None, contents.releases[0])
 
 
 def write_history(path: Path) -> None:
-    """What a manager tells of releases that come, change and are taken back."""
+    """Write a history of releases that are loaded, changed and rolled back."""
     history = ReleaseHistory(path, "door-0")
     manager = ReleaseManager(HealthLimits(), history.add)
     empty = {version: Release(version, f"digest {version}", (), share) for version, share in ((1, 1.0), (2, 0.5))}
@@ -98,8 +98,8 @@
     }
 
 
-def test_what_was_withdrawn_stays_so() -> None:
-    withdrawn = ReleaseHistory(STORED / "history.jsonl", "door-0").rolled_back_versions()
-    manager = ReleaseManager(HealthLimits(), lambda event, fields: None, rolled_back=withdrawn)
+def test_versions_rolled_back_in_the_history_stay_out_of_service() -> None:
+    rolled_back = ReleaseHistory(STORED / "history.jsonl", "door-0").rolled_back_versions()
+    manager = ReleaseManager(HealthLimits(), lambda event, fields: None, rolled_back=rolled_back)
     manager.replace_releases([Release(version, f"digest {version}", (), 1.0) for version in (1, 2)])
     assert manager.active_versions == {"whole": 0, "trial": 0}
--- a/tests/test_hooks_cli.py
+++ b/tests/test_hooks_cli.py
@@ -1,4 +1,4 @@
-"""`martenstep hook`, as staff use it."""
+"""The commands of `martenstep hook`."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 """
 
 
-def call(*words: str) -> tuple[int, str]:
-    result = CliRunner().invoke(cli, ["hook", *words])
+def call(*arguments: str) -> tuple[int, str]:
+    result = CliRunner().invoke(cli, ["hook", *arguments])
     assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
     return result.exit_code, result.output
 
 
-def test_a_good_file_is_checked_tested_run_and_measured(tmp_path: Path) -> None:
+def test_a_valid_file_is_checked_tested_run_and_measured(tmp_path: Path) -> None:
     file, example = tmp_path / "a.hook", tmp_path / "e.json"
     file.write_text(GOOD)
     example.write_text(json.dumps({"request": {"language": "at"}, "refusal": {"status": 429, "retry_after": 2500}}))
@@ -47,40 +47,42 @@
     assert code == 0 and "steps; median" in output
 
 
-def test_the_usual_form_keeps_comments_and_stands_by_itself(tmp_path: Path) -> None:
+def test_fmt_keeps_comments_and_does_not_change_its_own_output(tmp_path: Path) -> None:
     file = tmp_path / "a.hook"
     file.write_text(GOOD.replace("  ", "      ") + "# The end.")
     assert call("fmt", "--check", str(file)) == (1, f"{file}: would change\n")
     assert call("fmt", str(file)) == (0, f"{file}: written\n")
     assert file.read_text() == GOOD + "\n# The end.\n"
     assert call("fmt", "--check", str(file)) == (0, "")
-    inside = GOOD.replace("  match", "  # by language\n  match")
-    file.write_text(inside)
+    comment_inside = GOOD.replace("  match", "  # by language\n  match")
+    file.write_text(comment_inside)
     code, output = call("fmt", str(file))
-    assert code == 2 and "a comment inside a block" in output and file.read_text() == inside
+    assert code == 2 and "comment inside a function, hook or test" in output and file.read_text() == comment_inside
 
 
 @pytest.mark.parametrize(
-    ("source", "words", "code", "told"),
+    ("source", "arguments", "expected_code", "expected_output"),
     [
         ("on refusal(r, w) { 3 }", ("check",), 2, "1:20: expected Words, got number"),
         ('test "t" { 1 == 2 }', ("test",), 1, "test 't': false"),
         ('test "t" { 1 / 0 == 2 }', ("test",), 1, "number"),
         ("", ("test",), 1, "0 held"),
         ("", ("run",), 2, "name one point"),
-        ("on log(r, a) { [][0] }", ("check",), 2, "expected a list"),
-        ("on log(r, a) { [Field { name: text(1 / 0) }] }", ("run",), 1, "divided by nothing"),
+        ("on log(r, a) { [][0] }", ("check",), 2, "expected a list with items"),
+        ("on log(r, a) { [Field { name: text(1 / 0) }] }", ("run",), 1, "division by zero"),
     ],
 )
-def test_what_is_wrong_is_told(source: str, words: tuple[str, ...], code: int, told: str, tmp_path: Path) -> None:
+def test_a_faulty_file_or_call_exits_with_a_message(
+    source: str, arguments: tuple[str, ...], expected_code: int, expected_output: str, tmp_path: Path
+) -> None:
     file = tmp_path / "a.hook"
     file.write_text(source)
-    got, output = call(*words, str(file))
-    assert got == code and told in output
+    code, output = call(*arguments, str(file))
+    assert code == expected_code and expected_output in output
 
 
 @pytest.mark.parametrize(
-    ("example", "told"),
+    ("example", "expected_output"),
     [
         ("{", "e.json"),
         ("[]", "expected an object"),
@@ -90,29 +92,29 @@
         ('{"request": {"headers": [{"name": 1}]}}', "request.headers[0].name: expected a text"),
     ],
 )
-def test_an_example_that_is_none_is_told(example: str, told: str, tmp_path: Path) -> None:
-    file, given = tmp_path / "a.hook", tmp_path / "e.json"
+def test_an_invalid_example_exits_with_a_message(example: str, expected_output: str, tmp_path: Path) -> None:
+    file, example_file = tmp_path / "a.hook", tmp_path / "e.json"
     file.write_text(GOOD)
-    given.write_text(example)
-    code, output = call("run", str(file), "--request", str(given))
-    assert code == 2 and told in output
+    example_file.write_text(example)
+    code, output = call("run", str(file), "--request", str(example_file))
+    assert code == 2 and expected_output in output
     assert call("check", str(tmp_path / "none"))[0] == 2
 
 
-def test_a_release_from_its_key_to_its_history(tmp_path: Path) -> None:
+def test_a_release_is_signed_published_listed_and_in_the_history(tmp_path: Path) -> None:
     drafts, hooks, key = tmp_path / "drafts", str(tmp_path / "hooks"), str(tmp_path / "key.pem")
     drafts.mkdir()
     (drafts / "words.hook").write_text(GOOD)
     public = call("key", key)[1].strip()
-    assert call("key", key)[0] == 2  # a key is never written over
-    status, told = call("publish", str(drafts), hooks, "--version", "1", "--sign", key)
-    assert status == 0 and "version 1" in told
+    assert call("key", key)[0] == 2  # an existing key is never overwritten
+    code, output = call("publish", str(drafts), hooks, "--version", "1", "--sign", key)
+    assert code == 0 and "version 1" in output
     assert call("publish", str(drafts), hooks, "--version", "2", "--share", "0.5", "--trial-customer", "anna")[0] == 0
-    status, told = call("list", hooks, "--customer", "anna")
-    assert status == 0 and "1: acts; share 1; refusal (words.hook)" in told
-    assert "2: on trial; share 0.5" in told and "anna: 2" in told
-    status, told = call("list", hooks, "--key", public)
-    assert status == 1 and "cannot be taken: 2: is not signed" in told
+    code, output = call("list", hooks, "--customer", "anna")
+    assert code == 0 and "1: acts; share 1; refusal (words.hook)" in output
+    assert "2: on trial; share 0.5" in output and "anna: 2" in output
+    code, output = call("list", hooks, "--key", public)
+    assert code == 1 and "cannot be taken: 2: is not signed" in output
     history = str(tmp_path / "h.jsonl")
     ReleaseHistory(tmp_path / "h.jsonl", "door-0").add("hooks withdrawn", {"version": 2, "reason": "it failed"})
     assert "2: withdrawn" in call("list", hooks, "--history", history)[1]
@@ -120,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ("list", "gone"),
         ("list", ".", "--key", "xyz"),
@@ -129,9 +131,9 @@
         ("publish", "gone", "there", "--version", "1", "--sign", "gone.pem"),
     ],
 )
-def test_bad_words_for_releases_are_told_in_a_line(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, words: tuple[str, ...]
+def test_invalid_arguments_of_release_commands_exit_with_a_message_and_no_traceback(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, arguments: tuple[str, ...]
 ) -> None:
     monkeypatch.chdir(tmp_path)
-    status, told = call(*words)
-    assert status == 2 and "Error: " in told and "Traceback" not in told
+    code, output = call(*arguments)
+    assert code == 2 and "Error: " in output and "Traceback" not in output
--- a/tests/test_hooks_docs.py
+++ b/tests/test_hooks_docs.py
@@ -1,4 +1,4 @@
-"""What the pages say of the language holds: every example runs, every built-in and field is told."""
+"""The pages about the language: every example runs, and the reference lists every built-in, point, field and limit."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(("page", "source"), EXAMPLES)
-def test_every_example_is_formatted_and_its_tests_hold(page: str, source: str) -> None:
+def test_every_example_is_formatted_and_its_tests_succeed(page: str, source: str) -> None:
     program = compile_source(source)
     assert program.points and program.tests, page
     assert format_file(parse(source)) == source
@@ -36,7 +36,7 @@
         assert VirtualMachine(program, translated=translated).run(number, ()) is True, title
 
 
-def test_the_reference_tells_all_that_there_is() -> None:
+def test_the_reference_lists_all_built_ins_points_fields_and_limits() -> None:
     text = (DOCS / "hooks-language.md").read_text(encoding="utf-8")
     assert all(f"`{name}(" in text for name in (*BUILT_INS, *EXTENSION_POINTS))
     table = {line.split("|")[1]: line.split("|")[2] for line in text.splitlines() if line.count("|") == 3}
@@ -47,10 +47,10 @@
     assert f"nested {MAX_NESTING} deep" in text and f"| {MAX_CALL_DEPTH} |" in text and f"{MAX_COUNTERS} names" in text
 
 
-def test_the_grammar_in_the_reference_is_the_parsers() -> None:
+def test_the_grammar_in_the_reference_equals_that_of_the_parser_module() -> None:
     text = (DOCS / "hooks-language.md").read_text(encoding="utf-8")
     source = (DOCS.parent / "martenstep/hooks/parser.py").read_text(encoding="utf-8")
-    [told] = re.findall(r"```\n(file .*?)```", text, re.S)
-    assert [line.strip() for line in told.strip().splitlines()] == [
+    [grammar] = re.findall(r"```\n(file .*?)```", text, re.S)
+    assert [line.strip() for line in grammar.strip().splitlines()] == [
         line.strip() for line in source[source.index("file     =") : source.index("A TEXT holds")].strip().splitlines()
     ]
--- a/tests/test_hooks_runner.py
+++ b/tests/test_hooks_runner.py
@@ -1,4 +1,4 @@
-"""Hooks that fail cost a request nothing but the default, and are left alone in the end."""
+"""A request whose hook fails gets the default, and a hook that fails too often is not run for a while."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 REQUEST: tuple[Any, ...] = ("GET", "/p/1", "h", "anna", "studio", "read", 1.0, "de", "text/html", [], 0.0)
 REFUSAL = (429.0, "quota", 2500.0)
-LONG = 'Words { body: text(for x in range(1000), n = 0 { n + 1 }), content_type: "text/plain" }'
+EXCEEDS_STEPS = 'Words { body: text(for x in range(1000), n = 0 { n + 1 }), content_type: "text/plain" }'
 DEFAULT = result_validation.RejectionContent(b"too much", "text/plain", 2500.0, ())
 
 
 class RunnerFixture:
-    """A runner with one hook at rejections, and the events that it logged."""
+    """A runner with one hook at the refusal point, and the events that it logged."""
 
     def __init__(self, body: str, **changes: Any) -> None:
         self.events: list[str] = []
@@ -52,7 +52,7 @@
         )
 
 
-def test_a_good_hook_words_the_refusal_and_no_earlier_return() -> None:
+def test_a_hook_sets_the_body_of_a_rejection_but_no_earlier_retry_after() -> None:
     fixture = RunnerFixture('Words { body: "wait ${why.retry_after}", content_type: "text/plain", retry_after: 1ms }')
     content = fixture.reject()
     assert content.body == b"wait 2.5s" and content.retry_after_ms == 2500.0
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     ("body", "kind"),
     [
-        (LONG, "steps"),
+        (EXCEEDS_STEPS, "steps"),
         ('Words { body: for x in range(40), s = "ab" { s + s }, content_type: "text/plain" }', "bytes"),
         ('Words { body: text(1 / 0), content_type: "text/plain" }', "number"),
         ('Words { body: text([1][why.status]), content_type: "text/plain" }', "index"),
@@ -79,58 +79,62 @@
         ('Words { body: "x", content_type: "text/plain", retry_after: 1000000h * 1000000 }', "border"),
     ],
 )
-def test_a_hook_that_fails_leaves_the_default(body: str, kind: str) -> None:
+def test_a_failed_hook_results_in_the_default(body: str, kind: str) -> None:
     fixture = RunnerFixture(body)
     assert fixture.reject() == DEFAULT and fixture.runner.counts == {f"refusal {kind}": 1}
     assert fixture.events == ["hook failed"]
 
 
-def test_the_backstop_is_the_hosts() -> None:
-    looks: list[int] = []
+def test_the_gateway_starts_the_deadline_of_each_run() -> None:
+    started: list[int] = []
 
     def begin_deadline() -> Callable[[], bool]:
-        looks.append(0)
+        started.append(0)
         return lambda: True
 
     fixture = RunnerFixture(
         'Words { body: for x in range(1000), s = "" { s }, content_type: "text/plain" }', begin_deadline=begin_deadline
     )
-    assert fixture.reject() == DEFAULT and fixture.runner.counts == {"refusal late": 1} and looks == [0]
+    assert fixture.reject() == DEFAULT and fixture.runner.counts == {"refusal late": 1} and started == [0]
 
 
-def test_values_that_are_none_leave_the_default() -> None:
+def test_ill_typed_arguments_result_in_the_default() -> None:
     fixture = RunnerFixture('Words { body: "a" + r.path, content_type: "text/plain" }')
     assert fixture.reject(((), ())) == DEFAULT and fixture.runner.counts == {"refusal ill-typed": 1}
 
 
-def test_a_hook_that_fails_too_often_is_left_alone_and_tried_again() -> None:
+def test_the_circuit_breaker_opens_after_repeated_failures_and_closes_after_a_successful_run() -> None:
     fixture = RunnerFixture('Words { body: text([0][floor(r.time)]), content_type: "text/plain" }')
-    bad, good = (*REQUEST[:-1], 7.0), REQUEST
+    failing, succeeding = (*REQUEST[:-1], 7.0), REQUEST
     for _ in range(MAX_FAILURES):
-        assert fixture.reject((bad, REFUSAL)) == DEFAULT
+        assert fixture.reject((failing, REFUSAL)) == DEFAULT
     assert fixture.events == ["hook failed"] * MAX_LOGGED_FAILURES + ["hook left alone"]
     assert (
         fixture.reject() == DEFAULT and fixture.runner.counts["refusal left alone"] == 1
-    )  # though it would be good now
+    )  # not run, although it would succeed
     fixture.now += OPEN_MS
-    assert fixture.reject((bad, REFUSAL)) == DEFAULT  # its one trial
+    assert fixture.reject((failing, REFUSAL)) == DEFAULT  # the one run while half-open
     assert fixture.reject() == DEFAULT and fixture.runner.counts["refusal breaks"] == 2
     fixture.now += OPEN_MS
-    assert fixture.reject((good, REFUSAL)).body == b"0"
+    assert fixture.reject((succeeding, REFUSAL)).body == b"0"
     for _ in range(MAX_FAILURES - 1):
-        fixture.reject((bad, REFUSAL))
+        fixture.reject((failing, REFUSAL))
     fixture.now += FAILURE_WINDOW_MS
-    assert fixture.reject().body == b"0" and fixture.runner.counts["refusal breaks"] == 2  # failures are forgotten
+    assert (
+        fixture.reject().body == b"0" and fixture.runner.counts["refusal breaks"] == 2
+    )  # failures of an earlier window do not count
 
 
-def test_a_point_without_a_hook_is_its_default() -> None:
+def test_a_point_without_a_hook_results_in_the_default() -> None:
     fixture = RunnerFixture("Words {}")
     assert fixture.runner.has("refusal") and not fixture.runner.has("log")
-    assert fixture.runner.call(0.0, "log", "", "", tuple, lambda made: made, "x") == "x" and not fixture.runner.counts
+    assert (
+        fixture.runner.call(0.0, "log", "", "", tuple, lambda result: result, "x") == "x" and not fixture.runner.counts
+    )
 
 
-def test_a_run_that_is_cut_off_is_charged_in_full() -> None:
-    fixture = RunnerFixture(LONG)
+def test_a_run_that_exceeds_its_budget_is_charged_the_whole_budget() -> None:
+    fixture = RunnerFixture(EXCEEDS_STEPS)
     fixture.reject()
     assert fixture.runner.steps_used == MAX_STEPS
     program: Program = compile_source('test "t" { true }')
