--- a/martenstep/hooks/bytecode.py
+++ b/martenstep/hooks/bytecode.py
@@ -50,9 +50,8 @@
     FORMAT_VALUE = auto()  # pop a number, bool or duration, push it as text; a is 1 for a duration
     CALL = auto()  # call function a of the program with b arguments
     CALL_BUILT_IN = auto()  # call built-in function a with b arguments
-    FOR_NEXT = (
-        auto()
-    )  # push the next item of the list in local a, whose position is in local a + 1; at its end jump to b
+    # Push the next item of the list in local a, whose position is in local a + 1; at the end of the list jump to b.
+    FOR_NEXT = auto()
     RETURN = auto()
 
 
--- a/martenstep/hooks/formatter.py
+++ b/martenstep/hooks/formatter.py
@@ -171,9 +171,7 @@
 
     def _binary(self, operation: tree.BinaryOperation, context: _Context) -> _Formatted:
         precedence = OPERATOR_PRECEDENCE[operation.operator]
-        is_comparison = (
-            precedence == COMPARISON_PRECEDENCE
-        )  # comparisons do not chain, so an operand that is one needs parentheses
+        is_comparison = precedence == COMPARISON_PRECEDENCE  # does not chain: its operands may not be comparisons
         left = self._format(operation.left, context, precedence + is_comparison)
         right = self._format(operation.right, context, precedence + 1)
         return _Formatted(f"{left} {operation.operator} {right}", precedence)
--- a/martenstep/hooks/operators.py
+++ b/martenstep/hooks/operators.py
@@ -87,7 +87,7 @@
 
 def _load_item(_context: RunContext, items: list[Any], index: float) -> Any:  # noqa: ANN401  # a value of the language
     if not 0 <= index < len(items):
-        raise HookRunError("index", f"item {format_value(index, False)} does not exist, the list has {len(items)}")
+        raise HookRunError("index", f"item {format_value(index, False)} does not exist in a list of {len(items)}")
     return items[int(index)]
 
 
--- a/martenstep/hooks/pattern_parser.py
+++ b/martenstep/hooks/pattern_parser.py
@@ -196,5 +196,5 @@
         high = self._pattern[self._position + 1]
         self._position += 2
         if high < low:
-            raise self._error(f"the range {low}-{high} runs backwards")
+            raise self._error(f"the range from {low!r} to {high!r} runs backwards")
         return ((low, high),)
--- a/martenstep/hooks/release.py
+++ b/martenstep/hooks/release.py
@@ -56,7 +56,7 @@
         return self.share < 1.0
 
     def includes(self, customer: str) -> bool:
-        """Whether the release is rolled out to a customer; a hash decides, so that all gateways agree."""
+        """Whether the release is rolled out to a customer; the result is the same at every gateway."""
         return (
             not self.is_canary
             or customer in self.canary_customers
--- a/martenstep/hooks/release_manager.py
+++ b/martenstep/hooks/release_manager.py
@@ -1,8 +1,8 @@
 """Selects the releases of hooks in service for each customer, and rolls back unhealthy ones.  No I/O, no clock.
 
 The newest full release is in service for all customers except those of a newer canary release.  A hash of the customer
-alone decides whether the customer belongs to a canary, so that all gateways agree without messages and a wider canary
-includes the customers of a narrower one.
+alone decides whether a customer that the release does not list belongs to a canary, so that all gateways agree without
+messages, and a wider canary includes these customers of a narrower one.
 
 A release that fails or costs too much is rolled back at this gateway: a canary when the circuit breaker of one hook
 opens, a full release when that happens MAX_OPENINGS times in a row, and either when its share of failures or its mean
--- a/martenstep/hooks/run_context.py
+++ b/martenstep/hooks/run_context.py
@@ -14,7 +14,7 @@
 ITEM_BYTES = 16
 MAX_CALL_DEPTH = 64
 MAX_COUNTERS = 100
-MAX_COUNT = 2.0**53  # the largest float up to which adding 1 is exact
+MAX_COUNT = 2.0**53  # counting stops here: adding 1 to this float does not change it
 
 
 def never_overdue() -> bool:
@@ -40,7 +40,7 @@
     def increment(self, name: str) -> float:
         """Add one and return the new value; raises HookRunError beyond MAX_COUNTERS names."""
         if name not in self.values and len(self.values) >= MAX_COUNTERS:
-            raise HookRunError("counters", f"expected at most {MAX_COUNTERS} names of counters, got another")
+            raise HookRunError("counters", f"another name would exceed the limit of {MAX_COUNTERS} counters")
         self.values[name] = value = min(self.values.get(name, 0.0) + 1.0, MAX_COUNT)
         return value
 
--- a/martenstep/hooks/runner.py
+++ b/martenstep/hooks/runner.py
@@ -127,10 +127,9 @@
         accept: Callable[[Any], Result],
         default: Result,
     ) -> Result:
-        """Run the hook for a customer and return its result as converted by `accept`.
+        """Run the hook for a customer; returns its result converted by `accept`, which may raise InvalidResultError.
 
-        Returns the default if no hook applies, its circuit breaker is open, or it fails.  `accept` raises
-        InvalidResultError for a result that is not allowed.  Times are in milliseconds.
+        Returns the default if no hook applies, its circuit breaker is open, or it fails.  Times are in milliseconds.
         """
         for installed in self._hooks_by_point.get(point, ()):
             if installed.applies_to_all or installed.hook.applies_to(customer, plan):
--- a/martenstep/hooks/type_checker.py
+++ b/martenstep/hooks/type_checker.py
@@ -114,7 +114,9 @@
                 raise HookSourceError(reference.location, "list: expected the type of its items, such as list<text>")
             return list_of(self._resolve(reference.item_type))
         found = TYPES_BY_NAME.get(reference.name)
-        if found is None or reference.item_type is not None:
+        if found is not None and reference.item_type is not None:
+            raise HookSourceError(reference.location, f"{found}: only list takes a type of items")
+        if found is None:
             known = _known_names([*TYPES_BY_NAME, "list"])
             raise HookSourceError(reference.location, f"no type is named {reference.name!r} {known}")
         return found
--- a/martenstep/hooks/types.py
+++ b/martenstep/hooks/types.py
@@ -42,6 +42,7 @@
     return Type("list", item_type)
 
 
+# The records of the extension points; their names and those of their fields are words of the language.
 HEADER = Type("Header")
 REQUEST = Type("Request")
 REJECTION = Type("Refusal")
--- a/martenstep/hooks/verifier.py
+++ b/martenstep/hooks/verifier.py
@@ -54,8 +54,11 @@
     for point, number in program.points.items():
         if point not in EXTENSION_POINTS or not 0 <= number < len(program.functions):
             raise BytecodeError(f"extension point {point!r}: unknown, or its function {number} does not exist")
-        if program.functions[number].parameter_count != len(EXTENSION_POINTS[point].parameters):
-            raise BytecodeError(f"extension point {point!r}: its function has the wrong number of parameters")
+        expected, actual = len(EXTENSION_POINTS[point].parameters), program.functions[number].parameter_count
+        if actual != expected:
+            raise BytecodeError(
+                f"extension point {point!r}: its function takes {actual} parameters, expected {expected}"
+            )
     for _, number in program.tests:
         if not 0 <= number < len(program.functions) or program.functions[number].parameter_count:
             raise BytecodeError("a test refers to a missing function, or to one with parameters")
--- a/martenstep/hooks/virtual_machine.py
+++ b/martenstep/hooks/virtual_machine.py
@@ -147,7 +147,7 @@
     def _interpret(self, number: int, arguments: tuple[Any, ...]) -> Any:  # noqa: ANN401, C901, PLR0912, PLR0915
         """Interpret a function.
 
-        The loop handles the frequent instructions inline: a call would cost more than most of them do.
+        The loop is a flat table of the frequent instructions: a call for each would cost more than most of them do.
         """
         functions = self._program.functions
         constants = self._program.constants
--- a/tests/test_hooks_language.py
+++ b/tests/test_hooks_language.py
@@ -20,9 +20,9 @@
 from martenstep.hooks.type_checker import check_types
 from martenstep.hooks.verifier import decode_verified, verify_program
 from martenstep.hooks.virtual_machine import VirtualMachine
-from tests.hook_programs import Undefined, evaluate, files
+from tests.hook_programs import UndefinedResultError, evaluate, files
 
-RUNS = hypo(max_examples=50, deadline=None, derandomize=True)
+HYPOTHESIS_SETTINGS = hypo(max_examples=50, deadline=None, derandomize=True)
 REQUEST = ("GET", "/p/1", "h", "anna", "studio", "read", 1.0, "de", "text/html", [("X-A", "1")], 0.0)
 
 
@@ -33,7 +33,7 @@
 
 
 @given(files())
-@RUNS
+@HYPOTHESIS_SETTINGS
 def test_a_formatted_tree_parses_to_the_same_tree(file: tree.SourceFile) -> None:
     formatted = format_file(file)
     parsed = parse(formatted)
@@ -48,7 +48,7 @@
 
 
 @given(files())
-@RUNS
+@HYPOTHESIS_SETTINGS
 def test_a_well_typed_program_runs_like_the_reference_interpreter(file: tree.SourceFile) -> None:
     program = decode_verified(encode_program(compile_file(file)))
     types = check_types(file)
@@ -66,14 +66,14 @@
         assert 0 <= machine.remaining_steps < MAX_STEPS and 0 <= machine.remaining_bytes <= MAX_BYTES
         try:
             expected: object = evaluate(body, dict(zip(("a", "b", "r"), arguments, strict=False)), types)
-        except Undefined:
+        except UndefinedResultError:
             assert result in ("index", "number")
             continue
         assert result == expected
 
 
 @given(st.text(max_size=200))
-@RUNS
+@HYPOTHESIS_SETTINGS
 def test_any_text_compiles_or_is_rejected_with_a_location(source: str) -> None:
     try:
         compile_source(source)
@@ -128,7 +128,7 @@
 
 
 @given(st.lists(TOKENS, max_size=40))
-@RUNS
+@HYPOTHESIS_SETTINGS
 def test_any_sequence_of_tokens_compiles_or_is_rejected_with_a_location(tokens: list[str]) -> None:
     try:
         compile_source(" ".join(tokens))
@@ -137,7 +137,7 @@
 
 
 @given(files(), st.data())
-@RUNS
+@HYPOTHESIS_SETTINGS
 def test_corrupted_bytecode_is_rejected_or_runs_within_its_budget(file: tree.SourceFile, data: st.DataObject) -> None:
     packed = bytearray(encode_program(compile_file(file)))
     for _ in range(data.draw(st.integers(1, 4))):
--- a/tests/test_hooks_runner.py
+++ b/tests/test_hooks_runner.py
@@ -109,9 +109,8 @@
     for _ in range(MAX_FAILURES):
         assert fixture.reject((failing, REFUSAL)) == DEFAULT
     assert fixture.events == ["hook failed"] * MAX_LOGGED_FAILURES + ["hook left alone"]
-    assert (
-        fixture.reject() == DEFAULT and fixture.runner.counts["refusal left alone"] == 1
-    )  # not run, although it would succeed
+    # The hook is not run, although it would succeed now.
+    assert fixture.reject() == DEFAULT and fixture.runner.counts["refusal left alone"] == 1
     fixture.now += OPEN_MS
     assert fixture.reject((failing, REFUSAL)) == DEFAULT  # the one run while half-open
     assert fixture.reject() == DEFAULT and fixture.runner.counts["refusal breaks"] == 2
@@ -120,17 +119,15 @@
     for _ in range(MAX_FAILURES - 1):
         fixture.reject((failing, REFUSAL))
     fixture.now += FAILURE_WINDOW_MS
-    assert (
-        fixture.reject().body == b"0" and fixture.runner.counts["refusal breaks"] == 2
-    )  # failures of an earlier window do not count
+    # Failures of an earlier window do not count.
+    assert fixture.reject().body == b"0" and fixture.runner.counts["refusal breaks"] == 2
 
 
 def test_a_point_without_a_hook_results_in_the_default() -> None:
     fixture = RunnerFixture("Words {}")
     assert fixture.runner.has("refusal") and not fixture.runner.has("log")
-    assert (
-        fixture.runner.call(0.0, "log", "", "", tuple, lambda result: result, "x") == "x" and not fixture.runner.counts
-    )
+    assert fixture.runner.call(0.0, "log", "", "", tuple, lambda result: result, "default") == "default"
+    assert not fixture.runner.counts
 
 
 def test_a_run_that_exceeds_its_budget_is_charged_the_whole_budget() -> None:
--- a/tests/test_hooks_translation.py
+++ b/tests/test_hooks_translation.py
@@ -19,7 +19,7 @@
 from tests.hook_programs import files
 
 REQUEST = ("GET", "/p", "h", "c", "p", "k", 1.0, "de", "a/b", [("x-a", "1"), ("X-B", "2")], 5.0)
-OPS = [int(op) for op in Opcode]
+OPCODES = [int(opcode) for opcode in Opcode]
 
 
 def run_both(program: Program, number: int, arguments: tuple[Any, ...] = (), **options: Any) -> list[tuple[Any, ...]]:
@@ -67,7 +67,7 @@
     assert is_equivalent(interpreted, translated), (interpreted, translated)
 
 
-@given(st.lists(st.tuples(st.sampled_from(OPS), st.integers(0, 6), st.integers(0, 6)), min_size=1, max_size=14))
+@given(st.lists(st.tuples(st.sampled_from(OPCODES), st.integers(0, 6), st.integers(0, 6)), min_size=1, max_size=14))
 @hypo(max_examples=1500, deadline=None, derandomize=True)
 def test_any_verified_code_has_the_same_outcome(code: list[tuple[int, int, int]]) -> None:
     """Includes code that the compiler never emits: endless loops, unreachable code, blocks reached only backward."""
