--- a/martenstep/hooks/translation.py
+++ b/martenstep/hooks/translation.py
@@ -55,7 +55,7 @@
             Opcode.FORMAT_VALUE: self._format_value,
             Opcode.BUILD_RECORD: self._build_record,
             Opcode.BUILD_LIST: self._build_list,
-            Opcode.CALL: lambda a, b: self._push(f"m.call({a}, ({_each_with_comma(self._pop_values(b))}))"),
+            Opcode.CALL: lambda a, b: self._push(f"m.call({a}, ({_tuple_items(self._pop_values(b))}))"),
             Opcode.CALL_BUILT_IN: lambda a, b: self._push(f"i{a}(m, [{', '.join(self._pop_values(b))}])"),
         }
 
@@ -63,19 +63,19 @@
         """Generate the text of the whole function."""
         parameters = [f"v{local}" for local in range(self._function.parameter_count)]
         other_locals = [f"v{local}" for local in range(self._function.parameter_count, self._function.local_count)]
-        out = [f"def f{self._number}({', '.join(['m', *parameters])}):"]
+        text_lines = [f"def f{self._number}({', '.join(['m', *parameters])}):"]
         if other_locals:
-            out.append(f"    {' = '.join(other_locals)} = 0.0")
-        out += ["    b = 0", "    while True:"]
+            text_lines.append(f"    {' = '.join(other_locals)} = 0.0")
+        text_lines += ["    b = 0", "    while True:"]
         ends = [*self.block_starts[1:], len(self._function.instructions)]
         for block, (start, end) in enumerate(zip(self.block_starts, ends, strict=True)):
             self._lines = []
             if start in self._heights:  # otherwise the block is unreachable
                 self._stack = [f"s{index}" for index in range(self._heights[start])]
                 self._translate_block(start, end)
-            out.append(f"        if b == {block}:")
-            out += [f"            {line}" for line in self._lines or ["pass"]]
-        return "\n".join(out) + "\n"
+            text_lines.append(f"        if b == {block}:")
+            text_lines += [f"            {line}" for line in self._lines or ["pass"]]
+        return "\n".join(text_lines) + "\n"
 
     # The stack ----------------------------------------------------------------------------------------------
 
@@ -191,7 +191,7 @@
         else:
             length = " + ".join(f"len({part})" for part in parts) or "0"
         self._lines.append(f"m.charge_text({length})")
-        self._push(f"''.join(({_each_with_comma(parts)}))")
+        self._push(f"''.join(({_tuple_items(parts)}))")
 
     def _format_value(self, is_duration: int, _b: int) -> None:
         text = self._push(f"format_value({self._pop()}, {bool(is_duration)})")
@@ -199,7 +199,7 @@
 
     def _build_record(self, record: int, _b: int) -> None:
         self._charge_bytes(ITEM_BYTES * FIELD_COUNTS[record])
-        self._push(f"({_each_with_comma(self._pop_values(FIELD_COUNTS[record]))})")
+        self._push(f"({_tuple_items(self._pop_values(FIELD_COUNTS[record]))})")
 
     def _build_list(self, count: int, _b: int) -> None:
         if count < ITEMS_PER_STEP:
@@ -221,7 +221,7 @@
         return not isinstance(value, str) or len(value) < CHARACTERS_PER_STEP
 
 
-def _each_with_comma(expressions: list[str]) -> str:
+def _tuple_items(expressions: list[str]) -> str:
     """The inside of a tuple display; the final comma is needed for a single item."""
     return "".join(f"{expression}, " for expression in expressions)
 
--- a/tests/test_hooks_releases.py
+++ b/tests/test_hooks_releases.py
@@ -24,7 +24,7 @@
 FAILS_AT_TIME_7 = words("text([0][floor(r.time)])")
 REQUEST: tuple[Any, ...] = ("GET", "/p/1", "h", "anna", "studio", "read", 1.0, "de", "text/html", [], 0.0)
 REFUSAL = (429.0, "quota", 2500.0)
-KEYS = [f"customer-{number}" for number in range(2000)]
+CUSTOMERS = [f"customer-{number}" for number in range(2000)]
 
 
 class ManagerFixture:
@@ -61,7 +61,7 @@
 
 def test_a_wider_canary_includes_the_customers_of_a_narrower_one() -> None:
     tenth, half = release(2, share=0.1, canary_customers=("vip",)), release(3, share=0.5)
-    first, second = ({key for key in KEYS if canary.includes(key)} for canary in (tenth, half))
+    first, second = ({customer for customer in CUSTOMERS if canary.includes(customer)} for canary in (tenth, half))
     assert first < second and 150 < len(first) < 250 and 900 < len(second) < 1100
     assert tenth.includes("vip") and not tenth.includes(next(iter(second - first)))
 
@@ -143,7 +143,7 @@
     assert runner is not None and not runner.has("refusal")
 
 
-# On the disk --------------------------------------------------------------------------------------------
+# Files --------------------------------------------------------------------------------------------------
 
 
 def write_sources(folder: Path, **texts: str) -> Path:
