--- a/martenstep/membership/__init__.py
+++ b/martenstep/membership/__init__.py
@@ -1,14 +1,15 @@
-"""Membership among the instances: which members a cluster has, as far as each can know.
+"""Gossip membership of the gateway instances: the set of members of a cluster, as each instance has observed it.
 
-What is guaranteed, to whom, and when it ends:
+Guarantees:
 
-- To operators and to what places replicas: all member tables converge once faults have ended; a member that has failed
-  is declared dead at all that can be reached; a member that was only paused for less than
-  `MembershipSettings.tolerated_pause_ms` is not.  The guarantee ends with the last path between two members.
-- To everybody: nothing.  Membership is knowledge, never permission.  An instance serves whatever it believes of the
-  others; what must never happen twice rests on terms and durable votes elsewhere, not on this.
-- No wall clock is read: the clocks of members may be apart by any amount and may be stepped.
+- For operators and for the placement of replicas: all member tables converge once faults have ended; a failed member is
+  declared dead by every member that can be reached; a member that was only paused for less than
+  `MembershipSettings.tolerated_pause_ms` is not.  The guarantee ends when no path between two members is left.
+- For every other purpose: none.  Membership is information, never permission.  An instance serves requests whatever its
+  table says about the others; operations that must never happen twice are protected by terms and durable votes
+  elsewhere, not by the membership.
+- The protocol reads no wall clock: the clocks of members may differ by any amount and may be stepped.
 
-The protocol's core is without I/O (`core`, and the parts that it puts together); `service` drives it on sockets.  What
-a member is used for, requests, quotas and endpoints have no place here.
+The protocol core does no I/O (`core`, and the components that it creates); `service` runs it on sockets.  What members
+are used for, such as requests, quotas and endpoints, does not belong in this package.
 """
--- a/martenstep/membership/actions.py
+++ b/martenstep/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the membership core asks of its host: datagrams to send, exchanges to open, events to log."""
+"""Actions that the membership core returns to its host: send a datagram, open a state exchange, report an event."""
 
 from __future__ import annotations
 
@@ -9,13 +9,18 @@
 from martenstep.membership.member import Address
 
 EventFields = Mapping[str, str | int | float | bool]
-RECORDED_NAMES = {"reported_by": "by", "receive_partitioned": "deaf", "send_partitioned": "unheard", "active": "on"}
+RECORDED_FIELD_NAMES = {
+    "reported_by": "by",
+    "receive_partitioned": "deaf",
+    "send_partitioned": "unheard",
+    "active": "on",
+}
 
 
 class EventKind(StrEnum):
-    """The kinds of events; the values are those of recorded beliefs."""
+    """The kinds of events; the values are written to the record of beliefs, the lowercase names to the event log."""
 
-    # Of this node.
+    # Events about this node.
     JOINED_CLUSTER = "in"
     LEFT_CLUSTER = "gone"
     PROCESS_PAUSED = "late"
@@ -25,7 +30,7 @@
     NAME_REJECTED = "refused"
     NAME_LOST = "displaced"
     NODE_ID_DUPLICATED = "copied"
-    # Of another member.
+    # Events about another member.
     MEMBER_JOINED = "joined"
     MEMBER_REPLACED = "replaced"
     MEMBER_RESTARTED = "restarted"
@@ -40,13 +45,13 @@
 
     @property
     def label(self) -> str:
-        """Its name in the event log."""
+        """Return the name that the event log shows."""
         return self.name.lower()
 
 
 @dataclass(slots=True)
 class SendDatagram:
-    """A datagram is to be sent."""
+    """Asks the host to send a datagram."""
 
     to: Address
     data: bytes
@@ -54,7 +59,7 @@
 
 @dataclass(slots=True)
 class OpenExchange:
-    """An exchange is to be opened; its first frame is given by the core for this token."""
+    """Asks the host to open a state exchange; the host passes the token back with each answer."""
 
     to: Address
     token: int
@@ -62,7 +67,7 @@
 
 @dataclass(slots=True)
 class MemberEvent:
-    """What happened, for logs, metrics and users of the member table."""
+    """Reports a change, for the event log, the record of beliefs and users of the member table."""
 
     kind: EventKind
     member: str = ""
@@ -70,8 +75,8 @@
 
     @property
     def recorded_fields(self) -> EventFields:
-        """The fields under the names of recorded beliefs."""
-        return {RECORDED_NAMES.get(name, name): value for name, value in self.fields.items()}
+        """Return the fields under the names that the record of beliefs uses."""
+        return {RECORDED_FIELD_NAMES.get(name, name): value for name, value in self.fields.items()}
 
 
 Action = SendDatagram | OpenExchange | MemberEvent
--- a/martenstep/membership/belief_record.py
+++ b/martenstep/membership/belief_record.py
@@ -1,4 +1,7 @@
-"""The record of what a node believes, as JSON lines: read by the checkers of the lab, under its external names."""
+"""The record of beliefs: the membership events of one node as JSON lines, which the checkers of the lab read.
+
+The field names and the tag in the file are part of its format and differ from the names in this package.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 from martenstep.membership.actions import EventFields
 
-NODE_STARTED = "life"  # the kind of the first line of a process
+NODE_STARTED = "life"  # kind of the first line that each process writes
 
 
 class _BeliefLine(msgspec.Struct, tag_field="type", tag="belief"):
@@ -22,15 +25,15 @@
 
 
 class BeliefRecord:
-    """A file that is appended to; a line that cannot be written is lost."""
+    """Appends events to a file; a line that cannot be written is lost, so that a full disk does not stop the node."""
 
     def __init__(self, path: Path, node: str) -> None:
-        """Raises OSError where the file cannot be opened."""
+        """Open the file; raises OSError if it cannot be opened."""
         self._node = node
         self._file: BinaryIO = path.open("ab", 0)
 
     def write(self, at_ms: float, kind: str, member: str, fields: EventFields) -> None:
-        """Append a line."""
+        """Append one event."""
         line = msgspec.json.encode(_BeliefLine(at_ms, self._node, kind, member, fields))
         with contextlib.suppress(OSError):
             self._file.write(line + b"\n")
--- a/martenstep/membership/codec.py
+++ b/martenstep/membership/codec.py
@@ -1,15 +1,16 @@
 """Encoding of the membership protocol, version 1: datagrams of at most 1,200 bytes, and the frames of a state exchange.
 
 Datagram: `2s magic "MG", u8 version, u8 0, u64 cluster, u64 sender's boot id, u64 receiver's boot id, u64 number`, a
-body in MessagePack, and 16 bytes of HMAC-SHA-256 over all before them.  Numbers are big-endian; `cluster` is xxHash3-64
-of the cluster's name.  The receiver's boot id binds a datagram to one process, and its number to one moment of it: a
-replayed datagram, there or at a later process, is dropped.  A sender that does not know the boot id writes 0 and is
-told it.
+body in MessagePack, and the first 16 bytes of the HMAC-SHA-256 over everything before them.  Numbers are big-endian;
+`cluster` is the xxHash3-64 of the cluster's name.  The receiver's boot id binds a datagram to one process, and `number`
+increases with each datagram of a sender: a datagram that is replayed to the same process or to a later one is dropped.
+A sender that has no boot id for the receiver writes 0 and receives the current one in a `WrongBootId`.
 
-Frame of an exchange: `u32 length`, body in MessagePack, HMAC over a context and the body.  The context holds both
-sides' fresh nonces, the direction and the frame's index, so that no frame of one exchange passes in another.
+Frame of an exchange: `u32 length`, body in MessagePack, HMAC over a context and the body.  The context covers fresh
+nonces of both sides and the frame's index, which also gives the direction, so that a frame of one exchange is not
+valid in another.
 
-The messages are arrays on the wire: the order of their fields and their tags are the format.
+Messages are encoded as arrays: their tags and the order of their fields are the wire format.
 """
 
 from __future__ import annotations
@@ -27,8 +28,8 @@
 from martenstep.membership.member_table import BUCKET_COUNT, Digest
 
 MAGIC, VERSION = b"MG", 1
-MAX_DATAGRAM_BYTES = 1200  # passes any path of IPv6's least MTU with room for tunnels
-MAX_FRAME_BYTES = 4 << 20  # some ten thousands of members
+MAX_DATAGRAM_BYTES = 1200  # fits the minimum MTU of IPv6 and leaves room for tunnel headers
+MAX_FRAME_BYTES = 4 << 20  # room for tens of thousands of members
 MAX_RECORDS = 20_000
 HEADER = struct.Struct(">2sBBQQQQ")
 MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - MAC_BYTES
@@ -36,7 +37,7 @@
 
 
 class Sender(msgspec.Struct, array_like=True, frozen=True):
-    """Who sends, and where it is reached: the source address may be a relay's."""
+    """The sending member and its address; the source address of the datagram may belong to a relay."""
 
     name: MemberName
     host: Host
@@ -44,7 +45,11 @@
 
 
 class ReceiverView(msgspec.Struct, array_like=True, frozen=True):
-    """The receiver as the sender holds it: who is suspected learns so from whoever writes to it (Lifeguard's buddy)."""
+    """The sender's record of the receiver, in short.
+
+    A ping, ack or gossip message thereby carries a suspicion to the suspected member itself, which can refute it early
+    (the buddy system of Lifeguard).
+    """
 
     epoch: U32
     node_id: U64
@@ -64,7 +69,7 @@
 
 
 class Ack(msgspec.Struct, array_like=True, tag=2):
-    """The answer to a probe."""
+    """Acknowledges a probe."""
 
     sender: Sender
     nonce: U64
@@ -74,7 +79,7 @@
 
 
 class IndirectPing(msgspec.Struct, array_like=True, tag=3):
-    """Asks the receiver to probe a target on behalf of the sender."""
+    """Asks the receiver, a helper, to probe a target on behalf of the sender."""
 
     sender: Sender
     nonce: U64
@@ -85,7 +90,7 @@
 
 
 class IndirectPingResponse(msgspec.Struct, array_like=True, tag=4):
-    """Whether the target acknowledged the helper's probe in time."""
+    """A helper's result: whether the target acknowledged its probe in time; a nack (as in Lifeguard) if not."""
 
     sender: Sender
     nonce: U64
@@ -93,7 +98,7 @@
 
 
 class Gossip(msgspec.Struct, array_like=True, tag=5):
-    """Member records that are being disseminated."""
+    """Disseminates member records."""
 
     sender: Sender
     receiver_view: ReceiverView | None
@@ -102,7 +107,7 @@
 
 
 class WrongBootId(msgspec.Struct, array_like=True, tag=6):
-    """The datagram was addressed to another process; this is the one that is here."""
+    """Replies to a datagram that was addressed to another process, with the boot id of the process that received it."""
 
     sender: Sender
     boot_id: U64
@@ -110,7 +115,7 @@
 
 
 class PullRequest(msgspec.Struct, array_like=True, tag=10):
-    """Opens an exchange: the digests of the requester's buckets, and its own record."""
+    """Opens an exchange with the digests of the requester's buckets and its own record."""
 
     sender: Sender
     digests: Annotated[list[Digest], msgspec.Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
@@ -118,7 +123,7 @@
 
 
 class PullResponse(msgspec.Struct, array_like=True, tag=11):
-    """The records of the buckets that differ."""
+    """Answers a pull request with the records of the buckets that differ."""
 
     sender: Sender
     own_record: MemberRecord
@@ -127,14 +132,14 @@
 
 
 class PushState(msgspec.Struct, array_like=True, tag=12):
-    """What the requester holds in those buckets and the other side does not."""
+    """Sends the records of those buckets that the other side lacks or holds in an older version."""
 
     sender: Sender
     records: Records = []
 
 
 class ExchangeDone(msgspec.Struct, array_like=True, tag=13):
-    """The exchange is over."""
+    """Ends the exchange."""
 
 
 Message = Ping | Ack | IndirectPing | IndirectPingResponse | Gossip | WrongBootId
@@ -146,22 +151,22 @@
 
 
 def cluster_hash(name: str) -> int:
-    """What stands for a cluster's name in each datagram."""
+    """Return the hash that stands for a cluster's name in each datagram."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 def encode(value: Message | Frame | MemberRecord) -> bytes:
-    """The body of a message or frame, or a single record."""
+    """Return the body of a message or frame, or a single record, in MessagePack."""
     return _encoder.encode(value)
 
 
 def attach_encoded(message: GossipCarrier, encoded_records: list[bytes]) -> None:
-    """Let a message carry records that are encoded already."""
+    """Set the records of a message to records that are encoded already."""
     message.records = cast(list[MemberRecord], [msgspec.Raw(data) for data in encoded_records])
 
 
 class DatagramHeader(NamedTuple):
-    """Which process sends to which, and the number that the sender gave the datagram."""
+    """The boot ids of the sending and the receiving process, and the sequence number of the datagram."""
 
     source_boot_id: int
     target_boot_id: int
@@ -169,28 +174,28 @@
 
 
 class OpenedDatagram(NamedTuple):
-    """A datagram whose MAC holds."""
+    """A datagram whose MAC has been verified."""
 
     header: DatagramHeader
     body: bytes
 
 
 def encode_datagram(keyring: Keyring, cluster: int, header: DatagramHeader, message: Message) -> bytes:
-    """A message as it is sent."""
+    """Return the signed datagram that carries a message."""
     data = HEADER.pack(MAGIC, VERSION, 0, cluster, *header) + _encoder.encode(message)
     return data + keyring.sign(data)
 
 
 def open_datagram(keyring: Keyring, cluster: int, data: bytes) -> OpenedDatagram:
-    """Check all but the body; raises ProtocolError."""
+    """Check everything except the body; raises ProtocolError."""
     if not HEADER.size + MAC_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
         raise ProtocolError(DropReason.LENGTH)
-    magic, version, _, of_cluster, *header = HEADER.unpack_from(data)
+    magic, version, _, datagram_cluster, *header = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise ProtocolError(DropReason.MAGIC)
     if version != VERSION:
         raise ProtocolError(DropReason.VERSION)
-    if of_cluster != cluster:
+    if datagram_cluster != cluster:
         raise ProtocolError(DropReason.CLUSTER)
     if not keyring.verify(data[:-MAC_BYTES], data[-MAC_BYTES:]):
         raise ProtocolError(DropReason.MAC)
@@ -214,18 +219,18 @@
 
 
 def frame_context(cluster: int, server_nonce: bytes, client_nonce: bytes, index: int) -> bytes:
-    """What the MAC of a frame is bound to: both nonces, and the frame's index (even ones are the client's)."""
+    """Return the context of a frame's MAC: both nonces and the frame's index, which is even for the client's frames."""
     header = struct.pack(">2sBBQ", MAGIC, VERSION, index, cluster)
     return hashlib.sha256(header + server_nonce + client_nonce).digest()
 
 
 def encode_frame(keyring: Keyring, context: bytes, body: bytes) -> bytes:
-    """A frame as it is sent."""
+    """Return a frame with its length and its MAC."""
     return struct.pack(">I", len(body) + MAC_BYTES) + body + keyring.sign(context + body)
 
 
 def open_frame(keyring: Keyring, context: bytes, data: bytes) -> bytes:
-    """The body of a frame without its length; raises ProtocolError."""
+    """Verify a frame, given without its length, and return its body; raises ProtocolError."""
     if len(data) <= MAC_BYTES:
         raise ProtocolError(DropReason.LENGTH)
     body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
--- a/martenstep/membership/core.py
+++ b/martenstep/membership/core.py
@@ -1,16 +1,18 @@
-"""The membership core: SWIM with suspicions and incarnations, Lifeguard's local health, and suspicions with a witness.
+"""The membership core: SWIM with suspicion and incarnations, and with Lifeguard's local health and nacks.
 
-Without I/O.  In: datagrams, answers of exchanges, and the time.  Out: datagrams, exchanges to be opened, events.  The
-time is the host's monotonic clock in milliseconds; nothing else is read, and draws come from the given generator.
+The core does no I/O.  It takes datagrams, frames of exchanges and the time; it returns datagrams to send, exchanges to
+open, and events.  The time is the host's monotonic clock in milliseconds.  The core reads no other clock, and all
+random draws come from the given generator, so that a run is reproducible.
 
-What differs from SWIM, and why (docs/design-membership.md weighs the alternatives):
+Differences from SWIM, and their reasons (docs/design-membership.md compares the alternatives):
 
-- A suspicion needs a witness (`failure_detector`): a node that is partitioned has none and suspects nobody, however its
-  timers run.
-- A node whose own clock or event loop was paused cancels the probes under way and prolongs its suspicions by the pause
-  before it judges anything (`MembershipCore._detect_pause`).
-- Every datagram says how its sender holds its receiver, so that a suspected member learns so first (`record_merger`).
-- A node that receives nothing reports so of itself (`partition_detector`).
+- A suspicion needs a nack from a helper (`failure_detector`): a partitioned node receives none, so it suspects nobody
+  even though its probes time out.
+- A node whose process or event loop was paused cancels its pending probes and extends its suspicions by the pause,
+  before it suspects any member or declares one dead (`MembershipCore._detect_pause`).
+- Every ping, ack and gossip message carries the sender's view of the receiver, so that a suspected member can refute
+  the suspicion early (`record_merger`).
+- A node that receives nothing announces this in its own record (`partition_detector`).
 """
 
 from __future__ import annotations
@@ -39,21 +41,20 @@
 from martenstep.membership.state_exchange import StateExchange
 from martenstep.membership.suspicion import SuspicionTracker
 
-PAUSE_THRESHOLD_MS = (
-    100.0  # a timer this late means a paused process: loops of loaded hosts are late by some tens of ms
-)
-CATCH_UP_INTERVALS = 2  # probe intervals after a pause, in which what waits in the socket is read
+# A timer later than this means that the process was paused: event loops of loaded hosts are late by some tens of ms.
+PAUSE_THRESHOLD_MS = 100.0
+CATCH_UP_INTERVALS = 2  # probe intervals after a pause in which the datagrams that wait in the socket are read
 HOUSEKEEPING_INTERVAL_MS = 1000.0
-FORGET_INTERVAL_MS = 10_000.0  # between two looks for members that have been gone for long
+FORGET_INTERVAL_MS = 10_000.0  # between two searches for members to forget
 
 
 class MembershipCore:
-    """One node's part in the membership: puts the parts together and dispatches what arrives."""
+    """The membership protocol of one node: creates the components and dispatches received messages to them."""
 
     def __init__(
         self, settings: MembershipSettings, record: MemberRecord, keyring: Keyring, rng: random.Random, now: float
     ) -> None:
-        """`record` is this node's own, alive, with the boot id and incarnation of this start."""
+        """`record` is this node's own record: alive, with the boot id and incarnation of this start."""
         self.node = node = LocalNode(settings, record, rng, now)
         self.channel = DatagramChannel(node, keyring)
         self.dialer = ExchangeDialer(node)
@@ -73,7 +74,7 @@
         self._start(now)
 
     def _start(self, now: float) -> None:
-        # The order is part of a seeded run: it decides the order of draws, and of timers that are due at once.
+        # Seeded runs rely on this order: it fixes the order of random draws and of timers due at the same time.
         self.failure_detector.start(now)
         self.disseminator.start(now)
         self.joiner.start(now)
@@ -90,55 +91,55 @@
 
     @property
     def settings(self) -> MembershipSettings:
-        """As given."""
+        """Return the settings given at construction."""
         return self.node.settings
 
     @property
     def record(self) -> MemberRecord:
-        """This node's own record."""
+        """Return this node's own record."""
         return self.node.record
 
     @property
     def table(self) -> MemberTable:
-        """What this node holds of all members."""
+        """Return the records of all members, this node included."""
         return self.node.table
 
     @property
     def stage(self) -> Stage:
-        """Of this node's membership."""
+        """Return the stage of this node's own membership."""
         return self.node.stage
 
     @property
     def counters(self) -> Counter[str]:
-        """By the names of the metrics."""
+        """Return the counters by the names of their metrics."""
         return self.node.counters
 
     @property
     def health_score(self) -> int:
-        """Lifeguard's local health: 0 is healthy."""
+        """Return the score of Lifeguard's local health; 0 is healthy."""
         return self.node.health.score
 
     @property
     def joined(self) -> bool:
-        """It is a member, as far as it knows."""
+        """Whether this node has joined the cluster."""
         return self.node.stage is Stage.JOINED
 
     @property
     def receive_partitioned(self) -> bool:
-        """It receives nothing."""
+        """Whether this node reports that it receives nothing."""
         return self.node.reports(SelfReport.RECEIVE_PARTITIONED)
 
     @property
     def send_partitioned(self) -> bool:
-        """Others do not receive what it sends."""
+        """Whether this node reports that others do not receive its messages."""
         return self.node.reports(SelfReport.SEND_PARTITIONED)
 
     def replace_keyring(self, keyring: Keyring) -> None:
-        """Sign and verify by other keys from now on."""
+        """Sign and verify with other keys from now on."""
         self.channel.keyring = keyring
 
     def take_actions(self) -> list[Action]:
-        """What is to be done since this was last called."""
+        """Return the actions added since the last call, in order."""
         actions, self.node.actions = self.node.actions, []
         return actions
 
@@ -146,38 +147,38 @@
 
     @property
     def next_due_ms(self) -> float:
-        """When `wake` is due."""
+        """Return the time at which `wake` must be called."""
         return self.node.timers.next_due_ms
 
     def wake(self, now: float) -> None:
-        """Let time pass."""
+        """Run the timers that are due."""
         self._detect_pause(now)
         self.node.timers.run_due(now)
 
     def _detect_pause(self, now: float) -> None:
-        """Find out, before anything else, whether this process was paused since it last ran."""
+        """Check whether this process was paused since it last ran; each entry point does so first."""
         node = self.node
         paused_ms = node.timers.lateness_ms(now)
         if paused_ms <= PAUSE_THRESHOLD_MS:
             return
-        # Danger: what ran out meanwhile would accuse others of this node's own pause, and suspicions that were refuted
-        # during it would become deaths.  All that was being waited for is void or waits as much longer.
+        # Timeouts that expired during the pause would blame other members for this node's own pause, and would declare
+        # members dead whose refutations arrived meanwhile.  Every pending wait is cancelled or extended by the pause.
         node.counters["stood"] += 1
         node.health.degrade()
         self.failure_detector.cancel_all()
-        node.no_judgement_until_ms = now + CATCH_UP_INTERVALS * node.settings.probe_interval_ms
-        self.suspicions.extend_all(paused_ms, node.no_judgement_until_ms)
+        node.catch_up_until_ms = now + CATCH_UP_INTERVALS * node.settings.probe_interval_ms
+        self.suspicions.extend_all(paused_ms, node.catch_up_until_ms)
         node.last_received_ms += paused_ms
-        self.probe_round.shift(paused_ms)
+        self.probe_round.add_pause(paused_ms)
         node.timers.postpone_overdue(now)
         node.emit(EventKind.PROCESS_PAUSED, node.record.name, ms=round(paused_ms, 1))
         if paused_ms > node.settings.min_suspicion_ms and node.stage is Stage.JOINED:
-            # Others may have declared this node dead, and it knows nothing of what came after: it asks at once.
+            # Others may have declared this node dead, and its table lacks all later changes, so it opens an exchange.
             self.dialer.reconcile_at_once()
 
     def _housekeeping(self, now: float) -> None:
         self.node.timers.schedule(now + HOUSEKEEPING_INTERVAL_MS, self._housekeeping)
-        self.dialer.check(now)
+        self.dialer.reconcile_if_due(now)
         if now >= self._next_forget_ms:
             self._next_forget_ms = now + FORGET_INTERVAL_MS
             self._forget_gone_members(now)
@@ -198,14 +199,14 @@
         self.channel.forget_unknown_addresses()
 
     def leave(self, now: float) -> None:
-        """Announce that this node leaves; `LEFT_CLUSTER` is told once that is disseminated."""
+        """Announce that this node leaves; emits `LEFT_CLUSTER` once the announcement is disseminated."""
         self._detect_pause(now)
         self.disseminator.leave(now)
 
     # Datagrams.
 
     def receive(self, now: float, data: bytes) -> None:
-        """Take in a datagram; whatever is wrong with it is counted and changes nothing."""
+        """Process a datagram; an invalid one is counted and otherwise ignored."""
         self._detect_pause(now)
         if self.node.stage is Stage.LEFT:
             return
@@ -223,7 +224,10 @@
         self._dispatch(now, opened.header.source_boot_id, message)
 
     def _may_answer(self) -> bool:
-        """Before it has joined, what a node answers could be taken for the node whose name it wants."""
+        """Whether messages other than acks are processed.
+
+        Before this node has joined, its answers could be mistaken for answers of another node that owns its name.
+        """
         return self.node.stage not in (Stage.JOINING, Stage.NAME_CONFLICT, Stage.CLAIMING_NAME)
 
     def _dispatch(self, now: float, source_boot_id: int, message: Message) -> None:
@@ -242,15 +246,15 @@
     # Exchanges.
 
     def open_exchange(self) -> bytes:
-        """The first frame of an exchange that this node opens."""
+        """Return the first frame of an exchange that this node opens."""
         return self.exchange.open()
 
     def serve_exchange(self, now: float, body: bytes) -> bytes:
-        """Answer a frame of an exchange that another member opened; raises ProtocolError."""
+        """Process a frame of an exchange that another member opened and return the answer; raises ProtocolError."""
         self._detect_pause(now)
         return self.exchange.serve(now, body)
 
     def continue_exchange(self, now: float, token: int, body: bytes | None) -> bytes | None:
-        """Take in an answer, or that none came; returns the next frame, None where the exchange is over."""
+        """Process an answer, None if the exchange failed; returns the next frame, None if the exchange is over."""
         self._detect_pause(now)
-        return self.exchange.answered(now, token, body)
+        return self.exchange.handle_response(now, token, body)
--- a/martenstep/membership/core_parts.py
+++ b/martenstep/membership/core_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the core that the merging of records, the failure detector and the state exchange rest on."""
+"""The components of the core that the record merger, the failure detector and the state exchange use."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreParts:
-    """One node's parts, made once by the core."""
+    """The components of one node; the core creates them once."""
 
     node: LocalNode
     channel: DatagramChannel
--- a/martenstep/membership/datagram_channel.py
+++ b/martenstep/membership/datagram_channel.py
@@ -1,4 +1,9 @@
-"""Datagrams to and from other members: boot ids, sequence numbers, replay protection, records that ride along."""
+"""Datagrams to and from other members: boot ids, sequence numbers, replay protection and piggybacked records.
+
+A datagram is addressed to the boot id of one process.  A member's record names the boot id; if the member has restarted
+since, its process replies with `WrongBootId`, and the channel uses the boot id from there until a record arrives that
+names a new process.
+"""
 
 from __future__ import annotations
 
@@ -25,13 +30,13 @@
 from martenstep.membership.member import Address, MemberRecord, MemberState
 from martenstep.membership.replay_window import ReplayWindow
 
-MAX_WRONG_BOOT_IDS_PER_S = 50  # answers to datagrams for another process: a bound on what a storm of them costs
-MAX_REPLAY_WINDOWS = 4096  # processes of which sequence numbers are kept
-RECORDS_OVERHEAD_BYTES = 8  # of the array that holds the records
+MAX_WRONG_BOOT_IDS_PER_S = 50  # bounds the cost of a burst of datagrams that are addressed to another process
+MAX_REPLAY_WINDOWS = 4096  # sending processes; the one unused for longest is dropped
+RECORDS_OVERHEAD_BYTES = 8  # for the header of the array that holds the records
 
 
 class DatagramChannel:
-    """Seals what is sent, and opens what arrives for this process."""
+    """Signs outgoing datagrams, and verifies and decodes incoming ones."""
 
     def __init__(self, node: LocalNode, keyring: Keyring) -> None:
         """`keyring` may be replaced at any time."""
@@ -40,18 +45,18 @@
         self._cluster = cluster_hash(node.settings.cluster)
         self._sent_number = 0
         self.replay_windows: OrderedDict[int, ReplayWindow] = OrderedDict()  # by boot id of the sender
-        self._learned_boot_ids: dict[Address, int] = {}  # in force until a record tells the same
+        self._learned_boot_ids: dict[Address, int] = {}  # overrides the boot id of a member's record
         self._rate_limit_start_ms = 0.0
         self._rate_limit_count = 0
 
     # Sending.
 
     def boot_id_at(self, address: Address, boot_id: int) -> int:
-        """The boot id of the process at an address: as learned there, else the one that is given."""
+        """Return the boot id learned for an address, or `boot_id` if none was learned."""
         return self._learned_boot_ids.get(address, boot_id)
 
     def send(self, to: Address, boot_id: int, message: Message) -> None:
-        """Send a message to a process."""
+        """Queue a message to a process for sending."""
         node = self._node
         self._sent_number += 1
         target_boot_id = self.boot_id_at(to, boot_id)
@@ -62,13 +67,13 @@
         node.actions.append(SendDatagram(to, data))
 
     def send_with_gossip(self, to: Address, boot_id: int, receiver: str, message: GossipCarrier) -> None:
-        """Send a message with as many queued records as fit."""
+        """Queue a message for sending, with as many records from the gossip queue as fit."""
         node = self._node
         max_bytes = MAX_BODY_BYTES - len(encode(message)) - RECORDS_OVERHEAD_BYTES
         encoded: list[bytes] = []
         view = message.receiver_view
         if view is not None and view.state is not MemberState.ALIVE:
-            # The whole record beside its summary: the receiver may never have received it.
+            # A receiver that is not held alive gets its whole record too, which it may never have received.
             record = node.table.get(receiver)
             if record is not None:
                 encoded.append(encode(record))
@@ -80,7 +85,7 @@
     # Receiving.
 
     def receive(self, now: float, data: bytes) -> tuple[OpenedDatagram, Message]:
-        """Open a datagram for this process; raises ProtocolError.  One for another process is answered."""
+        """Verify and decode a datagram, and reply to one for another process; raises ProtocolError."""
         own_boot_id = self._node.record.boot_id
         opened = open_datagram(self.keyring, self._cluster, data)
         if opened.header.source_boot_id == own_boot_id:
@@ -106,7 +111,7 @@
         return window
 
     def _answer_wrong_boot_id(self, now: float, source_boot_id: int, message: Message) -> None:
-        """Tell a sender that takes this process for another who is here, at a bounded rate."""
+        """Reply with this process's boot id to a datagram that was addressed to another process, at a bounded rate."""
         if isinstance(message, WrongBootId):
             return
         if now - self._rate_limit_start_ms >= 1000.0:
@@ -115,7 +120,7 @@
         if self._rate_limit_count > MAX_WRONG_BOOT_IDS_PER_S:
             return
         to = message.sender.host, message.sender.port
-        # The answer goes to the very process that wrote, whatever is known of the address.
+        # The reply must reach the process that sent the datagram, so a boot id learned for its address is dropped.
         self._learned_boot_ids.pop(to, None)
         own = self._node.record
         self.send(to, source_boot_id, WrongBootId(self._node.sender, own.boot_id, own.node_id))
@@ -123,21 +128,21 @@
     # Boot ids.
 
     def learn_boot_id(self, record: MemberRecord, boot_id: int) -> bool:
-        """Another process is at the address of a member; False where that was known."""
+        """Store the boot id of the process at a member's address; False if it was known already."""
         if self.boot_id_at(record.address, record.boot_id) == boot_id:
             return False
         self._learned_boot_ids[record.address] = boot_id
         return True
 
     def on_record(self, previous: MemberRecord | None, record: MemberRecord) -> None:
-        """A record came into force: what was learned at its address is outdated where it names a new process."""
+        """Drop the boot id learned for a member's address if the member's new record names a new process."""
         if not record.boot_id or self.boot_id_at(record.address, record.boot_id) == record.boot_id:
             return
         if previous is None or previous.boot_id != record.boot_id:
             del self._learned_boot_ids[record.address]
 
     def forget_unknown_addresses(self) -> None:
-        """Drop what was learned at addresses that no member has."""
+        """Drop the boot ids learned for addresses that no member has any more."""
         known = {record.address for record in self._node.table}
         for address in [address for address in self._learned_boot_ids if address not in known]:
             del self._learned_boot_ids[address]
--- a/martenstep/membership/exchange_dialer.py
+++ b/martenstep/membership/exchange_dialer.py
@@ -1,4 +1,8 @@
-"""Opening of state exchanges: which are under way, and when the next is due because tables differ."""
+"""Opens state exchanges (anti-entropy): tracks those in progress, and opens one when member tables differ.
+
+Gossip and probes carry the digest of the sender's table.  A difference that is found while no gossip is queued triggers
+an exchange, at an interval that doubles while exchanges find no differences.
+"""
 
 from __future__ import annotations
 
@@ -10,24 +14,24 @@
 from martenstep.membership.member import Address, MemberState, SelfReport
 from martenstep.membership.settings import Stage
 
-MIN_RECONCILE_INTERVAL_MS = 2000.0  # between exchanges, while tables differ
+MIN_RECONCILE_INTERVAL_MS = 2000.0  # between exchanges that find differences
 MAX_RECONCILE_INTERVAL_MS = 15_000.0
 
 
 class ExchangePurpose(Enum):
-    """Why an exchange was opened, or how far it is."""
+    """Why an exchange was opened; PUSH once its answer has arrived."""
 
     JOIN = auto()
     RECONCILE = auto()
     RECONNECT = auto()
-    PUSH = auto()  # answered: only the push is left
+    PUSH = auto()  # the pull is answered and only the push is outstanding
 
 
 class ExchangeDialer:
-    """The exchanges that this node opens."""
+    """Opens exchanges and tracks those that this node has opened."""
 
     def __init__(self, node: LocalNode) -> None:
-        """None is under way."""
+        """No exchange is in progress yet."""
         self._node = node
         self._purposes: dict[int, ExchangePurpose] = {}  # by token
         self._last_dial_ms = -math.inf
@@ -35,7 +39,7 @@
         self._tables_differ = False
 
     def dial(self, now: float, to: Address, purpose: ExchangePurpose) -> None:
-        """Open an exchange with a member."""
+        """Open an exchange with the member at an address."""
         node = self._node
         token = node.rng.getrandbits(62)
         self._purposes[token] = purpose
@@ -44,36 +48,36 @@
         node.actions.append(OpenExchange(to, token))
 
     def purpose(self, token: int) -> ExchangePurpose | None:
-        """Of an exchange that is under way; None where it is not."""
+        """Return the purpose of an exchange; None if it is not in progress."""
         return self._purposes.get(token)
 
     def close(self, token: int) -> None:
-        """An exchange has ended."""
+        """Stop tracking an exchange that has ended."""
         del self._purposes[token]
 
     def expect_push_done(self, token: int) -> None:
-        """An exchange goes on with a push."""
+        """Note that an exchange continues with a push."""
         self._purposes[token] = ExchangePurpose.PUSH
 
     def note_result(self, had_differences: bool) -> None:
-        """Exchanges that find nothing are opened at growing intervals."""
+        """Adapt the interval: double it after an exchange without differences, reset it after one with some."""
         if had_differences:
             self._reconcile_interval_ms = MIN_RECONCILE_INTERVAL_MS
         else:
             self._reconcile_interval_ms = min(self._reconcile_interval_ms * 2, MAX_RECONCILE_INTERVAL_MS)
 
     def compare_digest(self, digest: int) -> None:
-        """Another member's table has a digest; while gossip is under way a difference means nothing."""
+        """Note whether a received table digest differs; while gossip is queued here, a difference is expected."""
         if digest != self._node.table.digest and not len(self._node.gossip_queue):
             self._tables_differ = True
 
     def reconcile_at_once(self) -> None:
-        """This node may have missed much: the next check opens an exchange."""
+        """Make the next `reconcile_if_due` open an exchange, because this node may have missed many changes."""
         self._last_dial_ms = -math.inf
         self._tables_differ = True
 
-    def check(self, now: float) -> None:
-        """Open an exchange where tables differ and the last one is long enough ago."""
+    def reconcile_if_due(self, now: float) -> None:
+        """Open an exchange with a random member if tables differ and the interval since the last one has passed."""
         node = self._node
         if (
             node.stage is not Stage.JOINED
--- a/martenstep/membership/exchange_stream.py
+++ b/martenstep/membership/exchange_stream.py
@@ -1,8 +1,8 @@
-"""State exchanges over TCP: both sides of a stream.
+"""State exchanges over TCP, as client and as server.
 
-The server greets with `2s magic, u8 version, 16 bytes of nonce`; the client answers with a nonce of its own and its
-first frame; frames then go back and forth, at most two from each side, sealed in the context of both nonces.
-Everything is bounded: time, sizes, concurrent streams.
+The server sends a greeting, `2s magic, u8 version, 16 bytes of nonce`.  The client sends a nonce of its own and its
+first frame.  Frames then alternate, at most two from each side; the MAC of each covers both nonces.  The duration, the
+frame size and the number of concurrent streams are bounded.
 """
 
 from __future__ import annotations
@@ -24,36 +24,36 @@
 from martenstep.membership.keyring import Keyring
 from martenstep.membership.member import Address
 
-EXCHANGE_TIMEOUT_S = 2.0  # an exchange that is not done by then is given up, on both sides
-MAX_STREAMS = 32  # served at once: more are closed, and come again
+EXCHANGE_TIMEOUT_S = 2.0  # for a whole exchange, on both sides
+MAX_STREAMS = 32  # served at once; further ones are closed, and their clients retry
 NONCE_BYTES = 16
 GREETING = MAGIC + bytes([VERSION])
-CLIENT_FRAMES = (0, 2)  # their indexes; the answer to each has the next one
+CLIENT_FRAME_INDEXES = (0, 2)  # the answer to each has the next index
 STREAM_ERRORS = (OSError, TimeoutError, asyncio.IncompleteReadError)
 
 
 class ExchangeStreams:
-    """Carries sealed frames over streams, as a client and as a server."""
+    """Carries signed frames over streams, as client and as server."""
 
     def __init__(self, cluster: str, keyring: Callable[[], Keyring]) -> None:
-        """`keyring` gives the keys in force."""
+        """`keyring` returns the current keys."""
         self._cluster = cluster_hash(cluster)
         self._keyring = keyring
         self._open_streams = 0
 
-    async def run(self, address: Address, body: bytes, answered: Callable[[bytes], bytes | None]) -> bool:
-        """Open an exchange; `answered` takes each answer and returns the next frame, None at the end.
+    async def run(self, address: Address, body: bytes, on_answer: Callable[[bytes], bytes | None]) -> bool:
+        """Open an exchange; `on_answer` takes each answer and returns the next frame, None at the end.
 
-        Returns whether the exchange came to its end.
+        Returns whether the exchange was completed.
         """
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
-                await self._run(address, body, answered)
+                await self._run(address, body, on_answer)
         except (*STREAM_ERRORS, ProtocolError):
             return False
         return True
 
-    async def _run(self, address: Address, body: bytes, answered: Callable[[bytes], bytes | None]) -> None:
+    async def _run(self, address: Address, body: bytes, on_answer: Callable[[bytes], bytes | None]) -> None:
         reader, writer = await asyncio.open_connection(*address)
         try:
             greeting = await reader.readexactly(len(GREETING) + NONCE_BYTES)
@@ -66,7 +66,7 @@
             while frame is not None:
                 writer.write(self._encode_frame(server_nonce, client_nonce, index, frame))
                 answer = await self._read_frame(reader, server_nonce, client_nonce, index + 1)
-                frame = answered(answer)
+                frame = on_answer(answer)
                 index += 2
         finally:
             writer.close()
@@ -74,7 +74,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: Callable[[bytes], bytes]
     ) -> None:
-        """Answer the frames of one stream, and close it; raises ProtocolError."""
+        """Answer the frames of one stream and close it; raises ProtocolError."""
         if self._open_streams >= MAX_STREAMS:
             writer.close()
             return
@@ -84,7 +84,7 @@
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 writer.write(GREETING + server_nonce)
                 client_nonce = await reader.readexactly(NONCE_BYTES)
-                for index in CLIENT_FRAMES:
+                for index in CLIENT_FRAME_INDEXES:
                     body = await self._read_frame(reader, server_nonce, client_nonce, index)
                     writer.write(self._encode_frame(server_nonce, client_nonce, index + 1, answer(body)))
                     await writer.drain()
--- a/martenstep/membership/failure_detector.py
+++ b/martenstep/membership/failure_detector.py
@@ -1,7 +1,7 @@
-"""The failure detector: direct probes, indirect probes through helpers, and what follows from a failed probe.
+"""The failure detector: direct probes, indirect probes through helpers, and suspicion after a failed probe.
 
-SWIM, section 3.1, with one difference: a suspicion needs a witness, a helper that answers in the time of the same probe
-that it too got no acknowledgement.
+This is SWIM, section 3.1, with one difference: a suspicion needs a nack, the answer of a helper, before the probe ends,
+that it received no acknowledgement from the target either.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from martenstep.membership.record_merger import RecordMerger
 from martenstep.membership.settings import Stage
 
-INDIRECT_PROBES = 3  # SWIM's k; at 5% loss one probe in 1,600 fails through all of them
-PROBE_TIMEOUT_SHARE = 0.95  # of the probe interval, so that a probe is decided before the next one
+INDIRECT_PROBES = 3  # SWIM's k; at 5% datagram loss, one probe in 1,600 fails directly and through all helpers
+PROBE_TIMEOUT_SHARE = 0.95  # of the probe interval, so that a probe is evaluated before the next one starts
 
 
 @dataclass(slots=True)
 class _Probe:
     target: MemberRecord
-    suspects: bool  # whether a suspicion may follow: not of one held dead, nor of the owner of this node's name
+    may_suspect: bool  # whether failure may lead to a suspicion: not for a dead member or the owner of this node's name
     helpers: int = 0
-    denials: int = 0  # helpers that got no acknowledgement either
+    nacks: int = 0  # helpers that received no acknowledgement either
     acknowledged: bool = False
 
 
 @dataclass(slots=True)
 class _RelayedProbe:
-    """A probe on behalf of another member."""
+    """A probe that this node sent as a helper, on behalf of another member."""
 
     requester: Address
     requester_boot_id: int
@@ -39,10 +39,10 @@
 
 
 class FailureDetector:
-    """Probes members in turn, and answers their probes."""
+    """Probes the other members one after another, and answers their probes."""
 
     def __init__(self, parts: CoreParts, merger: RecordMerger) -> None:
-        """No probe is under way."""
+        """No probe is pending before `start`."""
         self._node = parts.node
         self._channel = parts.channel
         self._merger = merger
@@ -55,12 +55,12 @@
         self._relayed_probes: dict[int, _RelayedProbe] = {}  # by nonce
 
     def start(self, now: float) -> None:
-        """Probe from now on, beginning at a random time within one interval."""
+        """Start probing, first at a random time within one interval."""
         node = self._node
         node.timers.schedule(now + node.rng.uniform(0.0, node.settings.probe_interval_ms), self._probe_next)
 
     def cancel_all(self) -> None:
-        """This process was paused: what ran out meanwhile says nothing of others."""
+        """Cancel all probes after a pause of this process: their timeouts say nothing about other members."""
         self._probes.clear()
         self._relayed_probes.clear()
 
@@ -71,26 +71,26 @@
         node.timers.schedule(now + node.settings.probe_interval_ms * node.health.multiplier, self._probe_next)
         if node.stage is not Stage.JOINED:
             return
-        self._partitions.check(now)
+        self._partitions.check_own_connectivity(now)
         target = self._probe_round.next_target(now)
         if target is None:
             return
-        nonce = self._send_probe(target, suspects=True)
+        nonce = self._send_probe(target, may_suspect=True)
         interval_ms = node.settings.probe_interval_ms * node.health.multiplier
         ack_timeout_ms = node.settings.ack_timeout_ms * node.health.multiplier
         node.timers.schedule(now + ack_timeout_ms, partial(self._probe_indirectly, nonce=nonce))
-        node.timers.schedule(now + interval_ms * PROBE_TIMEOUT_SHARE, partial(self._decide, nonce=nonce))
+        node.timers.schedule(now + interval_ms * PROBE_TIMEOUT_SHARE, partial(self._evaluate, nonce=nonce))
 
     def probe_reachability(self, now: float, target: MemberRecord) -> None:
-        """Probe a member of which no suspicion follows: one held dead, or the owner of this node's name."""
+        """Probe a member without suspecting it on failure: one held dead, or the owner of this node's name."""
         node = self._node
-        nonce = self._send_probe(target, suspects=False)
+        nonce = self._send_probe(target, may_suspect=False)
         interval_ms = node.settings.probe_interval_ms * node.health.multiplier
-        node.timers.schedule(now + interval_ms, partial(self._decide, nonce=nonce))
+        node.timers.schedule(now + interval_ms, partial(self._evaluate, nonce=nonce))
 
-    def _send_probe(self, target: MemberRecord, suspects: bool) -> int:
+    def _send_probe(self, target: MemberRecord, may_suspect: bool) -> int:
         nonce = self._node.rng.getrandbits(62)
-        self._probes[nonce] = _Probe(target, suspects)
+        self._probes[nonce] = _Probe(target, may_suspect)
         self._send_ping(target.address, target.boot_id, target.name, nonce)
         return nonce
 
@@ -112,7 +112,7 @@
             self._channel.send(helper.address, helper.boot_id, request)
 
     def _choose_helpers(self, target: MemberRecord) -> list[MemberRecord]:
-        """From different zones as far as there are some: they see round a partition between two zones."""
+        """Choose random helpers, from different zones if possible, to get past a partition between two zones."""
         usable = [
             record
             for record in self._node.present_members()
@@ -130,8 +130,8 @@
         chosen += [record for record in usable if record not in chosen][: INDIRECT_PROBES - len(chosen)]
         return chosen
 
-    def _decide(self, now: float, nonce: int) -> None:
-        """The time of a probe is over."""
+    def _evaluate(self, now: float, nonce: int) -> None:
+        """Evaluate a probe at its timeout."""
         node = self._node
         probe = self._probes.pop(nonce, None)
         if probe is None:
@@ -139,36 +139,34 @@
         if probe.acknowledged:
             node.health.improve()
             self._partitions.probe_resolved()
-        elif probe.suspects:
+        elif probe.may_suspect:
             self._probe_failed(now, probe)
         elif node.stage is Stage.CLAIMING_NAME:
-            self._joiner.owner_unanswered(now)
+            self._joiner.owner_probe_failed(now)
 
     def _probe_failed(self, now: float, probe: _Probe) -> None:
         node = self._node
         node.counters["probes_failed"] += 1
-        if probe.denials < probe.helpers:
-            node.health.degrade()  # helpers that answer nothing either: the fault may be on this side
-        if not probe.denials:
-            self._partitions.probe_unwitnessed()
+        if probe.nacks < probe.helpers:
+            node.health.degrade()  # helpers did not answer either, so the fault may be on this side (Lifeguard)
+        if not probe.nacks:
+            self._partitions.probe_failed_without_nack()
             node.counters["without_witness"] += 1
             return
         self._partitions.probe_resolved()
         target = probe.target
         record = node.table.get(target.name)
         if record is None or (record.owner, record.incarnation) != (target.owner, target.incarnation):
-            return  # it has announced something since
-        if now < node.no_judgement_until_ms or node.reports(
-            SelfReport.RECEIVE_PARTITIONED | SelfReport.SEND_PARTITIONED
-        ):
+            return  # the target has announced a newer record since the probe was sent
+        if now < node.catch_up_until_ms or node.reports(SelfReport.RECEIVE_PARTITIONED | SelfReport.SEND_PARTITIONED):
             return
-        if record.present:  # one that is suspected has one more that cannot reach it
+        if record.present:  # for a member that is suspect already, this is a further confirmation
             self._merger.apply(now, record.with_state(MemberState.SUSPECT, node.record.name))
 
     # Messages.
 
     def on_ping(self, now: float, source_boot_id: int, message: Ping) -> None:
-        """Acknowledge a probe."""
+        """Acknowledge a probe that is meant for this node."""
         node = self._node
         sender = message.sender
         if message.target != node.record.name:
@@ -180,7 +178,7 @@
         self._channel.send_with_gossip((sender.host, sender.port), source_boot_id, sender.name, ack)
 
     def on_ack(self, now: float, message: Ack) -> None:
-        """A probe of this node, or one on behalf of another, was acknowledged."""
+        """Handle the acknowledgement of a probe that this node sent for itself or as a helper."""
         self._merger.observe_receiver_view(now, message.sender.name, message.receiver_view)
         self._merger.apply_all(now, message.records)
         relayed = self._relayed_probes.pop(message.nonce, None)
@@ -191,20 +189,21 @@
         if probe is None or message.sender.name != probe.target.name:
             return
         self._acknowledged(now, probe)
-        if probe.suspects:
+        if probe.may_suspect:
             self._dialer.compare_digest(message.digest)
             return
         del self._probes[message.nonce]
         if self._node.stage is Stage.CLAIMING_NAME:
-            self._joiner.owner_answered(now)
+            self._joiner.owner_probe_acknowledged(now)
         else:
-            # One that was held dead.  It has received that and refutes it; an exchange merges both sides.
+            # The target is held dead here.  The ping carried that record, so the target refutes it; an exchange merges
+            # both tables.
             self._dialer.dial(now, probe.target.address, ExchangePurpose.RECONNECT)
 
     def _acknowledged(self, now: float, probe: _Probe) -> None:
         probe.acknowledged = True
         self._partitions.probe_acknowledged(now)
-        if self._suspicions.is_only_own(probe.target.name):
+        if self._suspicions.is_only_reporter(probe.target.name):
             self._suspicions.withdraw(now, probe.target.name)
 
     def on_indirect_ping(self, now: float, source_boot_id: int, message: IndirectPing) -> None:
@@ -226,21 +225,21 @@
         self._channel.send(relayed.requester, relayed.requester_boot_id, response)
 
     def on_indirect_ping_response(self, now: float, message: IndirectPingResponse) -> None:
-        """A helper has probed the target of a probe."""
+        """Handle a helper's result for a pending probe."""
         probe = self._probes.get(message.nonce)
         if probe is None or probe.acknowledged:
             return
         if message.acknowledged:
             self._acknowledged(now, probe)
         else:
-            probe.denials += 1
+            probe.nacks += 1
 
     def on_wrong_boot_id(self, message: WrongBootId) -> None:
-        """Another process of a member is at its address: what was sent to it is sent again."""
+        """Store the boot id of a restarted member, and send the pending pings to it again."""
         source = message.sender.host, message.sender.port
         record = next((record for record in self._node.table if record.address == source), None)
         if record is None or record.name != message.sender.name or record.node_id != message.node_id:
-            return  # another node has this address: who was there does not answer
+            return  # another node has this address now; pings to the former member stay unanswered
         if not self._channel.learn_boot_id(record, message.boot_id):
             return
         for nonce, probe in self._probes.items():
--- a/martenstep/membership/gossip_queue.py
+++ b/martenstep/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""The queue of member records that are disseminated, those transmitted least often first.  Pure."""
+"""The queue of member records to disseminate; records transmitted least often go first.  It does no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from martenstep.membership.codec import encode
 from martenstep.membership.member import MemberRecord
 
-RETRANSMIT_MULTIPLIER = 4  # times log10 of the cluster's size: memberlist's RetransmitMult, SWIM's lambda
+RETRANSMIT_MULTIPLIER = 4  # multiplies log10 of the cluster size; memberlist's RetransmitMult, SWIM's lambda
 
 
 class _Transmission(NamedTuple):
@@ -18,11 +18,11 @@
 
 
 class GossipQueue:
-    """Records under way, one for each name: a newer one replaces an older one."""
+    """Encoded records, one for each name; a new record replaces the queued one of the same name."""
 
     def __init__(self) -> None:
-        """An empty queue."""
-        self._tiers: list[dict[str, bytes]] = []  # by number of transmissions, in the order in which records came
+        """The queue starts empty."""
+        self._tiers: list[dict[str, bytes]] = []  # by number of transmissions; each in order of insertion
         self._tier_by_name: dict[str, int] = {}
 
     def __len__(self) -> int:
@@ -32,18 +32,18 @@
         return name in self._tier_by_name
 
     def enqueue(self, record: MemberRecord) -> None:
-        """Disseminate a record from now on."""
+        """Add a record, with no transmissions counted yet."""
         self.discard(record.name)
         self._insert(record.name, 0, encode(record))
 
     def discard(self, name: str) -> None:
-        """Disseminate the record of a name no more."""
+        """Stop disseminating the record of a name."""
         tier = self._tier_by_name.pop(name, None)
         if tier is not None:
             del self._tiers[tier][name]
 
     def take(self, max_bytes: int, cluster_size: int) -> list[bytes]:
-        """Encoded records for one datagram; each counts as transmitted once more."""
+        """Return encoded records for one datagram, and count one more transmission of each."""
         if not self._tier_by_name:
             return []
         max_transmissions = RETRANSMIT_MULTIPLIER * math.ceil(math.log10(cluster_size + 1))
@@ -55,7 +55,7 @@
         return [transmission.data for transmission in taken]
 
     def _select(self, max_bytes: int) -> list[_Transmission]:
-        """The records at the head of the queue that fit."""
+        """Return the records from the head of the queue up to the first that does not fit."""
         selected: list[_Transmission] = []
         for tier, waiting in enumerate(self._tiers):
             for name, data in waiting.items():
--- a/martenstep/membership/identity.py
+++ b/martenstep/membership/identity.py
@@ -1,8 +1,9 @@
-"""The node's identity on its disk: an id drawn when the disk was first used, and the number of starts.
+"""The node's identity on its disk: an id that is drawn when the disk is first used, and the number of starts.
 
-A node that finds no file is a new node under its name: whatever the old one had promised, this disk does not hold.  The
-number of starts is the first incarnation, so that a start stands above what was claimed of the process before it; a
-disk that was restored from a copy begins too low, and its first refutation mends that.
+A node that finds no identity file starts as a new node under the same name, because the disk does not hold what the
+old node had promised.  The number of starts is the incarnation of each start, so that its record takes precedence over
+claims about earlier processes.  A disk restored from a copy starts with too low a number, which the node's first
+refutation corrects.
 """
 
 from __future__ import annotations
@@ -21,30 +22,30 @@
 
 
 class NodeIdentity(msgspec.Struct):
-    """The contents of the file; the external names are those of stored data."""
+    """The contents of the file; the field names in the file differ from those here."""
 
     node_id: int = msgspec.field(name="identity")
     start_count: int = msgspec.field(name="starts")
-    addresses: list[Address] = []  # of other members as last known: further seeds
+    addresses: list[Address] = []  # last known addresses of other members, used as additional seeds
 
     @property
     def is_valid(self) -> bool:
-        """Whether the numbers fit a member record."""
+        """Whether the numbers are in the range that a member record allows."""
         return 0 <= self.node_id < 1 << 64 and 0 <= self.start_count < MAX_STARTS
 
 
 class LoadedIdentity(NamedTuple):
-    """The identity of a start, and what was wrong with its file; empty where nothing was."""
+    """The identity of a start, and the problem with its file; an empty text if there was none."""
 
     identity: NodeIdentity
     problem: str
 
 
 def load_identity(files: Files, rng: random.Random) -> LoadedIdentity:
-    """The identity for this start, stored before it is used.
+    """Return the identity for this start, stored before it is used.
 
-    Nothing on the disk keeps a node from starting: where the file cannot be read it is a new node, and where it cannot
-    be written this start goes on with what it has.
+    No fault of the disk prevents a start: if the file cannot be read, the node starts as a new node, and if it cannot
+    be written, this start continues with the identity in memory.
     """
     identity, problem = None, ""
     try:
@@ -52,7 +53,7 @@
     except FileNotFoundError:
         pass
     except (OSError, msgspec.DecodeError) as error:
-        problem = f"{IDENTITY_FILE} is not read: {error}"
+        problem = f"cannot read {IDENTITY_FILE}, so this node starts with a new node id: {error}"
     if identity is None or not identity.is_valid:
         identity = NodeIdentity(rng.getrandbits(62), 0)
     identity.start_count += 1
@@ -61,9 +62,9 @@
 
 
 def store_identity(files: Files, identity: NodeIdentity) -> str:
-    """Write the file; returns what was wrong, empty where nothing was."""
+    """Write the file; returns the problem, an empty text if there was none."""
     try:
         files.write_atomically(IDENTITY_FILE, msgspec.json.encode(identity))
     except OSError as error:
-        return f"{IDENTITY_FILE} is not written: {error}"
+        return f"cannot write {IDENTITY_FILE}: {error}"
     return ""
--- a/martenstep/membership/keyring.py
+++ b/martenstep/membership/keyring.py
@@ -1,8 +1,8 @@
 """The cluster's shared keys: signing and verifying, and the key file.
 
-A key file holds one key a line, in hex, at least 16 bytes each; `#` begins a comment.  The first key signs, all verify.
-Keys are rotated in three steps, each on every instance before the next: the new key last, the new key first, the old
-one removed.
+A key file holds one key per line, in hex, of at least 16 bytes; `#` begins a comment.  The first key signs; all keys
+verify.  Keys are rotated in three steps, each done on every instance before the next: add the new key last, move it
+first, remove the old key.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 
 class KeyFileError(MembershipError):
-    """A key file that cannot be used: names the file and the line, never the key."""
+    """A key file cannot be used; the message names the file and the line, never the key."""
 
 
 class Keyring:
-    """The keys in force: the first signs, all verify, so that keys are rotated one instance after another."""
+    """The current keys: the first signs, all verify, so that keys can be rotated one instance after another."""
 
     def __init__(self, keys: list[bytes]) -> None:
-        """Raises ValueError where there is no key."""
+        """Raises ValueError if `keys` is empty."""
         if not keys:
-            raise ValueError("no key")
+            raise ValueError("a keyring needs at least one key, got none")
         self._keys = keys
 
     def sign(self, data: bytes) -> bytes:
-        """The MAC of some bytes: HMAC-SHA-256, truncated."""
+        """Return the MAC of some bytes: HMAC-SHA-256, truncated to 16 bytes."""
         return hmac.digest(self._keys[0], data, "sha256")[:MAC_BYTES]
 
     def verify(self, data: bytes | memoryview, mac: bytes) -> bool:
@@ -40,13 +40,13 @@
 
 
 def read_keyring(path: Path) -> Keyring:
-    """The keys in a file; raises KeyFileError."""
+    """Read the keys in a file; raises KeyFileError."""
     try:
         lines = path.read_text(encoding="ascii").splitlines()
     except OSError as error:
         raise KeyFileError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise KeyFileError(f"{path}: not hex") from None
+        raise KeyFileError(f"{path}: expected keys in hex, got characters that are not ASCII") from None
     keys = []
     for number, line in enumerate(lines, 1):
         text = line.partition("#")[0].strip()
@@ -61,7 +61,7 @@
     try:
         key = bytes.fromhex(text)
     except ValueError:
-        raise KeyFileError(f"{position}: not hex") from None
+        raise KeyFileError(f"{position}: expected a key in hex") from None
     if len(key) < MIN_KEY_BYTES:
         raise KeyFileError(f"{position}: expected at least {MIN_KEY_BYTES} bytes, got {len(key)}")
     return key
--- a/martenstep/membership/local_node.py
+++ b/martenstep/membership/local_node.py
@@ -1,4 +1,4 @@
-"""The state of the local node that the parts of the membership core share."""
+"""State of the local node that the components of the membership core share."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from martenstep.membership.settings import MembershipSettings, Stage
 from martenstep.membership.timer_queue import TimerQueue
 
-RECEIVE_TIMEOUT_INTERVALS = 4  # probe intervals without a datagram: four or more are expected in each
+RECEIVE_TIMEOUT_INTERVALS = 4  # probe intervals without a datagram; four or more datagrams are expected in each
 
 
 class LocalNode:
-    """This node: its own record, its member table, and what it has queued to be sent or told."""
+    """This node: its own record, its member table, its timers, and its queued gossip and actions."""
 
     def __init__(self, settings: MembershipSettings, record: MemberRecord, rng: random.Random, now: float) -> None:
-        """`record` is this node's own, alive, with the boot id and incarnation of this start."""
+        """`record` is this node's own record: alive, with the boot id and incarnation of this start."""
         self.settings = settings
         self.rng = rng
         self.record = record
         self.stage = Stage.JOINING
         self.table = MemberTable()
-        self.counters: Counter[str] = Counter()  # by the names of the metrics
+        self.counters: Counter[str] = Counter()  # by the names of their metrics
         self.health = LocalHealth()
         self.actions: list[Action] = []
         self.timers = TimerQueue()
         self.gossip_queue = GossipQueue()
         self.sender = Sender(record.name, record.host, record.port)
-        self.last_received_ms = now  # anything, from anybody
-        self.no_judgement_until_ms = now  # after a pause: until what waits in the socket was read
+        self.last_received_ms = now  # when any valid message last arrived
+        self.catch_up_until_ms = now  # until then after a pause, waiting datagrams are read and no member is suspected
         self.announced_at_ms = now  # when the own record last changed
-        self.outdated_observers: set[str] = set()  # members heard in a row that hold an older own record
+        self.outdated_observers: set[str] = set()  # have sent an outdated view of this node since the last current one
         self._present_members: list[MemberRecord] = []
         self._present_version = -1
         self.table.put(now, record)
 
     def emit(self, kind: EventKind, member: str, **fields: str | int | float | bool) -> None:
-        """Tell the host of an event."""
+        """Queue an event for the host."""
         self.actions.append(MemberEvent(kind, member, fields))
 
     def announce(
@@ -54,7 +54,7 @@
         state: MemberState = MemberState.ALIVE,
         self_report: int | None = None,
     ) -> None:
-        """Disseminate the own record under a higher incarnation: the next one, unless another is given."""
+        """Disseminate the own record under the next incarnation, or under the given one."""
         record = self.record
         self.record = msgspec.structs.replace(
             record,
@@ -68,19 +68,19 @@
         self.gossip_queue.enqueue(self.record)
 
     def enter_epoch(self, epoch: int) -> None:
-        """Change the epoch of the own record; an announcement follows."""
+        """Change the epoch of the own record; the caller announces the record afterwards."""
         self.record = msgspec.structs.replace(self.record, epoch=epoch)
 
     def reports(self, condition: SelfReport) -> bool:
-        """Whether this node reports a condition of itself."""
+        """Whether this node's own record reports a condition."""
         return bool(self.record.self_report & condition)
 
     def receives_nothing(self, now: float) -> bool:
-        """Whether it has received nothing for so long that chance is no cause of it."""
+        """Whether nothing has arrived for longer than random datagram loss can explain."""
         return now - self.last_received_ms > RECEIVE_TIMEOUT_INTERVALS * self.settings.probe_interval_ms
 
     def present_members(self) -> list[MemberRecord]:
-        """The other members that are alive or suspect."""
+        """Return the other members that are alive or suspect."""
         if self._present_version != self.table.version:
             self._present_members = [
                 record for record in self.table if record.present and record.name != self.record.name
@@ -89,7 +89,7 @@
         return self._present_members
 
     def receiver_view(self, name: str) -> ReceiverView | None:
-        """How this node holds the receiver of a message."""
+        """Return this node's view of a member, to send to it; None if there is no record."""
         record = self.table.get(name)
         if record is None:
             return None
--- a/martenstep/membership/ownership.py
+++ b/martenstep/membership/ownership.py
@@ -1,9 +1,9 @@
-"""Which members own a key: one pure function over a membership view, the same at every node that has the same view.
+"""The members that own a key: a pure function of the member list, so that nodes with the same list agree.
 
-Rendezvous hashing (Thaler and Ravishankar 1998): each member draws a score for each key, and the greatest own it, so
-that a member's loss moves only what it owned.  Spread over zones: first the best of each zone, then the second best of
-each, and so on.  Removing a member shifts only the ranks of its own zone by one, so that of a key's owners at most one
-changes.
+Rendezvous hashing (Thaler and Ravishankar 1998): each member has a hash score for each key, and the members with the
+highest scores own it, so that the loss of a member moves only the keys that it owned.  Owners are spread over zones:
+first the best member of each zone, then the second best of each, and so on.  Removing a member changes only the ranks
+within its zone, each by one, so that at most one owner of a key changes.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 def select_owners(key: str, members: Iterable[tuple[str, str]], count: int) -> list[str]:
-    """The names of the `count` members (name, zone) that own a key, the first one first; fewer where there are fewer.
+    """Return the names of the `count` members that own a key, first owner first; all if there are fewer members.
 
-    Names must differ.  The order in which members are given does not matter.
+    A member is a pair of name and zone.  Names must be unique; the order of `members` does not matter.
     """
     scored = sorted(
         ((xxhash.xxh3_128_intdigest(f"{key}\0{name}".encode()), name, zone) for name, zone in members), reverse=True
--- a/martenstep/membership/probe_round.py
+++ b/martenstep/membership/probe_round.py
@@ -1,6 +1,6 @@
-"""Whom to probe next: round robin over a shuffled list, so that each member is probed within bounded time.
+"""Choice of the next member to probe: round robin over a shuffled list.
 
-SWIM, section 4.3.
+Each member is thereby probed within a bounded time (SWIM, section 4.3).
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 
 
 class ProbeRound:
-    """The members that are left of the round under way."""
+    """The members that remain to be probed in the current round."""
 
     def __init__(self, node: LocalNode) -> None:
-        """No round is under way."""
+        """The first round starts with the first call of `next_target`."""
         self._node = node
         self.remaining: list[str] = []
-        self._partition_reported_ms: dict[str, float] = {}  # when a receive-partitioned member last reported so
+        self._partition_reported_ms: dict[str, float] = {}  # when each receive-partitioned member last announced it
 
     def next_target(self, now: float) -> MemberRecord | None:
-        """The next member to be probed; None where there is none."""
+        """Return the next member to probe, starting a new round if needed; None if there is no member to probe."""
         node = self._node
         shuffled = False
         while True:
@@ -34,31 +34,35 @@
             node.rng.shuffle(self.remaining)
 
     def _is_probed(self, now: float, record: MemberRecord) -> bool:
-        return record.present and record.name != self._node.record.name and not self._is_excused(now, record)
+        return (
+            record.present
+            and record.name != self._node.record.name
+            and not self._announced_partition_recently(now, record)
+        )
 
-    def _is_excused(self, now: float, record: MemberRecord) -> bool:
-        """A receive-partitioned member cannot answer; it is alive as long as it reports."""
+    def _announced_partition_recently(self, now: float, record: MemberRecord) -> bool:
+        """Whether a member is receive-partitioned: it cannot answer, and counts as alive while it announces that."""
         if not record.receive_partitioned:
             return False
         reported_ms = self._partition_reported_ms.get(record.name, now)
         return now - reported_ms < self._node.settings.min_suspicion_ms
 
     def insert(self, name: str) -> None:
-        """Insert a member that has just appeared at a random position of the round under way (SWIM, section 4.3).
+        """Insert a new member at a random position of the current round (SWIM, section 4.3).
 
-        Danger: left to the next round, one that appeared and died would be probed by nobody for as many intervals as
-        there are members.
+        If it waited for the next round, a member that died soon after joining would not be probed for as many intervals
+        as there are members.
         """
         self.remaining.insert(self._node.rng.randrange(len(self.remaining) + 1), name)
 
     def on_record(self, now: float, previous: MemberRecord | None, record: MemberRecord) -> None:
-        """A record came into force: note when a receive-partitioned member reported so."""
+        """Handle a record that the table has stored: note when a receive-partitioned member last announced it."""
         if not record.receive_partitioned:
             self._partition_reported_ms.pop(record.name, None)
         elif previous is None or record.incarnation > previous.incarnation:
             self._partition_reported_ms[record.name] = now
 
-    def shift(self, paused_ms: float) -> None:
-        """This process was paused: what it waits for is due as much later."""
+    def add_pause(self, paused_ms: float) -> None:
+        """Extend the time allowed between announcements by a pause of this process."""
         for name in self._partition_reported_ms:
             self._partition_reported_ms[name] += paused_ms
--- a/martenstep/membership/reconnecting.py
+++ b/martenstep/membership/reconnecting.py
@@ -1,4 +1,4 @@
-"""Finding lost parts of the cluster again: how a healed partition is noticed without either side's help."""
+"""Reconnection of a divided cluster: probes of dead members and of unknown seeds detect that a partition has healed."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from martenstep.membership.member import MemberRecord, MemberState
 from martenstep.membership.settings import Stage
 
-INTERVAL_PROBE_INTERVALS = 4  # between two tries
+PROBE_INTERVALS_PER_ATTEMPT = 4
 FIRST_JITTER = (0.5, 1.5)
 JITTER = (0.7, 1.3)
-DEAD_MEMBER_SHARE = 0.8  # of the tries that go to a dead member where seeds are unknown too
+DEAD_MEMBER_SHARE = 0.8  # of attempts that probe a dead member when there are unknown seeds too
 
 
 class Reconnector:
-    """Tries members that are held dead, and seeds at which no member is known."""
+    """Probes members held dead, and opens exchanges with seeds at whose address no member is known."""
 
     def __init__(
         self, node: LocalNode, dialer: ExchangeDialer, probe_dead: Callable[[float, MemberRecord], None]
     ) -> None:
-        """`probe_dead` sends one probe, of which no suspicion follows."""
+        """`probe_dead` sends one probe whose failure leads to no suspicion."""
         self._node = node
         self._dialer = dialer
         self._probe_dead = probe_dead
 
     def start(self, now: float) -> None:
-        """Try from now on."""
+        """Schedule the first attempt."""
         self._schedule(now + self._node.rng.uniform(*FIRST_JITTER) * self._interval_ms)
 
     @property
     def _interval_ms(self) -> float:
-        return INTERVAL_PROBE_INTERVALS * self._node.settings.probe_interval_ms
+        return PROBE_INTERVALS_PER_ATTEMPT * self._node.settings.probe_interval_ms
 
     def _schedule(self, due_ms: float) -> None:
-        self._node.timers.schedule(due_ms, self._try)
+        self._node.timers.schedule(due_ms, self._attempt)
 
-    def _try(self, now: float) -> None:
+    def _attempt(self, now: float) -> None:
         node = self._node
         self._schedule(now + self._interval_ms * node.rng.uniform(*JITTER))
         if node.stage is not Stage.JOINED:
--- a/martenstep/membership/record_merger.py
+++ b/martenstep/membership/record_merger.py
@@ -1,4 +1,4 @@
-"""Merging of received records into the member table, with all that follows from a record that wins."""
+"""Merges received records into the member table: gossip, suspicion, events and refutation follow from the result."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 }
 
 
-def is_news(previous: MemberRecord | None, record: MemberRecord) -> bool:
-    """Whether a record that has just won is to be disseminated.
+def should_disseminate(previous: MemberRecord | None, record: MemberRecord) -> bool:
+    """Whether a record that was just stored is passed on.
 
-    One of the dead that nobody knew is not: it would be passed on for ever by members that forget at different times.
+    The record of an unknown dead member is not: members forget dead members at different times, and would pass the
+    record to each other for ever.
     """
     return previous is not None or record.state is not MemberState.DEAD
 
 
 class RecordMerger:
-    """Takes in records of other members, and refutes those of this node."""
+    """Merges records about other members, and refutes outdated claims about this node."""
 
     def __init__(self, parts: CoreParts) -> None:
-        """Merges into the member table of the parts' node."""
+        """Merges into the member table of `parts.node`."""
         self._node = parts.node
         self._channel = parts.channel
         self._suspicions = parts.suspicions
@@ -40,12 +41,12 @@
         self._joiner = parts.joiner
 
     def apply_all(self, now: float, records: Iterable[MemberRecord]) -> None:
-        """Take in records in their order."""
+        """Merge records in their order."""
         for record in records:
             self.apply(now, record)
 
     def apply(self, now: float, record: MemberRecord) -> bool:
-        """Take in a record; True where it is in force from now on."""
+        """Merge a record; returns whether the table has stored it."""
         node = self._node
         if record.name == node.record.name:
             self._apply_about_self(now, record)
@@ -53,7 +54,7 @@
         previous = node.table.get(record.name)
         if previous is None:
             if record.state is MemberState.SUSPECT:
-                # Of a member that was not known: whoever suspects it will say so again.
+                # A suspicion of an unknown member is dropped; the members that suspect it will repeat it.
                 record = record.with_state(MemberState.ALIVE, "")
         elif record.precedence == previous.precedence:
             if record.state is MemberState.SUSPECT:
@@ -62,9 +63,9 @@
         elif record.precedence < previous.precedence:
             return False
         node.table.put(now, record)
-        if is_news(previous, record):
+        if should_disseminate(previous, record):
             self._follow_up(now, previous, record)
-        # Else it is kept, so that the tables agree; an older record that calls it alive changes nothing then.
+        # Storing a record that is not passed on makes tables agree, and an older alive record then loses to it.
         return True
 
     def _follow_up(self, now: float, previous: MemberRecord | None, record: MemberRecord) -> None:
@@ -80,7 +81,7 @@
         self._emit_change(previous, record)
 
     def _emit_change(self, previous: MemberRecord | None, record: MemberRecord) -> None:
-        """Tell what a record changed."""
+        """Emit the events for what a record changed."""
         if record.state is not MemberState.ALIVE:
             if previous is None or previous.state is not record.state or previous.owner != record.owner:
                 self._node.emit(
@@ -112,7 +113,7 @@
         elif not previous.present:
             self._node.emit(EventKind.MEMBER_RECOVERED, record.name, incarnation=record.incarnation)
 
-    # Records of this node.
+    # Records about this node.
 
     def _apply_about_self(self, now: float, record: MemberRecord) -> None:
         node = self._node
@@ -121,10 +122,10 @@
             self._apply_other_owner(now, record)
             return
         is_outdated = record.incarnation < own.incarnation
-        says_nothing_new = record.incarnation == own.incarnation and (
+        has_no_precedence = record.incarnation == own.incarnation and (
             record.state <= own.state or own.state is MemberState.LEFT
         )
-        if is_outdated or says_nothing_new:
+        if is_outdated or has_no_precedence:
             return
         if (
             record.boot_id != own.boot_id
@@ -132,12 +133,13 @@
             and record.address != own.address
             and node.stage is Stage.JOINED
         ):
-            # A copy of this node's disk runs elsewhere.  Refuted all the same: the copy asks first, when it joins.
+            # A copy of this node's disk runs elsewhere.  The claim is refuted all the same, because a copy that joins
+            # probes the owner of its name first.
             node.emit(EventKind.NODE_ID_DUPLICATED, own.name, host=record.host, port=record.port)
         self._refute(now, record)
 
     def _refute(self, now: float, record: MemberRecord) -> None:
-        """Stand above what is claimed of this node."""
+        """Announce this node under a higher incarnation than that of a claim about it."""
         node = self._node
         if node.stage in (Stage.LEAVING, Stage.LEFT):
             node.announce(now, incarnation=record.incarnation + 1, state=MemberState.LEFT)
@@ -153,14 +155,14 @@
         if record.owner < node.record.owner or node.stage is not Stage.JOINED:
             return
         if record.node_id == node.record.node_id or not record.present:
-            # This node joined before it knew of that: somebody else opened the exchange.
+            # This node joined without having received that record, by an exchange that another member opened.
             self._joiner.supersede(now, record)
             return
         node.emit(EventKind.NAME_LOST, node.record.name, host=record.host, port=record.port)
-        self._joiner.reject(now)
+        self._joiner.enter_name_conflict(now)
 
     def observe_receiver_view(self, now: float, observer: str, view: ReceiverView | None) -> None:
-        """How the sender of a message holds this node."""
+        """Process the view of this node that the sender of a message holds, and refute a suspicion in it."""
         own = self._node.record
         if view is None or (view.epoch, view.node_id) != own.owner:
             return
--- a/martenstep/membership/service.py
+++ b/martenstep/membership/service.py
@@ -1,4 +1,4 @@
-"""The membership of one instance: drives the core on sockets, its timer, its identity on disk and its log lines."""
+"""The membership of one instance: runs the core on sockets and a timer, stores its identity, and logs its events."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 LEAVE_TIMEOUT_S = 3.0
 STORE_ADDRESSES_INTERVAL_S = 30.0
-UNLOGGED_KINDS = frozenset({EventKind.SUSPICION_WITHDRAWN, EventKind.MEMBER_FORGOTTEN})  # of no use to operators
+UNLOGGED_KINDS = frozenset({EventKind.SUSPICION_WITHDRAWN, EventKind.MEMBER_FORGOTTEN})  # not useful to operators
 
 
 def now_ms() -> float:
-    """The clock that the core is given: monotonic, and the same for all processes of a machine."""
+    """Return the time for the core: a monotonic clock, the same for all processes on a machine."""
     return time.monotonic() * 1000
 
 
 class MembershipService:
-    """One instance's part in the cluster, on sockets."""
+    """Takes part in the cluster as one member."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         log_event: EventLog,
         on_event: Callable[[MemberEvent], None] | None = None,
     ) -> None:
-        """Raises KeyFileError where the keys cannot be read."""
+        """Raises KeyFileError if the keys cannot be read."""
         self._fleet = fleet
         self._name = name
         self._zone = zone
@@ -60,7 +60,7 @@
         self._on_event = on_event
         self._rng = random.SystemRandom()
         self._keyring = read_keyring(Path(fleet.key_file))
-        routes = {(way.to.host, way.to.port): (way.through.host, way.through.port) for way in fleet.way}
+        routes = {(route.to.host, route.to.port): (route.through.host, route.through.port) for route in fleet.way}
         self._transport = MembershipTransport(routes)
         self._streams = ExchangeStreams(fleet.cluster, lambda: self._keyring)
         self._disk: Disk | None = None
@@ -69,17 +69,17 @@
         self._timer: asyncio.TimerHandle | None = None
         self._tasks = BackgroundTasks("membership", log_event)
         self._record: BeliefRecord | None = None
-        self._changed = asyncio.Event()  # set and replaced with each change of the view
-        self._left = asyncio.Event()
+        self._changed = asyncio.Event()  # set and replaced at each event
+        self._left_cluster = asyncio.Event()
 
-    # Start and end.
+    # Start and stop.
 
     async def start(self) -> int:
-        """Bind, and join the cluster; returns the port.  Raises OSError where the address cannot be bound."""
+        """Bind the sockets and start to join the cluster; returns the port.  Raises OSError if binding fails."""
         fleet = self._fleet
         if fleet.directory:
             await asyncio.to_thread(self._load_identity)
-        await self._transport.bind(fleet.host, fleet.port, self._receive, self._serve)
+        await self._transport.bind(fleet.host, fleet.port, self._receive, self._serve_exchange)
         if fleet.record:
             self._record = await asyncio.to_thread(BeliefRecord, Path(fleet.record), self._name)
         record = self._build_own_record()
@@ -152,7 +152,7 @@
             self._record.write(now_ms(), NODE_STARTED, self._name, fields)
 
     async def leave(self) -> None:
-        """Announce that this instance leaves, and wait until that is disseminated or its time is over."""
+        """Announce that this instance leaves, and wait until that is disseminated or `LEAVE_TIMEOUT_S` has passed."""
         core = self.core
         if core is None or core.stage is Stage.LEFT:
             return
@@ -160,10 +160,10 @@
         self._run_actions()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LEAVE_TIMEOUT_S):
-                await self._left.wait()
+                await self._left_cluster.wait()
 
     async def stop(self) -> None:
-        """Release everything."""
+        """Stop the timer and tasks, store known addresses, and close the sockets, the disk and the record."""
         if self._timer is not None:
             self._timer.cancel()
         self._tasks.cancel()
@@ -180,20 +180,20 @@
 
     @property
     def port(self) -> int:
-        """The port of both sockets; 0 before the start."""
+        """Return the port of both sockets; 0 before `start`."""
         return self._transport.port
 
     @property
     def keyring(self) -> Keyring:
-        """The keys in force."""
+        """Return the current keys."""
         return self._keyring
 
     def route(self, address: Address) -> Address:
-        """Where what is for an address is sent to."""
+        """Return the address to send to for a member's address."""
         return self._transport.route(address)
 
     def reload_keys(self) -> None:
-        """Read the key file again; one that cannot be read leaves the keys in force."""
+        """Read the key file again; if it cannot be read, the current keys stay."""
         try:
             self._keyring = read_keyring(Path(self._fleet.key_file))
         except KeyFileError as error:
@@ -218,14 +218,14 @@
     # The core.
 
     def _run_actions(self) -> None:
-        """Carry out what the core asked for, and set its timer."""
+        """Execute the actions of the core, and set the timer for its next wake-up."""
         core = self.core
         assert core is not None
         for action in core.take_actions():
             if isinstance(action, SendDatagram):
                 self._transport.send(action.to, action.data)
             elif isinstance(action, OpenExchange):
-                self._tasks.spawn(self._exchange(action))
+                self._tasks.spawn(self._run_exchange(action))
             else:
                 self._handle_event(action)
         if self._timer is not None:
@@ -250,7 +250,7 @@
             line = "membership member" if event.member != self._name else "membership self"
             self._log_event(line, {"change": event.kind.label, "member": event.member, **event.fields})
         if event.kind is EventKind.LEFT_CLUSTER:
-            self._left.set()
+            self._left_cluster.set()
         self._changed.set()
         self._changed = asyncio.Event()
         if self._on_event is not None:
@@ -258,20 +258,20 @@
 
     # Exchanges.
 
-    async def _exchange(self, action: OpenExchange) -> None:
+    async def _run_exchange(self, action: OpenExchange) -> None:
         """Run an exchange that the core opens."""
         core = self.core
         assert core is not None
 
-        def answered(body: bytes | None) -> bytes | None:
+        def on_answer(body: bytes | None) -> bytes | None:
             next_frame = core.continue_exchange(now_ms(), action.token, body)
             self._run_actions()
             return next_frame
 
-        if not await self._streams.run(self.route(action.to), core.open_exchange(), answered):
-            answered(None)
+        if not await self._streams.run(self.route(action.to), core.open_exchange(), on_answer):
+            on_answer(None)
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve an exchange that another member opens."""
         core = self.core
         if core is None:
@@ -288,28 +288,28 @@
         except ProtocolError as error:
             core.counters[f"dropped_stream_{error.reason.replace(' ', '_')}"] += 1
 
-    # What others may ask.
+    # Status, for the admin API and metrics.
 
     @property
     def version(self) -> int:
-        """The version of the view; it rises with each change."""
+        """Return the version of the member table, which increases with each change; 0 before `start`."""
         return self.core.table.version if self.core is not None else 0
 
     async def wait_newer(self, version: int, timeout_s: float) -> None:
-        """Wait until the view is newer, or the time is over."""
+        """Wait until the member table has a newer version, or until the timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while self.version <= version:
                     await self._changed.wait()
 
     def view(self) -> MembershipStatus | InactiveStatus:
-        """What this instance holds of its cluster, for the admin API."""
+        """Return the status for the admin API."""
         return build_status(self.core, now_ms()) if self.core is not None else InactiveStatus()
 
     def counters(self) -> dict[str, float]:
-        """For metrics."""
+        """Return the counters for metrics."""
         return metric_counters(self.core) if self.core is not None else {}
 
     def gauges(self) -> dict[str, float]:
-        """For metrics."""
+        """Return the gauges for metrics."""
         return metric_gauges(self.core) if self.core is not None else {}
--- a/martenstep/membership/state_exchange.py
+++ b/martenstep/membership/state_exchange.py
@@ -1,4 +1,4 @@
-"""State exchange: two members compare the digests of their tables and exchange the records of buckets that differ."""
+"""State exchange (anti-entropy): two members compare bucket digests and exchange the records of differing buckets."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from martenstep.membership.record_merger import RecordMerger
 from martenstep.membership.settings import Stage
 
-SILENCE_SHARE = 0.5  # of the time until members are forgotten: after a longer silence a table may be outdated
-UNKNOWN_PRECEDENCE = (-1, 0, 0, 0)  # below that of every record
+STALE_TABLE_SHARE = 0.5  # of `forget_after_ms`; after receiving nothing for longer, a table may be outdated
+UNKNOWN_PRECEDENCE = (-1, 0, 0, 0)  # lower than the precedence of any record
 
 
 class StateExchange:
-    """Both sides of the exchange."""
+    """Handles the frames of exchanges, for the member that opens one and for the member that serves it."""
 
     def __init__(self, parts: CoreParts, merger: RecordMerger) -> None:
-        """No exchange is under way."""
+        """Use the components in `parts`; the exchange itself holds no state."""
         self._node = parts.node
         self._merger = merger
         self._suspicions = parts.suspicions
@@ -35,10 +35,10 @@
         self._joiner = parts.joiner
         self._dialer = parts.dialer
 
-    # The side that is asked.
+    # Serving an exchange.
 
     def serve(self, now: float, body: bytes) -> bytes:
-        """Answer a frame of an exchange that another member opened; raises ProtocolError."""
+        """Process a frame of an exchange that another member opened and return the answer; raises ProtocolError."""
         frame = decode_frame(body)
         if self._node.stage in (Stage.NAME_CONFLICT, Stage.CLAIMING_NAME, Stage.LEFT):
             raise ProtocolError(DropReason.NOT_A_MEMBER)
@@ -62,27 +62,27 @@
             records.append(held)
         response = encode(PullResponse(node.sender, node.record, sorted(buckets), records))
         if node.stage is Stage.JOINING and requester.name != node.record.name:
-            self._joiner.joined(now)
+            self._joiner.mark_joined(now)
         if held is None or held.node_id == requester.node_id or not held.present or held.address == requester.address:
             self._apply_requester(now, requester)
         return response
 
     def _apply_requester(self, now: float, requester: MemberRecord) -> None:
-        """A member that opens an exchange announces itself."""
+        """Merge the requester's own record, which announces it to a member that has a record of its name."""
         node = self._node
         is_known = node.table.get(requester.name) is not None
         if is_known and requester.name != node.record.name and requester.state is MemberState.ALIVE:
             self._merger.apply(now, requester)
 
-    # The side that asks.
+    # Opening an exchange.
 
     def open(self) -> bytes:
-        """The first frame of an exchange."""
+        """Return the first frame of an exchange."""
         node = self._node
         return encode(PullRequest(node.sender, node.table.bucket_digests, node.record))
 
-    def answered(self, now: float, token: int, body: bytes | None) -> bytes | None:
-        """Take in an answer, or that none came; returns the next frame, None where the exchange is over."""
+    def handle_response(self, now: float, token: int, body: bytes | None) -> bytes | None:
+        """Process an answer, None if the exchange failed; returns the next frame, None if the exchange is over."""
         purpose = self._dialer.purpose(token)
         if purpose is None:
             return None
@@ -97,7 +97,7 @@
         return self._merge(now, token, purpose, response)
 
     def _decode_response(self, body: bytes | None) -> PullResponse | None:
-        """The answer to a pull; None where there is none, or where it ends the exchange."""
+        """Decode the answer to a pull; None if it is missing, invalid or not a pull response."""
         if body is None:
             self._node.counters["exchanges_failed"] += 1
             return None
@@ -109,10 +109,10 @@
         return frame if isinstance(frame, PullResponse) else None
 
     def _join(self, now: float, response: PullResponse) -> bool:
-        """Join with the first view of the cluster; returns whether this node is a member now."""
+        """Try to join with the first records of the cluster; returns whether this node has joined."""
         own, answered_by = self._node.record, response.own_record
         if answered_by.name == own.name and answered_by.address != own.address:
-            self._joiner.name_is_owned(now, answered_by)
+            self._joiner.handle_name_owner(now, answered_by)
         else:
             self._joiner.join_with_view(now, response.records)
         return self._node.stage is Stage.JOINED
@@ -121,14 +121,14 @@
         node = self._node
         buckets = {number for number in response.buckets if 0 <= number < BUCKET_COUNT}
         received = {record.name: record.precedence for record in response.records}
-        if self._was_silent_for_long(now):
-            self._forget_unlisted(response.records)
+        if self._table_may_be_stale(now):
+            self._remove_unlisted(response.records)
         if purpose is ExchangePurpose.JOIN:
             self._apply_initial_view(now, response.records)
         else:
             self._merger.apply_all(now, response.records)
         if not node.reports(SelfReport.RECEIVE_PARTITIONED):
-            self._partitions.silent_since_ms = None
+            self._partitions.receiving_nothing_since_ms = None
         newer_here = [
             record
             for record in node.table.in_buckets(buckets)
@@ -142,21 +142,21 @@
         return encode(PushState(node.sender, newer_here))
 
     def _apply_initial_view(self, now: float, records: list[MemberRecord]) -> None:
-        """Take in the whole cluster as it is: news to nobody but this node."""
+        """Merge the records of the cluster without passing them on, because the other members have them already."""
         for record in records:
             if self._merger.apply(now, record):
                 self._node.gossip_queue.discard(record.name)
 
-    def _was_silent_for_long(self, now: float) -> bool:
-        silent_since_ms = self._partitions.silent_since_ms
-        if silent_since_ms is None:
+    def _table_may_be_stale(self, now: float) -> bool:
+        since_ms = self._partitions.receiving_nothing_since_ms
+        if since_ms is None:
             return False
-        return now - silent_since_ms > self._node.settings.forget_after_ms * SILENCE_SHARE
+        return now - since_ms > self._node.settings.forget_after_ms * STALE_TABLE_SHARE
 
-    def _forget_unlisted(self, records: list[MemberRecord]) -> None:
-        """After a long silence: what others do not list is gone.
+    def _remove_unlisted(self, records: list[MemberRecord]) -> None:
+        """Remove the members that a received list of the cluster lacks, after a long time without messages.
 
-        Others may have forgotten what this node still holds.  Danger: it would be disseminated as alive.
+        Others may have forgotten members that this node still holds alive and would disseminate as alive again.
         """
         node = self._node
         known_names = {record.name for record in records} | {node.record.name}
--- a/martenstep/membership/status.py
+++ b/martenstep/membership/status.py
@@ -1,4 +1,4 @@
-"""What the admin API and the metrics show of the membership, under their external names."""
+"""The membership in the admin API and in the metrics, under their external names."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MemberStatus(msgspec.Struct):
-    """One member as the admin API shows it."""
+    """A member in the admin API."""
 
     name: str
     state: str
@@ -28,7 +28,7 @@
 
 
 class MembershipStatus(msgspec.Struct):
-    """The membership as the admin API shows it."""
+    """The membership in the admin API."""
 
     cluster: str
     own_name: str = msgspec.field(name="me")
@@ -43,14 +43,14 @@
 
 
 class InactiveStatus(msgspec.Struct):
-    """The membership before it has started."""
+    """The membership in the admin API before it has started."""
 
     stage: str = "off"
     members: list[MemberStatus] = []
 
 
 def build_status(core: MembershipCore, now: float) -> MembershipStatus:
-    """What a node holds of its cluster, sorted by name."""
+    """Return the status of this node and its member table, with members sorted by name."""
     return MembershipStatus(
         cluster=core.settings.cluster,
         own_name=core.record.name,
@@ -85,12 +85,12 @@
 
 
 def metric_counters(core: MembershipCore) -> dict[str, float]:
-    """Counters, by the names of the metrics."""
+    """Return the counters by the names of their metrics."""
     return {f"fleet_{name}": count for name, count in core.counters.items()}
 
 
 def metric_gauges(core: MembershipCore) -> dict[str, float]:
-    """Gauges, by the names of the metrics."""
+    """Return the gauges by the names of their metrics."""
     gauges: dict[str, float] = {f"fleet_members_{state.label}": 0 for state in MemberState}
     for record in core.table:
         gauges[f"fleet_members_{record.state.label}"] += 1
--- a/martenstep/membership/transport.py
+++ b/martenstep/membership/transport.py
@@ -1,4 +1,4 @@
-"""The sockets of the membership: datagrams over UDP and exchanges over TCP, at one address."""
+"""The sockets of the membership: UDP for datagrams and TCP for exchanges, on one address and port."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 
 from martenstep.membership.member import Address
 
-RECEIVE_BUFFER_BYTES = 1 << 20  # room for what arrives while this process is paused
+RECEIVE_BUFFER_BYTES = 1 << 20  # holds the datagrams that arrive while this process is paused
 
 StreamHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
-    """Hands on what arrives."""
+    """Passes received datagrams to a callback."""
 
     def __init__(self, receive: Callable[[bytes], None]) -> None:
         """`receive` is called with each datagram."""
         self._receive = receive
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Called by the event loop."""
+        """Pass on a datagram; the event loop calls this."""
         self._receive(data)
 
     def error_received(self, exc: Exception) -> None:
-        """A port that nobody listens on answers so: a core finds that out by its probe."""
+        """Ignore the error of a port without a listener: the core detects the failed member by its probes."""
 
 
 class MembershipTransport:
-    """Both sockets of one member, and the routes to others."""
+    """The two sockets of this node, and the routes to other members."""
 
     def __init__(self, routes: dict[Address, Address]) -> None:
-        """`routes` tells through which addresses others are reached, where that is not their own."""
+        """`routes` maps the address of a member to the address to send to, if that is another one."""
         self._routes = routes
         self._datagrams: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self.port = 0
 
     async def bind(self, host: str, port: int, receive: Callable[[bytes], None], serve: StreamHandler) -> None:
-        """Listen on both protocols at one port; raises OSError."""
+        """Listen on TCP and UDP on one port; raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await asyncio.start_server(serve, host, port)
         listener = self._server.sockets[0]
@@ -57,11 +57,11 @@
             udp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
 
     def route(self, address: Address) -> Address:
-        """Where what is for an address is sent to."""
+        """Return the address to send to for a member's address."""
         return self._routes.get(address, address)
 
     def send(self, to: Address, data: bytes) -> None:
-        """Send a datagram, if the socket is open."""
+        """Send a datagram; drops it if the socket is not open."""
         if self._datagrams is not None and not self._datagrams.is_closing():
             self._datagrams.sendto(data, self.route(to))
 
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -212,9 +212,9 @@
     ("text", "told"),
     [
         ("", "expected 1 to 4 keys"),
-        ("zz", "line 1: not hex"),
+        ("zz", "line 1: expected a key in hex"),
         ("ab", "line 1: expected at least 16 bytes"),
-        ("é", "not hex"),
+        ("é", "expected keys in hex"),
     ],
 )
 def test_unusable_keys_are_reported_and_never_shown(tmp_path: Path, text: str, told: str) -> None:
@@ -236,7 +236,7 @@
         assert not problem and (first.node_id, first.start_count, second.start_count) == (second.node_id, 1, 2)
         disk.write_atomically(identity.IDENTITY_FILE, b"{")
         third, problem = identity.load_identity(disk, rng)
-        assert third.node_id != first.node_id and third.start_count == 1 and "is not read" in problem
+        assert third.node_id != first.node_id and third.start_count == 1 and "cannot read identity.json" in problem
     faults = tmp_path / "faults"
     monkeypatch.setenv(DISK_FAULTS_VARIABLE, str(faults))
     for number, (fault, told) in enumerate((('{"full": 1}', "No space left"), ('{"sync_fails": 1}', "Input/output"))):
