--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -1,4 +1,4 @@
-"""Membership on sockets: several instances in one loop, keys, identities, the admin listener, the command line."""
+"""Tests of the membership on sockets: instances in one event loop, keys, identities, admin API and command line."""
 
 from __future__ import annotations
 
@@ -27,126 +27,134 @@
 from tests.engine_rig import DOOR
 from tests.socket_rig import run
 
-OLD, NEW = "ab" * 32, "cd" * 32
-QUICK = {"period_ms": 60, "ack_ms": 20, "gossip_ms": 20, "suspect_least_ms": 2000}
+OLD_KEY, NEW_KEY = "ab" * 32, "cd" * 32
+SHORT_INTERVALS = {"period_ms": 60, "ack_ms": 20, "gossip_ms": 20, "suspect_least_ms": 2000}
 
 
-def settings(folder: Path, name: str, seeds: list[int], **more: Any) -> pb.Fleet:
+def fleet_settings(folder: Path, name: str, seeds: list[int], **overrides: Any) -> pb.Fleet:
+    """Return settings of an instance, and write its key file unless it exists."""
     (folder / "keys").mkdir(exist_ok=True)
-    key = folder / "keys" / name
-    if not key.exists():
-        key.write_text(f"{OLD}  # in force\n", encoding="ascii")
-    cluster = pb.Fleet(cluster="test", key_file=str(key), directory=str(folder / name), **{**QUICK, **more})
+    key_file = folder / "keys" / name
+    if not key_file.exists():
+        key_file.write_text(f"{OLD_KEY}  # current\n", encoding="ascii")
+    fleet = pb.Fleet(
+        cluster="test", key_file=str(key_file), directory=str(folder / name), **{**SHORT_INTERVALS, **overrides}
+    )
     for port in seeds:
-        cluster.seed.add(port=port)
-    return cluster
+        fleet.seed.add(port=port)
+    return fleet
 
 
 class Cluster:
-    """Several memberships in one loop."""
+    """Several instances in one event loop."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.instances: dict[str, MembershipService] = {}
-        self.lines: list[tuple[str, dict[str, Any]]] = []
+        self.log_lines: list[tuple[str, dict[str, Any]]] = []
 
-    async def start(self, name: str, **more: Any) -> MembershipService:
+    async def start(self, name: str, **overrides: Any) -> MembershipService:
         seeds = [instance.port for instance in self.instances.values()][:1]
-        made = MembershipService(
-            settings(self.folder, name, seeds, **more),
+        instance = MembershipService(
+            fleet_settings(self.folder, name, seeds, **overrides),
             name,
             "a",
-            lambda event, fields: self.lines.append((event, fields)),
+            lambda event, fields: self.log_lines.append((event, fields)),
         )
-        await made.start()
-        self.instances[name] = made
-        return made
+        await instance.start()
+        self.instances[name] = instance
+        return instance
 
-    async def until(self, holds: Any) -> None:
-        """Wait until it holds; the test's own bound ends a fault."""
-        while not holds():
+    async def wait_until(self, condition: Any) -> None:
+        """Wait until a condition holds; the test's own timeout ends a wait in vain."""
+        while not condition():
             await asyncio.sleep(0.02)
 
-    def state(self, of: str, name: str) -> MemberState | None:
-        core = self.instances[of].core
+    def state(self, observer: str, name: str) -> MemberState | None:
+        core = self.instances[observer].core
         assert core is not None
-        fact = core.table.get(name)
-        return None if fact is None else fact.state
+        record = core.table.get(name)
+        return None if record is None else record.state
 
     def all_hold(self, state: MemberState | None, name: str) -> bool:
-        return all(self.state(of, name) is state for of in self.instances if of != name)
+        return all(self.state(observer, name) is state for observer in self.instances if observer != name)
 
     async def stop(self) -> None:
         for instance in self.instances.values():
             await instance.stop()
 
 
-def test_instances_join_learn_of_a_leave_and_recognize_a_restart(tmp_path: Path) -> None:
+def test_instances_join_observe_a_leave_and_recognize_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
         cluster = Cluster(tmp_path)
         for name in ("d0", "d1", "d2"):
             await cluster.start(name)
-        await cluster.until(lambda: all(cluster.all_hold(MemberState.ALIVE, name) for name in cluster.instances))
-        first = msgspec.to_builtins(cluster.instances["d2"].view())
+        await cluster.wait_until(lambda: all(cluster.all_hold(MemberState.ALIVE, name) for name in cluster.instances))
+        status = msgspec.to_builtins(cluster.instances["d2"].view())
         await cluster.instances["d2"].leave()
-        await cluster.until(lambda: cluster.all_hold(MemberState.LEFT, "d2"))
+        await cluster.wait_until(lambda: cluster.all_hold(MemberState.LEFT, "d2"))
         await cluster.instances.pop("d2").stop()
-        again = await cluster.start("d2")
-        await cluster.until(lambda: cluster.all_hold(MemberState.ALIVE, "d2"))
-        core = again.core
+        restarted = await cluster.start("d2")
+        await cluster.wait_until(lambda: cluster.all_hold(MemberState.ALIVE, "d2"))
+        core = restarted.core
         assert core is not None
-        mine = next(one for one in first["members"] if one["name"] == "d2")
-        assert f"{core.record.node_id:016x}" == mine["identity"] and core.record.incarnation > mine["incarnation"]
+        before = next(member for member in status["members"] if member["name"] == "d2")
+        assert f"{core.record.node_id:016x}" == before["identity"] and core.record.incarnation > before["incarnation"]
         await cluster.stop()
 
     run(test())
 
 
-def test_an_instance_that_fails_is_declared_dead_and_its_empty_disk_is_another_node(tmp_path: Path) -> None:
+def test_a_failed_instance_is_declared_dead_and_restarts_as_a_new_node_without_its_identity_file(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         cluster = Cluster(tmp_path)
         for name in ("d0", "d1", "d2", "d3"):
             await cluster.start(name)
-        await cluster.until(lambda: all(cluster.all_hold(MemberState.ALIVE, name) for name in cluster.instances))
-        gone = cluster.instances.pop("d3")
-        assert gone.core is not None
-        old = gone.core.record.node_id
-        await gone.stop()
-        await cluster.until(lambda: cluster.all_hold(MemberState.DEAD, "d3"))
+        await cluster.wait_until(lambda: all(cluster.all_hold(MemberState.ALIVE, name) for name in cluster.instances))
+        failed = cluster.instances.pop("d3")
+        assert failed.core is not None
+        old_node_id = failed.core.record.node_id
+        await failed.stop()
+        await cluster.wait_until(lambda: cluster.all_hold(MemberState.DEAD, "d3"))
         (tmp_path / "d3" / identity.IDENTITY_FILE).unlink()
-        again = await cluster.start("d3")
-        await cluster.until(lambda: cluster.all_hold(MemberState.ALIVE, "d3"))
-        assert again.core is not None and again.core.record.node_id != old and again.core.record.epoch == 1
+        restarted = await cluster.start("d3")
+        await cluster.wait_until(lambda: cluster.all_hold(MemberState.ALIVE, "d3"))
+        assert restarted.core is not None and restarted.core.record.node_id != old_node_id
+        assert restarted.core.record.epoch == 1
         await cluster.stop()
 
     run(test())
 
 
-def test_keys_are_rotated_one_by_one_and_an_instance_without_them_stays_out(tmp_path: Path) -> None:
+def test_keys_are_rotated_one_by_one_and_an_instance_with_another_key_cannot_join(tmp_path: Path) -> None:
     async def test() -> None:
         cluster = Cluster(tmp_path)
         for name in ("d0", "d1"):
             await cluster.start(name)
-        (tmp_path / "keys" / "x").write_text(NEW, encoding="ascii")
-        stranger = await cluster.start("x")
+        (tmp_path / "keys" / "x").write_text(NEW_KEY, encoding="ascii")
+        outsider = await cluster.start("x")
         core = cluster.instances["d0"].core
         assert core is not None
-        await cluster.until(lambda: core.counters["dropped_stream_mac"])
-        assert stranger.core is not None and not stranger.core.joined
-        for keys in (f"{OLD}\n{NEW}", f"{NEW}\n{OLD}", NEW):
+        await cluster.wait_until(lambda: core.counters["dropped_stream_mac"])
+        assert outsider.core is not None and not outsider.core.joined
+        for keys in (f"{OLD_KEY}\n{NEW_KEY}", f"{NEW_KEY}\n{OLD_KEY}", NEW_KEY):
             for name in ("d0", "d1"):
                 (tmp_path / "keys" / name).write_text(keys, encoding="ascii")
                 cluster.instances[name].reload_keys()
-        await cluster.until(lambda: cluster.all_hold(MemberState.ALIVE, "x") and stranger.core.joined)
+        await cluster.wait_until(lambda: cluster.all_hold(MemberState.ALIVE, "x") and outsider.core.joined)
         (tmp_path / "keys" / "d0").write_text("nothing", encoding="ascii")
         cluster.instances["d0"].reload_keys()
-        assert cluster.lines[-1][0] == "membership keys not reloaded" and "line 1" in cluster.lines[-1][1]["error"]
+        assert (
+            cluster.log_lines[-1][0] == "membership keys not reloaded" and "line 1" in cluster.log_lines[-1][1]["error"]
+        )
         await cluster.stop()
 
     run(test())
 
 
-def test_noise_on_a_stream_is_counted_and_ends_it(tmp_path: Path) -> None:
+def test_an_invalid_frame_on_a_stream_is_counted_and_closes_the_stream(tmp_path: Path) -> None:
     async def test() -> None:
         cluster = Cluster(tmp_path)
         instance = await cluster.start("d0")
@@ -166,35 +174,39 @@
     run(test())
 
 
-def test_operators_read_the_view_watch_it_and_let_an_instance_leave(tmp_path: Path) -> None:
+def test_operators_show_and_watch_the_members_and_let_an_instance_leave(tmp_path: Path) -> None:
     async def test() -> None:
         cluster = Cluster(tmp_path)
         for name in ("d0", "d1"):
             await cluster.start(name)
-        await cluster.until(lambda: all(cluster.all_hold(MemberState.ALIVE, name) for name in cluster.instances))
+        await cluster.wait_until(lambda: all(cluster.all_hold(MemberState.ALIVE, name) for name in cluster.instances))
         admin = AdminListener(GatewayCollector(dict, cluster.instances["d0"].gauges), lambda: True)
         port = await admin.start("127.0.0.1", 0)
-        at = f"127.0.0.1:{port}"
-        told = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", at])
-        assert told.exit_code == 1 and "no fleet" in told.output
+        address = f"127.0.0.1:{port}"
+        result = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", address])
+        assert result.exit_code == 1 and "no fleet" in result.output
         admin.membership = cluster.instances["d0"]
-        told = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", at])
-        assert told.exit_code == 0 and "d0 is joined; 2 of 2 present" in told.output and "d1    alive" in told.output
-        view = await ask(port, "/members")
-        waiting = asyncio.create_task(ask(port, f"/members?after={view['version']}&wait_ms=4000"))
-        left = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "leave", "--admin", at])
+        result = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "show", "--admin", address])
+        assert (
+            result.exit_code == 0 and "d0 is joined; 2 of 2 present" in result.output and "d1    alive" in result.output
+        )
+        status = await ask(port, "/members")
+        waiting = asyncio.create_task(ask(port, f"/members?after={status['version']}&wait_ms=4000"))
+        left = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "leave", "--admin", address])
         assert left.output == "d0 is gone\n"
-        assert (await waiting)["version"] > view["version"]
-        watched = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "watch", "--admin", at, "--times", "1"])
+        assert (await waiting)["version"] > status["version"]
+        watched = await asyncio.to_thread(
+            CliRunner().invoke, cli, ["members", "watch", "--admin", address, "--times", "1"]
+        )
         assert "d0 is gone" in watched.output
         assert b"martenstep_fleet_members_left 1" in admin.respond_status("/metrics")[2]
-        for path, status in (
+        for path, code in (
             ("/members?after=x", 400),
             ("/members?wait_ms=1e9", 400),
             ("/members/no", 404),
             ("/members/leave", 405),
         ):
-            with pytest.raises(ValueError, match=str(status)):
+            with pytest.raises(ValueError, match=str(code)):
                 await ask(port, path)
         admin.stop()
         await cluster.stop()
@@ -203,13 +215,13 @@
 
 
 def test_an_unreachable_instance_is_reported_in_one_line() -> None:
-    told = CliRunner().invoke(cli, ["members", "show", "--admin", "127.0.0.1:1"])
-    assert told.exit_code == 1 and "127.0.0.1:1" in told.output
+    result = CliRunner().invoke(cli, ["members", "show", "--admin", "127.0.0.1:1"])
+    assert result.exit_code == 1 and "127.0.0.1:1" in result.output
     assert CliRunner().invoke(cli, ["members", "show", "--admin", "x"]).exit_code == 2
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "problem"),
     [
         ("", "expected 1 to 4 keys"),
         ("zz", "line 1: expected a key in hex"),
@@ -217,16 +229,16 @@
         ("é", "expected keys in hex"),
     ],
 )
-def test_unusable_keys_are_reported_and_never_shown(tmp_path: Path, text: str, told: str) -> None:
+def test_unusable_keys_are_reported_and_never_shown(tmp_path: Path, text: str, problem: str) -> None:
     file = tmp_path / "keys"
     file.write_text(text, encoding="utf-8")
-    with pytest.raises(KeyFileError, match=told):
+    with pytest.raises(KeyFileError, match=problem):
         read_keyring(file)
     with pytest.raises(KeyFileError, match="No such file"):
         read_keyring(tmp_path / "none")
 
 
-def test_an_identity_is_stored_counts_starts_and_never_prevents_a_start(
+def test_the_identity_is_stored_with_the_number_of_starts_and_disk_faults_prevent_no_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rng = random.Random(1)
@@ -239,24 +251,24 @@
         assert third.node_id != first.node_id and third.start_count == 1 and "cannot read identity.json" in problem
     faults = tmp_path / "faults"
     monkeypatch.setenv(DISK_FAULTS_VARIABLE, str(faults))
-    for number, (fault, told) in enumerate((('{"full": 1}', "No space left"), ('{"sync_fails": 1}', "Input/output"))):
+    for number, (fault, reason) in enumerate((('{"full": 1}', "No space left"), ('{"sync_fails": 1}', "Input/output"))):
         faults.write_text(fault)
         with Disk(tmp_path / "a") as broken:
-            again, problem = identity.load_identity(broken, rng)
-            assert again.start_count == 2 and told in problem, number
+            loaded, problem = identity.load_identity(broken, rng)
+            assert loaded.start_count == 2 and reason in problem, number
     faults.write_text("{}")
-    with Disk(tmp_path / "a") as mended:
-        assert identity.load_identity(mended, rng)[0].start_count == 2
+    with Disk(tmp_path / "a") as repaired:
+        assert identity.load_identity(repaired, rng)[0].start_count == 2
 
 
 def test_problems_of_the_settings_are_reported_by_field() -> None:
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as error:
         parse_door(
             DOOR + 'fleet { host: "0.0.0.0" period_ms: 100 ack_ms: 80 suspect_least_ms: 5 seed { } '
             "way { to { port: 1 } } }\nworkers { count: 2 }",
             "d",
         )
-    text = str(told.value)
+    text = str(error.value)
     for field in (
         "fleet.cluster",
         "fleet.key_file",
