--- a/martenstep/membership/codec.py
+++ b/martenstep/membership/codec.py
@@ -47,7 +47,7 @@
 class ReceiverView(msgspec.Struct, array_like=True, frozen=True):
     """The sender's record of the receiver, in short.
 
-    A ping, ack or gossip message thereby carries a suspicion to the suspected member itself, which can refute it early
+    With it, a ping, ack or gossip message carries a suspicion to the suspected member itself, which can refute it early
     (the buddy system of Lifeguard).
     """
 
--- a/martenstep/membership/core.py
+++ b/martenstep/membership/core.py
@@ -6,8 +6,8 @@
 
 Differences from SWIM, and their reasons (docs/design-membership.md compares the alternatives):
 
-- A suspicion needs a nack from a helper (`failure_detector`): a partitioned node receives none, so it suspects nobody
-  even though its probes time out.
+- A suspicion needs a nack from a helper (`failure_detector`): a partitioned node receives none, so it suspects no
+  member even though its probes time out.
 - A node whose process or event loop was paused cancels its pending probes and extends its suspicions by the pause,
   before it suspects any member or declares one dead (`MembershipCore._detect_pause`).
 - Every ping, ack and gossip message carries the sender's view of the receiver, so that a suspected member can refute
--- a/martenstep/membership/datagram_channel.py
+++ b/martenstep/membership/datagram_channel.py
@@ -73,7 +73,7 @@
         encoded: list[bytes] = []
         view = message.receiver_view
         if view is not None and view.state is not MemberState.ALIVE:
-            # A receiver that is not held alive gets its whole record too, which it may never have received.
+            # A receiver whose record here is not alive gets that whole record too, which it may never have received.
             record = node.table.get(receiver)
             if record is not None:
                 encoded.append(encode(record))
--- a/martenstep/membership/failure_detector.py
+++ b/martenstep/membership/failure_detector.py
@@ -82,7 +82,7 @@
         node.timers.schedule(now + interval_ms * PROBE_TIMEOUT_SHARE, partial(self._evaluate, nonce=nonce))
 
     def probe_reachability(self, now: float, target: MemberRecord) -> None:
-        """Probe a member without suspecting it on failure: one held dead, or the owner of this node's name."""
+        """Probe a member without suspecting it on failure: a dead one, or the owner of this node's name."""
         node = self._node
         nonce = self._send_probe(target, may_suspect=False)
         interval_ms = node.settings.probe_interval_ms * node.health.multiplier
@@ -196,8 +196,8 @@
         if self._node.stage is Stage.CLAIMING_NAME:
             self._joiner.owner_probe_acknowledged(now)
         else:
-            # The target is held dead here.  The ping carried that record, so the target refutes it; an exchange merges
-            # both tables.
+            # This node's record says that the target is dead.  The ping carried it, so the target refutes it; an
+            # exchange merges both tables.
             self._dialer.dial(now, probe.target.address, ExchangePurpose.RECONNECT)
 
     def _acknowledged(self, now: float, probe: _Probe) -> None:
--- a/martenstep/membership/reconnecting.py
+++ b/martenstep/membership/reconnecting.py
@@ -16,7 +16,7 @@
 
 
 class Reconnector:
-    """Probes members held dead, and opens exchanges with seeds at whose address no member is known."""
+    """Probes dead members, and opens exchanges with seeds at whose address no present member is known."""
 
     def __init__(
         self, node: LocalNode, dialer: ExchangeDialer, probe_dead: Callable[[float, MemberRecord], None]
--- a/martenstep/membership/state_exchange.py
+++ b/martenstep/membership/state_exchange.py
@@ -57,13 +57,18 @@
         buckets = {number for number in range(BUCKET_COUNT) if request.digests[number] != digests[number]}
         records = node.table.in_buckets(buckets)
         requester = request.own_record
-        held = node.table.get(requester.name)
-        if held is not None and bucket_index(held.name) not in buckets:
-            records.append(held)
+        known = node.table.get(requester.name)
+        if known is not None and bucket_index(known.name) not in buckets:
+            records.append(known)
         response = encode(PullResponse(node.sender, node.record, sorted(buckets), records))
         if node.stage is Stage.JOINING and requester.name != node.record.name:
             self._joiner.mark_joined(now)
-        if held is None or held.node_id == requester.node_id or not held.present or held.address == requester.address:
+        if (
+            known is None
+            or known.node_id == requester.node_id
+            or not known.present
+            or known.address == requester.address
+        ):
             self._apply_requester(now, requester)
         return response
 
