--- a/martenstep/replication/raft/__init__.py
+++ b/martenstep/replication/raft/__init__.py
@@ -1,17 +1,19 @@
 """Raft (Ongaro's thesis, 2014) with pre-vote, check-quorum, leader leases and single-server membership changes.
 
-Sans-I/O.  In: messages, completions of durable writes, the time of this machine's monotonic clock (ms).  Out: actions
-(messages, durable writes, committed entries, role changes).  Random draws come from the given generator.
+The package does no I/O.  Its inputs are messages, completions of durable writes and the time of this machine's
+monotonic clock (ms); its outputs are actions (messages, durable writes, committed entries, role changes).  Random
+numbers come from the generator that the caller passes in.
 
 Rules beyond the thesis:
 
-- Whatever a vote or an acknowledgement rests on is durable before the answer leaves (`durability`).
-- A replica is its disk.  One whose disk is not known to be as it was left (the machine was restarted, or the directory
-  came from elsewhere) neither votes nor acknowledges until every other voter has answered its recovery query
-  (`recovery`).
-- A replica that has just started does not vote for the time of a lease: it may have acknowledged a leader (`lease`).
+- A vote or an acknowledgement is sent only after the state that it depends on is durable (`durability`).
+- A replica is identified by its disk.  If the disk cannot be shown to be in the state in which the replica left it (the
+  machine was restarted, or the directory was copied from elsewhere), the replica neither votes nor acknowledges until
+  every other voter has answered its recovery query (`recovery`).
+- A replica that has just started does not vote for the duration of a lease, because it may have acknowledged a leader
+  before the restart (`lease`).
 
-`node.RaftNode` is the whole; each of the other modules has one part of it.
+`node.RaftNode` combines all parts; each of the other modules implements one of them.
 """
 
 from martenstep.replication.raft.log import RaftLog
--- a/martenstep/replication/raft/append.py
+++ b/martenstep/replication/raft/append.py
@@ -17,23 +17,23 @@
 
 MAX_APPEND_ENTRIES = 64
 MAX_APPEND_BYTES = 128 << 10
-MAX_INFLIGHT_ENTRIES = 256  # sent to one replica and not acknowledged: a slow one is not sent more
-RETRANSMIT_AFTER_ROUNDS = 3
-MAX_REMEMBERED_ROUNDS = 50  # whose sending time is remembered
+MAX_INFLIGHT_ENTRIES = 256  # sent to one replica and not acknowledged; a slow replica is sent no more than this
+RETRANSMIT_AFTER_ROUNDS = 3  # heartbeat rounds without an answer
+MAX_REMEMBERED_ROUNDS = 50  # heartbeat rounds whose sending time is kept
 
 
 class LogReplication(SnapshotTransfer):
-    """A leader's sending of entries, a follower's taking of them, and what is committed by that."""
+    """Sending entries as a leader, appending them as a follower, and advancing the commit index."""
 
-    # At the leader.
+    # Leader.
 
     def propose(self, data: bytes, replicate: bool = True) -> int | None:
-        """Append a command and give its index; None where this replica does not lead.
+        """Append a command and return its index; None if this replica is not a leader that accepts commands.
 
-        The command is committed once an entry of that index and the present term is.
+        The command is committed once an entry with that index and the current term is committed.
 
-        Without `replicate` the others are sent the entry by the next call of `replicate`, so that many go in one
-        message.
+        With `replicate=False` the entry is sent to the other replicas by the next call of `replicate`, so that one
+        message can carry many entries.
         """
         if self.role is not Role.LEADER or self._transfer_target is not None or self.halted:
             return None
@@ -43,12 +43,12 @@
         return index
 
     def replicate(self) -> None:
-        """Send the others what was proposed."""
+        """Send the proposed entries to the other replicas."""
         if self.role is Role.LEADER and not self.halted:
             self._replicate_to_all()
 
     def replication_lag(self) -> dict[int, int]:
-        """At a leader: by how many entries each other replica is behind, as far as it has acknowledged."""
+        """On a leader: the number of entries that each other replica has not yet acknowledged; otherwise empty."""
         if self.role is not Role.LEADER:
             return {}
         lags = {}
@@ -59,7 +59,7 @@
         return lags
 
     def _append_entry(self, kind: EntryKind, data: bytes) -> int:
-        """Append an entry of the present term to the own log."""
+        """Append an entry of the current term to this replica's log."""
         entry = LogEntry(self.log.last_index + 1, self.term, kind, data)
         self.log.append((entry,))
         self._adopt_configuration((entry,))
@@ -67,7 +67,7 @@
         return entry.index
 
     def _heartbeat(self, now: float, term: int) -> None:
-        """Begin a round: send to all others, and step down where no quorum has answered for long (check-quorum)."""
+        """Start a heartbeat round, or step down if no quorum has answered for two election timeouts (check-quorum)."""
         if self.role is not Role.LEADER or self.term != term:
             return
         self._timers.schedule(now + self.settings.heartbeat_interval_ms, partial(self._heartbeat, term=term))
@@ -77,7 +77,7 @@
         self._round += 1
         self._round_sent_at[self._round] = now
         if self.configuration.voters == (self.replica_id,):
-            self._renew_lease(now)  # there is nobody whose response would
+            self._renew_lease(now)  # no other voter's response will renew it
         for old in [old for old in self._round_sent_at if old < self._round - MAX_REMEMBERED_ROUNDS]:
             del self._round_sent_at[old]
         for replica in self.configuration.members:
@@ -85,13 +85,13 @@
                 self._replicate_to(replica, heartbeat=True)
 
     def _replicate_to_all(self) -> None:
-        """Send every other replica what it lacks."""
+        """Send every other replica the entries that it lacks."""
         for replica in self.configuration.members:
             if replica != self.replica_id:
                 self._replicate_to(replica, heartbeat=False)
 
     def _replicate_to(self, replica: int, heartbeat: bool) -> None:
-        """Send one replica what it lacks, within its bounds; on a heartbeat at least an empty message."""
+        """Send one replica the entries that it lacks, within the limits; a heartbeat is sent even without entries."""
         progress = self._progress_for(replica)
         if progress.next_index <= self.log.snapshot_index:
             self._send_snapshot_chunk(progress, replica, retransmit=heartbeat)
@@ -108,7 +108,7 @@
         progress.next_index += len(entries)
 
     def _retransmit_unacknowledged(self, progress: Progress) -> None:
-        """Go back to the first entry that was not acknowledged, where some rounds went unanswered."""
+        """Go back to the first unacknowledged entry if the replica has not answered several rounds."""
         unacknowledged = progress.next_index > progress.match_index + 1
         if (
             unacknowledged
@@ -118,7 +118,7 @@
             progress.next_index = progress.match_index + 1
 
     def _entries_to_send(self, progress: Progress) -> tuple[LogEntry, ...]:
-        """The next entries for one replica, within the bounds of a message and of what is in flight."""
+        """Return the next entries for one replica, within the limits on message size and on entries in flight."""
         last = min(
             self.log.last_index,
             progress.match_index + MAX_INFLIGHT_ENTRIES,
@@ -135,13 +135,13 @@
         return entries
 
     def _handle_append_entries_response(self, now: float, source: int, response: AppendEntriesResponse) -> None:
-        """Advance a replica's progress, or go back to where its log fits."""
+        """Advance a replica's progress, or go back to the point where its log may match."""
         if not response.success and not response.round:
-            return  # to a heartbeat of an earlier term: it does not show what is held in this one
+            return  # answers a leader of an earlier term, so it shows nothing about the log in this one
         progress = self._record_round(now, source, response.round)
         if not response.success:
-            # Below what it acknowledged in this term: its disk was put back.  What is committed stays so; it is sent
-            # the rest again.
+            # If the hint is below what the replica acknowledged in this term, an older state of its disk was restored.
+            # Committed entries stay committed; the replica is sent the missing ones again.
             progress.match_index = min(progress.match_index, response.match_index)
             progress.next_index = min(response.match_index, self.log.last_index) + 1
             self._replicate_to(source, heartbeat=False)
@@ -155,7 +155,7 @@
             self._replicate_to(source, heartbeat=False)
 
     def _send_timeout_now_if_caught_up(self) -> None:
-        """Let the target of a leadership transfer campaign once it holds the whole log."""
+        """Tell the target of a leadership transfer to campaign once it holds the whole log."""
         target = self._transfer_target
         if target is None or target not in self._progress:
             return
@@ -165,25 +165,25 @@
     # The commit index.
 
     def _durable_match_index(self) -> int:
-        """What of the own log is durable."""
+        """Return the index up to which this replica's own log is durable."""
         return self._durability.durable_index
 
     def _advance_commit_index(self) -> None:
-        """Commit what a quorum holds durably, where it is of this term (thesis, 3.6.2)."""
+        """Commit up to the index that a quorum holds durably, if that entry is of this term (thesis, 3.6.2)."""
         index = self._quorum_value(self._durable_match_index(), lambda progress: progress.match_index)
         if index <= self.commit_index or not self._can_commit(index):
             return
         self.commit_index = index
         self._apply_committed()
         if self.replica_id not in self.configuration.voters and self.configuration_committed:
-            self._change_role(Role.FOLLOWER, None)  # it led its own removal
+            self._change_role(Role.FOLLOWER, None)  # the committed configuration removes this leader
 
     def _can_commit(self, index: int) -> bool:
-        """Whether counting replicas commits an entry."""
+        """Whether an entry may be committed by counting replicas: only one of the current term may."""
         return self.log.term_at(index) == self.term
 
     def _apply_committed(self) -> None:
-        """Give out all committed entries that were not given yet."""
+        """Emit each committed entry that was not emitted before."""
         while self._applied_index < self.commit_index:
             entry = self.log.entry(self._applied_index + 1)
             if entry is None:
@@ -191,15 +191,15 @@
             self._applied_index += 1
             self.actions.append(EntryCommitted(entry))
 
-    # At a follower.
+    # Follower.
 
     def _handle_append_entries(self, now: float, source: int, message: AppendEntries) -> None:
-        """Take a leader's entries, where the log fits before them."""
+        """Append a leader's entries if the log matches the entry before them."""
         if not self._accept_leader(now, source, message.term):
             return
         snapshot_index = self.log.snapshot_index
         if message.prev_log_index < snapshot_index:
-            # Those up to the snapshot are committed; the leader goes on behind them.
+            # Entries up to the snapshot are committed; the leader continues after them.
             self._send_when_durable(source, AppendEntriesResponse(self.term, True, snapshot_index, message.round))
             return
         if self.log.term_at(message.prev_log_index) != message.prev_log_term:
@@ -214,7 +214,7 @@
             self._apply_committed()
 
     def _last_index_that_may_match(self, prev_log_index: int) -> int:
-        """Where the leader should look next after a mismatch: before the whole term that does not fit."""
+        """After a mismatch, return the last index before all entries of the conflicting term."""
         mismatched_term = self.log.term_at(prev_log_index)
         index = min(self.log.last_index, prev_log_index - 1)
         while (
@@ -226,9 +226,10 @@
         return index
 
     def _new_entries(self, message: AppendEntries) -> list[LogEntry]:
-        """The entries that are not held yet.
+        """Return the message's entries from the first one that this log does not hold.
 
-        Danger: cutting off entries that an older message merely does not hold would undo what was acknowledged.
+        Entries of this log beyond the end of the message are kept: the message may be an old one, and truncating them
+        would undo an acknowledgement.
         """
         for number, entry in enumerate(message.entries):
             if self.log.term_at(entry.index) != entry.term:
@@ -236,7 +237,7 @@
         return []
 
     def _append_from_leader(self, entries: list[LogEntry]) -> None:
-        """Put entries in place of all from their first index on."""
+        """Replace the log from the first index of `entries` on."""
         if not entries:
             return
         first = entries[0].index
@@ -248,13 +249,15 @@
         self._persist(truncate_from, tuple(entries))
 
     def _truncate_log(self, index: int) -> None:
-        """Cut off an entry that conflicts with the leader's, and all behind it.
+        """Remove an entry that conflicts with the leader's, and all entries after it.
 
-        Raises AssertionError where it is committed.
+        Raises AssertionError if the entry is committed.
         """
         self.log.truncate_from(index)
         if index <= self.commit_index:
-            raise AssertionError(f"entry {index} is committed and would be cut off")
+            raise AssertionError(
+                f"cannot truncate the log from entry {index}: entries up to {self.commit_index} are committed"
+            )
         self._durability.truncate(index - 1)
         if index <= self.configuration_index:
             self._restore_configuration(index - 1)
--- a/martenstep/replication/raft/election.py
+++ b/martenstep/replication/raft/election.py
@@ -9,11 +9,11 @@
 
 
 class Election(LogReplication):
-    """A candidate's campaign, and votes for others."""
+    """Campaigning as a candidate, and voting for other candidates."""
 
     @property
     def can_campaign(self) -> bool:
-        """This replica is a voter, and its log holds all that it may have acknowledged."""
+        """Whether this replica may campaign: it is a voter whose log holds everything that it may have acknowledged."""
         return (
             self.replica_id in self.configuration.voters
             and self.disk_verified
@@ -22,7 +22,7 @@
         )
 
     def _election_timed_out(self, now: float, timer: int) -> None:
-        """Campaign where no leader was heard since timer `timer` was set."""
+        """Start a pre-vote, unless timer `timer` was replaced by a later one or this replica leads."""
         if timer != self._election_timer or self.role is Role.LEADER:
             return
         self._reset_election_timer(now)
@@ -30,14 +30,14 @@
             self._start_pre_vote(now)
 
     def _start_pre_vote(self, now: float) -> None:
-        """Ask whether the others would vote for this replica: one that was cut off must not raise the term in vain."""
+        """Ask for pre-votes, so that a replica that was partitioned does not raise the term without winning."""
         self._change_role(Role.PRE_CANDIDATE, None)
         self._votes = {self.replica_id}
         self._request_votes(self.term + 1, pre_vote=True)
         self._count_votes(now)
 
     def _start_election(self, now: float, leadership_transfer: bool = False) -> None:
-        """Stand as a candidate of the next term."""
+        """Become a candidate in the next term."""
         self.term, self.voted_for = self.term + 1, self.replica_id
         self._change_role(Role.CANDIDATE, None)
         self._reset_election_timer(now)
@@ -47,14 +47,14 @@
         self._request_votes(self.term, pre_vote=False, leadership_transfer=leadership_transfer)
 
     def _request_votes(self, term: int, pre_vote: bool, leadership_transfer: bool = False) -> None:
-        """Ask all other voters."""
+        """Request a vote or a pre-vote from all other voters."""
         request = RequestVote(term, self.log.last_index, self.log.last_term, pre_vote, leadership_transfer)
         for voter in self.configuration.voters:
             if voter != self.replica_id:
                 self._send_when_durable(voter, request)
 
     def _count_votes(self, now: float) -> None:
-        """Go on with the campaign where a quorum has agreed."""
+        """Proceed to the next stage of the campaign if a quorum has granted its votes."""
         if len(self._votes & set(self.configuration.voters)) < self.configuration.quorum:
             return
         if self.role is Role.PRE_CANDIDATE:
@@ -63,7 +63,7 @@
             self._become_leader(now)
 
     def _become_leader(self, now: float) -> None:
-        """Lead the present term; its first entry commits what precedes it."""
+        """Become leader of the current term; committing its first entry commits all entries before it."""
         self._change_role(Role.LEADER, self.replica_id)
         self._reset_leadership(now)
         self._append_entry(EntryKind.NO_OP, b"")
@@ -72,7 +72,8 @@
     def _handle_request_vote(self, now: float, source: int, request: RequestVote) -> None:
         """Answer a request for a vote or a pre-vote."""
         if not self.disk_verified:
-            return  # whether the candidate is a member by the log here does not matter: this log may lag
+            return
+        # The candidate need not be a member in the configuration known here, because this log may lag.
         in_lease = not request.leadership_transfer and self._in_leader_lease(now)
         if request.pre_vote:
             granted = request.term > self.term and not in_lease and self._is_up_to_date(request)
@@ -90,19 +91,19 @@
         self._send_when_durable(source, VoteResponse(self.term, False, granted))
 
     def _grant_vote(self, now: float, candidate: int) -> None:
-        """Vote for a candidate in the present term; a vote that was given before is given again."""
+        """Vote for a candidate in the current term; the vote may repeat one that was already given to it."""
         if self.voted_for is None:
             self.voted_for = candidate
             self._persist()
         self._reset_election_timer(now)
 
     def _is_up_to_date(self, request: RequestVote) -> bool:
-        """The candidate's log holds all that may be committed."""
+        """Whether the candidate's log reaches the end of this log and the log floor: it holds all committed entries."""
         candidate = LogPosition(request.last_term, request.last_index)
         return candidate >= self.log.last_position and candidate >= self._log_floor
 
     def _handle_vote_response(self, now: float, source: int, response: VoteResponse) -> None:
-        """Count a vote, or follow a higher term."""
+        """Count a vote, or enter the higher term of the response."""
         if response.term > self.term and not (response.pre_vote and response.granted):
             self._enter_term(now, response.term)
             return
--- a/martenstep/replication/raft/lease.py
+++ b/martenstep/replication/raft/lease.py
@@ -1,4 +1,8 @@
-"""Leader leases (thesis, 6.4.1): reads at a leader, and the promise of followers that they rest on."""
+"""Leader leases (thesis, 6.4.1).
+
+A leader serves reads while its lease runs.  The lease is safe because followers grant no vote for an election timeout
+after they last received a message from a leader.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +15,13 @@
 
 
 class LeaderLease(RaftState):
-    """A leader's lease, renewed by answered heartbeats; a follower's votes while it hears a leader."""
+    """A leader's lease, renewed by answered heartbeats, and a follower's refusal to vote while a lease may run."""
 
     def can_serve_read(self, now: float) -> bool:
-        """Whether what is applied here holds all that was committed before now.
+        """Whether the applied state includes everything that was committed before now.
 
-        This replica leads, its lease runs, and it has applied an entry of its own term and all that is committed.
+        That holds if this replica leads, its lease runs, and it has applied all committed entries, the last of them of
+        its own term.
         """
         return (
             self.role is Role.LEADER
@@ -26,7 +31,7 @@
         )
 
     def _quorum_value(self, own: int, value: Callable[[Progress], int]) -> int:
-        """The greatest value that a quorum of the voters has reached; `own` is this replica's."""
+        """Return the greatest value that a quorum of the voters has reached; `own` is this replica's value."""
         values = [
             own if voter == self.replica_id else value(self._progress[voter]) if voter in self._progress else 0
             for voter in self.configuration.voters
@@ -35,7 +40,7 @@
         return values[self.configuration.quorum - 1]
 
     def _record_round(self, now: float, source: int, number: int) -> Progress:
-        """A replica answered a heartbeat round."""
+        """Record that a replica answered heartbeat round `number`."""
         progress = self._progress_for(source)
         if number > progress.acked_round:
             progress.acked_round = number
@@ -43,7 +48,7 @@
         return progress
 
     def _renew_lease(self, now: float) -> None:
-        """Extend the lease by the latest round that a quorum answered."""
+        """Extend the lease according to the latest round that a quorum answered."""
         acked = self._quorum_value(self._round, lambda progress: progress.acked_round)
         sent_at = self._round_sent_at.get(acked)
         if sent_at is None:
@@ -53,30 +58,30 @@
             self.lease_expires_at = max(self.lease_expires_at, self._lease_expiry(now, sent_at))
 
     def _lease_expiry(self, now: float, sent_at: float) -> float:
-        """When a lease ends, counted from before the round was sent."""
+        """Return when a lease ends; it starts when its round was sent, and is shortened by the maximum clock drift."""
         drift = self.settings.max_clock_drift
         return sent_at + self.settings.election_timeout_ms * (1 - drift) / (1 + drift)
 
     def _in_leader_lease(self, now: float) -> bool:
-        """A leader that was heard lately may have a lease that rests on this replica."""
+        """Whether a leader may hold a lease that depends on this replica's acknowledgement."""
         if self.role is Role.LEADER:
             return True
         return now - self.leader_contact_at < self.settings.election_timeout_ms
 
     def _accept_leader(self, now: float, source: int, term: int) -> bool:
-        """Whether a leader's message counts here; one of an older term is sent the present term."""
+        """Whether to process a leader's message; a leader of an older term is sent the current term instead."""
         if not self.disk_verified:
             return False
         if term >= self.term:
             self._follow_leader(now, source, term)
             return True
-        # Round 0.  Danger: the sender's round was counted in an earlier term, and the same replica may lead this one by
-        # now: it would take its latest heartbeat for answered, and renew its lease by it.
+        # Answer with round 0.  The sender's round was counted in an earlier term.  If the same replica leads this term
+        # by now, it would take the number for an answer to its latest heartbeat and wrongly renew its lease.
         self._send_when_durable(source, AppendEntriesResponse(self.term, False, 0, 0))
         return False
 
     def _follow_leader(self, now: float, source: int, term: int) -> None:
-        """Follow the leader of this term, or of a higher one."""
+        """Become a follower of the leader of this term or of a higher one."""
         if term > self.term:
             self._enter_term(now, term)
         self._change_role(Role.FOLLOWER, source)
--- a/martenstep/replication/raft/log.py
+++ b/martenstep/replication/raft/log.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndexedConfiguration:
-    """A configuration, and the index of the entry that put it in place."""
+    """A configuration, and the index of the log entry that contains it."""
 
     configuration: Configuration
     index: int
@@ -30,7 +30,7 @@
         """`entries` are those after the snapshot."""
         self.entries = list(entries)
         self.snapshot = snapshot
-        self.snapshot_index = snapshot.index if snapshot is not None else 0  # all up to here is in the snapshot
+        self.snapshot_index = snapshot.index if snapshot is not None else 0  # last entry that the snapshot covers
         self.snapshot_term = snapshot.term if snapshot is not None else 0
 
     @property
@@ -45,20 +45,20 @@
 
     @property
     def last_position(self) -> LogPosition:
-        """Where the log ends."""
+        """Term and index of the last entry."""
         return LogPosition(self.last_term, self.last_index)
 
     def entry(self, index: int) -> LogEntry | None:
-        """One of the entries after the snapshot; None where there is none."""
+        """Return an entry that follows the snapshot; None if there is no such entry."""
         offset = index - self.snapshot_index - 1
         return self.entries[offset] if 0 <= offset < len(self.entries) else None
 
     def slice(self, first: int, last: int) -> tuple[LogEntry, ...]:
-        """The entries from one index to another, both after the snapshot."""
+        """Return the entries from `first` to `last` inclusive; both follow the snapshot."""
         return tuple(self.entries[first - self.snapshot_index - 1 : last - self.snapshot_index])
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where it is not held."""
+        """Return the term of an entry; None if the log does not hold it."""
         if index == 0:
             return 0
         if index == self.snapshot_index and self.snapshot is not None:
@@ -67,7 +67,7 @@
         return None if entry is None else entry.term
 
     def configuration_at(self, index: int) -> IndexedConfiguration | None:
-        """The latest configuration up to an index, committed or not (thesis, 4.1); None before the first."""
+        """Return the latest configuration up to an index, committed or not (thesis, 4.1); None if there is none."""
         for number in range(index, self.snapshot_index, -1):
             entry = self.entry(number)
             if entry is not None and entry.kind is EntryKind.CONFIGURATION:
@@ -77,19 +77,19 @@
         return None
 
     def append(self, entries: Iterable[LogEntry]) -> None:
-        """Add entries behind the last one."""
+        """Add entries after the last one."""
         self.entries += entries
 
     def truncate_from(self, index: int) -> None:
-        """Remove an entry and all behind it."""
+        """Remove an entry and all entries after it."""
         del self.entries[index - self.snapshot_index - 1 :]
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Put a snapshot in place of all entries up to its index, and keep those behind it."""
+        """Replace all entries up to the snapshot's index by the snapshot, and keep the later ones."""
         self._replace(snapshot, self.entries[snapshot.index - self.snapshot_index :])
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Put a snapshot in place of the whole log."""
+        """Replace the whole log by a snapshot."""
         self._replace(snapshot, [])
 
     def _replace(self, snapshot: Snapshot, entries: list[LogEntry]) -> None:
--- a/martenstep/replication/raft/node.py
+++ b/martenstep/replication/raft/node.py
@@ -1,4 +1,4 @@
-"""A Raft node: all parts together, behind the messages and completions that come in."""
+"""A Raft node: combines all parts, and dispatches incoming messages and write completions to them."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 
 class RaftNode(Election, Reconfiguration, DiskRecovery):
-    """One replica of a group."""
+    """The Raft algorithm of one replica of a group."""
 
-    def __init__(  # noqa: PLR0913 (as RaftState)
+    def __init__(  # noqa: PLR0913 (the same parameters as RaftState)
         self,
         replica_id: int,
         stored: PersistentState,
@@ -37,7 +37,7 @@
         now: float,
         disk_verified: bool = True,
     ) -> None:
-        """Begin from what the disk holds; see `RaftState`."""
+        """Start as a follower from the stored state; see `RaftState`."""
         super().__init__(replica_id, stored, bootstrap, settings, rng, now, disk_verified)
         if not disk_verified:
             self._query_recovery(now)
@@ -45,7 +45,7 @@
     # Durable writes.
 
     def write_completed(self, now: float, sequence: int) -> None:
-        """All writes up to this one are durable."""
+        """Handle the completion of a durable write: this one and all earlier ones are durable."""
         if self.halted:
             return
         for released in self._durability.release(sequence):
@@ -58,13 +58,13 @@
             self._advance_commit_index()
 
     def _count_own_vote(self, now: float, vote: OwnVote) -> None:
-        """The vote for itself is durable; it counts if the campaign still goes on."""
+        """Count this candidate's vote for itself, which is now durable, if its campaign is still in progress."""
         if self.role is Role.CANDIDATE and self.term == vote.term:
             self._votes.add(self.replica_id)
             self._count_votes(now)
 
     def write_failed(self) -> None:
-        """Promise nothing until this replica is started again: what is on the disk is not known any more."""
+        """Halt until this replica is restarted: after a failed write the contents of the disk are unknown."""
         self.halted = True
         self.role, self.leader, self.lease_expires_at = Role.FOLLOWER, None, 0.0
         self._durability.discard_waiting()
@@ -72,7 +72,7 @@
     # Messages.
 
     def receive(self, now: float, source: int, message: RaftMessage) -> None:
-        """Handle a message of another replica."""
+        """Handle a message from another replica."""
         if self.halted:
             return
         if isinstance(message, RecoveryQuery):
@@ -93,14 +93,14 @@
             self._handle_follower_response(now, source, message)
 
     def _handle_timeout_now(self, now: float, source: int, message: TimeoutNow) -> None:
-        """Campaign at once, as the leader asks."""
+        """Campaign at once if the current leader requests it."""
         if message.term == self.term and source == self.leader and self.can_campaign:
             self._start_election(now, leadership_transfer=True)
 
     def _handle_follower_response(
         self, now: float, source: int, response: AppendEntriesResponse | InstallSnapshotResponse
     ) -> None:
-        """Handle a response of a follower to its leader."""
+        """Handle a response that a follower sent to its leader."""
         if response.term > self.term:
             self._enter_term(now, response.term)
         elif self.role is Role.LEADER and response.term == self.term and source in self.configuration.members:
--- a/martenstep/replication/raft/progress.py
+++ b/martenstep/replication/raft/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of another replica's log."""
+"""Replication progress that a leader keeps for each other replica."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(slots=True)
 class Progress:
-    """Of one follower or learner, in the leader's term."""
+    """Progress of one follower or learner in the leader's current term."""
 
-    next_index: int  # of the entry that is sent next
-    match_index: int = 0  # all up to here is durable there
-    acked_round: int = 0  # the latest heartbeat round that was answered
-    snapshot_offset: int | None = None  # of the next chunk, while a snapshot is sent
-    snapshot_index: int = 0  # of that snapshot
+    next_index: int  # index of the next entry to send
+    match_index: int = 0  # all entries up to here are durable on that replica
+    acked_round: int = 0  # the latest heartbeat round that the replica answered
+    snapshot_offset: int | None = None  # offset of the next chunk while a snapshot is sent; otherwise None
+    snapshot_index: int = 0  # last index that the snapshot being sent includes
--- a/martenstep/replication/raft/reconfiguration.py
+++ b/martenstep/replication/raft/reconfiguration.py
@@ -8,14 +8,14 @@
 from martenstep.replication.raft.append import LogReplication
 from martenstep.replication.raft.types import Role
 
-MAX_PROMOTION_LAG_ENTRIES = 64  # that a learner may be behind to become a voter
+MAX_PROMOTION_LAG_ENTRIES = 64  # greatest lag at which a learner may become a voter
 
 
 class Reconfiguration(LogReplication):
-    """A leader's changes of the group and of the leadership."""
+    """Changes of the group's configuration and leadership transfer, both started by the leader."""
 
     def change_configuration(self, configuration: Configuration) -> bool:
-        """Put a configuration with one voter more or less in place; False where that may not be now."""
+        """Append a configuration that adds or removes at most one voter; False if it is not allowed now."""
         if self.role is not Role.LEADER or self._transfer_target is not None:
             return False
         if not self._can_change_configuration(configuration):
@@ -25,22 +25,23 @@
         return True
 
     def _can_change_configuration(self, configuration: Configuration) -> bool:
-        """Whether a configuration may follow the present one now."""
-        # An entry of this term must be committed first, and no other change be under way (Ongaro's erratum of 2015).
+        """Whether a configuration may replace the current one now."""
+        # An entry of this term must be committed, and no other change in progress (Ongaro's erratum of 2015).
         if self.log.term_at(self.commit_index) != self.term or not self.configuration_committed:
             return False
         before, after = set(self.configuration.voters), set(configuration.voters)
         duplicates = len(set(configuration.members)) != len(configuration.members)
         if len(before ^ after) > 1 or not after or duplicates:
             return False
-        # A voter holds the entry that took it in.  Danger: else it could believe an older message that it was removed.
+        # A new voter must hold the entry that added it to the group; otherwise an older message could make it accept
+        # that it was removed.
         required = max(self.log.last_index - MAX_PROMOTION_LAG_ENTRIES, self.configuration_index)
         return all(
             voter in self._progress and self._progress[voter].match_index >= required for voter in after - before
         )
 
     def transfer_leadership(self, now: float, to: int | None = None) -> bool:
-        """Let another voter lead, the most advanced one or `to`; False where nobody can."""
+        """Start handing leadership to the most advanced other voter, or to `to`; False if there is no such voter."""
         if self.role is not Role.LEADER:
             return False
         candidates = [
@@ -52,7 +53,7 @@
             return False
         target = max(candidates, key=lambda voter: self._progress[voter].match_index)
         self._transfer_target = target
-        self.lease_expires_at = 0.0  # the target is voted for at once, whatever was promised to this leader
+        self.lease_expires_at = 0.0  # voters grant the target a vote even during this lease
         deadline = now + self.settings.election_timeout_ms
         self._timers.schedule(deadline, partial(self._transfer_timed_out, term=self.term))
         self._replicate_to(target, heartbeat=True)
@@ -60,10 +61,10 @@
         return True
 
     def _transfer_timed_out(self, now: float, term: int) -> None:
-        """The target did not take over.
+        """Step down if the target did not take over in time.
 
-        Danger: its TimeoutNow may still be on its way, and it is then voted for whatever lease runs; so no lease may
-        run in this term any more.
+        The TimeoutNow message may still be in transit, and its target then receives votes even while a lease runs.
+        Therefore this replica must not hold a lease in this term again.
         """
         if self.role is Role.LEADER and self.term == term:
             self._step_down(now)
--- a/martenstep/replication/raft/recovery.py
+++ b/martenstep/replication/raft/recovery.py
@@ -1,9 +1,10 @@
-"""Recovery of a replica whose disk may be older than what it has promised.
+"""Recovery of a replica whose disk may lack votes or entries that the replica has acknowledged.
 
-Such a replica asks every other voter how far things are: what it may have promised and forgotten, it promised to one
-of them.  Then it counts again, but votes in no term that they knew, and for nobody, itself too, whose log ends before
-theirs (the log floor, which is kept on its disk as well).  Viewstamped Replication Revisited, section 4.3, asks a
-quorum with the primary; with a vote forgotten that is too little.
+Such a replica queries every other voter for its term and the end of its log: each forgotten vote or acknowledgement was
+sent to one of them.  Afterwards it takes part again, with two restrictions.  It votes in no term up to the highest term
+that they reported.  It votes for no candidate, itself included, whose log ends before the furthest log that they
+reported; this position is the log floor, which is stored on its disk as well.  Viewstamped Replication Revisited,
+section 4.3, queries only a quorum that includes the primary, which is not enough when a vote was forgotten.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 
 
 class DiskRecovery(RaftState):
-    """Recovery queries, from both sides."""
+    """Sending and answering recovery queries."""
 
     def _query_recovery(self, now: float) -> None:
-        """Ask all voters that are known, and again until all have answered."""
+        """Query all known voters, and repeat that until all have answered."""
         if self.disk_verified:
             return
         self._timers.schedule(now + self.settings.recovery_query_interval_ms, self._query_recovery)
@@ -26,10 +27,11 @@
                 self._send(replica, RecoveryQuery(self._recovery_nonce))
 
     def _replicas_to_query(self) -> set[int]:
-        """Every voter of the group in the configurations that are known and not replaced by a committed one.
+        """Return every voter in the known configurations that no later committed configuration has replaced.
 
-        Who is not in a committed configuration can lead no later term than that entry's (its log would hold it), and
-        what it led before is held by those that are asked; so nothing that was promised to it and forgotten matters.
+        A replica outside a committed configuration can lead no term later than that of the configuration's entry,
+        because its log would then hold that entry.  What it committed as an earlier leader is held by the replicas that
+        are queried.  So a forgotten promise to it does no harm.
         """
         responses = self._recovery_responses.values()
         newest = max(
@@ -42,9 +44,9 @@
         return voters
 
     def find_node(self, replica: int) -> str | None:
-        """The node that a replica is on, as the configuration or a recovery response says.
+        """Return the node that a replica is on, from the own configuration or from a recovery response.
 
-        Replicas that are to be asked may have come after this disk was last written.
+        Some replicas that must be queried may have joined the group after this disk was last written.
         """
         responses = self._recovery_responses.values()
         for configuration in (self.configuration, *(response.configuration for response in responses)):
@@ -54,7 +56,7 @@
         return None
 
     def _build_recovery_response(self, query: RecoveryQuery) -> RecoveryResponse:
-        """What a replica in recovery has to know of this one."""
+        """Return the state of this replica that a replica in recovery needs."""
         return RecoveryResponse(
             query.nonce,
             self.term,
@@ -66,7 +68,7 @@
         )
 
     def _handle_recovery_response(self, now: float, source: int, response: RecoveryResponse) -> None:
-        """Take an answer; all of them end the recovery."""
+        """Store a response; recovery finishes when all queried replicas have responded."""
         if self.disk_verified or response.nonce != self._recovery_nonce:
             return
         self._recovery_responses[source] = response
@@ -74,22 +76,23 @@
             self._finish_recovery(now)
 
     def _finish_recovery(self, now: float) -> None:
-        """All others have answered: nothing that was promised to them is beyond what they know."""
+        """Take part again: no promise made to the other voters goes beyond what they have reported."""
         self.disk_verified = True
         responses = self._recovery_responses.values()
         term = max(response.term for response in responses)
         self._log_floor = max(LogPosition(response.last_term, response.last_index) for response in responses)
         if term >= self.term:
-            self.term, self.voted_for = term, self.replica_id  # a vote in it may have been given: to nobody, now
-        self._persist()  # the floor as well: the next start knows no better
+            # A vote in this term may have been given and forgotten; a vote for itself prevents a second one.
+            self.term, self.voted_for = term, self.replica_id
+        self._persist()  # includes the log floor, which the next start needs too
         self.leader_contact_at = now
         self._reset_election_timer(now)
 
     def confirm_disk(self, now: float) -> None:
-        """An operator confirms that this disk is as this replica left it.
+        """End recovery because an operator confirms that the disk is in the state in which this replica left it.
 
-        It is for a recovery that waits for a replica that is lost for good.  Danger: if the disk is not as it was left,
-        what was promised may be undone.
+        This is for a recovery that waits for a permanently lost replica.  If the operator is wrong, acknowledged
+        entries may be lost and a second vote may be given in one term.
         """
         self.disk_verified, self._log_floor = True, NO_LOG_FLOOR
         self._persist()
--- a/martenstep/replication/raft/snapshot_transfer.py
+++ b/martenstep/replication/raft/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots: made of the own log, and sent in chunks to replicas that lag behind it (thesis, chapter 5)."""
+"""Snapshots: log compaction, and transfer in chunks to replicas that need removed entries (thesis, chapter 5)."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class SnapshotTransfer(LeaderLease):
-    """Log compaction, and InstallSnapshot from both sides."""
+    """Log compaction, and sending and receiving InstallSnapshot."""
 
     @property
     def snapshot(self) -> Snapshot | None:
-        """The snapshot that stands in place of the log's beginning."""
+        """The snapshot that replaces the beginning of the log."""
         return self.log.snapshot
 
     def compact(self, index: int, body: bytes) -> bool:
-        """Keep the state after an entry, `body`, in place of all entries up to it; False where it is not applied."""
+        """Replace all entries up to `index` by `body`, the state after them; False if `index` cannot be compacted."""
         term = self.log.term_at(index)
         if not self.log.snapshot_index < index <= self._applied_index or term is None:
             return False
@@ -34,7 +34,7 @@
         return True
 
     def _send_snapshot_chunk(self, progress: Progress, replica: int, retransmit: bool) -> None:
-        """Send the next chunk, one at a time; `retransmit` sends again what may be lost."""
+        """Send the next chunk, one in flight at a time; `retransmit` resends a chunk that may have been lost."""
         snapshot = self.log.snapshot
         assert snapshot is not None
         if progress.snapshot_offset is None or progress.snapshot_index != snapshot.index:
@@ -55,7 +55,7 @@
         self._send(replica, message)
 
     def _handle_install_snapshot(self, now: float, source: int, message: InstallSnapshot) -> None:
-        """Gather a leader's chunks; install the snapshot once it is complete."""
+        """Collect a leader's chunks, and install the snapshot once it is complete."""
         if not self._accept_leader(now, source, message.term):
             return
         index = message.last_included_index
@@ -71,7 +71,7 @@
         self._send_when_durable(source, AppendEntriesResponse(self.term, True, index, message.round))
 
     def _receive_chunk(self, message: InstallSnapshot) -> bytearray:
-        """Add a chunk to what was received of its snapshot, and forget older snapshots."""
+        """Append a chunk to the received part of its snapshot, and discard older partial snapshots."""
         index = message.last_included_index
         received = self._snapshot_chunks.setdefault(index, bytearray())
         for older in [older for older in self._snapshot_chunks if older < index]:
@@ -81,7 +81,7 @@
         return received
 
     def _install_snapshot(self, snapshot: Snapshot) -> None:
-        """Put a snapshot in place of the log, but for entries behind it that fit to it."""
+        """Replace the log by a snapshot; later entries are kept if the log matches the snapshot."""
         log_continues = self.log.term_at(snapshot.index) == snapshot.term
         if log_continues:
             self.log.compact(snapshot)
--- a/martenstep/replication/raft/timers.py
+++ b/martenstep/replication/raft/timers.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-TimerCallback = Callable[[float], None]  # is given the time, in ms
+TimerCallback = Callable[[float], None]  # receives the current time in ms
 NEVER = float("inf")
 
 
 class Timer(NamedTuple):
-    """One call that is due at a time; of those due together the one that was scheduled first runs first."""
+    """A callback that is due at a time; timers due at the same time run in the order in which they were scheduled."""
 
     due_at: float
     order: int
@@ -19,10 +19,10 @@
 
 
 class TimerQueue:
-    """Timers by the time at which they are due."""
+    """A priority queue of timers by due time."""
 
     def __init__(self) -> None:
-        """Begin without timers."""
+        """Create an empty queue."""
         self.next_due_at = NEVER
         self._timers: list[Timer] = []
         self._order = 0
@@ -34,7 +34,7 @@
         self.next_due_at = self._timers[0].due_at
 
     def pop_due(self, now: float) -> Timer | None:
-        """Remove and give the next timer that is due; None where none is."""
+        """Remove and return the next timer that is due; None if there is none."""
         if self.next_due_at > now:
             return None
         timer = heapq.heappop(self._timers)
--- a/martenstep/replication/raft/types.py
+++ b/martenstep/replication/raft/types.py
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftSettings:
-    """Of a group; times in milliseconds."""
+    """Raft settings of a group; times in milliseconds."""
 
-    election_timeout_ms: float = 400.0  # also the time for which a follower votes against nobody it hears
+    election_timeout_ms: float = 400.0  # also how long a follower grants no vote after a leader's message
     heartbeat_interval_ms: float = 100.0
-    max_clock_drift: float = 0.02  # clocks run apart by no more than this part: a lease ends so much sooner
+    max_clock_drift: float = 0.02  # greatest relative difference of clock rates; shortens leases accordingly
     recovery_query_interval_ms: float = 200.0
 
 
@@ -30,7 +30,7 @@
 
 
 class LogPosition(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """Where a log ends; positions compare as logs do in an election (thesis, 3.6.1)."""
+    """Term and index of the last entry of a log; compares as logs do in an election (thesis, 3.6.1)."""
 
     term: int
     index: int
@@ -41,13 +41,13 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a replica keeps on its disk."""
+    """The state that a replica keeps on its disk."""
 
     term: int = 0
     voted_for: int | None = None
-    entries: list[LogEntry] = field(default_factory=list)  # those after the snapshot
+    entries: list[LogEntry] = field(default_factory=list)  # entries after the snapshot
     snapshot: Snapshot | None = None
-    log_floor: LogPosition = NO_LOG_FLOOR  # what this replica may have acknowledged and forgotten
+    log_floor: LogPosition = NO_LOG_FLOOR  # furthest log that it may have acknowledged and lost
 
 
 @dataclass(slots=True)
@@ -60,10 +60,10 @@
 
 @dataclass(slots=True)
 class DurableWrite:
-    """Make the state durable, in order of `sequence`.
+    """Make a change of the state durable; writes are applied in order of `sequence`.
 
-    First the term, the vote and the floor, then the log truncated from an index on, then entries, or a snapshot in
-    place of all up to its index.
+    A write sets the term, the vote and the log floor, then truncates the log from an index on, then appends entries or
+    replaces all entries up to an index by a snapshot.
     """
 
     sequence: int
@@ -77,21 +77,21 @@
 
 @dataclass(slots=True)
 class EntryCommitted:
-    """Apply an entry; given in order, each once after a start."""
+    """Apply an entry; entries are emitted in order, each once per start."""
 
     entry: LogEntry
 
 
 @dataclass(slots=True)
 class SnapshotInstalled:
-    """Restore the state from a snapshot, in place of all entries up to its index."""
+    """Restore the state from a snapshot that replaces all entries up to its index."""
 
     snapshot: Snapshot
 
 
 @dataclass(slots=True)
 class RoleChanged:
-    """The role of this replica, or the leader that it follows, is another one."""
+    """The role of this replica, or the leader that it follows, has changed."""
 
     role: Role
     term: int
--- a/tests/raft_flaws.py
+++ b/tests/raft_flaws.py
@@ -1,4 +1,4 @@
-"""Raft nodes with one flaw each, which tests and searches must catch."""
+"""Raft nodes with one deliberate flaw each, which tests, simulations and the explorer must detect."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class VotesBeforeDurable(RaftNode):
-    """Flaw: a vote leaves before it is durable."""
+    """Flaw: a vote is sent before it is durable."""
 
     def _send_when_durable(self, to: int, message: RaftMessage) -> None:
         if isinstance(message, VoteResponse):
@@ -28,7 +28,7 @@
 
 
 class AcknowledgesBeforeDurable(RaftNode):
-    """Flaw: an acknowledgement leaves before its entries are durable."""
+    """Flaw: an acknowledgement is sent before its entries are durable."""
 
     def _send_when_durable(self, to: int, message: RaftMessage) -> None:
         if isinstance(message, AppendEntriesResponse):
@@ -38,14 +38,14 @@
 
 
 class IgnoresLeaderLease(RaftNode):
-    """Flaw: votes against a leader that it hears."""
+    """Flaw: grants votes while a leader may hold a lease."""
 
     def _in_leader_lease(self, now: float) -> bool:
         return False
 
 
 class VotesRightAfterStart(RaftNode):
-    """Flaw: votes right after its start."""
+    """Flaw: grants votes right after its start, when it may have acknowledged a leader just before."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -53,42 +53,42 @@
 
 
 class VotesForAnyLog(RaftNode):
-    """Flaw: votes for whatever log."""
+    """Flaw: votes for a candidate whatever its log holds."""
 
     def _is_up_to_date(self, request: RequestVote) -> bool:
         return True
 
 
 class TruncatesOnOldMessage(RaftNode):
-    """Flaw: takes an AppendEntries for the whole rest of the log."""
+    """Flaw: truncates entries that an AppendEntries message does not contain."""
 
     def _new_entries(self, message: AppendEntries) -> list[LogEntry]:
         return list(message.entries)
 
 
-class CommitsOldTerms(RaftNode):
-    """Flaw: commits entries of older terms by counting."""
+class CommitsOlderTermsByCounting(RaftNode):
+    """Flaw: commits entries of older terms by counting replicas."""
 
     def _can_commit(self, index: int) -> bool:
         return True
 
 
-class CountsOwnUnsynced(RaftNode):
-    """Flaw: the leader counts what it has not synced."""
+class CountsOwnUnsyncedEntries(RaftNode):
+    """Flaw: the leader counts its own entries before they are durable."""
 
     def _durable_match_index(self) -> int:
         return self.last_index
 
 
-class LeaseFromAnswer(RaftNode):
-    """Flaw: the lease runs from when the answer came."""
+class StartsLeaseAtResponse(RaftNode):
+    """Flaw: the lease starts when the response arrives instead of when the round was sent."""
 
     def _lease_expiry(self, now: float, sent_at: float) -> float:
         return super()._lease_expiry(now, now)
 
 
-class AnswersOldRounds(RaftNode):
-    """Flaw: a heartbeat of an older term is answered with its round."""
+class EchoesRoundOfOlderTerm(RaftNode):
+    """Flaw: the response to a heartbeat of an older term carries that heartbeat's round (9)."""
 
     def _send_when_durable(self, to: int, message: RaftMessage) -> None:
         if isinstance(message, AppendEntriesResponse) and not message.success:
@@ -96,23 +96,23 @@
         super()._send_when_durable(to, message)
 
 
-class LeadsOnAfterTransfer(RaftNode):
-    """Flaw: leads on, lease and all, when the target of a transfer did not take over in time."""
+class KeepsLeadingAfterTransferTimeout(RaftNode):
+    """Flaw: keeps leading, with a lease, when the target of a transfer did not take over in time."""
 
     def _transfer_timed_out(self, now: float, term: int) -> None:
         if self.role is Role.LEADER and self.term == term:
             self._transfer_target = None
 
 
-class OverlappingChanges(RaftNode):
-    """Flaw: changes of the group overlap."""
+class AllowsOverlappingChanges(RaftNode):
+    """Flaw: starts a configuration change while another one is not committed."""
 
-    def _can_change_configuration(self, config: Configuration) -> bool:
+    def _can_change_configuration(self, configuration: Configuration) -> bool:
         return True
 
 
 class TrustsAnyDisk(RaftNode):
-    """Flaw: takes every disk for its own as it left it."""
+    """Flaw: treats every disk as verified."""
 
     def __init__(
         self,
@@ -128,7 +128,7 @@
 
 
 class VotesAgainAfterRecovery(RaftNode):
-    """Flaw: may vote again in a term in which it forgot its vote."""
+    """Flaw: may vote a second time in a term in which it lost its vote."""
 
     def _finish_recovery(self, now: float) -> None:
         term, vote = self.term, self.voted_for
@@ -138,7 +138,7 @@
 
 
 class ForgetsLogFloor(RaftNode):
-    """Flaw: forgets what it may have acknowledged."""
+    """Flaw: resets the log floor, and so may vote for a log that lacks entries which it acknowledged."""
 
     def _finish_recovery(self, now: float) -> None:
         super()._finish_recovery(now)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The core in every order of events of small worlds, and flaws of it that some order shows."""
+"""Exhaustive exploration of Raft: every order of events in small state spaces, with and without a known flaw."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
         (Budget(timeouts=1, beats=0, commands=0, crashes=1, cuts=1), 500),
     ],
 )
-def test_a_small_world_is_explored_to_its_end(budget: Budget, states: int) -> None:
+def test_small_state_space_is_explored_completely(budget: Budget, states: int) -> None:
     explorer = Explorer(budget)
     assert explorer.run()
     assert explorer.states > states and explorer.leaders >= 1
-    assert explorer.told == budget.commands  # in some order all of them come to stand
+    assert explorer.told == budget.commands  # some order of events commits all commands
 
 
-def test_the_same_states_are_met_whatever_the_copies_are_called() -> None:
+def test_states_that_differ_only_in_replica_ids_have_the_same_key() -> None:
     explorer = Explorer(ONE)
     begin = explorer.begin()
     names = explorer._names
     ways = list(explorer.next(begin))
-    assert len(ways) == 1  # copy 1 stands first: the others differ in nothing
+    assert len(ways) == 1  # only replica 1 times out first: the replicas are interchangeable
     after = ways[0][1]
     swapped = after.clone()
     swapped.queues = {(source, {1: 1, 2: 3, 3: 2}[to]): queue for (source, to), queue in after.queues.items()}
@@ -59,6 +59,8 @@
         (TrustsAnyDisk, Budget(timeouts=2, beats=0, commands=1, crashes=0, old=1, cuts=0)),
     ],
 )
-def test_some_order_shows_a_flaw(flaw: type[RaftNode], budget: Budget) -> None:
-    with pytest.raises(BreachError, match=r"(both lead|stands as|without entry|cut off).*, after: 1 hears no leader; "):
+def test_explorer_finds_an_event_order_that_exposes_each_flaw(flaw: type[RaftNode], budget: Budget) -> None:
+    with pytest.raises(
+        BreachError, match=r"(both lead|stands as|without entry|cannot truncate).*, after: 1 hears no leader; "
+    ):
         Explorer(budget, make=flaw).run(most=20_000)
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,4 +1,4 @@
-"""Raft nodes: each rule alone, and whole simulations in virtual time; flaws put in break them."""
+"""Raft nodes: single rules and simulations in virtual time, each checked against nodes with a deliberate flaw."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 )
 from tests.raft_flaws import (
     AcknowledgesBeforeDurable,
-    AnswersOldRounds,
-    CommitsOldTerms,
-    CountsOwnUnsynced,
+    AllowsOverlappingChanges,
+    CommitsOlderTermsByCounting,
+    CountsOwnUnsyncedEntries,
+    EchoesRoundOfOlderTerm,
     ForgetsLogFloor,
     IgnoresLeaderLease,
-    LeadsOnAfterTransfer,
-    LeaseFromAnswer,
-    OverlappingChanges,
+    KeepsLeadingAfterTransferTimeout,
+    StartsLeaseAtResponse,
     TruncatesOnOldMessage,
     TrustsAnyDisk,
     VotesAgainAfterRecovery,
@@ -55,13 +55,18 @@
 GROUP = Configuration((1, 2, 3))
 NOW = 10_000.0
 LATER = NOW + 5000.0
-Make = Callable[..., RaftNode]
+NodeFactory = Callable[..., RaftNode]
 
 
 def make_node(
-    make: Make = RaftNode, me: int = 1, stored: PersistentState | None = None, disk_verified: bool = True
+    factory: NodeFactory = RaftNode,
+    replica_id: int = 1,
+    stored: PersistentState | None = None,
+    disk_verified: bool = True,
 ) -> RaftNode:
-    return make(me, stored or PersistentState(), GROUP, RaftSettings(), random.Random(me), NOW, disk_verified)
+    return factory(
+        replica_id, stored or PersistentState(), GROUP, RaftSettings(), random.Random(replica_id), NOW, disk_verified
+    )
 
 
 def sent_messages(node: RaftNode, kind: type[Any], to: int | None = None) -> list[Any]:
@@ -82,16 +87,16 @@
     return LogEntry(index, term, EntryKind.COMMAND, b"%d" % index)
 
 
-def follower(make: Make, stored: PersistentState | None = None) -> RaftNode:
-    """Replica 2, long after its start."""
-    node = make_node(make, 2, stored)
+def make_follower(factory: NodeFactory, stored: PersistentState | None = None) -> RaftNode:
+    """Replica 2, started long ago, so that no lease keeps it from voting."""
+    node = make_node(factory, 2, stored)
     node.leader_contact_at = NOW - 1e6
     return node
 
 
-def leader(make: Make, stored: PersistentState | None = None) -> RaftNode:
-    """Replica 1, just voted for by all, its own first entry durable."""
-    node = make_node(make, 1, stored)
+def make_leader(factory: NodeFactory, stored: PersistentState | None = None) -> RaftNode:
+    """Replica 1, just elected by its own vote and that of replica 2, with its first entry durable."""
+    node = make_node(factory, 1, stored)
     now = node.next_timer_at
     node.run_due_timers(now)
     (query,) = sent_messages(node, RequestVote, 2)
@@ -103,11 +108,11 @@
     return node
 
 
-# Rules: each tells whether a node of this make keeps it.
+# Rules: each function returns whether nodes from the factory follow the rule.
 
 
-def votes_are_sent_once_durable(make: Make) -> bool:
-    node = follower(make)
+def votes_are_sent_only_once_durable(factory: NodeFactory) -> bool:
+    node = make_follower(factory)
     node.receive(LATER, 1, RequestVote(1, 0, 0, False))
     early = bool(sent_messages(node, VoteResponse))
     complete_writes(node, LATER)
@@ -115,8 +120,8 @@
     return not early
 
 
-def acknowledgements_are_sent_once_durable(make: Make) -> bool:
-    node = follower(make)
+def acknowledgements_are_sent_only_once_durable(factory: NodeFactory) -> bool:
+    node = make_follower(factory)
     node.receive(LATER, 1, AppendEntries(1, 0, 0, (entry(1, 1),), 0, 1))
     early = bool(sent_messages(node, AppendEntriesResponse))
     complete_writes(node, LATER)
@@ -124,8 +129,8 @@
     return not early
 
 
-def a_follower_in_a_leaders_lease_votes_for_nobody_else(make: Make) -> bool:
-    node = follower(make)
+def a_follower_grants_no_vote_during_a_leaders_lease(factory: NodeFactory) -> bool:
+    node = make_follower(factory)
     node.receive(LATER, 1, AppendEntries(1, 0, 0, (), 0, 1))
     complete_writes(node, LATER)
     node.actions.clear()
@@ -134,29 +139,29 @@
     return not any(given.granted for given in sent_messages(node, VoteResponse)) and node.term == 1
 
 
-def a_node_that_just_started_does_not_vote(make: Make) -> bool:
-    node = make_node(make, 2, PersistentState(term=1))
+def a_node_grants_no_vote_right_after_its_start(factory: NodeFactory) -> bool:
+    node = make_node(factory, 2, PersistentState(term=1))
     node.receive(NOW + 100, 3, RequestVote(2, 0, 0, False))
     complete_writes(node, NOW + 100)
     return not any(given.granted for given in sent_messages(node, VoteResponse))
 
 
-def a_candidate_with_a_short_log_is_not_voted_for(make: Make) -> bool:
-    node = follower(make, PersistentState(term=1, entries=[entry(1, 1), entry(2, 1)]))
+def a_candidate_whose_log_is_behind_gets_no_vote(factory: NodeFactory) -> bool:
+    node = make_follower(factory, PersistentState(term=1, entries=[entry(1, 1), entry(2, 1)]))
     node.receive(LATER, 3, RequestVote(2, 1, 1, False))
     complete_writes(node, LATER)
     return not any(given.granted for given in sent_messages(node, VoteResponse))
 
 
-def an_older_message_truncates_nothing(make: Make) -> bool:
-    node = follower(make, PersistentState(term=1, entries=[entry(1, 1), entry(2, 1)]))
+def an_old_append_entries_truncates_no_entry(factory: NodeFactory) -> bool:
+    node = make_follower(factory, PersistentState(term=1, entries=[entry(1, 1), entry(2, 1)]))
     node.receive(LATER, 1, AppendEntries(1, 0, 0, (entry(1, 1),), 0, 1))
     return node.last_index == 2
 
 
-def an_entry_of_an_older_term_is_not_committed_by_counting(make: Make) -> bool:
-    """Figure 3.7 of the thesis: a majority holds it, and a later leader may still cut it off."""
-    node = leader(make, PersistentState(term=2, entries=[entry(1, 1), entry(2, 2)]))
+def an_entry_of_an_older_term_is_not_committed_by_counting_replicas(factory: NodeFactory) -> bool:
+    """Figure 3.7 of the thesis: a majority holds the entry, and a later leader may still overwrite it."""
+    node = make_leader(factory, PersistentState(term=2, entries=[entry(1, 1), entry(2, 2)]))
     node.receive(LATER, 2, AppendEntriesResponse(node.term, True, 2, 1))
     early = node.commit_index
     node.receive(LATER, 2, AppendEntriesResponse(node.term, True, 3, 1))
@@ -164,8 +169,8 @@
     return early == 0
 
 
-def the_leaders_own_entry_counts_once_durable(make: Make) -> bool:
-    node = leader(make)
+def the_leaders_own_entry_counts_only_once_durable(factory: NodeFactory) -> bool:
+    node = make_leader(factory)
     index = node.propose(b"x")
     assert index == 2
     node.receive(LATER, 3, AppendEntriesResponse(node.term, True, index, 1))
@@ -175,8 +180,8 @@
     return early < index
 
 
-def a_lease_runs_from_before_its_round_was_sent(make: Make) -> bool:
-    node = leader(make)
+def a_lease_starts_when_its_round_is_sent(factory: NodeFactory) -> bool:
+    node = make_leader(factory)
     sent_at = node._round_sent_at[node._round]
     complete_writes(node, sent_at)
     node.receive(sent_at + 350, 2, AppendEntriesResponse(node.term, True, 1, node._round))
@@ -184,21 +189,21 @@
     return not node.can_serve_read(sent_at + 390)
 
 
-def an_answer_to_an_older_terms_round_renews_no_lease(make: Make) -> bool:
-    """The same node led both terms, and counted its rounds from one in each."""
-    behind = follower(make, PersistentState(term=2))
+def a_response_to_a_round_of_an_older_term_renews_no_lease(factory: NodeFactory) -> bool:
+    """The same node leads both terms, and numbers its rounds from 1 in each."""
+    behind = make_follower(factory, PersistentState(term=2))
     behind.receive(LATER, 1, AppendEntries(1, 0, 0, (), 0, 9))
     complete_writes(behind, LATER)
     (answer,) = sent_messages(behind, AppendEntriesResponse)
     assert not answer.success and answer.term == 2
-    node = leader(make, PersistentState(term=1))
+    node = make_leader(factory, PersistentState(term=1))
     assert node.term == 2 and not node.can_serve_read(node._round_sent_at[1])
     node.receive(node._round_sent_at[1], 2, answer)
     return node.lease_expires_at == 0.0
 
 
-def a_leader_that_transfers_leadership_has_no_lease_in_this_term_again(make: Make) -> bool:
-    node = leader(make)
+def a_leader_has_no_lease_again_in_a_term_in_which_it_started_a_transfer(factory: NodeFactory) -> bool:
+    node = make_leader(factory)
     node.receive(node._round_sent_at[1], 2, AppendEntriesResponse(node.term, True, 1, 1))
     assert node.transfer_leadership(node._round_sent_at[1], 2) and sent_messages(node, TimeoutNow, 2)
     term = node.term
@@ -212,8 +217,8 @@
     return True
 
 
-def one_configuration_change_at_a_time(make: Make) -> bool:
-    node = leader(make)
+def one_configuration_change_at_a_time(factory: NodeFactory) -> bool:
+    node = make_leader(factory)
     early = node.change_configuration(Configuration((1, 2)))
     node.receive(LATER, 2, AppendEntriesResponse(node.term, True, 1, 1))
     assert node.commit_index == 1 and node.change_configuration(Configuration((1, 2, 3), (4,)))
@@ -222,15 +227,15 @@
     return not early and not second and not two
 
 
-def unverified_follower(make: Make) -> RaftNode:
-    """Replica 2, whose disk may be old."""
-    node = make_node(make, 2, PersistentState(term=4, entries=[entry(1, 1)]), disk_verified=False)
+def make_unverified_follower(factory: NodeFactory) -> RaftNode:
+    """Replica 2, whose disk may lack what it acknowledged."""
+    node = make_node(factory, 2, PersistentState(term=4, entries=[entry(1, 1)]), disk_verified=False)
     node.leader_contact_at = NOW - 1e6
     return node
 
 
-def a_node_with_an_unverified_disk_promises_nothing(make: Make) -> bool:
-    node = unverified_follower(make)
+def a_node_with_an_unverified_disk_neither_votes_nor_acknowledges(factory: NodeFactory) -> bool:
+    node = make_unverified_follower(factory)
     node.receive(LATER, 3, RequestVote(9, 9, 9, False))
     node.receive(LATER, 3, AppendEntries(9, 1, 1, (), 0, 1))
     complete_writes(node, LATER)
@@ -247,16 +252,16 @@
     node.leader_contact_at = NOW - 1e6
 
 
-def a_recovered_node_votes_in_no_term_that_was_known(make: Make) -> bool:
-    node = unverified_follower(make)
+def a_recovered_node_votes_in_no_term_reported_in_recovery(factory: NodeFactory) -> bool:
+    node = make_unverified_follower(factory)
     answer_recovery_query(node)
     node.receive(LATER, 3, RequestVote(4, 5, 3, False))
     complete_writes(node, LATER)
     return not any(given.granted for given in sent_messages(node, VoteResponse))
 
 
-def a_recovered_node_neither_votes_below_its_log_floor_nor_campaigns(make: Make) -> bool:
-    node = unverified_follower(make)
+def a_recovered_node_neither_votes_below_its_log_floor_nor_campaigns(factory: NodeFactory) -> bool:
+    node = make_unverified_follower(factory)
     answer_recovery_query(node)
     node.receive(LATER, 3, RequestVote(6, 4, 3, False))
     complete_writes(node, LATER)
@@ -269,18 +274,18 @@
         None,
         next(action.log_floor for action in reversed(node.actions) if isinstance(action, DurableWrite)),
     )
-    again = make_node(make, 2, stored)  # its next start knows it as well
+    again = make_node(factory, 2, stored)  # the log floor is still in effect after a restart
     for _ in range(6):
         again.run_due_timers(again.next_timer_at)
     return node.is_below_log_floor and again.is_below_log_floor and not sent_messages(again, RequestVote)
 
 
-def test_a_recovery_does_not_wait_for_replicas_that_a_committed_configuration_replaced() -> None:
-    node = make_node(me=1, stored=PersistentState(term=2, entries=[entry(1, 1)]), disk_verified=False)
+def test_recovery_does_not_wait_for_replicas_that_a_committed_configuration_replaced() -> None:
+    node = make_node(replica_id=1, stored=PersistentState(term=2, entries=[entry(1, 1)]), disk_verified=False)
     [query, *_] = sent_messages(node, RecoveryQuery)
-    later = Configuration((1, 2, 4))  # 3 is lost with its disk, and 4 is in its place
+    later = Configuration((1, 2, 4))  # 3 was lost with its disk and replaced by 4
     node.receive(LATER, 2, RecoveryResponse(query.nonce, 5, 9, 5, later, 8, False))
-    assert not node.disk_verified  # it may not campaign: 3 may lead by what was promised to it
+    assert not node.disk_verified  # while the change is uncommitted, 3 may still lead
     node.receive(LATER, 4, RecoveryResponse(query.nonce, 5, 9, 5, later, 8, False))
     assert not node.disk_verified
     node.receive(LATER, 2, RecoveryResponse(query.nonce, 5, 9, 5, later, 8, True))
@@ -290,33 +295,35 @@
 @pytest.mark.parametrize(
     ("rule", "flaw"),
     [
-        (votes_are_sent_once_durable, VotesBeforeDurable),
-        (acknowledgements_are_sent_once_durable, AcknowledgesBeforeDurable),
-        (a_follower_in_a_leaders_lease_votes_for_nobody_else, IgnoresLeaderLease),
-        (a_node_that_just_started_does_not_vote, VotesRightAfterStart),
-        (a_candidate_with_a_short_log_is_not_voted_for, VotesForAnyLog),
-        (an_older_message_truncates_nothing, TruncatesOnOldMessage),
-        (an_entry_of_an_older_term_is_not_committed_by_counting, CommitsOldTerms),
-        (the_leaders_own_entry_counts_once_durable, CountsOwnUnsynced),
-        (a_lease_runs_from_before_its_round_was_sent, LeaseFromAnswer),
-        (an_answer_to_an_older_terms_round_renews_no_lease, AnswersOldRounds),
-        (a_leader_that_transfers_leadership_has_no_lease_in_this_term_again, LeadsOnAfterTransfer),
-        (one_configuration_change_at_a_time, OverlappingChanges),
-        (a_node_with_an_unverified_disk_promises_nothing, TrustsAnyDisk),
-        (a_recovered_node_votes_in_no_term_that_was_known, VotesAgainAfterRecovery),
+        (votes_are_sent_only_once_durable, VotesBeforeDurable),
+        (acknowledgements_are_sent_only_once_durable, AcknowledgesBeforeDurable),
+        (a_follower_grants_no_vote_during_a_leaders_lease, IgnoresLeaderLease),
+        (a_node_grants_no_vote_right_after_its_start, VotesRightAfterStart),
+        (a_candidate_whose_log_is_behind_gets_no_vote, VotesForAnyLog),
+        (an_old_append_entries_truncates_no_entry, TruncatesOnOldMessage),
+        (an_entry_of_an_older_term_is_not_committed_by_counting_replicas, CommitsOlderTermsByCounting),
+        (the_leaders_own_entry_counts_only_once_durable, CountsOwnUnsyncedEntries),
+        (a_lease_starts_when_its_round_is_sent, StartsLeaseAtResponse),
+        (a_response_to_a_round_of_an_older_term_renews_no_lease, EchoesRoundOfOlderTerm),
+        (a_leader_has_no_lease_again_in_a_term_in_which_it_started_a_transfer, KeepsLeadingAfterTransferTimeout),
+        (one_configuration_change_at_a_time, AllowsOverlappingChanges),
+        (a_node_with_an_unverified_disk_neither_votes_nor_acknowledges, TrustsAnyDisk),
+        (a_recovered_node_votes_in_no_term_reported_in_recovery, VotesAgainAfterRecovery),
         (a_recovered_node_neither_votes_below_its_log_floor_nor_campaigns, ForgetsLogFloor),
     ],
     ids=lambda each: each.__name__,
 )
-def test_a_rule_is_kept_and_its_flaw_is_caught(rule: Callable[[Make], bool], flaw: Make) -> None:
+def test_raft_node_follows_each_rule_and_the_flawed_node_does_not(
+    rule: Callable[[NodeFactory], bool], flaw: NodeFactory
+) -> None:
     assert rule(RaftNode)
     assert not rule(flaw)
 
 
-@pytest.mark.parametrize("copies", [3, 5])
+@pytest.mark.parametrize("replicas", [3, 5])
 @pytest.mark.parametrize("seed", range(6))
-def test_a_simulation_with_every_fault_keeps_every_rule(copies: int, seed: int) -> None:
-    counts = Group(Plan(copies, lost_disks=copies // 2), seed).play()
+def test_simulation_with_all_faults_breaks_no_rule(replicas: int, seed: int) -> None:
+    counts = Group(Plan(replicas, lost_disks=replicas // 2), seed).play()
     assert counts["told"] > 20 and counts["reads"]
 
 
@@ -324,7 +331,7 @@
     ("flaw", "seeds"),
     [(VotesForAnyLog, range(12)), (TruncatesOnOldMessage, range(3)), (TrustsAnyDisk, range(284, 288))],
 )
-def test_the_checker_finds_a_flaw_in_whole_simulations(flaw: Make, seeds: range) -> None:
+def test_checker_detects_flaws_in_simulations(flaw: NodeFactory, seeds: range) -> None:
     found = []
     for seed in seeds:
         Group(Plan(faults=25), seed).play()
@@ -336,9 +343,9 @@
     assert found
 
 
-def test_a_replica_whose_disk_was_put_back_in_a_term_is_sent_the_log_again() -> None:
-    """Seed 100183 of five replicas: the leader sent the same for ever to one that had lost what it acknowledged."""
-    node = leader(RaftNode)
+def test_replica_that_lost_acknowledged_entries_within_a_term_is_sent_them_again() -> None:
+    """A replica lost acknowledged entries, and the leader resent the same message forever (seed 100183, 5 replicas)."""
+    node = make_leader(RaftNode)
     node.propose(b"x")
     node.receive(LATER, 2, AppendEntriesResponse(node.term, True, 2, 1))
     node.actions.clear()
@@ -347,8 +354,8 @@
     assert again.prev_log_index == 0 and [one.index for one in again.entries] == [1, 2]
 
 
-def test_a_failed_write_ends_all_promises() -> None:
-    node = leader(RaftNode)
+def test_failed_write_halts_the_node() -> None:
+    node = make_leader(RaftNode)
     node.write_failed()
     node.actions.clear()
     node.receive(LATER, 2, RequestVote(9, 9, 9, False))
@@ -356,8 +363,8 @@
     assert not node.actions and node.propose(b"x") is None and not node.can_serve_read(LATER)
 
 
-def test_a_replica_that_lags_too_far_gets_a_snapshot_in_chunks_and_goes_on() -> None:
-    ahead = leader(RaftNode)
+def test_replica_behind_the_compacted_log_gets_a_snapshot_in_chunks_and_then_entries() -> None:
+    ahead = make_leader(RaftNode)
     for number in range(40):
         ahead.propose(b"%d" % number)
     complete_writes(ahead, LATER)
@@ -383,7 +390,7 @@
     assert (behind.last_index, behind.commit_index, behind.snapshot_index) == (41, 41, 30)
 
 
-def test_bytes_that_are_no_message_are_rejected() -> None:
+def test_undecodable_message_is_rejected() -> None:
     with pytest.raises(msgspec.DecodeError):
         decode_raft_message(b"\x91\xff")
     assert decode_configuration(encode(GROUP)) == GROUP
