--- a/martenstep/replication/background_snapshot.py
+++ b/martenstep/replication/background_snapshot.py
@@ -1,10 +1,10 @@
-"""A snapshot made in a forked child, while the process goes on.
+"""Snapshots that a forked child process makes while the parent continues.
 
-A fork has all of the state as it was at that moment, and costs the parent some milliseconds; encoding costs hundreds
-where the state is large, and would hold up the event loop from a thread as well, as the interpreter's lock is held.
-The child does nothing else: it closes what it inherited (danger: a lock on a folder, kept by a child that outlives a
-killed parent, would keep the next start from it), encodes, writes to a pipe and ends without any clean-up of the
-parent's.
+The child has a copy of the whole state at the moment of the fork.  A fork costs the parent some milliseconds; encoding
+a large state takes hundreds, and would block the event loop even from a thread, because it holds the interpreter lock.
+
+The child closes the descriptors that it inherited, encodes the state, writes it to a pipe and exits without running the
+parent's clean-up.  If it kept a folder's lock and outlived a killed parent, the next start could not lock the folder.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from collections.abc import Callable
 
 READ_CHUNK_BYTES = 1 << 20
-FIRST_INHERITED_FD = 3  # those below are the standard ones
+FIRST_INHERITED_FD = 3  # 0 to 2 are standard input, output and error
 MAX_FD = 1 << 20
 
 
 class BackgroundSnapshot:
-    """One snapshot that is being made."""
+    """One snapshot in progress."""
 
     def __init__(self, make_snapshot: Callable[[], bytes]) -> None:
         """Fork, and run `make_snapshot` in the child; raises OSError."""
@@ -36,7 +36,7 @@
         os.close(write_fd)
 
     async def result(self) -> bytes | None:
-        """The snapshot; None where the child failed."""
+        """Return the snapshot; None if the child failed."""
         return await asyncio.to_thread(self._read_result)
 
     def _read_result(self) -> bytes | None:
@@ -50,7 +50,7 @@
         return b"".join(chunks) if status == 0 else None
 
     def cancel(self) -> None:
-        """Kill the child; `result` then gives None."""
+        """Kill the child; `result` then returns None."""
         os.kill(self.pid, signal.SIGKILL)
 
 
--- a/martenstep/replication/frames.py
+++ b/martenstep/replication/frames.py
@@ -1,7 +1,8 @@
 """Frames of the streams between nodes: `u32 length, body, HMAC`.
 
-The HMAC covers the connection's context (both ends' nonces), the frame's number and the body, so that no frame passes
-twice or on another connection.  A body is an envelope (`u16 length`, MessagePack) and a message.
+The HMAC covers the connection's context (the nonces of both ends), the frame's number and the body, so that a frame
+cannot be replayed, neither on its connection nor on another one.  A body is an envelope (`u16 length`, MessagePack)
+followed by a message.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class Hello(msgspec.Struct, array_like=True):
-    """Which node opens a connection, and to which; `cluster` keeps fleets apart that share a key."""
+    """The nodes at both ends of a connection; `cluster` keeps apart fleets that share a key."""
 
     cluster: str
     source: str
@@ -32,7 +33,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True):
-    """The group and the replicas that a message is from and to; between nodes, where no replica is meant, 0."""
+    """The group, and the sending and receiving replicas; 0 where a message concerns nodes and no replica."""
 
     group: str
     source: int
@@ -40,26 +41,26 @@
 
 
 class AuthenticatedFrames:
-    """Frames of one direction of a connection."""
+    """Encodes or reads the frames of one direction of a connection."""
 
     def __init__(self, keys: Keyring, server_nonce: bytes, client_nonce: bytes) -> None:
-        """The nonces are those that both ends drew for the connection."""
+        """The nonces are the random ones that both ends drew for this connection."""
         self._keys = keys
         self._context = hashlib.sha256(CONTEXT_LABEL + server_nonce + client_nonce).digest()
         self._number = 0
 
     def _bind(self, body: bytes) -> bytes:
-        """What the next frame's HMAC covers."""
+        """Return the bytes that the next frame's HMAC covers, and count the frame."""
         bound = self._context + _FRAME_NUMBER.pack(self._number) + body
         self._number += 1
         return bound
 
     def encode(self, body: bytes) -> bytes:
-        """The next frame to be sent."""
+        """Return the next frame to be sent."""
         return _FRAME_LENGTH.pack(len(body) + MAC_BYTES) + body + self._keys.sign(self._bind(body))
 
     async def read(self, reader: asyncio.StreamReader) -> bytes:
-        """The body of the next frame; raises FrameError, OSError, asyncio.IncompleteReadError."""
+        """Read the body of the next frame; raises FrameError, OSError, asyncio.IncompleteReadError."""
         (length,) = _FRAME_LENGTH.unpack(await reader.readexactly(_FRAME_LENGTH.size))
         if not MAC_BYTES <= length <= MAX_FRAME_BYTES:
             raise FrameError("length")
@@ -71,13 +72,13 @@
 
 
 def encode_body(envelope: Envelope, message: bytes) -> bytes:
-    """An envelope and an encoded message as one body."""
+    """Encode an envelope and an already encoded message as one body."""
     head = msgspec.msgpack.encode(envelope)
     return _ENVELOPE_LENGTH.pack(len(head)) + head + message
 
 
 def decode_body(body: bytes) -> tuple[Envelope, bytes]:
-    """The envelope and the encoded message of a body; raises msgspec.DecodeError."""
+    """Return the envelope and the still encoded message of a body; raises msgspec.DecodeError."""
     start = _ENVELOPE_LENGTH.size
     end = start + int.from_bytes(body[:start], "big")
     return msgspec.msgpack.decode(body[start:end], type=Envelope), body[end:]
--- a/martenstep/replication/leader_requests.py
+++ b/martenstep/replication/leader_requests.py
@@ -1,4 +1,4 @@
-"""Requests to the leader of a group, from any node, and the responses of a leader on this node."""
+"""Requests from any node to the leader of a group, and responses from a leader on this node."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from martenstep.replication.transport import Transport
 from martenstep.tasks import BackgroundTasks
 
-RESPONSE_TIMEOUT_S = 1.0  # of one node
-RETRY_PAUSE_S = 0.1  # before all nodes are tried again
+RESPONSE_TIMEOUT_S = 1.0  # for the response of one node
+RETRY_PAUSE_S = 0.1  # before the request is sent to all nodes again
 NONCE_BITS = 60
 LeaderHandler = Callable[[Replica, bytes], Awaitable[bytes]]
 
 
 class LeaderRequests:
-    """One node's requests and answers."""
+    """Sends one node's requests, and answers those of other nodes."""
 
     def __init__(
         self,
@@ -31,19 +31,19 @@
         transport: Callable[[], Transport],
         tasks: BackgroundTasks,
     ) -> None:
-        """`repair` knows where a group's leader is likely to be; `tasks` runs the answers."""
+        """`repair` supplies the nodes where a group's leader is likely to be; `tasks` runs the answers."""
         self._node = node
         self._local = local
         self._repair = repair
         self._transport = transport
         self._tasks = tasks
-        self.handlers: dict[str, LeaderHandler] = {}  # who answers requests to the leader, by group
+        self.handlers: dict[str, LeaderHandler] = {}  # answers requests to the leader, by group
         self._pending: dict[int, asyncio.Future[LeaderResponse]] = {}  # by nonce
 
     async def request(self, group: str, data: bytes, timeout_s: float) -> bytes:
-        """The answer of a group's leader, wherever that is.
+        """Return the answer of a group's leader, on whichever node it is.
 
-        Raises LeaderUnreachableError where none came in time; whether the request was acted on is then not known.
+        Raises LeaderUnreachableError if none arrived in time; the request may or may not have been executed.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -67,12 +67,12 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     def _likely_nodes(self, group: str) -> list[str]:
-        """All nodes that are present, those that should hold the group first."""
+        """Return all present nodes, after the nodes that should hold the group."""
         present = self._repair.observe().present
         return [*self._repair.desired_nodes(group), *sorted(present)]
 
     async def _request_from(self, node: str, group: str, data: bytes) -> LeaderResponse | None:
-        """The response of one node; None where none comes in time."""
+        """Return the response of one node; None if none arrives in time."""
         if node == self._node:
             return await self._answer(group, LeaderRequest(0, data))
         nonce = random.getrandbits(NONCE_BITS)
@@ -88,7 +88,7 @@
             self._pending.pop(nonce, None)
 
     def handle_response(self, response: LeaderResponse) -> None:
-        """Give a response to who waits for it."""
+        """Complete the pending request that a response belongs to."""
         pending = self._pending.get(response.nonce)
         if pending is not None and not pending.done():
             pending.set_result(response)
--- a/martenstep/replication/local_replicas.py
+++ b/martenstep/replication/local_replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that run on one node: opened from their folders, bootstrapped, created, removed with their disk."""
+"""The replicas that run on one node: opened from their folders, bootstrapped, created, removed with their files."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 from martenstep.tasks import BackgroundTasks
 
 STOP_TASKS_TIMEOUT_S = 2.0  # for replicas that are being created or removed
-STOP_TRANSFER_S = 0.3  # for other nodes to lead
-NOBODY = Configuration((0,))  # the first configuration of a replica that is not in any yet
+STOP_TRANSFER_S = 0.3  # for other nodes to take over leadership
+NOT_IN_GROUP = Configuration((0,))  # of a replica that no configuration has yet: 0 stands for no replica
 
 
 class LocalReplica:
-    """One replica, with the folders that it holds."""
+    """One replica, with the folders that it has locked."""
 
     def __init__(self, replica: Replica, disk: Disk, witness: Disk) -> None:
-        """Both folders are let go when the replica stops."""
+        """Both folders are unlocked when the replica stops."""
         self.replica = replica
         self._disk = disk
         self._witness = witness
         self.without_leader_since: float | None = None
 
     async def stop(self) -> None:
-        """End the replica and let its folders go."""
+        """Stop the replica and unlock its folders."""
         await self.replica.stop()
         self.replica.storage.close()
         self._disk.close()
@@ -48,7 +48,7 @@
 class LocalReplicas:
     """All replicas of one node, by group."""
 
-    def __init__(  # noqa: PLR0913 (puts the parts together)
+    def __init__(  # noqa: PLR0913 (combines all parts)
         self,
         node: str,
         disk: NodeDisk,
@@ -58,7 +58,7 @@
         raft_settings: RaftSettings,
         tasks: BackgroundTasks,
     ) -> None:
-        """`make_state_machine` makes the state of a group from its name; `tasks` runs what is done beside."""
+        """`make_state_machine` creates a group's state machine from its name; `tasks` runs background work."""
         self.disk = disk
         self._node = node
         self._settings = settings
@@ -68,14 +68,14 @@
         self._tasks = tasks
         self._transport: Transport | None = None
         self._by_group: dict[str, LocalReplica] = {}
-        self._busy_groups: set[str] = set()  # whose replica is being created or removed
-        self.is_open = False  # before that no node is sent ReplicaNotFound
+        self._busy_groups: set[str] = set()  # groups whose replica is being created or removed
+        self.is_open = False  # until `start` is done, a replica that is not found here may still be opened
         self.counts: Counter[str] = Counter()  # shown as metrics under these names
 
-    # Begin and end.
+    # Start and stop.
 
     async def start(self, transport: Transport) -> None:
-        """Open what is stored here, and bootstrap what is to be.  Raises ReplicaManagerError, LockedError, OSError."""
+        """Open the stored replicas and bootstrap groups.  Raises ReplicaManagerError, LockedError, OSError."""
         self._transport = transport
         self.disk.open()
         for group in self.disk.stored_groups():
@@ -84,10 +84,10 @@
         self.is_open = True
 
     async def stop(self) -> None:
-        """Let other nodes lead, then end all replicas."""
+        """Transfer leadership to other nodes, then stop all replicas."""
         if any([local.replica.transfer_leadership() for local in self]):
             await asyncio.sleep(STOP_TRANSFER_S)
-        # Danger: a replica that is being removed, cut off in the middle, would keep its folders' locks.
+        # If the removal of a replica were interrupted, its folders would stay locked.
         await self._tasks.finish(STOP_TASKS_TIMEOUT_S)
         self.is_open = False
         stopping = list(self)
@@ -96,7 +96,7 @@
         self.disk.close()
 
     async def _bootstrap(self) -> None:
-        """Begin the groups of the settings, once, where they name this disk."""
+        """Bootstrap the groups of the settings, once, if the settings name this disk."""
         member = next((one for one in self._settings.bootstrap_members if one.node == self._node), None)
         if member is None:
             return
@@ -107,22 +107,23 @@
         for group in missing:
             await self.open(group, derive_replica_id(self.disk.id, group))
         if missing:
-            # Danger: written before the folders, a crash between would leave a bootstrap member without its replica;
-            # after, it is begun twice with the same identity, which an unverified replica bears.
+            # This is written after the folders.  If it came first, a crash in between would leave a bootstrap member
+            # without its replica.  In this order, a crash only makes the next start bootstrap the replica again, under
+            # the same identity, which is safe because the replica is not verified.
             self.disk.add_bootstrapped(missing)
 
     # The replicas.
 
     def __iter__(self) -> Iterator[LocalReplica]:
-        """All of them, as they are now."""
+        """Iterate over a copy of the current replicas."""
         return iter(list(self._by_group.values()))
 
     def groups(self) -> list[str]:
-        """The groups of which a replica is here."""
+        """Return the groups that have a replica on this node."""
         return list(self._by_group)
 
     def replica(self, group: str) -> Replica | None:
-        """The replica of a group that is here."""
+        """Return this node's replica of a group; None if there is none."""
         local = self._by_group.get(group)
         return local.replica if local is not None else None
 
@@ -131,15 +132,15 @@
         return group in self._busy_groups
 
     async def open(self, group: str, bootstrap_id: int | None = None) -> Replica | None:
-        """Run a replica from its folder, made where there is none; None where it cannot be opened, and is set aside."""
+        """Open a replica's folder, create it if needed, and start the replica; None if it cannot be opened."""
         disks: list[Disk] = []
         try:
             state_machine = self._make_state_machine(group)
             disks.append(Disk(self.disk.group_folder(group)))
             disks.append(Disk(self.disk.witness_folder(group)))
-            alone = group not in self._settings.groups
+            sole_member = group not in self._settings.groups
             storage = await asyncio.to_thread(
-                ReplicaStorage, disks[0], disks[1], random.SystemRandom(), bootstrap_id, alone
+                ReplicaStorage, disks[0], disks[1], random.SystemRandom(), bootstrap_id, sole_member
             )
             replica = self._make_replica(group, storage, state_machine)
         except (ReplicaStorageError, LockedError, OSError, ValueError) as error:
@@ -162,29 +163,32 @@
         assert self._transport is not None
         bootstrap = self._bootstrap_configuration(group, storage.replica_id)
         if storage.replica_id not in bootstrap.voters:
-            bootstrap = NOBODY
+            bootstrap = NOT_IN_GROUP
         return Replica(group, storage, bootstrap, state_machine, self._transport, self._log_event, self._raft_settings)
 
     def _bootstrap_configuration(self, group: str, replica_id: int) -> Configuration:
-        """A group's first configuration; a replica that is created later is not in it."""
+        """Return a group's first configuration; replicas that are created later are not in it."""
         if group not in self._settings.groups:
-            # Danger: only the replica that began the group may take itself for all of it.
+            # Only the replica that created the group may start as its sole member.
             if replica_id != derive_replica_id(self.disk.id, group):
-                return NOBODY
+                return NOT_IN_GROUP
             return Configuration((replica_id,), (), ((replica_id, self._node),))
         members = self._settings.bootstrap_members
         locations = tuple((derive_replica_id(member.disk_id, group), member.node) for member in members)
         return Configuration(tuple(replica for replica, _ in locations), (), locations)
 
     def _open_failed(self, group: str, error: Exception) -> None:
-        """Keep what is damaged for operators; another replica is created here, and filled by the others."""
+        """Log the error, and rename a damaged folder so that operators can inspect it.
+
+        A new replica can then be created here, and receives its data from the other replicas.
+        """
         self._log_event("replica not opened", {"group": group, "error": str(error)})
         if isinstance(error, ReplicaStorageError):
             folder = self.disk.group_folder(group)
             folder.rename(folder.with_name(f"{group}.damaged.{time.time_ns()}"))
 
     def create(self, group: str, on_created: Callable[[Replica], None]) -> None:
-        """Begin a replica that is to be taken into its group, in the background; `on_created` is given it."""
+        """Create a replica in the background, to be added to its group; `on_created` receives it."""
         self._busy_groups.add(group)
         self._tasks.spawn(self._create(group, on_created))
 
@@ -198,14 +202,14 @@
             on_created(replica)
 
     async def create_own_group(self, group: str) -> Replica | None:
-        """Begin a group whose name was never used, of this node's replica alone."""
-        # The name first: a crash between leaves a name without a folder, and another name is drawn at the next start.
+        """Create a group under a new name, with this node's replica as its sole member."""
+        # The name is stored first: after a crash in between it has no folder, and the next start draws another name.
         self.disk.set_latest_own_group(group)
         await asyncio.to_thread(self.disk.save)
         return await self.open(group, derive_replica_id(self.disk.id, group))
 
     def remove(self, group: str, reason: str) -> None:
-        """End a replica and delete its folders, in the background."""
+        """Stop a replica and delete its folders, in the background."""
         local = self._by_group.pop(group)
         self.counts["let_go"] += 1
         fields = {"group": group, "copy": local.replica.raft.replica_id, "why": reason}
--- a/martenstep/replication/messages.py
+++ b/martenstep/replication/messages.py
@@ -1,8 +1,8 @@
-"""Messages between the replicas of a group, and the parts that they and the stored log are made of.
+"""Messages between the replicas of a group, and the data types that messages and the stored log share.
 
-A replica is known by the identity of its disk, never by the name of its machine: a machine that comes back with an
-empty disk is another replica.  On the wire and on disks all of these are MessagePack arrays: the order of fields and
-the tags are the format, names are not.
+A replica is identified by its disk, never by the name of its machine: a machine that restarts with an empty disk is
+another replica.  On the wire and on disks all of these are MessagePack arrays: the order of fields and the tags are
+part of the format, the names are not.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry is; the values are stored and sent."""
+    """Kind of an entry; the values are stored and sent."""
 
-    NO_OP = 0  # the first of a leader's term: what precedes it is committed with it
+    NO_OP = 0  # first entry of a leader's term; committing it commits all entries before it
     COMMAND = 1
     CONFIGURATION = 2
 
@@ -34,10 +34,10 @@
 
 
 class Configuration(msgspec.Struct, array_like=True, frozen=True):
-    """Who is in the group: voters, and learners that are sent the log first.
+    """The members of a group: voters, and learners, which receive the log before they may become voters.
 
-    `locations` tells which node each replica is on, where the group is placed by nodes; who votes follows from the
-    replicas alone.
+    `locations` gives the node of each replica in groups that are placed on nodes.  Votes are counted by replica,
+    whatever their locations.
     """
 
     voters: tuple[ReplicaId, ...]
@@ -51,12 +51,12 @@
 
     @property
     def quorum(self) -> int:
-        """How many of the voters are enough."""
+        """Number of voters that form a quorum."""
         return len(self.voters) // 2 + 1
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """All entries up to one, as the state that they made."""
+    """The state that results from all entries up to `index`."""
 
     index: Unsigned
     term: Unsigned
@@ -65,17 +65,17 @@
 
 
 class RequestVote(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """A candidate asks for a vote, or, before it campaigns (`pre_vote`), whether it would get one."""
+    """A candidate requests a vote or, with `pre_vote`, asks whether it would get one."""
 
     term: Unsigned
     last_index: Unsigned
     last_term: Unsigned
     pre_vote: bool
-    leadership_transfer: bool = False  # at the leader's request: its followers may agree
+    leadership_transfer: bool = False  # requested by the leader: its followers may vote despite its lease
 
 
 class VoteResponse(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """A vote, or a refusal."""
+    """The response to a RequestVote: a vote, or its refusal."""
 
     term: Unsigned
     pre_vote: bool
@@ -83,18 +83,18 @@
 
 
 class AppendEntries(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """The leader's entries after one that both should have; without entries a heartbeat."""
+    """Entries that follow an entry which both sides should hold; a heartbeat if there are none."""
 
     term: Unsigned
     prev_log_index: Unsigned
     prev_log_term: Unsigned
     entries: tuple[LogEntry, ...]
     leader_commit: Unsigned
-    round: Unsigned  # of heartbeats: what an answer to it proves of the lease
+    round: Unsigned  # number of the heartbeat round, returned in the response to renew the lease
 
 
 class AppendEntriesResponse(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """All up to `match_index` is durable and the same as the leader's; without success, where to begin again."""
+    """On success, entries up to `match_index` are durable and match; otherwise the index to retry from."""
 
     term: Unsigned
     success: bool
@@ -103,7 +103,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """A chunk of a snapshot, for a replica that lags behind the leader's log."""
+    """A chunk of a snapshot, for a replica that needs entries which the leader has compacted."""
 
     term: Unsigned
     last_included_index: Unsigned
@@ -116,7 +116,7 @@
 
 
 class InstallSnapshotResponse(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """How many bytes of a snapshot were received; the last chunk is answered by an AppendEntriesResponse."""
+    """Number of bytes received of a snapshot; the last chunk is answered by an AppendEntriesResponse instead."""
 
     term: Unsigned
     last_included_index: Unsigned
@@ -125,13 +125,13 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """The leader asks a replica to campaign at once."""
+    """The leader tells a replica to campaign at once."""
 
     term: Unsigned
 
 
 class RecoveryQuery(msgspec.Struct, array_like=True, tag=8, frozen=True):
-    """A replica started whose disk is not known to be as it left it."""
+    """Sent by a replica that started with a disk that it could not verify."""
 
     nonce: Unsigned
 
@@ -139,7 +139,7 @@
 class RecoveryResponse(msgspec.Struct, array_like=True, tag=9, frozen=True):
     """The term, the end of the log and the configuration of a replica.
 
-    What the asking replica promised to it cannot be beyond these.
+    No promise that the querying replica made to it goes beyond these.
     """
 
     nonce: Unsigned
--- a/martenstep/replication/node_messages.py
+++ b/martenstep/replication/node_messages.py
@@ -1,6 +1,6 @@
-"""Messages between nodes that hold replicas, of a group or of one replica there.
+"""Messages between nodes that hold replicas, about a group or about one of its replicas.
 
-On the wire they are MessagePack arrays: the order of fields and the tags are the format, names are not.
+On the wire they are MessagePack arrays: the order of fields and the tags are part of the format, the names are not.
 """
 
 from __future__ import annotations
@@ -11,9 +11,10 @@
 
 
 class CreateReplica(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Hold a replica of this group, and create one where there is none.
+    """Requests a replica of this group: the node reports the one that it holds, or creates one.
 
-    One that has learned and is not among `members`, as committed at `configuration_index`, was removed.
+    A replica that has log entries and is not in `members`, the configuration committed at `configuration_index`, was
+    removed from the group.
     """
 
     configuration_index: Unsigned
@@ -21,27 +22,27 @@
 
 
 class ReplicaCreated(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """The node holds this replica of the group."""
+    """Reports which replica of the group the node holds."""
 
     replica: ReplicaId
 
 
 class ReplicaNotFound(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """The node does not hold that replica: its disk is lost, or it was removed."""
+    """Reports that the node does not hold a replica: its disk is lost, or the replica was removed."""
 
     replica: ReplicaId
 
 
 class MembershipQuery(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """Whether a replica that hears no leader is still in the group."""
+    """Asks whether a replica that receives no messages from a leader is still in the group."""
 
     replica: ReplicaId
 
 
 class RemovedFromGroup(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """The configuration that is committed at an index does not have that replica.
+    """Reports that the configuration committed at an index does not contain a replica.
 
-    Unless the replica knows a later one, it is to be deleted.
+    The replica is deleted, unless it holds a later configuration.
     """
 
     replica: ReplicaId
@@ -56,7 +57,7 @@
 
 
 class LeaderResponse(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """The response to a LeaderRequest; without data, this node does not lead, and the node `leader` may."""
+    """The response to a LeaderRequest; without data, this node is not the leader, and `leader` may be."""
 
     nonce: Unsigned
     data: bytes | None = None
--- a/martenstep/replication/outbound_queue.py
+++ b/martenstep/replication/outbound_queue.py
@@ -1,4 +1,4 @@
-"""What waits to be sent to one node, bounded; past its bounds the oldest goes."""
+"""The bounded queue of messages to one node; when it is full, the oldest are dropped."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class OutboundQueue:
-    """Bodies of frames in the order in which they are sent."""
+    """Bodies of frames in sending order."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty queue."""
         self._bodies: deque[bytes] = deque()
         self._bytes = 0
-        self.changed = asyncio.Event()  # something was added since it was cleared
+        self.changed = asyncio.Event()  # set when a body is added
         self.sender: asyncio.Task[None] | None = None
 
     def __bool__(self) -> bool:
-        """Whether anything waits."""
+        """Whether the queue holds anything."""
         return bool(self._bodies)
 
     def put(self, body: bytes) -> int:
-        """Add one; gives how many were dropped for it."""
+        """Add a body; returns how many older ones were dropped to make room."""
         dropped = 0
         self._bodies.append(body)
         self._bytes += len(body)
@@ -39,7 +39,7 @@
         return len(self._bodies) > MAX_QUEUED_FRAMES or too_large
 
     def pop(self) -> bytes:
-        """Remove and give the oldest."""
+        """Remove and return the oldest body."""
         body = self._bodies.popleft()
         self._bytes -= len(body)
         return body
--- a/martenstep/replication/placement.py
+++ b/martenstep/replication/placement.py
@@ -1,15 +1,14 @@
 """Replica placement: on which nodes a group should be, and the next step towards that.
 
-Pure: the same at every node that knows the same.
+All functions are pure: nodes with the same view compute the same result.
 
-A group is on the nodes that rendezvous hashing gives its name, spread over zones (`membership.ownership`), among those
-that may hold it: all that are present, and those that hold a replica already and are not lost.  A node counts as lost
-once it has been absent for a stated time, longer than a restart.  That is why a node that has just started, and knows
-few others yet, moves nothing: who holds a replica counts as there until that time is over.
+Rendezvous hashing of a group's name selects its nodes, spread over zones (`membership.ownership`), among all present
+nodes and those that already hold a replica and are not lost.  A node counts as lost once it has been absent for a
+configured time, which is longer than a restart.  Therefore a node that has just started, and has discovered few others
+yet, moves nothing: nodes that hold a replica count as candidates until that time has passed.
 
-The leader of a group takes the steps, one after another, each by the group's own log (single-server changes).  So no
-agreement on the placement is needed for safety: nodes that hold different views take different steps, each of them
-safe.
+The leader of a group takes one step after another, each through the group's own log (single-server changes).  Safety
+does not require that nodes agree on the placement: nodes with different views take different steps, each of them safe.
 """
 
 from __future__ import annotations
@@ -32,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeConfiguration:
-    """Put another configuration in place; Raft refuses it until it may be, and a learner until it has caught up."""
+    """Change the configuration; Raft rejects it while another change is in progress or a learner lags too far."""
 
     configuration: Configuration
     reason: str
@@ -40,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Let another replica lead."""
+    """Transfer leadership to another replica."""
 
     to: int
 
@@ -49,7 +48,7 @@
 
 
 class AbsenceTracker:
-    """Since when nodes have been absent, as far as this node knows."""
+    """Times since which nodes have been absent, as observed by this node."""
 
     def __init__(self, lost_after_ms: float) -> None:
         """After `lost_after_ms` an absent node counts as lost."""
@@ -57,15 +56,15 @@
         self._absent_since: dict[str, float] = {}
 
     def observe(self, now: float, present: Collection[str], owners: Iterable[str]) -> None:
-        """Note who is present now, among the nodes that hold replicas."""
+        """Record which of the nodes that hold replicas are absent now."""
         self._absent_since = {node: self._absent_since.get(node, now) for node in set(owners) if node not in present}
 
     def lost(self, now: float) -> set[str]:
-        """The nodes that count as lost."""
+        """Return the nodes that count as lost."""
         return {node for node, since in self._absent_since.items() if now - since >= self._lost_after_ms}
 
 
-def desired_nodes(  # noqa: PLR0913 (what the placement follows from)
+def desired_nodes(  # noqa: PLR0913 (all inputs of the placement)
     group: str,
     configuration: Configuration,
     zones: Mapping[str, str],
@@ -74,11 +73,10 @@
     replication_factor: int,
     preferred: str | None = None,
 ) -> list[str]:
-    """The nodes that should hold a group, fewer than `replication_factor` where there are fewer.
+    """Return the nodes that should hold a group; fewer than `replication_factor` if there are fewer candidates.
 
-    `zones` tells the zone of every known node; an owner that is not known counts as a zone of its own.  `preferred` is
-    a node that should hold the group in any case, as long as it is not lost: the others are then in other zones if they
-    can be.
+    `zones` gives the zone of every known node; an unknown owner counts as a zone of its own.  `preferred` is a node
+    that always holds the group unless it is lost; the other nodes are then in other zones where possible.
     """
     owners = {node for replica, node in configuration.locations if replica in configuration.voters}
     candidates = {node: zones.get(node, f"{UNKNOWN_ZONE_PREFIX}{node}") for node in (set(present) | owners) - set(lost)}
@@ -86,12 +84,12 @@
         return select_owners(group, candidates.items(), replication_factor)
     preferred_zone = candidates.pop(preferred)
     ranked = select_owners(group, candidates.items(), len(candidates))
-    ranked.sort(key=lambda node: candidates[node] == preferred_zone)  # stable: the order among the others stays
+    ranked.sort(key=lambda node: candidates[node] == preferred_zone)  # stable: keeps the order within a part
     return [preferred, *ranked[: replication_factor - 1]]
 
 
 def without_replica(configuration: Configuration, replica: int) -> Configuration:
-    """The configuration without one replica."""
+    """Return the configuration without one replica."""
     return Configuration(
         tuple(voter for voter in configuration.voters if voter != replica),
         tuple(learner for learner in configuration.learners if learner != replica),
@@ -100,7 +98,7 @@
 
 
 def with_learner(configuration: Configuration, replica: int, node: str) -> Configuration:
-    """The configuration with one more learner."""
+    """Return the configuration with one more learner."""
     return Configuration(
         configuration.voters,
         (*configuration.learners, replica),
@@ -109,7 +107,7 @@
 
 
 def with_promoted_learner(configuration: Configuration, replica: int) -> Configuration:
-    """The configuration with a learner as a voter."""
+    """Return the configuration with a learner promoted to a voter."""
     return Configuration(
         (*configuration.voters, replica),
         tuple(learner for learner in configuration.learners if learner != replica),
@@ -119,62 +117,62 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupView:
-    """What a group's leader knows when it chooses the next step."""
+    """The inputs from which a group's leader chooses the next step."""
 
     leader: int  # the replica that leads
-    nodes: list[str]  # that should hold the group (`desired_nodes`)
+    nodes: list[str]  # nodes that should hold the group (`desired_nodes`)
     missing: Collection[int]  # replicas that were reported as not found
-    present: Collection[str]  # nodes that can be asked
+    present: Collection[str]  # nodes that can be reached
     replication_factor: int
-    may_add: bool = True  # False while other groups are being filled from here
+    may_add: bool = True  # False while this node already sends data to learners of enough groups
     preferred_leader: str | None = None  # node
 
 
 def next_step(configuration: Configuration, view: GroupView) -> Step | None:
-    """What a group's leader should do next; None where all is as it should be, or must wait.
+    """Return the next step for a group's leader; None if nothing is to do, or the leader must wait.
 
-    Of as many replicas as there should be, none is removed before another votes in its stead, so that the quorum stays
-    what it was.
+    A voter is removed only while there are more voters than `replication_factor`: its replacement votes first, so that
+    the group never has fewer voters than it should.
     """
-    sound = _sound_voters(configuration, view)
-    unwanted = _unwanted_learner(configuration, view, sound)
+    kept = _voters_to_keep(configuration, view)
+    unwanted = _unwanted_learner(configuration, view, kept)
     if unwanted is not None:
-        return ChangeConfiguration(without_replica(configuration, unwanted), "a learner that is not wanted any more")
+        return ChangeConfiguration(without_replica(configuration, unwanted), "remove a lost or unneeded learner")
     if len(configuration.voters) > view.replication_factor:
-        return _remove_voter(configuration, view, sound)
+        return _remove_voter(configuration, view, kept)
     if configuration.learners:
         promoted = with_promoted_learner(configuration, configuration.learners[0])
-        return ChangeConfiguration(promoted, "a learner that has caught up")
-    return _add_replica(view, sound) or _transfer_to_preferred(view, sound)
+        return ChangeConfiguration(promoted, "promote a learner that has caught up")
+    return _add_replica(view, kept) or _transfer_to_preferred(view, kept)
 
 
-def _sound_voters(configuration: Configuration, view: GroupView) -> dict[str, int]:
-    """One voter for each desired node that holds one, the leader before others."""
+def _voters_to_keep(configuration: Configuration, view: GroupView) -> dict[str, int]:
+    """Return one voter for each desired node that holds one, preferring the leader."""
     node_by_replica = dict(configuration.locations)
-    sound: dict[str, int] = {}
+    kept: dict[str, int] = {}
     for replica in configuration.voters:
         node = node_by_replica.get(replica, "")
         if replica in view.missing or node not in view.nodes:
             continue
-        if node not in sound or replica == view.leader:
-            sound[node] = replica
-    return sound
+        if node not in kept or replica == view.leader:
+            kept[node] = replica
+    return kept
 
 
-def _unwanted_learner(configuration: Configuration, view: GroupView, sound: Mapping[str, int]) -> int | None:
-    """A learner that is lost, on a node that should not hold the group, or on one that has a voter."""
+def _unwanted_learner(configuration: Configuration, view: GroupView, kept: Mapping[str, int]) -> int | None:
+    """Return a learner that is lost, on a node that should not hold the group, or on one that has a voter."""
     node_by_replica = dict(configuration.locations)
     for replica in configuration.learners:
         node = node_by_replica.get(replica)
-        if replica in view.missing or node not in view.nodes or node in sound:
+        if replica in view.missing or node not in view.nodes or node in kept:
             return replica
     return None
 
 
-def _remove_voter(configuration: Configuration, view: GroupView, sound: Mapping[str, int]) -> Step | None:
-    """Remove one of the voters that are too many: lost ones first, the leader last.
+def _remove_voter(configuration: Configuration, view: GroupView, kept: Mapping[str, int]) -> Step | None:
+    """Remove one surplus voter: lost ones first, the leader last.
 
-    The leader hands over before: one that leads its own removal costs an election.
+    The leader transfers leadership before it is removed, because removing itself would cost an election.
     """
     node_by_replica = dict(configuration.locations)
 
@@ -182,29 +180,27 @@
         reachable = replica not in view.missing and node_by_replica.get(replica) in view.present
         return replica == view.leader, reachable
 
-    spare = [replica for replica in configuration.voters if replica not in sound.values()]
-    removed = min(spare, key=removal_order)  # there is one, as the desired nodes are no more than the factor
+    surplus = [replica for replica in configuration.voters if replica not in kept.values()]
+    removed = min(surplus, key=removal_order)  # not empty: there are at most as many desired nodes as the factor
     if removed != view.leader:
-        return ChangeConfiguration(
-            without_replica(configuration, removed), "a replica that is lost, or not wanted on its node"
-        )
-    successors = [replica for node, replica in sound.items() if node in view.present]
+        return ChangeConfiguration(without_replica(configuration, removed), "remove a voter that is lost or surplus")
+    successors = [replica for node, replica in kept.items() if node in view.present]
     return TransferLeadership(successors[0]) if successors else None
 
 
-def _add_replica(view: GroupView, sound: Mapping[str, int]) -> AddReplica | None:
-    """Have the first desired node without a replica create one."""
+def _add_replica(view: GroupView, kept: Mapping[str, int]) -> AddReplica | None:
+    """Return the step that adds a replica on the first present desired node that has no voter."""
     if not view.may_add:
         return None
-    lacking = (node for node in view.nodes if node not in sound and node in view.present)
-    node = next(lacking, None)
+    without_voter = (node for node in view.nodes if node not in kept and node in view.present)
+    node = next(without_voter, None)
     return AddReplica(node) if node is not None else None
 
 
-def _transfer_to_preferred(view: GroupView, sound: Mapping[str, int]) -> TransferLeadership | None:
-    """Let the replica on the preferred node lead."""
+def _transfer_to_preferred(view: GroupView, kept: Mapping[str, int]) -> TransferLeadership | None:
+    """Return the step that transfers leadership to the preferred node, if it is possible and needed."""
     preferred = view.preferred_leader
-    if preferred is None or preferred not in sound or preferred not in view.present:
+    if preferred is None or preferred not in kept or preferred not in view.present:
         return None
-    successor = sound[preferred]
+    successor = kept[preferred]
     return TransferLeadership(successor) if successor != view.leader else None
--- a/martenstep/replication/repair.py
+++ b/martenstep/replication/repair.py
@@ -1,4 +1,4 @@
-"""Repair of groups: the leader moves the replicas to where they should be, one step at a time (`placement`)."""
+"""Repair of groups: a leader moves its group's replicas to the desired nodes, one step at a time (`placement`)."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 from martenstep.replication.settings import ClusterNode, ReplicationSettings
 from martenstep.replication.transport import Transport
 
-MAX_LEARNING_GROUPS = 2  # led here, with a learner at a time: filling yields to serving
-CREATE_TIMEOUT_MS = 3000.0  # for a node that was asked to create a replica
-UNRESPONSIVE_NODE_PAUSE_MS = 60_000.0  # before a node that did not respond is asked again
-NO_LEADER_MS = 3000.0  # a replica that hears no leader for so long asks whether it was removed
-UNUSED_REPLICA_MS = 60_000.0  # a replica that was created and never taken in is removed after this
-TRANSFER_INTERVAL_MS = 30_000.0  # between two transfers of a group to its preferred leader
+MAX_LEARNING_GROUPS = 2  # groups led here that have a learner at the same time; limits the load of copying
+CREATE_TIMEOUT_MS = 3000.0  # for a node to create a replica on request
+UNRESPONSIVE_NODE_PAUSE_MS = 60_000.0  # before a request to a node that did not respond is repeated
+NO_LEADER_MS = 3000.0  # a replica without a leader for this long asks whether it was removed
+UNUSED_REPLICA_MS = 60_000.0  # a replica that was created and never added to its group is removed after this
+TRANSFER_INTERVAL_MS = 30_000.0  # between two leadership transfers of a group to its preferred node
 LONG_AGO_MS = -1e12
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterView:
-    """The nodes as the membership has them now."""
+    """The nodes in the current view of the membership."""
 
-    zones: dict[str, str]  # of all that are known
+    zones: dict[str, str]  # of all known nodes
     present: set[str]
 
 
@@ -52,9 +52,9 @@
 
 
 class GroupRepair:
-    """What one node does to have the groups that it leads where they should be."""
+    """Moves the replicas of the groups that one node leads to the desired nodes."""
 
-    def __init__(  # noqa: PLR0913 (puts the parts together)
+    def __init__(  # noqa: PLR0913 (combines all parts)
         self,
         node: str,
         settings: ReplicationSettings,
@@ -64,7 +64,7 @@
         transport: Callable[[], Transport],
         log_event: EventLog,
     ) -> None:
-        """`preferred_node` gives the node that should hold a group in any case, and lead it."""
+        """`preferred_node` returns the node, if any, that should always hold and lead a group."""
         self._node = node
         self._settings = settings
         self._local = local
@@ -79,24 +79,24 @@
         self._transferred_at: dict[str, float] = {}
         self._dissolving: set[str] = set()
 
-    # What is known.
+    # Views.
 
     def observe(self) -> ClusterView:
-        """The nodes as they are now; this one is always present."""
+        """Return the current nodes; this one always counts as present."""
         nodes = list(self._cluster_nodes())
         zones = {node.name: node.zone for node in nodes}
         return ClusterView(zones, {node.name for node in nodes if node.present} | {self._node})
 
     def lost_nodes(self) -> set[str]:
-        """Nodes that are absent for so long that they count as lost."""
+        """Return the nodes that have been absent for so long that they count as lost."""
         return self._absence.lost(now_ms())
 
     def missing_replicas(self, group: str) -> set[int]:
-        """Replicas of a group that were reported as not found."""
+        """Return the replicas of a group that were reported as not found."""
         return self._missing.get(group, set())
 
     def desired_nodes(self, group: str) -> list[str]:
-        """Where a group should be, as this node sees it, whichever nodes hold it."""
+        """Return the nodes that should hold a group according to this node's view."""
         replica = self._local.replica(group)
         configuration = replica.raft.configuration if replica is not None else Configuration(())
         cluster = self.observe()
@@ -120,10 +120,10 @@
             self._preferred_node(group),
         )
 
-    # The steps.
+    # Steps.
 
     def run(self, now: float) -> None:
-        """Look at each group once."""
+        """Take the next step for each group that is led here, and query the membership of replicas without a leader."""
         cluster = self.observe()
         self._absence.observe(now, cluster.present, self._owners())
         self._unresponsive_until = {node: until for node, until in self._unresponsive_until.items() if until > now}
@@ -146,7 +146,7 @@
             self._query_membership(now, local)
 
     def _owners(self) -> set[str]:
-        """The nodes that hold, or should hold, replicas of the groups that are here."""
+        """Return the nodes that hold replicas of this node's groups, and their preferred nodes."""
         owners = {node for local in self._local for _, node in local.replica.raft.configuration.locations}
         preferred = {self._preferred_node(group) for group in self._local.groups()}
         return owners | {node for node in preferred if node is not None}
@@ -186,7 +186,7 @@
         self._log_event("group configuration changed", fields)
 
     def _request_creation(self, now: float, replica: Replica, node: str) -> None:
-        """Ask a node to create a replica, until it has, or does not respond in time."""
+        """Ask a node to create a replica; each call repeats the request until the node responds or times out."""
         group, raft = replica.group, replica.raft
         if not raft.configuration_committed:
             return
@@ -202,10 +202,10 @@
         self._transport().send_to_node(node, group, message)
 
     def _query_membership(self, now: float, local: LocalReplica) -> None:
-        """Let a replica that hears no leader ask whether it was removed: it may never have heard of that."""
+        """Ask for a replica without a leader whether it was removed: it may not have received that configuration."""
         replica = local.replica
         raft = replica.raft
-        # Not by whether it knows a leader: a removed learner never campaigns, and would go on following the last one.
+        # `raft.leader` cannot be used here: a removed learner never campaigns, so it keeps its last leader forever.
         if raft.halted or raft.role is Role.LEADER or now - raft.leader_contact_at < NO_LEADER_MS:
             local.without_leader_since = None
             return
@@ -213,16 +213,16 @@
             local.without_leader_since = now
         unused = not raft.last_index and raft.replica_id not in raft.configuration.voters
         if unused and now - local.without_leader_since > UNUSED_REPLICA_MS:
-            self._local.remove(replica.group, "it was never taken in")
+            self._local.remove(replica.group, "it was never added to its group")
             return
-        nodes = {node for _, node in raft.configuration.locations} | replica.contacted_nodes
+        nodes = {node for _, node in raft.configuration.locations} | replica.sender_nodes
         for node in nodes - {self._node}:
             self._transport().send_to_node(node, replica.group, MembershipQuery(raft.replica_id))
 
-    # What other nodes answer.
+    # Responses of other nodes.
 
     def replica_created(self, node: str, group: str, created: int) -> None:
-        """A node holds a replica that it was asked for: let it learn."""
+        """Handle the report that a node holds a requested replica: add the replica as a learner."""
         replica, pending = self._local.replica(group), self._pending_creations.get(group)
         if replica is None or pending is None or pending.node != node:
             return
@@ -233,20 +233,21 @@
             replica.change_configuration(with_learner(configuration, created, node))
 
     def replica_not_found(self, node: str, group: str, missing: int) -> None:
-        """A node does not hold a replica that should be there."""
+        """Record the report that a node does not hold a replica that the configuration locates there."""
         replica = self._local.replica(group)
         if replica is not None and (missing, node) in replica.raft.configuration.locations:
             self._missing.setdefault(group, set()).add(missing)
 
-    # Groups that are not needed any more.
+    # Groups that are no longer needed.
 
     def dissolve_group(self, group: str) -> None:
-        """Remove the replicas of a group that is led here one by one, this one last."""
+        """Remove the replicas of a group that is led here one by one, this node's replica last."""
         self._dissolving.add(group)
 
     def _shrink_dissolving(self, replica: Replica, cluster: ClusterView) -> None:
         raft = replica.raft
-        # Those on absent nodes first.  Danger: the last two would be one that is there and one that is not.
+        # Replicas on absent nodes are removed first.  Otherwise the last two voters could be one present and one absent,
+        # and the group would have no quorum.
         others = sorted(
             (member for member in raft.configuration.members if member != raft.replica_id),
             key=lambda member: replica.find_node(member) in cluster.present,
@@ -258,9 +259,9 @@
             replica.change_configuration(without_replica(raft.configuration, others[0]))
 
     def abandon_group(self, group: str) -> None:
-        """Remove the replica that is here, and answer queries of others that the group is dissolved.
+        """Remove this node's replica, and answer membership queries of others that they were removed.
 
-        Danger: what only this replica holds is lost; it is for groups that promise nothing any more.
+        Entries that only this replica holds are lost, so this is only for groups whose data is no longer needed.
         """
         self._local.disk.add_dissolved(group)
-        self._local.remove(group, "nobody needs it any more")
+        self._local.remove(group, "its group was dissolved")
--- a/martenstep/replication/replica.py
+++ b/martenstep/replication/replica.py
@@ -1,8 +1,8 @@
-"""One replica of a group as it runs: the Raft node, its disk, its transport and the state machine of the group.
+"""One running replica of a group: the Raft node, its disk, its transport and the group's state machine.
 
-Writes are made by a thread, one sync for all that came together (group commit); what the Raft node promised on them
-is sent only once they are durable.  A write that fails halts the replica: it sends nothing more until it is started
-again, and the group goes on without it.  Snapshots are made by a child process: the loop does not wait for them.
+A thread performs the writes, with one sync for all writes queued so far (group commit).  Votes and acknowledgements
+that depend on a write are sent only once it is durable.  A failed write halts the replica: it sends nothing until it is
+restarted, and the group continues without it.  A child process makes snapshots, so that the event loop does not wait.
 """
 
 from __future__ import annotations
@@ -32,38 +32,38 @@
 from martenstep.replication.replica_storage import MAX_ENTRY_BYTES, ReplicaStorage
 from martenstep.replication.transport import ReplicaChannel, Transport
 
-SNAPSHOT_INTERVAL_ENTRIES = 10_000  # applied since the last snapshot
-READ_TIMEOUT_S = 1.0  # for a lease
-CommandResult: TypeAlias = Any  # of a state machine; who proposes a command knows its type
+SNAPSHOT_INTERVAL_ENTRIES = 10_000  # entries applied since the last snapshot
+READ_TIMEOUT_S = 1.0  # for a leader to obtain a lease
+CommandResult: TypeAlias = Any  # the type depends on the state machine
 
 
 class StateMachine(Protocol):
-    """What entries feed: the same entries in the same order make the same state."""
+    """The deterministic state of a group: the same entries in the same order produce the same state."""
 
     def apply(self, data: bytes) -> CommandResult:
-        """Apply one command; gives its result, for who proposed it."""
+        """Apply one command; returns its result for the proposer."""
 
     def snapshot(self) -> bytes:
-        """All of the state."""
+        """Return the whole state, encoded."""
 
     def restore(self, body: bytes) -> None:
-        """Put a snapshot in place of the state."""
+        """Replace the state by a snapshot."""
 
 
 def now_ms() -> float:
-    """The machine's monotonic clock."""
+    """Return the machine's monotonic clock in ms."""
     return time.monotonic() * 1000
 
 
 @dataclass(slots=True)
 class _Proposal:
-    """A command of this replica that is not committed yet."""
+    """A command proposed here that is not committed yet."""
 
     term: int
     result: asyncio.Future[CommandResult]
 
     def fail(self, reason: str) -> None:
-        """Whether it will be committed is not known here."""
+        """Report that the command may or may not be committed."""
         if not self.result.done():
             self.result.set_exception(IndeterminateError(reason))
 
@@ -71,11 +71,11 @@
 class Replica:
     """One replica.
 
-    `bootstrap` is the group as it began; `find_node` tells which node a replica is on, without it the group's own
-    configuration does.
+    `bootstrap` is the group's first configuration.  `find_node` returns the node of a replica; without it, the group's
+    configuration is used.
     """
 
-    def __init__(  # noqa: PLR0913 (puts the parts together)
+    def __init__(  # noqa: PLR0913 (combines all parts)
         self,
         group: str,
         storage: ReplicaStorage,
@@ -86,7 +86,7 @@
         settings: RaftSettings | None = None,
         find_node: Callable[[int], str | None] | None = None,
     ) -> None:
-        """Restore the state machine from what the storage holds."""
+        """Restore the state machine and the Raft node from the storage."""
         self.group = group
         self.storage = storage
         self.state_machine = state_machine
@@ -101,14 +101,14 @@
         self._queued_writes: list[DurableWrite] = []
         self._writes_queued = asyncio.Event()
         self._writer: asyncio.Task[None] | None = None
-        self._disk_verified_by: int | None = None  # the write that makes the end of a recovery durable
-        self._timer: asyncio.TimerHandle | None = None  # of the Raft node
-        self._changed = asyncio.Event()  # of the Raft node's state
-        self._snapshot: BackgroundSnapshot | None = None  # that is being made
+        self._disk_verified_by: int | None = None  # write that makes the result of a recovery durable
+        self._timer: asyncio.TimerHandle | None = None  # next timer of the Raft node
+        self._changed = asyncio.Event()  # set, then replaced, whenever actions were processed
+        self._snapshot: BackgroundSnapshot | None = None  # in progress
         self._compacting: asyncio.Task[None] | None = None
 
     def _restore(self, bootstrap: Configuration, settings: RaftSettings) -> RaftNode:
-        """The Raft node and the state machine's state, as they are stored."""
+        """Restore the state machine's state from the storage, and return the Raft node."""
         storage = self.storage
         stored = storage.read_state()
         if stored.snapshot is not None:
@@ -117,22 +117,22 @@
         return RaftNode(storage.replica_id, stored, bootstrap, settings, rng, now_ms(), storage.disk_verified)
 
     def start(self) -> None:
-        """Take part in the group."""
+        """Start to take part in the group."""
         self._channel = self._transport.open(self.group, self.raft.replica_id, self._find_node, self._receive)
         self._writer = asyncio.get_running_loop().create_task(self._write_forever())
         self._process_actions()
 
     @property
-    def contacted_nodes(self) -> set[str]:
-        """The nodes that other replicas of the group spoke from."""
-        return set(self._channel.contacted_nodes.values()) if self._channel is not None else set()
+    def sender_nodes(self) -> set[str]:
+        """The nodes from which other replicas of the group have sent messages."""
+        return set(self._channel.sender_nodes.values()) if self._channel is not None else set()
 
     def find_node(self, replica: int) -> str | None:
-        """The node that a replica of the group is on, as far as is known here."""
+        """Return the node of a replica of the group; None if it is not known here."""
         return self.raft.find_node(replica)
 
     async def stop(self) -> None:
-        """End.  Leadership is not handed over: `transfer_leadership` does that before."""
+        """Stop.  Leadership is not transferred; call `transfer_leadership` before if it should be."""
         if self._timer is not None:
             self._timer.cancel()
         if self._channel is not None:
@@ -143,33 +143,34 @@
             await asyncio.gather(self._compacting, return_exceptions=True)
         self._writes_queued.set()
         if self._writer is not None:
-            # Not cancelled.  Danger: the thread would write on, its witness too, in folders that the next start holds.
+            # The writer is not cancelled: its thread would continue to write the log and the witness in folders that
+            # the next start may have locked by then.
             await asyncio.gather(self._writer, return_exceptions=True)
-        self._fail_proposals("this replica ended")
+        self._fail_proposals("this replica stopped")
 
-    # What users of the group ask.
+    # Requests by users of the group.
 
     async def propose(self, data: bytes) -> CommandResult:
-        """The state machine's result, once the command is committed.
+        """Propose a command; returns the state machine's result once it is committed.
 
         Raises NotLeaderError, IndeterminateError, ValueError.
         """
         return await self.submit(data)
 
     def submit(self, data: bytes) -> asyncio.Future[CommandResult]:
-        """The state machine's result, once the command is committed, or IndeterminateError.
+        """Propose a command; the future gets the result once it is committed, or IndeterminateError.
 
         Raises NotLeaderError, ValueError at once.
         """
         if len(data) > MAX_ENTRY_BYTES:
-            raise ValueError(f"an entry has at most {MAX_ENTRY_BYTES} bytes, this one {len(data)}")
+            raise ValueError(f"an entry may have at most {MAX_ENTRY_BYTES} bytes, this one has {len(data)}")
         index = self.raft.propose(data, replicate=False)
         if index is None:
             raise NotLeaderError(self.raft.leader)
         loop = asyncio.get_running_loop()
         result: asyncio.Future[CommandResult] = loop.create_future()
         self._proposals[index] = _Proposal(self.raft.term, result)
-        if not self._replication_scheduled:  # all that is proposed in this turn of the loop goes in one message
+        if not self._replication_scheduled:  # one message carries all proposals of this loop iteration
             self._replication_scheduled = True
             loop.call_soon(self._replicate)
         return result
@@ -180,7 +181,7 @@
         self._process_actions()
 
     async def confirm_leadership(self) -> None:
-        """Return once the state machine misses nothing that was committed before this was asked.
+        """Return once the state machine has applied everything that was committed before this call.
 
         Raises NotLeaderError.
         """
@@ -194,13 +195,13 @@
             raise NotLeaderError(None) from None
 
     def change_configuration(self, configuration: Configuration) -> bool:
-        """Put a configuration with one voter more or less in place; False where that may not be now."""
+        """Propose a configuration that adds or removes at most one voter; False if it is not allowed now."""
         changed = self.raft.change_configuration(configuration)
         self._process_actions()
         return changed
 
     def transfer_leadership(self, to: int | None = None) -> bool:
-        """Let another replica lead; False where none can."""
+        """Start handing leadership to another replica; False if there is none that could lead."""
         transferring = self.raft.transfer_leadership(now_ms(), to)
         self._process_actions()
         return transferring
@@ -216,13 +217,13 @@
         self._process_actions()
 
     def _process_actions(self) -> None:
-        """Carry out what the Raft node wants, and wait for its next timer."""
+        """Carry out the Raft node's actions, and schedule its next timer."""
         raft = self.raft
         while raft.actions:
             actions, raft.actions = raft.actions, []
             for action in actions:
                 self._process(action)
-            # The state machine holds all that is applied now, and no write of before is left behind.
+            # All actions are processed: the state machine is at the commit index, and all writes before it are queued.
             if raft.commit_index - raft.snapshot_index >= SNAPSHOT_INTERVAL_ENTRIES:
                 self._start_snapshot(raft.commit_index)
         if raft.disk_verified and not self.storage.disk_verified and self._disk_verified_by is None:
@@ -250,13 +251,13 @@
             self._role_changed(action)
 
     def _apply(self, entry: LogEntry) -> None:
-        """Apply a committed entry, and answer who proposed it here."""
+        """Apply a committed entry, and complete its proposal if it was proposed here."""
         result = self.state_machine.apply(entry.data) if entry.kind is EntryKind.COMMAND else None
         proposal = self._proposals.pop(entry.index, None)
         if proposal is None:
             return
         if proposal.term != entry.term:
-            proposal.fail("another entry is committed at its index: it is not")
+            proposal.fail("an entry of another term was committed at its index")
         elif not proposal.result.done():
             proposal.result.set_result(result)
 
@@ -264,7 +265,7 @@
         fields = {"group": self.group, "role": change.role.value, "term": change.term, "leader": change.leader}
         self._log_event("replica role changed", fields)
         if change.role is not Role.LEADER:
-            self._fail_proposals("this replica leads no more")  # whether they are committed, the next leader knows
+            self._fail_proposals("this replica is no longer the leader")  # the next leader may still commit them
 
     def _fail_proposals(self, reason: str) -> None:
         for proposal in self._proposals.values():
@@ -274,7 +275,7 @@
     # Snapshots.
 
     def _start_snapshot(self, index: int) -> None:
-        """Begin a snapshot of the state machine as it is now, in place of all entries up to `index`."""
+        """Start a snapshot of the state machine's current state, to replace all entries up to `index`."""
         if self._compacting is not None or self._stopping:
             return
         try:
@@ -289,9 +290,9 @@
         body = await snapshot.result()
         self._compacting = self._snapshot = None
         if body is None:
-            self._log_snapshot_failed("its process failed")
+            self._log_snapshot_failed("the snapshot process failed")
         elif not self._stopping and not self.raft.halted:
-            self.raft.compact(index, body)  # where another snapshot was installed meanwhile, that one stays
+            self.raft.compact(index, body)  # has no effect if a later snapshot was installed meanwhile
             self._process_actions()
 
     def _log_snapshot_failed(self, error: str) -> None:
@@ -300,7 +301,7 @@
     # Writes.
 
     async def _write_forever(self) -> None:
-        """Write what is queued, until this replica stops or a write fails."""
+        """Perform queued writes until this replica stops or a write fails."""
         while not self._stopping:
             await self._writes_queued.wait()
             self._writes_queued.clear()
@@ -324,7 +325,7 @@
         self._process_actions()
 
     def _halt(self, error: OSError) -> None:
-        """Promise nothing any more, after a write that failed."""
+        """Halt the replica after a failed write."""
         self._log_event("replica halted", {"group": self.group, "error": str(error)})
         self.raft.write_failed()
         self._role_changed(RoleChanged(Role.FOLLOWER, self.raft.term, None))
--- a/martenstep/replication/replica_manager.py
+++ b/martenstep/replication/replica_manager.py
@@ -1,14 +1,14 @@
-"""All replicas of one node: which it holds, what other nodes say of them, and the repair of the groups that it leads.
+"""All replicas of one node: holding them, handling messages of other nodes, and repairing the groups that it leads.
 
-Groups begin at the bootstrap members that the settings name by their disks, once: a disk that was emptied is not a
-bootstrap member's any more, and what its folders held is never begun again under the old identities.  From then on each
-group's leader moves replicas to where they should be (`repair`): it asks a node to create one, takes it in as a
-learner, promotes it once it has caught up, and removes a lost one after.
+Groups are bootstrapped once, on the bootstrap members that the settings name by their disks.  A disk that was emptied
+no longer belongs to a bootstrap member, and its replicas are never recreated under their old identities.  After the
+bootstrap each group's leader moves replicas to the desired nodes (`repair`): it asks a node to create a replica, adds
+that as a learner, promotes it once it has caught up, and then removes a lost one.
 
-A message of a node (`node_messages`) only saves time, but for one thing: that a replica was removed, and is deleted
-with its disk.  That rests on the index of a committed configuration that does not have it.  A replica is never taken in
-again once it was removed (a node that held one creates another), and votes only once it holds the entry that took it
-in, so an older message, from whatever buffer, cannot delete a replica that votes.
+Messages between nodes (`node_messages`) only save time, with one exception: a replica that was removed from its group
+is deleted with its disk.  Such a message carries the index of a committed configuration without the replica.  A removed
+replica is never added again (its node creates another one), and a replica votes only once it holds the entry that added
+it.  Therefore an old message, however long it was buffered, cannot delete a replica that votes.
 """
 
 from __future__ import annotations
@@ -42,21 +42,21 @@
 from martenstep.tasks import BackgroundTasks
 
 REPAIR_INTERVAL_S = 0.25
-NOT_FOUND_INTERVAL_MS = 1000.0  # between two ReplicaNotFound of one replica
-MAX_NOT_FOUND_TIMES = 1000  # that are remembered
+NOT_FOUND_INTERVAL_MS = 1000.0  # between two ReplicaNotFound messages about one replica
+MAX_NOT_FOUND_TIMES = 1000  # sending times that are kept
 LONG_AGO_MS = -1e9
-MAX_INDEX = 1 << 62  # beyond any
+MAX_INDEX = 1 << 62  # greater than any index of a log
 
 
 class ReplicaManager:
     """One node's replicas.
 
-    `make_state_machine` makes the state of a group from its name; `cluster_nodes` are those that the membership knows.
-    `is_own_group` selects the groups that are held beside those of the settings, each begun by one node alone;
-    `preferred_node` gives the node that should hold a group in any case, and lead it.
+    `make_state_machine` creates a group's state machine from its name; `cluster_nodes` returns the nodes of the
+    membership.  `is_own_group` selects groups that may be held in addition to those of the settings, each created by
+    one node as its sole member; `preferred_node` returns the node that should always hold and lead a group.
     """
 
-    def __init__(  # noqa: PLR0913 (puts the parts together)
+    def __init__(  # noqa: PLR0913 (combines all parts)
         self,
         node: str,
         folder: Path,
@@ -69,7 +69,7 @@
         is_own_group: Callable[[str], bool] = lambda group: False,
         preferred_node: Callable[[str], str | None] = lambda group: None,
     ) -> None:
-        """Put the parts together; nothing is read before `start`."""
+        """Create the parts; nothing is read before `start`."""
         self.node = node
         self.replication = replication
         self._is_own_group = is_own_group
@@ -93,16 +93,16 @@
         self._repairing: asyncio.Task[None] | None = None
         self._not_found_sent_at: dict[tuple[str, int], float] = {}  # by group and replica
 
-    # Begin and end.
+    # Start and stop.
 
     async def start(self, transport: Transport) -> None:
-        """Open what is stored here, and bootstrap what is to be.  Raises ReplicaManagerError, LockedError, OSError."""
+        """Open the stored replicas and bootstrap groups.  Raises ReplicaManagerError, LockedError, OSError."""
         self._transport = transport
         await self.local.start(transport)
         self._repairing = asyncio.get_running_loop().create_task(self._repair_forever())
 
     async def stop(self) -> None:
-        """Let other nodes lead, then end all replicas."""
+        """Transfer leadership to other nodes, then stop all replicas."""
         if self._repairing is not None:
             self._repairing.cancel()
         await self.local.stop()
@@ -116,40 +116,40 @@
             await asyncio.sleep(REPAIR_INTERVAL_S)
             try:
                 self.repair.run(now_ms())
-            except Exception as error:  # one group's failure must not end the repair of all others
+            except Exception as error:  # an error in one group must not stop the repair of all others
                 self._log_event("fault", {"where": "copies", "error": repr(error)})
 
     # The replicas.
 
     def groups(self) -> list[str]:
-        """The groups of which a replica is here."""
+        """Return the groups that have a replica on this node."""
         return self.local.groups()
 
     def replica(self, group: str) -> Replica | None:
-        """The replica of a group that is here."""
+        """Return this node's replica of a group; None if there is none."""
         return self.local.replica(group)
 
     def latest_own_group(self) -> str:
-        """The latest group that this node began alone; empty where there is none."""
+        """Return the latest group that this node created as its sole member; empty if there is none."""
         return self.local.disk.latest_own_group
 
     async def create_own_group(self, group: str) -> Replica | None:
-        """Begin a group whose name was never used; other replicas are taken in as in any group."""
+        """Create a group under a new name; other replicas are added as in any group."""
         return await self.local.create_own_group(group)
 
     def dissolve_group(self, group: str) -> None:
-        """Nobody needs a group any more that is led here: its replicas are removed one by one, this one last."""
+        """Remove the replicas of a group that is led here one by one, this node's replica last."""
         self.repair.dissolve_group(group)
 
     def abandon_group(self, group: str) -> None:
-        """Remove the replica that is here, and answer queries of others that the group is dissolved.
+        """Remove this node's replica, and answer membership queries of others that they were removed.
 
-        Danger: what only this replica holds is lost.
+        Entries that only this replica holds are lost.
         """
         self.repair.abandon_group(group)
 
     def transfer_leadership(self, group: str, to: str) -> bool:
-        """Let the replica on another node lead a group that is led here; False where there is none."""
+        """Start handing leadership of a group that is led here to a voter on another node; False if there is none."""
         replica = self.replica(group)
         if replica is None or replica.raft.role is not Role.LEADER:
             return False
@@ -160,18 +160,18 @@
         successor = next(successors, None)
         return successor is not None and replica.transfer_leadership(successor)
 
-    # What is known of nodes and groups.
+    # Views of nodes and groups.
 
     def lost_nodes(self) -> set[str]:
-        """Nodes that are absent for so long that they count as lost."""
+        """Return the nodes that have been absent for so long that they count as lost."""
         return self.repair.lost_nodes()
 
     def desired_nodes(self, group: str) -> list[str]:
-        """Where a group should be, as this node sees it, whichever nodes hold it."""
+        """Return the nodes that should hold a group according to this node's view."""
         return self.repair.desired_nodes(group)
 
     def led_groups(self) -> list[LedGroup]:
-        """The groups that are led here."""
+        """Return the groups that are led here."""
         return list_led_groups(self.local, self.repair, self.replication.replication_factor)
 
     @property
@@ -180,31 +180,31 @@
         return self.local.counts
 
     def gauges(self) -> dict[str, float]:
-        """Gauges for metrics, by name."""
+        """Return gauges for metrics, by name."""
         return build_gauges(self.local, self.repair, self.replication.replication_factor)
 
     def view(self) -> dict[str, Any]:
-        """The replicas that are here, as the admin page has them."""
+        """Return the admin page's view of this node's replicas."""
         return build_page(self.node, self.local, self.repair, self.replication.replication_factor)
 
     # Requests to leaders.
 
     @property
     def leader_handlers(self) -> dict[str, LeaderHandler]:
-        """Who answers requests to the leader of a group, where that is here."""
+        """Handlers, by group, of requests to the leader when the leader is on this node."""
         return self._requests.handlers
 
     async def request_leader(self, group: str, data: bytes, timeout_s: float) -> bytes:
-        """The answer of a group's leader, wherever that is.
+        """Return the answer of a group's leader, on whichever node it is.
 
-        Raises LeaderUnreachableError where none came in time; whether the request was acted on is then not known.
+        Raises LeaderUnreachableError if none arrived in time; the request may or may not have been executed.
         """
         return await self._requests.request(group, data, timeout_s)
 
-    # What other nodes send.
+    # Messages of other nodes.
 
     def receive(self, node: str, group: str, replica: int, message: NodeMessage) -> None:
-        """Handle a message of another node about a group."""
+        """Handle a message from another node about a group."""
         if isinstance(message, LeaderRequest):
             self._requests.handle_request(node, group, message)
         elif isinstance(message, LeaderResponse):
@@ -221,7 +221,7 @@
             self.repair.replica_created(node, group, message.replica)
 
     def _handle_create(self, node: str, group: str, message: CreateReplica) -> None:
-        """Tell which replica is here, or create one."""
+        """Report which replica this node holds, or create one."""
         replica = self.replica(group)
         if replica is None:
             if self.local.is_open and self._may_hold(group) and not self.local.is_busy(group):
@@ -231,7 +231,7 @@
         if raft.replica_id in message.members or not raft.last_index:
             self._send_created(node, replica)
         elif raft.configuration_index < message.configuration_index:
-            self.local.remove(group, f"{node} leads the group without it, and asks for another")
+            self.local.remove(group, f"node {node} reports a later configuration without it and requests another")
 
     def _may_hold(self, group: str) -> bool:
         return group in self.replication.groups or self._is_own_group(group)
@@ -241,15 +241,15 @@
         self._running_transport().send_to_node(node, replica.group, message)
 
     def _handle_removed(self, node: str, group: str, message: RemovedFromGroup) -> None:
-        """Delete a replica that a later configuration does not have."""
+        """Delete a replica that a later configuration does not contain."""
         replica = self.replica(group)
         if replica is None or replica.raft.replica_id != message.replica:
             return
         if replica.raft.configuration_index < message.configuration_index:
-            self.local.remove(group, f"{node} leads the group without it")
+            self.local.remove(group, f"node {node} reports a later configuration without it")
 
     def _handle_membership_query(self, node: str, group: str, message: MembershipQuery) -> None:
-        """Tell a replica that it was removed, where that is known."""
+        """Tell a replica that it was removed, if this node can be certain of that."""
         replica = self.replica(group)
         if replica is None:
             if group in self.local.disk.dissolved_groups:
@@ -264,7 +264,7 @@
         self._running_transport().send_to_node(node, group, message)
 
     def report_unknown_replica(self, node: str, group: str, source: int, target: int) -> None:
-        """Answer a message for a replica that is not here, at most once in an interval."""
+        """Answer a message for a replica that is not on this node, at most once per interval."""
         now = now_ms()
         sent_at = self._not_found_sent_at.get((group, target), LONG_AGO_MS)
         if not self.local.is_open or self.local.is_busy(group) or sent_at > now - NOT_FOUND_INTERVAL_MS:
--- a/martenstep/replication/replica_storage.py
+++ b/martenstep/replication/replica_storage.py
@@ -1,11 +1,13 @@
-"""What a replica keeps on its disk, and how it knows that the disk is as it left it.
+"""The state that a replica stores, and the check that its disk is in the state in which the replica left it.
 
-On the log of `storage`: each durable write of the Raft node is one or more records, read back in order; a snapshot of
-the whole state bounds the log.  Records of one write that a crash cuts apart promise nothing: what answers a write
-leaves only once all of it is durable.
+The state is stored in a log (`martenstep.storage.log`).  Each durable write of the Raft node becomes one or more
+records, which a start reads back in order; a snapshot of the whole state bounds the log's length.  A crash may keep
+only some records of a write.  That breaks no promise, because messages that depend on a write are sent only once all of
+it is durable.
 
-A start whose log holds fewer records than the witness knows of, or that finds no witness, cannot verify its disk; it
-removes the witness, so that neither can the next start, until the Raft node has recovered (`confirm_disk`).
+A start cannot verify the disk if the log holds fewer records than the witness has recorded, or if there is no witness.
+It then removes the witness, so that later starts cannot verify the disk either until the Raft node has recovered
+(`confirm_disk`).
 """
 
 from __future__ import annotations
@@ -24,13 +26,13 @@
 
 IDENTITY_FILE = "copy.json"
 SEGMENT_BYTES = 4 << 20
-MAX_RECORD_BYTES = 96 << 10  # of the entries of one record: below what the log takes for damage
-MAX_ENTRY_BYTES = 64 << 10  # of one entry's data: more is rejected where it is proposed
-IDENTITY_BITS = 53  # whole numbers that every JSON reader keeps
+MAX_RECORD_BYTES = 96 << 10  # size of the entries of one record; stays below the longest record that the log accepts
+MAX_ENTRY_BYTES = 64 << 10  # size of one entry's data; a larger proposal is rejected
+IDENTITY_BITS = 53  # integers that every JSON reader represents exactly
 
 
 class WriteRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One durable write, or a part of it."""
+    """The record of one durable write, or of a part of it."""
 
     term: int
     voted_for: int | None
@@ -40,7 +42,7 @@
 
 
 class StateImage(msgspec.Struct, array_like=True, frozen=True):
-    """The whole state, as a snapshot of the log of records has it."""
+    """The whole state of a replica, the content of a snapshot file of the log."""
 
     term: int
     voted_for: int | None
@@ -50,7 +52,7 @@
 
 
 class ReplicaIdentity(msgspec.Struct):
-    """Which replica's disk this is."""
+    """The content of the identity file: the id of the replica whose disk this is."""
 
     id: int
 
@@ -61,7 +63,7 @@
 
 
 def apply_write(state: PersistentState, write: WriteRecord | DurableWrite) -> None:
-    """Change a state as a durable write says."""
+    """Apply a durable write to a state."""
     state.term, state.voted_for, state.log_floor = write.term, write.voted_for, write.log_floor
     if write.truncate_from is not None:
         state.entries = [entry for entry in state.entries if entry.index < write.truncate_from]
@@ -72,7 +74,7 @@
 
 
 def coalesce_writes(writes: list[DurableWrite]) -> list[DurableWrite]:
-    """Writes that only add entries, joined with the one before: those that are synced together need few records."""
+    """Merge writes that only add entries into the write before them, so that one sync needs fewer records."""
     groups: list[list[DurableWrite]] = []
     for write in writes:
         if groups and _can_join(groups[-1][-1], write):
@@ -95,7 +97,7 @@
 
 
 def encode_write(write: DurableWrite) -> list[bytes]:
-    """A write as records, none longer than the log takes."""
+    """Encode a write as records, none longer than the log accepts."""
     records: list[bytes] = []
     part: list[LogEntry] = []
     part_bytes, truncate_from = 0, write.truncate_from
@@ -122,16 +124,15 @@
         witness: Files | None,
         rng: random.Random,
         bootstrap_id: int | None = None,
-        alone: bool = False,
+        sole_member: bool = False,
     ) -> None:
-        """Read all that is there; raises ReplicaStorageError where it is damaged.
+        """Read the stored state; raises ReplicaStorageError if it is damaged.
 
-        An empty disk becomes a new replica: with a drawn identity, or with `bootstrap_id` where it bootstraps its
-        group.
+        An empty disk becomes a new replica, with a random identity or, if it bootstraps its group, with `bootstrap_id`.
 
-        The disk of a replica that bootstraps is not verified, unless it is `alone` in a group whose name was drawn just
-        now.  Danger: its identity follows from the settings, so a disk that was put back from before the bootstrap
-        would get it again, and with it a vote that it has given already.
+        The disk of a replica that bootstraps its group is not verified, unless the replica is the `sole_member` of a
+        group with a newly drawn name.  The identity of a bootstrap member follows from the settings: a disk that was
+        restored from before the bootstrap would get the same identity again, and could repeat a vote.
         """
         self._files = files
         self._witness = Witness(witness)
@@ -141,7 +142,7 @@
             self.replica_id = self._write_identity(
                 rng.getrandbits(IDENTITY_BITS) if bootstrap_id is None else bootstrap_id
             )
-            self.disk_verified = bootstrap_id is None or alone
+            self.disk_verified = bootstrap_id is None or sole_member
             if self.disk_verified:
                 self._write_witness()
         else:
@@ -151,34 +152,34 @@
             self._witness.remove()
 
     def _read_log(self) -> None:
-        """Read the state, and go on writing behind it; raises ReplicaStorageError."""
+        """Read the state, and open the log for writing after it; raises ReplicaStorageError."""
         try:
             opened = open_log(self._files)
             self.state = _decode_state(opened.snapshot)
             for record in opened.entries:
-                if len(record) > 1:  # the marker behind a sync has no content
+                if len(record) > 1:  # a sync marker has no content
                     apply_write(self.state, _decode_record(record))
             self._writer = LogWriter(self._files, opened, SEGMENT_BYTES)
         except LogError as error:
             raise ReplicaStorageError(str(error)) from None
         except msgspec.DecodeError as error:
-            raise ReplicaStorageError(f"a record that cannot be decoded: {error}") from None
+            raise ReplicaStorageError(f"cannot decode a record or a snapshot of the log: {error}") from None
 
     def _read_identity(self) -> int | None:
-        """The identity of the disk; None where it is empty."""
+        """Read the identity of the disk; None if the disk is empty."""
         if IDENTITY_FILE in self._files.names():
             try:
                 return msgspec.json.decode(self._files.read(IDENTITY_FILE), type=ReplicaIdentity).id
             except msgspec.DecodeError as error:
-                raise ReplicaStorageError(f"{IDENTITY_FILE}: {error}") from None
+                raise ReplicaStorageError(f"cannot decode {IDENTITY_FILE}: {error}") from None
         if self.state.term or self.state.entries or self.state.snapshot is not None:
             raise ReplicaStorageError(
-                f"{IDENTITY_FILE} is missing beside a log that promises something: empty the disk to join anew"
+                f"{IDENTITY_FILE} is missing although the log is not empty: empty the disk to join as a new replica"
             )
         return None
 
     def _write_identity(self, replica_id: int) -> int:
-        """Write the identity of a new replica, once, before its first record."""
+        """Write the identity of a new replica; called once, before its first record."""
         self._files.write_atomically(IDENTITY_FILE, msgspec.json.encode(ReplicaIdentity(replica_id)))
         return replica_id
 
@@ -186,15 +187,15 @@
         self._witness.write(self.replica_id, self._writer.synced)
 
     def confirm_disk(self) -> None:
-        """The Raft node has recovered, or an operator confirmed the disk, and what came of that is durable."""
+        """Mark the disk as verified, after a recovery or an operator's confirmation whose result is durable."""
         if not self.disk_verified:
             self.disk_verified = True
             self._write_witness()
 
     def write(self, writes: list[DurableWrite]) -> None:
-        """Make writes durable, in order, with one sync, and then mark the witness.
+        """Make writes durable, in order, with one sync, and then update the witness.
 
-        Raises OSError: call the Raft node's `write_failed` then.
+        Raises OSError; the caller must then call the Raft node's `write_failed`.
         """
         records: list[bytes] = []
         for write in coalesce_writes(writes):
@@ -207,7 +208,7 @@
             self._write_witness()
 
     def _write_snapshot(self) -> None:
-        """Put an image of the state in place of the records so far."""
+        """Write a snapshot of the whole state, and remove the records that it replaces."""
         state = self.state
         image = StateImage(state.term, state.voted_for, state.log_floor, state.snapshot, state.entries)
         write_snapshot(self._files, self._writer.synced, _encode(image))
@@ -218,7 +219,7 @@
         self._writer.close()
 
     def read_state(self) -> PersistentState:
-        """The stored state, as a copy."""
+        """Return a copy of the stored state."""
         return replace(self.state, entries=list(self.state.entries))
 
 
--- a/martenstep/replication/replica_views.py
+++ b/martenstep/replication/replica_views.py
@@ -1,6 +1,6 @@
-"""What operators and other parts are shown of the replicas of a node: the admin page, gauges, the state of led groups.
+"""Views of a node's replicas for operators and other packages: the admin page, gauges, and the state of led groups.
 
-The keys of the page and the names of the gauges are older than the names in the code, and stay.
+The keys of the page and the names of the gauges differ from the names in the code, and stay for compatibility.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from martenstep.replication.repair import GroupRepair
 from martenstep.replication.replica import Replica
 
-MAX_CAUGHT_UP_LAG_ENTRIES = 1000  # that a replica may be behind and still count as caught up
+MAX_CAUGHT_UP_LAG_ENTRIES = 1000  # greatest lag of a replica that counts as caught up
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,11 +22,11 @@
 
     group: str
     nodes: list[str]  # of its voters
-    healthy: bool  # all voters are there and have caught up
+    healthy: bool  # all voters are present and have caught up
 
 
 def build_page(node: str, local: LocalReplicas, repair: GroupRepair, replication_factor: int) -> dict[str, Any]:
-    """The replicas that are here, as the admin page has them."""
+    """Return the admin page's view of this node's replicas."""
     present = repair.observe().present
     replicas = sorted((each.replica for each in local), key=lambda replica: replica.group)
     return {
@@ -70,7 +70,7 @@
 
 
 def build_gauges(local: LocalReplicas, repair: GroupRepair, replication_factor: int) -> dict[str, float]:
-    """Gauges for metrics, by name."""
+    """Return gauges for metrics, by name."""
     present = repair.observe().present
     replicas = [each.replica for each in local]
     leading = [replica for replica in replicas if replica.raft.role is Role.LEADER]
@@ -95,7 +95,7 @@
 
 
 def list_led_groups(local: LocalReplicas, repair: GroupRepair, replication_factor: int) -> list[LedGroup]:
-    """The groups that are led here."""
+    """Return the groups that are led here."""
     present = repair.observe().present
     led = []
     for each in local:
--- a/martenstep/replication/settings.py
+++ b/martenstep/replication/settings.py
@@ -1,4 +1,4 @@
-"""The part of the settings and of the membership that replication needs."""
+"""The parts of the settings and of the membership that replication needs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterNode:
-    """A machine of the fleet, as the membership holds it."""
+    """A machine of the fleet in the view of the membership."""
 
     name: str
     zone: str
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BootstrapMember:
-    """A node that holds the groups first, and the disk that it must have."""
+    """A node that holds the groups at their bootstrap, and the id of the disk that it must have."""
 
     node: str
     disk_id: int
@@ -29,4 +29,4 @@
     groups: tuple[str, ...]
     bootstrap_members: tuple[BootstrapMember, ...]
     replication_factor: int = 3
-    node_lost_after_ms: float = 600_000.0  # a node that is absent for so long counts as lost
+    node_lost_after_ms: float = 600_000.0  # a node that is absent for this long counts as lost
--- a/martenstep/replication/transport.py
+++ b/martenstep/replication/transport.py
@@ -1,13 +1,13 @@
 """Streams between nodes that hold replicas.
 
-There is one connection for each direction of a pair of nodes, for all groups, opened by the sender, and opened again
-when it breaks.
+Each direction between two nodes has one connection for all groups.  The sender opens it, and reopens it when it breaks.
 
-The server greets with a nonce; the client answers with its own and a Hello.  A node that is not the one that is meant
-closes.  A replica is its disk: a message for a replica that is not here is dropped, and `on_unknown_replica` is called.
+The server sends a nonce; the client answers with its own nonce and a Hello.  The server closes the connection if the
+Hello names another node or cluster.  A replica is identified by its disk: a message for a replica that is not on this
+node is dropped, and `on_unknown_replica` is called.
 
-What cannot be sent at once waits in a bounded queue.  Messages may be lost, as on any network: Raft sends again what
-matters.
+Messages that cannot be sent at once wait in a bounded queue.  Messages may be lost, as on any network; Raft resends
+those that matter.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
 MIN_RECONNECT_MS = 50.0
 MAX_RECONNECT_MS = 1000.0
 Address = tuple[str, int]
-FindNode = Callable[[int], str | None]  # the node that a replica is on
-DeliverMessage = Callable[[int, RaftMessage], None]  # is given the sending replica and its message
+FindNode = Callable[[int], str | None]  # returns the node of a replica
+DeliverMessage = Callable[[int, RaftMessage], None]  # receives the sending replica and its message
 
 
 class ReplicaChannel:
@@ -50,29 +50,29 @@
     def __init__(
         self, transport: Transport, group: str, replica: int, find_node: FindNode, deliver: DeliverMessage
     ) -> None:
-        """`deliver` is given the messages to this replica."""
+        """`deliver` receives the messages to this replica."""
         self.group = group
         self.replica = replica
         self.deliver = deliver
-        self.contacted_nodes: dict[int, str] = {}  # nodes of replicas that no configuration has yet
+        self.sender_nodes: dict[int, str] = {}  # last node that each replica sent from
         self._transport = transport
         self._find_node = find_node
 
     def send(self, to: int, message: RaftMessage) -> None:
-        """Send to another replica of the group; lost where its node is not known."""
-        node = self._find_node(to) or self.contacted_nodes.get(to)
+        """Send to another replica of the group; the message is dropped if its node is not known."""
+        node = self._find_node(to) or self.sender_nodes.get(to)
         if node is not None:
             self._transport.send(node, Envelope(self.group, self.replica, to), encode(message))
 
     def close(self) -> None:
-        """Deliver nothing more."""
+        """Stop receiving messages."""
         self._transport.remove_channel(self)
 
 
 class Transport:
-    """One node's connections."""
+    """One node's connections to and from other nodes."""
 
-    def __init__(  # noqa: PLR0913 (puts the parts together)
+    def __init__(  # noqa: PLR0913 (combines all parts)
         self,
         cluster: str,
         node: str,
@@ -81,10 +81,10 @@
         on_node_message: Callable[[str, str, int, NodeMessage], None] = lambda node, group, replica, message: None,
         on_unknown_replica: Callable[[str, str, int, int], None] = lambda node, group, source, target: None,
     ) -> None:
-        """`find_address` gives the present address of a node.
+        """`find_address` returns the current address of a node.
 
-        `on_node_message` is given what nodes send to each other (node, group, replica, message); `on_unknown_replica`
-        is called for a message to a replica that is not here (node, group, source, target).
+        `on_node_message` receives messages between nodes (node, group, replica, message); `on_unknown_replica` is
+        called for a message to a replica that is not on this node (node, group, source, target).
         """
         self._cluster = cluster
         self._node = node
@@ -99,7 +99,7 @@
         self.counts: Counter[str] = Counter()  # shown as metrics under these names
 
     async def start(self, host: str, port: int) -> int:
-        """Bind; gives the port."""
+        """Listen for connections; returns the port."""
         self._server = await asyncio.start_server(self._serve, host, port)
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -114,23 +114,23 @@
             task.cancel()
 
     def open(self, group: str, replica: int, find_node: FindNode, deliver: DeliverMessage) -> ReplicaChannel:
-        """Open the channel of a replica, one for each group; `deliver` is given what others send to it."""
+        """Open the channel of a replica, one per group; `deliver` receives the messages to it."""
         channel = self._channels[group] = ReplicaChannel(self, group, replica, find_node, deliver)
         return channel
 
     def remove_channel(self, channel: ReplicaChannel) -> None:
-        """A replica is here no more."""
+        """Remove a replica's channel, unless it was replaced by another one of its group."""
         if self._channels.get(channel.group) is channel:
             del self._channels[channel.group]
 
     # Sending.
 
     def send_to_node(self, node: str, group: str, message: NodeMessage, replica: int = 0) -> None:
-        """Send to a node, about a group or one replica there."""
+        """Send a message to a node about a group or one of its replicas."""
         self.send(node, Envelope(group, replica, 0), encode_node_message(message))
 
     def send(self, node: str, envelope: Envelope, message: bytes) -> None:
-        """Send as soon as may be; lost where the queue is full or the connection breaks."""
+        """Queue a message for sending; it may be lost when the queue is full or the connection breaks."""
         queue = self._queues.get(node)
         if queue is None:
             queue = self._queues[node] = OutboundQueue()
@@ -145,7 +145,7 @@
             if address is not None:
                 with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
                     await self._connect_and_send(node, address, queue, backoff)
-            queue.clear()  # it was meant for a moment that has passed
+            queue.clear()  # messages queued while disconnected are outdated
             await asyncio.sleep(backoff.failed() / 1000)
 
     async def _connect_and_send(self, node: str, address: Address, queue: OutboundQueue, backoff: Backoff) -> None:
@@ -171,7 +171,7 @@
         queue: OutboundQueue,
         backoff: Backoff,
     ) -> None:
-        """Send what is queued, and what is added, until the other end closes: it sends nothing else."""
+        """Send all queued messages until the server closes the connection; after its nonce it sends no data."""
         loop = asyncio.get_running_loop()
         ended = loop.create_task(reader.read(1))
         try:
@@ -203,13 +203,13 @@
         except msgspec.DecodeError:
             self.counts["dropped_body"] += 1
         except (OSError, TimeoutError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # cancelled only by `stop`, and nobody waits for this task
+            pass  # the connection ended; only `stop` cancels this task, and no other task awaits it
         finally:
             self._served.discard(task)
             writer.close()
 
     async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Deliver what comes over one connection until it ends."""
+        """Deliver the messages of one connection until it ends."""
         server_nonce = secrets.token_bytes(NONCE_BYTES)
         writer.write(server_nonce)
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -224,7 +224,7 @@
             self._deliver(hello.source, body)
 
     def _deliver(self, node: str, body: bytes) -> None:
-        """Deliver one frame's message; raises msgspec.DecodeError."""
+        """Deliver the message of one frame; raises msgspec.DecodeError."""
         envelope, message = decode_body(body)
         if not envelope.target:
             self._on_node_message(node, envelope.group, envelope.source, decode_node_message(message))
@@ -234,5 +234,5 @@
             self.counts["not_for_this_disk"] += 1
             self._on_unknown_replica(node, envelope.group, envelope.source, envelope.target)
             return
-        channel.contacted_nodes[envelope.source] = node
+        channel.sender_nodes[envelope.source] = node
         channel.deliver(envelope.source, decode_raft_message(message))
--- a/martenstep/replication/verify.py
+++ b/martenstep/replication/verify.py
@@ -1,7 +1,7 @@
-"""Verification of the stored replicas of nodes that do not run.
+"""Verification of the stored replicas of nodes that are not running.
 
-What Raft promises can be seen on the disks: two replicas of a group that hold an entry of the same index and term hold
-the same entry, and the same before it (the log matching property, thesis 3.5).
+Raft guarantees the log matching property (thesis, 3.5): if two replicas of a group hold an entry with the same index
+and term, the entry and all entries before it are the same on both.  This module checks stored entries for it.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 @dataclass(slots=True)
 class StoredReplica:
-    """One replica's folder."""
+    """The stored state of one replica, read from its folder."""
 
     group: str
     folder: Path
     replica: int = 0
     state: PersistentState = field(default_factory=PersistentState)
-    error: str = ""  # what is damaged
+    error: str = ""  # the error that was found when reading; empty if none
 
     @property
     def last_index(self) -> int:
@@ -39,14 +39,14 @@
 
     @property
     def last_position(self) -> LogPosition:
-        """How far its log goes."""
+        """Term and index of the last entry; term 0 if the log has no entries after its snapshot."""
         return LogPosition(self.state.entries[-1].term if self.state.entries else 0, self.last_index)
 
 
 def read_folder(directory: Path) -> list[StoredReplica]:
-    """The replicas below a node's folder, damaged ones with their error.
+    """Read all replicas in a node's folder; damaged ones carry their error.
 
-    Raises LockedError where a process holds one, OSError.
+    Raises LockedError if a process has locked a replica's folder, OSError.
     """
     replicas = []
     for folder in sorted((directory / GROUPS_FOLDER).iterdir()):
@@ -62,25 +62,25 @@
 
 
 def find_latest(replicas: list[StoredReplica]) -> dict[str, StoredReplica]:
-    """The sound replica of each group whose log goes furthest, by its last term and then its length.
+    """Return, by group, the undamaged replica with the most advanced log, by last term and then by last index.
 
-    A folder that was set aside (`GROUP.damaged.*`) is no replica.
+    Folders that were renamed because of damage (`GROUP.damaged.*`) are ignored.
     """
-    best: dict[str, StoredReplica] = {}
+    latest: dict[str, StoredReplica] = {}
     for stored in replicas:
         if stored.error or "." in stored.group:
             continue
-        before = best.get(stored.group)
-        if before is None or before.last_position < stored.last_position:
-            best[stored.group] = stored
-    return best
+        known = latest.get(stored.group)
+        if known is None or known.last_position < stored.last_position:
+            latest[stored.group] = stored
+    return latest
 
 
 def find_differences(replicas: list[StoredReplica]) -> list[str]:
-    """A line for each two replicas of a group that hold different entries where they must hold the same."""
-    sound = [stored for stored in replicas if not stored.error]
+    """Return a line for each pair of replicas of a group that violates the log matching property."""
+    undamaged = [stored for stored in replicas if not stored.error]
     differences = []
-    for first, second in combinations(sound, 2):
+    for first, second in combinations(undamaged, 2):
         entry = _first_difference(first, second) if first.group == second.group else None
         if entry is not None:
             differences.append(
--- a/martenstep/replication/witness.py
+++ b/martenstep/replication/witness.py
@@ -1,8 +1,9 @@
-"""The witness of a replica's disk: how much of its log was durable when it last promised something.
+"""The witness of a replica's disk: a record of how many log records were durable at the last durable write.
 
-It is a small file in another place that a copied disk does not bring along: memory that a restart of the machine clears
-(`/run`, `/dev/shm`), or better another disk.  Marks are written in turn to two slots, so that a torn one leaves the
-other.
+A replica that finds fewer records than its witness has recorded has been started from an old disk.  The witness is a
+small file in another place, which is not restored together with the disk: memory that a restart of the machine clears
+(`/run`, `/dev/shm`), or preferably another disk.  Marks are written to two slots in turn, so that a torn write leaves
+the previous mark intact.
 """
 
 from __future__ import annotations
@@ -15,27 +16,27 @@
 from martenstep.storage.files import Files
 
 WITNESS_FILE = "witness"
-WITNESS_SLOT_BYTES = 64  # far within a sector
+WITNESS_SLOT_BYTES = 64  # much smaller than a sector
 _MARK = struct.Struct(">QQQ")
 _CHECKSUM_BYTES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class WitnessMark:
-    """The content of one slot; of all marks, the one with the greatest number holds."""
+    """The content of one slot; the mark with the greatest number is the current one."""
 
     number: int
     replica: int
-    records: int  # of the replica's log that were durable
+    records: int  # number of durable records in the replica's log
 
     def encode(self) -> bytes:
-        """The mark and its CRC32C."""
+        """Encode the mark, followed by its CRC32C."""
         fields = _MARK.pack(self.number, self.replica, self.records)
         return fields + int(google_crc32c.value(fields)).to_bytes(_CHECKSUM_BYTES, "big")
 
 
 def read_witness_mark(data: bytes) -> WitnessMark | None:
-    """The latest mark of a witness's slots that is whole."""
+    """Return the latest undamaged mark in the slots of a witness file; None if there is none."""
     marks = []
     for start in (0, WITNESS_SLOT_BYTES):
         end = start + _MARK.size
@@ -46,16 +47,16 @@
 
 
 class Witness:
-    """The witness file of one replica, which a replica may lack."""
+    """The witness file of one replica; a replica may have none."""
 
     def __init__(self, files: Files | None) -> None:
-        """`files` is the directory of the witness; None: nothing is ever known."""
+        """`files` is the directory of the witness; with None, no disk is ever confirmed."""
         self._files = files
         self._mark_number = 0
-        self._written = False  # the file is there as this process wrote it
+        self._written = False  # this process has written the whole file
 
     def confirms(self, replica: int, records: int) -> bool:
-        """Whether a log of so many records holds all that the replica had made durable."""
+        """Whether a log of `records` records holds everything that the replica had made durable."""
         if self._files is None or WITNESS_FILE not in self._files.names():
             return False
         mark = read_witness_mark(self._files.read(WITNESS_FILE))
@@ -65,7 +66,7 @@
         return mark.replica == replica and mark.records <= records
 
     def remove(self) -> None:
-        """Forget all marks: the next start cannot rest on them either."""
+        """Remove the file, so that the next start cannot verify its disk by it either."""
         if self._files is not None and WITNESS_FILE in self._files.names():
             self._files.remove(WITNESS_FILE)
 
