--- a/martenstep/replication/repair.py
+++ b/martenstep/replication/repair.py
@@ -246,8 +246,8 @@
 
     def _shrink_dissolving(self, replica: Replica, cluster: ClusterView) -> None:
         raft = replica.raft
-        # Replicas on absent nodes are removed first.  Otherwise the last two voters could be one present and one absent,
-        # and the group would have no quorum.
+        # Replicas on absent nodes are removed first: with one present and one absent voter left, the group has no
+        # quorum.
         others = sorted(
             (member for member in raft.configuration.members if member != raft.replica_id),
             key=lambda member: replica.find_node(member) in cluster.present,
--- a/martenstep/storage/__init__.py
+++ b/martenstep/storage/__init__.py
@@ -1,4 +1,4 @@
-"""What is kept on a disk: the few file operations that all rests on (`files`), and a log of records (`log`).
+"""Storage on disk: the file operations that everything else uses (`files`), and a log of records (`log`).
 
-What a record means is the user's.
+The meaning of a record is defined by the user of the log.
 """
--- a/martenstep/storage/disk_faults.py
+++ b/martenstep/storage/disk_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the lab has a disk show, in processes of the program."""
+"""Injection of disk faults into the program's processes, for the lab."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 import time
 from pathlib import Path
 
-DISK_FAULTS_VARIABLE = "MARTENSTEP_DISK_FAULTS"  # of the environment: a file that is read at each operation
+DISK_FAULTS_VARIABLE = "MARTENSTEP_DISK_FAULTS"  # path of a file that is read at each operation
 
 
 class DiskFaults:
-    """Injected faults: `full`, `sync_fails`, or `sync_ms` more for each sync."""
+    """Injected faults: `full` (the disk is full), `sync_fails`, and `sync_ms` (a delay added to each sync)."""
 
     def __init__(self, file: Path) -> None:
-        """`file` is JSON, and may come and go."""
+        """`file` contains JSON; without the file there are no faults."""
         self._file = file
 
     @classmethod
     def from_environment(cls) -> DiskFaults | None:
-        """The faults that the environment names; None outside the lab."""
+        """Return the faults of the file that the environment names; None outside the lab."""
         file = os.environ.get(DISK_FAULTS_VARIABLE)
         return cls(Path(file)) if file else None
 
@@ -32,12 +32,12 @@
         return faults if isinstance(faults, dict) else {}
 
     def write(self) -> None:
-        """Before bytes are written; raises OSError."""
+        """Inject the faults of a write; called before bytes are written.  Raises OSError."""
         if self._read().get("full"):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     def sync(self) -> None:
-        """Before a sync; raises OSError."""
+        """Inject the faults of a sync; called before each sync.  Raises OSError."""
         faults = self._read()
         time.sleep(faults.get("sync_ms", 0.0) / 1000)
         if faults.get("sync_fails"):
--- a/martenstep/storage/errors.py
+++ b/martenstep/storage/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors of storage."""
+"""The base class of storage errors."""
 
 from __future__ import annotations
 
 
 class StorageError(Exception):
-    """Base of what this package raises, beside OSError."""
+    """Base of the errors that this package raises, other than OSError."""
--- a/martenstep/storage/files.py
+++ b/martenstep/storage/files.py
@@ -1,7 +1,7 @@
-"""The few file operations that logs and identities rest on, so that a test can own what survives a crash.
+"""The file operations that logs and identity files use, as an interface, so that a test can decide what a crash keeps.
 
-`Disk` is the operating system's; the fake of the tests keeps what was written but not synced apart, and after a crash
-gives back any part of it.
+`Disk` implements them on a directory of the operating system.  The fake of the tests keeps written bytes that were not
+synced apart, and after a crash returns an arbitrary part of them.
 """
 
 from __future__ import annotations
@@ -20,40 +20,40 @@
 
 
 class Appender(Protocol):
-    """A file that is only added to."""
+    """A file that is only appended to."""
 
     def write(self, data: bytes) -> None:
-        """Add bytes; they survive a crash only once synced."""
+        """Append bytes; they survive a crash only once synced."""
 
     def sync(self) -> None:
-        """Make all bytes so far durable; raises OSError."""
+        """Make all bytes written so far durable; raises OSError."""
 
     def close(self) -> None:
         """Close the file."""
 
 
 class Files(Protocol):
-    """One directory."""
+    """The file operations on one directory."""
 
     def names(self) -> list[str]:
-        """The files in it."""
+        """Return the names of the files in the directory."""
 
     def read(self, name: str) -> bytes:
-        """A whole file."""
+        """Read a whole file."""
 
     def create(self, name: str) -> Appender:
-        """A new file; raises FileExistsError."""
+        """Create a file and open it for appending; raises FileExistsError."""
 
     def append(self, name: str, size: int) -> Appender:
-        """An existing file, cut to a size."""
+        """Truncate an existing file to a size, and open it for appending."""
 
     def write_atomically(self, name: str, data: bytes) -> None:
-        """Write a whole file, durable under its name or not there at all; raises OSError."""
+        """Write a whole file: after a crash it is complete or unchanged, and durable on return.  Raises OSError."""
 
     def overwrite(self, name: str, offset: int, data: bytes) -> None:
-        """Put bytes over those at an offset of an existing file, all within one sector; durable on return.
+        """Overwrite bytes at an offset of an existing file, all within one sector; they are durable on return.
 
-        A crash leaves there the old, the new, or neither.
+        A crash leaves the old bytes, the new ones, or neither.
         """
 
     def remove(self, name: str) -> None:
@@ -61,11 +61,11 @@
 
 
 class LockedError(StorageError):
-    """Another process holds the directory."""
+    """Another process has locked the directory."""
 
 
 class _DiskAppender:
-    """An open file of a Disk."""
+    """A file of a Disk that is open for appending."""
 
     def __init__(self, fd: int, faults: DiskFaults | None = None) -> None:
         self._fd = fd
@@ -88,13 +88,13 @@
 
 
 class Disk:
-    """A directory of the operating system, held by one process at a time."""
+    """A directory of the operating system, locked by one process at a time."""
 
     def __init__(self, path: Path) -> None:
-        """Make the directory where there is none, and lock it; raises LockedError, OSError."""
+        """Create the directory if needed, and lock it; raises LockedError, OSError."""
         self._path = path
         self._faults = DiskFaults.from_environment()
-        self._overwritten: dict[str, int] = {}  # descriptors of files that are kept open, by name
+        self._overwrite_fds: dict[str, int] = {}  # descriptors that `overwrite` keeps open, by file name
         path.mkdir(parents=True, exist_ok=True)
         self._lock_fd = os.open(path / LOCK_FILE, os.O_RDWR | os.O_CREAT, FILE_MODE)
         try:
@@ -104,9 +104,9 @@
             raise LockedError(f"{path}: another process holds it") from None
 
     def close(self) -> None:
-        """Let the directory go."""
-        for name in list(self._overwritten):
-            self._close_overwritten(name)
+        """Close all files and unlock the directory."""
+        for name in list(self._overwrite_fds):
+            self._close_overwrite_fd(name)
         os.close(self._lock_fd)
 
     def __enter__(self) -> Disk:
@@ -115,9 +115,9 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    def _close_overwritten(self, name: str) -> None:
-        if name in self._overwritten:
-            os.close(self._overwritten.pop(name))
+    def _close_overwrite_fd(self, name: str) -> None:
+        if name in self._overwrite_fds:
+            os.close(self._overwrite_fds.pop(name))
 
     def _sync_directory(self) -> None:
         fd = os.open(self._path, os.O_RDONLY)
@@ -127,22 +127,22 @@
             os.close(fd)
 
     def names(self) -> list[str]:
-        """The files in it, but for the lock."""
+        """Return the names of the files in the directory, without the lock file."""
         return sorted(name for name in os.listdir(self._path) if name != LOCK_FILE)
 
     def read(self, name: str) -> bytes:
-        """A whole file."""
+        """Read a whole file."""
         return (self._path / name).read_bytes()
 
     def create(self, name: str) -> Appender:
-        """A new file; raises FileExistsError."""
+        """Create a file and open it for appending; raises FileExistsError."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND
         fd = os.open(self._path / name, flags, FILE_MODE)
         self._sync_directory()
         return _DiskAppender(fd, self._faults)
 
     def append(self, name: str, size: int) -> Appender:
-        """An existing file, cut to a size."""
+        """Truncate an existing file to a size, and open it for appending."""
         fd = os.open(self._path / name, os.O_WRONLY | os.O_APPEND)
         os.ftruncate(fd, size)
         os.fsync(fd)
@@ -150,7 +150,7 @@
 
     def write_atomically(self, name: str, data: bytes) -> None:
         """Write a whole file under a temporary name, sync it and rename it; raises OSError."""
-        self._close_overwritten(name)
+        self._close_overwrite_fd(name)
         temporary = self._path / f"{name}.aside"
         fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
         try:
@@ -164,10 +164,10 @@
         self._sync_directory()
 
     def overwrite(self, name: str, offset: int, data: bytes) -> None:
-        """Put bytes over those at an offset of an existing file, and sync it; raises OSError."""
-        fd = self._overwritten.get(name)
+        """Overwrite bytes at an offset of an existing file, and sync it; raises OSError."""
+        fd = self._overwrite_fds.get(name)
         if fd is None:
-            fd = self._overwritten[name] = os.open(self._path / name, os.O_WRONLY)
+            fd = self._overwrite_fds[name] = os.open(self._path / name, os.O_WRONLY)
         if self._faults is not None:
             self._faults.write()
             self._faults.sync()
@@ -177,5 +177,5 @@
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        self._close_overwritten(name)
+        self._close_overwrite_fd(name)
         os.unlink(self._path / name)
--- a/martenstep/storage/log/__init__.py
+++ b/martenstep/storage/log/__init__.py
@@ -1,13 +1,13 @@
-"""A log of records in segments, with snapshots beside them.
+"""A log of records in segment files, with snapshots in the same directory.
 
-On open: the newest snapshot that is whole, then every record after it.  A crash may leave any part of what was written
-since the last sync, so in the *last* segment what follows the last whole record is cut off as a torn tail: it was never
-acknowledged.  It is only that, though, as long as no whole record behind it was written after a later sync; else, and
-in any earlier segment, it is damage, and is refused with file and offset.  So that this holds for the last group as
-well, a sync marker (an entry of one byte that says nothing) is written behind each sync.
+Opening a log reads the newest undamaged snapshot and every record after it.  A crash may leave any part of what was
+written since the last sync.  Therefore bytes after the last whole record of the *last* segment are a torn tail, which
+was never acknowledged and is truncated.  If a whole record that was written after a later sync follows them, or in any
+earlier segment, they are damage instead, and opening fails with the file and offset.  To make this distinction possible
+for the last group of records too, a sync marker (an entry of one byte without meaning) is written after each sync.
 
-The bytes are in `record` and `snapshot`; `reader` opens a log, `writer` adds to it, `compaction` removes what is no
-longer needed.
+`record` and `snapshot` define the formats; `reader` opens a log, `writer` appends to it, and `compaction` removes what
+is no longer needed.
 """
 
 from martenstep.storage.log.compaction import compact
--- a/martenstep/storage/log/compaction.py
+++ b/martenstep/storage/log/compaction.py
@@ -1,4 +1,4 @@
-"""Removing what snapshots have made needless."""
+"""Removal of segments and snapshots that newer snapshots replace."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from martenstep.storage.log.segment import segments
 from martenstep.storage.log.snapshot import snapshots
 
-RETAINED_SNAPSHOTS = 2  # the older stands in where the newer is damaged
+RETAINED_SNAPSHOTS = 2  # the older one is used if the newer one is damaged
 
 
 def compact(files: Files, keep_from: int) -> list[str]:
-    """Remove needless segments and snapshots; gives their names.
+    """Remove segments and snapshots that are no longer needed; returns their names.
 
-    Segments go that lie before the first record to be kept and are whole in both of the newest snapshots, and all older
-    snapshots.
+    A segment is removed if all its records are below `keep_from` and included in both of the two newest snapshots.  All
+    older snapshots are removed.
     """
     found = snapshots(files)
-    in_both = found[RETAINED_SNAPSHOTS - 1][1] if len(found) >= RETAINED_SNAPSHOTS else 0
+    covered = found[RETAINED_SNAPSHOTS - 1][1] if len(found) >= RETAINED_SNAPSHOTS else 0
     removed = [
-        segment.name for segment, following in pairwise(segments(files)) if following.first <= min(in_both, keep_from)
+        segment.name for segment, following in pairwise(segments(files)) if following.first <= min(covered, keep_from)
     ]
     removed += [name for name, _ in found[RETAINED_SNAPSHOTS:]]
     for name in removed:
--- a/martenstep/storage/log/errors.py
+++ b/martenstep/storage/log/errors.py
@@ -1,4 +1,4 @@
-"""Errors of a log."""
+"""The error that a damaged log raises."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LogError(StorageError):
-    """Damage: which file, at which offset, and what."""
+    """A log is damaged or incomplete: in which file, at which offset, and how."""
 
     def __init__(self, file: str, offset: int, text: str) -> None:
         """`offset` is in bytes from the file's beginning."""
--- a/martenstep/storage/log/reader.py
+++ b/martenstep/storage/log/reader.py
@@ -1,4 +1,4 @@
-"""Reading a log: whole segments, some records of one, and all that a start needs."""
+"""Reading a log: whole segments, a range of records, and the whole log at a start."""
 
 from __future__ import annotations
 
@@ -22,41 +22,41 @@
 
 @dataclass(slots=True)
 class SegmentContent:
-    """One segment as it was read."""
+    """The content of one segment."""
 
     segment: Segment
     entries: list[bytes]
-    end: int  # offset behind the last whole record
-    torn: bool  # something follows that is no record
+    end: int  # offset after the last whole record
+    torn: bool  # bytes that are no whole record follow
 
     @property
     def next(self) -> int:
-        """The number behind its last record."""
+        """The number that follows its last record."""
         return self.segment.first + len(self.entries)
 
     def entries_from(self, number: int) -> list[bytes]:
-        """Its entries from a record on."""
+        """Return its entries from record `number` on."""
         return self.entries[max(number - self.segment.first, 0) :]
 
 
 @dataclass(slots=True)
 class OpenedLog:
-    """What a log holds: a snapshot's body, the records after it, and where to go on writing."""
+    """The content of a log: a snapshot's body, the records after it, and the position to continue writing."""
 
     snapshot: bytes | None
-    start: int  # records in the snapshot
+    start: int  # number of records that the snapshot includes
     entries: Iterator[bytes]
     count: int
-    tail: tuple[Segment, int] | None  # the last segment and its size up to the last whole record
-    torn_bytes: int  # behind that
+    tail: tuple[Segment, int] | None  # the last segment, and the offset after its last whole record
+    torn_bytes: int  # number of bytes after that offset
 
 
 def scan(files: Files, segment: Segment, last: bool) -> SegmentContent:
-    """Read a segment; `last` tells whether it may end in a torn tail.  Raises LogError on damage."""
+    """Read a segment; only the `last` one may end in a torn tail.  Raises LogError on damage."""
     data = files.read(segment.name)
     if len(data) < HEADER.size or data[: HEADER.size] != encode_segment_header(segment.first):
         if last and len(data) <= HEADER.size:
-            return SegmentContent(segment, [], 0, True)  # the crash came while it was being begun
+            return SegmentContent(segment, [], 0, True)  # a crash occurred while the segment was being created
         raise LogError(segment.name, 0, "the header does not fit")
     entries, end = _read_entries(data, segment.first)
     if end == len(data):
@@ -64,16 +64,16 @@
     number = segment.first + len(entries)
     if not last:
         raise LogError(segment.name, end, f"record {number} is damaged")
-    later = _find_synced_later(data, end, number)
+    later = _find_record_of_later_sync(data, end, number)
     if later is not None:
-        raise LogError(segment.name, end, f"record {number} is damaged, and later ones stand at byte {later}")
+        raise LogError(segment.name, end, f"record {number} is damaged; records of a later sync follow at byte {later}")
     return SegmentContent(segment, entries, end, True)
 
 
 def _read_entries(data: bytes, first: int) -> tuple[list[bytes], int]:
-    """The entries of a segment's whole records, and the offset behind the last.
+    """Return the entries of a segment's whole records, and the offset after the last one.
 
-    The same checks as `decode_record_at`, in line: a restart reads millions of records.
+    Makes the same checks as `decode_record_at`, but inline, because a restart reads millions of records.
     """
     entries: list[bytes] = []
     offset, number, size = HEADER.size, first, len(data)
@@ -95,22 +95,22 @@
     return entries, offset
 
 
-def _find_synced_later(data: bytes, start: int, number: int) -> int | None:
-    """Where, behind a bad record, stands a whole one that was written after a later sync."""
+def _find_record_of_later_sync(data: bytes, start: int, number: int) -> int | None:
+    """Return the offset after `start` of a whole record that was written after a sync later than record `number`."""
     size = len(data)
     for offset in range(start + 1, size - RECORD.size):
         length = int.from_bytes(data[offset : offset + 4], "big")
         if 1 <= length <= MAX_ENTRY_BYTES and offset + RECORD.size + length <= size:
             record = decode_record_at(data, offset)
-            if record is not None and record.synced_before > number:
+            if record is not None and record.durable_records > number:
                 return offset
     return None
 
 
 def read_records(files: Files, first: int, until: int) -> tuple[bytes, int]:
-    """Records as they stand in a segment, from `first` on and below `until`, and the number behind the last.
+    """Return the encoded records from `first` on and below `until`, and the number that follows the last one.
 
-    They end with the segment.  Raises LogError where the first is no longer kept.
+    They end at the end of a segment at the latest.  Raises LogError if the first record is no longer kept.
     """
     found = segments(files)
     for index, segment in enumerate(found):
@@ -134,7 +134,7 @@
 
 
 def open_log(files: Files) -> OpenedLog:
-    """Read what a log holds; raises LogError on damage or a gap."""
+    """Read a whole log; raises LogError on damage or a gap."""
     snapshot, start = read_newest_snapshot(files)
     contents = _read_segments(files, start)
 
@@ -147,14 +147,14 @@
     if contents:
         final = contents[-1]
         if final.next < start:
-            raise LogError(final.segment.name, final.end, f"ends before the snapshot's {start} records")
+            raise LogError(final.segment.name, final.end, f"the log ends before the snapshot's {start} records do")
         tail = final.segment, final.end
         torn_bytes = len(files.read(final.segment.name)) - final.end if final.torn else 0
     return OpenedLog(snapshot, start, entries(), count, tail, torn_bytes)
 
 
 def _read_segments(files: Files, start: int) -> list[SegmentContent]:
-    """All segments that are not whole in a snapshot of `start` records; raises LogError on damage or a gap."""
+    """Read all segments with records that a snapshot of `start` records lacks; raises LogError on damage or a gap."""
     found = segments(files)
     contents: list[SegmentContent] = []
     reached = start
@@ -166,7 +166,7 @@
             raise LogError(segment.name, 0, f"records {reached} to {segment.first - 1} are missing")
         content = scan(files, segment, last=following is None)
         if following is not None and following.first != content.next:
-            text = f"ends at record {content.next}, the next segment begins at {following.first}"
+            text = f"the segment ends before record {content.next}, but the next segment begins at {following.first}"
             raise LogError(segment.name, content.end, text)
         contents.append(content)
         reached = max(reached, content.next)
--- a/martenstep/storage/log/record.py
+++ b/martenstep/storage/log/record.py
@@ -1,9 +1,9 @@
-"""The bytes of segments and records.
+"""The format of segments and records.
 
 A segment begins with a header of 32 bytes: `MSTEPLOG`, u32 version, u64 number of its first record, 8 bytes of zero,
 u32 CRC32C of the rest.  Records follow: `u32 length, u32 crc32c, u64 number, u32 since_sync, entry`.  `since_sync` is
-how many records stand between this one and the last sync before it: all with the same `number - since_sync` were
-written since one sync.  The CRC covers number, since_sync and entry.
+the number of records between this one and the last sync before it: all records with the same `number - since_sync` were
+written after the same sync.  The CRC covers number, since_sync and entry.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 VERSION = 1
 HEADER = struct.Struct(">8sIQ8sI")
 RECORD = struct.Struct(">IIQI")
-MAX_ENTRY_BYTES = 1 << 17  # of one record: a length above it is damage
-SYNC_MARKER = b"\x04"  # the entry behind a sync
+MAX_ENTRY_BYTES = 1 << 17  # of one record; a greater length means damage
+SYNC_MARKER = b"\x04"  # the entry that is written after a sync
 _RESERVED = b"\0" * 8
 _CHECKSUM = struct.Struct(">I")
 _CHECKED_FIELDS = struct.Struct(">QI")  # number, since_sync
@@ -30,32 +30,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One record as it was read."""
+    """One decoded record."""
 
     number: int
     since_sync: int
     entry: bytes
 
     @property
-    def synced_before(self) -> int:
-        """How many records were durable when this one was written."""
+    def durable_records(self) -> int:
+        """Number of records that were durable when this one was written."""
         return self.number - self.since_sync
 
 
 def encode_record(number: int, since_sync: int, entry: bytes) -> bytes:
-    """One record as it stands in a segment."""
+    """Encode one record for a segment."""
     checked = _CHECKED_FIELDS.pack(number, since_sync) + entry
     return LENGTH_AND_CHECKSUM.pack(len(entry), crc32c(checked)) + checked
 
 
 def encode_segment_header(first: int) -> bytes:
-    """The header of a segment whose first record has this number."""
+    """Encode the header of a segment whose first record has the number `first`."""
     checked = HEADER.pack(MAGIC, VERSION, first, _RESERVED, 0)[: -_CHECKSUM.size]
     return checked + _CHECKSUM.pack(crc32c(checked))
 
 
 def decode_record_at(data: bytes, offset: int) -> Record | None:
-    """The record that stands whole at an offset; None where none does."""
+    """Decode the record at an offset; None if there is no whole record."""
     if offset + RECORD.size > len(data):
         return None
     length, checksum, number, since_sync = RECORD.unpack_from(data, offset)
@@ -68,7 +68,7 @@
 
 
 def decode_records(data: bytes, first: int) -> list[bytes]:
-    """The entries of records that stand one behind the other, numbered from `first`; raises LogError."""
+    """Decode consecutive records, numbered from `first`, and return their entries; raises LogError."""
     entries: list[bytes] = []
     offset = 0
     while offset < len(data):
@@ -81,5 +81,5 @@
 
 
 def fingerprint_entry(number: int, entry: bytes) -> int:
-    """Tells whether two logs hold the same entry under a number, whenever each synced it."""
+    """Return a checksum of an entry and its number, to compare logs independently of when each synced it."""
     return int(crc32c(number.to_bytes(8, "big") + entry))
--- a/martenstep/storage/log/segment.py
+++ b/martenstep/storage/log/segment.py
@@ -1,4 +1,4 @@
-"""The files of segments: `seg-<number of the first record, 16 hex digits>.log`."""
+"""Names of segment files: `seg-<number of the first record, 16 hex digits>.log`."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def segment_name(first: int) -> str:
-    """The file of a segment."""
+    """Return the file name of a segment."""
     return f"{PREFIX}{first:016x}{SUFFIX}"
 
 
 def segments(files: Files) -> list[Segment]:
-    """All segments, in order."""
+    """Return all segments in order."""
     return [
         Segment(name, int(name.removeprefix(PREFIX).removesuffix(SUFFIX), 16))
         for name in sorted(files.names())
--- a/martenstep/storage/log/snapshot.py
+++ b/martenstep/storage/log/snapshot.py
@@ -1,6 +1,6 @@
-"""The files of snapshots: `snap-<records in it, 16 hex digits>.snap`.
+"""Snapshot files: `snap-<number of records included, 16 hex digits>.snap`.
 
-A file holds `MSTEPSNP`, u32 version, u64 records, u32 CRC32C of the body, body.
+A file contains `MSTEPSNP`, u32 version, u64 records, u32 CRC32C of the body, body.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def snapshot_name(records: int) -> str:
-    """The file of a snapshot."""
+    """Return the file name of a snapshot."""
     return f"{PREFIX}{records:016x}{SUFFIX}"
 
 
 def snapshots(files: Files) -> list[tuple[str, int]]:
-    """All snapshots by name and number of records, the newest first."""
+    """Return the names of all snapshots and their numbers of records, the newest first."""
     found = [
         (name, int(name.removeprefix(PREFIX).removesuffix(SUFFIX), 16))
         for name in files.names()
@@ -35,29 +35,29 @@
 
 
 def read_snapshot(files: Files, name: str) -> bytes:
-    """A snapshot's body; raises LogError."""
+    """Read a snapshot's body; raises LogError if it is damaged."""
     data = files.read(name)
     if len(data) < HEADER.size:
-        raise LogError(name, 0, "shorter than its header")
+        raise LogError(name, 0, "the file is shorter than a snapshot's header")
     magic, version, _, checksum = HEADER.unpack_from(data)
     body = data[HEADER.size :]
     if magic != MAGIC or version != VERSION:
-        raise LogError(name, 0, "not a snapshot of this version")
+        raise LogError(name, 0, f"not a snapshot of version {VERSION}")
     if google_crc32c.value(body) != checksum:
-        raise LogError(name, HEADER.size, "the checksum does not fit")
+        raise LogError(name, HEADER.size, "the checksum does not match the body")
     return body
 
 
 def write_snapshot(files: Files, records: int, body: bytes) -> None:
-    """Keep a snapshot, whole or not at all; raises OSError."""
+    """Write a snapshot atomically; raises OSError."""
     header = HEADER.pack(MAGIC, VERSION, records, google_crc32c.value(body))
     files.write_atomically(snapshot_name(records), header + body)
 
 
 def read_newest_snapshot(files: Files) -> tuple[bytes | None, int]:
-    """The body of the newest snapshot that is whole, and its records; None and 0 where there is none.
+    """Return the body of the newest undamaged snapshot and its number of records; None and 0 if there is none.
 
-    An older one, or the whole log, tells the same as one that is damaged.
+    A damaged snapshot is skipped, because an older one or the whole log contains the same data.
     """
     for name, records in snapshots(files):
         try:
--- a/martenstep/storage/log/writer.py
+++ b/martenstep/storage/log/writer.py
@@ -1,4 +1,4 @@
-"""Adding records to a log."""
+"""Appending records to a log."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class LogWriter:
-    """Adds records and makes them durable together."""
+    """Appends records and makes them durable in groups."""
 
     def __init__(self, files: Files, opened: OpenedLog, segment_bytes: int) -> None:
-        """Go on behind what was opened; a segment that reaches `segment_bytes` is the last of its records."""
+        """Continue an opened log; a new segment is begun when one reaches `segment_bytes`."""
         self._files = files
         self._segment_bytes = segment_bytes
         self.next = opened.start + opened.count  # number of the next record
-        self.synced = self.next  # records that are durable: a marker behind them may still be lost
+        self.synced = self.next  # number of durable records; a marker after them may still be lost
         self._file: Appender | None = None
         self._size = 0
-        self._marker = b""  # the record behind the last sync, which is not durable yet
+        self._marker = b""  # the record written after the last sync, which is not durable yet
         if opened.tail is not None:
             segment, end = opened.tail
             if end >= HEADER.size:
@@ -39,10 +39,10 @@
         self._size = len(header)
 
     def write(self, entries: list[bytes], durable: bool) -> tuple[int, bytes]:
-        """Add entries, durable once this returns.
+        """Append entries; with `durable` they are durable on return.
 
-        Gives the number of the first record for a follower and the records as written, with the marker before them.
-        Raises OSError: then nothing more may be written.
+        Returns the encoded records for a follower, which begin with the marker of the last sync if there is one, after
+        the number of the first of them.  Raises OSError; after that nothing more may be written.
         """
         assert self._file is not None
         first, since_sync = self.next, self.next - self.synced
@@ -70,9 +70,9 @@
         self._size += len(data)
 
     def append_copied(self, entries: list[bytes]) -> None:
-        """Add entries of another log, markers included, under the same numbers; durable once this returns.
+        """Append entries of another log, including its markers, under the same numbers; they are durable on return.
 
-        Where they stand since the last sync is this log's own.  Raises OSError.
+        Their `since_sync` values follow the syncs of this log.  Raises OSError.
         """
         assert self._file is not None
         data = b"".join([encode_record(self.next + index, index, entry) for index, entry in enumerate(entries)])
@@ -85,20 +85,20 @@
             self._begin_segment()
 
     def sync(self) -> None:
-        """Make all that was written durable; raises OSError."""
+        """Make everything that was written durable; raises OSError."""
         assert self._file is not None
         if self.synced < self.next:
             self._file.sync()
             self.synced = self.next
 
     def abandon(self) -> None:
-        """Close without making anything durable, after a failure."""
+        """Close the file without a sync, after a failure."""
         file, self._file = self._file, None
         if file is not None:
             file.close()
 
     def close(self) -> None:
-        """Make the rest durable and close."""
+        """Make everything that was written durable, and close the file."""
         if self._file is not None:
             self._file.sync()
             self._file.close()
