--- a/tests/replica_fleet_rig.py
+++ b/tests/replica_fleet_rig.py
@@ -1,4 +1,4 @@
-"""Nodes with a replica manager each, in one event loop, on loopback sockets and folders of their own."""
+"""Nodes in one event loop, each with a replica manager, a loopback socket and folders of its own."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from tests.replica_rig import Sum
 
 KEYS = Keyring([b"k" * 32])
-QUICK = RaftSettings(
+FAST_RAFT_SETTINGS = RaftSettings(
     election_timeout_ms=400.0, heartbeat_interval_ms=60.0, recovery_query_interval_ms=50.0
-)  # a loaded machine bears it
+)  # long enough for a loaded machine
 
 
 class ReplicaFleet:
-    """Nodes in one event loop, and a membership that always knows."""
+    """Nodes in one event loop, with a membership that always shows which nodes are running."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
                 lambda group: Sum(),
                 self.cluster_nodes,
                 lambda event, fields: self.events.append((event, fields)),
-                QUICK,
+                FAST_RAFT_SETTINGS,
             )
             transport = self.transports[name] = Transport(
                 "f", name, lambda: KEYS, self.addresses.get, manager.receive, manager.report_unknown_replica
@@ -73,8 +73,8 @@
     async def kill(self, name: str, wipe: bool = False) -> None:
         self.transports.pop(name).stop()
         manager = self.managers.pop(name)
-        for held in manager.local:
-            held.replica.raft.role = Role.FOLLOWER  # it ends as it is, without a transfer
+        for local in manager.local:
+            local.replica.raft.role = Role.FOLLOWER  # so that `stop` transfers no leadership, as after a crash
         await manager.stop()
         if wipe:
             shutil.rmtree(self.folder / name)
@@ -100,12 +100,12 @@
             await asyncio.sleep(0.02)
 
     def voter_nodes(self, group: str) -> list[str]:
-        """The nodes of a group's voters, as its leader has it committed; empty while nobody leads it."""
+        """Nodes of the voters in the committed configuration; empty without a leader or while there are learners."""
         for manager in self.managers.values():
             replica = manager.replica(group)
             if replica is not None and replica.raft.role is Role.LEADER and replica.raft.configuration_committed:
                 config = replica.raft.configuration
-                return [] if config.learners else sorted(replica.find_node(copy) or "?" for copy in config.voters)
+                return [] if config.learners else sorted(replica.find_node(voter) or "?" for voter in config.voters)
         return []
 
     def total(self, name: str, group: str) -> int:
--- a/tests/replica_rig.py
+++ b/tests/replica_rig.py
@@ -1,4 +1,4 @@
-"""A group of replicas in one event loop, on loopback sockets and folders of their own."""
+"""A group of replicas in one event loop, each with its own loopback socket and folders."""
 
 from __future__ import annotations
 
@@ -17,11 +17,13 @@
 from martenstep.storage.files import Disk
 
 KEYS = Keyring([b"k" * 32])
-QUICK = RaftSettings(election_timeout_ms=150.0, heartbeat_interval_ms=30.0, recovery_query_interval_ms=50.0)
+FAST_RAFT_SETTINGS = RaftSettings(
+    election_timeout_ms=150.0, heartbeat_interval_ms=30.0, recovery_query_interval_ms=50.0
+)
 
 
 class Sum:
-    """Adds up; tells the total."""
+    """A state machine that adds numbers; the result of a command is the total so far."""
 
     def __init__(self) -> None:
         self.total, self.applied = 0, 0
@@ -40,7 +42,7 @@
 
 
 class ReplicaGroup:
-    """Several replicas, each with its folders."""
+    """The replicas of one group, each with its own folders."""
 
     make_state_machine: Any = Sum
 
@@ -78,7 +80,7 @@
             machine,
             transport,
             lambda event, fields: self.events.append((event, fields)),
-            QUICK,
+            FAST_RAFT_SETTINGS,
             find_node=str,
         )
         self.addresses[str(storage.replica_id)] = "127.0.0.1", await transport.start("127.0.0.1", 0)
@@ -99,7 +101,7 @@
             await asyncio.sleep(0.01)
 
     async def add(self, number: int) -> int:
-        """Propose one command until it is committed once."""
+        """Propose a command, and repeat that until one proposal is known to be committed; returns the total."""
         while True:
             try:
                 return int(await (await self.leader()).propose(b"%d" % number))
--- a/tests/test_formats_replica_storage.py
+++ b/tests/test_formats_replica_storage.py
@@ -1,4 +1,4 @@
-"""Files of replicas and logs: stored folders are read, and the same content is written byte by byte alike."""
+"""File formats of replicas and logs: stored folders are read, and the same content is written byte by byte."""
 
 from __future__ import annotations
 
@@ -61,23 +61,23 @@
     }
 
 
-def copied(name: str, to: Path) -> Path:
+def copy_stored(name: str, to: Path) -> Path:
     shutil.copytree(FORMATS / name, to)
     return to
 
 
-def write_replica(folder: Path, witness: Path, seed: int = 20, alone: list[DurableWrite] = WRITES) -> None:
-    """What a replica keeps after these writes."""
-    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Disk(witness)) as memory:
-        store = ReplicaStorage(disk, memory, random.Random(seed))
-        for write in alone[:-3]:
-            store.write([write])
-        store.write(alone[-3:])
-        store.close()
+def write_replica(folder: Path, witness: Path, seed: int = 20, writes: list[DurableWrite] = WRITES) -> None:
+    """Store these writes as a replica does: the last three with one sync, the others one by one."""
+    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Disk(witness)) as witness_disk:
+        storage = ReplicaStorage(disk, witness_disk, random.Random(seed))
+        for write in writes[:-3]:
+            storage.write([write])
+        storage.write(writes[-3:])
+        storage.close()
 
 
 def write_log(folder: Path) -> None:
-    """Two segments, a snapshot, and a group that was not synced."""
+    """Write a log with several segments, a snapshot, and a group of entries that was not synced."""
     with contextlib.closing(Disk(folder)) as disk:
         writer = LogWriter(disk, open_log(disk), 200)
         for number, entries in enumerate(LOG_ENTRIES):
@@ -88,12 +88,12 @@
 
 
 def test_a_replicas_stored_folder_is_read(tmp_path: Path) -> None:
-    folder, witness = copied("replica", tmp_path / "replica"), copied("witness", tmp_path / "witness")
-    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Disk(witness)) as memory:
-        store = ReplicaStorage(disk, memory, random.Random(1))
-        image = store.read_state()
-        store.close()
-    assert store.replica_id == IDENTITY and store.disk_verified
+    folder, witness = copy_stored("replica", tmp_path / "replica"), copy_stored("witness", tmp_path / "witness")
+    with contextlib.closing(Disk(folder)) as disk, contextlib.closing(Disk(witness)) as witness_disk:
+        storage = ReplicaStorage(disk, witness_disk, random.Random(1))
+        image = storage.read_state()
+        storage.close()
+    assert storage.replica_id == IDENTITY and storage.disk_verified
     assert (image.term, image.voted_for, image.log_floor) == (4, None, LogPosition(0, 0))
     assert image.snapshot is not None
     assert (image.snapshot.index, image.snapshot.term, image.snapshot.body) == (3, 3, b"state of three")
@@ -111,14 +111,14 @@
     ]
 
 
-def test_a_replicas_first_log_is_read_up_to_its_cut(tmp_path: Path) -> None:
-    folder = copied("replica-early", tmp_path / "replica")
+def test_a_stored_log_without_a_snapshot_is_read_with_its_truncation(tmp_path: Path) -> None:
+    folder = copy_stored("replica-early", tmp_path / "replica")
     with (
         contextlib.closing(Disk(folder)) as disk,
-        contextlib.closing(ReplicaStorage(disk, None, random.Random(1))) as store,
+        contextlib.closing(ReplicaStorage(disk, None, random.Random(1))) as storage,
     ):
-        image = store.read_state()
-    assert not store.disk_verified
+        image = storage.read_state()
+    assert not storage.disk_verified
     assert (image.term, image.voted_for, image.log_floor, image.snapshot) == (3, 3, LogPosition(1, 3), None)
     assert [(one.index, one.term, one.kind, one.data) for one in image.entries] == [
         (1, 1, EntryKind.NO_OP, b""),
@@ -132,7 +132,7 @@
     write_replica(tmp_path / "replica", tmp_path / "witness")
     assert files_in(tmp_path / "replica") == files_in(FORMATS / "replica")
     assert files_in(tmp_path / "witness") == files_in(FORMATS / "witness")
-    write_replica(tmp_path / "early", tmp_path / "early-witness", alone=WRITES[:5])
+    write_replica(tmp_path / "early", tmp_path / "early-witness", writes=WRITES[:5])
     assert files_in(tmp_path / "early") == files_in(FORMATS / "replica-early")
 
 
@@ -145,15 +145,15 @@
 
 def test_a_stored_configuration_entry_is_read(tmp_path: Path) -> None:
     folder = tmp_path / "replica"
-    write_replica(folder, tmp_path / "witness", alone=WRITES[:3])
+    write_replica(folder, tmp_path / "witness", writes=WRITES[:3])
     assert files_in(folder) == files_in(FORMATS / "replica-configured")
     shutil.rmtree(folder)
-    copied("replica-configured", folder)
+    copy_stored("replica-configured", folder)
     with (
         contextlib.closing(Disk(folder)) as disk,
-        contextlib.closing(ReplicaStorage(disk, None, random.Random(1))) as store,
+        contextlib.closing(ReplicaStorage(disk, None, random.Random(1))) as storage,
     ):
-        config = decode_configuration(store.read_state().entries[2].data)
+        config = decode_configuration(storage.read_state().entries[2].data)
     assert config.voters == (4503599627370497, 2, 3) and config.learners == (4,)
     assert dict(config.locations)[4] == "d4"
 
@@ -190,7 +190,7 @@
 
 
 def test_a_stored_log_is_read(tmp_path: Path) -> None:
-    with contextlib.closing(Disk(copied("log", tmp_path / "log"))) as disk:
+    with contextlib.closing(Disk(copy_stored("log", tmp_path / "log"))) as disk:
         opened = open_log(disk)
         assert (opened.snapshot, opened.start, opened.count, opened.torn_bytes) == (
             b"snapshot of three records",
@@ -223,8 +223,8 @@
     assert files_in(tmp_path / "log") == files_in(FORMATS / "log")
 
 
-def test_a_stored_log_is_carried_on_with_these_bytes(tmp_path: Path) -> None:
-    with contextlib.closing(Disk(copied("log", tmp_path / "log"))) as disk:
+def test_a_stored_log_is_continued_with_these_bytes(tmp_path: Path) -> None:
+    with contextlib.closing(Disk(copy_stored("log", tmp_path / "log"))) as disk:
         writer = LogWriter(disk, open_log(disk), 200)
         writer.append_copied([b"copied", b"\x04"])
         writer.write([b"more"], durable=True)
@@ -248,15 +248,15 @@
     assert log.fingerprint_entry(7, b"entry") == 3646334113
 
 
-# What staff read of a folder.
+# The output of `copies verify`.
 
 
 def test_verify_prints_these_lines(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(tmp_path)
     for node in ("a", "b"):
-        copied("replica", Path(node) / "groups" / "counter-0")
-        copied("replica-early", Path(node) / "groups" / "counter-1")
-    assert verified() == (0, SOUND)
+        copy_stored("replica", Path(node) / "groups" / "counter-0")
+        copy_stored("replica-early", Path(node) / "groups" / "counter-1")
+    assert run_verify() == (0, UNDAMAGED)
     other = [
         *WRITES[:4],
         DurableWrite(
@@ -272,21 +272,21 @@
     write_replica(Path("b/groups/counter-1"), tmp_path / "w", 21, other)
     segment = Path("a/groups/counter-0") / sorted(path.name for path in Path("a/groups/counter-0").glob("seg-*"))[-1]
     segment.write_bytes(segment.read_bytes()[:10] + b"!" + segment.read_bytes()[11:])
-    assert verified() == (1, BROKEN)
+    assert run_verify() == (1, DAMAGED)
 
 
-def verified() -> tuple[int, str]:
+def run_verify() -> tuple[int, str]:
     done = CliRunner().invoke(cli, ["copies", "verify", "a", "b"])
     return done.exit_code, done.output
 
 
-SOUND = """\
+UNDAMAGED = """\
 a/groups/counter-0: copy 6510405511282792, term 4, entries to 7
 a/groups/counter-1: copy 6510405511282792, term 3, entries to 4
 b/groups/counter-0: copy 6510405511282792, term 4, entries to 7
 b/groups/counter-1: copy 6510405511282792, term 3, entries to 4
 """
-BROKEN = """\
+DAMAGED = """\
 a/groups/counter-0: seg-0000000000000000.log at byte 0: the header does not fit
 a/groups/counter-1: copy 6510405511282792, term 3, entries to 4
 b/groups/counter-0: copy 6510405511282792, term 4, entries to 7
--- a/tests/test_formats_replica_views.py
+++ b/tests/test_formats_replica_views.py
@@ -1,4 +1,4 @@
-"""What staff are shown of replicas: the JSON of the admin page, the table of the command, names of metrics."""
+"""Views of replicas for operators: the JSON of the admin page, the command's table, and names of metrics."""
 
 from __future__ import annotations
 
@@ -22,61 +22,61 @@
 from tests.socket_rig import run
 
 FORMATS = Path(__file__).parent / "formats" / "replication"
-HOLDING = ReplicationSettings(
+REPLICATION = ReplicationSettings(
     ("g-0", "g-1"), (BootstrapMember("a", 1), BootstrapMember("b", 2), BootstrapMember("c", 3))
 )
 NODES = [ClusterNode("a", "z1", True), ClusterNode("b", "z2", True), ClusterNode("c", "z3", False)]
 
 
-def synced(host: Replica, now: float) -> None:
-    writes = [action for action in host.raft.actions if isinstance(action, DurableWrite)]
-    host.raft.actions.clear()
+def complete_writes(replica: Replica, now: float) -> None:
+    writes = [action for action in replica.raft.actions if isinstance(action, DurableWrite)]
+    replica.raft.actions.clear()
     if writes:
-        host.raft.write_completed(now, writes[-1].sequence)
-
-
-def lead(host: Replica) -> None:
-    """Let a replica be voted for by that of `b`, which then lags by one entry."""
-    copy, other = host.raft, derive_replica_id(2, host.group)
-    now = copy.next_timer_at
-    copy.confirm_disk(now)
-    while copy.role.value != "trying":
-        now = copy.next_timer_at
-        copy.run_due_timers(now)
-    copy.receive(now, other, VoteResponse(copy.term + 1, True, True))
-    synced(host, now)
-    copy.receive(now, other, VoteResponse(copy.term, False, True))
-    synced(host, now)
-    copy.receive(now, other, AppendEntriesResponse(copy.term, True, 1, 1))
-    assert copy.propose(b"5") == 2
-    synced(host, now)
-
-
-async def shown(folder: Path) -> tuple[dict[str, Any], dict[str, float], Any]:
+        replica.raft.write_completed(now, writes[-1].sequence)
+
+
+def make_leader(replica: Replica) -> None:
+    """Make a replica leader by the vote of `b`'s replica, which then lags by one entry."""
+    raft, other = replica.raft, derive_replica_id(2, replica.group)
+    now = raft.next_timer_at
+    raft.confirm_disk(now)
+    while raft.role.value != "trying":
+        now = raft.next_timer_at
+        raft.run_due_timers(now)
+    raft.receive(now, other, VoteResponse(raft.term + 1, True, True))
+    complete_writes(replica, now)
+    raft.receive(now, other, VoteResponse(raft.term, False, True))
+    complete_writes(replica, now)
+    raft.receive(now, other, AppendEntriesResponse(raft.term, True, 1, 1))
+    assert raft.propose(b"5") == 2
+    complete_writes(replica, now)
+
+
+async def collect_views(folder: Path) -> tuple[dict[str, Any], dict[str, float], Any]:
     (folder / "node").mkdir()
     (folder / "node" / "disk.json").write_bytes(b'{"id":1}')
-    keeper = ReplicaManager(
+    manager = ReplicaManager(
         "a",
         folder / "node",
         folder / "witness",
-        HOLDING,
+        REPLICATION,
         lambda group: Sum(),
         lambda: NODES,
         lambda event, fields: None,
     )
-    await keeper.start(Transport("fleet", "a", lambda: Keyring([bytes(32)]), lambda place: None))
-    host = keeper.replica("g-0")
-    assert host is not None
-    lead(host)
-    view, gauges = keeper.view(), keeper.gauges()
-    led = [[one.group, one.nodes, one.healthy] for one in keeper.led_groups()]
-    await keeper.stop()
+    await manager.start(Transport("fleet", "a", lambda: Keyring([bytes(32)]), lambda node: None))
+    replica = manager.replica("g-0")
+    assert replica is not None
+    make_leader(replica)
+    view, gauges = manager.view(), manager.gauges()
+    led = [[one.group, one.nodes, one.healthy] for one in manager.led_groups()]
+    await manager.stop()
     return view, gauges, led
 
 
 def test_the_page_of_replicas_its_table_and_its_gauges(tmp_path: Path) -> None:
     async def test() -> None:
-        view, gauges, led = await shown(tmp_path)
+        view, gauges, led = await collect_views(tmp_path)
         assert msgspec.json.encode(view) == (FORMATS / "view.json").read_bytes()
         assert format_table(view) == (FORMATS / "table.txt").read_text()
         assert led == [["g-0", ["a", "b", "c"], False]]
@@ -107,18 +107,24 @@
 
 def test_the_counts_of_a_nodes_replicas_have_these_names(tmp_path: Path) -> None:
     async def test() -> None:
-        keeper = ReplicaManager(
-            "d", tmp_path / "d", tmp_path / "w", HOLDING, lambda group: Sum(), lambda: NODES, lambda event, fields: None
+        manager = ReplicaManager(
+            "d",
+            tmp_path / "d",
+            tmp_path / "w",
+            REPLICATION,
+            lambda group: Sum(),
+            lambda: NODES,
+            lambda event, fields: None,
         )
-        await keeper.start(Transport("fleet", "d", lambda: Keyring([bytes(32)]), lambda place: None))
-        assert (await keeper.create_own_group("g-9")) is not None
-        keeper.abandon_group("g-9")
-        assert dict(keeper.counts) == {"let_go": 1}
+        await manager.start(Transport("fleet", "d", lambda: Keyring([bytes(32)]), lambda node: None))
+        assert (await manager.create_own_group("g-9")) is not None
+        manager.abandon_group("g-9")
+        assert dict(manager.counts) == {"let_go": 1}
         identity = json.loads((tmp_path / "d" / "disk.json").read_bytes())
         assert list(identity) == ["id", "founded", "alone", "over"]
         assert (identity["founded"], identity["alone"], identity["over"]) == ([], "g-9", ["g-9"])
         while (tmp_path / "d" / "groups" / "g-9").exists():
             await asyncio.sleep(0.001)
-        await keeper.stop()
+        await manager.stop()
 
     run(test())
--- a/tests/test_formats_replication.py
+++ b/tests/test_formats_replication.py
@@ -1,4 +1,4 @@
-"""Bytes between replicas: every message, the frames that carry them, and the streams as they open."""
+"""Wire format between replicas: every message, the frames that carry them, and the opening of a stream."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 from martenstep.replication.transport import Transport
 from tests.socket_rig import run
 
-CONFIG = Configuration((1, 1 << 52), (3,), ((1, "d1"), (1 << 52, "d2"), (3, "d3")))
+CONFIGURATION = Configuration((1, 1 << 52), (3,), ((1, "d1"), (1 << 52, "d2"), (3, "d3")))
 ENTRIES = (
     LogEntry(8, 2, EntryKind.NO_OP),
     LogEntry(9, 2, EntryKind.COMMAND, b"add"),
@@ -63,19 +63,19 @@
     (AppendEntriesResponse(3, True, 10, 21), "950403c30a15"),
     (AppendEntriesResponse(4, False, 6, 0), "950404c20600"),
     (
-        InstallSnapshot(3, 100, 2, CONFIG, 32768, b"part", 40000, 22),
+        InstallSnapshot(3, 100, 2, CONFIGURATION, 32768, b"part", 40000, 22),
         "9905036402939201cf00100000000000009103939201a2643192cf0010000000000000a264329203a26433cd8000c40470617274cd9c4016",
     ),
     (InstallSnapshotResponse(3, 100, 32772, 22), "95060364cd800416"),
     (TimeoutNow(7), "920707"),
     (RecoveryQuery((1 << 62) - 1), "9208cf3fffffffffffffff"),
     (
-        RecoveryResponse(99, 3, 10, 2, CONFIG, 5, True),
+        RecoveryResponse(99, 3, 10, 2, CONFIGURATION, 5, True),
         "980963030a02939201cf00100000000000009103939201a2643192cf0010000000000000a264329203a2643305c3",
     ),
     (RecoveryResponse(99, 0, 0, 0, Configuration((1, 2, 3))), "9809630000009393010203909000c2"),
 ]
-WORDS: list[tuple[Any, str]] = [
+NODE_MESSAGES: list[tuple[Any, str]] = [
     (CreateReplica(12, (1, 2, 3)), "93010c93010203"),
     (ReplicaCreated(4), "920204"),
     (ReplicaNotFound(5), "920305"),
@@ -86,13 +86,13 @@
     (LeaderResponse(8, None, "d2"), "940708c0a26432"),
 ]
 VALUES: list[tuple[Any, str]] = [
-    (CONFIG, "939201cf00100000000000009103939201a2643192cf0010000000000000a264329203a26433"),
+    (CONFIGURATION, "939201cf00100000000000009103939201a2643192cf0010000000000000a264329203a26433"),
     (Configuration((1,)), "9391019090"),
     (ENTRIES[0], "94080200c400"),
     (ENTRIES[1], "94090201c403616464"),
     (ENTRIES[2], "940a0302c40793930102039090"),
     (
-        Snapshot(100, 2, CONFIG, b"state"),
+        Snapshot(100, 2, CONFIGURATION, b"state"),
         "946402939201cf00100000000000009103939201a2643192cf0010000000000000a264329203a26433c4057374617465",
     ),
     (Envelope("counter-0", 11, 0), "93a9636f756e7465722d300b00"),
@@ -106,10 +106,10 @@
     assert decode_raft_message(bytes.fromhex(golden)) == message
 
 
-@pytest.mark.parametrize(("word", "golden"), WORDS)
-def test_each_message_between_nodes_has_these_bytes(word: Any, golden: str) -> None:
-    assert msgspec.msgpack.encode(word).hex() == golden
-    assert decode_node_message(bytes.fromhex(golden)) == word
+@pytest.mark.parametrize(("message", "golden"), NODE_MESSAGES)
+def test_each_message_between_nodes_has_these_bytes(message: Any, golden: str) -> None:
+    assert msgspec.msgpack.encode(message).hex() == golden
+    assert decode_node_message(bytes.fromhex(golden)) == message
 
 
 @pytest.mark.parametrize(("value", "golden"), VALUES)
@@ -118,11 +118,11 @@
     assert msgspec.msgpack.decode(bytes.fromhex(golden), type=type(value)) == value
 
 
-def test_all_kinds_of_messages_are_among_these() -> None:
+def test_every_kind_of_message_has_an_expected_form() -> None:
     kinds = {type(message) for message, _ in MESSAGES}
-    words = {type(word) for word, _ in WORDS}
-    assert kinds == set(messages.RaftMessage.__args__) and words == set(node_messages.NodeMessage.__args__)
-    assert len(kinds) == 9 and len(words) == 7
+    node_kinds = {type(message) for message, _ in NODE_MESSAGES}
+    assert kinds == set(messages.RaftMessage.__args__) and node_kinds == set(node_messages.NodeMessage.__args__)
+    assert len(kinds) == 9 and len(node_kinds) == 7
 
 
 def test_a_configuration_entry_is_read_field_by_field() -> None:
@@ -133,7 +133,7 @@
     assert encode(config) == data
 
 
-def test_the_numbers_of_entry_kinds() -> None:
+def test_entry_kinds_have_these_numbers() -> None:
     assert [int(kind) for kind in EntryKind] == [0, 1, 2]
     assert (int(EntryKind.NO_OP), int(EntryKind.COMMAND), int(EntryKind.CONFIGURATION)) == (0, 1, 2)
 
@@ -152,16 +152,16 @@
     return struct.pack(">H", len(envelope)) + envelope + encode(TimeoutNow(7))
 
 
-def word_body() -> bytes:
+def node_message_body() -> bytes:
     envelope = msgspec.msgpack.encode(Envelope("counter-0", 0, 0))
     return struct.pack(">H", len(envelope)) + envelope + msgspec.msgpack.encode(ReplicaNotFound(5))
 
 
-def test_frames_are_sealed_in_order_with_these_bytes() -> None:
-    sealed = AuthenticatedFrames(Keyring([KEY]), SERVER, CLIENT)
-    assert sealed.encode(msgspec.msgpack.encode(Hello("fleet", "a", "b"))).hex() == HELLO
-    assert sealed.encode(body()).hex() == FIRST
-    assert sealed.encode(word_body()).hex() == SECOND
+def test_frames_are_authenticated_in_order_with_these_bytes() -> None:
+    frames = AuthenticatedFrames(Keyring([KEY]), SERVER, CLIENT)
+    assert frames.encode(msgspec.msgpack.encode(Hello("fleet", "a", "b"))).hex() == HELLO
+    assert frames.encode(body()).hex() == FIRST
+    assert frames.encode(node_message_body()).hex() == SECOND
 
 
 def test_a_stream_opens_and_carries_messages_with_these_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -178,7 +178,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        sender = Transport("fleet", "a", lambda: Keyring([KEY]), lambda place: ("127.0.0.1", port))
+        sender = Transport("fleet", "a", lambda: Keyring([KEY]), lambda node: ("127.0.0.1", port))
         sender.send("b", Envelope("counter-0", 11, 12), encode(TimeoutNow(7)))
         sender.send_to_node("b", "counter-0", ReplicaNotFound(5))
         assert await got == golden
@@ -188,41 +188,41 @@
     run(test())
 
 
-def test_a_stream_with_these_bytes_is_taken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stream_with_these_bytes_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("secrets.token_bytes", lambda size: SERVER[:size])
 
     async def test() -> None:
-        taken: list[Any] = []
+        received: list[Any] = []
         receiver = Transport(
             "fleet",
             "b",
             lambda: Keyring([KEY]),
-            lambda place: None,
-            lambda *word: taken.append(word),
-            lambda *nobody: taken.append(nobody),
+            lambda node: None,
+            lambda *message: received.append(message),
+            lambda *unknown: received.append(unknown),
         )
-        receiver.open("counter-0", 12, lambda copy: None, lambda *message: taken.append(message))
+        receiver.open("counter-0", 12, lambda copy: None, lambda *message: received.append(message))
         port = await receiver.start("127.0.0.1", 0)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         assert await reader.readexactly(16) == SERVER
         writer.write(CLIENT + bytes.fromhex(HELLO + FIRST + SECOND))
-        while len(taken) < 2:
+        while len(received) < 2:
             await asyncio.sleep(0.001)
-        assert taken == [(11, TimeoutNow(7)), ("a", "counter-0", 0, ReplicaNotFound(5))]
+        assert received == [(11, TimeoutNow(7)), ("a", "counter-0", 0, ReplicaNotFound(5))]
         writer.close()
         receiver.stop()
 
     run(test())
 
 
-def test_a_stream_that_is_not_as_these_bytes_is_counted_under_these_names(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stream_with_other_bytes_is_counted_under_these_names(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("secrets.token_bytes", lambda size: SERVER[:size])
     monkeypatch.setattr(outbound_queue, "MAX_QUEUED_FRAMES", 1)
     hello, first = bytes.fromhex(HELLO), bytes.fromhex(FIRST)
 
     async def test() -> None:
-        receiver = Transport("fleet", "b", lambda: Keyring([KEY]), lambda place: None)
-        other = Transport("fleet", "c", lambda: Keyring([KEY]), lambda place: None)
+        receiver = Transport("fleet", "b", lambda: Keyring([KEY]), lambda node: None)
+        other = Transport("fleet", "c", lambda: Keyring([KEY]), lambda node: None)
         ports = await receiver.start("127.0.0.1", 0), await other.start("127.0.0.1", 0)
 
         async def send(data: bytes, port: int = ports[0]) -> None:
--- a/tests/test_increment_ledger.py
+++ b/tests/test_increment_ledger.py
@@ -26,7 +26,7 @@
 )
 from martenstep.replication.replica_manager import ReplicaManager
 from martenstep.replication.transport import Transport
-from tests.replica_fleet_rig import KEYS, QUICK, ReplicaFleet
+from tests.replica_fleet_rig import FAST_RAFT_SETTINGS, KEYS, ReplicaFleet
 from tests.replica_rig import Sum
 from tests.socket_rig import LONG_S, run
 
@@ -121,7 +121,7 @@
                 lambda group: PendingIncrements() if is_ledger_group(group) else Sum(),
                 self.cluster_nodes,
                 lambda event, fields: self.events.append((event, fields)),
-                QUICK,
+                FAST_RAFT_SETTINGS,
                 is_own_group=is_ledger_group,
                 preferred_node=owner,
             )
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Replicas as they run, on sockets and files: kills, empty disks, a disk that fails, wrong keys and wrong disks."""
+"""Running replicas on sockets and files: kills, empty disks, failing disks, wrong keys, misdirected messages."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from martenstep.replication.raft import Role
 from martenstep.replication.transport import Transport
 from martenstep.storage.disk_faults import DISK_FAULTS_VARIABLE
-from tests.replica_rig import KEYS, QUICK, ReplicaGroup, Sum
+from tests.replica_rig import FAST_RAFT_SETTINGS, KEYS, ReplicaGroup, Sum
 from tests.socket_rig import LONG_S, run
 
 
@@ -42,7 +42,7 @@
     run(test(), LONG_S)
 
 
-def test_an_empty_disk_joins_as_another_replica_catches_up_and_votes(tmp_path: Path) -> None:
+def test_node_with_an_empty_disk_joins_as_a_new_replica_catches_up_and_votes(tmp_path: Path) -> None:
     async def test() -> None:
         group = ReplicaGroup(tmp_path)
         await group.start_all("a", "b", "c")
@@ -55,28 +55,28 @@
         fresh = group.open_storage("d")
         await group.start(fresh)
         voters = group.bootstrap.voters
-        for config in (
+        for configuration in (
             Configuration(voters, (fresh.replica_id,)),
             Configuration((*voters, fresh.replica_id)),
             Configuration(tuple(one for one in (*voters, fresh.replica_id) if one != lost)),
         ):
-            while not (await group.leader()).change_configuration(config):
+            while not (await group.leader()).change_configuration(configuration):
                 await asyncio.sleep(0.02)
         await group.until(lambda: group.state_machines[fresh.replica_id].total == total)
-        await group.until(lambda: group.replicas[fresh.replica_id].raft.configuration.voters == config.voters)
+        await group.until(lambda: group.replicas[fresh.replica_id].raft.configuration.voters == configuration.voters)
         other = next(
             number
             for number in voters
             if number in group.replicas and group.replicas[number].raft.role is not Role.LEADER
         )
-        await group.kill(other)  # the new one is needed for a majority now
+        await group.kill(other)  # now the new replica is needed for a quorum
         assert await group.add(1) == total + 1
         await group.stop()
 
     run(test(), LONG_S)
 
 
-def test_a_replica_whose_machine_was_restarted_recovers_first(tmp_path: Path) -> None:
+def test_replica_without_its_witness_mark_recovers_before_it_takes_part(tmp_path: Path) -> None:
     async def test() -> None:
         group = ReplicaGroup(tmp_path)
         await group.start_all("a", "b", "c")
@@ -84,7 +84,7 @@
         follower = next(number for number, replica in group.replicas.items() if replica.raft.role is not Role.LEADER)
         name = "abc"[group.bootstrap.voters.index(follower)]
         await group.kill(follower)
-        (tmp_path / f"{name}-witness" / "witness").unlink()  # its memory is empty
+        (tmp_path / f"{name}-witness" / "witness").unlink()  # a restart of the machine clears the witness's memory
         storage = group.open_storage(name)
         assert not storage.disk_verified
         back = await group.start(storage)
@@ -95,34 +95,34 @@
     run(test(), LONG_S)
 
 
-def test_a_replica_that_stops_leaves_no_write_behind(tmp_path: Path) -> None:
-    """What its thread still wrote would go into folders that the next start holds by then."""
+def test_stopped_replica_has_no_write_in_progress(tmp_path: Path) -> None:
+    """A write that outlives its replica would change folders that the next start has locked by then."""
 
     async def test() -> None:
         group = ReplicaGroup(tmp_path)
         await group.start_all("a")
         leader = await group.leader()
         storage, begun, ended = leader.storage, threading.Event(), threading.Event()
-        plain = storage.write
+        original_write = storage.write
 
-        def slow(writes: list[Any]) -> None:
+        def slow_write(writes: list[Any]) -> None:
             begun.set()
             time.sleep(0.2)
-            plain(writes)
+            original_write(writes)
             ended.set()
 
-        storage.write = slow  # type: ignore[method-assign]
-        asking = asyncio.create_task(leader.propose(b"1"))
+        storage.write = slow_write  # type: ignore[method-assign]
+        proposal = asyncio.create_task(leader.propose(b"1"))
         await group.until(begun.is_set)
         await group.kill(storage.replica_id)
         assert ended.is_set()
         with pytest.raises(IndeterminateError):
-            await asking
+            await proposal
 
     run(test(), LONG_S)
 
 
-def test_a_disk_that_fails_halts_its_replica_and_the_group_goes_on(
+def test_failing_disk_halts_its_replica_and_the_group_continues(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     faults = tmp_path / "faults"
@@ -147,23 +147,23 @@
     run(test(), LONG_S)
 
 
-def test_frames_of_another_key_or_for_another_disk_are_dropped(tmp_path: Path) -> None:
+def test_frames_with_another_key_or_for_another_replica_or_node_are_dropped(tmp_path: Path) -> None:
     async def test() -> None:
         group = ReplicaGroup(tmp_path)
         await group.start_all("a", "b", "c")
         await group.add(1)
         leader = await group.leader()
-        me, transport = leader.raft.replica_id, group.transports[leader.raft.replica_id]
+        leader_id, transport = leader.raft.replica_id, group.transports[leader.raft.replica_id]
 
-        def there(place: str) -> tuple[str, int]:
-            return group.addresses[str(me)]
+        def find_leader_address(node: str) -> tuple[str, int]:
+            return group.addresses[str(leader_id)]
 
-        strange = Transport("g", "99", lambda: Keyring([b"x" * 32]), there)
-        wrong = Transport("g", "99", lambda: KEYS, there)
+        wrong_key = Transport("g", "99", lambda: Keyring([b"x" * 32]), find_leader_address)
+        wrong_target = Transport("g", "99", lambda: KEYS, find_leader_address)
         body = encode(TimeoutNow(9))
-        strange.send(str(me), Envelope("g", 99, me), body)
-        wrong.send(str(me), Envelope("g", 99, me + 1), body)  # another disk on that node
-        wrong.send("98", Envelope("g", 99, me), body)  # another node at that address
+        wrong_key.send(str(leader_id), Envelope("g", 99, leader_id), body)
+        wrong_target.send(str(leader_id), Envelope("g", 99, leader_id + 1), body)  # another replica id on that node
+        wrong_target.send("98", Envelope("g", 99, leader_id), body)  # another node name at that address
         await group.until(
             lambda: (
                 transport.counts["dropped_mac"]
@@ -171,8 +171,8 @@
                 and transport.counts["not_for_this_place"]
             )
         )
-        strange.stop()
-        wrong.stop()
+        wrong_key.stop()
+        wrong_target.stop()
         with pytest.raises(ValueError, match="at most"):
             await leader.propose(b"1" * 70_000)
         follower = next(replica for replica in group.replicas.values() if replica is not leader)
@@ -185,14 +185,14 @@
     run(test(), LONG_S)
 
 
-def test_a_replica_that_is_alone_leads_and_serves_reads(tmp_path: Path) -> None:
-    """It has nobody whose answers would renew its lease."""
+def test_sole_replica_leads_and_serves_reads(tmp_path: Path) -> None:
+    """No other voter's response renews its lease, so each heartbeat round must."""
 
     async def test() -> None:
         group = ReplicaGroup(tmp_path)
         await group.start_all("a")
         assert [await group.add(2) for _ in range(3)] == [2, 4, 6]
-        await asyncio.sleep(3 * QUICK.election_timeout_ms / 1000)
+        await asyncio.sleep(3 * FAST_RAFT_SETTINGS.election_timeout_ms / 1000)
         await (await group.leader()).confirm_leadership()
         assert await group.add(1) == 7
         await group.stop()
@@ -200,9 +200,9 @@
     run(test(), LONG_S)
 
 
-def test_proposals_of_one_turn_are_committed_in_their_order(tmp_path: Path) -> None:
+def test_proposals_of_one_loop_iteration_are_committed_in_order(tmp_path: Path) -> None:
     async def test() -> None:
-        for turn in itertools.count():  # a leader may lose its lead on a starved machine, and then promises nothing
+        for turn in itertools.count():  # repeated, because on an overloaded machine the leader may lose leadership
             (tmp_path / str(turn)).mkdir()
             group = ReplicaGroup(tmp_path / str(turn))
             await group.start_all("a", "b", "c")
@@ -218,21 +218,21 @@
     run(test(), LONG_S)
 
 
-class Slow(Sum):
-    """Whose snapshot takes long."""
+class SlowSnapshotSum(Sum):
+    """A state machine whose snapshot takes 0.3 s."""
 
     def snapshot(self) -> bytes:
         time.sleep(0.3)
         return super().snapshot()
 
 
-def test_a_snapshot_is_made_while_the_replica_goes_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of the state at one moment, whatever is added meanwhile; a start from it and the log gives all."""
+def test_snapshot_is_made_while_the_replica_continues(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The snapshot holds the state at its start; a restart from it and the log restores everything."""
     monkeypatch.setattr("martenstep.replication.replica.SNAPSHOT_INTERVAL_ENTRIES", 50)
 
     async def test() -> None:
         group = ReplicaGroup(tmp_path)
-        group.make_state_machine = Slow
+        group.make_state_machine = SlowSnapshotSum
         await group.start_all("a")
         leader = await group.leader()
         while leader.raft.snapshot_index < 100:
@@ -241,7 +241,7 @@
         kept = leader.raft.snapshot
         assert kept is not None and 0 < int(kept.body.split()[0]) <= kept.index < total + 2
         held = leader.raft.snapshot_index
-        await group.kill(leader.raft.replica_id)  # perhaps in the middle of the next one
+        await group.kill(leader.raft.replica_id)  # possibly while the next snapshot is being made
         back = await group.start(group.open_storage("a"))
         assert back.raft.snapshot_index >= held
         assert await group.add(1) == total + 1
@@ -250,16 +250,16 @@
     run(test(), LONG_S)
 
 
-def test_a_snapshot_that_fails_leaves_the_log(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_snapshot_leaves_the_log_uncompacted(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("martenstep.replication.replica.SNAPSHOT_INTERVAL_ENTRIES", 20)
 
-    class Broken(Sum):
+    class FailingSnapshotSum(Sum):
         def snapshot(self) -> bytes:
             raise RuntimeError("no")
 
     async def test() -> None:
         group = ReplicaGroup(tmp_path)
-        group.make_state_machine = Broken
+        group.make_state_machine = FailingSnapshotSum
         await group.start_all("a")
         for number in range(60):
             assert await group.add(1) == number + 1
--- a/tests/test_replica_manager.py
+++ b/tests/test_replica_manager.py
@@ -1,4 +1,4 @@
-"""Nodes that hold replicas of groups, each with a transport and folders: bootstrapped, lost, caught up, removed."""
+"""Nodes that hold replicas of groups: bootstrap, lost disks, catching up, replacement and removal of replicas."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.socket_rig import LONG_S, run
 
 
-def test_a_wiped_disk_gets_a_replica_of_another_identity(tmp_path: Path) -> None:
+def test_node_with_a_wiped_disk_gets_a_replica_with_another_identity(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = ReplicaFleet(
             tmp_path, "abc", node_lost_after_ms=3_600_000.0
-        )  # the node is there again long before it counts as lost
+        )  # the node returns long before it counts as lost
         await fleet.start(*"abc")
         for number in range(20):
             assert await fleet.add("g-0") == number + 1
@@ -38,14 +38,14 @@
         replica = await fleet.leader("g-0")
         assert old not in replica.raft.configuration.members and len(replica.raft.configuration.voters) == 3
         await fleet.kill("c")
-        assert await fleet.add("g-0") == 121  # the new replica votes
+        assert await fleet.add("g-0") == 121  # without `c` the new replica's acknowledgement is needed for a quorum
         await fleet.stop()
 
     run(test(), LONG_S)
 
 
-def test_an_old_disk_that_knows_only_lost_replicas_still_finds_whom_to_query(tmp_path: Path) -> None:
-    """Those that it has to hear came after its disk was copied."""
+def test_recovery_from_an_old_disk_queries_voters_that_joined_later(tmp_path: Path) -> None:
+    """The voters that it must query joined the group after its disk was copied."""
 
     async def test() -> None:
         fleet = ReplicaFleet(tmp_path, "abc", groups=("g-0",), node_lost_after_ms=3_600_000.0)
@@ -68,13 +68,13 @@
     run(test(), LONG_S)
 
 
-def test_another_node_replaces_a_lost_one_whose_replicas_are_removed_when_it_returns(
+def test_lost_node_is_replaced_and_its_replicas_are_removed_when_it_returns(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         fleet = ReplicaFleet(tmp_path, "abcd")
         await fleet.start(*"abcd")
-        # Four nodes, three replicas: rendezvous may want `d` at once.
+        # With four nodes and three replicas, rendezvous hashing may select `d` from the start.
         await fleet.until(lambda: all(len(fleet.voter_nodes(group)) == 3 for group in fleet.replication.groups))
         for group in fleet.replication.groups:
             await fleet.add(group, 7)
@@ -83,7 +83,7 @@
         await fleet.kill(lost)
         await fleet.until(lambda: lost not in fleet.voter_nodes("g-0") and spare in fleet.voter_nodes("g-0"))
         await fleet.until(lambda: fleet.total(spare, "g-0") == 7)
-        fleet.names.remove(lost)  # it is there, but nobody wants it: the membership does not know it
+        fleet.names.remove(lost)  # it runs, but the membership does not list it, so no group selects it
         await fleet.start(lost)
         fleet.names = [name for name in fleet.names if name != lost]
         await fleet.until(lambda: fleet.managers[lost].replica("g-0") is None)
@@ -95,7 +95,7 @@
     run(test(), LONG_S)
 
 
-def test_a_damaged_folder_is_set_aside_and_a_new_replica_catches_up(tmp_path: Path) -> None:
+def test_damaged_folder_is_renamed_and_a_new_replica_catches_up(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = ReplicaFleet(tmp_path, "abc", groups=("g-0",))
         await fleet.start(*"abc")
@@ -115,7 +115,7 @@
     run(test(), LONG_S)
 
 
-def test_an_older_message_removes_no_replica_with_a_later_configuration(tmp_path: Path) -> None:
+def test_old_message_does_not_remove_a_replica_with_a_later_configuration(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = ReplicaFleet(tmp_path, "abc", groups=("g-0",))
         await fleet.start(*"abc")
@@ -126,17 +126,17 @@
         manager = fleet.managers["b"]
         replica = manager.replica("g-0")
         assert replica is not None
-        me, index = replica.raft.replica_id, replica.raft.configuration_index
-        manager.receive("a", "g-0", 0, RemovedFromGroup(me, index))
+        replica_id, index = replica.raft.replica_id, replica.raft.configuration_index
+        manager.receive("a", "g-0", 0, RemovedFromGroup(replica_id, index))
         manager.receive("a", "g-0", 0, CreateReplica(index, (1, 2)))
-        manager.receive("a", "g-0", 0, RemovedFromGroup(me + 1, index + 9))
-        manager.receive("a", "strange", 0, CreateReplica(1, ()))  # of no group of this fleet
+        manager.receive("a", "g-0", 0, RemovedFromGroup(replica_id + 1, index + 9))
+        manager.receive("a", "strange", 0, CreateReplica(1, ()))  # a group that this fleet does not have
         assert manager.replica("g-0") is replica and not manager.counts["let_go"] and manager.replica("strange") is None
         leader = await fleet.leader("g-0")
         leading = next(one for one in fleet.managers.values() if one.replica("g-0") is leader)
-        leading.receive("z", "g-0", 0, ReplicaNotFound(me))  # said by a node that does not hold it
-        assert me not in leading.repair.missing_replicas("g-0")
-        manager.receive("a", "g-0", 0, RemovedFromGroup(me, index + 1))
+        leading.receive("z", "g-0", 0, ReplicaNotFound(replica_id))  # sent by a node that is not the replica's location
+        assert replica_id not in leading.repair.missing_replicas("g-0")
+        manager.receive("a", "g-0", 0, RemovedFromGroup(replica_id, index + 1))
         assert manager.replica("g-0") is None
         await fleet.until(lambda: fleet.total("b", "g-0") == 1 and fleet.voter_nodes("g-0") == ["a", "b", "c"])
         await fleet.stop()
@@ -144,7 +144,7 @@
     run(test(), LONG_S)
 
 
-def test_a_node_that_creates_no_replica_is_passed_over(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_node_that_creates_no_replica_in_time_is_skipped(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("martenstep.replication.repair.CREATE_TIMEOUT_MS", 400.0)
 
     async def test() -> None:
@@ -152,7 +152,7 @@
         await fleet.start(*"abcd")
         for group in fleet.replication.groups:
             await fleet.add(group)
-        deaf = ReplicaManager(
+        unreachable = ReplicaManager(
             "e",
             tmp_path / "e",
             tmp_path / "e-w",
@@ -161,7 +161,7 @@
             fleet.cluster_nodes,
             lambda event, fields: None,
         )
-        fleet.managers["e"] = deaf  # present, but nobody listens there
+        fleet.managers["e"] = unreachable  # present in the membership, but without a transport
         await fleet.kill("a", wipe=True)
         await fleet.until(
             lambda: all(fleet.voter_nodes(group) == ["b", "c", "d"] for group in fleet.replication.groups)
--- a/tests/test_replica_storage.py
+++ b/tests/test_replica_storage.py
@@ -1,4 +1,4 @@
-"""A replica's disk: what is read back after any crash, and when it counts as verified."""
+"""A replica's disk: the state that is read back after a crash, and when the disk counts as verified."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return LogEntry(index, term, EntryKind.COMMAND, b"x" * size)
 
 
-def test_a_torn_witness_mark_leaves_the_one_before_it() -> None:
+def test_torn_witness_mark_leaves_the_previous_one_readable() -> None:
     older, newer = WitnessMark(4, 7, 10), WitnessMark(5, 7, 12)
     both = older.encode().ljust(WITNESS_SLOT_BYTES, b"\0") + newer.encode().ljust(WITNESS_SLOT_BYTES, b"\0")
     assert (
@@ -49,20 +49,20 @@
     return ReplicaStorage(files, witness, random.Random(seed))
 
 
-def draw_write(rng: random.Random, state: PersistentState, ticket: int) -> DurableWrite:
-    """A write that a Raft node could make next."""
+def draw_write(rng: random.Random, state: PersistentState, sequence: int) -> DurableWrite:
+    """Draw a write that a Raft node could make next."""
     last = state.entries[-1].index if state.entries else (state.snapshot.index if state.snapshot is not None else 0)
     base = state.snapshot.index if state.snapshot is not None else 0
     term, kind = state.term + rng.randrange(2), rng.randrange(5)
     if kind == 0:
-        return DurableWrite(ticket, term, rng.randrange(4), LogPosition(rng.randrange(3), 1))
+        return DurableWrite(sequence, term, rng.randrange(4), LogPosition(rng.randrange(3), 1))
     if kind == 1 and last > base:
         cut = rng.randrange(base + 1, last + 1)
-        return DurableWrite(ticket, term, state.voted_for, state.log_floor, cut, (entry(cut, term),))
+        return DurableWrite(sequence, term, state.voted_for, state.log_floor, cut, (entry(cut, term),))
     if kind == 2 and last > base:
         index = rng.randrange(base + 1, last + 1)
         return DurableWrite(
-            ticket,
+            sequence,
             term,
             state.voted_for,
             state.log_floor,
@@ -70,7 +70,7 @@
         )
     count = rng.randrange(1, 4)
     return DurableWrite(
-        ticket,
+        sequence,
         term,
         state.voted_for,
         state.log_floor,
@@ -80,27 +80,27 @@
 
 
 def possible_states(state: PersistentState, write: DurableWrite) -> list[PersistentState]:
-    """What a crash within a write may leave: any of its records, in order, and its snapshot or not."""
-    made = [state]
-    for line in encode_write(write):
-        after = replace(made[-1], entries=list(made[-1].entries))
-        apply_write(after, msgspec.msgpack.decode(line, type=WriteRecord))
-        made.append(after)
-    whole = replace(state, entries=list(state.entries))
-    apply_write(whole, write)
-    return [*made, whole]
+    """The states that a crash within a write may leave: after any number of its records, or the whole write."""
+    states = [state]
+    for record in encode_write(write):
+        after = replace(states[-1], entries=list(states[-1].entries))
+        apply_write(after, msgspec.msgpack.decode(record, type=WriteRecord))
+        states.append(after)
+    complete = replace(state, entries=list(state.entries))
+    apply_write(complete, write)
+    return [*states, complete]
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_what_was_durable_is_read_back_after_a_crash_at_any_step(seed: int) -> None:
+def test_durable_state_is_read_back_after_a_crash_at_any_step(seed: int) -> None:
     rng = random.Random(seed)
     files, witness = FaultFiles(seed), FaultFiles(seed + 1)
     storage = open_storage(files, witness)
     files.crash_at = files.steps + rng.randrange(1, 60)
     allowed, first = [storage.read_state()], storage.replica_id
     try:
-        for ticket in range(1, 40):
-            write = draw_write(rng, storage.read_state(), ticket)
+        for sequence in range(1, 40):
+            write = draw_write(rng, storage.read_state(), sequence)
             allowed = possible_states(storage.read_state(), write)
             storage.write([write])
             allowed = [storage.read_state()]
@@ -112,20 +112,20 @@
     assert again.read_state() in allowed
 
 
-def test_all_that_was_written_is_there_at_the_next_start() -> None:
+def test_everything_written_is_read_back_after_a_process_restart() -> None:
     rng = random.Random(7)
     files, witness = FaultFiles(7), FaultFiles(8)
     storage = open_storage(files, witness)
-    for ticket in range(1, 200):
-        storage.write([draw_write(rng, storage.read_state(), ticket)])
-        if ticket % 20 == 0:
-            held = storage.read_state()
+    for sequence in range(1, 200):
+        storage.write([draw_write(rng, storage.read_state(), sequence)])
+        if sequence % 20 == 0:
+            stored = storage.read_state()
             files.kill()
             storage = open_storage(files, witness)
-            assert storage.read_state() == held and storage.disk_verified
+            assert storage.read_state() == stored and storage.disk_verified
 
 
-def test_a_disk_put_back_or_moved_is_not_verified_and_neither_is_its_next_start() -> None:
+def test_restored_or_moved_disk_is_not_verified_now_nor_at_its_next_start() -> None:
     import copy
 
     files, witness = FaultFiles(1), FaultFiles(2)
@@ -136,17 +136,17 @@
     assert open_storage(copy.deepcopy(files), copy.deepcopy(witness)).disk_verified
     back = open_storage(old, witness)
     assert not back.disk_verified and back.replica_id == storage.replica_id and WITNESS_FILE not in witness.names()
-    for ticket in range(3, 9):  # more records than the witness ever knew of
-        back.write([DurableWrite(ticket, 2, 2)])
+    for sequence in range(3, 9):  # more records than the witness ever recorded
+        back.write([DurableWrite(sequence, 2, 2)])
     assert not open_storage(old, witness).disk_verified
     again = open_storage(old, witness)
     again.confirm_disk()
     assert open_storage(old, witness).disk_verified
-    assert not open_storage(old, FaultFiles(3)).disk_verified  # the machine was restarted: its memory is empty
+    assert not open_storage(old, FaultFiles(3)).disk_verified  # a restart of the machine clears the witness's memory
     assert not open_storage(old, None).disk_verified
 
 
-def test_an_empty_disk_is_another_replica_and_a_log_without_its_identity_is_rejected() -> None:
+def test_empty_disk_becomes_another_replica_and_a_log_without_its_identity_is_rejected() -> None:
     files, witness = FaultFiles(1), FaultFiles(2)
     storage = open_storage(files, witness)
     assert storage.disk_verified
@@ -161,14 +161,14 @@
 def test_damage_is_reported_with_its_file() -> None:
     files, witness = FaultFiles(1), FaultFiles(2)
     storage = open_storage(files, witness)
-    for ticket in range(1, 6):
-        storage.write([DurableWrite(ticket, ticket, 1)])
+    for sequence in range(1, 6):
+        storage.write([DurableWrite(sequence, sequence, 1)])
     files.flip("seg-0000000000000000.log", 60)
     with pytest.raises(ReplicaStorageError, match="seg-0000000000000000"):
         open_storage(files, witness)
 
 
-def test_a_full_disk_raises_and_the_witness_is_not_marked() -> None:
+def test_write_to_a_full_disk_raises_and_does_not_update_the_witness() -> None:
     files, witness = FaultFiles(1), FaultFiles(2)
     storage = open_storage(files, witness)
     files.fail_at = files.steps
@@ -178,16 +178,16 @@
     assert witness.read(WITNESS_FILE) == before
 
 
-def test_coalesced_writes_make_the_same_state() -> None:
-    joined = 0
+def test_coalesced_writes_produce_the_same_state() -> None:
+    saved_writes = 0
     for seed in range(60):
-        rng, apart, whole, writes = random.Random(seed), PersistentState(), PersistentState(), list[DurableWrite]()
-        for ticket in range(1, 25):
-            writes.append(draw_write(rng, apart, ticket))
-            apply_write(apart, writes[-1])
-        told = [replace(write) for write in writes]
-        for write in (made := coalesce_writes(writes)):
-            apply_write(whole, write)
-        assert whole == apart and writes == told and made[-1].sequence == 24
-        joined += len(writes) - len(made)
-    assert joined > 100
+        rng, separate, merged, writes = random.Random(seed), PersistentState(), PersistentState(), list[DurableWrite]()
+        for sequence in range(1, 25):
+            writes.append(draw_write(rng, separate, sequence))
+            apply_write(separate, writes[-1])
+        copies = [replace(write) for write in writes]
+        for write in (coalesced := coalesce_writes(writes)):
+            apply_write(merged, write)
+        assert merged == separate and writes == copies and coalesced[-1].sequence == 24
+        saved_writes += len(writes) - len(coalesced)
+    assert saved_writes > 100
