--- a/martenstep/replication/replica.py
+++ b/martenstep/replication/replica.py
@@ -163,7 +163,7 @@
         Raises NotLeaderError, ValueError at once.
         """
         if len(data) > MAX_ENTRY_BYTES:
-            raise ValueError(f"an entry may have at most {MAX_ENTRY_BYTES} bytes, this one has {len(data)}")
+            raise ValueError(f"an entry has at most {MAX_ENTRY_BYTES} bytes, this one {len(data)}")
         index = self.raft.propose(data, replicate=False)
         if index is None:
             raise NotLeaderError(self.raft.leader)
