--- a/martenstep/redis_counter/batch_writer.py
+++ b/martenstep/redis_counter/batch_writer.py
@@ -1,4 +1,4 @@
-"""Chooses what is sent next on each connection, and when."""
+"""Chooses which operations are sent next on each connection, and when."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from martenstep.redis_counter.node_state import ConnectionState
 from martenstep.redis_counter.recovery import Recovery
 
-MAX_BATCH = 64  # statements in one write: more would make the last wait for the first
-MAX_RESTATED = 32  # of those, statements made anew after a loss: calls keep their share
+MAX_BATCH = 64  # operations in one write: with more, the last would wait long for the first
+MAX_RESTATED = 32  # keys stated once more in one write; the rest is left to calls
 
 
 class BatchWriter:
@@ -28,7 +28,7 @@
         self._outbox = parts.outbox
 
     def advance(self, now_ms: float) -> None:
-        """Let every connection do what it can."""
+        """Open or write each connection that has something to send and may send it now."""
         for connection in self._routing.connections():
             if connection.busy or not (connection.queue or connection.restate):
                 continue
@@ -44,7 +44,7 @@
         """Return when a connection with something to send may open or write."""
         node = connection.node
         if node.circuit_open and node.busy:
-            return math.inf  # its end is an event
+            return math.inf  # the outcome of the pending operation triggers the next step
         blocked_until = node.retry_at_ms if node.circuit_open or not connection.ready else -math.inf
         if not connection.queue:
             return max(blocked_until, connection.write_after_ms, connection.restate_after_ms)
@@ -57,7 +57,7 @@
         plain = connection.node.plain_adds
         batch = self._take_queued(now_ms, connection)
         connection.queued_at_ms = now_ms
-        connection.witnessed = False
+        connection.witness_answered = False
         if not plain:
             self._add_witness(now_ms, connection, batch)
         self._add_restated(now_ms, connection, batch)
@@ -85,7 +85,7 @@
         return batch
 
     def _add_witness(self, now_ms: float, connection: ConnectionState, batch: list[Operation]) -> None:
-        """Put the witness in front if a proof is wanted that no answer gave yet."""
+        """Put the witness in front if a call needs a proof that its key's last answer does not provide."""
         node = connection.node
         if any(operation.needs_proof and self._recovery.is_unproved(node, operation.key) for operation in batch):
             witness = self._recovery.witness_operation(now_ms, node)
--- a/martenstep/redis_counter/call_queue.py
+++ b/martenstep/redis_counter/call_queue.py
@@ -1,4 +1,4 @@
-"""The operations that wait for a connection: where each goes, in which order, and when it is given up."""
+"""The operations that wait for a connection: their routing, their order and their expiry."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CallQueue:
-    """Queues operations, and ends those that get no answer."""
+    """Queues operations, and ends those that are not answered in time."""
 
     def __init__(
         self, options: CoreOptions, routing: Routing, recovery: Recovery, failures: NodeFailures, outbox: Outbox
@@ -27,18 +27,18 @@
         self._recovery = recovery
         self._failures = failures
         self._outbox = outbox
-        self.unrouted: deque[Operation] = deque()  # until the topology is known
+        self.unrouted: deque[Operation] = deque()  # operations that wait until the topology is known
 
     # Queueing
 
     def put(self, now_ms: float, operation: Operation) -> None:
-        """Queue an operation at its key's connection, or end it if there is no capacity or no way to the node."""
+        """Queue an operation on its key's connection; ends it if the queue is full or the node is unavailable."""
         node = self._routing.node_for(operation.key)
         if node is None:
             self._put_unrouted(now_ms, operation)
             return
         connection = self._routing.connection_for(operation.key, node)
-        if self._is_cut_off(now_ms, connection, operation):
+        if self._fails_fast(now_ms, connection, operation):
             self.drop(operation, CallResult.CONNECT_FAILED)
         elif len(connection.queue) + len(connection.in_flight) >= self._options.max_pending:
             self.drop(operation, CallResult.OVERLOADED)
@@ -48,13 +48,13 @@
             self.insert(connection, operation)
 
     def put_again(self, now_ms: float, operation: Operation) -> None:
-        """Queue an operation once more, which keeps its capacity."""
+        """Queue an operation once more, without a check of the queue's capacity."""
         node = self._routing.node_for(operation.key)
         if node is None:
             self._put_unrouted(now_ms, operation)
             return
         connection = self._routing.connection_for(operation.key, node)
-        if self._is_cut_off(now_ms, connection, operation):
+        if self._fails_fast(now_ms, connection, operation):
             self.drop(operation, CallResult.CONNECT_FAILED)
         else:
             self.insert(connection, operation)
@@ -67,14 +67,14 @@
         self._routing.query_topology(now_ms)
 
     def put_unrouted_again(self, now_ms: float) -> None:
-        """Queue what waited for the topology."""
+        """Queue the operations that waited for the topology."""
         while self.unrouted:
             self.put(now_ms, self.unrouted.popleft())
 
-    def _is_cut_off(self, now_ms: float, connection: ConnectionState, operation: Operation) -> bool:
-        """Whether a call is not to wait for its node.
+    def _fails_fast(self, now_ms: float, connection: ConnectionState, operation: Operation) -> bool:
+        """Whether a call fails at once because the circuit of its node is open.
 
-        A node whose circuit is open is tried by a statement of what it had, if there is any: no request waits for it.
+        The node is probed with a statement of a key that it held, if there is one, so that no request waits for it.
         """
         node = connection.node
         if not node.circuit_open or operation.call is None:
@@ -83,7 +83,7 @@
 
     @staticmethod
     def insert(connection: ConnectionState, operation: Operation) -> None:
-        """Keep the queue in the order of deadlines; of equals, one that was sent before is first."""
+        """Insert in the order of deadlines; of equal ones, an operation that was sent before comes first."""
         queue = connection.queue
         deadline_ms = operation.deadline_ms
         sent_before = operation.attempts + operation.indeterminate
@@ -98,22 +98,22 @@
         else:
             queue.insert(bisect_left(queue, deadline_ms, key=lambda other: other.deadline_ms), operation)
 
-    # Giving up
+    # Expiry
 
     def drop(self, operation: Operation, result: CallResult) -> None:
-        """End an operation without an answer; one that was written once may have been done, and is stated again."""
+        """End an operation without a total; an indeterminate one may have been applied, so its key is stated again."""
         self._outbox.answer(operation.call, CallResult.TIMEOUT if operation.indeterminate else result)
         operation.call = None
         if operation.indeterminate:
             self._recovery.restate(operation.key)
 
     def expire_unrouted(self, now_ms: float) -> None:
-        """End the calls whose time is over while the topology is not known."""
+        """End the calls whose deadline passed while the topology was not known."""
         while self.unrouted and self.unrouted[0].deadline_ms <= now_ms:
             self.drop(self.unrouted.popleft(), CallResult.CONNECT_FAILED)
 
     def expire(self, now_ms: float, connection: ConnectionState) -> None:
-        """End the calls whose time is over, and the connection if its answers are late."""
+        """End the calls whose deadline passed, and close the connection if its replies are late."""
         for operation in connection.in_flight:
             if operation.deadline_ms <= now_ms and operation.call is not None:
                 self._outbox.answer(operation.call, CallResult.TIMEOUT)
@@ -133,11 +133,11 @@
             self.drop(connection.queue.popleft(), CallResult.OVERLOADED)
         if connection.in_flight and now_ms - connection.written_at_ms >= self._options.timeout_ms:
             self._outbox.put(CloseConnection(connection.id))
-            self._failures.on_failure(now_ms, connection, "no answer in time")
+            self._failures.on_failure(now_ms, connection, "no reply within the timeout")
             self.disconnect(now_ms, connection)
 
     def disconnect(self, now_ms: float, connection: ConnectionState) -> None:
-        """Note that a connection is gone: what was in flight on it is indeterminate."""
+        """Mark a connection as closed: the operations in flight on it are indeterminate."""
         connection.ready = connection.opening = False
         for operation in connection.in_flight:
             operation.indeterminate = True
--- a/martenstep/redis_counter/core.py
+++ b/martenstep/redis_counter/core.py
@@ -1,28 +1,30 @@
-"""What the calls to the store do: no I/O, no clock.  Times are milliseconds of any one clock.
+"""The decisions about calls to the store, without I/O and without a clock: times are milliseconds of any one clock.
 
-Each key has a register: the sum of what this gateway's epoch ever added to it, under a version that only grows.  A call
-states the sum (`script.py`), so it may be sent again after a lost answer, and whatever was left indeterminate is
-settled by any later statement of the same key.  What the caller is told follows from that:
+Each key has a register: the sum of all units that this gateway's epoch has added to it, under a version that only
+grows.  A call states the sum (`script.py`), so that it may be sent again after a lost reply; an indeterminate statement
+is settled by any later statement of the same key.  The result that the caller receives follows from that:
 
-| what happened | result | was it added |
+| what happened | result | were the units added |
 | --- | --- | --- |
 | the total came back | OK | yes, once |
-| no capacity in the queue, or its time ended before it was written, or the store rejected it | OVERLOADED | no |
-| no way to the store, or its circuit breaker is open | CONNECT_FAILED | no |
-| written, and no answer in its time | TIMEOUT | once, by now or by a later statement |
-
-Without scripts it falls back to plain adds, which are never sent twice: a TIMEOUT may then have been added or not, and
-contents that were lost are not noticed.
-
-A statement's reply tells what the register held before.  Less than the gateway knows to have been there proves that the
-store lost contents or went back to older ones: each key of that node is then stated once more, and what the others had
-used is taken to be no less than was last told, until their own statements have come.
-
-A total that bounds a ceiling comes with a proof: for how long the node is known to have lost nothing.  The proof is a
-register of this gateway's own, the witness: it is stated in front of a key that is asked for the first time, and found
-as it was left.  What it cannot show, that a replica took over which had it and not the newest of the others, goes with
-a broken connection: with each that is opened the proof begins anew.  Keys that are stated again need no witness, since
-their own register is one.  A store that evicts keys keeps no proof: it is to run with `noeviction`.
+| the queue was full, the deadline passed before the call was written, or the store rejected it | OVERLOADED | no |
+| no connection could be established, or the node's circuit breaker is open | CONNECT_FAILED | no |
+| the call was written, and no reply came within the timeout | TIMEOUT | once, by now or by a later statement |
+
+Without scripts the core falls back to plain adds, which are never sent twice: after a TIMEOUT the units may or may not
+have been added, and a loss of contents is not detected.
+
+The reply to a statement contains the version that the register held before.  A version older than one that the gateway
+knows the store to have held proves that the store lost contents or went back to older ones.  Each key of that node is
+then stated once more.  Until the statements of the other gateways have arrived, their part of a key's total is assumed
+to be no less than in the last total that this gateway received.
+
+A total that bounds a ceiling comes with a proof: for how long the node is known to have lost nothing.  The proof rests
+on a register of this gateway's own, the witness, which is stated in front of the first call for a key and must be found
+unchanged.  A witness does not rule out that a replica took over which held the witness but not the newest registers of
+other gateways.  Such a takeover breaks the connections, so the proof starts over with each connection that is opened.
+Once a key was answered behind the witness, later statements of it need none, since its own register serves as one.  A
+store that evicts keys breaks the proof: Redis has to run with `noeviction`.
 """
 
 from __future__ import annotations
@@ -54,14 +56,14 @@
 from martenstep.redis_counter.replies import ReplyHandler
 from martenstep.redis_counter.routing import Routing
 
-HEALTH_CHECK_INTERVAL_MS = 250.0  # a node that was silent for so long is asked whether it has what it had
+HEALTH_CHECK_INTERVAL_MS = 250.0  # after this time without a reply, a node is checked for lost contents
 
 
 class Core:
-    """The calls of one gateway's epoch to the store: events in, actions out."""
+    """The calls of one gateway's epoch to the store: receives events and produces actions."""
 
     def __init__(self, options: CoreOptions, rng: random.Random) -> None:
-        """Begin without nodes."""
+        """Create a core without nodes."""
         self._options = options
         self._rng = rng
         self._outbox = outbox = Outbox()
@@ -77,17 +79,17 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What happened how often, by the names of the metrics."""
+        """The number of occurrences of each event, by the names of the metrics."""
         return self._outbox.counts
 
     def store_key(self, key: int) -> bytes:
-        """Return the store's name of a key."""
+        """Return the name that a key has in the store."""
         return self._routing.store_key(key)
 
     # Events
 
     def set_topology(self, now_ms: float, slots: list[str]) -> None:
-        """Take node by slot, or one node for all; what waited at nodes that are gone is sent to the new ones."""
+        """Set the node of each slot, or one node for all keys; operations that waited for removed nodes are moved."""
         previous, removed = self._routing.set_topology(slots)
         if previous and previous != slots:
             self._recovery.reassign_keys(previous)
@@ -106,7 +108,7 @@
                 self._recovery.restate(key)
 
     def add(self, now_ms: float, call: AddCall) -> None:
-        """Take one call: it is answered once, within the time-out."""
+        """Queue one call, which is answered once, within the timeout."""
         if call.key not in self._registers:
             if self._registers.full:
                 self._outbox.answer(call.call, CallResult.OVERLOADED)
@@ -118,7 +120,7 @@
         self._writer.advance(now_ms)
 
     def on_opened(self, now_ms: float, connection_id: ConnectionId) -> None:
-        """Note that a connection was established."""
+        """Handle a connection that was established."""
         connection = self._routing.find_connection(connection_id)
         if connection is None or not connection.opening:
             self._outbox.put(CloseConnection(connection_id))
@@ -132,7 +134,7 @@
         self._writer.advance(now_ms)
 
     def on_connect_failed(self, now_ms: float, connection_id: ConnectionId, error: str) -> None:
-        """Note that a connection could not be established."""
+        """Handle a connection that could not be established."""
         connection = self._routing.find_connection(connection_id)
         if connection is None or not connection.opening:
             return
@@ -140,25 +142,25 @@
         self._failures.on_failure(now_ms, connection, error)
         waiting = list(connection.queue)
         connection.queue.clear()
-        for operation in waiting:  # none of them has a way out
+        for operation in waiting:  # all of them needed this connection
             self._queue.drop(operation, CallResult.CONNECT_FAILED)
         self._writer.advance(now_ms)
 
     def on_connection_lost(self, now_ms: float, connection_id: ConnectionId, error: str) -> None:
-        """Note that a connection broke."""
+        """Handle a connection that broke."""
         connection = self._routing.find_connection(connection_id)
         if connection is None or not connection.ready:
             return
         if connection.in_flight:
             self._failures.on_failure(now_ms, connection, error)
-        else:  # by itself: every gateway's at once, so that each checks what it had at a time of its own
+        else:  # idle connections break for all gateways at once: a random delay spreads their checks for losses
             connection.restate_after_ms = now_ms + HEALTH_CHECK_INTERVAL_MS * self._rng.random()
         self._queue.disconnect(now_ms, connection)
         self._recovery.check_latest(now_ms, connection)
         self._writer.advance(now_ms)
 
     def on_reply(self, now_ms: float, connection_id: ConnectionId, reply: StatementReply | StoreError) -> None:
-        """Handle the answer to the first operation in flight."""
+        """Handle the reply to the first operation in flight."""
         connection = self._routing.find_connection(connection_id)
         if connection is None or not connection.in_flight:
             return
@@ -174,7 +176,7 @@
         self._writer.advance(now_ms)
 
     def on_timer(self, now_ms: float) -> None:
-        """Do what is due."""
+        """Expire operations and registers, check silent nodes, and write what is due."""
         for node in list(self._routing.nodes.values()):
             for connection in node.connections:
                 self._queue.expire(now_ms, connection)
@@ -190,7 +192,7 @@
         for connection in node.connections:
             if connection.ready or node.circuit_open:
                 self._recovery.check_latest(now_ms, connection)
-        node.last_heard_ms = now_ms
+        node.last_activity_ms = now_ms
 
     def _keys_in_use(self) -> set[int]:
         return {
@@ -199,14 +201,14 @@
             for operation in (*connection.queue, *connection.in_flight, *connection.retries)
         }
 
-    # What is to be done, and when
+    # Actions and timers
 
     def take_actions(self) -> Iterator[Action]:
-        """Yield what is to be done, in order."""
+        """Yield the pending actions in order."""
         return self._outbox.take()
 
     def next_timer_ms(self, now_ms: float) -> float:
-        """Return when `on_timer` is needed next; infinity for never."""
+        """Return when `on_timer` must be called next; infinity if there is nothing to wait for."""
         due_ms = math.inf
         for connection in self._routing.connections():
             if connection.in_flight:
@@ -232,12 +234,12 @@
         if node.busy or not has_answered:
             return math.inf
         if any(connection.restate for connection in node.connections):
-            return math.inf  # it is being asked
-        return node.retry_at_ms if node.circuit_open else node.last_heard_ms + HEALTH_CHECK_INTERVAL_MS
+            return math.inf  # an operation or a check is pending already
+        return node.retry_at_ms if node.circuit_open else node.last_activity_ms + HEALTH_CHECK_INTERVAL_MS
 
     @property
     def settled(self) -> bool:
-        """Whether the store has all that was added, as far as this gateway knows."""
+        """Whether the store has received all that was added, as far as this gateway knows."""
         return not any(
             connection.queue or connection.in_flight or connection.restate for connection in self._routing.connections()
         )
--- a/martenstep/redis_counter/core_parts.py
+++ b/martenstep/redis_counter/core_parts.py
@@ -1,4 +1,4 @@
-"""What most modules of the core share."""
+"""The objects that most modules of the core share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreParts:
-    """The options, the state, and where actions go."""
+    """The options, the state, and the outbox for actions."""
 
     options: CoreOptions
     routing: Routing
--- a/martenstep/redis_counter/messages.py
+++ b/martenstep/redis_counter/messages.py
@@ -1,4 +1,4 @@
-"""What the core and its adapter say to each other: operations, actions, and the store's replies."""
+"""Messages between the core and its adapter: operations, actions, and the store's replies."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
     timeout_ms: float = 50.0
     connections_per_node: int = 4
-    max_pending: int = 1000  # calls that one connection holds
-    gather_ms: float = 0.0  # a call waits so long for others to share its write
+    max_pending: int = 1000  # calls that are queued or in flight on one connection
+    gather_ms: float = 0.0  # how long a call waits for others, so that they share a write
     key_prefix: str = "mstep:"
     scripts: bool = True
-    dynamic_topology: bool = False  # whether the nodes can change, and are to be queried
+    dynamic_topology: bool = False  # whether the nodes can change, so that the topology is queried
 
 
 @dataclass(frozen=True, slots=True)
 class AddCall:
-    """One call: units to add to a key, whose time to live applies if it is new."""
+    """One call: units to add to a key; the time to live applies if the key is new."""
 
     call: int
     key: int
@@ -42,64 +42,64 @@
 
 @dataclass(slots=True, eq=False)
 class Operation:
-    """One statement, or one plain add, on its way."""
+    """One statement or plain add that is queued or in flight."""
 
     key: int
     units: float
     call: int | None
     deadline_ms: float
-    version: int = 0  # 0: not stated yet
+    version: int = 0  # 0 until the statement is prepared
     total: float = 0.0
-    known_version: int = 0  # that the store was known to hold when this was written
+    known_version: int = 0  # the version that the store was known to hold when this operation was written
     ttl_ms: int = 0
-    indeterminate: bool = False  # it was written once, and no answer came
-    asking: bool = False  # the node is asked for a slot that is moving to it
+    indeterminate: bool = False  # it was written and not answered, so that the store may have applied it
+    asking: bool = False  # it is sent with ASKING, to the node that its slot is moving to
     attempts: int = 0
-    needs_proof: bool = False  # its total is to come with a proof
+    needs_proof: bool = False  # its total needs a proof of how long the node has lost nothing
 
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """Connect."""
+    """Open a connection."""
 
     connection: ConnectionId
 
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Drop the connection; what it may still say is nobody's."""
+    """Close a connection; replies that still arrive on it are discarded."""
 
     connection: ConnectionId
 
 
 @dataclass(frozen=True, slots=True)
 class WriteOperations:
-    """Send these in one write; each is answered in turn."""
+    """Send operations in one write; they are answered in their order."""
 
     connection: ConnectionId
     operations: tuple[Operation, ...]
-    load_script: bool  # first
-    plain: bool  # adds, not statements
+    load_script: bool  # whether SCRIPT LOAD is sent in front
+    plain: bool  # whether these are plain adds in place of statements
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerCall:
-    """The answer to a call."""
+    """Answer a call."""
 
     call: int
     result: CallResult
     total: float
-    retained_ms: float = 0.0  # for so long the node has lost nothing, as far as is proved
+    retained_ms: float = 0.0  # for how long the node is proved to have lost nothing
 
 
 @dataclass(frozen=True, slots=True)
 class QueryTopology:
-    """Ask who the nodes are."""
+    """Query the topology."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A line for the log."""
+    """Write a log line."""
 
     event: str
     fields: LogFields
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementReply:
-    """A statement's answer: the key's total, and the version that the register held before; -1 after a plain add."""
+    """The reply to an operation: the key's total, and the version that the register held before (-1: a plain add)."""
 
     total: float
     previous_version: int
@@ -118,11 +118,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreError:
-    """An error that the store answered with."""
+    """An error reply of the store."""
 
     text: str
 
     @property
     def code(self) -> str:
-        """Its first word."""
+        """The first word of the text."""
         return self.text.split(" ", 1)[0]
--- a/martenstep/redis_counter/node_failures.py
+++ b/martenstep/redis_counter/node_failures.py
@@ -1,4 +1,4 @@
-"""When a node that fails is tried again, and when calls no longer wait for it."""
+"""Retry times of nodes that fail, and the circuit breaker that ends the waiting of calls for them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class NodeFailures:
-    """Counts the failures of nodes in a row."""
+    """Records the failures of nodes."""
 
     def __init__(self, routing: Routing, outbox: Outbox, rng: random.Random) -> None:
         """All arguments are shared with the core's other modules."""
@@ -19,7 +19,7 @@
         self._rng = rng
 
     def on_failure(self, now_ms: float, connection: ConnectionState, error: str) -> None:
-        """Note that a node failed."""
+        """Record a failure: opens the circuit after several in a row, and sets when the node is tried again."""
         node = connection.node
         was_open = node.circuit_open
         node.failures += 1
--- a/martenstep/redis_counter/outbox.py
+++ b/martenstep/redis_counter/outbox.py
@@ -1,4 +1,4 @@
-"""Where the core's modules put what is to be done, and what metrics count."""
+"""The actions that the core's modules request, and the counts that metrics show."""
 
 from __future__ import annotations
 
@@ -9,32 +9,33 @@
 from martenstep.policy.messages import CallResult
 from martenstep.redis_counter.messages import Action, AnswerCall, LogEvent
 
-RESULT_METRICS = {CallResult.OVERLOADED: "FULL", CallResult.NOT_SENT: "MOOT"}  # others: the member's name
+# Results that metrics show under another name than the member's.
+RESULT_METRICS = {CallResult.OVERLOADED: "FULL", CallResult.NOT_SENT: "MOOT"}
 
 
 class Outbox:
-    """The actions in their order, and the counts."""
+    """A queue of actions, and the counts."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty outbox."""
         self._actions: deque[Action] = deque()
         self.counts: Counter[str] = Counter()  # by the names of the metrics
 
     def put(self, action: Action) -> None:
-        """Add an action behind all others."""
+        """Append an action."""
         self._actions.append(action)
 
     def log(self, event: str, fields: LogFields) -> None:
-        """Add a line for the log."""
+        """Append a log line."""
         self.put(LogEvent(event, fields))
 
     def answer(self, call: int | None, result: CallResult, total: float = 0.0, retained_ms: float = 0.0) -> None:
-        """Answer a call, if the operation was of one."""
+        """Answer a call; None, for an operation that serves no call, is ignored."""
         if call is not None:
             self.counts[RESULT_METRICS.get(result) or result.name] += 1
             self.put(AnswerCall(call, result, total, retained_ms))
 
     def take(self) -> Iterator[Action]:
-        """Yield the actions, the first put first, until none is left."""
+        """Remove and yield the actions in order, until none is left."""
         while self._actions:
             yield self._actions.popleft()
--- a/martenstep/redis_counter/recovery.py
+++ b/martenstep/redis_counter/recovery.py
@@ -1,10 +1,11 @@
-"""What is stated once more: after lost answers, lost contents and broken connections; and the proof that nothing was.
+"""States keys once more after lost replies, lost contents and broken connections, and proves that a node lost nothing.
 
-A statement tells which version the register held before.  Less than the gateway knows to have been there proves that
-the store lost contents or went back to older ones: each key of that node is then stated once more.
+The reply to a statement contains the version that the register held before.  A version older than one that the gateway
+knows the store to have held proves that the store lost contents or went back to older ones: each key of that node is
+then stated once more.
 
-The proof is a register of this gateway's own, the witness: it is stated in front of a key that is asked for the first
-time, and found as it was left.
+The proof that nothing was lost rests on a register of this gateway's own, the witness: it is stated in front of
+the first call for a key, and must be found unchanged.
 """
 
 from __future__ import annotations
@@ -18,13 +19,13 @@
 from martenstep.redis_counter.registers import RegisterTable
 from martenstep.redis_counter.routing import Routing
 
-WITNESS_TTL_MS = 3_600_000.0  # past half of it there is a new one, and the proof begins anew
-MAX_WITNESS_DRAWS = 20_000  # keys drawn until one belongs to the node that it is to prove
+WITNESS_TTL_MS = 3_600_000.0  # after half of this time a new witness is drawn, and the proof starts over
+MAX_WITNESS_DRAWS = 20_000  # random keys tried until one belongs to the node that is to be proved
 WITNESS_KEY_BITS = 62
 
 
 class Recovery:
-    """Chooses what is stated once more."""
+    """Chooses which keys are stated once more, and the witness of each node."""
 
     def __init__(self, routing: Routing, registers: RegisterTable, outbox: Outbox, rng: random.Random) -> None:
         """All arguments are shared with the core's other modules."""
@@ -34,20 +35,20 @@
         self._rng = rng
 
     def restate(self, key: int) -> None:
-        """State a key's sum once more, if it was ever stated."""
+        """State a key's sum once more, if it was stated before."""
         node = self._routing.node_for(key)
         if node is not None and self._registers.was_stated(key):
             self._routing.connection_for(key, node).restate[key] = None
 
     def check_latest(self, now_ms: float, connection: ConnectionState) -> None:
-        """Ask first whether what was stated last is still there."""
+        """Put the key that was answered last in front of all that is stated once more, to detect a loss of contents."""
         key = self.latest_key(now_ms, connection)
         if key is not None:
             connection.restate[key] = None
             connection.restate.move_to_end(key, last=False)
 
     def latest_key(self, now_ms: float, connection: ConnectionState) -> int | None:
-        """Return a connection's key that was answered last: a store that kept this one kept all before it."""
+        """Return the key that was answered last on a connection: a store that holds it also holds all earlier ones."""
         key = connection.last_answered_key
         register = self._registers.get(key) if key is not None else None
         expired = register is None or register.expires_ms <= now_ms
@@ -57,13 +58,13 @@
         return key
 
     @staticmethod
-    def is_underway(connection: ConnectionState, key: int) -> bool:
-        """Whether a statement of a key is on its way."""
+    def is_pending(connection: ConnectionState, key: int) -> bool:
+        """Whether a prepared statement of a key is queued, in flight or to be retried on a connection."""
         operations = (*connection.in_flight, *connection.retries, *connection.queue)
         return any(operation.key == key and operation.version for operation in operations)
 
     def reassign_keys(self, previous_slots: list[str]) -> None:
-        """State the keys that are at other nodes now: what is there was not seen yet."""
+        """State the keys that moved to other nodes: what the new nodes hold for them is not known yet."""
         for key, register in self._registers.items():
             if not register.version:
                 continue
@@ -76,7 +77,7 @@
     # Lost contents
 
     def on_lost_contents(self, node: NodeState, operation: Operation, newly_lost: bool) -> None:
-        """State all that this gateway has at a node that does not hold what it held, once for each loss."""
+        """State all keys of a node that lost contents, once for each loss."""
         if newly_lost:
             self._routing.begin_generation(node)
             node.proof_chain += 1
@@ -92,7 +93,7 @@
     # The proof of what is retained
 
     def is_unproved(self, node: NodeState, key: int) -> bool:
-        """Whether a key's last answer was not part of the node's present chain of proofs."""
+        """Whether a key's last answer was not part of the node's current chain of proofs."""
         register = self._registers.get(key)
         return register is None or register.proved_chain != node.proof_chain
 
--- a/martenstep/redis_counter/redis_client.py
+++ b/martenstep/redis_counter/redis_client.py
@@ -1,7 +1,7 @@
 """The counter over Redis: binds the core's decisions to sockets, timers and the client library.
 
-A connection's answers are read in the order of its commands; one that is given up is closed and never read again, so
-that a late answer cannot be taken for another call's.
+The replies on a connection are read in the order of its commands.  A connection that is given up is closed and not read
+again, so that a late reply cannot be taken for the reply to another call.
 """
 
 from __future__ import annotations
@@ -37,28 +37,29 @@
 )
 from martenstep.redis_counter.topology import CONNECTION_ERRORS, NodeDirectory, TopologyError, close
 
-CONNECT_TIMEOUTS = 5.0  # a connection may take so many time-outs of a call
+CONNECT_TIMEOUTS = 5.0  # time limit for opening a connection, in multiples of a call's timeout
 TOPOLOGY_RETRY_INTERVAL_MS = 50.0
-FLUSH_TIMEOUT_MS = 500.0  # at a stop: what is not settled by then is left
+FLUSH_TIMEOUT_MS = 500.0  # limit on settling at a stop; statements that are not settled by then are abandoned
 FLUSH_POLL_INTERVAL_S = 0.002
-TRANSACTION_COMMANDS = 3  # before EXEC: each is answered that it is queued
+TRANSACTION_COMMANDS = 3  # MULTI and the two commands that are queued for EXEC; each has a reply of its own
 
-Answer = Callable[[int, CallResult, float, float], None]  # call, result, total, ms for which nothing was lost
+# Arguments: call, result, total, and the milliseconds for which the node is proved to have lost nothing.
+Answer = Callable[[int, CallResult, float, float], None]
 
 
 def now_ms() -> float:
-    """Return the time of a clock that only goes on."""
+    """Return the time of a monotonic clock."""
     return time.monotonic() * 1000.0
 
 
 def build_store_error(error: Exception) -> StoreError:
-    """Return what the store said, its code first, which the library takes off."""
+    """Return the store's error with its code in front, which the library removes from the text."""
     code = getattr(error, "status_code", None)
     return StoreError(f"{code} {error}" if code and not str(error).startswith(code) else str(error))
 
 
 class _Link:
-    """One connection of the core, and what is to be written to it."""
+    """One connection of the core, and the writes that are queued for it."""
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
@@ -72,12 +73,12 @@
     def __init__(
         self, store: pb.Store, answer: Answer, gateway: str = "door", log_event: EventLog | None = None
     ) -> None:
-        """`answer` is called once for each call, within the time-out."""
+        """`answer` is called once for each call, within the timeout."""
         self._store = store
         self._answer = answer
         self._log_event: EventLog = log_event or (lambda event, fields: None)
         self._directory = NodeDirectory(store)
-        # Another epoch's register is never continued: its sums are not known any more.
+        # Each start uses a new epoch name: the sums in an earlier epoch's registers are not known any more.
         self._epoch_name = f"{gateway}:{time.time_ns():x}{random.SystemRandom().getrandbits(16):04x}"
         self.core = Core(
             CoreOptions(
@@ -100,7 +101,7 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Find out who the nodes are; connections are made when they are first needed."""
+        """Query the topology; connections are opened when they are first needed."""
         if self._store.topology == pb.Store.ALONE:
             self.core.set_topology(now_ms(), [f"{self._store.host}:{self._store.port}"])
         else:
@@ -109,12 +110,12 @@
             self._topology_watch = asyncio.create_task(self._directory.watch(self._query_topology))
 
     def add(self, call: int, key: int, units: float, ttl_ms: float, bounds_ceiling: bool = False) -> None:
-        """Request one add; `answer` is called once for it, within the time-out."""
+        """Request one add; `answer` is called once for it, within the timeout."""
         self.core.add(now_ms(), AddCall(call, key, units, ttl_ms, bounds_ceiling))
         self._perform_actions()
 
     async def stop(self) -> None:
-        """Bring the store what it has not got yet, within a bound, and end."""
+        """Wait, within a limit, until all statements are settled, and stop."""
         deadline_ms = now_ms() + FLUSH_TIMEOUT_MS
         while not self.core.settled and now_ms() < deadline_ms:
             await asyncio.sleep(FLUSH_POLL_INTERVAL_S)
@@ -161,7 +162,7 @@
         due_ms = self.core.next_timer_ms(now)
         if self._timer is not None:
             if self._timer_at_ms <= due_ms:
-                return  # a timer that fires early does no harm, and each answer would set it anew
+                return  # a timer that fires early is harmless; otherwise each reply would replace the timer
             self._timer.cancel()
             self._timer = None
         if due_ms < math.inf and not self._stopped:
@@ -175,9 +176,9 @@
 
     def _query_topology(self) -> None:
         if self._topology_query is None or self._topology_query.done():
-            self._topology_query = asyncio.create_task(self._learn_topology())
+            self._topology_query = asyncio.create_task(self._query_topology_until_known())
 
-    async def _learn_topology(self) -> None:
+    async def _query_topology_until_known(self) -> None:
         while True:
             try:
                 slots = await self._directory.query(self._known_nodes)
@@ -193,13 +194,13 @@
     # One connection
 
     async def _serve(self, connection_id: ConnectionId, link: _Link) -> None:
-        """Open it, and send and read until it ends or is given up."""
+        """Open a connection, and exchange writes and replies until it breaks or the core gives it up."""
         try:
             try:
                 async with asyncio.timeout(self._store.timeout_ms * CONNECT_TIMEOUTS / 1000):
                     await link.connection.connect()  # type: ignore[no-untyped-call]
             except CONNECTION_ERRORS as error:
-                if self._forget(connection_id, link):
+                if self._remove_link(connection_id, link):
                     self.core.on_connect_failed(now_ms(), connection_id, f"{type(error).__name__}: {error}")
                     self._perform_actions()
                 return
@@ -209,14 +210,14 @@
                 while self._links.get(connection_id) is link:
                     await self._exchange(connection_id, link, await link.writes.get())
             except CONNECTION_ERRORS as error:
-                if self._forget(connection_id, link):
+                if self._remove_link(connection_id, link):
                     self.core.on_connection_lost(now_ms(), connection_id, f"{type(error).__name__}: {error}")
                     self._perform_actions()
         finally:
             await close(link.connection)
 
-    def _forget(self, connection_id: ConnectionId, link: _Link) -> bool:
-        """Drop a link that ended; False if the core has given it up already."""
+    def _remove_link(self, connection_id: ConnectionId, link: _Link) -> bool:
+        """Remove a link that ended; returns False if the core has given it up already."""
         if self._links.get(connection_id) is not link:
             return False
         del self._links[connection_id]
@@ -229,7 +230,7 @@
             commands += self._commands(operation, write.plain)
         await connection.send_packed_command(connection.pack_commands(commands), check_health=False)
         if write.load_script:
-            await self._read_reply(connection)  # a store that rejects it says so again at the first statement
+            await self._read_reply(connection)  # an error here is ignored: the first statement returns an error as well
         for operation in write.operations:
             reply = await self._read_operation(connection, operation, write.plain)
             if self._links.get(connection_id) is not link:
@@ -271,8 +272,8 @@
         return StatementReply(float(results[0]), -1)
 
     @staticmethod
-    async def _read_reply(connection: Connection) -> Any:  # noqa: ANN401  what the library decoded
-        """Read one reply; an error that the store answered with is a StoreError."""
+    async def _read_reply(connection: Connection) -> Any:  # noqa: ANN401  the type depends on the command
+        """Read one reply; an error reply is returned as a StoreError."""
         try:
             return await connection.read_response()
         except ResponseError as error:
--- a/martenstep/redis_counter/registers.py
+++ b/martenstep/redis_counter/registers.py
@@ -1,4 +1,4 @@
-"""The registers of this gateway's epoch: one for each key, a sum under a version that only grows."""
+"""The registers of this gateway's epoch: for each key, the sum of its units under a version that only grows."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 from martenstep.redis_counter.messages import Operation
 
-MAX_REGISTERS = 200_000  # past that a new key is rejected, since none may be forgotten
+MAX_REGISTERS = 200_000  # a further key is rejected: a register that is dropped too early would lose its sum
 SWEEP_INTERVAL_MS = 1000.0
 
 
 @dataclass(slots=True)
 class Register:
-    """What this gateway's epoch added to one key."""
+    """The units that this gateway's epoch has added to one key, and what the store last answered for the key."""
 
-    expires_ms: float  # the key is forgotten then
+    expires_ms: float  # when the register is removed
     sum: float = 0.0
     version: int = 0
-    acknowledged_version: int = 0  # the newest version that the store told of
-    others_total: float = 0.0  # of the last total, what is not this gateway's
-    others_floor: float = 0.0  # the others had used no less, whatever a store that lost contents says
-    generation: int = 0  # of the node's contents, when it last answered for this key
-    proved_chain: int = 0  # the chain of proofs that its last answer was part of
+    acknowledged_version: int = 0  # the newest version that the store has confirmed
+    others_total: float = 0.0  # the part of the last total that other gateways added
+    others_floor: float = 0.0  # a lower bound on what other gateways added, kept when the store loses contents
+    generation: int = 0  # the generation of the node's contents when the node last answered for this key
+    proved_chain: int = 0  # the chain of proofs that the last answer for this key was part of
 
 
 class RegisterTable:
-    """All registers, by key; the newest key is last."""
+    """All registers by key, in the order of creation."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty table."""
         self._registers: dict[int, Register] = {}
         self._version = 0
 
@@ -38,7 +38,7 @@
         return key in self._registers
 
     def get(self, key: int) -> Register | None:
-        """Return a key's register."""
+        """Return a key's register; None if it has none."""
         return self._registers.get(key)
 
     def items(self) -> Iterator[tuple[int, Register]]:
@@ -55,11 +55,11 @@
         return len(self._registers) >= MAX_REGISTERS
 
     def create(self, key: int, expires_ms: float) -> None:
-        """Begin a key's register."""
+        """Create a key's register."""
         self._registers[key] = Register(expires_ms)
 
     def was_stated(self, key: int) -> bool:
-        """Whether a key has a register that was stated."""
+        """Whether a key has a register of which a statement was prepared."""
         register = self._registers.get(key)
         return register is not None and bool(register.version)
 
@@ -69,7 +69,7 @@
         if register is None:
             register = self._registers[operation.key] = Register(now_ms + SWEEP_INTERVAL_MS)
         if not plain and not operation.version:
-            # Who has only read has a register too: it proves a loss.
+            # A call that only reads also states a register, so that a later loss of the contents is detected.
             if operation.units or not register.version:
                 self._version += 1
                 register.sum += operation.units
@@ -79,8 +79,8 @@
         operation.known_version = register.acknowledged_version
         operation.ttl_ms = max(round(register.expires_ms - now_ms), 1)
 
-    def take_back(self, operation: Operation) -> None:
-        """Take a rejected statement's units out of the sum: they were not added, so later statements omit them."""
+    def subtract_rejected(self, operation: Operation) -> None:
+        """Subtract the units of a rejected statement from the sum: the store has not added them."""
         register = self._registers[operation.key]
         self._version += 1
         register.sum -= operation.units
@@ -88,7 +88,7 @@
         operation.version = 0
 
     def remove_expired(self, now_ms: float, in_use: set[int]) -> None:
-        """Forget the keys whose time is over and that no operation names."""
+        """Remove the registers that have expired and that no pending operation uses."""
         expired = [key for key, register in self._registers.items() if register.expires_ms <= now_ms]
         for key in expired:
             if key not in in_use:
--- a/martenstep/redis_counter/replies.py
+++ b/martenstep/redis_counter/replies.py
@@ -1,4 +1,4 @@
-"""What the store's replies mean: totals and what they prove, and errors and what follows from them."""
+"""Handles the store's replies: totals and what they prove, and errors and how they are recovered from."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 from martenstep.redis_counter.recovery import Recovery
 from martenstep.redis_counter.registers import Register
 
-MAX_ATTEMPTS = 5  # a call is redirected or asked to come again so often
+MAX_ATTEMPTS = 5  # after this number of redirections and retries, a further error ends the operation
 MOVING_SLOT_RETRY_MS = 5.0
-RESTATE_PAUSE_MS = 100.0  # after the store rejected what was stated anew
-NODE_ERRORS = ("LOADING", "BUSY", "MASTERDOWN", "CLUSTERDOWN", "READONLY", "NOAUTH")  # the node fails, not the call
+RESTATE_PAUSE_MS = 100.0  # before keys are stated again, after the store rejected a statement
+# Failures of the node, not of the call.
+NODE_ERRORS = ("LOADING", "BUSY", "MASTERDOWN", "CLUSTERDOWN", "READONLY", "NOAUTH")
 NO_SCRIPT_ERRORS = ("NOPERM", "unknown command")
 TOPOLOGY_ERRORS = ("READONLY", "CLUSTERDOWN")
 
@@ -35,9 +36,9 @@
     # Totals
 
     def on_reply(self, now_ms: float, connection: ConnectionState, operation: Operation, reply: StatementReply) -> None:
-        """Handle a total."""
+        """Handle the reply to a statement or a plain add."""
         node = connection.node
-        node.last_heard_ms = now_ms
+        node.last_activity_ms = now_ms
         if node.failures:
             node.failures = 0
             node.retry_at_ms = float("-inf")
@@ -53,8 +54,8 @@
         register.acknowledged_version = max(register.acknowledged_version, operation.version, reply.previous_version)
         connection.last_answered_key = operation.key
         missing = register.version > register.acknowledged_version
-        if missing and not self._recovery.is_underway(connection, operation.key):
-            connection.restate[operation.key] = None  # a statement of it went missing
+        if missing and not self._recovery.is_pending(connection, operation.key):
+            connection.restate[operation.key] = None  # the newest statement of this key was lost
         proved = register.proved_chain == node.proof_chain == node.proved_chain
         retained_ms = now_ms - node.retained_since_ms if proved else 0.0
         self._outbox.answer(operation.call, CallResult.OK, total, max(retained_ms, 0.0))
@@ -63,16 +64,16 @@
     def _update_proof(now_ms: float, connection: ConnectionState, operation: Operation, register: Register) -> None:
         node = connection.node
         if operation.key == node.witness_key:
-            connection.witnessed = True
+            connection.witness_answered = True
             if node.proved_chain != node.proof_chain:
                 node.proved_chain = node.proof_chain
                 node.retained_since_ms = now_ms
-        if connection.witnessed and node.proved_chain == node.proof_chain:
+        if connection.witness_answered and node.proved_chain == node.proof_chain:
             register.proved_chain = node.proof_chain
 
     @staticmethod
     def _corrected_total(node: NodeState, register: Register, operation: Operation, reply: StatementReply) -> float:
-        """Return the total, in which the others used no less than before the store lost contents."""
+        """Return the total, in which the others' part is no less than before the store lost contents."""
         if register.generation != node.generation:
             register.others_floor = max(register.others_floor, register.others_total)
             register.generation = node.generation
@@ -88,19 +89,19 @@
     # Errors
 
     def on_error(self, now_ms: float, connection: ConnectionState, operation: Operation, error: StoreError) -> None:
-        """Handle an error: the store did not do it; whether it may have done so before tells `indeterminate`."""
+        """Handle an error: this attempt was not applied; `indeterminate` tells whether an earlier one may have been."""
         node = connection.node
         self._outbox.counts[f"fault {error.code}"] += 1
         operation.attempts += 1
         if error.code in NODE_ERRORS:
             self._failures.on_failure(now_ms, connection, error.code)
         else:
-            node.last_heard_ms = now_ms
+            node.last_activity_ms = now_ms
         if operation.call is not None and operation.version and operation.units and not operation.indeterminate:
-            self._take_back(connection, operation)
+            self._subtract_rejected(connection, operation)
         may_retry = operation.attempts <= MAX_ATTEMPTS and operation.deadline_ms > now_ms
-        if self._is_ask(error) and may_retry:
-            self._ask_elsewhere(now_ms, operation, error)
+        if self._is_ask_redirection(error) and may_retry:
+            self._follow_ask_redirection(now_ms, operation, error)
             return
         retry = self._prepare_retry(now_ms, connection, error) and may_retry
         if retry and (operation.call is not None or operation.version):
@@ -112,7 +113,7 @@
             connection.restate_after_ms = max(connection.restate_after_ms, now_ms + RESTATE_PAUSE_MS)
             self._recovery.restate(operation.key)
 
-    def _is_ask(self, error: StoreError) -> bool:
+    def _is_ask_redirection(self, error: StoreError) -> bool:
         if error.code != "ASK" or self._is_script_error(error):
             return False
         return self._routing.redirected_slot(error) is not None
@@ -121,7 +122,7 @@
         return self._options.scripts and any(word in error.text for word in NO_SCRIPT_ERRORS)
 
     def _prepare_retry(self, now_ms: float, connection: ConnectionState, error: StoreError) -> bool:
-        """Mend what an error shows; returns whether the operation may succeed then."""
+        """Do what an error calls for before a retry; returns whether the operation is to be retried."""
         if error.code == "NOSCRIPT":
             connection.needs_script = True
         elif self._is_script_error(error):
@@ -143,14 +144,14 @@
             node.plain_adds = True
             self._outbox.log("store without scripts", {"node": node.name, "error": error.text})
 
-    def _take_back(self, connection: ConnectionState, operation: Operation) -> None:
-        """Take the units of a rejected statement out of those that follow it."""
-        self._registers.take_back(operation)
-        if self._recovery.is_underway(connection, operation.key):
-            self._recovery.restate(operation.key)  # what is behind it was stated with these units
+    def _subtract_rejected(self, connection: ConnectionState, operation: Operation) -> None:
+        """Subtract the units of a rejected statement from the sum, and from the statements prepared after it."""
+        self._registers.subtract_rejected(operation)
+        if self._recovery.is_pending(connection, operation.key):
+            self._recovery.restate(operation.key)  # the pending statement of this key includes these units
 
-    def _ask_elsewhere(self, now_ms: float, operation: Operation, error: StoreError) -> None:
-        """Ask the node that has the key for this one time."""
+    def _follow_ask_redirection(self, now_ms: float, operation: Operation, error: StoreError) -> None:
+        """Send this operation, once, to the node that its slot is moving to."""
         operation.asking = True
         if operation.call is None:
             operation.deadline_ms = now_ms + self._options.timeout_ms
--- a/martenstep/redis_counter/script.py
+++ b/martenstep/redis_counter/script.py
@@ -1,9 +1,10 @@
-"""The one script that the store runs, and what it does, in Lua for Redis and in Python for reference.
+"""The script that sets a gateway's sum for a key: in Lua for Redis, and in Python as a reference.
 
-A key is a hash: the field `t` holds the total, and each gateway's epoch has a field of its own that holds the version
-and the sum of all that it ever added to this key.  A gateway does not add, it states its sum: a statement whose version
-is not newer than the one held changes nothing, so that one can be sent any number of times, in any order, and late.
-What the field held before the statement is returned: less than the gateway knows to have been there proves a loss.
+A key is a hash: the field `t` holds the total, and each gateway's epoch has a field of its own, its register, which
+holds the version and the sum of all units that this epoch has added to the key.  A gateway does not send increments, it
+states its sum.  A statement whose version is not newer than the one held changes nothing, so that it can be sent any
+number of times, in any order and late.  The script returns the version that the field held before: a version older than
+one that the gateway knows the store to have held proves a loss.
 """
 
 from __future__ import annotations
@@ -34,9 +35,9 @@
 def apply_statement(
     fields: MutableMapping[bytes, bytes], gateway_epoch: bytes, version: int, total: float
 ) -> tuple[float, int, bool]:
-    """Do the same in Python: returns the key's total, the version held before, and whether anything changed.
+    """Apply the script in Python: returns the key's total, the version held before, and whether the register changed.
 
-    Raises ValueError on a field that holds no number, as Redis does.
+    Raises ValueError if a field does not hold a number, for which Redis returns an error.
     """
     register = fields.get(gateway_epoch)
     previous_version = 0
--- a/martenstep/redis_counter/slots.py
+++ b/martenstep/redis_counter/slots.py
@@ -1,4 +1,4 @@
-"""Hash slots of a cluster, as its specification has them.  No I/O."""
+"""The hash slots of keys, from the specification of Redis Cluster.  No I/O."""
 
 from __future__ import annotations
 
--- a/martenstep/redis_counter/topology.py
+++ b/martenstep/redis_counter/topology.py
@@ -1,4 +1,4 @@
-"""Who the store's nodes are: one, the primary that sentinels name, or a cluster's by hash slot."""
+"""Finds the store's nodes: a single one, the primary that sentinels name, or those of a cluster by hash slot."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.redis_counter.slots import SLOTS
 
-QUERY_TIMEOUT_MS = 500.0  # of one node, then the next is asked
-MIN_WATCH_RETRY_MS = 50.0  # between attempts to hear of a new primary
+QUERY_TIMEOUT_MS = 500.0  # for one node; the next node is queried after it
+MIN_WATCH_RETRY_MS = 50.0  # backoff between subscriptions to the sentinels
 MAX_WATCH_RETRY_MS = 1000.0
 CONNECTION_ERRORS = (RedisError, OSError, TimeoutError)
 
@@ -28,23 +28,23 @@
 
 
 class TopologyError(RedisCounterError):
-    """Nobody told who the nodes are."""
+    """The topology could not be determined."""
 
 
 def read_first_line(file: str) -> str | None:
-    """Read a password from its file; None if no file is named."""
+    """Read the first line of a password file; None if no file is named."""
     return Path(file).read_text(encoding="utf-8").split("\n", 1)[0].strip() if file else None
 
 
 async def close(connection: Connection) -> None:
-    """Close a connection now, whatever state it is in."""
+    """Close a connection at once, in any state."""
     with suppress(*CONNECTION_ERRORS):
         await connection.disconnect(nowait=True)
 
 
 @asynccontextmanager
 async def _closing(connection: Connection) -> AsyncIterator[Connection]:
-    """Close a connection at the end, however that comes."""
+    """Close a connection at the end of the block, also after an error or a cancellation."""
     try:
         yield connection
     finally:
@@ -52,19 +52,19 @@
 
 
 class NodeDirectory:
-    """Makes connections, and finds out who the nodes are."""
+    """Creates connections, and queries the topology."""
 
     def __init__(self, store: pb.Store) -> None:
-        """Read the passwords; raises OSError."""
+        """Read the passwords; raises OSError if a file cannot be read."""
         self._store = store
         self._password = read_first_line(store.password_file)
         self._sentinel_password = read_first_line(store.sentinel_password_file)
         self._seeds = [f"{node.host}:{node.port}" for node in store.node]
 
     def connection(self, node: str, sentinel: bool = False) -> Connection:
-        """Make one connection, not opened yet.
+        """Create one connection, without opening it.
 
-        The library's own retries are off: it would send a plain add twice.
+        The library's own retries are disabled, since they would send a plain add twice.
         """
         host, _, port = node.rpartition(":")
         arguments: dict[str, Any] = {
@@ -94,7 +94,7 @@
         )
 
     async def query(self, known_nodes: list[str]) -> list[str]:
-        """Return node by slot, or one node for all; raises TopologyError."""
+        """Return the node of each slot, or one node for all keys; raises TopologyError."""
         if self._store.topology == pb.Store.ALONE:
             return [f"{self._store.host}:{self._store.port}"]
         errors = []
@@ -115,15 +115,15 @@
         await connection.send_command("SENTINEL", "GET-MASTER-ADDR-BY-NAME", self._store.primary_name)
         address = await connection.read_response()
         if not address:
-            raise TopologyError(f"no primary of the name {self._store.primary_name!r}")
-        # A sentinel that lags names the old one.  Asked here, it says itself what it is now.
+            raise TopologyError(f"the sentinel has no primary named {self._store.primary_name!r}")
+        # A sentinel that lags may name the old primary, so the node itself is queried for its role.
         node = f"{address[0]}:{address[1]}"
         async with _closing(self.connection(node)) as primary:
             await primary.connect()  # type: ignore[no-untyped-call]
             await primary.send_command("ROLE")
             role = await primary.read_response()
         if role[0] != "master":
-            raise TopologyError(f"{node} is no primary now")
+            raise TopologyError(f"{node} was named as the primary, but reports the role {role[0]!r}")
         return [node]
 
     @staticmethod
@@ -135,11 +135,11 @@
             node = f"{primary[0] or queried_node.rpartition(':')[0]}:{primary[1]}"
             slots[int(first) : int(last) + 1] = [node] * (int(last) + 1 - int(first))
         if not all(slots):
-            raise TopologyError(f"{slots.count('')} slots are nobody's")
+            raise TopologyError(f"CLUSTER SLOTS names no node for {slots.count('')} of {SLOTS} slots")
         return slots
 
     async def watch(self, on_change: Callable[[], None]) -> None:
-        """Listen to the sentinels for good; `on_change` at each new primary, and after a time without hearing."""
+        """Stay subscribed to a sentinel; calls `on_change` at each new primary, and before each new subscription."""
         backoff = Backoff(MIN_WATCH_RETRY_MS, MAX_WATCH_RETRY_MS)
         turn = 0
         while True:
