--- a/bench/limiters.py
+++ b/bench/limiters.py
@@ -317,7 +317,7 @@
 async def _play(limiter: str, kind: str, fault: str) -> dict[str, Any]:
     fleet = Fleet(Trace(None), kind, lag_ms=300.0)
     for server in fleet.servers:
-        server.keyspace.twins = twins()
+        server.keyspace.script_functions = twins()
     await fleet.start()
     doors = [LIMITERS[limiter](number, kind, fleet.ports) for number in range(DOORS)]
     for door in doors:
--- a/martenstep/lab/day.py
+++ b/martenstep/lab/day.py
@@ -22,7 +22,7 @@
 from martenstep.redis_counter.slots import SLOTS
 from martenstep.standins.clients import Planned
 from martenstep.standins.photo import PhotoConfig, WorkOf
-from martenstep.standins.redis.fleet import MASTER
+from martenstep.standins.redis.fleet import PRIMARY_NAME
 
 DOOR_TROUBLES = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_LOST, pb.DOOR_CUT_FROM_FEED)
 STORE_TROUBLES = (
@@ -262,7 +262,7 @@
         if day.store_topology == cfg.Store.ALONE:
             door.store.port = ports["store"]
         else:
-            door.store.topology, door.store.primary_name = day.store_topology, MASTER.decode()
+            door.store.topology, door.store.primary_name = day.store_topology, PRIMARY_NAME.decode()
             for name in sorted(name for name in ports if name.startswith("store-")):
                 door.store.node.add(port=ports[name])
     door.members.port, door.members.warm_copy = ports["feed"], str(warm_copy)
--- a/martenstep/lab/emulate/store.py
+++ b/martenstep/lab/emulate/store.py
@@ -94,4 +94,4 @@
         contents = self._copies[0][1] if self._copies else []
         self.keys.empty()
         for entry in contents:
-            self.keys.take(*entry)
+            self.keys.apply_change(*entry)
--- a/martenstep/standins/redis/__init__.py
+++ b/martenstep/standins/redis/__init__.py
@@ -1,5 +1,5 @@
-"""A Redis, as far as the project needs one: alone, with a replica and sentinels, or as a cluster.
+"""A fake Redis with the features that the project needs: standalone, with a replica and sentinels, or as a cluster.
 
-May live here: contents and commands, the server around them and its faults, topologies of several servers.  May not:
-what a count means, or what the door does about a fault.
+Belongs here: contents and commands, the server and its injected faults, topologies of several servers.
+Does not belong here: the meaning of the counted values, and a gateway's reaction to a fault.
 """
--- a/martenstep/standins/redis/keyspace.py
+++ b/martenstep/standins/redis/keyspace.py
@@ -1,8 +1,7 @@
-"""A Redis's contents and what each command does to them, from the public command pages: commands and a time in, replies
-out, no sockets.
+"""The contents of a fake Redis and the effect of each command, from the public documentation of the commands.
 
-Of scripts it knows the one that the door ships, matched by its digest and run by its Python twin, and those whose twins
-a test or a measurement brings.
+Commands and a time go in, and replies come out, without sockets.  A script is identified by its digest and run as a
+Python function.  The gateway's own script is built in; a test or a benchmark can register functions for other scripts.
 """
 
 from __future__ import annotations
@@ -14,19 +13,19 @@
 from dataclasses import dataclass, field
 
 from martenstep.redis_counter import script
-from martenstep.standins.resp import ErrorReply, Reply, Simple
+from martenstep.standins.resp import ErrorReply, Reply, SimpleString
 
-OK = Simple("OK")
+OK = SimpleString("OK")
 NOT_INTEGER = ErrorReply("ERR value is not an integer or out of range")
 NOT_FLOAT = ErrorReply("ERR value is not a valid float")
-SWEEP_KEYS = 1000  # after so many commands, all that has expired is dropped
+SWEEP_INTERVAL_COMMANDS = 1000  # expired keys are removed once in this number of commands
 VERSION = "7.4.0"
-KEY_BYTES, FIELD_BYTES = 64, 16  # what a key and a hash's field take besides their bytes, for maxmemory
+KEY_BYTES, FIELD_BYTES = 64, 16  # overhead of a key and of a hash field, which counts towards maxmemory
 WRONG_TYPE = ErrorReply("WRONGTYPE Operation against a key holding the wrong kind of value")
 NO_SCRIPT = ErrorReply("NOSCRIPT No matching script. Please use EVAL.")
 OOM = ErrorReply("OOM command not allowed when used memory > 'maxmemory'.")
 READ_ONLY = ErrorReply("READONLY You can't write against a read only replica.")
-WRITES = {
+WRITE_COMMANDS = {
     b"SET",
     b"DEL",
     b"INCRBYFLOAT",
@@ -38,7 +37,7 @@
     b"EVALSHA",
     b"FLUSHALL",
 }
-GROWS = WRITES - {b"DEL", b"PEXPIRE", b"FLUSHALL"}  # what a full store turns down
+MEMORY_COMMANDS = WRITE_COMMANDS - {b"DEL", b"PEXPIRE", b"FLUSHALL"}  # rejected when the memory limit is reached
 FIRST_KEY = {
     name: 1
     for name in (
@@ -59,18 +58,18 @@
     )
 }
 FIRST_KEY |= {b"EVAL": 3, b"EVALSHA": 3}
-NO_AUTH = (b"HELLO", b"AUTH", b"QUIT")
+COMMANDS_BEFORE_AUTH = (b"HELLO", b"AUTH", b"QUIT")
 
 Value = bytes | dict[bytes, bytes]
-# What another's script does: reads a key, writes a key that lives for so many milliseconds (0: as it did), and its keys
-# and arguments.
-Twin = Callable[
+# A script as a function.  Arguments: a function that reads a key, a function that writes a key with a time to live in
+# milliseconds (0 keeps the present one), the script's keys, and its arguments.
+ScriptFunction = Callable[
     [Callable[[bytes], bytes | None], Callable[[bytes, bytes, float], None], list[bytes], list[bytes]], "Reply"
 ]
 
 
 def key_of(words: list[bytes]) -> bytes | None:
-    """The key that a command is about; None for one without."""
+    """Return the key of a command; None for a command without a key."""
     at = FIRST_KEY.get(words[0].upper())
     if at is None or len(words) <= at or (at == 3 and words[2] != b"1"):
         return None
@@ -78,22 +77,22 @@
 
 
 def size_of(key: bytes, value: Value) -> int:
-    """About the bytes that a key takes."""
+    """Return about how many bytes a key and its value take."""
     if isinstance(value, bytes):
         return KEY_BYTES + len(key) + len(value)
-    return KEY_BYTES + len(key) + sum(FIELD_BYTES + len(name) + len(held) for name, held in value.items())
+    return KEY_BYTES + len(key) + sum(FIELD_BYTES + len(name) + len(content) for name, content in value.items())
 
 
 @dataclass
 class User:
-    """Who may connect, and which commands they may give; none named: all."""
+    """A user's password and allowed commands; an empty set allows all."""
 
     password: str
     commands: frozenset[bytes] = field(default_factory=frozenset)
 
 
 class Session:
-    """What the server keeps of one connection."""
+    """The server's state of one connection."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -101,34 +100,36 @@
         self.name = b""
         self.database = 0
         self.queued: list[list[bytes]] | None = None  # inside MULTI
-        self.spoilt = False  # a queued command was wrong: EXEC will not run
+        self.has_queue_error = False  # a queued command was invalid, so that EXEC is rejected
         self.user: User | None = None
-        self.asking = False  # the next command may go to a slot that is being brought here
+        self.asking = False  # the next command may use a slot that is being moved to this node
         self.channels: set[bytes] = set()
 
 
 class Keyspace:
-    """The contents, and what each command does to them."""
+    """The contents of the databases, and the commands."""
 
     def __init__(self) -> None:
         self.run_id = secrets.token_hex(20)
-        self._databases: dict[int, dict[bytes, tuple[Value, float]]] = {}  # value, and when it expires
-        self.users: dict[str, User] = {}  # none: nobody need say who they are
+        self._databases: dict[int, dict[bytes, tuple[Value, float]]] = {}  # value and expiry time
+        self.users: dict[str, User] = {}  # if empty, no authentication is required
         self.replica = False
-        self.offset = 0  # changes so far
-        self.changed: Callable[[int, bytes, Value | None, float], None] | None = None  # for replicas
+        self.offset = 0  # number of changes
+        # Called with each change, for replicas: database, key, value and expiry time.
+        self.on_change: Callable[[int, bytes, Value | None, float], None] | None = None
         self.scripts: set[str] = set()
-        self.twins: dict[str, Twin] = {}
-        self.skew_ms = 0.0  # of the clock that things expire by
-        self.max_bytes = 0  # none: no bound
-        self.evicts = False  # at the bound, the key that was used longest ago goes; else writes are turned down
+        self.script_functions: dict[str, ScriptFunction] = {}  # by digest
+        self.skew_ms = 0.0  # of the clock by which keys expire
+        self.max_bytes = 0  # 0: no limit
+        self.evicts = False  # at the limit the key written longest ago is evicted; otherwise writes are rejected
         self.evicted = 0
         self._bytes = 0
         self._since_sweep = 0
         self.commands = 0
-        self.told: Callable[[bytes, bytes, bytes], None] | None = None  # each add: key, amount, total
-        # Each statement that changed something: key, door, version, the door's sum, total, and the key's end.
-        self.stated: Callable[[bytes, bytes, int, float, float, float], None] | None = None
+        # Called with each add: key, amount and total.
+        self.on_add: Callable[[bytes, bytes, bytes], None] | None = None
+        # Called with each statement that changed its register: key, gateway epoch, version, sum, total, expiry time.
+        self.on_statement: Callable[[bytes, bytes, int, float, float, float], None] | None = None
         self._table: dict[bytes, tuple[int, Callable[[Session, float, list[bytes]], Reply]]] = {
             b"PING": (-1, self._ping),
             b"ECHO": (2, lambda s, n, a: a[1]),
@@ -167,17 +168,17 @@
         self.commands += 1
         now += self.skew_ms
         self._since_sweep += 1
-        if self._since_sweep >= SWEEP_KEYS:
+        if self._since_sweep >= SWEEP_INTERVAL_COMMANDS:
             self._sweep(now)
         name = words[0].upper()
-        if self.users and session.user is None and name not in NO_AUTH:
+        if self.users and session.user is None and name not in COMMANDS_BEFORE_AUTH:
             return ErrorReply("NOAUTH Authentication required.")
         if session.user is not None and session.user.commands and name not in session.user.commands:
             return ErrorReply(f"NOPERM User has no permissions to run the '{name.decode().lower()}' command")
         if name == b"MULTI":
             if session.queued is not None:
                 return ErrorReply("ERR MULTI calls can not be nested")
-            session.queued, session.spoilt = [], False
+            session.queued, session.has_queue_error = [], False
             return OK
         if name == b"DISCARD":
             if session.queued is None:
@@ -188,33 +189,33 @@
             if session.queued is None:
                 return ErrorReply("ERR EXEC without MULTI")
             queued, session.queued = session.queued, None
-            if session.spoilt:
+            if session.has_queue_error:
                 return ErrorReply("EXECABORT Transaction discarded because of previous errors.")
             return [self._call(session, now, command) for command in queued]
-        wrong = self._wrong(name, words)
+        error = self._syntax_error(name, words)
         if session.queued is not None:
-            if wrong is not None:
-                session.spoilt = True
-                return wrong
+            if error is not None:
+                session.has_queue_error = True
+                return error
             session.queued.append(words)
-            return Simple("QUEUED")
-        return wrong if wrong is not None else self._call(session, now, words)
+            return SimpleString("QUEUED")
+        return error if error is not None else self._call(session, now, words)
 
     def empty(self) -> None:
-        """Lose all contents, as a restart without a dump does."""
+        """Remove all contents, as a restart without a dump does."""
         self._databases.clear()
         self._bytes = 0
 
     def contents(self) -> Iterable[tuple[int, bytes, Value, float]]:
-        """Database, key, value and expiry of all there is."""
+        """Return the database, key, value and expiry time of all keys."""
         return [
             (number, key, value if isinstance(value, bytes) else dict(value), expires)
             for number, data in self._databases.items()
             for key, (value, expires) in data.items()
         ]
 
-    def take(self, database: int, key: bytes, value: Value | None, expires: float) -> None:
-        """One change as the primary made it."""
+    def apply_change(self, database: int, key: bytes, value: Value | None, expires: float) -> None:
+        """Apply a change that the primary made."""
         self.offset += 1
         data = self._databases.setdefault(database, {})
         before = data.pop(key, None)
@@ -224,29 +225,29 @@
             data[key] = value, expires
 
     def lose_expiry(self) -> None:
-        """All that is there now stays for good."""
+        """Remove the expiry of all present keys."""
         for data in self._databases.values():
             for key, (value, _) in data.items():
                 data[key] = value, math.inf
 
     def _put(self, session: Session, key: bytes, value: Value, expires: float) -> None:
         data = self._data(session)
-        before = data.pop(key, None)  # and so to the end: the first is the one that was used longest ago
+        before = data.pop(key, None)  # so that the key is inserted last, and the first is the one written longest ago
         self._bytes += size_of(key, value) - (size_of(key, before[0]) if before is not None else 0)
         data[key] = value, expires
         self.offset += 1
-        if self.changed is not None:
-            self.changed(session.database, key, value, expires)
+        if self.on_change is not None:
+            self.on_change(session.database, key, value, expires)
 
     def _remove(self, session: Session, key: bytes) -> None:
         value, _ = self._data(session).pop(key)
         self._bytes -= size_of(key, value)
         self.offset += 1
-        if self.changed is not None:
-            self.changed(session.database, key, None, 0.0)
+        if self.on_change is not None:
+            self.on_change(session.database, key, None, 0.0)
 
-    def _full(self, session: Session) -> bool:
-        """Whether a command that grows must be turned down; makes room first where that is wanted."""
+    def _is_full(self, session: Session) -> bool:
+        """Whether a command that needs memory is rejected; evicts keys first if that is enabled."""
         data = self._data(session)
         if self.max_bytes and self.evicts:
             while self._bytes > self.max_bytes and data:
@@ -254,7 +255,7 @@
                 self.evicted += 1
         return 0 < self.max_bytes < self._bytes
 
-    def _wrong(self, name: bytes, words: list[bytes]) -> ErrorReply | None:
+    def _syntax_error(self, name: bytes, words: list[bytes]) -> ErrorReply | None:
         known = self._table.get(name)
         if known is None:
             return ErrorReply(f"ERR unknown command '{words[0].decode('latin-1')}'")
@@ -265,9 +266,9 @@
 
     def _call(self, session: Session, now: float, words: list[bytes]) -> Reply:
         name = words[0].upper()
-        if self.replica and name in WRITES:
+        if self.replica and name in WRITE_COMMANDS:
             return READ_ONLY
-        if name in GROWS and self._full(session):
+        if name in MEMORY_COMMANDS and self._is_full(session):
             return OOM
         return self._table[name][1](session, now, words)
 
@@ -285,7 +286,7 @@
         return found[0]
 
     def _hash(self, session: Session, now: float, key: bytes) -> dict[bytes, bytes] | None:
-        """A copy of a hash, empty where there is none; None where there is something else."""
+        """Return a copy of a hash, empty if the key does not exist; None if the value is not a hash."""
         value = self._value(session, now, key)
         return None if isinstance(value, bytes) else dict(value or {})
 
@@ -300,7 +301,7 @@
                 self._bytes -= size_of(key, data.pop(key)[0])
 
     def _ping(self, session: Session, now: float, words: list[bytes]) -> Reply:
-        return words[1] if len(words) > 1 else Simple("PONG")
+        return words[1] if len(words) > 1 else SimpleString("PONG")
 
     def _get(self, session: Session, now: float, words: list[bytes]) -> Reply:
         value = self._value(session, now, words[1])
@@ -308,7 +309,7 @@
 
     def _type(self, session: Session, now: float, words: list[bytes]) -> Reply:
         value = self._value(session, now, words[1])
-        return Simple("none" if value is None else "string" if isinstance(value, bytes) else "hash")
+        return SimpleString("none" if value is None else "string" if isinstance(value, bytes) else "hash")
 
     def _set(self, session: Session, now: float, words: list[bytes]) -> Reply:
         expires, at, options = math.inf, 3, [word.upper() for word in words]
@@ -363,8 +364,8 @@
             return ErrorReply("ERR increment would produce NaN or Infinity")
         written = f"{total:.17g}".encode()
         self._put(session, words[1], written, self._expires(session, words[1]))
-        if self.told is not None:
-            self.told(words[1], words[2], written)
+        if self.on_add is not None:
+            self.on_add(words[1], words[2], written)
         return written
 
     def _incrby(self, session: Session, now: float, words: list[bytes]) -> Reply:
@@ -411,73 +412,75 @@
             return ErrorReply("ERR increment would produce NaN or Infinity")
         fields[words[2]] = written = b"%.17g" % total
         self._put(session, words[1], fields, self._expires(session, words[1]))
-        if self.told is not None:
-            self.told(words[1], words[3], written)
+        if self.on_add is not None:
+            self.on_add(words[1], words[3], written)
         return written
 
     def _script(self, session: Session, now: float, words: list[bytes]) -> Reply:
-        what = words[1].upper()
-        if what == b"LOAD" and len(words) == 3:
+        subcommand = words[1].upper()
+        if subcommand == b"LOAD" and len(words) == 3:
             digest = hashlib.sha1(words[2]).hexdigest()
-            if digest != script.DIGEST and digest not in self.twins:
+            if digest != script.DIGEST and digest not in self.script_functions:
                 return ErrorReply("ERR the stand-in does not know this script")
             self.scripts.add(digest)
             return digest.encode()
-        if what == b"EXISTS":
+        if subcommand == b"EXISTS":
             return [int(word.decode("latin-1").lower() in self.scripts) for word in words[2:]]
-        if what == b"FLUSH":
+        if subcommand == b"FLUSH":
             self.scripts.clear()
             return OK
         return ErrorReply("ERR unknown subcommand or wrong number of arguments for 'script'")
 
     def _eval(self, session: Session, now: float, words: list[bytes]) -> Reply:
         loaded = self._script(session, now, [b"SCRIPT", b"LOAD", words[1]])
-        return loaded if isinstance(loaded, ErrorReply) else self._state(session, now, words)
+        return loaded if isinstance(loaded, ErrorReply) else self._apply_statement(session, now, words)
 
     def _evalsha(self, session: Session, now: float, words: list[bytes]) -> Reply:
         if words[1].decode("latin-1").lower() not in self.scripts:
             return NO_SCRIPT
-        twin = self.twins.get(words[1].decode("latin-1").lower())
-        return self._state(session, now, words) if twin is None else self._twin(session, now, words, twin)
+        function = self.script_functions.get(words[1].decode("latin-1").lower())
+        if function is None:
+            return self._apply_statement(session, now, words)
+        return self._run_script(session, now, words, function)
 
-    def _twin(self, session: Session, now: float, words: list[bytes], twin: Twin) -> Reply:
+    def _run_script(self, session: Session, now: float, words: list[bytes], function: ScriptFunction) -> Reply:
         def get(key: bytes) -> bytes | None:
             value = self._value(session, now, key)
             return value if isinstance(value, bytes) else None
 
-        def put(key: bytes, value: bytes, life_ms: float) -> None:
-            self._put(session, key, value, now + life_ms if life_ms else self._expires(session, key))
+        def put(key: bytes, value: bytes, ttl_ms: float) -> None:
+            self._put(session, key, value, now + ttl_ms if ttl_ms else self._expires(session, key))
 
         count = int(words[2])
-        return twin(get, put, words[3 : 3 + count], words[3 + count :])
+        return function(get, put, words[3 : 3 + count], words[3 + count :])
 
-    def _state(self, session: Session, now: float, words: list[bytes]) -> Reply:
+    def _apply_statement(self, session: Session, now: float, words: list[bytes]) -> Reply:
         if len(words) != 8 or words[2] != b"1":
             return ErrorReply("ERR the script takes one key and four arguments")
-        key, door = words[3], words[4]
+        key, gateway_epoch = words[3], words[4]
         fields = self._hash(session, now, key)
         if fields is None:
             return WRONG_TYPE
         try:
-            version, own, life = int(words[5]), float(words[6]), int(words[7])
-            total, found, changed = script.apply_statement(fields, door, version, own)
+            version, own_sum, ttl_ms = int(words[5]), float(words[6]), int(words[7])
+            total, previous_version, changed = script.apply_statement(fields, gateway_epoch, version, own_sum)
         except ValueError:
             return NOT_FLOAT
         if changed:
             expires = self._expires(session, key)
-            self._put(session, key, fields, now + life if expires == math.inf else expires)
-            if self.stated is not None:
-                self.stated(key, door, version, own, total, self._expires(session, key))
-        return [b"%.17g" % total, str(found).encode()]
+            self._put(session, key, fields, now + ttl_ms if expires == math.inf else expires)
+            if self.on_statement is not None:
+                self.on_statement(key, gateway_epoch, version, own_sum, total, self._expires(session, key))
+        return [b"%.17g" % total, str(previous_version).encode()]
 
     def _command(self, session: Session, now: float, words: list[bytes]) -> Reply:
-        """Name, arity, flags and places of the keys; a cluster's client finds the slot by it."""
+        """Return name, arity, flags and key positions of the commands; cluster clients find the slot with them."""
         listed: list[Reply] = []
         for name, (arity, _) in self._table.items():
-            first = FIRST_KEY.get(name, 0) % 3  # a script's keys are counted in its words, not placed
-            flags: list[Reply] = [Simple("write" if name in WRITES else "readonly")]
+            first = FIRST_KEY.get(name, 0) % 3  # 0 for scripts, whose keys have no fixed position
+            flags: list[Reply] = [SimpleString("write" if name in WRITE_COMMANDS else "readonly")]
             if name in (b"EVAL", b"EVALSHA"):
-                flags.append(Simple("movablekeys"))
+                flags.append(SimpleString("movablekeys"))
             listed.append([name.lower(), arity, flags, first, first, first, [], [], [], []])
         return listed
 
@@ -545,15 +548,15 @@
         return "".join(line + "\r\n" for line in lines).encode()
 
     def _client(self, session: Session, now: float, words: list[bytes]) -> Reply:
-        what = words[1].upper()
-        if what == b"SETNAME" and len(words) == 3:
+        subcommand = words[1].upper()
+        if subcommand == b"SETNAME" and len(words) == 3:
             session.name = words[2]
             return OK
-        if what == b"GETNAME":
+        if subcommand == b"GETNAME":
             return session.name or None
-        if what == b"ID":
+        if subcommand == b"ID":
             return session.number
-        if what == b"SETINFO" and len(words) == 4:
+        if subcommand == b"SETINFO" and len(words) == 4:
             return OK
         return ErrorReply(f"ERR unknown subcommand '{words[1].decode('latin-1')}'. Try CLIENT HELP.")
 
--- a/martenstep/standins/redis/server.py
+++ b/martenstep/standins/redis/server.py
@@ -1,4 +1,4 @@
-"""One Redis on a socket, and the faults it is steered into while it runs."""
+"""One fake Redis on a socket, with faults that are injected through its control port while it runs."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from typing import Any
 
 from martenstep.standins.base import READ_BYTES, StandIn, Trace, now_ms
-from martenstep.standins.redis.keyspace import WRITES, Keyspace, Session, key_of
-from martenstep.standins.resp import Commands, ErrorReply, Push, Reply, RespError, encode
+from martenstep.standins.redis.keyspace import WRITE_COMMANDS, Keyspace, Session, key_of
+from martenstep.standins.resp import CommandParser, ErrorReply, Push, Reply, RespError, encode
 
 ERRORS = {
     "LOADING": "LOADING Redis is loading the dataset in memory",
@@ -22,44 +22,44 @@
     "CLUSTERDOWN": "CLUSTERDOWN The cluster is down",
     "TRYAGAIN": "TRYAGAIN Multiple keys request during rehashing of slot",
 }
-NO_WRITES = ("NOREPLICAS",)  # these answer writes alone
-AT_ALL_TIMES = (b"HELLO", b"AUTH", b"CLIENT", b"PING", b"QUIT", b"SUBSCRIBE", b"ROLE", b"SCRIPT")
-Outside = Callable[[Session, list[bytes]], Reply | None]
+WRITE_ERRORS = ("NOREPLICAS",)  # only write commands are answered with these
+COMMANDS_WITHOUT_ERRORS = (b"HELLO", b"AUTH", b"CLIENT", b"PING", b"QUIT", b"SUBSCRIBE", b"ROLE", b"SCRIPT")
+Interceptor = Callable[[Session, list[bytes]], Reply | None]
 
 
 class RedisServer(StandIn):
-    """The keyspace on a socket."""
+    """Serves a keyspace on a socket."""
 
     def __init__(self, trace: Trace, port: int = 0, name: str = "") -> None:
         super().__init__(trace, port)
         self.name = name
         self.keyspace = Keyspace()
-        self.keyspace.told = self._added
-        self.keyspace.stated = self._stated
-        self.outside: Outside | None = None  # commands that a topology answers, and redirections
+        self.keyspace.on_add = self._trace_add
+        self.keyspace.on_statement = self._trace_statement
+        self.interceptor: Interceptor | None = None  # answers the commands of a topology, and redirects
         self._paused_until = 0.0
         self._slow_ms = 0.0
-        self._slow_names = (0.0, 0.0)  # share of the keys, and their milliseconds
+        self._slow_keys = (0.0, 0.0)  # the share of keys that are slow, and their delay in milliseconds
         self._error = ""
-        self._hangs = False
-        self._partial = 0.0
+        self._hang_writes = False
+        self._partial_reply_share = 0.0
         self._rng = random.Random(1)
         self._sessions = 0
         self._subscribers: dict[bytes, dict[asyncio.StreamWriter, Session]] = defaultdict(dict)
-        self.accepted: list[float] = []  # when each connection came
+        self.accepted: list[float] = []  # the time at which each connection was accepted
 
     @property
     def port(self) -> int:
-        """Where it is bound."""
+        """The port that the server is bound to."""
         return self._port
 
     async def stop(self) -> None:
-        """Accept no more, drop what there is."""
+        """Stop accepting, and break all connections."""
         await super().stop()
         self._drop()
 
     def publish(self, channel: bytes, message: bytes) -> None:
-        """A message to all that subscribed."""
+        """Send a message to all subscribers of a channel."""
         for writer, session in self._subscribers[channel].items():
             if not writer.transport.is_closing():
                 writer.write(encode(Push([b"message", channel, message]), session.protocol))
@@ -68,30 +68,32 @@
         """Break all connections."""
         self._drop()
 
-    def _added(self, key: bytes, amount: bytes, total: bytes) -> None:
+    def _trace_add(self, key: bytes, amount: bytes, total: bytes) -> None:
         self._trace.write("add", key=key.decode("latin-1"), amount=float(amount), total=float(total), node=self.name)
 
-    def _stated(self, key: bytes, door: bytes, version: int, own: float, total: float, until: float) -> None:
+    def _trace_statement(
+        self, key: bytes, gateway_epoch: bytes, version: int, own_sum: float, total: float, expires: float
+    ) -> None:
         self._trace.write(
             "stated",
             key=key.decode("latin-1"),
-            door=door.decode("latin-1"),
+            door=gateway_epoch.decode("latin-1"),
             version=version,
-            sum=own,
+            sum=own_sum,
             total=total,
-            until=until,
+            until=expires,
             node=self.name,
         )
 
-    def tell_contents(self) -> None:
-        """What each name holds, into the trace."""
+    def trace_contents(self) -> None:
+        """Write the contents of each key to the trace."""
         for _, key, value, _ in self.keyspace.contents():
             if isinstance(value, dict):
                 self._trace.write(
                     "held",
                     key=key.decode("latin-1"),
                     node=self.name,
-                    fields={name.decode("latin-1"): held.decode("latin-1") for name, held in value.items()},
+                    fields={name.decode("latin-1"): content.decode("latin-1") for name, content in value.items()},
                 )
 
     def _steered(self, do: str, words: dict[str, Any]) -> dict[str, Any] | None:
@@ -101,7 +103,7 @@
         elif do == "slow":
             self._slow_ms = float(words["ms"])
         elif do == "slow_names":
-            self._slow_names = float(words["share"]), float(words.get("ms", 0.0))
+            self._slow_keys = float(words["share"]), float(words.get("ms", 0.0))
         elif do == "empty":
             keys.empty()
         elif do == "drop":
@@ -116,9 +118,9 @@
                 return {"error": f"no such error: {words['code']}"}
             self._error = str(words["code"])
         elif do == "hang_writes":
-            self._hangs = bool(words["on"])
+            self._hang_writes = bool(words["on"])
         elif do == "partial":
-            self._partial = float(words["share"])
+            self._partial_reply_share = float(words["share"])
         elif do == "skew":
             keys.skew_ms = float(words["ms"])
         elif do == "lose_expiry":
@@ -141,43 +143,47 @@
                 session.channels.add(channel)
             replies: list[Reply] = [b"subscribe", words[-1], len(session.channels)]
             return Push(replies)
-        if self._error and name not in AT_ALL_TIMES and (self._error not in NO_WRITES or name in WRITES):
+        if (
+            self._error
+            and name not in COMMANDS_WITHOUT_ERRORS
+            and (self._error not in WRITE_ERRORS or name in WRITE_COMMANDS)
+        ):
             return ErrorReply(ERRORS[self._error])
-        if self.outside is not None:
-            answer = self.outside(session, words)
-            if answer is not None:
-                return answer
+        if self.interceptor is not None:
+            reply = self.interceptor(session, words)
+            if reply is not None:
+                return reply
         return self.keyspace.run(session, now_ms(), words)
 
-    async def _wait(self, found: list[list[bytes]]) -> None:
-        """All that keeps an answer back: a pause, slowness, names that are slow."""
+    async def _delay_replies(self, commands: list[list[bytes]]) -> None:
+        """Wait for as long as injected faults delay the replies: a pause, slowness, slow keys, writes that hang."""
         while (pause := self._paused_until - now_ms()) > 0:
             await asyncio.sleep(pause / 1000)
-        wait = self._slow_ms
-        share, ms = self._slow_names
-        if share and any(zlib.crc32(key) < share * 2**32 for words in found if (key := key_of(words))):
-            wait += ms
-        if wait:
-            await asyncio.sleep(wait / 1000)
-        while self._hangs and any(words[0].upper() in WRITES for words in found):
+        delay_ms = self._slow_ms
+        share, slow_key_ms = self._slow_keys
+        if share and any(zlib.crc32(key) < share * 2**32 for words in commands if (key := key_of(words))):
+            delay_ms += slow_key_ms
+        if delay_ms:
+            await asyncio.sleep(delay_ms / 1000)
+        while self._hang_writes and any(words[0].upper() in WRITE_COMMANDS for words in commands):
             await asyncio.sleep(0.01)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._sessions += 1
         self.accepted.append(now_ms())
-        session, commands = Session(self._sessions), Commands()
+        session, parser = Session(self._sessions), CommandParser()
         try:
             while data := await reader.read(READ_BYTES):
-                found = commands.feed(data)
-                await self._wait(found)
-                out = b"".join(encode(self._run(session, words, writer), session.protocol) for words in found)
-                if out and self._rng.random() < self._partial:
+                commands = parser.feed(data)
+                await self._delay_replies(commands)
+                out = b"".join(encode(self._run(session, words, writer), session.protocol) for words in commands)
+                if out and self._rng.random() < self._partial_reply_share:
                     writer.write(out[: self._rng.randrange(len(out))])
                     await writer.drain()
                     return
                 writer.write(out)
                 await writer.drain()
-                if any(words[0].upper() == b"QUIT" for words in found):
+                if any(words[0].upper() == b"QUIT" for words in commands):
                     break
         except RespError as error:
             writer.write(encode(ErrorReply(f"ERR {error}"), session.protocol))
--- a/martenstep/standins/resp.py
+++ b/martenstep/standins/resp.py
@@ -2,83 +2,85 @@
 
 from __future__ import annotations
 
-MOST_ARGUMENTS = 1024 * 1024
-MOST_BYTES = 512 * 1024 * 1024
-INLINE_BYTES = 64 * 1024
+MAX_ARGUMENTS = 1024 * 1024
+MAX_BULK_BYTES = 512 * 1024 * 1024
+MAX_INLINE_BYTES = 64 * 1024
 
 
 class RespError(Exception):
-    """Bytes that are not a command: the connection ends with this as its error."""
+    """The received bytes are not a command: the server replies with this error and closes the connection."""
 
 
-class Simple(str):
-    """A simple string, such as OK."""
+class SimpleString(str):
+    """A simple string, for example OK."""
 
 
 class ErrorReply(str):
-    """An error, its code first."""
+    """An error reply, with its code as the first word."""
 
 
 class Push(list["Reply"]):
-    """What the server tells by itself: a push in RESP3, an array before it."""
+    """A message that the server sends without a request: a push in RESP3, an array in RESP2."""
 
 
-Reply = Simple | ErrorReply | int | float | bytes | None | list["Reply"] | dict[str, "Reply"]
+Reply = SimpleString | ErrorReply | int | float | bytes | None | list["Reply"] | dict[str, "Reply"]
 
 
-class Commands:
-    """Takes bytes as they come and gives whole commands: arrays of bulk strings, or inline words."""
+class CommandParser:
+    """Parses received bytes into complete commands: arrays of bulk strings, or inline words."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """The commands that are whole; raises RespError on bytes that can be none."""
+        """Return the commands that are complete; raises RespError on bytes that are not a command."""
         self._buffer += data
-        found: list[list[bytes]] = []
+        commands: list[list[bytes]] = []
         while True:
-            command, used = self._one()
+            command, used = self._parse_command()
             if command is None:
-                return found
+                return commands
             del self._buffer[:used]
             if command:
-                found.append(command)
+                commands.append(command)
 
-    def _line(self, at: int) -> tuple[bytes, int] | None:
+    def _parse_line(self, at: int) -> tuple[bytes, int] | None:
+        """Return the line that starts at an offset, and the offset behind it; None if it is not complete."""
         end = self._buffer.find(b"\r\n", at)
         if end < 0:
-            if len(self._buffer) - at > INLINE_BYTES:
+            if len(self._buffer) - at > MAX_INLINE_BYTES:
                 raise RespError("Protocol error: too big inline request")
             return None
         return bytes(self._buffer[at:end]), end + 2
 
-    def _number(self, line: bytes, least: int, most: int, what: str) -> int:
+    def _parse_length(self, line: bytes, minimum: int, maximum: int, kind: str) -> int:
         try:
-            number = int(line)
+            length = int(line)
         except ValueError:
-            number = least - 1
-        if not least <= number <= most:
-            raise RespError(f"Protocol error: invalid {what} length")
-        return number
+            length = minimum - 1
+        if not minimum <= length <= maximum:
+            raise RespError(f"Protocol error: invalid {kind} length")
+        return length
 
-    def _one(self) -> tuple[list[bytes] | None, int]:
+    def _parse_command(self) -> tuple[list[bytes] | None, int]:
+        """Return the first command in the buffer and its size; None if it is not complete."""
         if not self._buffer:
             return None, 0
-        head = self._line(0)
+        head = self._parse_line(0)
         if head is None:
             return None, 0
         line, at = head
         if line[:1] != b"*":
             return line.split(), at
         words = []
-        for _ in range(max(self._number(line[1:], -1, MOST_ARGUMENTS, "multibulk"), 0)):
-            head = self._line(at)
+        for _ in range(max(self._parse_length(line[1:], -1, MAX_ARGUMENTS, "multibulk"), 0)):
+            head = self._parse_line(at)
             if head is None:
                 return None, 0
             line, at = head
             if line[:1] != b"$":
                 raise RespError(f"Protocol error: expected '$', got {line[:1].decode('latin-1')!r}")
-            size = self._number(line[1:], 0, MOST_BYTES, "bulk")
+            size = self._parse_length(line[1:], 0, MAX_BULK_BYTES, "bulk")
             if len(self._buffer) < at + size + 2:
                 return None, 0
             words.append(bytes(self._buffer[at : at + size]))
@@ -87,9 +89,9 @@
 
 
 def encode(reply: Reply, protocol: int) -> bytes:
-    """A reply in RESP2 or RESP3."""
+    """Encode a reply in RESP2 or RESP3."""
     match reply:
-        case Simple():
+        case SimpleString():
             return f"+{reply}\r\n".encode()
         case ErrorReply():
             return f"-{reply}\r\n".encode()
--- a/tests/redis_counter_world.py
+++ b/tests/redis_counter_world.py
@@ -185,7 +185,7 @@
         """Replace the store's contents by earlier ones."""
         self.keyspace.empty()
         for entry in contents:
-            self.keyspace.take(*entry)
+            self.keyspace.apply_change(*entry)
 
     # Figures for checks --------------------------------------------------------------------------------------
 
--- a/tests/test_redis_counter.py
+++ b/tests/test_redis_counter.py
@@ -36,7 +36,7 @@
 
 
 class Caller:
-    """A Redis counter with the calls that were caller to it and their answers."""
+    """A Redis counter with the calls made on it and their answers."""
 
     def __init__(self, port: int, **changes: Any) -> None:
         settings = pb.Store(port=port, **{"timeout_ms": 5000.0, "connections": 2, **changes})
--- a/tests/test_standin_redis.py
+++ b/tests/test_standin_redis.py
@@ -1,4 +1,4 @@
-"""The Redis stand-in, met through the client library and on the wire; and the door's store against it."""
+"""The fake Redis, through the client library and at the level of the protocol."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from martenstep.standins.redis.fleet import CLUSTER, SENTINEL, Fleet
 from martenstep.standins.redis.keyspace import Keyspace, Session
 from martenstep.standins.redis.server import RedisServer
-from martenstep.standins.resp import Commands, RespError, encode
+from martenstep.standins.resp import CommandParser, RespError, encode
 from tests.socket_rig import run
 
 
 @asynccontextmanager
 async def server() -> AsyncIterator[tuple[RedisServer, int]]:
-    made = RedisServer(Trace(None))
-    port = await made.start()
+    fake = RedisServer(Trace(None))
+    port = await fake.start()
     try:
-        yield made, port
+        yield fake, port
     finally:
-        await made.stop()
+        await fake.stop()
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_the_client_library_speaks_to_it(protocol: int) -> None:
+def test_the_client_library_works_with_the_fake(protocol: int) -> None:
     async def test() -> None:
         async with server() as (_, port):
             client: Any = redis.Redis(port=port, protocol=protocol, client_name="test", decode_responses=True)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_the_client_library_finds_a_primary_by_sentinels_and_the_nodes_of_a_cluster(protocol: int) -> None:
+def test_the_client_library_finds_the_primary_through_sentinels_and_the_nodes_of_a_cluster(protocol: int) -> None:
     async def test() -> None:
         fleet = Fleet(Trace(None), SENTINEL)
         await fleet.start()
@@ -84,8 +84,8 @@
         fleet.failover()
         await client.aclose()
         assert (await sentinel.discover_master("counts"))[1] == fleet.pairs[0].primary.port
-        for one in sentinel.sentinels:
-            await one.aclose()
+        for connection in sentinel.sentinels:
+            await connection.aclose()
         await fleet.stop()
 
         fleet = Fleet(Trace(None), CLUSTER)
@@ -103,7 +103,7 @@
     run(test())
 
 
-def test_a_wrong_command_inside_multi_runs_nothing() -> None:
+def test_exec_runs_nothing_after_an_invalid_command() -> None:
     keys, session = Keyspace(), Session(1)
     assert keys.run(session, 0, [b"MULTI"]) == "OK"
     assert keys.run(session, 0, [b"SET", b"a", b"1"]) == "QUEUED"
@@ -113,7 +113,7 @@
     assert str(keys.run(session, 0, [b"EXEC"])) == "ERR EXEC without MULTI"
 
 
-def test_keys_expire_and_expiry_is_set_only_when_new() -> None:
+def test_keys_expire_and_nx_sets_an_expiry_only_if_there_is_none() -> None:
     keys, session = Keyspace(), Session(1)
     assert keys.run(session, 0, [b"INCRBYFLOAT", b"k", b"3"]) == b"3"
     assert keys.run(session, 0, [b"PEXPIRE", b"k", b"100", b"NX"]) == 1
@@ -126,31 +126,31 @@
 
 @given(st.lists(st.lists(st.binary(max_size=12), min_size=1, max_size=4), max_size=6), st.data())
 @hypo(max_examples=60, deadline=None, derandomize=True)
-def test_commands_come_out_however_they_are_cut(commands: list[list[bytes]], data: st.DataObject) -> None:
+def test_commands_are_parsed_however_their_bytes_are_split(commands: list[list[bytes]], data: st.DataObject) -> None:
     sent = b"".join(
         b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words) for words in commands
     )
-    reader, got, at = Commands(), [], 0
+    parser, parsed, at = CommandParser(), [], 0
     while at < len(sent):
         size = data.draw(st.integers(1, 20))
-        got += reader.feed(sent[at : at + size])
+        parsed += parser.feed(sent[at : at + size])
         at += size
-    assert got == commands
+    assert parsed == commands
 
 
 @pytest.mark.parametrize("sent", [b"*1\r\n:5\r\n", b"*x\r\n", b"*1\r\n$-5\r\n", b"*99999999\r\n", b"$" * 70_000])
-def test_bytes_that_are_no_command_are_told(sent: bytes) -> None:
+def test_bytes_that_are_not_a_command_raise_an_error(sent: bytes) -> None:
     with pytest.raises(RespError):
-        Commands().feed(sent)
+        CommandParser().feed(sent)
 
 
-def test_replies_in_both_protocols() -> None:
+def test_replies_are_encoded_for_both_protocol_versions() -> None:
     assert encode(None, 2) == b"$-1\r\n" and encode(None, 3) == b"_\r\n"
     assert encode(2.5, 2) == b"$3\r\n2.5\r\n" and encode(2.5, 3) == b",2.5\r\n"
     assert encode({"a": 1}, 2) == b"*2\r\n$1\r\na\r\n:1\r\n" and encode({"a": 1}, 3) == b"%1\r\n$1\r\na\r\n:1\r\n"
 
 
-def test_an_order_that_is_not_known_is_told_and_changes_nothing() -> None:
-    made = RedisServer(Trace(None))
-    assert made.control("nonsense", {}) == {"error": "no such command: nonsense"}
-    assert made.control("state", {}) == {"commands": 0, "connections": 0}
+def test_an_unknown_control_command_returns_an_error_and_changes_nothing() -> None:
+    fake = RedisServer(Trace(None))
+    assert fake.control("nonsense", {}) == {"error": "no such command: nonsense"}
+    assert fake.control("state", {}) == {"commands": 0, "connections": 0}
