--- a/martenstep/redis_counter/core.py
+++ b/martenstep/redis_counter/core.py
@@ -226,7 +226,7 @@
         return max(due_ms, now_ms) if due_ms < math.inf else due_ms
 
     def _health_check_ms(self, node: NodeState) -> float:
-        """Return when a node is asked whether it has what it had: one whose circuit is open as soon as it may be."""
+        """Return when a node is checked for lost contents; with an open circuit, as soon as it may be tried again."""
         has_answered = any(
             connection.last_answered_key is not None and (connection.ready or node.circuit_open)
             for connection in node.connections
@@ -234,7 +234,7 @@
         if node.busy or not has_answered:
             return math.inf
         if any(connection.restate for connection in node.connections):
-            return math.inf  # an operation or a check is pending already
+            return math.inf  # a key that is to be stated once more already serves as a check
         return node.retry_at_ms if node.circuit_open else node.last_activity_ms + HEALTH_CHECK_INTERVAL_MS
 
     @property
--- a/martenstep/redis_counter/node_state.py
+++ b/martenstep/redis_counter/node_state.py
@@ -60,7 +60,7 @@
         self.logged_generation = 0  # the last generation whose loss was logged
         self.last_activity_ms = -math.inf  # of the last reply or health check
         self.witness_key = NO_KEY  # a key of this gateway alone, whose register proves that the node lost nothing
-        self.proof_chain = 1  # incremented with each opened connection, loss or new witness: the proof starts over
+        self.proof_chain = 1  # incremented when the proof starts over: new connection, loss, new witness, moved keys
         self.proved_chain = 0  # the chain in which the witness was last answered
         self.retained_since_ms = math.inf  # since when the node is proved to have lost nothing
 
--- a/martenstep/redis_counter/replies.py
+++ b/martenstep/redis_counter/replies.py
@@ -145,7 +145,7 @@
             self._outbox.log("store without scripts", {"node": node.name, "error": error.text})
 
     def _subtract_rejected(self, connection: ConnectionState, operation: Operation) -> None:
-        """Subtract the units of a rejected statement from the sum, and from the statements prepared after it."""
+        """Subtract the units of a rejected statement from the sum, and correct a pending statement that has them."""
         self._registers.subtract_rejected(operation)
         if self._recovery.is_pending(connection, operation.key):
             self._recovery.restate(operation.key)  # the pending statement of this key includes these units
--- a/tests/test_redis_counter.py
+++ b/tests/test_redis_counter.py
@@ -299,9 +299,8 @@
                 caller.add(1, 1)
                 await caller.wait_for_answers()
             rejected = caller.add(1, 1)
-            assert (
-                caller.answers[rejected][0] is CallResult.CONNECT_FAILED
-            )  # at once: calls do not wait for it any more
+            # Answered at once: calls do not wait for this node any more.
+            assert caller.answers[rejected][0] is CallResult.CONNECT_FAILED
             redis_.control("hang_writes", {"on": False})
             assert (await caller.add_until_ok(1, 1))[1] == caller.added(1) > 2
 
