--- a/martenstep/lab/explore_orders.py
+++ b/martenstep/lab/explore_orders.py
@@ -202,7 +202,7 @@
 
                 yield f"{name} looks into the book", self._run(world, name, look)
                 if step == "asking":
-                    yield f"{name} asks again", self._run(world, name, lambda agent: agent._ask_start(now))
+                    yield f"{name} asks again", self._run(world, name, lambda agent: agent._send_start(now))
                 if step == "going":
                     yield f"{name} has drained", self._run(world, name, lambda agent: agent.drained())
                 if budget.crashes:
--- a/martenstep/lab/fleet/orders.py
+++ b/martenstep/lab/fleet/orders.py
@@ -201,7 +201,7 @@
                 self._to(place, agent, lambda: self._seen(place, agent, held))
 
         self._sends(ask)
-        agent.wake(place.clock(self.sim.now))
+        agent.send_due_command(place.clock(self.sim.now))
         self._after(place)
 
     def _seen(self, place: Place, agent: LeaseHolder, held: list[MaintenanceRequest]) -> None:
--- a/martenstep/maintenance/__init__.py
+++ b/martenstep/maintenance/__init__.py
@@ -1,17 +1,17 @@
-"""Machines taken out for maintenance in an order that the instances settle among themselves.
+"""Grants machines a lease to be out of service for maintenance, in an order that a replicated queue decides.
 
-What is guaranteed, to whom, and when it ends:
+Guarantees:
 
-- To who asked: each request has one outcome, told alike to whoever asks again under its id.
-- To the cluster: by grant, never more machines are out, nor two together that the limits keep apart, than the limits in
-  force at each grant allow; a grant is in the replicated queue before anybody acts on it.  It rests on the queue's
-  replication group alone (`martenstep.replication`), not on the membership: what is observed of machines only ever
-  delays a grant.
-- To a machine: it may drain from when its start stands in the queue, for the time of its lease by its own clock,
-  counted from before it asked.  After that it asks again.
-- Nothing is guaranteed of machines that fail or stop by themselves: they count against the limits once the queue has
-  observed that.
+- To the author of a request: a request has exactly one outcome, and every submission under the same id returns it.
+- To the cluster: grants never put more machines out, nor two machines that the limits keep apart, than the limits in
+  force at each grant allow.  A grant is committed to the replicated queue before any instance acts on it.  This depends
+  only on the queue's replication group (`martenstep.replication`), not on the membership: observations of machines can
+  only delay a grant.
+- To a machine: it may begin to drain once its start is committed to the queue, until its lease ends by its own clock,
+  counted from before it sent the start.  After that it must send the start again.
+- There is no guarantee about machines that fail or stop by themselves: they count against the limits once the queue
+  contains an observation that shows them as unhealthy.
 
-The queue as a replicated state machine is in `queue`, with its `model`, `commands` and `admission_rules`; a machine's
-own part in `lease_holder`; `coordinator` and `reports` connect an instance to the queue's leader.
+`queue` is the replicated state machine, with its `model`, `commands` and `admission_rules`; `lease_holder` decides what
+one machine does; `coordinator` and `reports` connect an instance to the queue's leader.
 """
--- a/martenstep/maintenance/admission_rules.py
+++ b/martenstep/maintenance/admission_rules.py
@@ -1,18 +1,23 @@
-"""Which machine may be taken out, and which request is next: pure, and the same at every replica of the queue.
-
-A request waits for the first of these that holds; each is told in words to who asks why:
-
-1. the queue is paused, or its plan is;
-2. the cluster is short (machines down, rejections, replicas that catch up, a partition), or a machine is overdue;
-3. as many are out as may be: in all, in its zone, or by capacity.  Out are those that were granted or started, and
-   those that are not healthy by themselves;
-4. another machine of a replica group that it belongs to is out, or that group is not complete;
-5. zone by zone: another zone is not done yet;
-6. it leads the queue and others wait (zone by zone: of its zone): it goes last.
-
-Order: urgent ones, then by deadline, then by age.  A request that cannot be granted is passed by those that can.  Once
-it has waited for the time of starvation, none passes it while it waits for machines that are out by grant; for its
-zone, its place at the end, or a group that is not complete, it would wait for ever if the others waited for it.
+"""Rules that decide which machine may be taken out, and which waiting request is granted next.
+
+They are pure functions of the queue's state, so that every replica of the queue decides the same.
+
+A request waits while one of these conditions holds.  The first one is shown to operators as its waiting reason:
+
+1. the queue or the request's plan is paused;
+2. the cluster is short of capacity (machines down, rejections, replicas that catch up, a partition), or a machine is
+   overdue;
+3. the limit on machines out is reached, in all, in the machine's zone, or by capacity.  A machine is out from its grant
+   until it has recovered, and also while it is unhealthy for any other reason;
+4. another machine of one of the machine's replica groups is out, or one of these groups is incomplete;
+5. with `zone_by_zone`: the machine is in another zone than the one in progress;
+6. the machine leads the queue, and requests of other machines wait (with `zone_by_zone`: of its zone).  The leader is
+   granted last.
+
+Requests are ordered by urgency, then deadline, then age; a request that cannot be granted is overtaken by those that
+can.  Once a request has waited longer than `starvation_ms`, no other overtakes it while a limit blocks it and machines
+are out by grant, since these come back.  It is still overtaken while it waits for its zone, for its place as leader, or
+for an incomplete group without any machine out by grant: it could wait forever if the others had to wait for it.
 """
 
 from __future__ import annotations
@@ -26,17 +31,17 @@
 
 
 def granted_machines(state: QueueState) -> set[str]:
-    """Machines that are out by grant, or may drain at any moment."""
+    """Machines that are out by grant, or that hold a grant and may drain at any moment."""
     return {request.machine for request in state.requests.values() if request.state in GRANTED_STATES}
 
 
 def out_machines(state: QueueState) -> set[str]:
-    """Machines that are out, or may drain at any moment, by grant or by themselves."""
+    """Machines that are out by grant, may drain at any moment by grant, or are unhealthy."""
     return granted_machines(state) | state.observation.unhealthy_names()
 
 
 def overdue_requests(state: QueueState) -> list[str]:
-    """Ids of requests whose machine is not back in time."""
+    """Ids of the requests whose machine is still out after its due time."""
     return [
         request.request_id
         for request in state.requests.values()
@@ -45,7 +50,7 @@
 
 
 def permanent_violation(state: QueueState, machine: str) -> str:
-    """Why the limits forbid a machine for good; empty where they do not."""
+    """Why the present limits can never admit a machine; empty if they can."""
     limits = state.limits
     machines = state.observation.by_name()
     if limits.max_out < 1 or limits.max_out_per_zone < 1:
@@ -62,7 +67,7 @@
 
 
 def limit_violation(state: QueueState, request: MaintenanceRequest) -> str:
-    """Which limit the machine's leaving would violate, given what is out beside it; empty where none."""
+    """Which limit a grant would violate, given the other machines that are out; empty if none."""
     if request.machine not in state.observation.by_name():
         return f"{request.machine} is not seen"
     others = out_machines(state) - {request.machine}
@@ -77,10 +82,10 @@
     limits = state.limits
     zones = state.observation.zones()
     if len(others) + 1 > limits.max_out:
-        return f"{limits.max_out} may be out, and {_join(others)} are" if others else "no machine may be out"
+        return f"{limits.max_out} may be out, and {_join_names(others)} are" if others else "no machine may be out"
     same_zone = {name for name in others if name in zones and zones[name] == zones[machine]}
     if len(same_zone) + 1 > limits.max_out_per_zone:
-        return f"{limits.max_out_per_zone} may be out in zone {zones[machine] or '-'}, and {_join(same_zone)} are"
+        return f"{limits.max_out_per_zone} may be out in zone {zones[machine] or '-'}, and {_join_names(same_zone)} are"
     return ""
 
 
@@ -101,19 +106,19 @@
             continue
         members_out = others & set(group.machines)
         if members_out:
-            return f"{_join(members_out)} of {group.name} are out, a copy of which it holds"
+            return f"{_join_names(members_out)} of {group.name} are out, a copy of which it holds"
         if not group.complete and healthy:
             return f"{group.name}, a copy of which it holds, is not whole"
     return ""
 
 
 def waiting_reason(state: QueueState, request: MaintenanceRequest) -> str:
-    """Why a waiting request is not granted; empty where it may be, but for its place in the order."""
+    """Why a waiting request cannot be granted, whatever its place in the order; empty if it can."""
     return (
         _paused_reason(state, request)
         or _shortage_reason(state)
         or limit_violation(state, request)
-        or _turn_reason(state, request)
+        or _sequence_reason(state, request)
     )
 
 
@@ -134,7 +139,7 @@
     return ""
 
 
-def _turn_reason(state: QueueState, request: MaintenanceRequest) -> str:
+def _sequence_reason(state: QueueState, request: MaintenanceRequest) -> str:
     zones = state.observation.zones()
     if state.limits.zone_by_zone:
         zone = zone_in_progress(state, zones)
@@ -147,18 +152,18 @@
 
 
 def _others_wait(state: QueueState, request: MaintenanceRequest, leaders: set[str], zones: dict[str, str]) -> bool:
-    """Whether requests of machines that do not lead the queue wait too."""
+    """Whether requests of machines that do not lead the queue must be granted before this one."""
     return any(
         other.state is RequestState.WAITING
         and other.machine not in leaders
-        # Danger: of all zones, the others would wait for its zone, and it for them.
+        # Counting requests of other zones would be a deadlock: they wait for the leader's zone to be done.
         and (not state.limits.zone_by_zone or zones.get(other.machine) == zones[request.machine])
         for other in state.requests.values()
     )
 
 
 def waiting_order(state: QueueState) -> list[MaintenanceRequest]:
-    """The requests that wait, the first first."""
+    """The waiting requests, in the order in which they are considered."""
 
     def order_key(request: MaintenanceRequest) -> tuple[bool, float, int]:
         return not request.urgent, request.deadline_unix_ms or math.inf, request.number
@@ -168,7 +173,7 @@
 
 
 def zone_in_progress(state: QueueState, zones: dict[str, str]) -> str | None:
-    """The zone of the last grant, as long as a request of that zone is active; None where no zone is."""
+    """The zone of the latest grant while a request of that zone is active, else None."""
     granted = (request for request in state.requests.values() if request.token)
     latest = max(granted, key=lambda request: request.token, default=None)
     zone = zones.get(latest.machine) if latest is not None else None
@@ -177,15 +182,15 @@
 
 
 def next_to_grant(state: QueueState) -> MaintenanceRequest | None:
-    """The request that is granted now; None where none may be."""
+    """The request to grant now; None if none can be granted."""
     for request in waiting_order(state):
         if not waiting_reason(state, request):
             return request
         starved = state.now_ms - request.requested_ms > state.limits.starvation_ms
         if starved and limit_violation(state, request) and granted_machines(state):
-            return None  # it has waited too long to be passed, and what it waits for comes to an end
+            return None  # it is starved: no other overtakes it until the granted machines are back
     return None
 
 
-def _join(machines: set[str]) -> str:
+def _join_names(machines: set[str]) -> str:
     return ", ".join(sorted(machines))
--- a/martenstep/maintenance/commands.py
+++ b/martenstep/maintenance/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the maintenance queue, as its replicated log and the admin API carry them.
+"""The commands of the maintenance queue, in the form in which its replicated log and the admin API carry them.
 
 Their tags and the external names of their fields are part of both formats.
 """
@@ -11,7 +11,7 @@
 
 
 class SubmitRequest(msgspec.Struct, tag=1, frozen=True):
-    """Ask for a machine to be taken out; the same id twice is one request."""
+    """Request that a machine be taken out; a second submission under the same id is the same request."""
 
     request_id: str = msgspec.field(name="id")
     machine: str
@@ -23,23 +23,23 @@
 
 
 class CancelRequest(msgspec.Struct, tag=2, frozen=True):
-    """A request is not wanted any more; one whose machine is out cannot be cancelled."""
+    """Withdraw a request; one whose machine is already out cannot be cancelled."""
 
     request_id: str = msgspec.field(name="id")
 
 
 class StartMaintenance(msgspec.Struct, tag=3, frozen=True):
-    """The machine drains now."""
+    """Begin the maintenance: once this is applied, the machine may drain."""
 
     request_id: str = msgspec.field(name="id")
     token: int
 
 
 class FinishMaintenance(msgspec.Struct, tag=4, frozen=True):
-    """The work is done, or has failed.
+    """End the maintenance: the work has succeeded or failed.
 
-    `by_machine`: the machine says so itself, with a process that began after it drained; from a person it is accepted
-    only once the machine was observed unhealthy.
+    `by_machine` means that the machine itself sends this, from a process that started after it drained.  A person's
+    command is accepted only once the machine has been observed unhealthy.
     """
 
     request_id: str = msgspec.field(name="id")
@@ -50,7 +50,7 @@
 
 
 class ExtendMaintenance(msgspec.Struct, tag=5, frozen=True):
-    """The work takes longer: so long from now."""
+    """Extend the maintenance: the work takes another `duration_ms` from now."""
 
     request_id: str = msgspec.field(name="id")
     token: int
@@ -58,7 +58,7 @@
 
 
 class SetPaused(msgspec.Struct, tag=6, frozen=True):
-    """Pause or resume all grants; with a plan, those of that plan."""
+    """Pause or resume all grants, or only those of a plan if one is given."""
 
     paused: bool = msgspec.field(name="on")
     reason: str = msgspec.field(name="why", default="")
@@ -66,38 +66,40 @@
 
 
 class SetLimits(msgspec.Struct, tag=7, frozen=True):
-    """Other limits; a grant that has not started is revoked where it does not fit them."""
+    """Replace the limits; a grant that has not started and violates the new ones is revoked."""
 
     limits: MaintenanceLimits
 
 
 class AbandonRequest(msgspec.Struct, tag=9, frozen=True):
-    """A person says that a machine will not come back, or not drain: its request ends, once its lease is over.
+    """End a request because a person has determined that its machine will not come back, or will not drain.
 
-    As long as the machine is not healthy it counts as out all the same.
+    It is accepted only after the lease has ended.  The machine still counts as out as long as it is unhealthy.
     """
 
     request_id: str = msgspec.field(name="id")
 
 
 class Tick(msgspec.Struct, tag=10, frozen=True):
-    """Time passes."""
+    """Advance the queue's time."""
 
 
-TokenCommand = StartMaintenance | FinishMaintenance | ExtendMaintenance  # only the latest token of a request counts
-RequestCommand = CancelRequest | AbandonRequest | TokenCommand  # of a request that is known
+# Rejected unless they carry the latest token of their request.
+TokenCommand = StartMaintenance | FinishMaintenance | ExtendMaintenance
+# Rejected if their request is unknown.
+RequestCommand = CancelRequest | AbandonRequest | TokenCommand
 Command = SubmitRequest | SetPaused | SetLimits | Observation | Tick | RequestCommand
 
 
 class QueueEntry(msgspec.Struct, array_like=True, frozen=True):
-    """An entry of the replicated log.  An array: the order of the fields is the format."""
+    """An entry of the replicated log; it is encoded as an array, so the order of the fields is the format."""
 
-    time_ms: float  # the queue's time at the leader
+    time_ms: float  # the queue's time when the leader proposed the entry
     command: Command
 
 
 class CommandResult(msgspec.Struct, frozen=True):
-    """What comes of a command."""
+    """The result of a command."""
 
     ok: bool
     message: str = msgspec.field(name="text", default="")
@@ -109,10 +111,10 @@
 
 
 def encode_entry(time_ms: float, command: Command) -> bytes:
-    """The bytes of an entry."""
+    """Encode a log entry."""
     return _encode(QueueEntry(time_ms, command))
 
 
 def decode_entry(data: bytes) -> QueueEntry:
-    """Raises msgspec.MsgspecError."""
+    """Decode a log entry; raises msgspec.MsgspecError."""
     return _decode_entry(data)
--- a/martenstep/maintenance/coordinator.py
+++ b/martenstep/maintenance/coordinator.py
@@ -1,8 +1,8 @@
-"""The maintenance queue at one instance: commands and answers, what the leader observes, and the machine's own lease.
+"""Connects one instance to the maintenance queue: commands, requests to the leader, observations and the own lease.
 
-Every instance reports its state to the queue's leader: whether it is ready, and of the replica groups that it leads,
-where their replicas are and whether they are complete.  The leader makes its `Observation` of recent reports and of the
-membership, and appends it to the queue when it changes.
+Every instance reports its state to the queue's leader: whether it is ready and, for each replica group that it leads,
+which nodes hold its replicas and whether the group is complete.  The leader builds its `Observation` from recent
+reports and the membership.  It appends the observation to the queue when it changes, and at a regular interval.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     MachineReport,
     QueueView,
     build_view,
-    decode_question,
+    decode_leader_request,
     decode_result,
     decode_view,
     encode,
@@ -36,13 +36,13 @@
 from martenstep.replication.replica_manager import ReplicaManager
 
 QUEUE_GROUP = "orders"  # the name of the replication group
-ROUND_INTERVAL_S = 0.5
-OBSERVATION_INTERVAL_MS = 2000.0  # between two entries of a leader that observes nothing new
+ROUND_INTERVAL_S = 0.5  # between two rounds: report, observe, follow the own request
+OBSERVATION_INTERVAL_MS = 2000.0  # after which a leader appends an unchanged observation again
 REQUEST_TIMEOUT_S = 5.0
 
 
 class _TermClock(NamedTuple):
-    """The queue's clock in one term of this instance's leadership."""
+    """The queue's clock, valid for one term in which this instance leads."""
 
     term: int
     clock: QueueClock
@@ -50,17 +50,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalInstance:
-    """This instance, as the coordinator asks it and acts on it."""
+    """What the coordinator reads of this instance, and how it makes the instance drain."""
 
     name: str
     zone: str
     capacity: float
     is_ready: Callable[[], bool]
-    drain: Callable[[str], None]  # begins to stop the instance, given the request's id
+    drain: Callable[[str], None]  # begins the shutdown; the argument is the request's id
 
 
 class MaintenanceCoordinator:
-    """One instance's part."""
+    """Takes part in the maintenance queue on behalf of one instance."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         members: Callable[[], Iterable[tuple[str, str]]],
         log_event: EventLog,
     ) -> None:
-        """`members` gives all machines that the membership has heard of, with their zones."""
+        """`members` returns the names and zones of all machines in the membership's table."""
         self._instance = instance
         self._replicas = replicas
         self._members = members
@@ -79,62 +79,62 @@
         self._reports = MachineReports()
         self._observed_ms = 0.0
         self._rounds: asyncio.Task[None] | None = None
-        replicas.leader_handlers[QUEUE_GROUP] = self._answer
+        replicas.leader_handlers[QUEUE_GROUP] = self._handle_leader_request
 
     def start(self) -> None:
-        """Take part."""
+        """Start the rounds that report, observe and follow the own request."""
         self._rounds = asyncio.get_running_loop().create_task(self._run_rounds())
 
     def stop(self) -> None:
-        """End."""
+        """Stop the rounds."""
         if self._rounds is not None:
             self._rounds.cancel()
 
-    # Asking.
+    # Requests to the queue's leader.
 
     async def submit(self, command: Command) -> CommandResult:
         """Append a command to the queue.
 
-        Raises LeaderUnreachableError where nobody leads the queue within some seconds.  Whether it stands is then
-        indeterminate: the same command again is one.
+        Raises LeaderUnreachableError if no leader answers within REQUEST_TIMEOUT_S.  The command is then indeterminate;
+        sending it again is safe, since commands are idempotent.
         """
         return decode_result(await self._replicas.request_leader(QUEUE_GROUP, encode(command), REQUEST_TIMEOUT_S))
 
     async def fetch(self) -> QueueView:
-        """The queue; raises LeaderUnreachableError."""
+        """Fetch the queue from its leader; raises LeaderUnreachableError."""
         return decode_view(await self._replicas.request_leader(QUEUE_GROUP, encode(GetQueue()), REQUEST_TIMEOUT_S))
 
-    # Answering, where this instance leads the queue.
+    # Requests of other instances, while this one leads the queue.
 
-    async def _answer(self, replica: Replica, data: bytes) -> bytes:
-        """Raises NotLeaderError, IndeterminateError."""
+    async def _handle_leader_request(self, replica: Replica, data: bytes) -> bytes:
+        """Return the encoded response; raises NotLeaderError, IndeterminateError."""
         try:
-            question = decode_question(data)
+            request = decode_leader_request(data)
         except msgspec.MsgspecError as error:
             return encode(CommandResult(False, f"a question that cannot be read: {error}"))
-        if isinstance(question, MachineReport):
+        if isinstance(request, MachineReport):
             if replica.raft.leader != replica.raft.replica_id:
                 raise NotLeaderError(replica.raft.leader)
-            self._reports.add(now_ms(), question)
+            self._reports.add(now_ms(), request)
             return encode(CommandResult(True))
-        if isinstance(question, GetQueue):
+        if isinstance(request, GetQueue):
             await replica.confirm_leadership()
             return encode(build_view(_queue(replica), self._instance.name))
-        return encode(await self._append(replica, question))
+        return encode(await self._append(replica, request))
 
     async def _append(self, replica: Replica, command: Command) -> CommandResult:
         result: CommandResult = await replica.propose(encode_entry(self._queue_time_ms(replica), command))
         return result
 
     def _queue_time_ms(self, replica: Replica) -> float:
-        """The queue's time; only a leader's entries stand, so a clock of a term that is over does no harm."""
+        """The queue's time; a past term's clock does no harm, since only the present leader's entries are committed."""
         now, term = now_ms(), replica.raft.term
         if self._term_clock is None or self._term_clock.term != term:
             self._term_clock = _TermClock(term, QueueClock(_queue(replica).now_ms, now))
             self._reports.drop_outdated(now)
         return self._term_clock.clock.read(now_ms())
 
-    # Each round.
+    # Rounds.
 
     async def _run_rounds(self) -> None:
         while True:
@@ -142,8 +142,8 @@
             try:
                 await self._run_round()
             except (NotLeaderError, IndeterminateError, LeaderUnreachableError):
-                pass  # nobody leads just now
-            except Exception as error:  # an instance goes on serving whatever is wrong with its maintenance
+                pass  # the queue has no reachable leader at present; the next round tries again
+            except Exception as error:  # a fault in maintenance must not stop the instance from serving
                 self._log_event("fault", {"where": "maintenance", "error": repr(error)})
 
     async def _run_round(self) -> None:
@@ -162,7 +162,7 @@
         )
 
     async def _observe(self) -> None:
-        """Append what this instance observes, where it leads the queue."""
+        """Append the observation if this instance leads the queue."""
         replica, now = self._replicas.replica(QUEUE_GROUP), now_ms()
         if (
             replica is None
@@ -177,7 +177,7 @@
             self._observed_ms = now
 
     async def _follow_own_request(self, view: QueueView) -> None:
-        """Act on this instance's own request."""
+        """Pass the queue to the lease holder, and carry out its actions for this instance's own request."""
         if self.lease_holder is None:
             self.lease_holder = LeaseHolder(self._instance.name, view.limits.lease_ms)
         holder = self.lease_holder
@@ -185,7 +185,7 @@
         now = now_ms()
         if self._instance.is_ready() or holder.phase is not Phase.IN_SERVICE:
             holder.observe(now, view.requests)
-        holder.wake(now)
+        holder.send_due_command(now)
         for action in holder.take_actions():
             if isinstance(action, SendStart):
                 await self._start(holder, action.command)
@@ -193,9 +193,9 @@
                 await self.submit(action.command)
 
     async def _start(self, holder: LeaseHolder, command: StartMaintenance) -> None:
-        asked_ms = now_ms()
+        sent_ms = now_ms()
         result = await self.submit(command)
-        holder.start_answered(now_ms(), command, asked_ms, result)
+        holder.start_answered(now_ms(), command, sent_ms, result)
         self._log_event(
             "maintenance start",
             {"request": command.request_id, "token": command.token, "ok": result.ok, "error": result.message},
@@ -205,7 +205,7 @@
                 self._instance.drain(action.request_id)
 
     def gauges(self) -> dict[str, float]:
-        """For metrics, of the replica that is here."""
+        """Number of requests in each state, for metrics; empty if this instance holds no replica of the queue."""
         replica = self._replicas.replica(QUEUE_GROUP)
         if replica is None or not isinstance(replica.state_machine, MaintenanceQueue):
             return {}
--- a/martenstep/maintenance/errors.py
+++ b/martenstep/maintenance/errors.py
@@ -8,4 +8,4 @@
 
 
 class InvalidSnapshotError(MaintenanceError, ValueError):
-    """Bytes that are no snapshot of the queue."""
+    """The bytes are not a snapshot of the queue."""
--- a/martenstep/maintenance/model.py
+++ b/martenstep/maintenance/model.py
@@ -1,8 +1,8 @@
-"""The state of the maintenance queue: requests, limits and what is observed of machines.
+"""The state of the maintenance queue: requests, limits and the observation of the machines.
 
 The structures are stored in entries and snapshots and shown by the admin API: the external names of their fields, where
 they differ, and the values of `RequestState` are part of those formats.  Times are in milliseconds of the queue's clock
-(`queue_clock`), unless their name says Unix.
+(`queue_clock`), except those with `unix` in their name.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class MaintenanceRequest(msgspec.Struct):
-    """A machine to be taken out."""
+    """A request to take one machine out."""
 
     request_id: str = msgspec.field(name="id")
     machine: str
@@ -32,25 +32,25 @@
     reason: str = ""
     urgent: bool = False
     deadline_unix_ms: float = msgspec.field(name="before", default=0.0)  # 0: none
-    plan: str = ""  # of several requests; one that failed stops the rest
+    plan: str = ""  # groups requests; if the work of one fails, the rest of the plan is paused
     number: int = 0
     requested_ms: float = msgspec.field(name="asked", default=0.0)
     state: RequestState = RequestState.WAITING
     token: int = 0
     state_since_ms: float = msgspec.field(name="since", default=0.0)
     lease_expires_ms: float = msgspec.field(name="lease_until", default=0.0)
-    due_ms: float = msgspec.field(name="due", default=0.0)  # a machine that is out for longer is overdue
+    due_ms: float = msgspec.field(name="due", default=0.0)  # a machine that is still out after this time is overdue
     outcome: str = msgspec.field(name="end", default="")
-    seen_unhealthy: bool = msgspec.field(name="away", default=False)  # since it started to drain
+    seen_unhealthy: bool = msgspec.field(name="away", default=False)  # observed since the maintenance started
 
     @property
     def active(self) -> bool:
-        """It has not ended."""
+        """Whether the request has not ended."""
         return self.state is not RequestState.ENDED
 
 
 class MaintenanceLimits(msgspec.Struct, frozen=True):
-    """How many machines may be out together."""
+    """The limits on machines that are out at the same time, and the queue's time limits."""
 
     max_out: int = msgspec.field(name="most_out", default=1)
     max_out_per_zone: int = msgspec.field(name="most_out_zone", default=1)
@@ -58,12 +58,12 @@
     zone_by_zone: bool = msgspec.field(name="by_zone", default=False)  # one zone is done before the next begins
     overdue_blocks: bool = msgspec.field(name="overdue_holds", default=True)  # no grant while a machine is overdue
     lease_ms: float = 30_000.0
-    grace_ms: float = 60_000.0  # beyond the duration, until a machine is overdue
-    starvation_ms: float = msgspec.field(name="starve_ms", default=3_600_000.0)  # then no request passes it any more
+    grace_ms: float = 60_000.0  # after the requested duration, before the machine is overdue
+    starvation_ms: float = msgspec.field(name="starve_ms", default=3_600_000.0)  # a longer wait lets no other overtake
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """A machine as the leader observes it."""
+    """A machine as the queue's leader observes it."""
 
     name: str
     zone: str = ""
@@ -73,7 +73,7 @@
 
 
 class ReplicaGroup(msgspec.Struct, frozen=True):
-    """Machines with replicas of one group, no two of which may be out together."""
+    """The machines that hold replicas of one group; no two of them may be out together."""
 
     name: str
     machines: tuple[str, ...]
@@ -81,7 +81,7 @@
 
 
 class Observation(msgspec.Struct, tag=8, frozen=True):
-    """What the leader observes: all machines, replica groups, and why the cluster is short of capacity."""
+    """What the leader observes: all machines, replica groups, and reasons why the cluster is short of capacity."""
 
     machines: tuple[Machine, ...]
     groups: tuple[ReplicaGroup, ...] = ()
@@ -96,26 +96,26 @@
         return {machine.name: machine.zone for machine in self.machines}
 
     def healthy_names(self) -> set[str]:
-        """Machines that are healthy."""
+        """The names of the healthy machines."""
         return {machine.name for machine in self.machines if machine.healthy}
 
     def unhealthy_names(self) -> set[str]:
-        """Machines that are not healthy."""
+        """The names of the machines that are not healthy."""
         return {machine.name for machine in self.machines if not machine.healthy}
 
     def total_capacity(self) -> float:
-        """Of all machines."""
+        """The sum of the capacity of all machines."""
         return sum(machine.capacity for machine in self.machines)
 
 
 @dataclass(eq=False)
 class QueueState:
-    """All that the admission rules read."""
+    """The part of the queue's state that the admission rules read."""
 
     now_ms: float = 0.0
     limits: MaintenanceLimits = field(default_factory=MaintenanceLimits)
-    paused: str | None = None  # the reason, where no request is granted
-    paused_plans: dict[str, str] = field(default_factory=dict)  # with the reason
+    paused: str | None = None  # the reason; None unless all grants are paused
+    paused_plans: dict[str, str] = field(default_factory=dict)  # the reason for each paused plan
     observation: Observation = field(default_factory=lambda: Observation(()))
-    observed_ms: float = 0.0  # when the leader observed last
+    observed_ms: float = 0.0  # time of the latest observation
     requests: dict[str, MaintenanceRequest] = field(default_factory=dict)
--- a/martenstep/maintenance/protocol.py
+++ b/martenstep/maintenance/protocol.py
@@ -1,4 +1,4 @@
-"""What instances ask the queue's leader, and what it answers; the tags and external names are the format."""
+"""Requests of instances to the queue's leader, and its responses; the tags and external names are the format."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MachineReport(msgspec.Struct, tag=50, frozen=True):
-    """The state of one instance, with the replica groups that it leads."""
+    """Reports the state of one instance, with the replica groups that it leads."""
 
     machine: str
     zone: str
@@ -20,11 +20,11 @@
 
 
 class GetQueue(msgspec.Struct, tag=51, frozen=True):
-    """Asks for the whole queue."""
+    """Requests the whole queue."""
 
 
 class QueueView(msgspec.Struct, frozen=True):
-    """The queue as its leader has it, with what each waiting request waits for."""
+    """The queue at its leader, with the reason why each waiting request waits."""
 
     leader: str
     limits: MaintenanceLimits
@@ -37,15 +37,15 @@
     shortages: list[str] = msgspec.field(name="short")
 
 
-Question = Command | MachineReport | GetQueue
+LeaderRequest = Command | MachineReport | GetQueue
 encode = msgspec.msgpack.Encoder().encode
-decode_question = msgspec.msgpack.Decoder(Question).decode
+decode_leader_request = msgspec.msgpack.Decoder(LeaderRequest).decode
 decode_result = msgspec.msgpack.Decoder(CommandResult).decode
 decode_view = msgspec.msgpack.Decoder(QueueView).decode
 
 
 def build_view(state: QueueState, leader: str) -> QueueView:
-    """What is shown of a queue."""
+    """Build the view of a queue's state."""
     order = admission_rules.waiting_order(state)
     return QueueView(
         leader=leader,
--- a/martenstep/maintenance/queue.py
+++ b/martenstep/maintenance/queue.py
@@ -1,13 +1,14 @@
-"""The maintenance queue: a state machine that the replicas of one group feed with the same entries.
+"""The maintenance queue: a state machine to which every replica of one group applies the same log entries.
 
-Entries are what somebody commands (a request, a start, an end) and what the leader observes, each with the leader's
-time; what follows, which request is granted and whose lease is over, is computed where an entry is applied, at every
-replica alike.  So a leader decides nothing: one that was paused with an entry in its buffer can at most append what it
-observed.
+An entry is a command (a request, a start, a finish) or an observation of the leader, with the leader's time.  Its
+consequences, such as which request is granted and whose lease has expired, are computed when it is applied, in the same
+way at every replica.  The leader therefore decides nothing: a leader that was paused with an entry in its buffer can at
+most append an old observation.
 
 A request is waiting, granted (it has a token, and its machine may start within the lease), out, recovering (the work is
-done, the machine is not healthy yet), ended.  A token is never given twice, and only the latest of a request counts.
-`StartMaintenance` is the moment from which a machine counts as out, until it is observed healthy again.
+done, but the machine is not healthy yet), or ended.  A token is never issued twice, and only a request's latest token
+is accepted.  A request is out from its `StartMaintenance`; the limits count its machine as out from the grant until it
+is observed healthy again.
 """
 
 from __future__ import annotations
@@ -43,12 +44,12 @@
 )
 
 MAX_ACTIVE_REQUESTS = 5000  # more are rejected
-MAX_ENDED_REQUESTS = 2000  # kept for who asks again
+MAX_ENDED_REQUESTS = 2000  # kept so that a repeated submission returns the outcome
 MAX_REASON_LENGTH = 200  # characters
 
 
 class _Snapshot(msgspec.Struct):
-    """The stored form of the whole state; the external names are part of it."""
+    """The stored form of the whole state; the external names of its fields are part of the format."""
 
     now_ms: float = msgspec.field(name="now")
     last_number: int = msgspec.field(name="number")
@@ -66,18 +67,18 @@
 
 
 class MaintenanceQueue(QueueState):
-    """One replica's state."""
+    """The queue's state at one replica."""
 
     def __init__(self) -> None:
-        """An empty queue."""
+        """Start with an empty queue."""
         super().__init__()
         self._last_number = 0
         self._last_token = 0
 
-    # The state machine of a replication group.
+    # The interface of a replicated state machine.
 
     def apply(self, data: bytes) -> CommandResult:
-        """Apply one entry.  Never raises: what one replica cannot read, none can."""
+        """Apply one entry; never raises, since an entry that one replica cannot decode, no replica can."""
         try:
             entry = decode_entry(data)
         except msgspec.MsgspecError as error:
@@ -85,15 +86,15 @@
         if not math.isfinite(entry.time_ms):
             return CommandResult(False, "an entry of no time")
         self.now_ms = max(self.now_ms, entry.time_ms)
-        self._settle()
+        self._update_grants()
         result = self._apply_command(entry.command)
-        self._settle()
+        self._update_grants()
         if result.request is not None:
             return CommandResult(result.ok, result.message, msgspec.structs.replace(result.request))
         return result
 
     def snapshot(self) -> bytes:
-        """All of the state."""
+        """Encode the whole state."""
         return _encode_snapshot(
             _Snapshot(
                 now_ms=self.now_ms,
@@ -109,11 +110,11 @@
         )
 
     def restore(self, body: bytes) -> None:
-        """Replace all of the state; raises InvalidSnapshotError."""
+        """Replace the whole state by that of a snapshot; raises InvalidSnapshotError."""
         try:
             snapshot = _decode_snapshot(body)
         except msgspec.MsgspecError as error:
-            raise InvalidSnapshotError(f"not an order book's snapshot: {error}") from None
+            raise InvalidSnapshotError(f"not a snapshot of the maintenance queue: {error}") from None
         self.now_ms = snapshot.now_ms
         self._last_number = snapshot.last_number
         self._last_token = snapshot.last_token
@@ -198,7 +199,7 @@
         return CommandResult(True, "", request)
 
     def _check_submission(self, command: SubmitRequest) -> CommandResult | None:
-        """Why a new request is rejected; None where it is not."""
+        """The rejection of a new request; None if it is accepted."""
         if (
             not command.request_id
             or not command.machine
@@ -227,8 +228,8 @@
     def _abandon(self, request: MaintenanceRequest) -> CommandResult:
         if request.state not in (RequestState.OUT, RequestState.RECOVERING):
             return CommandResult(False, f"{request.request_id} is {request.state}", request)
-        # Danger: a machine that was paused with its start in hand could still drain by it until its own lease ends; and
-        # one that drained unobserved would count as there.
+        # A machine that was paused with the answer to its start in its buffer may still drain until its lease ends, and
+        # a machine that drained without having been observed since would count as in service.
         if self.now_ms <= request.lease_expires_ms:
             return CommandResult(False, f"{request.machine} may still be leaving: its lease runs", request)
         observed_since = self.observed_ms > request.lease_expires_ms
@@ -239,7 +240,7 @@
 
     def _start(self, request: MaintenanceRequest) -> CommandResult:
         if request.state is RequestState.OUT:
-            request.lease_expires_ms = self.now_ms + self.limits.lease_ms  # asked again
+            request.lease_expires_ms = self.now_ms + self.limits.lease_ms  # a repeated start renews the lease
             return CommandResult(True, "", request)
         if request.state is not RequestState.GRANTED:
             return CommandResult(False, f"{request.request_id} is {request.state}", request)
@@ -253,7 +254,7 @@
             finished = request.state in (RequestState.RECOVERING, RequestState.ENDED)
             return CommandResult(finished, f"{request.request_id} is {request.state}", request)
         if not (command.by_machine or request.seen_unhealthy):
-            # Danger: it may still drain.  It would count as back, and another would drain beside it.
+            # It may still drain.  If it counted as back now, another machine could be granted and drain beside it.
             return CommandResult(False, f"{request.machine} has not left yet", request)
         self._enter(request, RequestState.RECOVERING)
         if not command.succeeded:
@@ -261,7 +262,7 @@
         return CommandResult(True, "", request)
 
     def _fail(self, request: MaintenanceRequest, failure: str) -> None:
-        """Work that failed pauses the rest of its plan, or the queue."""
+        """Record that the work failed, and pause the rest of its plan, or the queue if it has no plan."""
         request.outcome = f"went wrong: {failure}"
         reason = f"{request.machine} went wrong: {failure}"
         if request.plan:
@@ -297,7 +298,7 @@
         self.limits = limits
         return CommandResult(True)
 
-    # What follows from each entry.
+    # Consequences of each entry.
 
     def _enter(self, request: MaintenanceRequest, state: RequestState) -> None:
         request.state = state
@@ -311,8 +312,8 @@
         for oldest in sorted(ended, key=lambda other: other.state_since_ms)[:surplus]:
             del self.requests[oldest.request_id]
 
-    def _settle(self) -> None:
-        """End leases that are over and requests of machines that are back, revoke grants, and grant what is next."""
+    def _update_grants(self) -> None:
+        """Revoke expired or violating grants, end requests of recovered machines, and grant the next requests."""
         healthy = self.observation.healthy_names()
         for request in self.requests.values():
             if request.state is RequestState.GRANTED and self._is_revoked(request):
@@ -324,7 +325,7 @@
             self._grant(request_to_grant)
 
     def _is_revoked(self, request: MaintenanceRequest) -> bool:
-        """Whether a grant that was not used is over, or does not fit the limits any more."""
+        """Whether a grant that has not started has expired, or violates the limits."""
         return self.now_ms > request.lease_expires_ms or bool(admission_rules.limit_violation(self, request))
 
     def _grant(self, request: MaintenanceRequest) -> None:
--- a/martenstep/maintenance/reports.py
+++ b/martenstep/maintenance/reports.py
@@ -1,4 +1,4 @@
-"""The reports that the queue's leader receives, and the observation that it makes of them.  No I/O."""
+"""The reports that the queue's leader receives, and the observation that it builds from them.  No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from martenstep.maintenance.model import Machine, Observation
 from martenstep.maintenance.protocol import MachineReport
 
-MAX_REPORT_AGE_MS = 4000.0  # an older report says nothing
+MAX_REPORT_AGE_MS = 4000.0  # older reports are ignored
 
 
 class _Received(NamedTuple):
@@ -22,15 +22,15 @@
     """The latest report of each machine, by the leader's monotonic clock (ms)."""
 
     def __init__(self) -> None:
-        """No report was received."""
+        """Start without any report."""
         self._received: dict[str, _Received] = {}
 
     def add(self, now: float, report: MachineReport) -> None:
-        """A machine has reported."""
+        """Record a machine's report."""
         self._received[report.machine] = _Received(now, report)
 
     def drop_outdated(self, now: float) -> None:
-        """Drop what is older than a report may be."""
+        """Drop reports older than MAX_REPORT_AGE_MS."""
         self._received = {
             machine: received
             for machine, received in self._received.items()
@@ -40,9 +40,9 @@
     def observe(
         self, now: float, leader: str, previous: Observation, members: Iterable[tuple[str, str]]
     ) -> Observation:
-        """What the leader observes: a machine without a recent report is not healthy.
+        """Build the leader's observation; a machine without a recent report is not healthy.
 
-        `members` are the names and zones of all machines that the membership has heard of.
+        `members` are the names and zones of all machines in the membership's table.
         """
         recent = {
             machine: received.report
@@ -57,7 +57,7 @@
         )
         groups = {group.name: group for report in recent.values() for group in report.groups}
         for group in previous.groups:
-            # Nobody reports that it leads the group any more.
+            # No recent report comes from a leader of this group, so it cannot be shown to be complete.
             groups.setdefault(group.name, msgspec.structs.replace(group, complete=False))
         return Observation(machines, tuple(groups[name] for name in sorted(groups)))
 
--- a/tests/test_explore_orders.py
+++ b/tests/test_explore_orders.py
@@ -1,4 +1,4 @@
-"""The maintenance queue in every order of events of small worlds, and flaws that some order shows."""
+"""The maintenance queue under every order of events in small configurations; injected flaws must be found."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tests.test_maintenance_queue import (
     AbandonedDuringLease,
     DrainsBeforeAnswer,
-    FinishedByAnybody,
-    LeaseFromAnswer,
+    FinishedWhileDraining,
+    LeaseCountedFromAnswer,
 )
 
 
 class AbandonedUnobserved(MaintenanceQueue):
-    """Flaw: a machine whose request was abandoned counts as there, whoever observed it."""
+    """Flaw: a request can be abandoned although its machine was not observed after the lease ended."""
 
     def _abandon(self, request: MaintenanceRequest) -> CommandResult:
         if request.state in (RequestState.OUT, RequestState.RECOVERING) and self.now_ms > request.lease_expires_ms:
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize(
     "budget", [Budget(laps=1, crashes=0, losses=0, people=0), Budget(laps=0, crashes=1, losses=0, people=0, most_out=2)]
 )
-def test_a_small_world_is_explored_to_its_end(budget: Budget) -> None:
+def test_a_small_configuration_is_explored_completely(budget: Budget) -> None:
     explorer = Explorer(budget)
     assert explorer.run() and explorer.states > 400 and explorer.left > 0
 
@@ -41,12 +41,12 @@
     [
         (AbandonedDuringLease, Budget(laps=1, crashes=0, losses=0, people=1)),
         (AbandonedUnobserved, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (FinishedByAnybody, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (LeaseFromAnswer, Budget(laps=1, crashes=0, losses=0, people=1)),
+        (FinishedWhileDraining, Budget(laps=1, crashes=0, losses=0, people=1)),
+        (LeaseCountedFromAnswer, Budget(laps=1, crashes=0, losses=0, people=1)),
         (DrainsBeforeAnswer, Budget(laps=1, crashes=0, losses=0, people=0)),
     ],
 )
-def test_some_order_of_events_shows_a_flaw(flaw: Any, budget: Budget) -> None:
+def test_exploration_finds_an_order_of_events_that_exposes_each_flaw(flaw: Any, budget: Budget) -> None:
     explorer = Explorer(budget, book=flaw) if issubclass(flaw, MaintenanceQueue) else Explorer(budget, agent=flaw)
     with pytest.raises(BreachError, match=r"(away|leaves by).*, after: "):
         explorer.run(most=30_000)
--- a/tests/test_formats_maintenance.py
+++ b/tests/test_formats_maintenance.py
@@ -1,6 +1,6 @@
-"""The forms of today of the maintenance state: bytes of its entries, questions and snapshot, JSON of its view, names.
+"""The maintenance queue's formats: bytes of entries, leader requests and snapshot, JSON of the view, metric names.
 
-The files under `formats/membership/` were written by the text before the renames, and are never written by a test.
+The files under `formats/membership/` were written by the code before its identifiers were renamed; no test writes them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import pytest
 from click.testing import CliRunner
 
-from martenstep.cli import maintenance as command
+from martenstep.cli import maintenance as maintenance_cli
 from martenstep.cli.main import cli
 from martenstep.maintenance.commands import (
     AbandonRequest,
@@ -41,7 +41,7 @@
     ReplicaGroup,
     RequestState,
 )
-from martenstep.maintenance.protocol import GetQueue, MachineReport, Question, QueueView, build_view
+from martenstep.maintenance.protocol import GetQueue, LeaderRequest, MachineReport, QueueView, build_view
 from martenstep.maintenance.queue import MaintenanceQueue
 from martenstep.proxy.admin import AdminListener, GatewayCollector
 
@@ -63,7 +63,7 @@
     "give up": AbandonRequest("r1"),
     "tick": Tick(),
 }
-QUESTIONS: dict[str, Question] = {
+LEADER_REQUESTS: dict[str, LeaderRequest] = {
     **COMMANDS,
     "report": MachineReport("m1", "a", 1.5, True, GROUPS),
     "look": GetQueue(),
@@ -86,8 +86,8 @@
     "went wrong: x",
     True,
 )
-# Times are those of the leader; each is applied in turn.
-PLAY: tuple[tuple[float, Command], ...] = (
+# The leader's time and the command of each entry, in the order of application.
+ENTRIES: tuple[tuple[float, Command], ...] = (
     (10.0, SetLimits(LIMITS)),
     (20.0, Observation(MACHINES, GROUPS)),
     (30.0, SubmitRequest("r1", "m1", 5000.0, "kernel", True, 1_700_000_000_000.0, "roll")),
@@ -109,45 +109,45 @@
 )
 
 
-def stored(name: str) -> Any:
+def read_format(name: str) -> Any:
     return json.loads((FORMATS / name).read_bytes())
 
 
-def played() -> tuple[MaintenanceQueue, list[CommandResult]]:
-    book = MaintenanceQueue()
-    return book, [book.apply(encode_entry(at, what)) for at, what in PLAY]
+def apply_entries() -> tuple[MaintenanceQueue, list[CommandResult]]:
+    queue = MaintenanceQueue()
+    return queue, [queue.apply(encode_entry(time_ms, command)) for time_ms, command in ENTRIES]
 
 
 @pytest.mark.parametrize("kind", COMMANDS)
 def test_each_command_keeps_its_bytes_as_an_entry_and_its_json(kind: str) -> None:
-    expected = stored("entries.json")[kind]
+    expected = read_format("entries.json")[kind]
     body = bytes.fromhex(expected["entry"])
     assert encode_entry(12.5, COMMANDS[kind]) == body
     assert msgspec.msgpack.decode(body, type=QueueEntry) == QueueEntry(12.5, COMMANDS[kind])
     assert msgspec.json.encode(COMMANDS[kind]).decode() == expected["json"]
-    assert msgspec.json.decode(expected["json"], type=Command) == COMMANDS[kind]  # as the admin page takes it
+    assert msgspec.json.decode(expected["json"], type=Command) == COMMANDS[kind]  # as the admin page decodes it
 
 
-@pytest.mark.parametrize("kind", QUESTIONS)
-def test_each_question_between_doors_keeps_its_bytes(kind: str) -> None:
-    body = bytes.fromhex(stored("questions.json")[kind])
-    assert msgspec.msgpack.encode(QUESTIONS[kind]) == body
-    assert msgspec.msgpack.decode(body, type=Question) == QUESTIONS[kind]
+@pytest.mark.parametrize("kind", LEADER_REQUESTS)
+def test_each_request_to_the_queues_leader_keeps_its_bytes(kind: str) -> None:
+    body = bytes.fromhex(read_format("questions.json")[kind])
+    assert msgspec.msgpack.encode(LEADER_REQUESTS[kind]) == body
+    assert msgspec.msgpack.decode(body, type=LeaderRequest) == LEADER_REQUESTS[kind]
 
 
-def test_an_answer_keeps_its_bytes_and_its_json() -> None:
-    expected = stored("answers.json")
-    for name, answer in (("bare", CommandResult(True)), ("whole", CommandResult(False, "it is not that", REQUEST))):
-        assert msgspec.msgpack.encode(answer).hex() == expected[name]["bytes"]
-        assert msgspec.json.encode(answer).decode() == expected[name]["json"]
-        assert msgspec.json.decode(expected[name]["json"], type=CommandResult) == answer
+def test_a_command_result_keeps_its_bytes_and_its_json() -> None:
+    expected = read_format("answers.json")
+    for name, result in (("bare", CommandResult(True)), ("whole", CommandResult(False, "it is not that", REQUEST))):
+        assert msgspec.msgpack.encode(result).hex() == expected[name]["bytes"]
+        assert msgspec.json.encode(result).decode() == expected[name]["json"]
+        assert msgspec.json.decode(expected[name]["json"], type=CommandResult) == result
 
 
-def test_the_state_is_read_and_written_as_before() -> None:
+def test_the_snapshot_and_the_results_of_all_entries_keep_their_form() -> None:
     body = (FORMATS / "maintenance.snapshot").read_bytes()
-    book, answers = played()
-    assert book.snapshot() == body
-    assert [msgspec.to_builtins(answer) for answer in answers] == stored("play.json")
+    queue, results = apply_entries()
+    assert queue.snapshot() == body
+    assert [msgspec.to_builtins(result) for result in results] == read_format("play.json")
     restored = MaintenanceQueue()
     restored.restore(body)
     assert restored.snapshot() == body
@@ -179,62 +179,64 @@
     assert restored.requests["r3"].token == 0 and restored.requests["r2"].number == 2
 
 
-def test_the_names_of_the_states() -> None:
+def test_the_values_of_the_request_states() -> None:
     assert [state.value for state in RequestState] == ["waiting", "granted", "out", "coming", "ended"]
 
 
-class FakeKeeper:
-    """A keeper that holds one copy of the state."""
+class FakeReplicaManager:
+    """A replica manager that holds at most one replica of the queue."""
 
-    def __init__(self, book: MaintenanceQueue | None) -> None:
+    def __init__(self, queue: MaintenanceQueue | None) -> None:
         self.leader_handlers: dict[str, Any] = {}
-        self._book = book
+        self._queue = queue
 
     def replica(self, group: str) -> Any:
         assert group == "orders" == QUEUE_GROUP
-        return SimpleNamespace(state_machine=self._book) if self._book is not None else None
+        return SimpleNamespace(state_machine=self._queue) if self._queue is not None else None
 
 
 def test_the_admin_page_and_the_metrics_keep_their_names() -> None:
-    book, _ = played()
-    view = build_view(book, "m0")
+    queue, _ = apply_entries()
+    view = build_view(queue, "m0")
 
-    class Told:
-        async def submit(self, what: Command) -> CommandResult:
-            assert what == COMMANDS["start"]
+    class FakeCoordinator:
+        async def submit(self, command: Command) -> CommandResult:
+            assert command == COMMANDS["start"]
             return CommandResult(False, "it is not that", REQUEST)
 
         async def fetch(self) -> QueueView:
             return view
 
-    def orders(book: MaintenanceQueue | None) -> MaintenanceCoordinator:
-        keeper = cast(Any, FakeKeeper(book))
+    def make_coordinator(queue: MaintenanceQueue | None) -> MaintenanceCoordinator:
+        replica_manager = cast(Any, FakeReplicaManager(queue))
         instance = LocalInstance("m0", "a", 1.0, lambda: True, lambda request: None)
-        return MaintenanceCoordinator(instance, keeper, lambda: [], lambda event, more: None)
-
-    assert orders(None).gauges() == {}
-    admin = AdminListener(GatewayCollector(dict, orders(book).gauges), lambda: True)
-    admin.maintenance = Told()
-    status, kind, body = asyncio.run(admin.respond("GET", "/maintenance", ""))
-    assert (status, kind) == (200, "application/json") and body == (FORMATS / "maintenance-page.json").read_bytes()
+        return MaintenanceCoordinator(instance, replica_manager, lambda: [], lambda event, fields: None)
+
+    assert make_coordinator(None).gauges() == {}
+    admin = AdminListener(GatewayCollector(dict, make_coordinator(queue).gauges), lambda: True)
+    admin.maintenance = FakeCoordinator()
+    status, content_type, body = asyncio.run(admin.respond("GET", "/maintenance", ""))
+    assert (status, content_type) == (200, "application/json")
+    assert body == (FORMATS / "maintenance-page.json").read_bytes()
     assert msgspec.json.decode(body, type=QueueView) == view
-    asked = "what=" + stored("entries.json")["start"]["json"]
-    status, kind, body = asyncio.run(admin.respond("POST", "/maintenance", asked))
-    assert (status, kind) == (200, "application/json") and body.decode() == stored("answers.json")["whole"]["json"]
+    query = "what=" + read_format("entries.json")["start"]["json"]
+    status, content_type, body = asyncio.run(admin.respond("POST", "/maintenance", query))
+    assert (status, content_type) == (200, "application/json")
+    assert body.decode() == read_format("answers.json")["whole"]["json"]
     assert admin.respond_status("/metrics")[2] == (FORMATS / "maintenance-metrics.txt").read_bytes()
 
 
-def test_what_the_command_line_prints_is_as_before(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_command_line_keeps_its_output_and_its_admin_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     page = (FORMATS / "maintenance-page.json").read_bytes()
-    asked: list[tuple[str, str]] = []
+    sent: list[tuple[str, str]] = []
 
-    def answer(admin: str, method: str, target: str) -> Any:
-        asked.append((method, target))
+    def respond(admin: str, method: str, target: str) -> Any:
+        sent.append((method, target))
         return json.loads(page) if method == "GET" else {"ok": True}
 
-    monkeypatch.setattr(command, "send_request", answer)
-    expected = stored("maintenance-cli.json")
+    monkeypatch.setattr(maintenance_cli, "send_request", respond)
+    expected = read_format("maintenance-cli.json")
     for line, printed in expected["printed"].items():
-        done = CliRunner().invoke(cli, ["maintenance", *line.split(), "--admin", "h:1"])
-        assert (done.exit_code, done.output) == (printed["exit"], printed["output"]), line
-    assert [list(one) for one in asked] == expected["asked"]
+        result = CliRunner().invoke(cli, ["maintenance", *line.split(), "--admin", "h:1"])
+        assert (result.exit_code, result.output) == (printed["exit"], printed["output"]), line
+    assert [list(request) for request in sent] == expected["asked"]
--- a/tests/test_maintenance_rig.py
+++ b/tests/test_maintenance_rig.py
@@ -1,4 +1,4 @@
-"""A roll of real doors by the order book: one after another, under load, nothing told is lost."""
+"""Maintenance of real gateways by the queue: one at a time, under load, without losing an acknowledged update."""
 
 from __future__ import annotations
 
@@ -16,107 +16,110 @@
 from martenstep.lab.fleet.schedule import parse_schedule
 from martenstep.lab.play import Process
 
-BOUND_S = 150.0
-STOP_S = 1.0  # from a closed connection to the end of its process
-SLOTS = 2
-TEXT = (
+TEST_TIMEOUT_S = 150.0
+PROCESS_EXIT_S = 1.0  # from a closed connection to the end of its process
+COUNTER_SHARDS = 2
+GATEWAYS = 4
+SCHEDULE = (
     'name: "roll" members: 4 zones: 2 seeds: 2 period_ms: 100 suspect_least_ms: 2000 slots: 2 final_ms: 600000 '
     "maintenance: true"
 )
 
 
-class Roll:
-    """A rig, and staff who ask over any door that runs."""
+class RollingMaintenance:
+    """A rig of gateways, and an operator who sends commands through any running one."""
 
     def __init__(self, out: Path) -> None:
-        self.rig = Rig(parse_schedule(TEXT, "roll"), 1, out, lambda part, what: None)
+        self.rig = Rig(parse_schedule(SCHEDULE, "roll"), 1, out, lambda part, event: None)
 
-    def running(self) -> list[str]:
+    def running_gateways(self) -> list[str]:
         return [place.name for place in self.rig._running()]
 
-    async def staff(self, *words: str) -> Result:
-        """One command, over an instance that runs.
+    async def run_command(self, *words: str) -> Result:
+        """Run one operator command through a running instance.
 
-        The instance asked may be the one that is granted, and stop before it has answered: then the same command, which
-        is idempotent, goes to another.  A failure of an instance that goes on running is the command's result.
+        That instance may be the one that was granted, and stop before it has answered; the same idempotent command is
+        then sent to another one.  A failure at an instance that keeps running is the command's result.
         """
         while True:
-            process = self.rig._places[self.running()[0]].process
+            process = self.rig._places[self.running_gateways()[0]].process
             assert process is not None
             admin = f"127.0.0.1:{process.ready['admin']}"
             result = await asyncio.to_thread(CliRunner().invoke, cli, ["maintenance", *words, "--admin", admin])
             connection_lost = result.exit_code != 0 and result.output.startswith(f"{admin}: ")
-            if not connection_lost or not await self._stops(process):
+            if not connection_lost or not await self._exits_soon(process):
                 return result
 
-    async def _stops(self, process: Process) -> bool:
-        """Whether a process has stopped, or does so in a moment: its listener closes before it ends."""
+    async def _exits_soon(self, process: Process) -> bool:
+        """Whether a process exits within PROCESS_EXIT_S; its listener closes before it exits."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(STOP_S):
+            async with asyncio.timeout(PROCESS_EXIT_S):
                 while process.running:
                     await asyncio.sleep(0.02)
         return not process.running
 
-    async def book(self) -> dict[str, Any]:
+    async def fetch_queue(self) -> dict[str, Any]:
         while True:
-            told = await self.staff("list", "--json", "--ended")
-            if told.exit_code == 0:
-                return msgspec.json.decode(told.output, type=dict[str, Any])
+            result = await self.run_command("list", "--json", "--ended")
+            if result.exit_code == 0:
+                return msgspec.json.decode(result.output, type=dict[str, Any])
             await asyncio.sleep(0.1)
 
-    async def until(self, *names: str) -> dict[str, Any]:
-        """Until all machines are healthy in the book, and these requests have ended."""
+    async def wait_until_ended(self, *machines: str) -> dict[str, Any]:
+        """Wait until the queue shows all machines as healthy and the requests of `machines` as ended."""
         while True:
-            book = await self.book()
-            ended = {held["machine"] for held in book["requests"] if held["state"] == "ended"}
-            if len(book["machines"]) == 4 and all(one["healthy"] for one in book["machines"]) and ended >= set(names):
-                return book
+            queue = await self.fetch_queue()
+            ended = {request["machine"] for request in queue["requests"] if request["state"] == "ended"}
+            all_healthy = all(machine["healthy"] for machine in queue["machines"])
+            if len(queue["machines"]) == GATEWAYS and all_healthy and ended >= set(machines):
+                return queue
             await asyncio.sleep(0.1)
 
 
-async def _rolled(roll: Roll, promises: list[Promises]) -> None:
-    rig = roll.rig
+async def _maintain_each_gateway(maintenance: RollingMaintenance, promises: list[Promises]) -> None:
+    rig = maintenance.rig
     await rig.open()
-    book = await roll.until()
-    assert sum(one["leads"] for one in book["machines"]) == 1
-    promises.append(Promises(rig._out / "askers", rig.counter_addresses(), SLOTS, askers=2))
+    queue = await maintenance.wait_until_ended()
+    assert sum(machine["leads"] for machine in queue["machines"]) == 1
+    promises.append(Promises(rig._out / "askers", rig.counter_addresses(), COUNTER_SHARDS, askers=2))
     promises[0].start(per_s=50)
-    for _ in range(2):  # a tool that asks twice
-        told = await roll.staff("ask", "--all", "--for", "5m", "--reason", "kernel", "--id", "kernel")
-        assert told.exit_code == 0, told.output
-    refused = await roll.staff("ask", "--machine", "nobody", "--for", "5m")
-    assert refused.exit_code == 1 and "no machine nobody is known" in refused.output
-    went: list[str] = []
-    while len(went) < 4:
-        while len(roll.running()) == 4:
+    for _ in range(2):  # a repeated command under the same id adds no requests
+        result = await maintenance.run_command("ask", "--all", "--for", "5m", "--reason", "kernel", "--id", "kernel")
+        assert result.exit_code == 0, result.output
+    rejected = await maintenance.run_command("ask", "--machine", "nobody", "--for", "5m")
+    assert rejected.exit_code == 1 and "no machine nobody is known" in rejected.output
+    maintained: list[str] = []
+    while len(maintained) < GATEWAYS:
+        while len(maintenance.running_gateways()) == GATEWAYS:
             await asyncio.sleep(0.05)
-        [gone] = set(rig._places) - set(roll.running())  # one at a time
-        while (told := await roll.staff("ready", gone)).exit_code:
+        [out] = set(rig._places) - set(maintenance.running_gateways())  # one at a time
+        while (result := await maintenance.run_command("ready", out)).exit_code:
             await asyncio.sleep(0.1)
-        assert f"{gone} may be touched" in told.output
-        waiting = [held["machine"] for held in (await roll.book())["requests"] if held["state"] == "waiting"]
-        assert len(waiting) == 3 - len(went)
+        assert f"{out} may be touched" in result.output
+        requests = (await maintenance.fetch_queue())["requests"]
+        waiting = [request["machine"] for request in requests if request["state"] == "waiting"]
+        assert len(waiting) == GATEWAYS - 1 - len(maintained)
         await asyncio.sleep(0.5)
-        assert len(roll.running()) == 3  # the others wait
-        await rig._start(rig._places[gone])
-        went.append(gone)
-        book = await roll.until(*went)
-    assert sorted(went) == sorted(rig._places)
-    assert {held["end"] for held in book["requests"]} == {"done"}
-    table = await roll.staff("list", "--ended")
+        assert len(maintenance.running_gateways()) == GATEWAYS - 1  # no second gateway drains meanwhile
+        await rig._start(rig._places[out])
+        maintained.append(out)
+        queue = await maintenance.wait_until_ended(*maintained)
+    assert sorted(maintained) == sorted(rig._places)
+    assert {request["end"] for request in queue["requests"]} == {"done"}
+    table = await maintenance.run_command("list", "--ended")
     assert "1 may be out" in table.output and "kernel-d002" in table.output
     assert await promises[0].settle(60.0)
 
 
-def test_a_whole_fleet_is_rolled_one_by_one_and_no_promise_is_lost(tmp_path: Path) -> None:
+def test_gateways_are_taken_out_one_at_a_time_and_no_acknowledged_update_is_lost(tmp_path: Path) -> None:
     async def test() -> None:
-        roll, promises = Roll(tmp_path / "out"), list[Promises]()
+        maintenance, promises = RollingMaintenance(tmp_path / "out"), list[Promises]()
         try:
-            async with asyncio.timeout(BOUND_S):
-                await _rolled(roll, promises)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await _maintain_each_gateway(maintenance, promises)
         finally:
-            await roll.rig.close()
+            await maintenance.rig.close()
         assert promises[0].told > 0
-        assert promises[0].judge(roll.rig.copies_folders()) == []
+        assert promises[0].judge(maintenance.rig.copies_folders()) == []
 
     asyncio.run(test())
