--- a/martenstep/cli/main.py
+++ b/martenstep/cli/main.py
@@ -67,9 +67,9 @@
 @cli.command(hidden=True, epilog=example("martenstep worker < frames"))
 def worker() -> None:
     """Run one worker of a supervisor, which steers it over standard input."""
-    from martenstep.supervise.worker import work
+    from martenstep.supervise.worker import run_worker
 
-    sys.exit(asyncio.run(work()))
+    sys.exit(asyncio.run(run_worker()))
 
 
 @cli.group()
--- a/martenstep/supervise/errors.py
+++ b/martenstep/supervise/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the supervisor and of what starts a service."""
+"""The errors of the supervisor and of the start of a service."""
 
 from __future__ import annotations
 
--- a/martenstep/supervise/pid_file.py
+++ b/martenstep/supervise/pid_file.py
@@ -1,4 +1,4 @@
-"""A pid file that is a lock: two of one service cannot run, and a file left by a dead one blocks nobody."""
+"""A pid file that is also a lock: it stops a second process of a service, but not after the first one has died."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class PidFile:
-    """The file, held from `acquire` until `release` or the process's end."""
+    """A pid file, locked from `acquire` until `release` or the end of the process."""
 
     def __init__(self, path: Path) -> None:
-        """`acquire` locks the file."""
+        """Nothing is opened or locked before `acquire`."""
         self._path = path
         self._descriptor: int | None = None
 
     def acquire(self) -> None:
-        """Lock the file and write this process's number; raises PidFileLockedError, OSError."""
+        """Lock the file and write this process's id; raises PidFileLockedError, OSError."""
         descriptor = self._open_locked()
         while not self._is_present(descriptor):
             os.close(descriptor)
@@ -44,7 +44,7 @@
         return descriptor
 
     def _is_present(self, descriptor: int) -> bool:
-        """Whether the path still names the file: the holder before may have removed it before the lock was taken."""
+        """Whether the path still names the opened file: another holder may have removed it before the lock."""
         try:
             return os.stat(self._path).st_ino == os.fstat(descriptor).st_ino
         except FileNotFoundError:
--- a/martenstep/supervise/process_manager.py
+++ b/martenstep/supervise/process_manager.py
@@ -1,7 +1,7 @@
-"""Tells a process manager the service's state, by the protocol of sd_notify(3).
+"""Notifies a process manager of the service's state, by the protocol of sd_notify(3).
 
-One datagram of lines goes to the socket that NOTIFY_SOCKET names.  Without it nothing is sent; a failure to send is no
-reason to fail.
+Each notification is one datagram of lines to the socket that NOTIFY_SOCKET names.  Without that variable nothing is
+sent.  A notification that cannot be sent does not fail the service.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class Notifier:
-    """Where a process manager listens, if one does."""
+    """The socket on which a process manager listens, if there is one."""
 
     def __init__(self, environment: Mapping[str, str] | None = None) -> None:
-        """`environment` is the process's own if None."""
+        """`environment` defaults to the process's own."""
         variables = os.environ if environment is None else environment
         self._address = self._parse_address(variables.get("NOTIFY_SOCKET", ""))
         watchdog_us = self._parse_watchdog_us(variables)
@@ -33,7 +33,7 @@
 
     @staticmethod
     def _parse_watchdog_us(variables: Mapping[str, str]) -> int:
-        """Return the watchdog's interval, 0 if it is not this process's."""
+        """Return the watchdog's interval, or 0 if there is none for this process."""
         try:
             watchdog_us = int(variables.get("WATCHDOG_USEC", "0"))
             own = int(variables.get("WATCHDOG_PID", str(os.getpid()))) == os.getpid()
@@ -42,7 +42,7 @@
         return watchdog_us if own else 0
 
     def notify(self, **fields: str | int) -> bool:
-        """Send fields, such as READY=1; True if they were sent."""
+        """Send fields, such as READY=1, with the first line of each value; returns whether they were sent."""
         if not self._address:
             return False
         lines = [f"{name}={str(value).splitlines()[0] if str(value) else ''}\n" for name, value in fields.items()]
--- a/martenstep/supervise/protocol.py
+++ b/martenstep/supervise/protocol.py
@@ -1,7 +1,7 @@
-"""What a supervisor says to its workers, on their standard input: a length of four bytes, then MessagePack.
+"""The frames that a supervisor writes to a worker's standard input: a length of four bytes, then MessagePack.
 
-The end of the input means that the supervisor is gone: a worker then shuts down as on SIGTERM.  What a worker says goes
-the other way as JSON lines.
+The end of the input means that the supervisor has exited: the worker then shuts down as on SIGTERM.  A worker sends its
+messages to the supervisor as JSON lines on standard output.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ProtocolError(SuperviseError):
-    """Bytes that are no frame."""
+    """The bytes received are not a valid frame."""
 
 
 class StartWorker(msgspec.Struct, tag="Begin", rename={"settings": "door"}):
@@ -31,20 +31,20 @@
 
 
 class PrepareSettings(msgspec.Struct, tag="Prepare", rename={"generation": "number", "settings": "door"}):
-    """Say whether these settings could be applied; apply nothing."""
+    """Answer whether these settings could be applied, without applying them."""
 
     generation: int
     settings: bytes
 
 
 class CommitSettings(msgspec.Struct, tag="Commit", rename={"generation": "number"}):
-    """Apply the settings that were prepared under this number, and load files anew."""
+    """Apply the settings that were prepared under this generation, and reload files."""
 
     generation: int
 
 
 class ReloadFiles(msgspec.Struct, tag="Renew"):
-    """Load hooks and certificates anew."""
+    """Reload hooks and certificates."""
 
 
 Frame = StartWorker | PrepareSettings | CommitSettings | ReloadFiles
@@ -52,11 +52,11 @@
 
 
 class WorkerMessage(msgspec.Struct, omit_defaults=True, rename={"prepared_generation": "prepared"}):
-    """A worker's line."""
+    """One line from a worker."""
 
-    ready: dict[str, int] | None = None  # its ports
+    ready: dict[str, int] | None = None  # its ports by name, once it serves
     prepared_generation: int = 0
-    error: str = ""  # why it was not prepared
+    error: str = ""  # why the settings were not prepared; empty if they were
 
 
 def encode(frame: Frame) -> bytes:
@@ -66,15 +66,15 @@
 
 
 async def read_frame(reader: asyncio.StreamReader) -> Frame | None:
-    """Read the next frame; None at the end.  Raises ProtocolError."""
+    """Read the next frame; None at the end of the input.  Raises ProtocolError."""
     try:
         size = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
         if size > MAX_FRAME_BYTES:
-            raise ProtocolError(f"a frame of {size} bytes")
+            raise ProtocolError(f"frame of {size} bytes is longer than the {MAX_FRAME_BYTES} allowed")
         return _DECODER.decode(await reader.readexactly(size))
     except asyncio.IncompleteReadError as error:
         if error.partial:
-            raise ProtocolError("a frame broke off") from None
+            raise ProtocolError("input ended within a frame") from None
         return None
     except msgspec.DecodeError as error:
         raise ProtocolError(str(error)) from None
--- a/martenstep/supervise/reloader.py
+++ b/martenstep/supervise/reloader.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the settings' file read again, all that changed or nothing."""
+"""Reloads the settings' file on SIGHUP: either all changes are applied or none."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from martenstep.supervise import resources
 from martenstep.supervise.process_manager import Notifier
 
-MAX_LISTED_CHANGES = 50  # in one line
+MAX_LISTED_CHANGES = 50  # in one log line
 NS_PER_US = 1000
 
 
@@ -29,12 +29,12 @@
     """What is reloaded: a gateway in this process, or its workers."""
 
     current: Callable[[], pb.Door]
-    apply: Callable[[pb.Door], Coroutine[Any, Any, str]]  # returns why the settings were not applied
-    reload_files: Callable[[], None]  # hooks and certificates, which stand in files of their own
+    apply: Callable[[pb.Door], Coroutine[Any, Any, str]]  # returns why the settings were not applied, or an empty text
+    reload_files: Callable[[], None]  # reloads hooks and certificates, which are files of their own
 
 
 class Reloader:
-    """Reads the settings anew and has them applied."""
+    """Reads the settings again and has the target apply them."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         notifier: Notifier,
         target: ReloadTarget,
     ) -> None:
-        """`load` reads the settings and raises SettingsError; None if they are not to be read again."""
+        """`load` reads the settings and raises SettingsError; if None, only files are reloaded."""
         self._load = load
         self._log_event = log_event
         self._notifier = notifier
@@ -52,13 +52,13 @@
         self._task: asyncio.Task[None] | None = None
 
     def schedule(self) -> None:
-        """Begin a reload, from a signal handler."""
+        """Start a reload; called from a signal handler."""
         self._task = asyncio.create_task(self.reload())
 
     async def reload(self) -> None:
-        """Reload once; a second reload waits for the first."""
+        """Reload once; concurrent reloads run one after the other."""
         async with self._lock:
-            # systemd requires the time with Type=notify-reload.
+            # Type=notify-reload of systemd requires the time.
             self._notifier.notify(RELOADING=1, MONOTONIC_USEC=monotonic_us())
             await self._reload_settings()
             self._target.reload_files()
@@ -90,7 +90,7 @@
             )
 
     def _allowed_connections(self, settings: pb.Door) -> int:
-        """Return how many connections the open files allow, as at the start."""
+        """Return how many connections the limit of open files allows, as computed at the start of a service."""
         copy = pb.Door()
         copy.CopyFrom(settings)
         try:
--- a/martenstep/supervise/resources.py
+++ b/martenstep/supervise/resources.py
@@ -1,4 +1,4 @@
-"""Whether the machine's limits allow what the settings need: open files and memory, checked before the start."""
+"""Checks before the start whether the machine allows the open files and the memory that the settings need."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from martenstep.event_log import EventLog
 from martenstep.supervise.errors import SuperviseError
 
-OWN_FILES = 64  # the listener, the log, the endpoint feed, what the interpreter holds
-ASSUMED_ENDPOINTS = 32  # whose connections are all in use at once
-MIN_CONNECTIONS = 16  # of clients: with fewer a gateway is of no use
-REQUEST_BYTES = 8192  # of one buffered request besides its body and its response (bench.memory)
+OWN_FILES = 64  # the listener, the log, the endpoint feed and the interpreter's own
+ASSUMED_ENDPOINTS = 32  # with all their connections in use at the same time
+MIN_CONNECTIONS = 16  # of clients; a gateway that allows fewer is of no use
+REQUEST_BYTES = 8192  # of a buffered request without its body and its response (see bench.memory)
 MEMINFO = Path("/proc/meminfo")
 CGROUP_LIMIT = Path("/sys/fs/cgroup/memory.max")
 BYTES_PER_KIB = 1024
@@ -22,19 +22,19 @@
 
 
 class ResourceError(SuperviseError):
-    """The limits are too narrow for any service."""
+    """The limit of open files is too low for the least number of connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceNeed:
-    """What a gateway may come to hold."""
+    """The most open files and buffered bytes that a gateway may hold."""
 
     files: int
     bytes: int
 
 
 def estimate_need(settings: pb.Door) -> ResourceNeed:
-    """Estimate the most that these settings allow."""
+    """Estimate the most that a gateway with these settings may hold."""
     listener = settings.listener
     upstream = settings.upstream
     auth = len(settings.auth.service) * (settings.auth.per_service + 1) if settings.HasField("auth") else 0
@@ -45,7 +45,7 @@
 
 
 def limit_connections(need: ResourceNeed, connections: int, files: int) -> int:
-    """Return for how many clients' connections so many files suffice; raises ResourceError."""
+    """Return how many of the client connections `files` open files allow; raises ResourceError."""
     allowed = connections - max(need.files - files, 0)
     if allowed < MIN_CONNECTIONS:
         raise ResourceError(
@@ -56,7 +56,7 @@
 
 
 def raise_file_limit(need: int) -> int:
-    """Raise the soft limit of open files as far as needed and allowed; returns what holds then."""
+    """Raise the soft limit of open files as far as needed and allowed; returns the resulting limit, at most `need`."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= need:
         return need
@@ -69,19 +69,19 @@
 
 
 def available_memory_bytes() -> int | None:
-    """Return what this process may still take: the least of what the machine has and the control group allows."""
+    """Return the smaller of the machine's available memory and the control group's limit; None if neither is known."""
     found = []
     with contextlib.suppress(OSError, ValueError, IndexError):
         for line in MEMINFO.read_text().splitlines():
             if line.startswith("MemAvailable:"):
                 found.append(int(line.split()[1]) * BYTES_PER_KIB)
-    with contextlib.suppress(OSError, ValueError):  # "max", or no such group
+    with contextlib.suppress(OSError, ValueError):  # the value is "max", or there is no such control group
         found.append(int(CGROUP_LIMIT.read_text()))
     return min(found, default=None)
 
 
 def apply_limits(settings: pb.Door, log_event: EventLog) -> None:
-    """Lower the settings' connections to what the machine's limits allow; raises ResourceError."""
+    """Lower max_connections to what the limit of open files allows, and log a lack of memory; raises ResourceError."""
     need = estimate_need(settings)
     workers = max(settings.workers.count, 1)
     files_per_worker = -(-need.files // workers) + OWN_FILES
--- a/martenstep/supervise/restart_policy.py
+++ b/martenstep/supervise/restart_policy.py
@@ -1,11 +1,12 @@
-"""When a worker that exited is started again, and when the supervisor gives up.
+"""Decides when a worker that exited is started again, and when the supervisor gives up.
 
 No I/O, no clock.
 
-Delays double from exit to exit, with jitter, and begin anew once a worker has served for a while.  A worker that exits
-again and again is logged and restarted at long intervals: the others serve on.  Only if none serves and every one has
-exited so often without having served does the supervisor give up, since whoever started it can do more then than it can
-(RESTART_AND_WAIT).
+The delay before a restart doubles with each exit, with jitter, and returns to its minimum once a worker has served for
+STABLE_AFTER_MS.  A worker in a crash loop is logged and restarted at long intervals, while the others continue to
+serve.  The supervisor gives up only if no worker serves and each of them has exited MAX_STARTUP_FAILURES times in a row
+without having served.  The process manager or operator that started it can then do more than it can itself (the rule
+RESTART_AND_WAIT).
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 
 MIN_DELAY_MS = 100.0
 MAX_DELAY_MS = 5_000.0
-STABLE_AFTER_MS = 10_000.0  # a worker that has served so long is healthy again
-CRASH_LOOP_EXITS = 8  # in a row: logged, and restarted at long intervals
+STABLE_AFTER_MS = 10_000.0  # a worker that has served this long counts as healthy again
+CRASH_LOOP_EXITS = 8  # in a row; the worker is then logged and restarted at long intervals
 CRASH_LOOP_DELAY_MS = 30_000.0
-MAX_STARTUP_FAILURES = 3  # in a row, of each worker: the supervisor gives up
+MAX_STARTUP_FAILURES = 3  # in a row, by each worker; the supervisor then gives up
 
 
 @dataclass(frozen=True, slots=True)
 class RestartAt:
-    """Start the worker again at a moment; `crash_loop` is set if it keeps exiting."""
+    """Start the worker again at `at_ms`; `crash_loop` is set if it keeps exiting."""
 
     at_ms: float
     crash_loop: bool = False
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Start nothing more."""
+    """Start no more workers."""
 
     reason: str
 
@@ -41,26 +42,26 @@
 @dataclass(slots=True)
 class _WorkerHistory:
     backoff: Backoff
-    ready_at_ms: float | None = None  # of the worker that runs, once it serves
-    exits: int = 0  # in a row, of those that did not serve for long
-    startup_failures: int = 0  # in a row, of those that never served
+    ready_at_ms: float | None = None  # when the running process became ready; None if it has not
+    exits: int = 0  # in a row, of processes that did not serve for STABLE_AFTER_MS
+    startup_failures: int = 0  # in a row, of processes that never served
 
 
 class RestartPolicy:
-    """The workers of one supervisor, by number."""
+    """The exits of one supervisor's workers, and the decisions that follow."""
 
     def __init__(self, workers: int, rng: random.Random) -> None:
         """`rng` draws the jitter."""
         self._workers = [_WorkerHistory(Backoff(MIN_DELAY_MS, MAX_DELAY_MS, rng)) for _ in range(workers)]
 
     def on_ready(self, now_ms: float, worker: int) -> None:
-        """Note that a worker serves."""
+        """Record that a worker serves."""
         history = self._workers[worker]
         history.ready_at_ms = now_ms
         history.startup_failures = 0
 
     def on_exit(self, now_ms: float, worker: int, reason: str) -> RestartAt | GiveUp:
-        """Decide what follows when a worker exited that was not told to."""
+        """Decide what follows the exit of a worker that was not asked to stop."""
         history = self._workers[worker]
         ready_at_ms = history.ready_at_ms
         history.ready_at_ms = None
--- a/martenstep/supervise/service.py
+++ b/martenstep/supervise/service.py
@@ -1,6 +1,6 @@
-"""A gateway as a service: one process or a supervisor with workers, under whatever process manager there is.
+"""Runs a gateway as a service: one process, or a supervisor with workers, with or without a process manager.
 
-Exit codes: 0 told to stop; 1 could not start; 2 bad usage or settings; 4 its workers exited again and again.
+Exit codes: 0 stopped by a signal; 1 could not start; 2 bad usage or settings; 4 every worker kept exiting at its start.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 async def _wait_for_stop(stop: asyncio.Event, notifier: Notifier, reloader: Reloader) -> None:
-    """Handle signals and the process manager's watchdog: a loop that does not turn in half its time is bad."""
+    """Handle signals, and notify the watchdog twice per interval; a blocked event loop fails to do so."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -50,7 +50,7 @@
 async def serve_one(
     settings: pb.Door, load: Callable[[], pb.Door] | None, seed: int | None, event_logger: EventLogger
 ) -> int:
-    """Run one process; returns the exit code."""
+    """Run a gateway in this process; returns the exit code."""
     notifier = Notifier()
     stop = asyncio.Event()
     daemon = Daemon(settings, seed)
@@ -73,7 +73,7 @@
 
 
 class _SupervisorStatus:
-    """Tells the process manager how many workers serve, and that all do, once."""
+    """Notifies the process manager how many workers serve, and once that the service is ready."""
 
     def __init__(self, supervisor: Supervisor, notifier: Notifier) -> None:
         self._supervisor = supervisor
@@ -81,7 +81,7 @@
         self._ready = False
 
     def update(self) -> None:
-        """Report the present state."""
+        """Send the present state; called whenever a worker becomes ready or exits."""
         supervisor = self._supervisor
         count = supervisor.settings.workers.count
         status = f"{supervisor.ready_count} of {count} workers serve at port {supervisor.port}"
@@ -126,7 +126,7 @@
 
 
 def run(settings: pb.Door, load: Callable[[], pb.Door] | None = None, seed: int | None = None) -> int:
-    """Run a gateway in this process, or in workers of it; `load` reads its settings again.  Returns the exit code."""
+    """Run a gateway in this process or in workers; `load` reads its settings again.  Returns the exit code."""
     configure(settings.log.form)
     event_logger = EventLogger(settings.log, settings.name)
     pid_file = PidFile(Path(settings.pid_file)) if settings.pid_file else None
--- a/martenstep/supervise/supervisor.py
+++ b/martenstep/supervise/supervisor.py
@@ -1,7 +1,8 @@
-"""Keeps a number of workers running behind one address.
+"""Keeps a number of worker processes running behind one address.
 
-The listener's socket is bound once and outlives every worker.  Settings are applied by all workers or by none: each is
-asked first whether it could, and a worker that starts meanwhile is brought up to what was decided.
+The listener's socket is bound once and outlives every worker.  Settings are applied by all workers or by none: each
+worker first prepares them and answers whether it could apply them.  A worker that starts meanwhile receives the
+settings that were decided on once it is ready.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
 from martenstep.supervise.restart_policy import GiveUp, RestartAt, RestartPolicy
 from martenstep.supervise.worker_settings import build_worker_settings
 
-PREPARE_TIMEOUT_S = 5.0  # a worker answers within this, or the settings are not applied
-KILL_TIMEOUT_S = 3.0  # beyond the settings' stop_ms, a worker that was told to stop is killed
+PREPARE_TIMEOUT_S = 5.0  # without every worker's answer by then, the settings are not applied
+KILL_TIMEOUT_S = 3.0  # after the settings' stop_ms, before a worker that still runs is killed
 LISTEN_BACKLOG = 1024
 MAX_LOGGED_LINE_BYTES = 200
 EXIT_GAVE_UP = 4
@@ -42,28 +43,28 @@
 
 
 class _Worker:
-    """One worker, over all its processes."""
+    """One worker through all its successive processes."""
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.process: asyncio.subprocess.Process | None = None
-        self.ports: dict[str, int] | None = None  # once it serves
-        self.generation = 0  # of the settings that it has
+        self.ports: dict[str, int] | None = None  # by name; None unless it serves
+        self.generation = 0  # of the settings that it received
         self.prepare_answers: dict[int, asyncio.Future[str]] = {}  # by generation
 
     def send(self, frame: Frame) -> None:
-        """Write a frame, if the process runs."""
+        """Write a frame if the process runs."""
         if self.process is not None and self.process.stdin is not None and not self.process.stdin.is_closing():
             self.process.stdin.write(protocol.encode(frame))
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Signal the process, if it runs."""
+        """Signal the process if it runs."""
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
     def on_exit(self) -> None:
-        """Note that the process ended."""
+        """Record that the process exited, and answer its pending preparations with WORKER_DIED."""
         self.ports = None
         self.process = None
         for answer in self.prepare_answers.values():
@@ -71,7 +72,7 @@
                 answer.set_result(WORKER_DIED)
 
     def on_prepared(self, message: WorkerMessage) -> None:
-        """Take the answer to PrepareSettings."""
+        """Record the answer to PrepareSettings."""
         answer = self.prepare_answers.get(message.prepared_generation)
         if answer is not None and not answer.done():
             answer.set_result(message.error)
@@ -107,17 +108,17 @@
 
     @property
     def ready_count(self) -> int:
-        """Workers that serve."""
+        """The number of workers that serve."""
         return sum(1 for worker in self._workers if worker.ports is not None)
 
     @property
     def gave_up(self) -> str:
-        """Why no worker is started any more, if that is so."""
+        """Why the supervisor gave up; empty if it has not."""
         return self._gave_up
 
     @property
     def workers(self) -> list[dict[str, int]]:
-        """Process and ports of each worker that serves."""
+        """The process id and ports of each worker that serves."""
         return [
             {"pid": worker.process.pid, **worker.ports}
             for worker in self._workers
@@ -127,7 +128,8 @@
     def bind(self) -> None:
         """Bind the listener's address; raises OSError.
 
-        With a socket for each worker this one only holds the port, so that no other takes it while all are down.
+        If each worker has its own socket, this one only reserves the port, so that no other process takes it while no
+        worker runs.
         """
         listener = self.settings.listener
         addresses = socket.getaddrinfo(listener.host, listener.port, type=socket.SOCK_STREAM)
@@ -139,7 +141,7 @@
         bound.bind(address)
         self.port = int(bound.getsockname()[1])
         if not self._reuses_port:
-            bound.listen(LISTEN_BACKLOG)  # clients wait in it, not in vain, while a worker starts
+            bound.listen(LISTEN_BACKLOG)  # while a worker starts, connections wait here instead of being refused
 
     @property
     def _reuses_port(self) -> bool:
@@ -151,11 +153,11 @@
         self._tasks = [asyncio.create_task(self._keep_running(worker)) for worker in self._workers]
 
     async def wait(self) -> None:
-        """Wait until it is told to stop, or gives up."""
+        """Wait until `stop` is called or the supervisor gives up."""
         await self._stopping.wait()
 
     async def stop(self) -> None:
-        """Ask all workers to shut down, and kill those that don't."""
+        """Ask all workers to shut down, and kill those that do not in time."""
         self._stopping.set()
         for worker in self._workers:
             worker.send_signal(signal.SIGTERM)
@@ -173,7 +175,7 @@
     # Workers
 
     async def _keep_running(self, worker: _Worker) -> None:
-        """Run a worker, again and again."""
+        """Run a worker, and restart it whenever it exits, until the supervisor stops or gives up."""
         while not self._stopping.is_set():
             reason = await self._run(worker)
             worker.on_exit()
@@ -204,7 +206,7 @@
                 await self._stopping.wait()
 
     async def _run(self, worker: _Worker) -> str:
-        """Run one process of a worker from its start to its end; returns how it ended."""
+        """Run one process of a worker from its start to its exit; returns how it exited."""
         assert self._listener is not None
         passed_sockets = () if self._reuses_port else (self._listener.fileno(),)
         try:
@@ -213,8 +215,8 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 pass_fds=passed_sockets,
-                process_group=0,
-            )  # a terminal's SIGINT is the supervisor's to pass on
+                process_group=0,  # a terminal's SIGINT must reach only the supervisor, which stops its workers itself
+            )
         except OSError as error:
             return f"not started: {error.strerror}"
         worker.process = process
@@ -252,7 +254,7 @@
         self._restart_policy.on_ready(time.monotonic() * 1000, worker.number)
         assert worker.process is not None
         self._log_event("worker ready", {"worker": worker.number, "pid": worker.process.pid, **ports})
-        if worker.generation != self._generation:  # it was started with the settings before
+        if worker.generation != self._generation:  # it was started with older settings
             self._prepare(worker, self._generation)
             worker.send(CommitSettings(self._generation))
             worker.generation = self._generation
@@ -263,18 +265,20 @@
     # Settings
 
     def reload_files(self) -> None:
-        """Have all workers load hooks and certificates anew."""
+        """Have all workers that serve reload hooks and certificates."""
         for worker in self._workers:
             if worker.ports is not None:
                 worker.send(ReloadFiles())
 
     async def apply_settings(self, settings: pb.Door) -> str:
-        """Apply settings that differ only in what can change in service, by all workers or none; returns why not."""
+        """Have all workers or none apply settings that differ only in what can change in service; returns why not."""
         generation = self._generation + 1
-        asked = [worker for worker in self._workers if worker.ports is not None]
-        processes = {worker.number: worker.process for worker in asked}
-        error = await self._prepare_all(asked, generation, settings)
-        self._generation = generation  # never used again, so that what was prepared under it stays there
+        ready_workers = [worker for worker in self._workers if worker.ports is not None]
+        prepared_processes = {worker.number: worker.process for worker in ready_workers}
+        error = await self._prepare_all(ready_workers, generation, settings)
+        # The number is not used again even on an error, so that settings that a worker prepared under it are never
+        # committed.
+        self._generation = generation
         if error:
             for worker in self._workers:
                 if worker.generation == generation - 1:
@@ -283,14 +287,15 @@
         self.settings = settings
         for worker in self._workers:
             if worker.ports is not None and worker.generation == generation - 1:
-                if worker.process is not processes.get(worker.number):  # it came while the others were asked
+                # This process became ready while the others prepared the settings.
+                if worker.process is not prepared_processes.get(worker.number):
                     self._prepare(worker, generation)
                 worker.send(CommitSettings(generation))
                 worker.generation = generation
         return ""
 
     async def _prepare_all(self, workers: list[_Worker], generation: int, settings: pb.Door) -> str:
-        """Ask workers whether they could apply settings; returns the first reason that one could not."""
+        """Ask workers whether they could apply settings; returns the first reason why one could not."""
         loop = asyncio.get_running_loop()
         for worker in workers:
             worker.prepare_answers[generation] = loop.create_future()
@@ -300,7 +305,7 @@
             async with asyncio.timeout(PREPARE_TIMEOUT_S):
                 for worker in workers:
                     error = await worker.prepare_answers[generation]
-                    # One that died comes back with what is decided now: it blocks nothing.
+                    # A worker that died receives the decision when it restarts, so it does not block the others.
                     if error and error != WORKER_DIED:
                         first_error = first_error or f"worker {worker.number}: {error}"
         except TimeoutError:
@@ -314,7 +319,7 @@
         worker.send(PrepareSettings(generation, self._settings_for(worker, settings).SerializeToString()))
 
     def _settings_for(self, worker: _Worker, settings: pb.Door | None = None) -> pb.Door:
-        """Return one worker's settings."""
+        """Build one worker's settings."""
         result = build_worker_settings(settings or self.settings, worker.number)
         if self._reuses_port:
             result.listener.port = self.port
--- a/martenstep/supervise/worker.py
+++ b/martenstep/supervise/worker.py
@@ -1,4 +1,4 @@
-"""One worker: a gateway that its supervisor steers over standard input."""
+"""Runs one worker: a gateway that its supervisor controls over standard input."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 STDIN_BUFFER_BYTES = 2**20
 EXIT_CANNOT_START = 1
 EXIT_BAD_USAGE = 2
-NO_GENERATION = 0
+NO_GENERATION = 0  # under which no settings are prepared
 
 
 def _write_message(message: WorkerMessage) -> None:
@@ -46,22 +46,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _Prepared:
-    """Settings that could be applied, and their number."""
+    """Settings that could be applied, and their generation."""
 
     generation: int
     settings: pb.Door
 
 
 class Worker:
-    """A running daemon and what was prepared for it."""
+    """A running daemon and the settings that were prepared for it."""
 
     def __init__(self, daemon: Daemon) -> None:
-        """Begin with nothing prepared."""
+        """Start without prepared settings."""
         self._daemon = daemon
         self._prepared: _Prepared | None = None
 
     def prepare(self, frame: PrepareSettings) -> WorkerMessage:
-        """Check whether settings could be applied."""
+        """Check whether settings could be applied, and keep them for `commit`."""
         try:
             settings = _parse_settings(frame.settings)
         except DecodeError as error:
@@ -74,7 +74,7 @@
         return WorkerMessage(prepared_generation=frame.generation)
 
     def commit(self, generation: int) -> None:
-        """Apply what was prepared under this number, and load files anew."""
+        """Apply the settings that were prepared under this generation, if any, and reload files."""
         if self._prepared is not None and self._prepared.generation == generation:
             self._daemon.reconfigure(self._prepared.settings)
             self._prepared = None
@@ -88,8 +88,8 @@
     return reader
 
 
-async def work() -> int:
-    """Serve until SIGTERM or the input's end; returns the exit code."""
+async def run_worker() -> int:
+    """Serve until SIGTERM, SIGINT or the end of the input; returns the exit code."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -114,15 +114,15 @@
         event_logger.log("cannot start", {"error": getattr(error, "strerror", None) or str(error)})
         return EXIT_CANNOT_START
     _write_message(WorkerMessage(ready=daemon.ports))
-    steering = asyncio.create_task(_handle_frames(reader, Worker(daemon), stop))
+    frame_task = asyncio.create_task(_handle_frames(reader, Worker(daemon), stop))
     await stop.wait()
-    steering.cancel()
+    frame_task.cancel()
     await daemon.stop()
     return 0
 
 
 async def _handle_frames(reader: asyncio.StreamReader, worker: Worker, stop: asyncio.Event) -> None:
-    """Do what the supervisor says; its end is this worker's."""
+    """Carry out the supervisor's frames; stop the worker when the input ends, since the supervisor has then exited."""
     try:
         while (frame := await read_frame(reader)) is not None:
             match frame:
--- a/martenstep/supervise/worker_settings.py
+++ b/martenstep/supervise/worker_settings.py
@@ -1,8 +1,8 @@
-"""The settings of each worker: an instance of its own among all gateways, its files and its limits apart.
+"""Derives the settings of each worker: its own instance number, its own files, and its share of the limits.
 
 No I/O.
 
-All gateways of a fleet must have as many workers: the numbers of instances are derived from that.
+All gateways of a fleet must have the same number of workers, since the instance numbers are derived from it.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from martenstep.config import door_pb2 as pb
 
-# Limits that are the whole gateway's, each worker's share of them rounded up: message and field.
+# Message and field of the limits that apply to the whole gateway; each worker gets an equal share, rounded up.
 SHARED_LIMITS = (("listener", "max_connections"), ("listener", "max_open"), ("upstream", "connections"))
 
 
--- a/tests/test_formats_supervise.py
+++ b/tests/test_formats_supervise.py
@@ -1,4 +1,4 @@
-"""What a supervisor, its workers and a process manager say to each other, byte by byte."""
+"""The bytes that a supervisor, its workers and a process manager exchange."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
     "commit": CommitSettings(2),
     "renew": ReloadFiles(),
 }
-SAID: dict[str, WorkerMessage] = {
+WORKER_MESSAGES: dict[str, WorkerMessage] = {
     "ready": WorkerMessage({"listener": 8080, "admin": 9000}),
     "prepared": WorkerMessage(prepared_generation=3),
     "error": WorkerMessage(prepared_generation=3, error="needs a restart: admin.port"),
 }
 
 
-def test_each_frame_is_written_and_read_as_committed() -> None:
+def test_each_frame_keeps_its_bytes() -> None:
     lines = dict(line.split() for line in (STORED / "frames.txt").read_text().splitlines())
     assert lines == {name: frames.encode(frame).hex() for name, frame in FRAMES.items()}
 
@@ -57,7 +57,7 @@
         assert asyncio.run(read(bytes.fromhex(lines[name]))) == frame
 
 
-def test_the_names_in_the_frames() -> None:
+def test_frames_keep_their_types_and_field_names() -> None:
     lines = dict(line.split() for line in (STORED / "frames.txt").read_text().splitlines())
     read = {name: msgspec.msgpack.decode(bytes.fromhex(line)[4:]) for name, line in lines.items()}
     assert read == {
@@ -69,50 +69,50 @@
     }
 
 
-def test_each_line_of_a_worker_is_written_and_read_as_committed() -> None:
+def test_each_line_of_a_worker_keeps_its_bytes() -> None:
     lines = (STORED / "said.jsonl").read_bytes().splitlines()
-    assert [msgspec.json.encode(said) for said in SAID.values()] == lines
-    assert [msgspec.json.decode(line, type=WorkerMessage) for line in lines] == list(SAID.values())
+    assert [msgspec.json.encode(message) for message in WORKER_MESSAGES.values()] == lines
+    assert [msgspec.json.decode(line, type=WorkerMessage) for line in lines] == list(WORKER_MESSAGES.values())
 
 
-def test_the_settings_of_the_workers() -> None:
-    door = settings(
+def test_the_derived_worker_settings_keep_their_values() -> None:
+    gateway = settings(
         "workers { count: 3 share: REUSE_PORT } admin { port: 9000 } pid_file: '/run/door.pid' "
         'customer { key: "part" plan: "open" first_door: 1 doors: 1 }'
         'hooks { directory: "h" history: "h.jsonl" } counter { journal: "j" } members { warm_copy: "w" } '
         'tracing { file: "t" }'
     )
-    made = "".join(
-        f"# {number}\n{text_format.MessageToString(build_worker_settings(door, number))}" for number in range(3)
+    text = "".join(
+        f"# {number}\n{text_format.MessageToString(build_worker_settings(gateway, number))}" for number in range(3)
     )
-    assert made.encode() == (STORED / "workers.txtpb").read_bytes()
+    assert text.encode() == (STORED / "workers.txtpb").read_bytes()
 
 
-def test_a_reload_is_told_to_the_process_manager(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_process_manager_is_notified_of_a_reload(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(time, "clock_gettime_ns", lambda clock: 123_456_789)
-    with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as heard:
-        heard.bind(str(tmp_path / "n"))
-        heard.settimeout(5)
+    with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as manager_socket:
+        manager_socket.bind(str(tmp_path / "n"))
+        manager_socket.settimeout(5)
         notifier = Notifier({"NOTIFY_SOCKET": str(tmp_path / "n"), "WATCHDOG_USEC": "3000000"})
         assert notifier.watchdog_s == 1.5
-        lines: list[tuple[str, object]] = []
-        door = pb.Door()
+        events: list[tuple[str, object]] = []
+        current_settings = pb.Door()
 
-        async def take_up(made: pb.Door) -> str:
+        async def apply(new_settings: pb.Door) -> str:
             return ""
 
         reloader = Reloader(
             None,
-            lambda event, fields: lines.append((event, fields)),
+            lambda event, fields: events.append((event, fields)),
             notifier,
-            ReloadTarget(lambda: door, take_up, lambda: None),
+            ReloadTarget(lambda: current_settings, apply, lambda: None),
         )
         asyncio.run(reloader.reload())
-        assert heard.recv(1000) == b"RELOADING=1\nMONOTONIC_USEC=123456\n"
-        assert heard.recv(1000) == b"READY=1\n"
+        assert manager_socket.recv(1000) == b"RELOADING=1\nMONOTONIC_USEC=123456\n"
+        assert manager_socket.recv(1000) == b"READY=1\n"
         assert notifier.notify(READY=1, STATUS="serves at port 8080") and notifier.notify(WATCHDOG=1)
-        assert heard.recv(1000) == b"READY=1\nSTATUS=serves at port 8080\n"
-        assert heard.recv(1000) == b"WATCHDOG=1\n"
-        assert not lines
+        assert manager_socket.recv(1000) == b"READY=1\nSTATUS=serves at port 8080\n"
+        assert manager_socket.recv(1000) == b"WATCHDOG=1\n"
+        assert not events
     other = {"NOTIFY_SOCKET": str(tmp_path / "n"), "WATCHDOG_USEC": "3000000", "WATCHDOG_PID": str(os.getpid() + 1)}
     assert Notifier(other).watchdog_s == 0.0
