--- a/martenstep/config/changes.py
+++ b/martenstep/config/changes.py
@@ -1,7 +1,7 @@
-"""Differences between two settings of one gateway, and which of them can be applied without a restart.
+"""Finds the differences between two settings of one gateway, and which of them can be applied without a restart.
 
-No I/O.  The other settings are used once at the start: for sockets, clients of other systems, and the decisions'
-request classes and plans, whose state could not be carried over.
+This module does no I/O.  Settings that cannot be applied live are used only at the start: for sockets, for clients of
+other systems, and for the policy's request classes and plans, whose state could not be carried over.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 from martenstep.config import door_pb2 as pb
 
-# Read at each use, or rebuilt at once.
-LIVE = frozenset(
+# Paths of the fields that a running gateway reads at each use, or whose objects it rebuilds during a reload.
+LIVE_FIELDS = frozenset(
     {
         "customer",
         "route",
@@ -51,8 +51,8 @@
         "hooks.backstop_ms",
     }
 )
-# Messages whose mere presence builds a part of the gateway, even with defaults in all fields.
-PARTS = frozenset(
+# Messages whose presence alone creates a component of the gateway, even if all their fields have defaults.
+COMPONENT_MESSAGES = frozenset(
     {
         "admin",
         "advertise",
@@ -70,15 +70,15 @@
         "tracing",
     }
 )
-HIDDEN = frozenset({"forward_auth.secret"})  # never in a log
-PRESENCE = {True: "there", False: "not there"}
-MAX_VALUE_CHARACTERS = 200  # of a value in a log line
-MAX_LISTED_ENTRIES = 5  # of a list in a log line
+SECRET_FIELDS = frozenset({"forward_auth.secret"})  # their values must not be logged
+PRESENCE_TEXT = {True: "present", False: "absent"}
+MAX_VALUE_CHARACTERS = 200  # logged for each value
+MAX_LISTED_ENTRIES = 5  # logged for each list
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One field that differs: its path, its values, and whether it can be applied live."""
+    """A field that differs: its path, its values, and whether the change can be applied without a restart."""
 
     path: str
     before: str
@@ -86,13 +86,13 @@
     live: bool
 
     def describe(self) -> str:
-        """Return the line that the log shows."""
+        """Return the text that is logged for this change."""
         return f"{self.path}: {self.before} -> {self.after}"
 
 
 def _describe_value(field: FieldDescriptor, value: bool | int | float | str | bytes, path: str) -> str:
-    """Describe a scalar; an enum by its name, a secret not at all."""
-    if path in HIDDEN:
+    """Describe a scalar: an enum value by its name, and a secret without its value."""
+    if path in SECRET_FIELDS:
         return "(hidden)"
     if field.enum_type is not None:
         return str(field.enum_type.values_by_number[int(value)].name)
@@ -100,20 +100,20 @@
 
 
 def _entries_by_key(values: list[Any]) -> dict[str, Any]:
-    """Return the entries of a list by key or name, else by their number."""
-    made: dict[str, Any] = {}
+    """Return the entries of a list by their key or name, or by their number if they have neither."""
+    entries: dict[str, Any] = {}
     for number, value in enumerate(values):
         if isinstance(value, Message):
-            known = value.DESCRIPTOR.fields_by_name
-            key = next((str(getattr(value, name)) for name in ("key", "name") if name in known), str(number))
+            fields = value.DESCRIPTOR.fields_by_name
+            key = next((str(getattr(value, name)) for name in ("key", "name") if name in fields), str(number))
         else:
             key = str(value)
-        made[key if key not in made else f"{key} #{number}"] = value
-    return made
+        entries[key if key not in entries else f"{key} #{number}"] = value
+    return entries
 
 
 def _describe_entries(keys: list[str], count: int) -> str:
-    """Say how many entries a list has, and name the first of those that differ."""
+    """Return the number of entries of a list, with the keys of the first entries that differ."""
     names = ", ".join(repr(key) for key in keys[:MAX_LISTED_ENTRIES])
     if len(keys) > MAX_LISTED_ENTRIES:
         names += ", ..."
@@ -121,7 +121,7 @@
 
 
 def _describe_list_change(before: list[Any], after: list[Any]) -> tuple[str, str]:
-    """Describe two versions of a list by the entries that differ; their order counts too, as it does for routes."""
+    """Describe two versions of a list by the entries that differ, or by their order, which matters for routes."""
     old = _entries_by_key(before)
     new = _entries_by_key(after)
     removed = [key for key in old if key not in new]
@@ -132,27 +132,27 @@
     return _describe_entries(removed + changed, len(before)), _describe_entries(added + changed, len(after))
 
 
-def _walk(before: Message, after: Message, prefix: str) -> Iterator[Change]:
+def _compare_fields(before: Message, after: Message, prefix: str) -> Iterator[Change]:
+    """Yield the changes of all fields; those whose values are equal and differ only in presence are included."""
     for field in cast(Sequence[FieldDescriptor], before.DESCRIPTOR.fields):
         path = f"{prefix}{field.name}"
         old, new = getattr(before, field.name), getattr(after, field.name)
         if field.is_repeated:
             if list(old) != list(new):
-                was, now = _describe_list_change(list(old), list(new))
-                yield Change(path, was, now, path in LIVE)
+                described_before, described_after = _describe_list_change(list(old), list(new))
+                yield Change(path, described_before, described_after, path in LIVE_FIELDS)
         elif field.message_type is not None:
             was_present = before.HasField(field.name)
             is_present = after.HasField(field.name)
-            if was_present != is_present and field.name in PARTS:
-                yield Change(path, PRESENCE[was_present], PRESENCE[is_present], False)
+            if was_present != is_present and field.name in COMPONENT_MESSAGES:
+                yield Change(path, PRESENCE_TEXT[was_present], PRESENCE_TEXT[is_present], False)
             elif old != new:
-                yield from _walk(old, new, path + ".")
+                yield from _compare_fields(old, new, path + ".")
         elif old != new or before.HasField(field.name) != after.HasField(field.name):
-            yield Change(
-                path, _describe_value(field, old, path), _describe_value(field, new, path), path in LIVE or old == new
-            )
+            described_before, described_after = _describe_value(field, old, path), _describe_value(field, new, path)
+            yield Change(path, described_before, described_after, path in LIVE_FIELDS or old == new)
 
 
 def differences(before: pb.Door, after: pb.Door) -> list[Change]:
     """Return all differences, in the order of the schema."""
-    return [change for change in _walk(before, after, "") if change.before != change.after or not change.live]
+    return [change for change in _compare_fields(before, after, "") if change.before != change.after or not change.live]
--- a/martenstep/config/checks/__init__.py
+++ b/martenstep/config/checks/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of a gateway's settings, a module for each part of them."""
+"""Checks of a gateway's settings, with one module for each part of the settings."""
--- a/martenstep/config/checks/counter.py
+++ b/martenstep/config/checks/counter.py
@@ -1,4 +1,4 @@
-"""Checks of the counter: replicated by the gateways themselves, split over services, or one service."""
+"""Checks of the counter: replicated by the gateways themselves, sharded over several services, or one service."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     checker.forbid_address(settings.counter, position, "held_by_doors")
     for name in ("tls", "map_version"):
         if settings.counter.HasField(name):
-            checker.report(position.at(name), "does not go with held_by_doors")
+            checker.report(position.at(name), "given beside held_by_doors, which does not use it")
     if settings.counter.service:
-        checker.report(position.at("service"), "given beside held_by_doors; only one of them may be")
+        checker.report(position.at("service"), "given beside held_by_doors; only one of them may be set")
     if not settings.HasField("copies"):
-        checker.report(position.at("held_by_doors"), "needs copies")
+        checker.report(position.at("held_by_doors"), "requires copies to be set, the replicas that hold the counter")
 
 
 def _check_services(checker: SettingsChecker, counter: pb.CounterService, position: FieldPosition) -> None:
@@ -36,7 +36,7 @@
 
 
 def check_counter(checker: SettingsChecker, settings: pb.Door, position: FieldPosition) -> None:
-    """Check the counter's addresses and the journal of what is promised to it."""
+    """Check the counter's addresses, and the journal of attempts that it has not acknowledged yet."""
     counter = settings.counter
     if counter.held_by_doors:
         _check_held_by_gateways(checker, settings, position)
@@ -50,18 +50,21 @@
     for name in ("waiting", "journal_tries"):
         checker.require_range(counter, position, name, 1)
     if settings.HasField("store"):
-        checker.report(position, "given beside store; only one of them may be")
+        checker.report(position, "given beside store; only one of them may be set")
 
 
 def check_counter_timeouts(checker: SettingsChecker, settings: pb.Door, root: FieldPosition) -> None:
-    """Check that a call's time-out is below every deadline."""
+    """Check that the timeout of a counter call is below every deadline."""
     deadlines_ms = [entry.deadline_ms for entry in getattr(settings, "class") if entry.deadline_ms]
     shortest_ms = min(deadlines_ms, default=math.inf)
     for name in ("store", "counter"):
         if not settings.HasField(name):
             continue
-        part = getattr(settings, name)
+        counter = getattr(settings, name)
         position = root.at(name)
-        checker.require_positive(part, position, "timeout_ms")
-        if part.timeout_ms >= shortest_ms:
-            checker.report(position.at("timeout_ms"), f"expected below the shortest deadline of {shortest_ms:g}")
+        checker.require_positive(counter, position, "timeout_ms")
+        if counter.timeout_ms >= shortest_ms:
+            checker.report(
+                position.at("timeout_ms"),
+                f"expected below the shortest deadline of {shortest_ms:g}, got {counter.timeout_ms:g}",
+            )
--- a/martenstep/config/checks/gateway.py
+++ b/martenstep/config/checks/gateway.py
@@ -1,4 +1,4 @@
-"""All checks of a gateway's settings, put together."""
+"""Runs all checks of a gateway's settings."""
 
 from __future__ import annotations
 
@@ -69,6 +69,7 @@
 
 
 def _check_optional_parts(checker: SettingsChecker, settings: pb.Door, root: FieldPosition) -> None:
+    """Check the messages that a gateway may lack."""
     if settings.HasField("store"):
         check_redis_store(checker, settings.store, root.at("store"))
     if settings.HasField("counter"):
--- a/martenstep/config/checks/hooks.py
+++ b/martenstep/config/checks/hooks.py
@@ -1,4 +1,4 @@
-"""Checks of what the settings leave open to hooks."""
+"""Checks of which hook releases are accepted, and of what hooks may change."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def check_hooks(checker: SettingsChecker, settings: pb.Door, position: FieldPosition) -> None:
-    """Check what the settings leave open to hooks."""
+    """Check which hook releases are accepted, and what hooks may change."""
     hooks = settings.hooks
     checker.require_present(hooks, position, "directory")
     for name, known in (
@@ -22,10 +22,10 @@
     ):
         for value, at in zip(getattr(hooks, name), position.all(name), strict=True):
             if value not in known:
-                checker.report(at, f"no {name} is named {value!r}")
+                checker.report(at, f"no {name} is named {value!r} (there are: {', '.join(sorted(known)) or 'none'})")
     for key, at in zip(hooks.trusted_key, position.all("trusted_key"), strict=True):
         if not HEX_KEY.fullmatch(key):
-            checker.report(at, "expected an Ed25519 key of 64 hex digits")
+            checker.report(at, f"expected an Ed25519 public key of 64 lower-case hex digits, got {key!r}")
     if hooks.HasField("least_units"):
         checker.require_range(hooks, position, "least_units", 0, settings.max_units)
     if hooks.HasField("most_units"):
--- a/martenstep/config/checks/listener.py
+++ b/martenstep/config/checks/listener.py
@@ -1,4 +1,4 @@
-"""Checks of what clients connect to, what endpoints are reached by, and the endpoints' feed."""
+"""Checks of the listeners, the connections to endpoints, the source of the endpoint list, workers and tracing."""
 
 from __future__ import annotations
 
@@ -45,17 +45,17 @@
 
 
 def check_endpoint_feed(checker: SettingsChecker, settings: pb.Door, root: FieldPosition) -> None:
-    """Check where the endpoint list comes from."""
+    """Check the service that the endpoint list comes from."""
     if settings.HasField("members"):
         position = root.at("members")
         checker.require_port(settings.members, position, any_free=False)
         checker.require_positive(settings.members, position, "wait_ms")
     elif not settings.HasField("forward_auth"):
-        checker.report(root.at("members"), "missing: a door needs a feed of its servers")
+        checker.report(root.at("members"), "missing: a gateway needs a feed of its endpoints")
 
 
 def check_admin_and_workers(checker: SettingsChecker, settings: pb.Door, root: FieldPosition) -> None:
-    """Check the admin listener, which each worker has at a port of its own."""
+    """Check the number of workers and the admin listener, which each worker has at a separate port."""
     if settings.HasField("admin"):
         checker.require_port(settings.admin, root.at("admin"), any_free=True)
     checker.require_range(settings.workers, root.at("workers"), "count", 1, MAX_WORKERS)
@@ -64,11 +64,15 @@
         and settings.admin.port
         and settings.admin.port + settings.workers.count - 1 > MAX_PORT
     ):
-        checker.report(root.at("admin").at("port"), "the workers take this port and those above it, past the last one")
+        highest = settings.admin.port + settings.workers.count - 1
+        checker.report(
+            root.at("admin").at("port"),
+            f"the workers use the ports from this one to {highest}, which is past the last one, {MAX_PORT}",
+        )
 
 
 def check_tracing(checker: SettingsChecker, settings: pb.Door, root: FieldPosition) -> None:
-    """Check the traces of requests."""
+    """Check the tracing of requests."""
     if settings.HasField("tracing"):
         checker.require_present(settings.tracing, root.at("tracing"), "file")
         checker.require_range(settings.tracing, root.at("tracing"), "share", 0, 1)
--- a/martenstep/config/checks/routes.py
+++ b/martenstep/config/checks/routes.py
@@ -22,17 +22,21 @@
         if method not in METHODS:
             checker.report(position.at("method"), f"expected one of {', '.join(METHODS)}, got {method!r}")
     if entry.WhichOneof("identity") is None:
-        checker.report(position, "missing customer_header, customer_segment or authenticate: who the customer is")
+        checker.report(
+            position, "missing customer_header, customer_segment or authenticate, one of which identifies the customer"
+        )
     elif entry.HasField("authenticate") and not entry.authenticate:
-        checker.report(position.at("authenticate"), "false says nothing: leave it out, or name the customer otherwise")
+        checker.report(
+            position.at("authenticate"), "expected true, got false: use customer_header or customer_segment instead"
+        )
     elif entry.HasField("customer_segment") and not entry.customer_segment:
-        checker.report(position.at("customer_segment"), "expected at least 1")
+        checker.report(position.at("customer_segment"), "expected at least 1, got 0")
     if entry.fail_open and not entry.authenticate:
         checker.report(position.at("fail_open"), "is of use only with authenticate")
 
 
 def check_routes(checker: SettingsChecker, settings: pb.Door, root: FieldPosition) -> None:
-    """Check all routes against classes, units and what identifies the customer."""
+    """Check all routes: their classes and units, and that each identifies the customer."""
     if not settings.route:
         checker.report(root.at("route"), "missing: at least one is needed")
     positions = root.all("route")
@@ -40,7 +44,12 @@
     for route, position in zip(settings.route, positions, strict=True):
         _check_route(checker, route, position, class_names, settings.max_units)
         if route.authenticate and not settings.HasField("auth"):
-            checker.report(position.at("authenticate"), "there is no auth to ask")
+            checker.report(
+                position.at("authenticate"), "there is no auth to ask: authenticate requires the message auth"
+            )
         if route.fail_open and not settings.default_plan:
-            checker.report(position.at("fail_open"), "there is no default_plan for those that pass without a verdict")
+            checker.report(
+                position.at("fail_open"),
+                "requires default_plan to be set, the plan of requests that pass without a verdict",
+            )
     checker.require_unique(positions, settings.route, "name")
--- a/martenstep/config/checks/tls.py
+++ b/martenstep/config/checks/tls.py
@@ -8,7 +8,7 @@
 
 
 def check_server_tls(checker: SettingsChecker, tls: pb.ServerTls | None, position: FieldPosition) -> None:
-    """Check TLS where others connect to us."""
+    """Check TLS of a listener."""
     if tls is None:
         return
     checker.require_present(tls, position, "certificate", "key")
@@ -17,8 +17,9 @@
 
 
 def check_client_tls(checker: SettingsChecker, tls: pb.ClientTls, position: FieldPosition) -> None:
-    """Check TLS where we connect to others."""
+    """Check TLS of outgoing connections."""
     for name in ("ca", "certificate", "key"):
         checker.require_file(tls, position, name)
     if bool(tls.certificate) != bool(tls.key):
-        checker.report(position, "certificate and key go together")
+        present = "certificate" if tls.certificate else "key"
+        checker.report(position, f"certificate and key go together: expected both or neither, got only {present}")
--- a/martenstep/config/generate.py
+++ b/martenstep/config/generate.py
@@ -1,4 +1,4 @@
-"""Makes the committed Python code of the schemas anew: `python -m martenstep.config.generate`."""
+"""Regenerates the committed Python code of the schemas: `python -m martenstep.config.generate`."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def generate(out: Path) -> list[Path]:
-    """Write the code of every schema below a folder; raises RuntimeError where the compiler fails."""
-    # Only developers have the compiler, and it carries no types.
+    """Write the code of every schema below a folder; raises RuntimeError if the protobuf compiler fails."""
+    # Imported by name because only developers have the compiler installed, and it has no type annotations.
     protoc = importlib.import_module("grpc_tools.protoc")
-    made = []
+    written = []
     for schema in SCHEMAS:
-        words = ["protoc", f"-I{ROOT}", f"--python_out={out}", f"--pyi_out={out}", str(ROOT / schema)]
-        if protoc.main(words):
-            raise RuntimeError(f"{schema}: the compiler failed")
+        arguments = ["protoc", f"-I{ROOT}", f"--python_out={out}", f"--pyi_out={out}", str(ROOT / schema)]
+        if protoc.main(arguments):
+            raise RuntimeError(f"{schema}: protoc failed with arguments {arguments[1:]}")
         stem = schema.removesuffix(".proto")
-        made += [out / f"{stem}_pb2.py", out / f"{stem}_pb2.pyi"]
-    return made
+        written += [out / f"{stem}_pb2.py", out / f"{stem}_pb2.pyi"]
+    return written
 
 
 if __name__ == "__main__":
--- a/martenstep/config/policy_settings.py
+++ b/martenstep/config/policy_settings.py
@@ -1,4 +1,4 @@
-"""A gateway's settings in the terms of its decisions, and the numbers by which customers are known there."""
+"""Translates a gateway's settings to the policy's settings, and customer keys to the policy's customer numbers."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     pb.ZONE: api.DeduplicationScope.ZONE,
     pb.CELL: api.DeduplicationScope.CELL,
 }
-TICK_MS = 1.0  # about what a response on a socket takes: less time left of a deadline is of no use
+TICK_MS = 1.0  # about the time that a response takes on a socket; less remaining time before a deadline is of no use
 DEFAULT_ERROR_STATUSES = (500, 502, 503, 504)
-CUSTOMER_BITS = 33  # the decisions take customers as numbers below 2^33
+CUSTOMER_BITS = 33  # the policy requires customer numbers below 2^33
 
 
 def customer_id(key: str) -> int:
-    """Return a customer's number: the same at every instance, whatever the order of entries in their files."""
+    """Return a customer's number, which is the same at every instance whatever the order of entries in its file."""
     digest = hashlib.blake2b(key.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") >> (64 - CUSTOMER_BITS)
 
 
 def build_request_class(entry: pb.RequestClass) -> api.RequestClass:
-    """Build a request class of the decisions."""
+    """Build a request class of the policy."""
     return api.RequestClass(
         name=entry.name,
         latency_objective_ms=entry.aim_ms,
@@ -42,7 +42,7 @@
 
 
 def build_plan(entry: pb.Plan) -> api.Plan:
-    """Build a plan of the decisions."""
+    """Build a plan of the policy."""
     return api.Plan(
         name=entry.name,
         rate=entry.rate,
@@ -58,7 +58,7 @@
 
 
 def build_policy_settings(settings: pb.Door) -> api.Settings:
-    """Build the settings that the decisions start with."""
+    """Build the settings that the policy starts with."""
     rules = settings.rules
     return api.Settings(
         instance=settings.instance,
--- a/martenstep/config/text_format.py
+++ b/martenstep/config/text_format.py
@@ -1,7 +1,8 @@
-"""Reads protobuf text format and keeps the position of each field, so that a check can name line and column.
+"""Reads protobuf text format and records the position of each field, so that a check can name line and column.
 
-The library's own parser stops at the first problem and keeps no positions in Python.  This reader goes on after a
-problem in a field, so that all problems of a file are reported at once; a file without any is parsed by the library.
+The protobuf library's own parser stops at the first problem and provides no positions in Python.  This reader continues
+after a problem in a field, so that all problems of a file are reported together.  It only finds problems and positions;
+a file without problems is then parsed by the library.
 """
 
 from __future__ import annotations
@@ -22,23 +23,23 @@
     |(?P<string>"(?:\\.|[^"\\\n])*"|'(?:\\.|[^'\\\n])*')
     |(?P<number>[-+]?(?:0[xX][0-9a-fA-F]+|(?:\d+\.?\d*|\.\d+)(?:[eE][-+]?\d+)?)[fF]?)
     |(?P<word>-?[A-Za-z_][A-Za-z0-9_.]*)
-    |(?P<mark>[{}<>\[\]:;,])""",
+    |(?P<punctuation>[{}<>\[\]:;,])""",
     re.X,
 )
-INTEGERS = {
+INTEGER_RANGES = {
     FieldDescriptor.CPPTYPE_INT32: (-(2**31), 2**31 - 1),
     FieldDescriptor.CPPTYPE_INT64: (-(2**63), 2**63 - 1),
     FieldDescriptor.CPPTYPE_UINT32: (0, 2**32 - 1),
     FieldDescriptor.CPPTYPE_UINT64: (0, 2**64 - 1),
 }
-FLOATS = (FieldDescriptor.CPPTYPE_DOUBLE, FieldDescriptor.CPPTYPE_FLOAT)
-CLOSING = {"{": "}", "<": ">", "[": "]"}
+FLOAT_TYPES = (FieldDescriptor.CPPTYPE_DOUBLE, FieldDescriptor.CPPTYPE_FLOAT)
+CLOSING_BRACKETS = {"{": "}", "<": ">", "[": "]"}
 MessageT = TypeVar("MessageT", bound=Message)
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class SettingsProblem:
-    """One problem of a settings file: where, in which field, and what was expected."""
+    """One problem of a settings file: its position, the field, and what was expected."""
 
     line: int
     column: int
@@ -46,7 +47,7 @@
     text: str
 
     def describe(self, file: str) -> str:
-        """Return the line that an operator reads."""
+        """Return the line that is printed or logged for this problem."""
         name = f"{self.field}: " if self.field else ""
         return f"{file}:{self.line}:{self.column}: {name}{self.text}"
 
@@ -55,7 +56,7 @@
     """A settings file that cannot be used, with all its problems in the order of the file."""
 
     def __init__(self, file: str, problems: list[SettingsProblem]) -> None:
-        """Keep the file's name and its problems."""
+        """Store the file's name and its problems, sorted by position."""
         self.file = file
         self.problems = sorted(problems)
         super().__init__("\n".join(problem.describe(file) for problem in self.problems))
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True)
 class FieldPosition:
-    """The position of a field in a file, or of the file itself."""
+    """The position of a field in a file, with those of its subfields; the root stands for the file itself."""
 
     name: str
     path: str
@@ -76,7 +77,7 @@
         return [child for child in self.children if child.name == name]
 
     def at(self, name: str) -> FieldPosition:
-        """Return the position of a field, or that of the message where the field is absent."""
+        """Return the position of a field's last occurrence, or that of the message if the field is absent."""
         found = self.all(name)
         path = f"{self.path}.{name}" if self.path else name
         return found[-1] if found else FieldPosition(name, path, self.line, self.column)
@@ -90,8 +91,8 @@
     column: int
 
 
-class _UnreadableError(Exception):
-    """The text is no longer text format: nothing after this can be read."""
+class _SyntaxError(Exception):
+    """The text violates the syntax of text format, so that the rest of the file cannot be read."""
 
 
 def _tokens(text: str) -> Iterator[_Token]:
@@ -111,7 +112,7 @@
 
 
 class _Reader:
-    """Reads one file, its tokens in order."""
+    """Recursive-descent reader of one file; collects problems and returns the tree of field positions."""
 
     def __init__(self, text: str) -> None:
         self._tokens = list(_tokens(text))
@@ -129,93 +130,95 @@
     def _report(self, token: _Token | FieldPosition, path: str, text: str) -> None:
         self.problems.append(SettingsProblem(token.line, token.column, path, text))
 
-    def _unreadable(self, token: _Token, path: str, expected: str) -> _UnreadableError:
+    def _syntax_error(self, token: _Token, path: str, expected: str) -> _SyntaxError:
         self._report(token, path, f"expected {expected}, got {token.text!r}")
-        return _UnreadableError()
+        return _SyntaxError()
 
     def read(self, descriptor: Descriptor) -> FieldPosition:
         """Read the fields of the whole file."""
         root = FieldPosition("", "", 1, 1)
-        with contextlib.suppress(_UnreadableError):
-            self._body(root, descriptor, "end")
+        with contextlib.suppress(_SyntaxError):
+            self._read_fields(root, descriptor, "end")
         return root
 
-    def _body(self, node: FieldPosition, descriptor: Descriptor | None, close: str) -> None:
-        """Read the fields of a message; `descriptor` is None inside a field that is not known."""
+    def _read_fields(self, position: FieldPosition, descriptor: Descriptor | None, close: str) -> None:
+        """Read the fields of a message up to `close`; `descriptor` is None inside a field that the schema lacks."""
         counts: dict[str, int] = {}
-        chosen: dict[str, str] = {}
+        set_oneofs: dict[str, str] = {}
         while True:
             token = self._take()
             if token.text == close or (token.kind == "end" and close == "end"):
                 return
             if token.kind != "word" or token.text.startswith("-"):
                 expected = "a field's name" if close == "end" else f"a field or {close!r}"
-                raise self._unreadable(token, node.path, expected)
+                raise self._syntax_error(token, position.path, expected)
             known = descriptor.fields_by_name.get(token.text) if descriptor else None
             number = counts.get(token.text, 0)
             counts[token.text] = number + 1
-            path = f"{node.path}.{token.text}" if node.path else token.text
+            path = f"{position.path}.{token.text}" if position.path else token.text
             if known is not None and known.is_repeated:
                 path += f"[{number}]"
             child = FieldPosition(token.text, path, token.line, token.column)
             if descriptor and known is None:
                 self._report(token, path, f"there is no such field in {descriptor.name}")
             elif known is not None:
-                self._check_single(token, known, path, number, chosen)
-            node.children.append(child)
-            self._value(child, known)
+                self._check_single(token, known, path, number, set_oneofs)
+            position.children.append(child)
+            self._read_value(child, known)
             if self._peek().text in (",", ";"):
                 self._take()
 
     def _check_single(
-        self, token: _Token, known: FieldDescriptor, path: str, number: int, chosen: dict[str, str]
+        self, token: _Token, known: FieldDescriptor, path: str, number: int, set_oneofs: dict[str, str]
     ) -> None:
-        """Report a field that is given twice, or beside another of its oneof."""
+        """Report a field that is given twice, or together with another field of its oneof."""
         if not known.is_repeated and number:
             self._report(token, path, "given twice")
         elif known.containing_oneof is not None:
-            other = chosen.setdefault(known.containing_oneof.name, token.text)
+            other = set_oneofs.setdefault(known.containing_oneof.name, token.text)
             if other != token.text:
-                self._report(token, path, f"given beside {other}; only one of them may be")
+                self._report(token, path, f"given beside {other}; only one of them may be set")
 
-    def _value(self, node: FieldPosition, known: FieldDescriptor | None) -> None:
+    def _read_value(self, position: FieldPosition, known: FieldDescriptor | None) -> None:
         token = self._take()
-        colon = token.text == ":"
-        if colon:
+        has_colon = token.text == ":"
+        if has_colon:
             token = self._take()
-        nested = known is not None and known.message_type is not None
+        is_message = known is not None and known.message_type is not None
         if token.text in ("{", "<"):
-            if known is not None and not nested:
-                self._report(token, node.path, f"expected {_expected(known)}, got a message")
-            self._body(node, known.message_type if known and nested else None, CLOSING[token.text])
+            if known is not None and not is_message:
+                self._report(token, position.path, f"expected {_describe_expected(known)}, got a message")
+            self._read_fields(
+                position, known.message_type if known and is_message else None, CLOSING_BRACKETS[token.text]
+            )
         elif token.text == "[":
-            self._list(node, known)
-        elif not colon:
-            raise self._unreadable(token, node.path, "':' or '{'")
+            self._read_list(position, known)
+        elif not has_colon:
+            raise self._syntax_error(token, position.path, "':' or '{'")
         else:
-            self._scalar(token, node, known)
+            self._read_scalar(token, position, known)
 
-    def _list(self, node: FieldPosition, known: FieldDescriptor | None) -> None:
+    def _read_list(self, position: FieldPosition, known: FieldDescriptor | None) -> None:
         while self._peek().text != "]":
             token = self._take()
             if token.text in ("{", "<"):
-                self._body(node, known.message_type if known else None, CLOSING[token.text])
+                self._read_fields(position, known.message_type if known else None, CLOSING_BRACKETS[token.text])
             else:
-                self._scalar(token, node, known)
+                self._read_scalar(token, position, known)
             if self._peek().text == ",":
                 self._take()
         self._take()
 
-    def _scalar(self, token: _Token, node: FieldPosition, known: FieldDescriptor | None) -> None:
+    def _read_scalar(self, token: _Token, position: FieldPosition, known: FieldDescriptor | None) -> None:
         if token.kind not in ("string", "number", "word"):
-            raise self._unreadable(token, node.path, "a value")
+            raise self._syntax_error(token, position.path, "a value")
         while token.kind == "string" and self._peek().kind == "string":
-            self._take()
-        if known is not None and not _fits(token, known):
-            self._report(token, node.path, f"expected {_expected(known)}, got {token.text}")
+            self._take()  # adjacent strings form one value
+        if known is not None and not _is_valid_scalar(token, known):
+            self._report(token, position.path, f"expected {_describe_expected(known)}, got {token.text}")
 
 
-def _fits(token: _Token, known: FieldDescriptor) -> bool:
+def _is_valid_scalar(token: _Token, known: FieldDescriptor) -> bool:
     kind = known.cpp_type
     if kind == FieldDescriptor.CPPTYPE_STRING:
         return token.kind == "string"
@@ -223,33 +226,34 @@
         return known.enum_type is not None and token.text in known.enum_type.values_by_name
     if kind == FieldDescriptor.CPPTYPE_BOOL:
         return token.text in ("true", "false", "0", "1", "t", "f", "True", "False")
-    if kind in INTEGERS:
-        low, high = INTEGERS[kind]
+    if kind in INTEGER_RANGES:
+        low, high = INTEGER_RANGES[kind]
         try:
             return token.kind == "number" and low <= int(token.text, 0) <= high
         except ValueError:
             return False
-    return kind in FLOATS and token.kind == "number"
+    return kind in FLOAT_TYPES and token.kind == "number"
 
 
-def _expected(known: FieldDescriptor) -> str:
+def _describe_expected(known: FieldDescriptor) -> str:
     kind = known.cpp_type
     if known.enum_type is not None:
         return "one of " + ", ".join(known.enum_type.values_by_name)
-    if kind in INTEGERS:
-        return f"a whole number from {INTEGERS[kind][0]} to {INTEGERS[kind][1]}"
-    words = {
+    if kind in INTEGER_RANGES:
+        low, high = INTEGER_RANGES[kind]
+        return f"a whole number from {low} to {high}"
+    descriptions = {
         FieldDescriptor.CPPTYPE_STRING: "a string in quotes",
         FieldDescriptor.CPPTYPE_BOOL: "true or false",
         FieldDescriptor.CPPTYPE_MESSAGE: "a message in braces",
     }
-    return words.get(kind, "a finite number")
+    return descriptions.get(kind, "a finite number")
 
 
 def parse(text: str, message: MessageT, file: str) -> tuple[MessageT, FieldPosition, list[SettingsProblem]]:
-    """Read a file into a message; return it, the positions of its fields, and what is wrong with its form.
+    """Read a file into a message; return it, the positions of its fields, and the problems found while parsing.
 
-    Where the form is wrong the message is returned as it came.
+    If this reader finds problems, the message is returned unchanged.
     """
     reader = _Reader(text)
     root = reader.read(cast(Descriptor, message.DESCRIPTOR))
--- a/martenstep/config/tls.py
+++ b/martenstep/config/tls.py
@@ -1,8 +1,8 @@
-"""TLS contexts from settings, and the reload of their certificates.
+"""Builds TLS contexts from settings, and reloads their certificates.
 
-Versions below 1.2 are refused on both sides.  A reload puts the new certificate into the context that is in use:
-existing connections keep the old one, new connections get the new one.  The new files are tried in a context of their
-own first; if they cannot be used, the old ones stay.
+Clients and servers refuse TLS versions below 1.2.  A reload puts the new certificate into the context that is in use:
+existing connections keep the old certificate, new connections get the new one.  The new files are first loaded into a
+separate context; if they cannot be used, the old certificate stays in use.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class TlsError(Exception):
-    """A file that cannot be used: which, and why."""
+    """A certificate or key file that cannot be used; the text names the file and the reason."""
 
 
 def _load(context: ssl.SSLContext, certificate: str, key: str, ca: str) -> None:
@@ -40,12 +40,12 @@
     def __init__(self, settings: pb.ServerTls) -> None:
         """Load the files that the settings name; raises TlsError."""
         self._settings = settings
-        self.context = self._build()
+        self.context = self._build_context()
 
-    def _build(self) -> ssl.SSLContext:
+    def _build_context(self) -> ssl.SSLContext:
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-        only = self._settings.only_1_3
-        context.minimum_version = ssl.TLSVersion.TLSv1_3 if only else ssl.TLSVersion.TLSv1_2
+        requires_1_3 = self._settings.only_1_3
+        context.minimum_version = ssl.TLSVersion.TLSv1_3 if requires_1_3 else ssl.TLSVersion.TLSv1_2
         context.set_alpn_protocols(["http/1.1"])
         _load(context, self._settings.certificate, self._settings.key, self._settings.client_ca)
         if self._settings.client_ca:
@@ -53,12 +53,12 @@
         return context
 
     def reload(self) -> None:
-        """Load the files again; raises TlsError, and the old ones stay in use."""
-        self._build()
+        """Load the files again; raises TlsError if that fails, and then the old ones stay in use."""
+        self._build_context()
         _load(self.context, self._settings.certificate, self._settings.key, self._settings.client_ca)
 
     def days_left(self) -> float:
-        """Return the days until the certificate expires; below 0 where it has expired."""
+        """Return the days until the certificate expires; negative if it has expired."""
         return days_left(Path(self._settings.certificate))
 
 
@@ -71,7 +71,7 @@
         self.context = client_context(settings)
 
     def reload(self) -> None:
-        """Load the files again; raises TlsError, and the old ones stay in use."""
+        """Load the files again; raises TlsError if that fails, and then the old ones stay in use."""
         client_context(self._settings)
         _load(self.context, self._settings.certificate, self._settings.key, self._settings.ca)
 
@@ -85,7 +85,7 @@
 
 
 def days_left(file: Path) -> float:
-    """Return the days until the first certificate of a PEM file expires; raises TlsError."""
+    """Return the days until the first certificate in a PEM file expires; raises TlsError."""
     try:
         expires_at = x509.load_pem_x509_certificate(file.read_bytes()).not_valid_after_utc
     except (OSError, ValueError) as error:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: every fault with its file, line, column and field, all of them at once."""
+"""Settings: every problem is reported with its file, line, column and field, and all problems are reported together."""
 
 from __future__ import annotations
 
@@ -20,40 +20,41 @@
 from tests.engine_rig import SETTINGS
 
 
-def faults(text: str) -> list[str]:
+def reported_problems(text: str) -> list[str]:
+    """The lines of the error that invalid settings raise."""
     with pytest.raises(SettingsError) as caught:
         parse_door(text, "d")
     return str(caught.value).split("\n")
 
 
 def test_the_generated_code_is_current(tmp_path: Path) -> None:
-    for made in generate(tmp_path):
-        committed = ROOT / made.relative_to(tmp_path)
-        assert made.read_text() == committed.read_text(), f"run python -m martenstep.config.generate ({committed})"
+    for generated in generate(tmp_path):
+        committed = ROOT / generated.relative_to(tmp_path)
+        assert generated.read_text() == committed.read_text(), f"run python -m martenstep.config.generate ({committed})"
 
 
-def test_settings_become_the_modules() -> None:
-    told = build_policy_settings(parse_door(SETTINGS, "d"))
-    assert (told.instance, told.instances, told.max_attempts, told.has_counter) == (0, 2, 3, True)
-    write = told.classes[1]
+def test_settings_are_translated_to_those_of_the_policy() -> None:
+    built = build_policy_settings(parse_door(SETTINGS, "d"))
+    assert (built.instance, built.instances, built.max_attempts, built.has_counter) == (0, 2, 3, True)
+    write = built.classes[1]
     assert (write.idempotency, write.deduplication_scope, write.deduplication_window_ms) == (
         Idempotency.KEYED,
         DeduplicationScope.ZONE,
         3000.0,
     )
-    assert told.plans[0].burst == 20.0 and told.counter_timeout_ms == 50.0
+    assert built.plans[0].burst == 20.0 and built.counter_timeout_ms == 50.0
 
 
-def at(text: str, mark: str) -> str:
-    """Line and column of the place that `|` stands for in a piece of the text."""
-    before, _, after = mark.partition("|")
-    assert text.count(before + after) == 1, mark
-    place = text.index(before + after) + len(before)
-    return f"{text.count(chr(10), 0, place) + 1}:{place - text.rfind(chr(10), 0, place)}"
+def line_and_column(text: str, marked: str) -> str:
+    """Line and column of the position that `|` marks in an excerpt of the text."""
+    before, _, after = marked.partition("|")
+    assert text.count(before + after) == 1, marked
+    position = text.index(before + after) + len(before)
+    return f"{text.count(chr(10), 0, position) + 1}:{position - text.rfind(chr(10), 0, position)}"
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "mark", "told"),
+    ("old", "new", "marked", "problem"),
     [
         ('zone: "a"', "zone: 3", "zone: |3", "zone: expected a string in quotes, got 3"),
         (
@@ -102,18 +103,18 @@
             "|port: 70000",
             "members.port: expected a port from 1 to 65535, got 70000",
         ),
-        ("members { port: 1 }", "", '|\nname: "door-0"', "members: missing: a door needs a feed of its servers"),
+        ("members { port: 1 }", "", '|\nname: "door-0"', "members: missing: a gateway needs a feed of its endpoints"),
         (
             "timeout_ms: 50",
             "timeout_ms: 5000",
             "|timeout_ms: 5000",
-            "store.timeout_ms: expected below the shortest deadline of 4000",
+            "store.timeout_ms: expected below the shortest deadline of 4000, got 5000",
         ),
         (
             "store { port: 1 timeout_ms: 50 }",
             "store { topology: CLUSTER node { port: 2 } port: 1 timeout_ms: 50 }",
             "|port: 1 timeout_ms",
-            "store.port: given beside topology CLUSTER; nodes are for that",
+            "store.port: given beside topology CLUSTER, which uses node instead",
         ),
         (
             "store { port: 1 timeout_ms: 50 }",
@@ -125,31 +126,31 @@
             "store { port: 1 timeout_ms: 50 }",
             "store { topology: SENTINEL node { port: 2 } timeout_ms: 50 }",
             "|store { topology",
-            "store.primary_name: missing",
+            "store.primary_name: missing or empty",
         ),
         (
             "store { port: 1 timeout_ms: 50 }",
             "store { topology: CLUSTER node { port: 2 } database: 3 timeout_ms: 50 }",
             "|database: 3",
-            "store.database: expected 0: a cluster has no other",
+            "store.database: expected 0, got 3: a Redis Cluster has only database 0",
         ),
         (
             "store { port: 1 timeout_ms: 50 }",
             "store { port: 1 node { port: 2 } timeout_ms: 50 }",
             "|node { port: 2 }",
-            "store.node[0]: given beside topology ALONE; host and port are for that",
+            "store.node[0]: given beside topology ALONE, which uses host and port instead",
         ),
         (
             "store { port: 1 timeout_ms: 50 }",
             'store { port: 1 password_file: "none" timeout_ms: 50 }',
             '|password_file: "none"',
-            "store.password_file: there is no file 'none'",
+            "store.password_file: expected an existing file, but there is no file 'none'",
         ),
         (
             "store { port: 1 timeout_ms: 50 }",
             'store { port: 1 user: "door" timeout_ms: 50 }',
             '|user: "door"',
-            "store.user: given without password_file",
+            "store.user: given without password_file; a user needs a password",
         ),
         (
             "store { port: 1 timeout_ms: 50 }",
@@ -198,7 +199,7 @@
             "customer_segment: 2",
             'customer_segment: 2 customer_header: "x"',
             '|customer_header: "x" ',
-            "route[1].customer_header: given beside customer_segment; only one of them may be",
+            "route[1].customer_header: given beside customer_segment; only one of them may be set",
         ),
         (
             'customer { key: "free" plan: "open" }',
@@ -216,7 +217,7 @@
             "answer_slack_ms: 8",
             "warm_within_ms: 8",
             "|rules {",
-            "rules.fall_window_ms: missing, expected above 0 where servers start cold",
+            "rules.fall_window_ms: missing, expected above 0 where warm_within_ms is set",
         ),
         ('name: "door-0"', 'name: "door-0" name: "door-1"', '|name: "door-1"', "name: given twice"),
         ("rules {", "rules (", "rules |(", "rules: expected ':' or '{', got '('"),
@@ -228,23 +229,25 @@
         ),
     ],
 )
-def test_each_fault_is_told_in_one_line(old: str, new: str, mark: str, told: str) -> None:
+def test_each_problem_is_reported_in_one_line_with_its_position_and_field(
+    old: str, new: str, marked: str, problem: str
+) -> None:
     assert SETTINGS.count(old) == 1
     text = SETTINGS.replace(old, new)
-    assert faults(text) == [f"d:{at(text, mark)}: {told}"]
+    assert reported_problems(text) == [f"d:{line_and_column(text, marked)}: {problem}"]
 
 
-def test_all_faults_are_told_not_just_the_first() -> None:
+def test_all_problems_are_reported_not_just_the_first() -> None:
     text = (
         SETTINGS.replace('zone: "a"', "zone: 1")
         .replace("port: 1 timeout", "prot: 1 timeout")
         .replace("deadline_ms: 4000 effect: UNSAFE", 'deadline_ms: "long" effect: UNSAFE')
     )
-    assert [line.split(": ")[1] for line in faults(text)] == ["zone", "store.prot", "class[2].deadline_ms"]
-    assert len(faults("")) >= 6
+    assert [line.split(": ")[1] for line in reported_problems(text)] == ["zone", "store.prot", "class[2].deadline_ms"]
+    assert len(reported_problems("")) >= 6
 
 
-def test_a_file_that_cannot_be_read_is_told(tmp_path: Path) -> None:
+def test_a_file_that_cannot_be_read_is_reported(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match="No such file"):
         load_door(tmp_path / "none.txtpb")
     (tmp_path / "latin.txtpb").write_bytes(b'name: "\xff"')
@@ -254,12 +257,12 @@
         load_door(tmp_path)
 
 
-def test_what_the_program_writes_it_reads() -> None:
+def test_written_settings_are_read_back_unchanged() -> None:
     door = parse_door(SETTINGS, "d")
     assert parse_door(text_format.MessageToString(door), "d") == door
 
 
-def test_comments_lists_and_the_other_forms_of_text_format_are_read() -> None:
+def test_comments_lists_and_alternative_spellings_of_text_format_are_read() -> None:
     text = SETTINGS.replace("upstream {", "upstream < # comment }\n error_status: [500,\n 502] error_status: 0x1F6;")
     text = text.replace("connect_ms: 200 }", "connect_ms: 2e2 >").replace('"door-0"', "'door' \"-0\"")
     door = parse_door(text, "d")
@@ -269,7 +272,7 @@
 
 @given(st.text(alphabet="ab:{}<>[]\"'\\ \n0159.-#,;_x", max_size=80))
 @hypo(max_examples=300, deadline=None, derandomize=True)
-def test_no_text_brings_it_down(text: str) -> None:
+def test_arbitrary_text_raises_only_a_settings_error(text: str) -> None:
     with pytest.raises(SettingsError) as caught:
         parse_door(text, "d")
     assert all(line.startswith("d:") for line in str(caught.value).split("\n"))
@@ -277,21 +280,21 @@
 
 @given(st.sampled_from(SETTINGS.split()), st.sampled_from(["", "}", "{", '"', "-1", "1e400", "nan", "[", "x: 1"]))
 @hypo(max_examples=300, deadline=None, derandomize=True)
-def test_no_damage_to_a_good_file_brings_it_down(word: str, other: str) -> None:
+def test_a_damaged_valid_file_raises_only_a_settings_error(word: str, other: str) -> None:
     try:
         door = parse_door(SETTINGS.replace(word, other), "d")
     except SettingsError as error:
         assert error.problems
     else:
-        build_policy_settings(door)  # what passes the checks can be used
+        build_policy_settings(door)  # settings that pass the checks must be usable
 
 
-def test_customers_have_the_same_number_everywhere() -> None:
+def test_a_customers_number_depends_only_on_its_key() -> None:
     assert customer_id("anna") == customer_id("anna") < 1 << 33
     assert len({customer_id(f"c{n}") for n in range(10_000)}) == 10_000
 
 
-def test_the_compiler_is_only_needed_by_developers() -> None:
+def test_the_protobuf_compiler_is_imported_only_when_code_is_generated() -> None:
     source = (ROOT / "martenstep/config/generate.py").read_text()
     assert "import grpc_tools" not in source and importlib.util.find_spec("grpc_tools")
     assert pb.Door().listener.head_bytes == 16384
--- a/tests/test_config_changes.py
+++ b/tests/test_config_changes.py
@@ -1,4 +1,4 @@
-"""Differences between two settings: a change of any field is reported, with whether it needs a restart."""
+"""Differences between two settings: a change of any field is reported, with whether it requires a restart."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from google.protobuf.descriptor import FieldDescriptor
 
 from martenstep.config import door_pb2 as pb
-from martenstep.config.changes import LIVE, PARTS, differences
+from martenstep.config.changes import COMPONENT_MESSAGES, LIVE_FIELDS, differences
 from tests.engine_rig import gateway_settings
 
 
 def fields(descriptor: Any = pb.Door.DESCRIPTOR, prefix: str = "") -> list[tuple[str, Any]]:
-    """All fields of the schema with their paths, except fields within lists."""
+    """All fields of the schema with their paths, except the fields of repeated messages."""
     found = []
     for field in descriptor.fields:
         found.append((prefix + field.name, field))
@@ -57,15 +57,15 @@
     found = differences(before, after)
     if not field.is_repeated and field.message_type is not None:
         is_present = path.split(".")[0] in ("store", "members", "hooks") and "." not in path
-        assert bool(found) == (field.name in PARTS and not is_present)
+        assert bool(found) == (field.name in COMPONENT_MESSAGES and not is_present)
     else:
         named = [one for one in found if one.path == path or path.startswith(one.path + ".")]
-        assert named and named == found and named[0].live == (path in LIVE)
+        assert named and named == found and named[0].live == (path in LIVE_FIELDS)
     assert not differences(after, after) and all(one.before != one.after for one in found)
 
 
 def test_every_live_field_is_in_the_schema() -> None:
-    assert {path for path, _ in fields()} >= LIVE
+    assert {path for path, _ in fields()} >= LIVE_FIELDS
 
 
 def test_changed_list_entries_are_named_and_secrets_are_hidden() -> None:
