--- a/martenstep/auth/__init__.py
+++ b/martenstep/auth/__init__.py
@@ -1,5 +1,5 @@
-"""Forward authentication: asking a service whether a request may pass, before anything else is decided on it.
+"""Forward authentication: a service decides whether a request is allowed, before the policy decides anything on it.
 
-May live here: the decisions on checks (`core`) and the reading of sub-requests (`answerer`), both free of I/O.  May
-not: sockets, quota, the choice of endpoints.
+This package contains the logic of checks (`core`) and the parsing of sub-requests (`answerer`), both free of I/O.  It
+must not contain sockets, quotas or the choice of endpoints.
 """
--- a/martenstep/auth/messages.py
+++ b/martenstep/auth/messages.py
@@ -1,4 +1,4 @@
-"""What the decisions on authorization checks take in and give out: bounds, replies and actions."""
+"""Inputs and outputs of the logic of authorization checks: configured limits, verdicts and actions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unasked:
-    """Why a sub-request of an edge proxy is rejected."""
+    """The rejection of an edge proxy's sub-request: the response's status and reason."""
 
     status: int
     reason: str
@@ -17,36 +17,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Configured bounds; times in milliseconds."""
+    """Configured limits; times in milliseconds."""
 
-    share: float = 0.5  # of what is left of the client's deadline goes to its check at most
-    attempt_ms: float = 500.0  # time-out of one attempt
-    attempts: int = 2  # of one check, each at another service where there is one
-    per_service: int = 64  # checks in flight at one service
-    total: int = 256  # and at all of them
-    waiting: int = 2000  # requests that wait for a check to begin
-    cache_entries: int = 10_000
-    cache_ms: float = 60_000.0  # a verdict for a credential is cached no longer, whatever the service allows
-    deny_ms: float = 5_000.0  # and one against it
-    open_ms: float = 500.0  # how long a breaker stays open at first
+    max_deadline_share: float = 0.5  # share of a request's remaining time before its deadline that its check may take
+    attempt_timeout_ms: float = 500.0
+    max_attempts: int = 2  # of one check, each at a different service if there is one
+    max_in_flight_per_service: int = 64  # checks
+    max_in_flight: int = 256  # checks at all services together
+    max_waiting: int = 2000  # requests whose check has not started
+    max_cache_entries: int = 10_000
+    max_allow_cache_ms: float = 60_000.0  # a verdict that allows is cached no longer, whatever the service permits
+    max_deny_cache_ms: float = 5_000.0  # the same limit for a verdict that denies
+    initial_breaker_open_ms: float = 500.0  # how long a circuit breaker stays open when it opens for the first time
 
 
 class Reason(Enum):
-    """Why there is no verdict, as logs and error responses give it."""
+    """Why there is no verdict; logs and error responses contain the value."""
 
-    LATE = "check late"  # the request's part of the deadline is over
-    FAILED = "check failed"  # no service gave one
-    SHED = "check shed"  # too many wait
+    LATE = "check late"  # the share of the request's deadline that its check may take is over
+    FAILED = "check failed"  # no service returned a verdict
+    SHED = "check shed"  # too many requests wait for a check
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A service's verdict; status 2xx allows the request."""
+    """A service's verdict; a 2xx status allows the request."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body: bytes = b""
-    keep_ms: float = 0.0  # how long it may be cached, by its Cache-Control
+    cache_lifetime_ms: float = 0.0  # how long its Cache-Control header allows it to be cached
 
     @property
     def allows(self) -> bool:
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Start:
-    """Start an attempt of a check at a service; `payload` is what the first request brought."""
+    """Start an attempt of a check at a service; `payload` is the one given with the check's first request."""
 
     check: int
     attempt: int
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class Stop:
-    """Cancel an attempt; what still comes of it is ignored."""
+    """Cancel an attempt; a response or failure that still arrives for it is ignored."""
 
     check: int
     attempt: int
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Allow:
-    """The request is allowed; `answer` is None where it passes without a verdict (fail open)."""
+    """The request is allowed; `answer` is None if there is no verdict and the route fails open."""
 
     request_id: int
     answer: Answer | None
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class Deny:
-    """The request is denied: the service's answer is the client's."""
+    """The request is denied: the client receives the service's answer."""
 
     request_id: int
     answer: Answer
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True)
 class NoVerdict:
-    """No verdict, and the route fails closed."""
+    """There is no verdict and the route fails closed, so the request is rejected."""
 
     request_id: int
     reason: Reason
--- a/martenstep/auth/verdict_cache.py
+++ b/martenstep/auth/verdict_cache.py
@@ -1,4 +1,4 @@
-"""Verdicts that are cached, and the requests that were allowed by one and not forwarded yet."""
+"""The cache of verdicts, and the requests that were allowed but have not been forwarded yet."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 
 
 class VerdictCache:
-    """The verdicts on credentials, by digest, as long as the service and the configured bounds allow."""
+    """Verdicts by the credential's digest, kept as long as both the service and the configured limits allow."""
 
     def __init__(self, rules: Rules) -> None:
-        """Begin empty."""
+        """Create an empty cache."""
         self._rules = rules
-        self._entries: OrderedDict[bytes, tuple[float, Answer]] = OrderedDict()  # until when, and the verdict
+        self._entries: OrderedDict[bytes, tuple[float, Answer]] = (
+            OrderedDict()
+        )  # expiry time and verdict, the least recently used first
 
     def __len__(self) -> int:
         """Number of entries."""
         return len(self._entries)
 
     def get(self, now: float, credential: bytes) -> Answer | None:
-        """The verdict on a credential, if one is cached and fresh."""
+        """The verdict on a credential; None if none is cached or it has expired."""
         entry = self._entries.get(credential)
         if entry is None:
             return None
@@ -34,23 +36,23 @@
         return entry[1]
 
     def put(self, now: float, credential: bytes, answer: Answer) -> None:
-        """Take in a new verdict, in place of any other on this credential."""
-        max_ms = self._rules.cache_ms if answer.allows else self._rules.deny_ms
-        lifetime_ms = min(answer.keep_ms, max_ms)
+        """Store a new verdict, which replaces an earlier one on this credential even if it may not be cached itself."""
+        max_ms = self._rules.max_allow_cache_ms if answer.allows else self._rules.max_deny_cache_ms
+        lifetime_ms = min(answer.cache_lifetime_ms, max_ms)
         if lifetime_ms <= 0:
             self._entries.pop(credential, None)
             return
         self._entries[credential] = now + lifetime_ms, answer
         self._entries.move_to_end(credential)
-        while len(self._entries) > self._rules.cache_entries:
+        while len(self._entries) > self._rules.max_cache_entries:
             self._entries.popitem(last=False)
 
 
 class AllowedRequests:
-    """The requests that were allowed and not forwarded yet: a later verdict against their credential denies them."""
+    """Requests that were allowed but not forwarded yet; a later verdict against their credential still denies them."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty collection."""
         self._credentials: dict[int, bytes] = {}  # by request id
         self._requests: dict[bytes, set[int]] = {}  # by credential
 
@@ -59,12 +61,12 @@
         return len(self._credentials)
 
     def add(self, request_id: int, credential: bytes) -> None:
-        """A request was allowed."""
+        """Add a request that was allowed."""
         self._credentials[request_id] = credential
         self._requests.setdefault(credential, set()).add(request_id)
 
     def remove(self, request_id: int) -> None:
-        """A request was forwarded, or is over; nothing where it was not allowed."""
+        """Remove a request that was forwarded or has ended; does nothing if it is not in the collection."""
         credential = self._credentials.pop(request_id, None)
         if credential is not None:
             requests = self._requests[credential]
@@ -73,12 +75,12 @@
                 del self._requests[credential]
 
     def by_credential(self, credential: bytes) -> list[int]:
-        """The requests that were allowed with a credential, oldest id first."""
+        """The requests that were allowed with a credential, sorted by id."""
         return sorted(self._requests.get(credential, ()))
 
 
 def parse_cache_lifetime_ms(headers: Sequence[tuple[bytes, bytes]]) -> float:
-    """How long Cache-Control lets a shared cache store a response, in milliseconds; 0 where it does not say.
+    """How long Cache-Control allows a shared cache to store a response, in milliseconds; 0 if it gives no time.
 
     Source: RFC 9111, 5.2.2.
     """
--- a/martenstep/auth/wait_queue.py
+++ b/martenstep/auth/wait_queue.py
@@ -1,4 +1,4 @@
-"""The requests that wait for a check to start, by group, and which of them is shed where too many wait."""
+"""The requests that wait for a check to start, by group; the next request to be shed comes from the largest group."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class WaitingRequest:
-    """One request that waits for a verdict."""
+    """A request that waits for a verdict."""
 
     request_id: int
     deadline: float
@@ -18,45 +18,45 @@
 
 
 class GroupedWaitQueue:
-    """Finds the oldest request of the largest group, each step in constant time, however many groups there are."""
+    """Finds the oldest request of the largest group; each operation takes constant time for any number of groups."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty queue."""
         self._groups: dict[str, OrderedDict[int, WaitingRequest]] = {}
         self._groups_by_size: dict[int, OrderedDict[str, None]] = {}
-        self._largest = 0
+        self._largest_size = 0
         self.total = 0
 
     def add(self, request: WaitingRequest) -> None:
-        """One more request waits."""
+        """Add a waiting request."""
         requests = self._groups.setdefault(request.group, OrderedDict())
         requests[request.request_id] = request
         self.total += 1
-        self._resize(request.group, len(requests) - 1, len(requests))
+        self._update_size(request.group, len(requests) - 1, len(requests))
 
     def remove(self, request: WaitingRequest) -> None:
-        """One request waits no longer; nothing where it did not."""
+        """Remove a request that no longer waits; does nothing if it is not in the queue."""
         requests = self._groups.get(request.group)
         if requests is None or requests.pop(request.request_id, None) is None:
             return
         self.total -= 1
-        self._resize(request.group, len(requests) + 1, len(requests))
+        self._update_size(request.group, len(requests) + 1, len(requests))
         if not requests:
             del self._groups[request.group]
 
     def oldest_of_largest_group(self) -> WaitingRequest:
-        """The request that is shed next."""
-        group = next(iter(self._groups_by_size[self._largest]))
+        """The request to shed next; among groups of equal size, the one that has had that size longest is chosen."""
+        group = next(iter(self._groups_by_size[self._largest_size]))
         return next(iter(self._groups[group].values()))
 
-    def _resize(self, group: str, old: int, new: int) -> None:
-        if old:
-            groups = self._groups_by_size[old]
+    def _update_size(self, group: str, old_size: int, new_size: int) -> None:
+        if old_size:
+            groups = self._groups_by_size[old_size]
             del groups[group]
             if not groups:
-                del self._groups_by_size[old]
-        if new:
-            self._groups_by_size.setdefault(new, OrderedDict())[group] = None
-        self._largest = max(self._largest, new)
-        while self._largest and self._largest not in self._groups_by_size:
-            self._largest -= 1
+                del self._groups_by_size[old_size]
+        if new_size:
+            self._groups_by_size.setdefault(new_size, OrderedDict())[group] = None
+        self._largest_size = max(self._largest_size, new_size)
+        while self._largest_size and self._largest_size not in self._groups_by_size:
+            self._largest_size -= 1
--- a/tests/test_forward_auth.py
+++ b/tests/test_forward_auth.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
 
-from martenstep.auth.answerer import About, Answerer
+from martenstep.auth.answerer import Answerer, SubjectRequest
 from martenstep.auth.core import Unasked
 from martenstep.config import door_pb2 as pb
 from martenstep.config.loading import parse_door
@@ -139,19 +139,19 @@
 
 def read_sub_request(
     profile: pb.ForwardAuth.Profile, target: bytes, headers: list[tuple[bytes, bytes]]
-) -> About | Unasked:
+) -> SubjectRequest | Unasked:
     return Answerer(pb.ForwardAuth(profile=profile)).read(b"POST", target, headers, "127.0.0.1")
 
 
 def test_profiles_of_common_proxies() -> None:
-    about = About(b"PUT", b"/read/1?x=1")
+    about = SubjectRequest(b"PUT", b"/read/1?x=1")
     forwarded = [(b"x-forwarded-method", b"PUT"), (b"x-forwarded-uri", b"/read/1?x=1")]
     assert read_sub_request(pb.ForwardAuth.FORWARDED, b"/auth", forwarded) == about
     for name in (b"x-original-uri", b"x-original-url"):
         original = [(b"x-original-method", b"put"), (name, b"/read/1?x=1")]
         assert read_sub_request(pb.ForwardAuth.ORIGINAL, b"/auth", original) == about
-    assert read_sub_request(pb.ForwardAuth.SAME, b"/auth/read/1?x=1", []) == About(b"POST", b"/read/1?x=1")
-    assert read_sub_request(pb.ForwardAuth.SAME, b"/auth", []) == About(b"POST", b"/")
+    assert read_sub_request(pb.ForwardAuth.SAME, b"/auth/read/1?x=1", []) == SubjectRequest(b"POST", b"/read/1?x=1")
+    assert read_sub_request(pb.ForwardAuth.SAME, b"/auth", []) == SubjectRequest(b"POST", b"/")
     assert read_sub_request(pb.ForwardAuth.SAME, b"/authority/read", []) == Unasked(404, "no route")
     assert read_sub_request(pb.ForwardAuth.ORIGINAL, b"/auth", forwarded) == Unasked(400, "no request told")
 
