--- a/martenstep/cli/__init__.py
+++ b/martenstep/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line.
+"""The command line: sub-commands, their options, and how errors are printed.
 
-May live here: sub-commands, their options and how faults are told.  May not: anything a library user would miss.
+This package must not contain anything that a user of the library would need.
 """
--- a/martenstep/cli/admin_client.py
+++ b/martenstep/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Requests to a gateway's admin listener; a failure ends the program with a line and exit 1."""
+"""Requests to a gateway's admin listener; if a request fails, the program prints one line and exits with 1."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def send_request(admin: str, method: str, path: str) -> dict[str, Any]:
-    """Send one request and return its JSON object; exits with 1 where that fails."""
+    """Send one request and return the JSON object of its response; exits with 1 if that fails."""
     host, port = parse_address("--admin", admin)
     connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
@@ -29,7 +29,7 @@
         response = connection.getresponse()
         body = response.read()
         if response.status != 200:
-            exit_with_error(f"{admin} answers {response.status}: {body.decode(errors='replace').strip()}")
+            exit_with_error(f"{admin} answered with status {response.status}: {body.decode(errors='replace').strip()}")
         return msgspec.json.decode(body, type=dict[str, Any])
     except (OSError, http.client.HTTPException, msgspec.DecodeError) as error:
         exit_with_error(f"{admin}: {error}")
--- a/martenstep/cli/common.py
+++ b/martenstep/cli/common.py
@@ -1,4 +1,4 @@
-"""What all commands share: the example in their help, exit codes, addresses, and how problems are printed."""
+"""Shared by all commands: the example in the help, exit codes, parsing of addresses, tables and error output."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 def example(text: str) -> str:
-    """Format an example below the help, on a line of its own."""
+    """Format an example as the end of a command's help, on a separate line that click does not wrap."""
     return f"\b\nExample:\n  {text}"
 
 
 def exit_with_problems(error: SettingsError) -> NoReturn:
-    """Print all that is wrong with a file, and exit."""
+    """Print all problems of a settings file and exit with EXIT_USAGE."""
     for problem in error.problems:
         click.echo(problem.describe(error.file), err=True)
     sys.exit(EXIT_USAGE)
 
 
 def parse_address(option: str, text: str) -> tuple[str, int]:
-    """Parse an option's HOST:PORT; raises UsageError."""
+    """Parse the HOST:PORT of an option; raises click.UsageError."""
     address = parse_host_port(text)
     if address is None:
         raise click.UsageError(f"{option}: expected HOST:PORT, got {text!r}")
--- a/martenstep/cli/copies.py
+++ b/martenstep/cli/copies.py
@@ -1,4 +1,4 @@
-"""`martenstep copies`: what the gateways hold for each other, from an admin listener or read from disk."""
+"""`martenstep copies`: the replicas that gateways hold for each other, from an admin listener or read from disk."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def describe_state(group: dict[str, Any], count: int) -> str:
-    """Describe what operators should know of a group, in a few words."""
+    """Summarize the problems and pending changes of a replica group; `-` if there are none."""
     remarks = []
     if not group["proven"]:
         remarks.append("not proven")
     if group["leader"] is None:
         remarks.append("no leader")
-    there = sum(one["present"] and one["counts"] for one in group["at"])
+    present = sum(one["present"] and one["counts"] for one in group["at"])
     counting = sum(one["counts"] for one in group["at"])
-    if there <= counting // 2:
+    if present <= counting // 2:
         remarks.append("MAJORITY LOST")
-    elif there < count:
+    elif present < count:
         remarks.append("under strength")
     if any(not one["counts"] for one in group["at"]):
         remarks.append("filling")
@@ -38,7 +38,7 @@
 
 
 def format_table(view: dict[str, Any]) -> str:
-    """Format a view as a table for operators."""
+    """Format the view of the admin page as a table."""
     rows = [COLUMNS]
     for group in view["groups"]:
         locations = [
@@ -66,13 +66,13 @@
 
 @click.group()
 def copies() -> None:
-    """What the gateways hold for each other."""
+    """The replicas that the gateways hold for each other."""
 
 
 @copies.command("identity", epilog=example("martenstep copies identity /var/lib/martenstep/copies"))
 @click.argument("directory", type=click.Path(path_type=Path, file_okay=False))
 def identity(directory: Path) -> None:
-    """Print the number of the replicas' disk DIRECTORY, for `founder` in the settings; an empty one gets one."""
+    """Print the identity number of the disk at DIRECTORY, for `founder` in the settings; a new disk gets one."""
     import contextlib
 
     from martenstep.replication.errors import ReplicaManagerError
@@ -88,7 +88,7 @@
 
 @copies.command("show", epilog=example("martenstep copies show --admin 127.0.0.1:9080"))
 @ADMIN
-@click.option("--json", "as_json", is_flag=True, help="The whole view as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole view as JSON.")
 def show(admin: str, as_json: bool) -> None:
     """Print the replicas that a gateway holds."""
     view = send_request(admin, "GET", "/copies")
@@ -97,20 +97,20 @@
 
 @copies.command("move", epilog=example("martenstep copies move counter-3 --to d002 --admin 127.0.0.1:9080"))
 @click.argument("group")
-@click.option("--to", required=True, help="Name of the gateway that is to lead.")
+@click.option("--to", required=True, help="Name of the gateway that becomes the leader.")
 @ADMIN
 def move(group: str, to: str, admin: str) -> None:
-    """Let another gateway lead GROUP, which the gateway that is asked leads."""
+    """Transfer the leadership of GROUP to another gateway.  The gateway at --admin must be its leader."""
     send_request(admin, "POST", "/copies/move?" + urlencode({"group": group, "to": to}))
-    click.echo(f"{group} is handed to {to}")
+    click.echo(f"{group}: leadership is transferred to {to}")
 
 
 @copies.command("verify", epilog=example("martenstep copies verify /var/lib/martenstep/copies"))
 @click.argument("directory", type=click.Path(path_type=Path, file_okay=False, exists=True), nargs=-1, required=True)
 def verify(directory: tuple[Path, ...]) -> None:
-    """Compare the stored replicas of gateways that do not run.
+    """Compare the stored replicas of gateways that are stopped.
 
-    Exit 1 where one is damaged or two of the same group differ.
+    Exits with 1 if a replica is damaged or two replicas of the same group differ.
     """
     from martenstep.replication.verify import find_differences, read_folder
     from martenstep.storage.files import LockedError
@@ -123,8 +123,8 @@
         click.echo(
             f"{one.folder}: " + (one.error or f"copy {one.replica}, term {one.state.term}, entries to {one.last_index}")
         )
-    wrong = find_differences(found)
-    for line in wrong:
+    differences = find_differences(found)
+    for line in differences:
         click.echo(line)
-    if wrong or any(one.error for one in found):
+    if differences or any(one.error for one in found):
         sys.exit(1)
--- a/martenstep/cli/counter.py
+++ b/martenstep/cli/counter.py
@@ -1,4 +1,4 @@
-"""`martenstep counter`: the counter service, and its log read back."""
+"""`martenstep counter`: runs the counter service, replicates its log, and reads logs."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 @click.group("counter")
 def counter() -> None:
-    """The project's own counter service, and its log read back."""
+    """The project's own counter service, and commands that read or repair its log."""
 
 
 DIRECTORY = click.argument("directory", type=click.Path(path_type=Path, exists=True, file_okay=False))
 
 
 @contextlib.contextmanager
-def _log_faults() -> Iterator[None]:
-    """What can be wrong with a log, or with what serves it, is told in a line; exit 1."""
+def _exit_on_error() -> Iterator[None]:
+    """Print an expected error of a log, a replica or a service in one line and exit with 1."""
     from martenstep.config.tls import TlsError
     from martenstep.counter.follower import LeaderRejectedError
     from martenstep.counter.replica_process import ReplicaError
@@ -52,7 +52,7 @@
         settings = load_service(file)
     except SettingsError as error:
         exit_with_problems(error)
-    with _log_faults():
+    with _exit_on_error():
         if settings.HasField("copies"):
             from martenstep.counter import replica_process
 
@@ -69,51 +69,54 @@
     "--witness",
     type=click.Path(path_type=Path, file_okay=False),
     required=True,
-    help="The copy's witness directory, as in its settings.",
+    help="Witness directory of the replica, as in its settings.",
 )
 def counter_identity(directory: Path, witness: Path) -> None:
-    """Print which copy's disk DIRECTORY is; an empty one becomes a new copy's."""
+    """Print the identity of the replica whose disk is DIRECTORY; an empty directory becomes that of a new replica."""
     from martenstep.counter.replica_process import read_identity
 
-    with _log_faults():
+    with _exit_on_error():
         click.echo(read_identity(directory, witness))
 
 
 @counter.command("follow", epilog=example("martenstep counter follow /var/lib/martenstep/copy --leader 10.0.0.5:6400"))
 @click.argument("directory", type=click.Path(path_type=Path, file_okay=False))
-@click.option("--leader", required=True, help="HOST:PORT of the service.")
+@click.option("--leader", required=True, help="HOST:PORT of the service that is the leader.")
 def counter_follow(directory: Path, leader: str) -> None:
-    """Keep a copy of a service's log in DIRECTORY until SIGTERM."""
-    from martenstep.counter import follower as follow
+    """Replicate a service's log to DIRECTORY until SIGTERM."""
+    from martenstep.counter.follower import Follower
 
     address = parse_address("--leader", leader)
-    with _log_faults(), contextlib.suppress(KeyboardInterrupt), contextlib.closing(follow.Follower(directory)) as made:
-        click.echo(msgspec.json.encode({"ready": {"records": made.record_count, "term": made.term}}))
-        asyncio.run(made.run(*address))
+    with _exit_on_error(), contextlib.suppress(KeyboardInterrupt), contextlib.closing(Follower(directory)) as follower:
+        click.echo(msgspec.json.encode({"ready": {"records": follower.record_count, "term": follower.term}}))
+        asyncio.run(follower.run(*address))
 
 
 @counter.command("promote", epilog=example("martenstep counter promote /var/lib/martenstep/copy"))
 @DIRECTORY
 def counter_promote(directory: Path) -> None:
-    """Begin a new term in a follower's log.  Serve it then, and point the gateways at it: the old leader is fenced."""
-    from martenstep.counter import follower as follow
+    """Begin a new term in a follower's log.
 
-    with _log_faults():
-        term = follow.promote(directory)
+    Afterwards run a service on this log and configure the gateways to use it; the old leader is then fenced.
+    """
+    from martenstep.counter import follower
+
+    with _exit_on_error():
+        term = follower.promote(directory)
     click.echo(f"term {term} has begun")
 
 
 @counter.command("verify", epilog=example("martenstep counter verify /var/lib/martenstep/counter"))
 @DIRECTORY
 def counter_verify(directory: Path) -> None:
-    """Read all of a log; exit 1 at the first damage, with file and offset."""
-    from martenstep.counter import log_inspection as read
+    """Read a whole log; at the first damage print its file and offset and exit with 1."""
+    from martenstep.counter import log_inspection
 
-    with _log_faults():
-        found = read.verify(directory)
+    with _exit_on_error():
+        summary = log_inspection.verify(directory)
     click.echo(
-        f"{found.records} records in {found.segments} segments, {found.snapshots} snapshots, all whole; "
-        f"{found.torn_bytes} bytes of a torn tail"
+        f"{summary.records} records in {summary.segments} segments, {summary.snapshots} snapshots, all whole; "
+        f"{summary.torn_bytes} bytes of a torn tail"
     )
 
 
@@ -124,31 +127,33 @@
     ),
 )
 @DIRECTORY
-@click.option("--file", "name", required=True, help="The segment that verify names.")
-@click.option("--upto", type=int, required=True, help="Offset that it is cut at.")
+@click.option("--file", "name", required=True, help="Name of the damaged segment, as printed by verify.")
+@click.option("--upto", type=int, required=True, help="Byte offset at which the segment is truncated.")
 def counter_repair(directory: Path, name: str, upto: int) -> None:
-    """Cut a damaged log.  What is cut may have been acknowledged: only with a backup at hand."""
-    from martenstep.counter import log_inspection as read
+    """Truncate a damaged log.  The removed records may have been acknowledged, so make a backup first."""
+    from martenstep.counter import log_inspection
 
-    with _log_faults():
-        lost = read.repair(directory, name, upto)
-    click.echo(f"{lost} bytes are cut")
+    with _exit_on_error():
+        removed_bytes = log_inspection.repair(directory, name, upto)
+    click.echo(f"{removed_bytes} bytes were removed")
 
 
-PERIOD = click.option("--period-ms", type=float, default=3_600_000.0, help="As the service's settings have it.")
+PERIOD = click.option(
+    "--period-ms", type=float, default=3_600_000.0, help="Length of a period, as in the service's settings."
+)
 
 
 @counter.command("rebuild", epilog=example("martenstep counter rebuild /var/lib/martenstep/counter"))
 @DIRECTORY
 @PERIOD
 def counter_rebuild(directory: Path, period_ms: float) -> None:
-    """Rebuild the state from the log, and print the totals by customer, plan and period as JSON lines."""
-    from martenstep.counter import log_inspection as read
+    """Rebuild the state from a log and print the totals by customer, plan and period as JSON lines."""
+    from martenstep.counter import log_inspection
     from martenstep.counter.state import CounterLimits
 
-    with _log_faults():
-        made = read.rebuild_from_log(directory, CounterLimits(period_ms=period_ms))
-    for (customer, plan, period), use in sorted(made.usage().items()):
+    with _exit_on_error():
+        state = log_inspection.rebuild_from_log(directory, CounterLimits(period_ms=period_ms))
+    for (customer, plan, period), use in sorted(state.usage().items()):
         click.echo(
             msgspec.json.encode(
                 {
@@ -161,14 +166,14 @@
                 }
             )
         )
-    click.echo(msgspec.json.encode(made.sizes), err=True)
+    click.echo(msgspec.json.encode(state.sizes), err=True)
 
 
-def _export(directory: Path, customer: str | None, since: float | None, until: float | None) -> None:
-    from martenstep.counter import log_inspection as read
+def _print_attempts(directory: Path, customer: str | None, since: float | None, until: float | None) -> None:
+    from martenstep.counter import log_inspection
 
-    with _log_faults():
-        for gateway, attempt in read.iterate_attempts(
+    with _exit_on_error():
+        for gateway, attempt in log_inspection.iterate_attempts(
             directory, customer, float("-inf") if since is None else since, float("inf") if until is None else until
         ):
             click.echo(
@@ -187,8 +192,8 @@
             )
 
 
-SINCE = click.option("--from", "since", type=float, default=None, help="Unix ms.")
-UNTIL = click.option("--to", "until", type=float, default=None, help="Unix ms.")
+SINCE = click.option("--from", "since", type=float, default=None, help="Start of the time range in Unix ms.")
+UNTIL = click.option("--to", "until", type=float, default=None, help="End of the time range in Unix ms.")
 
 
 @counter.command("history", epilog=example("martenstep counter history /var/lib/martenstep/counter ada --from 1.7e12"))
@@ -197,8 +202,8 @@
 @SINCE
 @UNTIL
 def counter_history(directory: Path, customer: str, since: float | None, until: float | None) -> None:
-    """Print the recorded attempts of CUSTOMER as JSON lines."""
-    _export(directory, customer, since, until)
+    """Print the attempts of CUSTOMER that the log contains as JSON lines."""
+    _print_attempts(directory, customer, since, until)
 
 
 @counter.command("export", epilog=example("martenstep counter export /var/lib/martenstep/counter > tries.jsonl"))
@@ -206,5 +211,5 @@
 @SINCE
 @UNTIL
 def counter_export(directory: Path, since: float | None, until: float | None) -> None:
-    """Print all recorded attempts that the log keeps as JSON lines."""
-    _export(directory, None, since, until)
+    """Print all attempts that the log contains as JSON lines."""
+    _print_attempts(directory, None, since, until)
--- a/martenstep/cli/fleet.py
+++ b/martenstep/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`martenstep lab fleet`: schedules of faults between gateways, with real processes and in virtual time."""
+"""`martenstep lab fleet`: runs schedules of faults between gateways, with real processes or in virtual time."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     from martenstep.lab.fleet.plays import Played
 
 FILE = click.Path(path_type=Path)
-MAX_PRINTED_VIOLATIONS = 10  # of one run
+MAX_PRINTED_VIOLATIONS = 10  # for each run
 PRINTED_FIGURES = ("false_deaths", "suspicions", "kills", "kills_known_to_all", "sent_a_second", "sent_bytes_a_second")
 PRINTED_DISTRIBUTIONS = ("first_detection_ms", "known_to_all_ms", "healed_ms")
 
 
 @click.group("fleet")
 def fleet() -> None:
-    """Fleets of gateways that break on purpose, judged from what each of them believed."""
+    """Fleets of gateways with injected faults, checked against what each gateway recorded of the membership."""
 
 
 def _summary(name: str, breaches: list[str], figures: dict[str, Any]) -> str:
@@ -50,10 +50,12 @@
 
 @fleet.command("run", epilog=example("martenstep lab fleet run days/fleet/halves.txtpb --out out/halves"))
 @click.argument("file", type=FILE)
-@click.option("--out", type=FILE, required=True, help="Folder for records, logs and disks; an old play there goes.")
+@click.option(
+    "--out", type=FILE, required=True, help="Folder for records, logs and disks; an earlier run in it is deleted."
+)
 @click.option("--seed", type=int, default=1, show_default=True)
 def run(file: Path, out: Path, seed: int) -> None:
-    """Run the schedule in FILE between real gateways on loopback; exit 3 where an invariant is violated."""
+    """Run the schedule in FILE with real gateways on loopback; exits with 3 if an invariant is violated."""
     from martenstep.lab.fleet.judge import judge
     from martenstep.lab.fleet.rig import play_rig
     from martenstep.lab.fleet.schedule import load_schedule
@@ -71,7 +73,7 @@
         click.echo(f"{file}: {error}", err=True)
         sys.exit(1)
     except KeyboardInterrupt:
-        click.echo(f"{file}: interrupted; all processes are ended", err=True)
+        click.echo(f"{file}: interrupted; all processes were stopped", err=True)
         sys.exit(1)
     verdict = judge(schedule, records)
     _exit_with_result(out, schedule.name, verdict.breaches, {**verdict.figures, "ready_s": round(ready_s, 2)})
@@ -80,7 +82,7 @@
 @fleet.command("check", epilog=example("martenstep lab fleet check out/halves"))
 @click.argument("folder", type=FILE)
 def check(folder: Path) -> None:
-    """Check the records in FOLDER again, alone; exit 3 where an invariant is violated."""
+    """Check the records of an earlier run in FOLDER again; exits with 3 if an invariant is violated."""
     from martenstep.lab.fleet.judge import judge
     from martenstep.lab.fleet.records import RecordError, read_records
     from martenstep.lab.fleet.schedule import load_schedule
@@ -98,15 +100,23 @@
 
 @fleet.command("emulate", epilog=example("martenstep lab fleet emulate days/fleet/*.txtpb --seeds 20"))
 @click.argument("files", type=FILE, nargs=-1, required=True)
-@click.option("--seeds", type=click.IntRange(1, 100_000), default=1, show_default=True, help="Plays of each.")
-@click.option("--first", type=int, default=1, show_default=True, help="The first seed.")
-@click.option("--members", type=click.IntRange(2, 400), default=None, help="In place of the schedules' own.")
-@click.option("--workers", type=click.IntRange(1, 256), default=None, help="Processes; all cores otherwise.")
-@click.option("--json", "as_json", is_flag=True, help="One line of JSON for each play.")
+@click.option(
+    "--seeds", type=click.IntRange(1, 100_000), default=1, show_default=True, help="Number of runs of each schedule."
+)
+@click.option(
+    "--first", type=int, default=1, show_default=True, help="Seed of the first run; later runs use the next numbers."
+)
+@click.option(
+    "--members", type=click.IntRange(2, 400), default=None, help="Number of members; by default that of each schedule."
+)
+@click.option(
+    "--workers", type=click.IntRange(1, 256), default=None, help="Number of processes; by default one for each core."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON for each run.")
 def emulate(
     files: tuple[Path, ...], seeds: int, first: int, members: int | None, workers: int | None, as_json: bool
 ) -> None:
-    """Run the schedules of FILES in virtual time, each with several seeds; exit 3 where an invariant is violated."""
+    """Run the schedules in FILES in virtual time with several seeds; exits with 3 if an invariant is violated."""
     from martenstep.lab.fleet.plays import play_all
 
     texts = [(_schedule_text(file, members), str(file)) for file in files]
@@ -121,7 +131,7 @@
 
 
 def _schedule_text(file: Path, members: int | None) -> str:
-    """Load a schedule and return its text, with another number of members where one is given."""
+    """Load a schedule and return its text, with its number of members replaced if `members` is given."""
     from google.protobuf import text_format
 
     from martenstep.lab.fleet.schedule import load_schedule
--- a/martenstep/cli/hooks.py
+++ b/martenstep/cli/hooks.py
@@ -28,7 +28,7 @@
 from martenstep.hooks.virtual_machine import VirtualMachine
 
 FILE = click.Path(path_type=Path)
-BENCH_RUNS = 2000  # of `hook bench`
+BENCH_RUNS = 2000  # runs that `hook bench` measures
 
 
 def _source(file: Path) -> str:
@@ -48,18 +48,18 @@
 
 
 def decode_value(kind: Type, given: Any, where: str) -> Any:
-    """A value of a type out of JSON; what is missing is nothing.  Raises ValueError."""
+    """Convert a JSON value to a value of a hook type; missing fields get default values.  Raises ValueError."""
     if kind.name == "list":
         if not isinstance(given, list):
-            raise ValueError(f"{where}: expected a list")
+            raise ValueError(f"{where}: expected a list, got {given!r}")
         assert kind.item_type is not None
         return [decode_value(kind.item_type, one, f"{where}[{number}]") for number, one in enumerate(given)]
     if kind in RECORDS:
         if not isinstance(given, dict):
-            raise ValueError(f"{where}: expected fields")
-        odd = given.keys() - {name for name, _ in RECORDS[kind]}
-        if odd:
-            raise ValueError(f"{where}: no field {sorted(odd)[0]!r}")
+            raise ValueError(f"{where}: expected an object with fields, got {given!r}")
+        unknown = given.keys() - {name for name, _ in RECORDS[kind]}
+        if unknown:
+            raise ValueError(f"{where}: no field {sorted(unknown)[0]!r}")
         return tuple(
             decode_value(
                 of, given.get(name, [] if of.name == "list" else DEFAULT_VALUES.get(of.name)), f"{where}.{name}"
@@ -75,7 +75,7 @@
 
 
 def encode_value(kind: Type, value: Any) -> Any:
-    """A value of a type as JSON."""
+    """Convert a value of a hook type to one that can be encoded as JSON."""
     if kind.name == "list":
         assert kind.item_type is not None
         return [encode_value(kind.item_type, one) for one in value]
@@ -93,18 +93,18 @@
 
 
 def _given(point: str, file: Path | None) -> tuple[Any, ...]:
-    """The point's values from a JSON object: its fields are the records' names in small letters."""
+    """Read the parameters of an extension point from a JSON object, whose fields are the types' names in lower case."""
     kinds = EXTENSION_POINTS[point].parameters
-    held: Any = {}
+    document: Any = {}
     try:
         if file is not None:
-            held = msgspec.json.decode(file.read_bytes())
-        if not isinstance(held, dict):
-            raise ValueError("expected an object")
-        odd = held.keys() - {kind.name.lower() for kind in kinds}
-        if odd:
-            raise ValueError(f"no value {sorted(odd)[0]!r} (there are: {', '.join(k.name.lower() for k in kinds)})")
-        return tuple(decode_value(kind, held.get(kind.name.lower(), {}), kind.name.lower()) for kind in kinds)
+            document = msgspec.json.decode(file.read_bytes())
+        if not isinstance(document, dict):
+            raise ValueError(f"expected an object, got {document!r}")
+        unknown = document.keys() - {kind.name.lower() for kind in kinds}
+        if unknown:
+            raise ValueError(f"no value {sorted(unknown)[0]!r} (there are: {', '.join(k.name.lower() for k in kinds)})")
+        return tuple(decode_value(kind, document.get(kind.name.lower(), {}), kind.name.lower()) for kind in kinds)
     except OSError as error:
         raise click.UsageError(f"{file}: {error.strerror}") from None
     except (ValueError, msgspec.DecodeError) as error:
@@ -119,7 +119,7 @@
 @hook.command("check", epilog=example("martenstep hook check hooks/*.hook"))
 @click.argument("files", type=FILE, nargs=-1, required=True)
 def check(files: tuple[Path, ...]) -> None:
-    """Print what is wrong with FILES, or what they hold."""
+    """Check FILES: print the errors, or the extension points and tests of each file."""
     for file in files:
         program = _compiled(file)
         click.echo(f"{file}: good; points: {', '.join(program.points) or 'none'}; {len(program.tests)} tests")
@@ -127,9 +127,9 @@
 
 @hook.command("fmt", epilog=example("martenstep hook fmt --check hooks/*.hook"))
 @click.argument("files", type=FILE, nargs=-1, required=True)
-@click.option("--check", "only", is_flag=True, help="Change nothing; exit 1 where something would change.")
+@click.option("--check", "only", is_flag=True, help="Change no file; exit with 1 if a file would change.")
 def fmt(files: tuple[Path, ...], only: bool) -> None:
-    """Write FILES in the usual form."""
+    """Format FILES in the standard style."""
     changed = False
     for file in files:
         source = _source(file)
@@ -150,10 +150,12 @@
 
 @hook.command("run", epilog=example("martenstep hook run words.hook --request example.json"))
 @click.argument("file", type=FILE)
-@click.option("--point", default="", help="Which hook of the file, where it holds several.")
-@click.option("--request", "request", type=FILE, default=None, help="JSON of what the point is given.")
+@click.option("--point", default="", help="Extension point of the hook; required if the file contains several.")
+@click.option(
+    "--request", "request", type=FILE, default=None, help="JSON file with the parameters of the extension point."
+)
 def run(file: Path, point: str, request: Path | None) -> None:
-    """Run one hook of FILE on an example and tell what it gives and costs."""
+    """Run one hook of FILE on an example and print its result, and the steps and bytes that it used."""
     program = _compiled(file)
     point = _point(program, point, file)
     machine = VirtualMachine(program, translated=translate(program))
@@ -174,7 +176,7 @@
 @hook.command("test", epilog=example("martenstep hook test hooks/*.hook"))
 @click.argument("files", type=FILE, nargs=-1, required=True)
 def test(files: tuple[Path, ...]) -> None:
-    """Run the tests that stand in FILES."""
+    """Run the tests in FILES."""
     failed = count = 0
     for file in files:
         program = _compiled(file)
@@ -192,7 +194,12 @@
     sys.exit(1 if failed or not count else 0)
 
 
-KEY = click.option("--key", "keys", multiple=True, help="Public key in hex; some, and what none signed is refused.")
+KEY = click.option(
+    "--key",
+    "keys",
+    multiple=True,
+    help="Public key in hex; if given, releases not signed by one of the keys are refused.",
+)
 
 
 @hook.command("key", epilog=example("martenstep hook key signing.pem"))
@@ -208,17 +215,22 @@
 @hook.command("publish", epilog=example("martenstep hook publish drafts/ /srv/hooks --version 8 --share 0.1"))
 @click.argument("source", type=FILE)
 @click.argument("directory", type=FILE)
-@click.option("--version", type=click.IntRange(min=1), required=True, help="Above all that are there.")
+@click.option(
+    "--version",
+    type=click.IntRange(min=1),
+    required=True,
+    help="Version number; must be higher than those of all other releases.",
+)
 @click.option(
     "--share",
     type=click.FloatRange(0, 1, min_open=True),
     default=1.0,
     show_default=True,
-    help="Of the customers; below 1 it is a trial.",
+    help="Share of the customers that the release applies to; below 1 it is a canary.",
 )
-@click.option("--trial-customer", "customers", multiple=True, help="Belongs to the trial in any case.")
-@click.option("--about", default="", help="A line for the others.")
-@click.option("--sign", "signing", type=FILE, default=None, help="The private key, as `hook key` wrote it.")
+@click.option("--trial-customer", "customers", multiple=True, help="Customer that the canary always includes.")
+@click.option("--about", default="", help="Description of the release, one line.")
+@click.option("--sign", "signing", type=FILE, default=None, help="File with the private key, as written by `hook key`.")
 def publish(
     source: Path,
     directory: Path,
@@ -228,7 +240,7 @@
     about: str,
     signing: Path | None,
 ) -> None:
-    """Put the hooks of SOURCE, all or those that its manifest names, into DIRECTORY as one release."""
+    """Publish the hooks in SOURCE, all or those that its manifest names, in DIRECTORY as one release."""
     try:
         made = publish_release(
             source,
@@ -241,16 +253,18 @@
         raise click.UsageError(str(error)) from None
     except OSError as error:
         raise click.UsageError(f"{error.filename or directory}: {error.strerror}") from None
-    click.echo(f"{made}: version {version}, share {share:g}; SIGHUP the doors to take it up")
+    click.echo(f"{made}: version {version}, share {share:g}; send SIGHUP to the gateways to load it")
 
 
 @hook.command("list", epilog=example("martenstep hook list /etc/martenstep/hooks"))
 @click.argument("directory", type=FILE)
 @KEY
-@click.option("--history", type=FILE, default=None, help="A gateway's history: what it took back is marked.")
-@click.option("--customer", default=None, help="Print which release acts for it.")
+@click.option(
+    "--history", type=FILE, default=None, help="History file of a gateway, to mark the releases that it withdrew."
+)
+@click.option("--customer", default=None, help="Also print which release applies to this customer.")
 def list_releases(directory: Path, keys: tuple[str, ...], history: Path | None, customer: str | None) -> None:
-    """Print what stands in DIRECTORY, and what of it acts; exit 1 where something there cannot be taken."""
+    """Print the releases in DIRECTORY and which are active; exits with 1 if one of them cannot be loaded."""
     try:
         for one in keys:
             parse_public_key(one)
@@ -288,9 +302,9 @@
 @hook.command("history", epilog=example("martenstep hook history /var/lib/martenstep/hooks.jsonl"))
 @click.argument("file", type=FILE)
 def history(file: Path) -> None:
-    """Print what became of releases at a gateway, the oldest first."""
+    """Print the events of releases that a gateway recorded in FILE, the oldest first."""
     if not file.is_file():
-        raise click.UsageError(f"{file}: there is no such file")
+        raise click.UsageError(f"{file}: expected an existing file, but there is no such file")
     try:
         lines = ReleaseHistory(file, "").lines()
     except OSError as error:
@@ -302,27 +316,30 @@
 
 @hook.command("bench", epilog=example("martenstep hook bench words.hook --point refusal"))
 @click.argument("file", type=FILE)
-@click.option("--point", default="", help="Which hook of the file, where it holds several.")
-@click.option("--request", "request", type=FILE, default=None, help="JSON of what the point is given.")
+@click.option("--point", default="", help="Extension point of the hook; required if the file contains several.")
+@click.option(
+    "--request", "request", type=FILE, default=None, help="JSON file with the parameters of the extension point."
+)
 def bench(file: Path, point: str, request: Path | None) -> None:
-    """Print what one run of a hook costs on this machine."""
+    """Measure the steps and the duration of one run of a hook on this machine."""
     program = _compiled(file)
     point = _point(program, point, file)
     given = _given(point, request)
-    took = []
+    durations_us = []
     steps, fast = 0, translate(program)
     try:
         for _ in range(BENCH_RUNS):
             machine = VirtualMachine(program, translated=fast)
-            begin = time.perf_counter()
+            started_at = time.perf_counter()
             machine.run(program.points[point], given)
-            took.append((time.perf_counter() - begin) * 1e6)
+            durations_us.append((time.perf_counter() - started_at) * 1e6)
             steps = machine.used_steps
     except HookRunError as error:
         click.echo(f"{file}: {point}: {error}", err=True)
         sys.exit(1)
-    took.sort()
+    durations_us.sort()
+    median_us = durations_us[BENCH_RUNS // 2]
     click.echo(
-        f"{steps} steps; median {took[BENCH_RUNS // 2]:.1f} us, p99 {took[BENCH_RUNS * 99 // 100]:.1f} us; "
-        f"{steps / took[BENCH_RUNS // 2]:.2f} steps a us"
+        f"{steps} steps; median {median_us:.1f} us, p99 {durations_us[BENCH_RUNS * 99 // 100]:.1f} us; "
+        f"{steps / median_us:.2f} steps a us"
     )
--- a/martenstep/cli/main.py
+++ b/martenstep/cli/main.py
@@ -1,6 +1,6 @@
 """`martenstep`: the command line, with a module for each group of commands.
 
-Exit codes: 0 success; 1 could not run; 2 bad usage or bad input; 3 an invariant was violated.
+Exit codes: 0 success; 1 the command failed; 2 invalid usage or invalid input; 3 an invariant was violated.
 """
 
 from __future__ import annotations
@@ -37,17 +37,22 @@
 
 @cli.command(epilog=example("martenstep serve door.txtpb"))
 @click.argument("file", type=FILE)
-@click.option("--seed", type=int, default=None, help="Seed of the policy's choices, to repeat a run.")
-@click.option("--uvloop", is_flag=True, help="Run on uvloop, where it is installed.")
-@click.option("--workers", type=click.IntRange(1, 256), default=None, help="In place of the settings' workers.count.")
+@click.option("--seed", type=int, default=None, help="Seed of the policy's random choices, to repeat a run.")
+@click.option("--uvloop", is_flag=True, help="Use uvloop as the event loop; it must be installed.")
+@click.option(
+    "--workers",
+    type=click.IntRange(1, 256),
+    default=None,
+    help="Number of workers, in place of the settings' workers.count.",
+)
 def serve(file: Path, seed: int | None, uvloop: bool, workers: int | None) -> None:
-    """Run a gateway with the settings in FILE until SIGTERM; SIGHUP applies what changed in it."""
+    """Run a gateway with the settings in FILE until SIGTERM; SIGHUP applies changes of FILE."""
 
     def load() -> pb.Door:
-        made = load_door(file)
+        loaded = load_door(file)
         if workers is not None:
-            made.workers.count = workers
-        return made
+            loaded.workers.count = workers
+        return loaded
 
     try:
         settings = load()
@@ -66,7 +71,7 @@
 
 @cli.command(hidden=True, epilog=example("martenstep worker < frames"))
 def worker() -> None:
-    """Run one worker of a supervisor, which steers it over standard input."""
+    """Run one worker of a supervisor, which controls it over standard input."""
     from martenstep.supervise.worker import work
 
     sys.exit(asyncio.run(work()))
@@ -74,24 +79,24 @@
 
 @cli.group()
 def config() -> None:
-    """Settings."""
+    """Commands for settings files."""
 
 
 @config.command("check", epilog=example("martenstep config check door.txtpb"))
 @click.argument("files", type=FILE, nargs=-1, required=True)
 def config_check(files: tuple[Path, ...]) -> None:
-    """Print all that is wrong with each of FILES: file, line, column, field."""
-    wrong = False
+    """Check the settings in FILES and print each problem with its file, line, column and field."""
+    any_invalid = False
     for file in files:
         try:
             load_door(file)
         except SettingsError as error:
-            wrong = True
-            for fault in error.problems:
-                click.echo(fault.describe(error.file), err=True)
+            any_invalid = True
+            for problem in error.problems:
+                click.echo(problem.describe(error.file), err=True)
         else:
-            click.echo(f"{file}: well")
-    sys.exit(EXIT_USAGE if wrong else 0)
+            click.echo(f"{file}: valid")
+    sys.exit(EXIT_USAGE if any_invalid else 0)
 
 
 cli.add_command(copies)
@@ -107,5 +112,5 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command line; the entry point of the installed program."""
     cli(prog_name="martenstep")
--- a/martenstep/cli/maintenance.py
+++ b/martenstep/cli/maintenance.py
@@ -1,4 +1,7 @@
-"""`martenstep maintenance`: machines taken out for work in an order that the gateways agree on, over any of them."""
+"""`martenstep maintenance`: takes machines out of service in an order that the gateways agree on.
+
+Each command talks to the admin listener of one gateway, which may be any of them.
+"""
 
 from __future__ import annotations
 
@@ -40,12 +43,12 @@
         """Convert a duration; raises click.BadParameter."""
         found = re.fullmatch(r"(\d+(?:\.\d+)?)([smh])", str(value))
         if found is None:
-            self.fail(f"{value!r} is no time such as 90s, 20m or 2h", param, ctx)
+            self.fail(f"expected a duration such as 90s, 20m or 2h, got {value!r}", param, ctx)
         return float(found[1]) * MS_PER_UNIT[found[2]]
 
 
 def submit(admin: str, what: Command) -> CommandResult:
-    """Submit a command to the queue; exits with 1 where it is refused."""
+    """Submit a command to the queue; exits with 1 if it is refused."""
     decoded = send_request(admin, "POST", "/maintenance?what=" + quote(msgspec.json.encode(what)))
     answer = msgspec.convert(decoded, CommandResult)
     if not answer.ok:
@@ -54,7 +57,7 @@
 
 
 def fetch_queue(admin: str) -> QueueView:
-    """Fetch the queue as the leader sees it."""
+    """Fetch the leader's view of the queue."""
     return msgspec.convert(send_request(admin, "GET", "/maintenance"), QueueView)
 
 
@@ -105,20 +108,28 @@
 
 @click.group()
 def maintenance() -> None:
-    """Machines taken out for work, in an order that the gateways settle."""
+    """The queue of machines that are taken out of service for maintenance, on which the gateways agree."""
 
 
 @maintenance.command(
     "ask", epilog=example("martenstep maintenance ask --machine d004 --for 20m --reason kernel --admin 127.0.0.1:9080")
 )
-@click.option("--machine", multiple=True, help="Name of a gateway; may stand several times.")
+@click.option("--machine", multiple=True, help="Name of a gateway; may be given several times.")
 @click.option("--all", "every", is_flag=True, help="All gateways, as one plan.")
-@click.option("--zone", help="With --all: of one zone.")
-@click.option("--for", "for_ms", type=Duration(), required=True, help="How long it will be out, such as 20m.")
+@click.option("--zone", help="With --all: only the gateways of this zone.")
+@click.option(
+    "--for", "for_ms", type=Duration(), required=True, help="How long a machine will be out of service, such as 20m."
+)
 @click.option("--reason", default="")
-@click.option("--before", type=float, default=0.0, help="Unix time in ms before which it must be done.")
-@click.option("--urgent", is_flag=True, help="Before all that are not, as a failing disk.")
-@click.option("--id", "given", help="The same id twice is one request; of several machines, the plan's name.")
+@click.option("--before", type=float, default=0.0, help="Unix time in ms before which the work must be done.")
+@click.option(
+    "--urgent", is_flag=True, help="Goes before all requests that are not urgent; for example for a failing disk."
+)
+@click.option(
+    "--id",
+    "given",
+    help="Id of the request, so that a repeated command adds no second one; with several machines, name of the plan.",
+)
 @ADMIN
 def ask(
     machine: tuple[str, ...],
@@ -131,9 +142,9 @@
     given: str | None,
     admin: str,
 ) -> None:
-    """Ask for machines to be taken out.  A plan that was asked in part is gone on with by asking it again."""
+    """Request that machines be taken out of service.  If only part of a plan was submitted, repeat the command."""
     if bool(machine) == every:
-        raise click.UsageError("either --machine or --all")
+        raise click.UsageError("expected either --machine or --all")
     names = list(machine) or [one.name for one in fetch_queue(admin).machines if zone in (None, one.zone)]
     base = given or f"{'roll' if len(names) != 1 else names[0]}-{int(time.time())}"
     several = len(names) != 1
@@ -149,11 +160,11 @@
 
 
 @maintenance.command("list", epilog=example("martenstep maintenance list --admin 127.0.0.1:9080"))
-@click.option("--ended", is_flag=True, help="Those that have ended as well.")
+@click.option("--ended", is_flag=True, help="Include requests that have ended.")
 @click.option("--json", "as_json", is_flag=True)
 @ADMIN
 def list_(ended: bool, as_json: bool, admin: str) -> None:
-    """Print the queue: who is out, who is next, and what each waits for."""
+    """Print the queue: machines that are out, the next machines, and what each request waits for."""
     view = fetch_queue(admin)
     click.echo(msgspec.json.encode(view) if as_json else format_table(view, ended))
 
@@ -162,7 +173,7 @@
 @click.argument("request")
 @ADMIN
 def show(request: str, admin: str) -> None:
-    """Print one request, with what it waits for."""
+    """Print one request and what it waits for."""
     view = fetch_queue(admin)
     held = next((one for one in view.requests if one.request_id == request), None)
     if held is None:
@@ -175,7 +186,10 @@
 @click.argument("machine")
 @ADMIN
 def ready(machine: str, admin: str) -> None:
-    """Exit 0 where MACHINE may be touched: it started to leave by the queue, and has left; else exit 1, and why."""
+    """Check whether work on MACHINE may begin: the queue has taken it out of service, and it has left.
+
+    Exits with 0 if so, otherwise prints the reason and exits with 1.
+    """
     view = fetch_queue(admin)
     held = next((one for one in view.requests if one.machine == machine and one.state is not RequestState.ENDED), None)
     if held is None or held.state is not RequestState.OUT:
@@ -195,10 +209,10 @@
 
 @maintenance.command("done", epilog=example("martenstep maintenance done kernel-d004 --admin 127.0.0.1:9080"))
 @click.argument("request")
-@click.option("--failed", "why", help="The work went wrong, and how: the rest of its plan stands.")
+@click.option("--failed", "why", help="The work failed, for this reason; the rest of its plan is paused.")
 @ADMIN
 def done(request: str, why: str | None, admin: str) -> None:
-    """Tell that the work is done.  A gateway that is started again tells it by itself."""
+    """Report that the work is done.  A gateway that is started again reports this automatically."""
     submit(admin, FinishMaintenance(request, _token(fetch_queue(admin), request), why is None, why or ""))
 
 
@@ -206,10 +220,10 @@
     "extend", epilog=example("martenstep maintenance extend kernel-d004 --for 30m --admin 127.0.0.1:9080")
 )
 @click.argument("request")
-@click.option("--for", "for_ms", type=Duration(), required=True, help="From now.")
+@click.option("--for", "for_ms", type=Duration(), required=True, help="New duration, counted from now.")
 @ADMIN
 def extend(request: str, for_ms: float, admin: str) -> None:
-    """Let a machine stay out longer."""
+    """Extend the time that a machine may stay out of service."""
     submit(admin, ExtendMaintenance(request, _token(fetch_queue(admin), request), for_ms))
 
 
@@ -217,7 +231,7 @@
 @click.argument("request")
 @ADMIN
 def give_up(request: str, admin: str) -> None:
-    """End a request whose machine will not come back."""
+    """End a request whose machine will not return to service."""
     submit(admin, AbandonRequest(request))
 
 
@@ -226,7 +240,7 @@
 @click.option("--why", default="")
 @ADMIN
 def pause(plan: str, why: str, admin: str) -> None:
-    """Grant nobody, or nobody of a plan; who is out stays out."""
+    """Stop granting requests, of all machines or of one plan; machines that are out stay out."""
     submit(admin, SetPaused(True, why, plan))
 
 
@@ -234,7 +248,7 @@
 @click.option("--plan", default="")
 @ADMIN
 def resume(plan: str, admin: str) -> None:
-    """Grant again."""
+    """Resume granting requests, of all machines or of one plan."""
     submit(admin, SetPaused(False, "", plan))
 
 
@@ -249,7 +263,7 @@
 @click.option("--starve", "starvation_ms", type=Duration())
 @ADMIN
 def limits(admin: str, **given: object) -> None:
-    """Change limits; those that are not given stay."""
+    """Change limits; those that are not given keep their values."""
     held: MaintenanceLimits = fetch_queue(admin).limits
     submit(
         admin,
@@ -258,10 +272,15 @@
 
 
 @maintenance.command("watch", epilog=example("martenstep maintenance watch --admin 127.0.0.1:9080"))
-@click.option("--times", type=click.IntRange(min=0), default=0, help="Tables printed before it ends; 0: until stopped.")
+@click.option(
+    "--times",
+    type=click.IntRange(min=0),
+    default=0,
+    help="Number of tables to print before exiting; 0 means until interrupted.",
+)
 @ADMIN
 def watch(times: int, admin: str) -> None:
-    """Print the queue, and again with each change."""
+    """Print the queue now and after each change."""
     before, printed = "", 0
     while not times or printed < times:
         now = format_table(fetch_queue(admin), False)
--- a/martenstep/cli/members.py
+++ b/martenstep/cli/members.py
@@ -1,4 +1,4 @@
-"""`martenstep members`: the membership as one gateway sees it, from its admin listener."""
+"""`martenstep members`: one gateway's view of the membership, read from its admin listener."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from martenstep.cli.admin_client import send_request
 from martenstep.cli.common import align_columns, example
 
-LONG_POLL_MS = 20_000  # of one request of `watch`
+LONG_POLL_MS = 20_000  # how long the gateway holds a request of `watch` until its view changes
 COLUMNS = ("name", "state", "zone", "address", "incarnation", "for_s", "says", "by")
 
 
 def format_table(view: dict[str, Any]) -> str:
-    """Format a view as a table for operators."""
+    """Format a view of the membership as a table."""
     rows = [COLUMNS]
     for one in view["members"]:
         says = " ".join(word for word in ("deaf", "unheard") if one[word])
@@ -40,7 +40,7 @@
 
 @click.group()
 def members() -> None:
-    """The membership as one gateway sees it."""
+    """One gateway's view of the membership."""
 
 
 ADMIN = click.option("--admin", required=True, help="HOST:PORT of the gateway's admin listener.")
@@ -48,7 +48,7 @@
 
 @members.command("show", epilog=example("martenstep members show --admin 127.0.0.1:9080"))
 @ADMIN
-@click.option("--json", "as_json", is_flag=True, help="The whole view as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole view as JSON.")
 def show(admin: str, as_json: bool) -> None:
     """Print the view once."""
     view = send_request(admin, "GET", "/members")
@@ -57,9 +57,14 @@
 
 @members.command("watch", epilog=example("martenstep members watch --admin 127.0.0.1:9080 --times 10"))
 @ADMIN
-@click.option("--times", type=click.IntRange(min=0), default=0, help="Views printed before it ends; 0: until stopped.")
+@click.option(
+    "--times",
+    type=click.IntRange(min=0),
+    default=0,
+    help="Number of views to print before exiting; 0 means until interrupted.",
+)
 def watch(admin: str, times: int) -> None:
-    """Print the view, and again with each change."""
+    """Print the view now and after each change."""
     version, printed = -1, 0
     while not times or printed < times:
         view = send_request(admin, "GET", f"/members?after={version}&wait_ms={LONG_POLL_MS}")
@@ -72,6 +77,6 @@
 @members.command("leave", epilog=example("martenstep members leave --admin 127.0.0.1:9080"))
 @ADMIN
 def leave(admin: str) -> None:
-    """Let the gateway leave the cluster; it goes on serving."""
+    """Make the gateway leave the cluster; it continues to serve clients."""
     view = send_request(admin, "POST", "/members/leave")
     click.echo(f"{view['me']} is {view['stage']}")
--- a/martenstep/cli/scenarios.py
+++ b/martenstep/cli/scenarios.py
@@ -1,4 +1,4 @@
-"""`martenstep day`: scenarios with real processes on loopback, run and checked."""
+"""`martenstep day`: runs and checks scenarios with real processes on loopback."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 from martenstep.config.text_format import SettingsError
 
 FILE = click.Path(path_type=Path)
+PROGRESS_STEPS = 1000  # of a whole scenario
 
 
 @click.group("day")
 def scenarios() -> None:
-    """Days: a fleet on loopback, its traffic and its troubles, judged from the traffic."""
+    """Scenarios (days): a fleet on loopback with traffic and injected faults, checked by traces of the traffic."""
 
 
 def _check(folder: Path) -> NoReturn:
@@ -38,7 +39,7 @@
 @click.argument("file", type=FILE)
 @click.option("--out", type=FILE, required=True, help="Folder for traces, logs and result.json.")
 def run(file: Path, out: Path) -> None:
-    """Run the scenario in FILE and check it; exit 3 where an invariant is violated."""
+    """Run the scenario in FILE and check it; exits with 3 if an invariant is violated."""
     from martenstep.lab.day import load_day
     from martenstep.lab.play import PlayError, play_day
 
@@ -47,7 +48,8 @@
     except SettingsError as error:
         exit_with_problems(error)
     bar = _ProgressBar(loaded.name)
-    # Told to end, it tears all down as when interrupted; SIGINT is ignored where a shell starts it in the background.
+    # SIGTERM raises KeyboardInterrupt too, so that all processes are stopped.  SIGINT is set explicitly because it is
+    # ignored in a program that a shell starts in the background.
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, signal.default_int_handler)
     try:
@@ -56,7 +58,7 @@
         click.echo(f"{file}: {error}", err=True)
         sys.exit(1)
     except KeyboardInterrupt:
-        click.echo(f"{file}: interrupted; all processes are ended", err=True)
+        click.echo(f"{file}: interrupted; all processes were stopped", err=True)
         sys.exit(1)
     finally:
         bar.close()
@@ -66,47 +68,60 @@
 @scenarios.command("check", epilog=example("martenstep day check out/first"))
 @click.argument("folder", type=FILE)
 def check(folder: Path) -> None:
-    """Check the traces in FOLDER again, alone; exit 3 where an invariant is violated."""
+    """Check the traces of an earlier run in FOLDER again; exits with 3 if an invariant is violated."""
     _check(folder)
 
 
 @scenarios.command("from-tap", epilog=example("martenstep day from-tap tap.txt --rate 40 > days/mine.txtpb"))
 @click.argument("tap", type=FILE)
-@click.option("--rate", type=click.FloatRange(min=0.1), default=60.0, help="Requests a second that this machine bears.")
-@click.option("--servers", type=click.IntRange(1, 100), default=10, help="Servers that it bears.")
-@click.option("--doors", "gateways", type=click.IntRange(1, 32), default=3, help="Doors that it bears.")
+@click.option(
+    "--rate",
+    type=click.FloatRange(min=0.1),
+    default=60.0,
+    help="Requests per second of the scenario, as many as this machine can handle.",
+)
+@click.option(
+    "--servers", type=click.IntRange(1, 100), default=10, help="Number of servers, as many as this machine can run."
+)
+@click.option(
+    "--doors",
+    "gateways",
+    type=click.IntRange(1, 32),
+    default=3,
+    help="Number of gateways, as many as this machine can run.",
+)
 def from_recording(tap: Path, rate: float, servers: int, gateways: int) -> None:
-    """Turn a bench run's tap into a day of the same kinds of trouble, scaled down; writes it to standard output."""
+    """Convert TAP, the recording of a benchmark run, to a smaller scenario with the same kinds of faults; print it."""
     from google.protobuf import text_format
 
     from martenstep.lab.tap import TapError, day_from
 
     try:
         with tap.open(encoding="utf-8") as lines:
-            made = day_from(lines, tap.stem, rate, servers, gateways)
+            scenario = day_from(lines, tap.stem, rate, servers, gateways)
     except (OSError, TapError, UnicodeDecodeError) as error:
         click.echo(f"{tap}: {error}", err=True)
         sys.exit(EXIT_USAGE)
-    click.echo(text_format.MessageToString(made), nl=False)
+    click.echo(text_format.MessageToString(scenario), nl=False)
 
 
 class _ProgressBar:
-    """A progress bar on a terminal; nothing elsewhere."""
+    """A progress bar on a terminal; prints nothing if standard error is not a terminal."""
 
     def __init__(self, name: str) -> None:
         self._bar = None
         if sys.stderr.isatty():
-            self._bar = click.progressbar(length=1000, label=name, file=sys.stderr)
-            self._at = 0
+            self._bar = click.progressbar(length=PROGRESS_STEPS, label=name, file=sys.stderr)
+            self._position = 0
 
-    def move(self, part: float, what: str) -> None:
-        """Show the part of the scenario that has been run, and what is under way."""
+    def move(self, share: float, step: str) -> None:
+        """Show which share of the scenario has been run, and the current step."""
         if self._bar is not None:
-            self._bar.label = what
-            self._bar.update(int(part * 1000) - self._at)
-            self._at = int(part * 1000)
+            self._bar.label = step
+            self._bar.update(int(share * PROGRESS_STEPS) - self._position)
+            self._position = int(share * PROGRESS_STEPS)
 
     def close(self) -> None:
-        """End its line."""
+        """End the line of the progress bar."""
         if self._bar is not None:
             self._bar.render_finish()
--- a/martenstep/cli/traces.py
+++ b/martenstep/cli/traces.py
@@ -1,4 +1,4 @@
-"""`martenstep trace`: traces of single requests."""
+"""`martenstep trace`: prints traces of single requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 @click.argument("file", type=FILE)
 @click.argument("request")
 def trace_show(file: Path, request: str) -> None:
-    """Print what became of REQUEST as a time line."""
+    """Print the time line of REQUEST."""
     from martenstep.lab.timeline import TimelineError, timeline
 
     try:
