--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: help with an example for each, bad input told in a line, exit codes."""
+"""The command line: each command's help has an example, invalid input is reported without a traceback, exit codes."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from tests.engine_rig import SETTINGS
 
 
-def call(*words: str) -> Result:
-    return CliRunner().invoke(cli, list(words))
+def invoke(*arguments: str) -> Result:
+    return CliRunner().invoke(cli, list(arguments))
 
 
-def commands(group: click.Group, path: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
-    found = []
+def command_paths(group: click.Group, path: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
+    paths = []
     for name, command in group.commands.items():
-        found += commands(command, (*path, name)) if isinstance(command, click.Group) else [(*path, name)]
-    return found
+        paths += command_paths(command, (*path, name)) if isinstance(command, click.Group) else [(*path, name)]
+    return paths
 
 
-@pytest.mark.parametrize("path", commands(cli), ids="-".join)
+@pytest.mark.parametrize("path", command_paths(cli), ids="-".join)
 def test_each_command_has_help_with_an_example(path: tuple[str, ...]) -> None:
-    done = call(*path, "--help")
-    assert done.exit_code == 0 and f"martenstep {' '.join(path)}" in done.output.split("Example:")[1]
+    result = invoke(*path, "--help")
+    assert result.exit_code == 0 and f"martenstep {' '.join(path)}" in result.output.split("Example:")[1]
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ("nonsense",),
         ("serve",),
@@ -47,19 +47,19 @@
         ("day", "run", "/no/such/file", "--out", "/tmp/x"),
     ],
 )
-def test_bad_usage_is_told_and_exits_with_2(words: tuple[str, ...]) -> None:
-    done = call(*words)
-    assert done.exit_code == 2 and "Traceback" not in done.output and done.output.strip()
-    assert done.exception is None or isinstance(done.exception, SystemExit)
+def test_invalid_usage_is_reported_and_exits_with_2(arguments: tuple[str, ...]) -> None:
+    result = invoke(*arguments)
+    assert result.exit_code == 2 and "Traceback" not in result.output and result.output.strip()
+    assert result.exception is None or isinstance(result.exception, SystemExit)
 
 
-def test_settings_are_checked_and_all_faults_told(tmp_path: Path) -> None:
-    good, bad = tmp_path / "good.txtpb", tmp_path / "bad.txtpb"
-    good.write_text(SETTINGS)
-    bad.write_text(SETTINGS.replace("port: 1", "port: 0").replace('zone: "a"', ""))
-    assert call("config", "check", str(good)).exit_code == 0
-    done = call("config", "check", str(good), str(bad))
-    assert done.exit_code == 2
-    lines = [line for line in done.output.splitlines() if "bad.txtpb" in line]
-    assert len(lines) == 3 and all(line.startswith(f"{bad}:") for line in lines)
-    assert call("serve", str(bad)).exit_code == 2
+def test_config_check_reports_all_problems_of_each_file(tmp_path: Path) -> None:
+    valid, invalid = tmp_path / "good.txtpb", tmp_path / "bad.txtpb"
+    valid.write_text(SETTINGS)
+    invalid.write_text(SETTINGS.replace("port: 1", "port: 0").replace('zone: "a"', ""))
+    assert invoke("config", "check", str(valid)).exit_code == 0
+    result = invoke("config", "check", str(valid), str(invalid))
+    assert result.exit_code == 2
+    lines = [line for line in result.output.splitlines() if "bad.txtpb" in line]
+    assert len(lines) == 3 and all(line.startswith(f"{invalid}:") for line in lines)
+    assert invoke("serve", str(invalid)).exit_code == 2
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages that lead a reader into the code name files that are there."""
+"""The pages that describe the code name only files that exist."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
     *(f"docs/{name}.md" for name in ("architecture", "glossary", "rules")),
     *sorted(path.relative_to(ROOT).as_posix() for kind in ("design", "protocol") for path in DOCS.glob(f"{kind}*.md")),
 )
-NAMED = re.compile(r"`((?:[a-z_0-9]+/)*[a-z_0-9*]+(?:\.py|/))`")
+QUOTED_PATH = re.compile(r"`((?:[a-z_0-9]+/)*[a-z_0-9*]+(?:\.py|/))`")
 PACKAGE = ROOT / "martenstep"
-ROOTS = (ROOT, PACKAGE, ROOT / "tests", *(path.parent for path in PACKAGE.glob("*/__init__.py")))
+SEARCH_ROOTS = (ROOT, PACKAGE, ROOT / "tests", *(path.parent for path in PACKAGE.glob("*/__init__.py")))
 
 
 def named_paths(page: str) -> list[str]:
-    """Modules and folders in back quotes on a page."""
-    return NAMED.findall((ROOT / page).read_text(encoding="utf-8"))
+    """Paths of modules and folders that a page has in back quotes."""
+    return QUOTED_PATH.findall((ROOT / page).read_text(encoding="utf-8"))
 
 
 def exists(name: str) -> bool:
-    """Whether a path, or a pattern, is found at the root, in the package, in one of its parts or among the tests."""
-    return any(any(root.glob(name.rstrip("/"))) for root in ROOTS)
+    """Whether a path or pattern matches in the repository, in martenstep, in one of its packages or in the tests."""
+    return any(any(root.glob(name.rstrip("/"))) for root in SEARCH_ROOTS)
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_each_file_that_a_page_names_is_there(page: str) -> None:
+def test_each_file_that_a_page_names_exists(page: str) -> None:
     assert [name for name in named_paths(page) if not exists(name)] == []
 
 
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""What the project promises of its own files."""
+"""Rules for the project's files: the deploy file, the modules of the policy, and the example of the README."""
 
 from __future__ import annotations
 
@@ -10,23 +10,21 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-
-
 POLICY = ROOT / "martenstep" / "policy"
 DECISION_MODULES = sorted(
     path.relative_to(ROOT).as_posix() for path in POLICY.glob("*.py") if path.name not in ("__init__.py", "messages.py")
 )
 
 
-def test_the_deploy_file_names_every_module_that_decides() -> None:
+def test_the_deploy_file_names_every_module_of_the_policy() -> None:
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text(encoding="utf-8"))
     assert len(DECISION_MODULES) >= 3
     assert sorted(deploy["policy"]) == DECISION_MODULES
 
 
 @pytest.mark.parametrize("name", DECISION_MODULES)
-def test_no_state_outside_the_instances(name: str) -> None:
-    """Read from the syntax tree: constants at the top, no clock, no hash(), no random but the seeded."""
+def test_a_policy_module_has_no_global_state_clock_or_unseeded_randomness(name: str) -> None:
+    """Checks the syntax tree: module variables are numeric constants, and nothing depends on clock, hash() or sets."""
     tree = ast.parse((ROOT / name).read_text(encoding="utf-8"))
     for node in tree.body:
         if isinstance(node, ast.Assign | ast.AnnAssign | ast.AugAssign):
@@ -48,6 +46,6 @@
 def test_the_readme_example_runs() -> None:
     text = (ROOT / "README.md").read_text(encoding="utf-8")
     [example] = re.findall(r"```python\n(.*?)```", text, re.S)
-    space: dict[str, object] = {}
-    exec(compile(example, "README.md", "exec"), space)
-    assert space["sent"]
+    namespace: dict[str, object] = {}
+    exec(compile(example, "README.md", "exec"), namespace)
+    assert namespace["sent"]
