--- a/martenstep/cli/lab.py
+++ b/martenstep/cli/lab.py
@@ -138,12 +138,12 @@
 def report_(result: Path, out: Path, baseline: str, names: tuple[str, ...]) -> None:
     """Draw RESULT: charts as SVG and PNG, a table, one HTML page with all of it."""
     from martenstep.lab.experiment.plan import parse_plan
-    from martenstep.lab.experiment.report import write
+    from martenstep.lab.experiment.report import write_report
 
     rows, held, _ = _result(result, names)
     plan = parse_plan(held["plan"], str(result))
     _, _, figures = _result(result, names or tuple(plan.metric))
-    made = write(rows, held, figures, _baseline(rows, baseline or plan.baseline), out)
+    made = write_report(rows, held, figures, _baseline(rows, baseline or plan.baseline), out)
     click.echo(f"{made[-1]}: {len(made)} files")
 
 
@@ -178,13 +178,13 @@
             raise click.UsageError(f"no metric {metric!r} (there are: {', '.join(found)})")
         return float("inf") if found["broken"] else -found[metric] if low else found[metric]
 
-    found = searching.search(base, badness, runs, seed, told=lambda count, worst: _Progress()(count, runs, 0.0))
+    found = searching.search(base, badness, runs, seed, progress=lambda count, worst: _Progress()(count, runs, 0.0))
     small = searching.shrink(found, badness, shrink_runs)
-    small.day.name = out.stem
-    out.write_text(text_format.MessageToString(small.day), encoding="utf-8")
+    small.scenario.name = out.stem
+    out.write_text(text_format.MessageToString(small.scenario), encoding="utf-8")
     rule = small.badness == float("inf")
     click.echo(
-        f"{out}: {'a rule breaks' if rule else f'{metric} {abs(small.badness):.4g}'}, {len(small.day.event)} "
+        f"{out}: {'a rule breaks' if rule else f'{metric} {abs(small.badness):.4g}'}, {len(small.scenario.event)} "
         f"troubles; {small.tried} days tried"
     )
     sys.exit(EXIT_VIOLATION if rule else 0)
--- a/martenstep/lab/emulate/__init__.py
+++ b/martenstep/lab/emulate/__init__.py
@@ -1,5 +1,5 @@
-"""The systems that doors serve and rest on, in virtual time, driving the doors' own engines.
+"""Runs scenarios in virtual time: models of the systems around the gateways drive the gateways' real engines.
 
-May live here: the clock, the network, models of servers, store, feed and clients, and the world that plays a day with
-them.  May not: sockets, threads, the machine's clock; nothing decides for a door here.
+This package holds the clock, the network, the models of servers, store, feed and clients, and the emulation that runs a
+scenario with them.  It uses no sockets, no threads and not the machine's clock, and makes no decision for a gateway.
 """
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -1,6 +1,6 @@
-"""A door in virtual time: the very engine, store and feed follower of the daemon, between modelled connections.
+"""An emulated gateway: the engine, store client and endpoint list follower of the daemon on modelled connections.
 
-What the daemon's process costs is modelled as one worker that takes requests and answers in turn.
+The processor time of the daemon is modelled as one worker that processes requests and responses one after the other.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from martenstep.config import door_pb2 as cfg
 from martenstep.discovery.endpoint_list import EndpointListEvent
 from martenstep.discovery.endpoint_list_state import EndpointListState
-from martenstep.lab.emulate.auth import EmuAuth
+from martenstep.lab.emulate.auth import EmulatedAuthService
 from martenstep.lab.emulate.core import Sim, Timer
-from martenstep.lab.emulate.net import Network, Pipe, Place
-from martenstep.lab.emulate.servers import EmuServer, Job
-from martenstep.lab.emulate.store import EmuStore
+from martenstep.lab.emulate.net import Location, Network, Pipe
+from martenstep.lab.emulate.servers import EmulatedServer, Job
+from martenstep.lab.emulate.store import EmulatedStore
 from martenstep.policy.messages import EndpointListScope
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.engine_factory import make_engine
@@ -29,75 +29,86 @@
 from martenstep.redis_counter.messages import AddCall
 
 STORE_NODE = "store"
-ZONE_OF_STORE = "store"
+STORE_ZONE = "store"
 
 
 @dataclass(frozen=True, slots=True)
-class Costs:
-    """Processor time of a door's process, in ms: measured about 0.7 a request over sockets (docs/measurements.md)."""
+class ProcessingCosts:
+    """Processor time of a gateway's process: about 0.7 ms for each request over sockets (docs/measurements.md)."""
 
     request_ms: float = 0.35
     answer_ms: float = 0.35
 
 
 @dataclass(slots=True, eq=False)
-class Caller:
-    """What a door knows of the client that asked: where its answer goes."""
+class ClientConnection:
+    """The gateway's side of a client connection: where the response goes."""
 
-    reply: Callable[[int, ev.Headers, bool], None]  # status, headers; False: broke off
+    reply: Callable[[int, ev.Headers, bool], None]  # status, headers, whether the response is complete
     pipe: Pipe
 
 
-class Connection:
-    """One connection from a door to a server, both ends of it."""
-
-    __slots__ = ("_door", "attempt", "back", "ended", "forth", "job", "reached", "request_id", "server", "up")
-
-    def __init__(self, door: EmuDoor, server: EmuServer, forth: Pipe, back: Pipe) -> None:
-        self._door, self.server, self.forth, self.back = door, server, forth, back
-        self.request_id = self.attempt = -1  # of the attempt that it carries
+class UpstreamConnection:
+    """One connection from a gateway to a server, with the state of both ends."""
+
+    __slots__ = (
+        "_gateway",
+        "attempt",
+        "closed_at_server",
+        "delivered",
+        "established",
+        "job",
+        "request_id",
+        "server",
+        "to_gateway",
+        "to_server",
+    )
+
+    def __init__(self, gateway: EmulatedGateway, server: EmulatedServer, to_server: Pipe, to_gateway: Pipe) -> None:
+        self._gateway, self.server, self.to_server, self.to_gateway = gateway, server, to_server, to_gateway
+        self.request_id = self.attempt = -1  # the attempt in progress
         self.job: Job | None = None
-        self.up = False
-        self.reached = True  # what was written last has come to the server
-        self.ended = False  # at the server's end
+        self.established = False
+        self.delivered = True  # whether the last request has arrived at the server
+        self.closed_at_server = False
 
     # At the server's end --------------------------------------------------------------------------------
 
-    def came(self, told: dict[str, Any], cls: str, key: str, customer: str) -> None:
-        """A request has come over it."""
-        self.reached = True
-        if not self.ended:
-            self.job = self.server.arrive(self, told, cls, key, customer)
-
-    def closed(self) -> None:
-        """The door has closed it."""
-        if not self.ended:
-            self.ended = True
-            self.server.callers.pop(self, None)
+    def request_arrived(self, trace_fields: dict[str, Any], cls: str, key: str, customer: str) -> None:
+        """Run at the server when a request has arrived."""
+        self.delivered = True
+        if not self.closed_at_server:
+            self.job = self.server.receive_request(self, trace_fields, cls, key, customer)
+
+    def gateway_closed(self) -> None:
+        """Run at the server when the gateway's close has arrived."""
+        if not self.closed_at_server:
+            self.closed_at_server = True
+            self.server.connections.pop(self, None)
             if self.job is not None:
-                self.server.give_up(self.job)
+                self.server.cancel_job(self.job)
 
-    def answered(self, job: Job, how: str, size: int) -> None:
-        """The server's answer goes out."""
-        if self.ended:
+    def job_ended(self, job: Job, how: str, size: int) -> None:
+        """Send the server's response to the gateway."""
+        if self.closed_at_server:
             return
         self.job = None
         if how in ("reset", "cut"):
-            self.ended = True
-            self.server.callers.pop(self, None)
-        self.back.send(self._door.answered, self, self.request_id, self.attempt, how, size=size)
-
-    def dropped(self) -> None:
-        """The server drops it, with what it carries."""
-        if not self.ended:
-            self.ended = True
+            self.closed_at_server = True
+            self.server.connections.pop(self, None)
+        self.to_gateway.send(self._gateway.receive_response, self, self.request_id, self.attempt, how, size=size)
+
+    def server_closed(self) -> None:
+        """Close the connection at the server and cancel its job."""
+        if not self.closed_at_server:
+            self.closed_at_server = True
             if self.job is not None:
-                self.server.give_up(self.job)
-            self.back.send(self._door.lost, self)
+                self.server.cancel_job(self.job)
+            self.to_gateway.send(self._gateway.connection_lost, self)
 
 
-class EmuDoor:
-    """One door's process."""
+class EmulatedGateway:
+    """The process of one gateway."""
 
     def __init__(
         self,
@@ -106,81 +117,89 @@
         settings: cfg.Door,
         number: int,
         seed: int,
-        servers: dict[int, EmuServer],
+        servers: dict[int, EmulatedServer],
         zones: dict[int, str],
-        redis: EmuStore | None,
-        costs: Costs,
-        subscribe: Callable[[EmuDoor], None],
-        services: dict[int, EmuAuth],
+        redis: EmulatedStore | None,
+        costs: ProcessingCosts,
+        subscribe: Callable[[EmulatedGateway], None],
+        services: dict[int, EmulatedAuthService],
     ) -> None:
-        """`services` authenticate, by the port that the settings name; `zones` are the servers', by number;
-        `subscribe` asks the feed to tell of changes."""
+        """Create a running gateway.
+
+        `services` maps the ports in the settings to authentication services, `zones` maps the servers' numbers to
+        their zones, and `subscribe` asks the feed to send changes.
+        """
         self._services = services
-        self._checks: dict[int, int] = {}  # checks that are out: the attempt
+        self._checks: dict[int, int] = {}  # the attempt of each check in progress
         self._sim, self._net, self.settings, self.number = sim, net, settings, number
         self.name, self._servers, self._redis, self._costs = settings.name, servers, redis, costs
-        self.place = Place(settings.name, settings.zone)
+        self.location = Location(settings.name, settings.zone)
         self.engine = make_engine(settings, seed)
         self._zones, self._subscribe = zones, subscribe
         self.alive, self.stopping = True, False
-        self.follower = EndpointListState()
-        self.listening = False
-        self._callers: dict[int, Caller] = {}
+        self.endpoint_list = EndpointListState()
+        self.subscribed = False
+        self._client_connections: dict[int, ClientConnection] = {}
         self._last_request_id = 0
         self._busy_until = 0.0
-        self._idle: dict[int, list[Connection]] = {}
-        self._number: dict[int, int] = {}  # connections of a server, dialled or standing
-        self._out: dict[int, Connection] = {}  # by request_id
+        self._idle: dict[int, list[UpstreamConnection]] = {}
+        self._connection_counts: dict[int, int] = {}  # connections to each server, established or being opened
+        self._active_attempts: dict[int, UpstreamConnection] = {}  # by request id
         self._actions: deque[ev.Action] = deque()
-        self._acting = False
+        self._performing = False
         self._timer: Timer | None = None
         self._timer_at = 0.0
-        self.answers: dict[str, int] = {}
+        self.reason_counts: dict[str, int] = {}
         self._store_timer: Timer | None = None
-        self._core: Core | None = None
+        self._store_client: Core | None = None
         if redis is not None:
-            told = settings.store
-            self._core = Core(
+            options = settings.store
+            self._store_client = Core(
                 store.CoreOptions(
-                    told.timeout_ms, told.connections, told.waiting, told.gather_ms, told.prefix, told.scripts
+                    options.timeout_ms,
+                    options.connections,
+                    options.waiting,
+                    options.gather_ms,
+                    options.prefix,
+                    options.scripts,
                 ),
                 random.Random(seed),
             )
-            self._lanes: dict[store.ConnectionId, tuple[Pipe, Pipe]] = {}
-            self._store_place = Place(STORE_NODE, ZONE_OF_STORE)
-            self._core.set_topology(sim.now, [STORE_NODE])
-            self._store_act()
-        self._does: dict[type, Callable[[Any], None]] = {
-            ev.OpenAttempt: self._open,
-            ev.AbortAttempt: self._abandon,
-            ev.RelayResponse: self._pass,
-            ev.SendLocalReply: self._reply,
-            ev.ResetClientConnection: self._break,
-            ev.AddToCounter: self._add,
-            ev.SubscribeEndpoints: self._listen,
+            self._store_pipes: dict[store.ConnectionId, tuple[Pipe, Pipe]] = {}
+            self._store_location = Location(STORE_NODE, STORE_ZONE)
+            self._store_client.set_topology(sim.now, [STORE_NODE])
+            self._perform_store_actions()
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
+            ev.OpenAttempt: self._open_attempt,
+            ev.AbortAttempt: self._abort_attempt,
+            ev.RelayResponse: self._relay_response,
+            ev.SendLocalReply: self._send_local_reply,
+            ev.ResetClientConnection: self._reset_client,
+            ev.AddToCounter: self._add_to_counter,
+            ev.SubscribeEndpoints: self._subscribe_endpoints,
             ev.LogEvent: self._log_event,
-            ev.StartAuthCheck: self._ask_service,
-            ev.StopAuthCheck: self._stop_asking,
+            ev.StartAuthCheck: self._start_auth_check,
+            ev.StopAuthCheck: self._stop_auth_check,
         }
 
     # Engine ---------------------------------------------------------------------------------------------
 
-    def act(self, event: ev.Event) -> None:
-        """Tell the engine, and do what it says."""
+    def handle_event(self, event: ev.Event) -> None:
+        """Pass an event to the engine and perform the actions that it returns."""
         if self.alive:
-            self._run(self.engine.handle(self._sim.now, event))
+            self._perform(self.engine.handle(self._sim.now, event))
 
-    def _run(self, actions: list[ev.Action]) -> None:
+    def _perform(self, actions: list[ev.Action]) -> None:
         self._actions.extend(actions)
-        if self._acting:
+        if self._performing:
             return
-        self._acting = True
+        self._performing = True
         while self._actions:
             action = self._actions.popleft()
-            does = self._does.get(type(action))
-            if does is not None:
-                does(action)
-        self._acting = False
+            handler = self._action_handlers.get(type(action))
+            if handler is not None:
+                handler(action)
+        self._performing = False
         at = self.engine.next_at()
         if at is not None and (self._timer is None or at < self._timer_at):
             if self._timer is not None:
@@ -190,111 +209,116 @@
 
     def _tick(self) -> None:
         self._timer = None
-        self.act(ev.Tick())
+        self.handle_event(ev.Tick())
 
-    def _in_turn(self, cost: float, call: Callable[..., None], *args: Any) -> None:
-        """Do it as soon as the process has come to it."""
+    def _queue_work(self, cost: float, call: Callable[..., None], *args: Any) -> None:
+        """Schedule a call for the time at which the process has spent `cost` on it, after all earlier work."""
         self._busy_until = max(self._sim.now, self._busy_until) + cost
         self._sim.at(self._busy_until, call, *args)
 
     def _log_event(self, action: ev.LogEvent) -> None:
         if action.event in ("request finished", "request rejected"):
             reason = action.fields["reason"]
-            self.answers[reason] = self.answers.get(reason, 0) + 1
+            self.reason_counts[reason] = self.reason_counts.get(reason, 0) + 1
 
     # Clients --------------------------------------------------------------------------------------------
 
-    def accepts(self) -> bool:
-        """Whether a client's connection is taken."""
+    def accepts_connections(self) -> bool:
+        """Whether the gateway accepts a client's connection."""
         return self.alive and not self.stopping
 
-    def asked(self, caller: Caller, method: bytes, target: bytes, headers: ev.Headers) -> int:
-        """A client's request has come; gives its request_id."""
+    def receive_request(self, client: ClientConnection, method: bytes, target: bytes, headers: ev.Headers) -> int:
+        """Accept a client's request; returns its id."""
         self._last_request_id += 1
         request_id = self._last_request_id
-        self._callers[request_id] = caller
-        self._in_turn(self._costs.request_ms, self._arrived, request_id, method, target, headers)
+        self._client_connections[request_id] = client
+        self._queue_work(self._costs.request_ms, self._process_request, request_id, method, target, headers)
         return request_id
 
-    def _arrived(self, request_id: int, method: bytes, target: bytes, headers: ev.Headers) -> None:
-        if request_id in self._callers:
-            self.act(ev.RequestReceived(request_id, method, target, headers, "127.0.0.1"))
+    def _process_request(self, request_id: int, method: bytes, target: bytes, headers: ev.Headers) -> None:
+        if request_id in self._client_connections:
+            self.handle_event(ev.RequestReceived(request_id, method, target, headers, "127.0.0.1"))
 
-    def client_left(self, request_id: int) -> None:
-        """The client is gone."""
-        if self._callers.pop(request_id, None) is not None:
-            self.act(ev.ClientDisconnected(request_id))
+    def client_disconnected(self, request_id: int) -> None:
+        """Notify the engine that the client has closed its connection."""
+        if self._client_connections.pop(request_id, None) is not None:
+            self.handle_event(ev.ClientDisconnected(request_id))
 
-    def _reply(self, action: ev.SendLocalReply) -> None:
-        caller = self._callers.pop(action.request_id, None)
-        if caller is not None:
-            caller.pipe.send(caller.reply, action.status, action.headers, True, size=len(action.body) + 300)
+    def _send_local_reply(self, action: ev.SendLocalReply) -> None:
+        client = self._client_connections.pop(action.request_id, None)
+        if client is not None:
+            client.pipe.send(client.reply, action.status, action.headers, True, size=len(action.body) + 300)
 
-    def _pass(self, action: ev.RelayResponse) -> None:
-        caller = self._callers.get(action.request_id)
-        if caller is not None and action.complete:
-            del self._callers[action.request_id]
-            caller.pipe.send(caller.reply, action.status, action.headers, True, size=2000)
+    def _relay_response(self, action: ev.RelayResponse) -> None:
+        client = self._client_connections.get(action.request_id)
+        if client is not None and action.complete:
+            del self._client_connections[action.request_id]
+            client.pipe.send(client.reply, action.status, action.headers, True, size=2000)
 
-    def _break(self, action: ev.ResetClientConnection) -> None:
-        caller = self._callers.pop(action.request_id, None)
-        if caller is not None:
-            caller.pipe.send(caller.reply, 0, [], False)
+    def _reset_client(self, action: ev.ResetClientConnection) -> None:
+        client = self._client_connections.pop(action.request_id, None)
+        if client is not None:
+            client.pipe.send(client.reply, 0, [], False)
 
     # Servers --------------------------------------------------------------------------------------------
 
-    def _open(self, action: ev.OpenAttempt) -> None:
+    def _open_attempt(self, action: ev.OpenAttempt) -> None:
         server = self._servers[action.endpoint]
         idle = self._idle.get(action.endpoint)
         while idle:
             connection = idle.pop()
-            if connection.up:
-                self._begin(connection, action)
+            if connection.established:
+                self._write_request(connection, action)
                 return
-        held = self._number.get(action.endpoint, 0)
+        held = self._connection_counts.get(action.endpoint, 0)
         if held >= self.settings.upstream.connections:
-            self.act(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.CONNECTION_LIMIT))
+            self.handle_event(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.CONNECTION_LIMIT))
             return
-        self._number[action.endpoint] = held + 1
-        there = Place(f"server-{action.endpoint}", self._zone_of(action.endpoint))
-        connection = Connection(self, server, Pipe(self._net, self.place, there), Pipe(self._net, there, self.place))
+        self._connection_counts[action.endpoint] = held + 1
+        server_location = Location(f"server-{action.endpoint}", self._server_zone(action.endpoint))
+        connection = UpstreamConnection(
+            self,
+            server,
+            Pipe(self._net, self.location, server_location),
+            Pipe(self._net, server_location, self.location),
+        )
         connection.request_id, connection.attempt = action.request_id, action.attempt
-        self._out[action.request_id] = connection
-        connection.forth.send(self._knock, connection, action, size=60)
+        self._active_attempts[action.request_id] = connection
+        connection.to_server.send(self._connect_at_server, connection, action, size=60)
 
-    def _zone_of(self, server: int) -> str:
+    def _server_zone(self, server: int) -> str:
         return self._zones.get(server, "")
 
-    def _knock(self, connection: Connection, action: ev.OpenAttempt) -> None:
-        """At the server: the connection is taken or not."""
-        if connection.server.takes:
-            connection.server.callers[connection] = None
-            connection.back.send(self._stands, connection, action, size=60)
+    def _connect_at_server(self, connection: UpstreamConnection, action: ev.OpenAttempt) -> None:
+        """Run at the server when the request to connect has arrived."""
+        if connection.server.accepts_connections:
+            connection.server.connections[connection] = None
+            connection.to_gateway.send(self._connected, connection, action, size=60)
         else:
-            connection.ended = True
-            connection.back.send(self._refused, connection, action, size=60)
-
-    def _stands(self, connection: Connection, action: ev.OpenAttempt) -> None:
-        if self._out.get(action.request_id) is connection and not connection.up and self.alive:
-            connection.up = True
-            self._begin(connection, action)
-        else:  # given up meanwhile
-            self._drop(connection)
-
-    def _refused(self, connection: Connection, action: ev.OpenAttempt) -> None:
-        if self._out.get(action.request_id) is connection:
-            del self._out[action.request_id]
-            self._uncount(connection)
-            self.act(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.NOT_CONNECTED))
-
-    def _begin(self, connection: Connection, action: ev.OpenAttempt) -> None:
+            connection.closed_at_server = True
+            connection.to_gateway.send(self._connect_refused, connection, action, size=60)
+
+    def _connected(self, connection: UpstreamConnection, action: ev.OpenAttempt) -> None:
+        if self._active_attempts.get(action.request_id) is connection and not connection.established and self.alive:
+            connection.established = True
+            self._write_request(connection, action)
+        else:  # the attempt was aborted in the meantime
+            self._close(connection)
+
+    def _connect_refused(self, connection: UpstreamConnection, action: ev.OpenAttempt) -> None:
+        if self._active_attempts.get(action.request_id) is connection:
+            del self._active_attempts[action.request_id]
+            self._release_connection(connection)
+            self.handle_event(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.NOT_CONNECTED))
+
+    def _write_request(self, connection: UpstreamConnection, action: ev.OpenAttempt) -> None:
         connection.request_id, connection.attempt = action.request_id, action.attempt
-        self._out[action.request_id] = connection
-        self.act(ev.AttemptWritten(action.request_id, action.attempt))
-        if self._out.get(action.request_id) is not connection:
+        self._active_attempts[action.request_id] = connection
+        self.handle_event(ev.AttemptWritten(action.request_id, action.attempt))
+        if self._active_attempts.get(action.request_id) is not connection:
             return
         headers = action.headers
-        told = {
+        trace_fields = {
             "rid": (get_header(headers, b"x-request-id") or b"").decode(),
             "attempt": action.attempt,
             "door": self.name,
@@ -303,242 +327,252 @@
         cls = action.target.decode("latin-1").split("/")[1]
         key = (get_header(headers, b"idempotency-key") or b"").decode()
         customer = (get_header(headers, b"x-auth-customer") or get_header(headers, b"x-customer") or b"").decode()
-        connection.reached = False
-        connection.forth.send(connection.came, told, cls, key, customer)
+        connection.delivered = False
+        connection.to_server.send(connection.request_arrived, trace_fields, cls, key, customer)
         if action.deliver_by is not None:
-            self._sim.at(action.deliver_by, self._undelivered, connection, action)
-
-    def _undelivered(self, connection: Connection, action: ev.OpenAttempt) -> None:
-        """The kernel breaks a connection whose bytes were not acknowledged in their time."""
-        same = self._out.get(action.request_id) is connection and connection.attempt == action.attempt
-        if same and not connection.reached and self.alive:
-            del self._out[action.request_id]
-            self._drop(connection)
-            self.act(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.CLOSED))
-
-    def _abandon(self, action: ev.AbortAttempt) -> None:
-        connection = self._out.pop(action.request_id, None)
+            self._sim.at(action.deliver_by, self._delivery_timed_out, connection, action)
+
+    def _delivery_timed_out(self, connection: UpstreamConnection, action: ev.OpenAttempt) -> None:
+        """Close the connection, as the kernel does when its bytes are not acknowledged in time."""
+        same = self._active_attempts.get(action.request_id) is connection and connection.attempt == action.attempt
+        if same and not connection.delivered and self.alive:
+            del self._active_attempts[action.request_id]
+            self._close(connection)
+            self.handle_event(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.CLOSED))
+
+    def _abort_attempt(self, action: ev.AbortAttempt) -> None:
+        connection = self._active_attempts.pop(action.request_id, None)
         if connection is not None:
-            self._drop(connection)
+            self._close(connection)
 
-    def _drop(self, connection: Connection) -> None:
-        """Close it, here and now; the server learns of it a moment later."""
-        connection.up = False
-        connection.back.open = False
-        self._uncount(connection)
-        connection.forth.reset()
-        connection.forth.send(connection.closed, size=60)
+    def _close(self, connection: UpstreamConnection) -> None:
+        """Close the connection; the server receives the close later."""
+        connection.established = False
+        connection.to_gateway.open = False
+        self._release_connection(connection)
+        connection.to_server.reset()
+        connection.to_server.send(connection.gateway_closed, size=60)
 
-    def _uncount(self, connection: Connection) -> None:
+    def _release_connection(self, connection: UpstreamConnection) -> None:
         number = connection.server.config.id
-        self._number[number] -= 1
+        self._connection_counts[number] -= 1
 
-    def lost(self, connection: Connection) -> None:
-        """The server has dropped it."""
-        if not connection.up and connection.request_id not in self._out:
+    def connection_lost(self, connection: UpstreamConnection) -> None:
+        """Handle that the server has closed the connection."""
+        if not connection.established and connection.request_id not in self._active_attempts:
             return
-        connection.up = False
-        self._uncount(connection)
-        if self._out.get(connection.request_id) is connection:
-            del self._out[connection.request_id]
-            self.act(ev.AttemptFailed(connection.request_id, connection.attempt, AttemptFailure.CLOSED))
+        connection.established = False
+        self._release_connection(connection)
+        if self._active_attempts.get(connection.request_id) is connection:
+            del self._active_attempts[connection.request_id]
+            self.handle_event(ev.AttemptFailed(connection.request_id, connection.attempt, AttemptFailure.CLOSED))
         else:
             idle = self._idle.get(connection.server.config.id, [])
             if connection in idle:
                 idle.remove(connection)
 
-    def answered(self, connection: Connection, request_id: int, attempt: int, how: str) -> None:
-        """A server's answer has come."""
-        if self._out.get(request_id) is not connection or connection.attempt != attempt:
+    def receive_response(self, connection: UpstreamConnection, request_id: int, attempt: int, how: str) -> None:
+        """Queue a server's response for processing."""
+        if self._active_attempts.get(request_id) is not connection or connection.attempt != attempt:
             return
-        self._in_turn(self._costs.answer_ms, self._read, connection, request_id, attempt, how)
+        self._queue_work(self._costs.answer_ms, self._process_response, connection, request_id, attempt, how)
 
-    def _read(self, connection: Connection, request_id: int, attempt: int, how: str) -> None:
-        if self._out.get(request_id) is not connection or connection.attempt != attempt or not self.alive:
+    def _process_response(self, connection: UpstreamConnection, request_id: int, attempt: int, how: str) -> None:
+        if self._active_attempts.get(request_id) is not connection or connection.attempt != attempt or not self.alive:
             return
         if how in ("reset", "cut"):
-            connection.up = False
-            self._uncount(connection)
-            del self._out[request_id]
-            self.act(ev.AttemptFailed(request_id, attempt, AttemptFailure.CLOSED))
+            connection.established = False
+            self._release_connection(connection)
+            del self._active_attempts[request_id]
+            self.handle_event(ev.AttemptFailed(request_id, attempt, AttemptFailure.CLOSED))
             return
         upstream = self.settings.upstream
         status = {"error": 500, "refused": upstream.refusal_status}.get(how, 200)
         headers: ev.Headers = [(upstream.refusal_header.encode(), b"1")] if how == "refused" else []
-        self.act(ev.ResponseHeadReceived(request_id, attempt, status, headers))
-        if self._out.get(request_id) is connection:  # else the engine has given the attempt up
-            del self._out[request_id]
+        self.handle_event(ev.ResponseHeadReceived(request_id, attempt, status, headers))
+        if self._active_attempts.get(request_id) is connection:  # otherwise the engine has aborted the attempt
+            del self._active_attempts[request_id]
             self._idle.setdefault(connection.server.config.id, []).append(connection)
-            self.act(ev.ResponseCompleted(request_id, attempt))
+            self.handle_event(ev.ResponseCompleted(request_id, attempt))
 
     # Store ----------------------------------------------------------------------------------------------
 
-    def _add(self, action: ev.AddToCounter) -> None:
-        assert self._core is not None
-        self._core.add(
+    def _add_to_counter(self, action: ev.AddToCounter) -> None:
+        assert self._store_client is not None
+        self._store_client.add(
             self._sim.now, AddCall(action.call_id, action.key, action.units, action.expire_ms, action.bounds_ceiling)
         )
-        self._store_act()
+        self._perform_store_actions()
 
-    def _store_act(self) -> None:
-        core = self._core
-        assert core is not None
-        for action in core.take_actions():
+    def _perform_store_actions(self) -> None:
+        client = self._store_client
+        assert client is not None
+        for action in client.take_actions():
             match action:
-                case store.AnswerCall(call=call, result=verdict, total=total, retained_ms=kept):
-                    self.act(ev.CounterReplied(call, verdict, total, kept))
-                case store.WriteOperations(connection=lane):
-                    self._lanes[lane][0].send(self._at_store, action, size=120 * len(action.operations))
-                case store.OpenConnection(connection=lane):
+                case store.AnswerCall(call=call, result=verdict, total=total, retained_ms=retained_ms):
+                    self.handle_event(ev.CounterReplied(call, verdict, total, retained_ms))
+                case store.WriteOperations(connection=connection_id):
+                    self._store_pipes[connection_id][0].send(
+                        self._write_at_store, action, size=120 * len(action.operations)
+                    )
+                case store.OpenConnection(connection=connection_id):
                     pipes = (
-                        Pipe(self._net, self.place, self._store_place),
-                        Pipe(self._net, self._store_place, self.place),
+                        Pipe(self._net, self.location, self._store_location),
+                        Pipe(self._net, self._store_location, self.location),
                     )
-                    self._lanes[lane] = pipes
-                    pipes[0].send(self._store_knock, lane, pipes, size=60)
-                case store.CloseConnection(connection=lane):
-                    found = self._lanes.pop(lane, None)
-                    if found is not None:
-                        found[1].open = False
+                    self._store_pipes[connection_id] = pipes
+                    pipes[0].send(self._connect_at_store, connection_id, pipes, size=60)
+                case store.CloseConnection(connection=connection_id):
+                    closed = self._store_pipes.pop(connection_id, None)
+                    if closed is not None:
+                        closed[1].open = False
                 case _:
                     pass
         if self._store_timer is not None:
             self._store_timer.cancel()
-        at = core.next_timer_ms(self._sim.now)
-        self._store_timer = self._sim.at(at, self._store_wake) if at < float("inf") else None
+        at = client.next_timer_ms(self._sim.now)
+        self._store_timer = self._sim.at(at, self._store_timer_due) if at < float("inf") else None
 
-    def _store_wake(self) -> None:
-        if self.alive and self._core is not None:
-            self._core.on_timer(self._sim.now)
-            self._store_act()
+    def _store_timer_due(self) -> None:
+        if self.alive and self._store_client is not None:
+            self._store_client.on_timer(self._sim.now)
+            self._perform_store_actions()
 
-    def _store_knock(self, lane: store.ConnectionId, pipes: tuple[Pipe, Pipe]) -> None:
+    def _connect_at_store(self, connection_id: store.ConnectionId, pipes: tuple[Pipe, Pipe]) -> None:
         assert self._redis is not None
-        pipes[1].send(self._store_stands, lane, pipes, not self._redis.down, size=60)
+        pipes[1].send(self._store_connected, connection_id, pipes, not self._redis.down, size=60)
 
-    def _store_stands(self, lane: store.ConnectionId, pipes: tuple[Pipe, Pipe], taken: bool) -> None:
-        if self._lanes.get(lane) is not pipes or not self.alive or self._core is None:
+    def _store_connected(self, connection_id: store.ConnectionId, pipes: tuple[Pipe, Pipe], accepted: bool) -> None:
+        if self._store_pipes.get(connection_id) is not pipes or not self.alive or self._store_client is None:
             return
-        if taken:
-            self._core.on_opened(self._sim.now, lane)
+        if accepted:
+            self._store_client.on_opened(self._sim.now, connection_id)
         else:
-            del self._lanes[lane]
-            self._core.on_connect_failed(self._sim.now, lane, "refused")
-        self._store_act()
+            del self._store_pipes[connection_id]
+            self._store_client.on_connect_failed(self._sim.now, connection_id, "refused")
+        self._perform_store_actions()
 
-    def _at_store(self, write: store.WriteOperations) -> None:
-        assert self._redis is not None and self._core is not None
-        pipes = self._lanes.get(write.connection)
+    def _write_at_store(self, write: store.WriteOperations) -> None:
+        assert self._redis is not None and self._store_client is not None
+        pipes = self._store_pipes.get(write.connection)
         if self._redis.down:
             return
-        done, answers = self._redis.take(self.name, write, self._core.store_key)
+        done, answers = self._redis.execute(self.name, write, self._store_client.store_key)
         if answers is not None and pipes is not None:
-            self._sim.at(done, pipes[1].send, self._store_said, write.connection, pipes, answers)
+            self._sim.at(done, pipes[1].send, self._store_replied, write.connection, pipes, answers)
         elif pipes is not None and self._redis.cut_share:
-            self._sim.at(done, pipes[1].send, self.store_lost, write.connection, pipes)
+            self._sim.at(done, pipes[1].send, self.store_connection_lost, write.connection, pipes)
 
-    def _store_said(
-        self, lane: store.ConnectionId, pipes: tuple[Pipe, Pipe], answers: list[store.StatementReply | store.StoreError]
+    def _store_replied(
+        self,
+        connection_id: store.ConnectionId,
+        pipes: tuple[Pipe, Pipe],
+        answers: list[store.StatementReply | store.StoreError],
     ) -> None:
-        if self._lanes.get(lane) is pipes and self.alive and self._core is not None:
+        if self._store_pipes.get(connection_id) is pipes and self.alive and self._store_client is not None:
             for answer in answers:
-                self._core.on_reply(self._sim.now, lane, answer)
-            self._store_act()
+                self._store_client.on_reply(self._sim.now, connection_id, answer)
+            self._perform_store_actions()
 
-    def store_lost(self, lane: store.ConnectionId, pipes: tuple[Pipe, Pipe]) -> None:
-        """A connection to the store broke."""
-        if self._lanes.get(lane) is pipes and self.alive and self._core is not None:
-            del self._lanes[lane]
+    def store_connection_lost(self, connection_id: store.ConnectionId, pipes: tuple[Pipe, Pipe]) -> None:
+        """Handle that a connection to the store has ended."""
+        if self._store_pipes.get(connection_id) is pipes and self.alive and self._store_client is not None:
+            del self._store_pipes[connection_id]
             pipes[1].open = False
-            self._core.on_connection_lost(self._sim.now, lane, "broke")
-            self._store_act()
+            self._store_client.on_connection_lost(self._sim.now, connection_id, "broke")
+            self._perform_store_actions()
 
-    def store_gone(self) -> None:
-        """All connections to the store break."""
-        for lane, pipes in list(self._lanes.items()) if self._core is not None else ():
-            self.store_lost(lane, pipes)
+    def break_store_connections(self) -> None:
+        """End all connections to the store."""
+        for connection_id, pipes in list(self._store_pipes.items()) if self._store_client is not None else ():
+            self.store_connection_lost(connection_id, pipes)
 
     # Authentication -------------------------------------------------------------------------------------
 
-    def _ask_service(self, action: ev.StartAuthCheck) -> None:
+    def _start_auth_check(self, action: ev.StartAuthCheck) -> None:
         self._checks[action.check_id] = action.attempt
         service = self._services[action.address[1]]
-        forth, back = Pipe(self._net, self.place, service.place), Pipe(self._net, service.place, self.place)
+        to_service, to_gateway = (
+            Pipe(self._net, self.location, service.location),
+            Pipe(self._net, service.location, self.location),
+        )
         credential = (get_header(action.headers, b"authorization") or b"").decode("latin-1")
         rid = (get_header(action.headers, b"x-request-id") or b"").decode("latin-1")
 
         def reply(status: int, headers: ev.Headers, body: bytes) -> None:
-            back.send(self._verdict, action, status, headers, body)
+            to_gateway.send(self._auth_check_replied, action, status, headers, body)
 
-        forth.send(service.ask, credential, rid, reply, lambda: back.send(self._check_failed, action))
+        to_service.send(service.check, credential, rid, reply, lambda: to_gateway.send(self._auth_check_failed, action))
 
-    def _verdict(self, action: ev.StartAuthCheck, status: int, headers: ev.Headers, body: bytes) -> None:
+    def _auth_check_replied(self, action: ev.StartAuthCheck, status: int, headers: ev.Headers, body: bytes) -> None:
         if self._checks.get(action.check_id) == action.attempt:
             del self._checks[action.check_id]
-            self.act(ev.AuthCheckReplied(action.check_id, action.attempt, status, list(headers), body))
+            self.handle_event(ev.AuthCheckReplied(action.check_id, action.attempt, status, list(headers), body))
 
-    def _check_failed(self, action: ev.StartAuthCheck) -> None:
+    def _auth_check_failed(self, action: ev.StartAuthCheck) -> None:
         if self._checks.get(action.check_id) == action.attempt:
             del self._checks[action.check_id]
-            self.act(ev.AuthCheckFailed(action.check_id, action.attempt))
+            self.handle_event(ev.AuthCheckFailed(action.check_id, action.attempt))
 
-    def _stop_asking(self, action: ev.StopAuthCheck) -> None:
+    def _stop_auth_check(self, action: ev.StopAuthCheck) -> None:
         self._checks.pop(action.check_id, None)
 
     # Feed -----------------------------------------------------------------------------------------------
 
-    def _listen(self, _: ev.SubscribeEndpoints) -> None:
-        self.listening = True
+    def _subscribe_endpoints(self, _: ev.SubscribeEndpoints) -> None:
+        self.subscribed = True
         self._subscribe(self)
 
-    def told(self, body: bytes) -> None:
-        """The feed's answer."""
+    def receive_endpoint_list(self, body: bytes) -> None:
+        """Apply the feed's response to a poll."""
         if self.alive:
-            listed, _ = self.follower.apply(body, self._sim.now)
+            listed, _ = self.endpoint_list.apply(body, self._sim.now)
             if listed is not None:
-                self.act(listed)
+                self.handle_event(listed)
 
-    def warm(self, body: bytes | None) -> None:
-        """The list as last held."""
-        self.act(
-            self.follower.restore(body, self._sim.now, self._sim.now)
+    def restore_endpoint_list(self, body: bytes | None) -> None:
+        """Restore the cached endpoint list of the previous process."""
+        self.handle_event(
+            self.endpoint_list.restore(body, self._sim.now, self._sim.now)
             if body
             else EndpointListEvent(EndpointListScope.CACHED)
         )
 
     def feed_lost(self) -> None:
-        """The feed cannot be reached."""
-        self.act(EndpointListEvent(EndpointListScope.LOST))
+        """Notify the engine that the feed cannot be reached."""
+        self.handle_event(EndpointListEvent(EndpointListScope.LOST))
 
-    # Life -----------------------------------------------------------------------------------------------
+    # Process --------------------------------------------------------------------------------------------
 
     def kill(self) -> None:
-        """SIGKILL: nothing is answered any more, every connection breaks."""
+        """End as by SIGKILL: no further response is sent, and every connection ends."""
         self.alive = False
-        for caller in self._callers.values():
-            caller.pipe.send(caller.reply, 0, [], False)
-        self._callers.clear()
-        for connection in [*self._out.values(), *(one for idle in self._idle.values() for one in idle)]:
-            connection.forth.reset()  # as the kernel does: Pool.dial
-            connection.forth.send(connection.closed, size=60)
+        for client in self._client_connections.values():
+            client.pipe.send(client.reply, 0, [], False)
+        self._client_connections.clear()
+        for connection in [
+            *self._active_attempts.values(),
+            *(connection for idle in self._idle.values() for connection in idle),
+        ]:
+            connection.to_server.reset()  # as the kernel does for connections of a ConnectionPool
+            connection.to_server.send(connection.gateway_closed, size=60)
         for timer in (self._timer, self._store_timer):
             if timer is not None:
                 timer.cancel()
 
-    def leave(self, done: Callable[[], None]) -> None:
-        """SIGTERM: accept no more, answer what is held, leave in a bounded time."""
+    def shut_down(self, done: Callable[[], None]) -> None:
+        """Shut down as by SIGTERM: reject new connections, answer accepted requests, end within `stop_ms`."""
         self.stopping = True
-        self._leaving(self._sim.now + self.settings.stop_ms, done)
+        self._await_answers(self._sim.now + self.settings.stop_ms, done)
 
-    def _leaving(self, until: float, done: Callable[[], None]) -> None:
-        if (
-            self.engine.unanswered or self._callers
-        ) and self._sim.now < until:  # those in turn are not the engine's yet
-            self._sim.after(10.0, self._leaving, until, done)
+    def _await_answers(self, until: float, done: Callable[[], None]) -> None:
+        # The engine does not count requests that still wait for the process, but `_client_connections` holds them.
+        if (self.engine.unanswered or self._client_connections) and self._sim.now < until:
+            self._sim.after(10.0, self._await_answers, until, done)
             return
-        self._run(self.engine.stop(self._sim.now))
-        self._sim.after(50.0, self._left, done)
+        self._perform(self.engine.stop(self._sim.now))
+        self._sim.after(50.0, self._shutdown_complete, done)
 
-    def _left(self, done: Callable[[], None]) -> None:
+    def _shutdown_complete(self, done: Callable[[], None]) -> None:
         self.kill()
         done()
--- a/martenstep/lab/emulate/judged.py
+++ b/martenstep/lab/emulate/judged.py
@@ -1,33 +1,33 @@
-"""The judge of played days on what was emulated: the same rules, the same figures."""
+"""Checks emulated scenarios with the invariant checkers and figures of those that run on sockets."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from martenstep.lab import day_pb2 as pb
-from martenstep.lab.emulate.world import Traces, World
+from martenstep.lab.emulate.world import Emulation, Traces
 from martenstep.lab.report import result_of
 from martenstep.lab.rules import CHECKED, RULES, Judge, Traffic, checked, gather
 
 
-def traffic_of(traces: Traces) -> Traffic:
-    """The traces put together."""
+def gather_traffic(traces: Traces) -> Traffic:
+    """Combine the traces into the traffic that the checkers work on."""
     return gather(traces.clients, traces.servers, traces.feed, traces.events)
 
 
-def judged(day: pb.Day, traces: Traces) -> dict[str, Any]:
-    """The result of an emulated day, in the form of a played one's."""
-    traffic = traffic_of(traces)
-    breaches = Judge(day, traffic).all()
-    guarded = day.HasField("auth_services")
-    if guarded:
-        breaches += checked(traffic, traces.auth, day.judge_slack_ms)
-    return result_of(day, traffic, breaches, (*RULES, *([CHECKED] if guarded else [])))
+def check_traces(scenario: pb.Day, traces: Traces) -> dict[str, Any]:
+    """Check an emulated scenario; the result has the same form as for a scenario on sockets."""
+    traffic = gather_traffic(traces)
+    violations = Judge(scenario, traffic).all()
+    has_auth = scenario.HasField("auth_services")
+    if has_auth:
+        violations += checked(traffic, traces.auth, scenario.judge_slack_ms)
+    return result_of(scenario, traffic, violations, (*RULES, *([CHECKED] if has_auth else [])))
 
 
-def emulate(day: pb.Day, seed: int | None = None) -> dict[str, Any]:
-    """Play a day in virtual time and judge it; raises NotEmulatedError."""
-    world = World(day, seed)
-    result = judged(day, world.play())
-    result["events"] = world.sim.events
+def emulate(scenario: pb.Day, seed: int | None = None) -> dict[str, Any]:
+    """Run a scenario in virtual time and check its invariants; raises NotEmulatedError."""
+    emulation = Emulation(scenario, seed)
+    result = check_traces(scenario, emulation.play())
+    result["events"] = emulation.sim.events
     return result
--- a/martenstep/lab/emulate/limiters.py
+++ b/martenstep/lab/emulate/limiters.py
@@ -1,7 +1,7 @@
-"""Other ways to keep customers to their plans, to hold the program's own against: each admits or refuses before the
-engine, which then only finds a server.
+"""Alternative limiters that the engine's own quotas are compared with.
 
-No I/O; the store of the central one is a model with the network's latency and the day's troubles.
+Each admits or rejects a request before the engine, which then only selects a server.  They do no I/O: the store of the
+central limiter is a model with the network's latency and the scenario's faults.
 """
 
 from __future__ import annotations
@@ -9,44 +9,44 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-Answer = Callable[[float | None], None]  # None: admitted; else the wait in ms
+Answer = Callable[[float | None], None]  # None if admitted, else the wait in ms
 
 
 @dataclass(slots=True)
 class Bucket:
-    """GCRA: a theoretical arrival time against a rate a millisecond and a burst."""
+    """A GCRA limiter: its emission interval and its tolerance are in milliseconds."""
 
-    per_unit: float
+    emission_interval: float
     tolerance: float
     tat: float = 0.0
 
     def take(self, now: float, units: float) -> float:
-        """Takes the units, and gives 0; or what is to be waited for them, and takes nothing."""
-        wait = max(self.tat, now) - now + units * self.per_unit - self.tolerance
+        """Take the units and return 0, or take nothing and return the wait in milliseconds until they are available."""
+        wait = max(self.tat, now) - now + units * self.emission_interval - self.tolerance
         if wait > 1e-9:
             return wait
-        self.tat = max(self.tat, now) + units * self.per_unit
+        self.tat = max(self.tat, now) + units * self.emission_interval
         return 0.0
 
 
-class Buckets:
-    """A bucket a customer."""
+class CustomerBuckets:
+    """One bucket for each customer."""
 
     def __init__(self) -> None:
-        self._held: dict[str, Bucket] = {}
+        self._buckets: dict[str, Bucket] = {}
 
     def take(self, now: float, customer: str, rate: float, burst: float, units: float) -> float:
-        """As `Bucket.take`; rate in units a second."""
-        bucket = self._held.get(customer)
+        """As `Bucket.take`, from the customer's bucket; `rate` is in units per second."""
+        bucket = self._buckets.get(customer)
         if bucket is None:
-            bucket = self._held[customer] = Bucket(1000.0 / rate, burst * 1000.0 / rate)
+            bucket = self._buckets[customer] = Bucket(1000.0 / rate, burst * 1000.0 / rate)
         return bucket.take(now, units)
 
     def clear(self) -> None:
-        """Forget all."""
-        self._held.clear()
+        """Discard all buckets, so that every customer starts with a full burst."""
+        self._buckets.clear()
 
 
-def share(kind: str, doors: int) -> float:
-    """What part of a customer's rate and burst one door's own bucket has."""
-    return 1.0 / doors if kind == "split" else 1.0
+def bucket_share(kind: str, gateways: int) -> float:
+    """The part of a customer's rate and burst that the bucket of one gateway has."""
+    return 1.0 / gateways if kind == "split" else 1.0
--- a/martenstep/lab/emulate/match.py
+++ b/martenstep/lab/emulate/match.py
@@ -1,4 +1,4 @@
-"""Whether the emulator says what the sockets said: one day, played and emulated, within stated tolerances."""
+"""Compares the figures of a scenario that ran on sockets with those of its emulation, within stated tolerances."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from pathlib import Path
 
 from martenstep.lab.day import load_day
-from martenstep.lab.emulate.judged import traffic_of
-from martenstep.lab.emulate.world import World
+from martenstep.lab.emulate.judged import gather_traffic
+from martenstep.lab.emulate.world import Emulation
 from martenstep.lab.measures import summary
 from martenstep.lab.report import figures, judged_traffic
 
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """How far two runs of one day may part: by so much, or by this part of the played figure."""
+    """How far two figures may differ: absolutely, or as a part of the figure on sockets; the larger bound counts."""
 
-    by: float
-    part: float = 0.0
+    absolute: float
+    relative: float = 0.0
 
 
-# A played day parts from itself, played again, by about half of these: its processes share one noisy machine.
+# Two runs of one scenario on sockets differ by about half of these, because the processes share one noisy machine.
 TOLERANCES = {
     "requests_served": Tolerance(0.02),
     "tries_a_request": Tolerance(0.05, 0.06),
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """One figure from both."""
+    """One figure on sockets and in the emulation."""
 
     name: str
     played: float
@@ -43,16 +43,16 @@
 
     @property
     def within(self) -> bool:
-        """Whether they agree."""
+        """Whether the two agree within the tolerance."""
         tolerance = TOLERANCES[self.name]
-        return abs(self.played - self.emulated) <= max(tolerance.by, tolerance.part * abs(self.played))
+        return abs(self.played - self.emulated) <= max(tolerance.absolute, tolerance.relative * abs(self.played))
 
 
 def match(folder: Path) -> list[Pair]:
-    """A played day's figures beside those of its emulation; raises SettingsError, TraceError, NotEmulatedError."""
-    day = load_day(folder / "day.txtpb")
-    traffic, _ = judged_traffic(folder, day)
-    played = summary(day, traffic, figures(day, traffic))
-    made = traffic_of(World(day).play())
-    emulated = summary(day, made, figures(day, made))
+    """Compare a run on sockets with its emulation; raises SettingsError, TraceError, NotEmulatedError."""
+    scenario = load_day(folder / "day.txtpb")
+    played_traffic, _ = judged_traffic(folder, scenario)
+    played = summary(scenario, played_traffic, figures(scenario, played_traffic))
+    emulated_traffic = gather_traffic(Emulation(scenario).play())
+    emulated = summary(scenario, emulated_traffic, figures(scenario, emulated_traffic))
     return [Pair(name, played[name], emulated[name]) for name in TOLERANCES]
--- a/martenstep/lab/emulate/servers.py
+++ b/martenstep/lab/emulate/servers.py
@@ -1,4 +1,4 @@
-"""Photo servers as models: cores, a bounded queue, a cold ramp, keys, and every way of failing of the stand-in."""
+"""Models of photo servers: cores, a bounded queue, a warm-up, idempotency keys, and every fault of the stand-in."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from martenstep.lab.emulate.core import Draws, Sim, Timer
+from martenstep.lab.emulate.core import RandomBuffer, Sim, Timer
 from martenstep.standins.photo import Fall, PhotoConfig, WorkOf
 
 Write = Callable[..., None]
 
 
-class Caller(Protocol):
+class ServerConnection(Protocol):
     """The server's end of a connection."""
 
-    def answered(self, job: Job, how: str, size: int) -> None:
-        """The job's answer goes out: ok, repeat, refused, error, cut, reset."""
+    def job_ended(self, job: Job, how: str, size: int) -> None:
+        """Send the job's response, or end the connection: ok, repeat, refused, error, cut or reset."""
 
-    def dropped(self) -> None:
-        """The server drops the connection."""
+    def server_closed(self) -> None:
+        """Handle that the server closes the connection."""
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One attempt at a server."""
+    """One attempt at a server, from its arrival to its end."""
 
-    told: dict[str, Any]
+    trace_fields: dict[str, Any]
     cls: str
     key: str
-    caller: Caller
+    connection: ServerConnection
     work: WorkOf
     ms: float
     on_core: bool = False
@@ -38,125 +38,127 @@
     over: bool = False
 
 
-class EmuServer:
-    """One server."""
+class EmulatedServer:
+    """One photo server."""
 
-    def __init__(self, sim: Sim, config: PhotoConfig, draws: Draws, write: Write) -> None:
-        self._sim, self.config, self._draws, self._write = sim, config, draws, write
+    def __init__(self, sim: Sim, config: PhotoConfig, random_numbers: RandomBuffer, write: Write) -> None:
+        self._sim, self.config, self._random, self._write = sim, config, random_numbers, write
         self._free = config.cores
         self._queue: deque[Job] = deque()
-        self.callers: dict[Caller, None] = {}
+        self.connections: dict[ServerConnection, None] = {}
         self._jobs: dict[Job, None] = {}
         self.down = False
         self.factor = 1.0
-        self.shares = {"errors": 0.0, "resets": 0.0, "cuts": 0.0, "lost": 0.0}
+        self.fault_shares = {"errors": 0.0, "resets": 0.0, "cuts": 0.0, "lost": 0.0}
         self.class_fails = ""
-        self._begin(config.cold)
+        self._start(config.cold)
 
-    def _begin(self, cold: bool) -> None:
+    def _start(self, cold: bool) -> None:
         self._started = self._sim.now if cold else -1e12
-        self.fallen = self.silent = self.draining = False
+        self.overloaded = self.silent = self.draining = False
         self._keys: dict[str, float] = {}
-        self._fall = Fall(self.config)
+        self._cold_overload = Fall(self.config)
 
     def restart(self) -> None:
-        """Cold again, every connection gone."""
-        self._begin(True)
-        self.drop()
+        """Start again as a cold server without connections."""
+        self._start(True)
+        self.close_connections()
 
-    def drop(self) -> None:
-        """Every connection ends, and with it the work for it."""
-        for caller in list(self.callers):
-            caller.dropped()
-        self.callers.clear()
+    def close_connections(self) -> None:
+        """Close every connection, which ends its work."""
+        for connection in list(self.connections):
+            connection.server_closed()
+        self.connections.clear()
 
     @property
-    def takes(self) -> bool:
-        """Whether it accepts one more connection."""
-        return not self.down and not self.fallen and len(self.callers) < self.config.connections
+    def accepts_connections(self) -> bool:
+        """Whether the server accepts one more connection."""
+        return not self.down and not self.overloaded and len(self.connections) < self.config.connections
 
     @property
     def load(self) -> int:
-        """Jobs on cores and in the queue."""
+        """The number of jobs on cores and in the queue."""
         return len(self._jobs)
 
-    def arrive(self, caller: Caller, told: dict[str, Any], cls: str, key: str, customer: str) -> Job | None:
-        """A whole request has come; gives the job, where there is one."""
+    def receive_request(
+        self, connection: ServerConnection, trace_fields: dict[str, Any], cls: str, key: str, customer: str
+    ) -> Job | None:
+        """Handle a complete request; returns its job unless the request overloads the cold server."""
         sim, config = self._sim, self.config
         work = config.work.get(cls) or WorkOf()
-        ms = self._draws.between(work.least_ms, work.most_ms)
-        self._write("arrive", **told, cls=cls, key=key, customer=customer)
-        if self._fall.offer(sim.now, ms / config.speed, sim.now - self._started):
-            self.fallen = True
+        ms = self._random.uniform(work.least_ms, work.most_ms)
+        self._write("arrive", **trace_fields, cls=cls, key=key, customer=customer)
+        if self._cold_overload.offer(sim.now, ms / config.speed, sim.now - self._started):
+            self.overloaded = True
             self._write("fell", server=config.id)
-            self._write("closed", **told)
-            self.drop()
+            self._write("closed", **trace_fields)
+            self.close_connections()
             return None
-        job = Job(told, cls, key, caller, work, ms)
+        job = Job(trace_fields, cls, key, connection, work, ms)
         self._jobs[job] = None
         if self.silent or cls == self.class_fails:
-            return job  # for ever, or until it is given up
+            return job  # unanswered until its connection closes
         if self.draining:
-            self._end(job, "refused")
+            self._finish_job(job, "refused")
         elif key and work.key_window_ms and sim.now - self._keys.get(key, -1e12) < work.key_window_ms:
-            self._end(job, "repeat")
+            self._finish_job(job, "repeat")
         elif self._free > 0:
-            self._mark(job)
-            self._run(job)
+            self._record_key(job)
+            self._run_job(job)
         elif len(self._queue) < config.queue:
-            self._mark(job)
+            self._record_key(job)
             self._queue.append(job)
         else:
-            self._end(job, "refused")
+            self._finish_job(job, "refused")
         return job
 
-    def _mark(self, job: Job) -> None:
+    def _record_key(self, job: Job) -> None:
         if job.key and job.work.key_window_ms:
             self._keys[job.key] = self._sim.now
 
-    def give_up(self, job: Job) -> None:
-        """Its connection is gone."""
+    def cancel_job(self, job: Job) -> None:
+        """End a job whose connection has closed."""
         if job.over:
             return
-        self._write("closed", **job.told)
-        self._leave(job)
+        self._write("closed", **job.trace_fields)
+        self._remove_job(job)
 
-    def _run(self, job: Job) -> None:
+    def _run_job(self, job: Job) -> None:
         self._free -= 1
         job.on_core = True
-        share = self._fall.capacity(self._sim.now - self._started)
-        job.timer = self._sim.after(job.ms * self.factor / self.config.speed / share, self._done, job)
+        share = self._cold_overload.capacity(self._sim.now - self._started)
+        job.timer = self._sim.after(job.ms * self.factor / self.config.speed / share, self._work_done, job)
 
-    def _done(self, job: Job) -> None:
-        draw = self._draws.unit()
+    def _work_done(self, job: Job) -> None:
+        draw = self._random.random()
         for how, name in (("error", "errors"), ("reset", "resets"), ("cut", "cuts"), ("lost", "lost")):
-            draw -= self.shares[name]
+            draw -= self.fault_shares[name]
             if draw < 0:
                 if how == "lost":
-                    self._give_core(job)  # the work is done, its answer never leaves
+                    self._release_core(job)  # the work is done, but its response is never sent
                 else:
-                    self._end(job, how)
+                    self._finish_job(job, how)
                 return
-        self._end(job, "ok")
+        self._finish_job(job, "ok")
 
-    def _end(self, job: Job, how: str) -> None:
-        self._write("end", **job.told, how=how)
-        self._leave(job)
-        job.caller.answered(job, how, job.work.answer_bytes if how in ("ok", "repeat", "cut") else 100)
+    def _finish_job(self, job: Job, how: str) -> None:
+        self._write("end", **job.trace_fields, how=how)
+        self._remove_job(job)
+        job.connection.job_ended(job, how, job.work.answer_bytes if how in ("ok", "repeat", "cut") else 100)
 
-    def _leave(self, job: Job) -> None:
+    def _remove_job(self, job: Job) -> None:
         job.over = True
         self._jobs.pop(job, None)
         if job.timer is not None:
             job.timer.cancel()
         if job.on_core:
-            self._give_core(job)
+            self._release_core(job)
         elif job in self._queue:
             self._queue.remove(job)
 
-    def _give_core(self, job: Job) -> None:
+    def _release_core(self, job: Job) -> None:
         if job.on_core:
             job.on_core = False
             self._free += 1
             if self._queue:
-                self._run(self._queue.popleft())
+                self._run_job(self._queue.popleft())
--- a/martenstep/lab/emulate/world.py
+++ b/martenstep/lab/emulate/world.py
@@ -1,4 +1,4 @@
-"""A day in virtual time: the same file, the same troubles, the same traces and the same judge as over sockets."""
+"""Runs a scenario in virtual time, with the same file, faults, traces and checkers as on sockets."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 from martenstep.config import door_pb2 as cfg
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import door_settings_at, entry_of, length_ms, schedule, server_settings, targets_of, zone_name
-from martenstep.lab.emulate.auth import EmuAuth
-from martenstep.lab.emulate.clients import EmuCrowd, manners_of
-from martenstep.lab.emulate.core import Draws, Sim, Streams
-from martenstep.lab.emulate.doors import Costs, EmuDoor
-from martenstep.lab.emulate.limited import LimitedDoor
-from martenstep.lab.emulate.limiters import Buckets
-from martenstep.lab.emulate.net import Network, Pipe, Place, Weather
-from martenstep.lab.emulate.servers import EmuServer
-from martenstep.lab.emulate.store import EmuStore
+from martenstep.lab.emulate.auth import EmulatedAuthService
+from martenstep.lab.emulate.clients import EmulatedClients, client_manners
+from martenstep.lab.emulate.core import RandomBuffer, RandomStreams, Sim
+from martenstep.lab.emulate.doors import EmulatedGateway, ProcessingCosts
+from martenstep.lab.emulate.limited import LimitedGateway
+from martenstep.lab.emulate.limiters import CustomerBuckets
+from martenstep.lab.emulate.net import Location, Network, NetworkConditions, Pipe
+from martenstep.lab.emulate.servers import EmulatedServer
+from martenstep.lab.emulate.store import EmulatedStore
 from martenstep.lab.rules import Line
 from martenstep.standins.feed import KEPT_CHANGES
 
-LEAD_MS = 1000.0  # from the begin to the first request: doors read the list
-AFTER_MS = 60_000.0  # clients that are not done so long after the last arrival have failed
-FEED_AGAIN_MS = 300.0  # about; a door that lost the feed asks again
-COPY_EVERY_MS = 100.0  # a replica of the store is so far behind
-NOT_HERE = ("COUNTER_KILLED", "STORE_SLOTS_MOVE")  # troubles of what is not modelled
+START_DELAY_MS = 1000.0  # before the first request, so that the gateways have read the endpoint list
+CLIENTS_TIMEOUT_MS = 60_000.0  # the run ends this long after the last arrival even if clients still wait
+FEED_RETRY_MS = 300.0  # mean time until a gateway that lost the feed polls again
+REPLICA_COPY_MS = 100.0  # interval of copies to the store's replica, which lags by one or two intervals
+UNSUPPORTED_FAULTS = ("COUNTER_KILLED", "STORE_SLOTS_MOVE")  # these need parts that have no model
 
 
 class NotEmulatedError(Exception):
-    """A day with something that the emulator has no model of."""
+    """The scenario needs something that the emulator has no model of."""
 
 
 @dataclass(slots=True)
 class Traces:
-    """What happened, line by line as the processes of a played day write it."""
+    """Trace lines in the form that the processes of a scenario on sockets write."""
 
     clients: list[Line] = field(default_factory=list)
     servers: list[Line] = field(default_factory=list)
@@ -45,23 +45,25 @@
     auth: list[Line] = field(default_factory=list)
 
 
-class EmuFeed:
-    """The members feed: changes told late, stale, in part or not at all."""
+class EmulatedFeed:
+    """A model of the endpoint feed, which can send changes late, partially or not at all."""
 
-    def __init__(self, sim: Sim, net: Network, lag_ms: float, draws: Draws, write: Callable[..., None]) -> None:
-        self._sim, self._net, self._lag, self._draws, self._write = sim, net, lag_ms, draws, write
-        self._place = Place("feed", "a")
+    def __init__(
+        self, sim: Sim, net: Network, lag_ms: float, random_numbers: RandomBuffer, write: Callable[..., None]
+    ) -> None:
+        self._sim, self._net, self._lag, self._random, self._write = sim, net, lag_ms, random_numbers, write
+        self._location = Location("feed", "a")
         self._servers: dict[int, dict[str, Any]] = {}
         self._changes: list[tuple[int, list[dict[str, Any]]]] = []
         self._index = 1
-        self._doors: dict[EmuDoor, Pipe] = {}
+        self._pollers: dict[EmulatedGateway, Pipe] = {}
         self.stale = self.down = False
         self._partial = 0.0
-        self._cut: set[str] = set()
+        self._cut_off: set[str] = set()
 
     def update(self, servers: list[dict[str, Any]], now: bool = False) -> None:
-        """Entries that changed, told after the lag."""
-        self._sim.after(0.0 if now else self._lag * self._draws.between(0.5, 1.5), self._apply, servers)
+        """Apply changed entries after the feed's lag, or at once."""
+        self._sim.after(0.0 if now else self._lag * self._random.uniform(0.5, 1.5), self._apply, servers)
 
     def _apply(self, servers: list[dict[str, Any]]) -> None:
         self._index += 1
@@ -69,58 +71,58 @@
         self._changes.append((self._index, servers))
         del self._changes[:-KEPT_CHANGES]
         self._servers = {key: server for key, server in self._servers.items() if server["state"] != "gone"}
-        self._news()
+        self._send_changes()
 
-    def partial(self, share: float) -> None:
-        """Tell whole lists that lack a share."""
+    def set_partial(self, share: float) -> None:
+        """Send full lists from which this share of the servers is missing."""
         self._partial = share
         self._changes.clear()
         self._index += 1
-        self._news()
+        self._send_changes()
 
     def set_stale(self, on: bool) -> None:
-        """Tell no change, or all that was not told."""
+        """Stop sending changes, or resume and send all that were held back."""
         self.stale = on
         if not on:
-            self._news()
-
-    def cut(self, doors: set[str]) -> None:
-        """Drop the polls of these doors, and take none of theirs."""
-        self._cut = doors
-        for door in list(self._doors):
-            if door.name in doors or self.down:
-                del self._doors[door]
-                door.feed_lost()
-                self._again(door)
-
-    def subscribe(self, door: EmuDoor) -> None:
-        """A door's first poll."""
-        self._sim.after(1.0, self._poll, door)
-
-    def _again(self, door: EmuDoor) -> None:
-        self._sim.after(FEED_AGAIN_MS * self._draws.between(0.5, 1.5), self._poll, door)
-
-    def _poll(self, door: EmuDoor) -> None:
-        if not door.alive:
+            self._send_changes()
+
+    def cut_off(self, gateways: set[str]) -> None:
+        """Drop the polls of these gateways, and accept none from them."""
+        self._cut_off = gateways
+        for gateway in list(self._pollers):
+            if gateway.name in gateways or self.down:
+                del self._pollers[gateway]
+                gateway.feed_lost()
+                self._retry_poll(gateway)
+
+    def subscribe(self, gateway: EmulatedGateway) -> None:
+        """Schedule the first poll of a gateway."""
+        self._sim.after(1.0, self._poll, gateway)
+
+    def _retry_poll(self, gateway: EmulatedGateway) -> None:
+        self._sim.after(FEED_RETRY_MS * self._random.uniform(0.5, 1.5), self._poll, gateway)
+
+    def _poll(self, gateway: EmulatedGateway) -> None:
+        if not gateway.alive:
             return
-        if self.down or door.name in self._cut:
-            self._again(door)
+        if self.down or gateway.name in self._cut_off:
+            self._retry_poll(gateway)
             return
-        self._doors[door] = Pipe(self._net, self._place, door.place)
-        self._tell(door, self._message(door.follower.index))
+        self._pollers[gateway] = Pipe(self._net, self._location, gateway.location)
+        self._send_list(gateway, self._message(gateway.endpoint_list.index))
 
-    def _news(self) -> None:
+    def _send_changes(self) -> None:
         if self.stale or self.down:
             return
-        made: dict[int, tuple[bytes, str, list[dict[str, Any]]]] = {}
-        for door in list(self._doors):
-            if not door.alive:
-                del self._doors[door]
+        messages: dict[int, tuple[bytes, str, list[dict[str, Any]]]] = {}
+        for gateway in list(self._pollers):
+            if not gateway.alive:
+                del self._pollers[gateway]
                 continue
-            index = door.follower.index
-            if index not in made:
-                made[index] = self._message(index)
-            self._tell(door, made[index])
+            index = gateway.endpoint_list.index
+            if index not in messages:
+                messages[index] = self._message(index)
+            self._send_list(gateway, messages[index])
 
     def _message(self, index: int) -> tuple[bytes, str, list[dict[str, Any]]]:
         scope, servers = self._since(index)
@@ -141,112 +143,124 @@
         merged = {server["id"]: server for number, changed in self._changes if number > index for server in changed}
         return "changes", list(merged.values())
 
-    def _tell(self, door: EmuDoor, message: tuple[bytes, str, list[dict[str, Any]]]) -> None:
+    def _send_list(self, gateway: EmulatedGateway, message: tuple[bytes, str, list[dict[str, Any]]]) -> None:
         body, scope, servers = message
         if servers or scope == "full":
             self._write(
                 "told",
-                door=door.name,
+                door=gateway.name,
                 scope=scope,
                 servers=[
                     {"id": one["id"], "state": one["state"], "started": one["started_unix_ms"]} for one in servers
                 ],
             )
-            self._doors[door].send(door.told, body, size=len(body))
+            self._pollers[gateway].send(gateway.receive_endpoint_list, body, size=len(body))
 
 
-class World:
-    """A day's fleet."""
+class Emulation:
+    """The emulated fleet of one scenario, with its faults and traces."""
 
     def __init__(
-        self, day: pb.Day, seed: int | None = None, weather: Weather | None = None, costs: Costs | None = None
+        self,
+        scenario: pb.Day,
+        seed: int | None = None,
+        conditions: NetworkConditions | None = None,
+        costs: ProcessingCosts | None = None,
     ) -> None:
-        """Raises NotEmulatedError; another `seed` than the day's moves the chance in the models, not the schedule."""
-        self.day = day
-        for event in day.event:
+        """Raises NotEmulatedError; `seed` replaces the scenario's seed in the models, but not in the schedule."""
+        self.scenario = scenario
+        for event in scenario.event:
             name = pb.Trouble.Name(event.trouble)
-            if name.startswith(NOT_HERE):
-                raise NotEmulatedError(f"trouble {name} is not emulated")
-        if day.own_counter or day.hooks:
-            raise NotEmulatedError("the own counter and hooks are not emulated")
-        self._seed = day.seed if seed is None else seed
-        streams = Streams(self._seed)
+            if name.startswith(UNSUPPORTED_FAULTS):
+                raise NotEmulatedError(f"the emulator has no model of the fault {name}")
+        if scenario.own_counter or scenario.hooks:
+            raise NotEmulatedError("the emulator has no model of own_counter or hooks")
+        self._seed = scenario.seed if seed is None else seed
+        streams = RandomStreams(self._seed)
         self._streams = streams
         self.sim = Sim()
-        self.net = Network(self.sim, weather or Weather(), Draws(streams.of("network")))
+        self.net = Network(self.sim, conditions or NetworkConditions(), RandomBuffer(streams.stream("network")))
         self.traces = Traces()
-        self._costs = costs or Costs()
-        fleet = day.fleet
-        self.redis = EmuStore(self.sim, Draws(streams.of("store")), day.store_call_ms)
-        self.feed = EmuFeed(
-            self.sim, self.net, fleet.feed_lag_ms, Draws(streams.of("feed")), self._writer(self.traces.feed)
+        self._costs = costs or ProcessingCosts()
+        fleet = scenario.fleet
+        self.redis = EmulatedStore(self.sim, RandomBuffer(streams.stream("store")), scenario.store_call_ms)
+        self.feed = EmulatedFeed(
+            self.sim,
+            self.net,
+            fleet.feed_lag_ms,
+            RandomBuffer(streams.stream("feed")),
+            self._trace_writer(self.traces.feed),
         )
-        self.servers: dict[int, EmuServer] = {}
+        self.servers: dict[int, EmulatedServer] = {}
         self._zones: dict[int, str] = {}
         self._started = [0.0] * fleet.servers
         for number in range(fleet.servers):
-            config = server_settings(day, number, False, 0)
-            self.servers[number + 1] = EmuServer(
-                self.sim, config, Draws(streams.of(f"server {number}")), self._writer(self.traces.servers)
+            config = server_settings(scenario, number, False, 0)
+            self.servers[number + 1] = EmulatedServer(
+                self.sim,
+                config,
+                RandomBuffer(streams.stream(f"server {number}")),
+                self._trace_writer(self.traces.servers),
             )
             self._zones[number + 1] = zone_name(number % fleet.zones)
-            self._event("server", server=number + 1, zone=self._zones[number + 1], cell=number % fleet.cells)
-        self.feed.update([self._entry(number, "up") for number in range(fleet.servers)], now=True)
+            self._trace_event("server", server=number + 1, zone=self._zones[number + 1], cell=number % fleet.cells)
+        self.feed.update([self._feed_entry(number, "up") for number in range(fleet.servers)], now=True)
         self.auth = {
-            number + 1: EmuAuth(
+            number + 1: EmulatedAuthService(
                 self.sim,
                 number,
-                day.auth_services.max_age_s,
-                Draws(streams.of(f"auth {number}")),
-                self._writer(self.traces.auth),
+                scenario.auth_services.max_age_s,
+                RandomBuffer(streams.stream(f"auth {number}")),
+                self._trace_writer(self.traces.auth),
             )
-            for number in range(day.auth_services.number if day.HasField("auth_services") else 0)
+            for number in range(scenario.auth_services.number if scenario.HasField("auth_services") else 0)
         }
-        self.doors: dict[int, EmuDoor] = {}
-        self._lives = [0] * fleet.doors
-        self._away: Counter[int] = Counter()  # troubles that a door is down for
-        self._settings = door_settings_at(day, 0)
-        self._central = Buckets()
-        if day.limiter:  # the doors' own quota is out of the way; their ceilings are what it must keep as well
+        self.gateways: dict[int, EmulatedGateway] = {}
+        self._starts = [0] * fleet.doors
+        self._outages: Counter[int] = Counter()  # faults that keep a gateway down
+        self._settings = door_settings_at(scenario, 0)
+        self._central_buckets = CustomerBuckets()
+        # The alternative limiter alone must keep the plans' quotas and ceilings, so the gateways' own are cleared.
+        if scenario.limiter:
             for plan in self._settings.plan:
                 for name in ("rate", "burst", "ceiling_rate", "ceiling_burst", "ceiling_slack"):
                     plan.ClearField(name)
         for number in range(fleet.doors):
-            self._door(number)
-        self.crowd = EmuCrowd(
+            self._start_gateway(number)
+        self.clients = EmulatedClients(
             self.sim,
             self.net,
-            self.doors,
-            manners_of(day),
-            Draws(streams.of("clients")),
-            self._writer(self.traces.clients),
+            self.gateways,
+            client_manners(scenario),
+            RandomBuffer(streams.stream("clients")),
+            self._trace_writer(self.traces.clients),
         )
 
-    def _writer(self, lines: list[Line]) -> Callable[..., None]:
+    def _trace_writer(self, lines: list[Line]) -> Callable[..., None]:
         sim = self.sim
 
-        def write(what: str, **words: Any) -> None:
-            words["t"], words["what"] = sim.now, what
-            lines.append(words)
+        def write(what: str, **fields: Any) -> None:
+            fields["t"], fields["what"] = sim.now, what
+            lines.append(fields)
 
         return write
 
-    def _event(self, what: str, **words: Any) -> None:
-        self.traces.events.append({"t": self.sim.now, "what": what, **words})
+    def _trace_event(self, what: str, **fields: Any) -> None:
+        self.traces.events.append({"t": self.sim.now, "what": what, **fields})
 
-    def _entry(self, number: int, state: str) -> dict[str, Any]:
-        return entry_of(self.day, number, 10_000 + number, state, self._started[number])
+    def _feed_entry(self, number: int, state: str) -> dict[str, Any]:
+        return entry_of(self.scenario, number, 10_000 + number, state, self._started[number])
 
-    def _door(self, number: int) -> None:
-        """A door's process starts, with the list that the one before had kept."""
-        before = self.doors.get(number)
+    def _start_gateway(self, number: int) -> None:
+        """Start a gateway's process with the endpoint list that its previous process cached."""
+        previous = self.gateways.get(number)
         settings = cfg.Door()
         settings.CopyFrom(self._settings)
         settings.name, settings.instance = f"door-{number}", number
-        settings.zone = zone_name(number % self.day.fleet.zones)
-        self._lives[number] += 1
-        seed = self._seed * 1_000_003 + number * 101 + self._lives[number]
-        words = (
+        settings.zone = zone_name(number % self.scenario.fleet.zones)
+        self._starts[number] += 1
+        seed = self._seed * 1_000_003 + number * 101 + self._starts[number]
+        arguments = (
             self.sim,
             self.net,
             settings,
@@ -259,156 +273,160 @@
             self.feed.subscribe,
             self.auth,
         )
-        door = LimitedDoor(self.day, self._central, *words) if self.day.limiter else EmuDoor(*words)
-        self.doors[number] = door
-        door.warm(before.follower.encode(self.sim.now) if before is not None else None)
+        gateway = (
+            LimitedGateway(self.scenario, self._central_buckets, *arguments)
+            if self.scenario.limiter
+            else EmulatedGateway(*arguments)
+        )
+        self.gateways[number] = gateway
+        gateway.restore_endpoint_list(previous.endpoint_list.encode(self.sim.now) if previous is not None else None)
 
-    # Playing --------------------------------------------------------------------------------------------
+    # Run ------------------------------------------------------------------------------------------------
 
     def play(self, planned: Iterator[Any] | None = None, watch: Callable[[float], None] | None = None) -> Traces:
-        """The whole day; `watch` is told of each second.  Gives its traces."""
-        start = self.sim.now + LEAD_MS
-        for event in self.day.event:
-            self.sim.at(start + event.at_ms, self._trouble, event)
-        if any(event.trouble == pb.STORE_FAILOVER for event in self.day.event):
-            self._keep_copies()
-        self.crowd.play(planned if planned is not None else schedule(self.day), start)
-        end = start + length_ms(self.day) + AFTER_MS
-        while not (self.crowd.done and not self.crowd.out) and self.sim.now < end:
+        """Run the whole scenario and return its traces; `watch` is called after each virtual second."""
+        start = self.sim.now + START_DELAY_MS
+        for event in self.scenario.event:
+            self.sim.at(start + event.at_ms, self._inject_fault, event)
+        if any(event.trouble == pb.STORE_FAILOVER for event in self.scenario.event):
+            self._copy_store()
+        self.clients.play(planned if planned is not None else schedule(self.scenario), start)
+        end = start + length_ms(self.scenario) + CLIENTS_TIMEOUT_MS
+        while not (self.clients.schedule_ended and not self.clients.active_requests) and self.sim.now < end:
             self.sim.run(self.sim.now + 1000.0)
             if watch is not None:
                 watch(self.sim.now - start)
         self.sim.run(self.sim.now + 500.0)
         return self.traces
 
-    def _keep_copies(self) -> None:
-        self.redis.keep_copy()
-        self.sim.after(COPY_EVERY_MS, self._keep_copies)
+    def _copy_store(self) -> None:
+        self.redis.copy_to_replica()
+        self.sim.after(REPLICA_COPY_MS, self._copy_store)
 
-    def _trouble(self, event: pb.Event) -> None:
-        name, targets = pb.Trouble.Name(event.trouble), targets_of(self.day, event)
-        ways = {"ways": self._ways(event)} if event.trouble == pb.NET_CUT else {}
-        self._event("trouble", name=name, targets=targets, on=True, **ways)
-        off = getattr(self, f"_{name.lower()}")(event, targets)
+    def _inject_fault(self, event: pb.Event) -> None:
+        name, targets = pb.Trouble.Name(event.trouble), targets_of(self.scenario, event)
+        directions = {"ways": self._cut_directions(event)} if event.trouble == pb.NET_CUT else {}
+        self._trace_event("trouble", name=name, targets=targets, on=True, **directions)
+        end_fault = getattr(self, f"_{name.lower()}")(event, targets)
         if event.for_ms:
 
             def end() -> None:
-                if off is not None:
-                    off()
-                self._event("trouble", name=name, targets=targets, on=False, **ways)
+                if end_fault is not None:
+                    end_fault()
+                self._trace_event("trouble", name=name, targets=targets, on=False, **directions)
 
             self.sim.after(event.for_ms, end)
 
-    def _servers_of(self, targets: list[int]) -> list[EmuServer]:
+    def _servers_of(self, targets: list[int]) -> list[EmulatedServer]:
         return [self.servers[number + 1] for number in targets]
 
     # Doors
 
     def _door_killed(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
         for number in targets:
-            self._away[number] += 1
-            if self.doors[number].alive:
-                self._event("door down", door=number)
-                self.doors[number].kill()
-        return lambda: self._doors_back(targets)
-
-    def _doors_back(self, targets: list[int]) -> None:
-        """Where troubles overlap, a door is back when the last of them ends."""
+            self._outages[number] += 1
+            if self.gateways[number].alive:
+                self._trace_event("door down", door=number)
+                self.gateways[number].kill()
+        return lambda: self._end_outage(targets)
+
+    def _end_outage(self, targets: list[int]) -> None:
+        """End one outage of each gateway; it starts again when its last overlapping outage ends."""
         for number in targets:
-            self._away[number] -= 1
-            if not self._away[number]:
-                self._door(number)
-                self._event("door up", door=number)
+            self._outages[number] -= 1
+            if not self._outages[number]:
+                self._start_gateway(number)
+                self._trace_event("door up", door=number)
 
     def _door_rolled(self, event: pb.Event, targets: list[int]) -> None:
         for number in targets:
-            self._away[number] += 1
-            if self._away[number] > 1:  # it is leaving or gone
-                self.sim.after(event.for_ms, self._doors_back, [number])
+            self._outages[number] += 1
+            if self._outages[number] > 1:  # it is already shutting down or down
+                self.sim.after(event.for_ms, self._end_outage, [number])
                 continue
-            self._event("door stopping", door=number)
+            self._trace_event("door stopping", door=number)
 
             def left(number: int = number) -> None:
-                self._event("door left", door=number, code=0)
-                self.sim.after(event.for_ms, self._doors_back, [number])
+                self._trace_event("door left", door=number, code=0)
+                self.sim.after(event.for_ms, self._end_outage, [number])
 
-            self.doors[number].leave(left)
+            self.gateways[number].shut_down(left)
 
     def _door_cut_from_feed(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        self.feed.cut({f"door-{number}" for number in targets})
-        return lambda: self.feed.cut(set())
+        self.feed.cut_off({f"door-{number}" for number in targets})
+        return lambda: self.feed.cut_off(set())
 
     # Servers
 
-    def _cold(self, targets: list[int]) -> None:
+    def _restart_cold(self, targets: list[int]) -> None:
         for number in targets:
             self._started[number] = self.sim.now
             self.servers[number + 1].restart()
             self.servers[number + 1].down = False
-        self._tell(targets, "up")
+        self._list_as(targets, "up")
 
-    def _tell(self, targets: list[int], state: str) -> None:
-        self.feed.update([self._entry(number, state) for number in targets])
+    def _list_as(self, targets: list[int], state: str) -> None:
+        self.feed.update([self._feed_entry(number, state) for number in targets])
 
     def _server_silent(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
         for server in self._servers_of(targets):
             server.silent = True
-        return lambda: self._cold(targets)
+        return lambda: self._restart_cold(targets)
 
     def _server_drained(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        self._tell(targets, "draining")
-        return lambda: self._tell(targets, "gone")
+        self._list_as(targets, "draining")
+        return lambda: self._list_as(targets, "gone")
 
     def _server_restarted(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        self._tell(targets, "draining")
-        return lambda: self._cold(targets)
+        self._list_as(targets, "draining")
+        return lambda: self._restart_cold(targets)
 
     def _server_killed(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
         for number, server in zip(targets, self._servers_of(targets), strict=True):
-            self._event("server down", server=number + 1)
+            self._trace_event("server down", server=number + 1)
             server.down = True
-            server.drop()
-        return lambda: self._cold(targets)
+            server.close_connections()
+        return lambda: self._restart_cold(targets)
 
-    def _shares(self, event: pb.Event, targets: list[int], name: str) -> Callable[[], None]:
-        def give(share: float) -> None:
+    def _set_fault_share(self, event: pb.Event, targets: list[int], name: str) -> Callable[[], None]:
+        def set_value(share: float) -> None:
             for server in self._servers_of(targets):
-                server.shares[name] = share
+                server.fault_shares[name] = share
 
-        give(event.share)
-        return lambda: give(0.0)
+        set_value(event.share)
+        return lambda: set_value(0.0)
 
     def _server_errors(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._shares(event, targets, "errors")
+        return self._set_fault_share(event, targets, "errors")
 
     def _server_resets(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._shares(event, targets, "resets")
+        return self._set_fault_share(event, targets, "resets")
 
     def _server_cuts(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._shares(event, targets, "cuts")
+        return self._set_fault_share(event, targets, "cuts")
 
     def _answers_lost(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._shares(event, targets, "lost")
+        return self._set_fault_share(event, targets, "lost")
 
     def _server_slow(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        def give(factor: float) -> None:
+        def set_value(factor: float) -> None:
             for server in self._servers_of(targets):
                 server.factor = factor
 
-        give(event.factor)
-        return lambda: give(1.0)
+        set_value(event.factor)
+        return lambda: set_value(1.0)
 
     def _server_class_fails(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        def give(cls: str) -> None:
+        def set_value(cls: str) -> None:
             for server in self._servers_of(targets):
                 server.class_fails = cls
 
-        give(getattr(event, "class"))
-        return lambda: give("")
+        set_value(getattr(event, "class"))
+        return lambda: set_value("")
 
     # Store
 
-    def _store(self, name: str, on: Any, off: Any) -> Callable[[], None]:
+    def _set_store_fault(self, name: str, on: Any, off: Any) -> Callable[[], None]:
         setattr(self.redis, name, on)
         return lambda: setattr(self.redis, name, off)
 
@@ -416,95 +434,97 @@
         self.redis.paused_until = self.sim.now + event.for_ms
 
     def _store_emptied(self, event: pb.Event, targets: list[int]) -> None:
-        self.redis.empty()
-        self._central.clear()
+        self.redis.flush()
+        self._central_buckets.clear()
 
     def _store_slow(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._store("slow_ms", event.factor, 0.0)
+        return self._set_store_fault("slow_ms", event.factor, 0.0)
 
     def _store_down(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        for door in self.doors.values():
-            door.store_gone()
-        return self._store("down", True, False)
+        for gateway in self.gateways.values():
+            gateway.break_store_connections()
+        return self._set_store_fault("down", True, False)
 
     def _store_hangs(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._store("hangs", True, False)
+        return self._set_store_fault("hangs", True, False)
 
     def _store_loading(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._store("error", "LOADING Redis is loading the dataset in memory", "")
+        return self._set_store_fault("error", "LOADING Redis is loading the dataset in memory", "")
 
     def _store_full(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._store("full", True, False)
+        return self._set_store_fault("full", True, False)
 
     def _store_cuts(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._store("cut_share", event.share, 0.0)
+        return self._set_store_fault("cut_share", event.share, 0.0)
 
     def _store_failover(self, event: pb.Event, targets: list[int]) -> None:
-        """The replica takes over: what it had not got is gone, and so is every connection.  That an old primary goes on
-        beside it is not modelled."""
-        self.redis.go_back()
-        for door in self.doors.values():
-            door.store_gone()
+        """Promote the replica: writes that it lacks are lost, and every connection ends.
+
+        An old primary that continues beside the replica is not modelled.
+        """
+        self.redis.fail_over()
+        for gateway in self.gateways.values():
+            gateway.break_store_connections()
 
     # Authentication
 
-    def _auth_set(self, targets: list[int], name: str, on: Any, off: Any) -> Callable[[], None]:
-        def give(value: Any) -> None:
+    def _set_auth_fault(self, targets: list[int], name: str, on: Any, off: Any) -> Callable[[], None]:
+        def set_value(value: Any) -> None:
             for number in targets:
                 setattr(self.auth[number + 1], name, value)
 
-        give(on)
-        return lambda: give(off)
+        set_value(on)
+        return lambda: set_value(off)
 
-    def _auth_share(self, event: pb.Event, targets: list[int], name: str) -> Callable[[], None]:
-        def give(share: float) -> None:
+    def _set_auth_fault_share(self, event: pb.Event, targets: list[int], name: str) -> Callable[[], None]:
+        def set_value(share: float) -> None:
             for number in targets:
-                self.auth[number + 1].shares[name] = share
+                self.auth[number + 1].fault_shares[name] = share
 
-        give(event.share)
-        return lambda: give(0.0)
+        set_value(event.share)
+        return lambda: set_value(0.0)
 
     def _auth_slow(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._auth_set(targets, "delay_ms", event.factor, 0.0)
+        return self._set_auth_fault(targets, "delay_ms", event.factor, 0.0)
 
     def _auth_silent(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._auth_set(targets, "silent", True, False)
+        return self._set_auth_fault(targets, "silent", True, False)
 
     def _auth_down(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._auth_set(targets, "down", True, False)
+        return self._set_auth_fault(targets, "down", True, False)
 
     def _auth_errors(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._auth_share(event, targets, "errors")
+        return self._set_auth_fault_share(event, targets, "errors")
 
     def _auth_resets(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._auth_share(event, targets, "resets")
+        return self._set_auth_fault_share(event, targets, "resets")
 
     def _auth_twice(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._auth_share(event, targets, "twice")
+        return self._set_auth_fault_share(event, targets, "twice")
 
     def _auth_broken(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._auth_share(event, targets, "broken")
+        return self._set_auth_fault_share(event, targets, "broken")
 
     def _auth_contradicts(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._auth_share(event, targets, "contradicts")
+        return self._set_auth_fault_share(event, targets, "contradicts")
 
     def _auth_drips(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        return self._auth_share(event, targets, "drips")
+        return self._set_auth_fault_share(event, targets, "drips")
 
     # Network
 
     @staticmethod
-    def _ways(event: pb.Event) -> list[tuple[str, str]]:
+    def _cut_directions(event: pb.Event) -> list[tuple[str, str]]:
         return [(event.source, event.sink)] + ([(event.sink, event.source)] if event.both_ways else [])
 
     def _net_cut(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        ways = self._ways(event)
-        for way in ways:
-            self.net.cut(*way)
+        directions = self._cut_directions(event)
+        for direction in directions:
+            self.net.set_cut(*direction)
 
         def heal() -> None:
-            for way in ways:
-                self.net.cut(*way, on=False)
+            for direction in directions:
+                self.net.set_cut(*direction, on=False)
 
         return heal
 
@@ -515,12 +535,12 @@
         return lambda: self.feed.set_stale(False)
 
     def _feed_partial(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
-        self.feed.partial(event.share)
-        return lambda: self.feed.partial(0.0)
+        self.feed.set_partial(event.share)
+        return lambda: self.feed.set_partial(0.0)
 
     def _feed_down(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
         self.feed.down = True
-        self.feed.cut(set())
+        self.feed.cut_off(set())
 
         def back() -> None:
             self.feed.down = False
--- a/martenstep/lab/experiment/__init__.py
+++ b/martenstep/lab/experiment/__init__.py
@@ -1,4 +1,5 @@
-"""Experiments in virtual time: plans, runs in parallel, results, comparisons, reports, and the search for bad days.
+"""Experiments in virtual time: plans, parallel runs, results, comparisons, reports, searches and sweeps.
 
-May live here: what plans, runs and judges emulated days.  May not: models of systems (lab.emulate), sockets.
+This package plans, runs and checks emulated scenarios.  The models of systems are in lab.emulate, and sockets are not
+used here.
 """
--- a/martenstep/lab/experiment/compare.py
+++ b/martenstep/lab/experiment/compare.py
@@ -1,4 +1,4 @@
-"""What two arms differ by: bootstrap intervals of means, and of paired differences over the same seeds."""
+"""Compares arms by bootstrap intervals of their means and of paired differences over the same seeds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A mean, and where 95% of the resampled means lie."""
+    """A mean, and the range that holds 95% of the resampled means."""
 
     mean: float
     low: float
@@ -22,60 +22,60 @@
     runs: int
 
     @property
-    def differs(self) -> bool:
-        """Whether 0 lies outside, of a difference."""
+    def excludes_zero(self) -> bool:
+        """Whether a difference is distinct from 0, because its interval excludes 0."""
         return self.low > 0 or self.high < 0
 
 
-def interval(values: list[float], name: str = "") -> Interval:
-    """The mean's bootstrap interval by percentiles; the same for the same values."""
-    held = np.asarray(values, dtype=float)
-    if len(held) == 0:
+def bootstrap_interval(values: list[float], name: str = "") -> Interval:
+    """The percentile bootstrap interval of the mean; equal values and names give equal intervals."""
+    sample = np.asarray(values, dtype=float)
+    if len(sample) == 0:
         return Interval(float("nan"), float("nan"), float("nan"), 0)
     rng = np.random.default_rng(zlib.crc32(name.encode()))
-    means = rng.choice(held, (RESAMPLES, len(held))).mean(axis=1)
+    means = rng.choice(sample, (RESAMPLES, len(sample))).mean(axis=1)
     low, high = np.percentile(means, (2.5, 97.5))
-    return Interval(float(held.mean()), float(low), float(high), len(held))
+    return Interval(float(sample.mean()), float(low), float(high), len(sample))
 
 
-def of_arm(rows: list[Row], arm: str, metric: str) -> dict[int, float]:
-    """A metric of an arm, by repetition."""
+def values_by_repetition(rows: list[Row], arm: str, metric: str) -> dict[int, float]:
+    """The values of an arm's metric by repetition."""
     return {row["repetition"]: float(row[metric]) for row in rows if row["arm"] == arm}
 
 
-def difference(rows: list[Row], arm: str, baseline: str, metric: str) -> Interval:
-    """Arm less baseline, run by run with the same seed."""
-    one, other = of_arm(rows, arm, metric), of_arm(rows, baseline, metric)
-    shared = sorted(one.keys() & other.keys())
-    return interval([one[number] - other[number] for number in shared], metric)
+def paired_difference(rows: list[Row], arm: str, baseline: str, metric: str) -> Interval:
+    """The difference of arm and baseline, paired by runs with the same seed."""
+    values, baseline_values = values_by_repetition(rows, arm, metric), values_by_repetition(rows, baseline, metric)
+    shared = sorted(values.keys() & baseline_values.keys())
+    return bootstrap_interval([values[number] - baseline_values[number] for number in shared], metric)
 
 
 def arms(rows: list[Row]) -> list[str]:
-    """The arms, in the order of the plan."""
+    """The names of the arms, in the order of the plan."""
     return list(dict.fromkeys(row["arm"] for row in rows))
 
 
 def metrics(rows: list[Row]) -> list[str]:
-    """What was measured."""
-    held = ("repetition", "seed")
+    """The names of the metrics that the rows contain."""
+    identifying = ("repetition", "seed")
     return [
         name
         for name, value in rows[0].items()
-        if isinstance(value, float) and name not in held and not name.startswith("value_")
+        if isinstance(value, float) and name not in identifying and not name.startswith("value_")
     ]
 
 
 def table(rows: list[Row], names: list[str], baseline: str = "") -> str:
-    """Means with their intervals, and the differences from a baseline, as a Markdown table."""
+    """A Markdown table of means with their intervals and their differences from a baseline."""
     lines = ["| arm | " + " | ".join(names) + " | rules |", "| --- |" + " --- |" * (len(names) + 1)]
     for arm in arms(rows):
         cells = []
         for name in names:
-            found = interval(list(of_arm(rows, arm, name).values()), name)
-            cell = f"{found.mean:.4g} [{found.low:.4g}, {found.high:.4g}]"
+            interval = bootstrap_interval(list(values_by_repetition(rows, arm, name).values()), name)
+            cell = f"{interval.mean:.4g} [{interval.low:.4g}, {interval.high:.4g}]"
             if baseline and arm != baseline:
-                less = difference(rows, arm, baseline, name)
-                cell += f" ({less.mean:+.3g}{'*' if less.differs else ''})"
+                paired = paired_difference(rows, arm, baseline, name)
+                cell += f" ({paired.mean:+.3g}{'*' if paired.excludes_zero else ''})"
             cells.append(cell)
         broken = sorted({rule for row in rows if row["arm"] == arm for rule in row["broken"]})
         lines.append(f"| {arm} | {' | '.join(cells)} | {'kept' if not broken else 'BROKEN: ' + ', '.join(broken)} |")
--- a/martenstep/lab/experiment/pool.py
+++ b/martenstep/lab/experiment/pool.py
@@ -1,4 +1,4 @@
-"""Processes that emulate, and that end with the one that started them, however it ends."""
+"""Worker processes that exit when the process that started them ends, even if it is killed."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
 
-LOOK_S = 0.5  # how often a worker looks whether it is still wanted
+PARENT_CHECK_S = 0.5  # interval at which a worker checks that its parent is alive
 
 
-def _follow(parent: int) -> None:
-    """A killed parent leaves its workers waiting for work for ever, each with all that it has loaded."""
+def _exit_with_parent(parent: int) -> None:
+    """Exit when the parent has ended: workers of a killed parent would otherwise wait forever and hold their memory."""
 
-    def look() -> None:
+    def watch_parent() -> None:
         while os.getppid() == parent:
-            time.sleep(LOOK_S)
+            time.sleep(PARENT_CHECK_S)
         os._exit(1)
 
-    threading.Thread(target=look, daemon=True).start()
+    threading.Thread(target=watch_parent, daemon=True).start()
 
 
-def workers(number: int) -> ProcessPoolExecutor:
-    """A pool of so many; nothing is inherited but the code."""
-    return ProcessPoolExecutor(number, get_context("spawn"), _follow, (os.getpid(),))
+def worker_pool(number: int) -> ProcessPoolExecutor:
+    """A pool of spawned processes, which inherit no state from this one."""
+    return ProcessPoolExecutor(number, get_context("spawn"), _exit_with_parent, (os.getpid(),))
--- a/martenstep/lab/experiment/report.py
+++ b/martenstep/lab/experiment/report.py
@@ -1,4 +1,4 @@
-"""Charts and one page of an experiment, with everything inside: no file beside it, nothing fetched."""
+"""Charts of an experiment, and an HTML page that embeds them and loads nothing from elsewhere."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 import matplotlib
 
 matplotlib.use("Agg")
-import matplotlib.pyplot as plt  # the back end first
+import matplotlib.pyplot as plt  # after the back end has been selected
 
-from martenstep.lab.experiment.compare import arms, interval, of_arm, table
+from martenstep.lab.experiment.compare import arms, bootstrap_interval, table, values_by_repetition
 
 Row = dict[str, Any]
 STYLE = (
@@ -26,18 +26,18 @@
     return [name.removeprefix("factor_") for name in rows[0] if name.startswith("factor_")]
 
 
-def chart(rows: list[Row], metric: str) -> Any:
-    """One metric: along the first factor's levels, a line for each combination of the others."""
+def draw_chart(rows: list[Row], metric: str) -> Any:
+    """Plot a metric over the first factor's levels, with a line for each combination of the other factors' levels."""
     figure, axes = plt.subplots(figsize=(7, 4))
     factors = _factors(rows)
     lines: dict[str, list[tuple[float, str, Any]]] = {}
     for arm in arms(rows):
         row = next(one for one in rows if one["arm"] == arm)
-        found = interval(list(of_arm(rows, arm, metric).values()), metric)
+        interval = bootstrap_interval(list(values_by_repetition(rows, arm, metric).values()), metric)
         name = "/".join(str(row[f"factor_{factor}"]) for factor in factors[1:])
-        place = float(row[f"value_{factors[0]}"]) if factors else 0.0
+        position = float(row[f"value_{factors[0]}"]) if factors else 0.0
         level = str(row[f"factor_{factors[0]}"]) if factors else arm
-        lines.setdefault(name, []).append((place, level, found))
+        lines.setdefault(name, []).append((position, level, interval))
     for name, points in lines.items():
         points.sort(key=lambda point: point[0])
         means = [point[2].mean for point in points]
@@ -59,23 +59,23 @@
     return figure
 
 
-def write(rows: list[Row], held: dict[str, str], names: list[str], baseline: str, out: Path) -> list[Path]:
-    """Charts as SVG and PNG, the table, and the page; gives the files."""
+def write_report(rows: list[Row], metadata: dict[str, str], names: list[str], baseline: str, out: Path) -> list[Path]:
+    """Write charts as SVG and PNG, the table, and the HTML page; returns their paths."""
     out.mkdir(parents=True, exist_ok=True)
-    made = []
-    pictures = []
-    plt.rcParams["svg.hashsalt"] = "martenstep"  # the same picture for the same figures
+    paths = []
+    images = []
+    plt.rcParams["svg.hashsalt"] = "martenstep"  # equal figures give equal SVG files
     for metric in names:
-        figure = chart(rows, metric)
+        figure = draw_chart(rows, metric)
         for kind in ("svg", "png"):
-            file = out / f"{metric}.{kind}"
-            figure.savefig(file, metadata={"Date": None} if kind == "svg" else None, dpi=110)
-            made.append(file)
-        held_in = io.BytesIO()
-        figure.savefig(held_in, format="png", dpi=110)
+            path = out / f"{metric}.{kind}"
+            figure.savefig(path, metadata={"Date": None} if kind == "svg" else None, dpi=110)
+            paths.append(path)
+        png = io.BytesIO()
+        figure.savefig(png, format="png", dpi=110)
         plt.close(figure)
-        data = base64.b64encode(held_in.getvalue()).decode()
-        pictures.append(
+        data = base64.b64encode(png.getvalue()).decode()
+        images.append(
             f'<h2>{html.escape(metric)}</h2><img alt="{html.escape(metric)}" src="data:image/png;base64,{data}">'
         )
     text = table(rows, names, baseline)
@@ -83,14 +83,14 @@
     lines = [line.strip("| ").split(" | ") for line in text.splitlines() if not line.startswith("| ---")]
     head, *body = lines
     cells = "".join(f"<tr>{''.join(f'<td>{html.escape(cell)}</td>' for cell in line)}</tr>" for line in body)
-    name, plan = html.escape(held.get("name", "")), html.escape(held.get("plan", ""))
+    name, plan = html.escape(metadata.get("name", "")), html.escape(metadata.get("plan", ""))
     against = f"; in brackets the paired difference from {html.escape(baseline)}" if baseline else ""
     heads = "".join(f"<th>{html.escape(one)}</th>" for one in head)
     page = (
         f"<!doctype html><meta charset=utf-8><title>{name}</title><style>{STYLE}</style><h1>{name}</h1>"
-        f"<p>Revision {html.escape(held.get('revision', '') or 'unknown')}; emulated doors, servers and store. "
+        f"<p>Revision {html.escape(metadata.get('revision', '') or 'unknown')}; emulated gateways, servers and store. "
         f"Means with 95% bootstrap intervals{against}, * where 0 lies outside its interval.</p>"
-        f"<table><tr>{heads}</tr>{cells}</table>{''.join(pictures)}<h2>Plan</h2><pre>{plan}</pre>"
+        f"<table><tr>{heads}</tr>{cells}</table>{''.join(images)}<h2>Plan</h2><pre>{plan}</pre>"
     )
     (out / "report.html").write_text(page, encoding="utf-8")
-    return [*made, out / "table.md", out / "report.html"]
+    return [*paths, out / "table.md", out / "report.html"]
--- a/martenstep/lab/experiment/run.py
+++ b/martenstep/lab/experiment/run.py
@@ -1,6 +1,6 @@
-"""Runs a plan: in parallel over processes, each run kept as it ends, so that a kill costs only what was under way.
+"""Runs a plan in parallel processes and stores each run when it ends, so that a kill loses only the runs in progress.
 
-The result is one Parquet file with a row a run; the plan and the code's revision stand in its metadata.
+The result is one Parquet file with a row for each run; its metadata contains the plan and the revision of the code.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 import pyarrow.parquet
 
 from martenstep.lab import day_pb2, plan_pb2
-from martenstep.lab.emulate.judged import traffic_of
-from martenstep.lab.emulate.world import World
+from martenstep.lab.emulate.judged import gather_traffic
+from martenstep.lab.emulate.world import Emulation
 from martenstep.lab.experiment.plan import runs_of
-from martenstep.lab.experiment.pool import workers as made_workers
+from martenstep.lab.experiment.pool import worker_pool
 from martenstep.lab.measures import summary
 from martenstep.lab.play import play_day
 from martenstep.lab.report import figures, judged_traffic
@@ -34,11 +34,11 @@
 
 
 class RunError(Exception):
-    """An experiment that cannot go on."""
+    """An experiment cannot continue, or its result cannot be read."""
 
 
 def revision() -> str:
-    """The code's commit, with a mark where files differ from it; nothing outside a checkout."""
+    """The commit of the code, with a "+" if files differ from it; empty outside a git checkout."""
 
     def git(*words: str) -> str:
         return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=True).stdout.strip()
@@ -49,35 +49,35 @@
         return ""
 
 
-def measure(day: day_pb2.Day, seed: int | None = None) -> Row:
-    """Emulate one day; gives its figures."""
+def measure(scenario: day_pb2.Day, seed: int | None = None) -> Row:
+    """Emulate one scenario; returns its metrics."""
     begin = time.perf_counter()
-    world = World(day, seed)
-    traffic = traffic_of(world.play())
-    told = summary(day, traffic, figures(day, traffic))
-    breaches = Judge(day, traffic).all()
+    emulation = Emulation(scenario, seed)
+    traffic = gather_traffic(emulation.play())
+    metrics = summary(scenario, traffic, figures(scenario, traffic))
+    violations = Judge(scenario, traffic).all()
     tries = max(len(traffic.tries), 1)
     return {
-        **told,
-        "breaches": float(len(breaches)),
-        "broken": sorted({breach.rule for breach in breaches}),
+        **metrics,
+        "breaches": float(len(violations)),
+        "broken": sorted({violation.rule for violation in violations}),
         "tries": float(tries),
-        "store_calls_a_1000_tries": 1000.0 * world.redis.calls / tries,
-        "events": float(world.sim.events),
+        "store_calls_a_1000_tries": 1000.0 * emulation.redis.calls / tries,
+        "events": float(emulation.sim.events),
         "seconds": round(time.perf_counter() - begin, 3),
     }
 
 
-def measure_played(day: day_pb2.Day, folder: Path) -> Row:
-    """Play one day on loopback sockets; gives the same figures.  Raises PlayError."""
+def measure_on_sockets(scenario: day_pb2.Day, folder: Path) -> Row:
+    """Run one scenario on loopback sockets; returns the same metrics.  Raises PlayError."""
     begin = time.perf_counter()
-    asyncio.run(play_day(day, folder, lambda part, what: None))
-    traffic, breaches = judged_traffic(folder, day)
-    told = summary(day, traffic, figures(day, traffic))
+    asyncio.run(play_day(scenario, folder, lambda part, what: None))
+    traffic, violations = judged_traffic(folder, scenario)
+    metrics = summary(scenario, traffic, figures(scenario, traffic))
     return {
-        **told,
-        "breaches": float(len(breaches)),
-        "broken": sorted({breach.rule for breach in breaches}),
+        **metrics,
+        "breaches": float(len(violations)),
+        "broken": sorted({violation.rule for violation in violations}),
         "tries": float(len(traffic.tries)),
         "store_calls_a_1000_tries": 0.0,
         "events": 0.0,
@@ -85,7 +85,7 @@
     }
 
 
-def _one(
+def _measure_run(
     arm: str,
     levels: tuple[tuple[str, str], ...],
     values: tuple[float, ...],
@@ -94,16 +94,20 @@
     data: bytes,
     folder: Path | None,
 ) -> Row:
-    day = day_pb2.Day()
-    day.ParseFromString(data)
-    found = measure(day) if folder is None else measure_played(day, folder / f"{arm.replace('/', '-')}-{repetition}")
+    scenario = day_pb2.Day()
+    scenario.ParseFromString(data)
+    metrics = (
+        measure(scenario)
+        if folder is None
+        else measure_on_sockets(scenario, folder / f"{arm.replace('/', '-')}-{repetition}")
+    )
     return {
         "arm": arm,
         "repetition": repetition,
         "seed": seed,
         **{f"factor_{name}": level for name, level in levels},
         **{f"value_{name}": value for (name, _), value in zip(levels, values, strict=True)},
-        **found,
+        **metrics,
     }
 
 
@@ -111,8 +115,8 @@
     return row["arm"], row["repetition"]
 
 
-def kept_rows(journal: Path, head: Row) -> list[Row]:
-    """Rows that an earlier run of the same plan and code has left; raises RunError where they are another's."""
+def load_journal(journal: Path, head: Row) -> list[Row]:
+    """Rows of an earlier run of the same plan and code; raises RunError if they are of another plan or revision."""
     if not journal.exists():
         return []
     rows = []
@@ -120,10 +124,10 @@
         try:
             row = json.loads(line)
         except ValueError:
-            continue  # cut off by a kill
+            continue  # the process was killed while it wrote this line
         if number == 0:
             if row != head:
-                raise RunError(f"{journal.parent}: holds runs of another plan or revision; take another folder")
+                raise RunError(f"{journal.parent}: contains runs of another plan or revision; choose another folder")
             continue
         rows.append(row)
     return rows
@@ -138,61 +142,64 @@
     progress: Callable[[int, int, float], None],
     sockets: bool = False,
 ) -> Path:
-    """Run what is not there yet, in virtual time or on loopback sockets (one at a time, since the machine is part of
-    what is measured there); gives the result's file.  `progress` is told of runs done, of all, and of the seconds
-    left about.  Raises RunError, SettingsError, OSError."""
+    """Run the plan's missing runs, in virtual time or on loopback sockets; returns the path of the result.
+
+    On sockets, runs are made one at a time because the machine is part of what is measured.  `progress` receives the
+    number of completed runs, of all runs, and an estimate of the remaining seconds.  Raises RunError, SettingsError,
+    OSError.
+    """
     runs = runs_of(plan, folder)
     out.mkdir(parents=True, exist_ok=True)
-    days = hashlib.sha256(b"".join(run.day for run in runs)).hexdigest()[:16]
+    scenarios_digest = hashlib.sha256(b"".join(run.scenario for run in runs)).hexdigest()[:16]
     head: Row = {
         "plan": hashlib.sha256(text.encode()).hexdigest()[:16],
-        "days": days,
+        "days": scenarios_digest,
         "revision": revision(),
         "sockets": sockets,
     }
     workers = 1 if sockets else workers
     journal = out / JOURNAL
-    rows = kept_rows(journal, head)
+    rows = load_journal(journal, head)
     done = {_key(row) for row in rows}
-    left = [run for run in runs if (run.arm.name, run.repetition) not in done]
+    missing = [run for run in runs if (run.arm.name, run.repetition) not in done]
     with journal.open("ab") as file:
         if not rows and not file.tell():
             file.write(json.dumps(head).encode() + b"\n")
         elif rows:
-            file.write(b"\n")  # a last line that was cut off ends here
+            file.write(b"\n")  # terminates a line that an earlier process did not finish
         begin = time.monotonic()
         finished = 0
-        with made_workers(workers) as pool:
-            out_now: set[Future[Row]] = set()
-            todo = iter(left)
+        with worker_pool(workers) as pool:
+            pending: set[Future[Row]] = set()
+            remaining = iter(missing)
             while True:
-                for run in todo:
+                for run in remaining:
                     arm = run.arm
-                    out_now.add(
+                    pending.add(
                         pool.submit(
-                            _one,
+                            _measure_run,
                             arm.name,
                             arm.levels,
                             arm.values,
                             run.repetition,
                             run.seed,
-                            run.day,
+                            run.scenario,
                             out / "played" if sockets else None,
                         )
                     )
-                    if len(out_now) >= 2 * workers:
+                    if len(pending) >= 2 * workers:
                         break
-                if not out_now:
+                if not pending:
                     break
-                ended, out_now = wait(out_now, return_when=FIRST_COMPLETED)
-                for one in ended:
-                    row = one.result()
+                completed, pending = wait(pending, return_when=FIRST_COMPLETED)
+                for future in completed:
+                    row = future.result()
                     rows.append(row)
                     finished += 1
                     file.write(json.dumps(row).encode() + b"\n")
                     file.flush()
-                    each = (time.monotonic() - begin) / finished
-                    progress(len(rows), len(runs), each * (len(left) - finished))
+                    seconds_per_run = (time.monotonic() - begin) / finished
+                    progress(len(rows), len(runs), seconds_per_run * (len(missing) - finished))
     order = {(run.arm.name, run.repetition): number for number, run in enumerate(runs)}
     rows.sort(key=lambda row: order[_key(row)])
     table = pyarrow.Table.from_pylist(rows).replace_schema_metadata(
@@ -204,11 +211,13 @@
 
 
 def load_result(path: Path) -> tuple[list[Row], dict[str, str]]:
-    """Rows and metadata of a result, a folder's or a file; raises RunError."""
+    """The rows and metadata of a result, given as its folder or file; raises RunError."""
     file = path / RESULT if path.is_dir() else path
     try:
         table = pyarrow.parquet.read_table(file)
     except (OSError, pyarrow.ArrowException) as error:
         raise RunError(f"{file}: {error}") from None
-    held = table.schema.metadata or {}
-    return table.to_pylist(), {name.decode(): value.decode() for name, value in held.items() if name != b"ARROW:schema"}
+    metadata = table.schema.metadata or {}
+    return table.to_pylist(), {
+        name.decode(): value.decode() for name, value in metadata.items() if name != b"ARROW:schema"
+    }
--- a/martenstep/lab/experiment/search.py
+++ b/martenstep/lab/experiment/search.py
@@ -1,8 +1,8 @@
-"""Looks for the day on which a figure is worst, or a rule breaks, in a space of troubles; shrinks it; it replays.
+"""Searches for faults under which a scenario's figure is worst or a rule is violated, and shrinks the scenario found.
 
-Draws days around a base: so many troubles of the given kinds, at drawn moments, lengths and targets.  The best half is
-drawn from again.  What is found is made smaller as long as it stays nearly as bad: fewer troubles, shorter ones, fewer
-targets, less traffic.
+Random search generates scenarios from a base: faults of the given kinds at random times, with random durations and
+targets.  The worst half of those kept is mutated.  The scenario found is shrunk as long as it stays nearly as bad, by
+fewer or shorter faults, fewer targets and less traffic.  It can be saved and run again.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import length_ms
 
-KINDS = (
+FAULT_KINDS = (
     pb.DOOR_KILLED,
     pb.DOOR_ROLLED,
     pb.DOOR_CUT_FROM_FEED,
@@ -35,34 +35,34 @@
     pb.FEED_PARTIAL,
     pb.FEED_DOWN,
 )
-OF_DOORS = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_CUT_FROM_FEED)
-AT_ONCE = (pb.STORE_EMPTIED, pb.STORE_FAILOVER)  # without a length
-MOST_TROUBLES = 6
-KEEPS = 0.9  # of how bad it was, a smaller day must still be
-GENERATION = 8
-Badness = Callable[[pb.Day], float]  # the higher the worse; a broken rule is infinite
-Told = Callable[[int, float], None]
+GATEWAY_FAULTS = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_CUT_FROM_FEED)
+INSTANT_FAULTS = (pb.STORE_EMPTIED, pb.STORE_FAILOVER)  # faults without a duration
+MAX_FAULTS = 6
+SHRINK_THRESHOLD = 0.9  # a smaller scenario must keep this part of the badness
+POPULATION_SIZE = 8  # scenarios kept for mutation
+Badness = Callable[[pb.Day], float]  # higher is worse; infinite if a rule is violated
+Progress = Callable[[int, float], None]  # scenarios tried and the worst badness so far
 
 
 @dataclass(slots=True)
 class Found:
-    """A day, and how bad it is."""
+    """The scenario found, its badness, and the number of scenarios tried."""
 
-    day: pb.Day
+    scenario: pb.Day
     badness: float
     tried: int
 
 
-def event_of(rng: random.Random, day: pb.Day, kinds: tuple[int, ...]) -> pb.Event:
-    """A trouble of one of these kinds, at a drawn moment."""
-    length = length_ms(day)
+def random_fault(rng: random.Random, scenario: pb.Day, kinds: tuple[int, ...]) -> pb.Event:
+    """A random fault of one of these kinds at a random time."""
+    length = length_ms(scenario)
     event = pb.Event(at_ms=round(rng.uniform(0.05, 0.8) * length, -2), trouble=rng.choice(kinds))  # type: ignore[arg-type]
-    if event.trouble not in AT_ONCE:
+    if event.trouble not in INSTANT_FAULTS:
         event.for_ms = max(round(rng.uniform(0.03, 0.3) * length, -2), 100.0)
-    if event.trouble in OF_DOORS:
-        event.count = rng.randint(1, max(day.fleet.doors // 2, 1))
+    if event.trouble in GATEWAY_FAULTS:
+        event.count = rng.randint(1, max(scenario.fleet.doors // 2, 1))
     elif pb.Trouble.Name(event.trouble).startswith("SERVER") or event.trouble == pb.ANSWERS_LOST:
-        event.count = rng.randint(1, max(day.fleet.servers // 3, 1))
+        event.count = rng.randint(1, max(scenario.fleet.servers // 3, 1))
         event.factor, event.share = round(rng.uniform(2, 10), 1), round(rng.uniform(0.1, 1.0), 2)
     elif event.trouble == pb.STORE_SLOW:
         event.factor = round(rng.uniform(5, 60), 0)
@@ -71,26 +71,26 @@
     return event
 
 
-def _drawn(rng: random.Random, base: pb.Day, kinds: tuple[int, ...]) -> pb.Day:
-    day = pb.Day()
-    day.CopyFrom(base)
-    del day.event[:]
-    for _ in range(rng.randint(1, MOST_TROUBLES)):
-        day.event.append(event_of(rng, base, kinds))
-    return day
+def _random_scenario(rng: random.Random, base: pb.Day, kinds: tuple[int, ...]) -> pb.Day:
+    scenario = pb.Day()
+    scenario.CopyFrom(base)
+    del scenario.event[:]
+    for _ in range(rng.randint(1, MAX_FAULTS)):
+        scenario.event.append(random_fault(rng, base, kinds))
+    return scenario
 
 
-def _mutant(rng: random.Random, day: pb.Day, kinds: tuple[int, ...]) -> pb.Day:
-    """One trouble more, less, or another."""
-    made = pb.Day()
-    made.CopyFrom(day)
-    if len(made.event) > 1 and rng.random() < 0.3:
-        del made.event[rng.randrange(len(made.event))]
-    elif len(made.event) < MOST_TROUBLES and rng.random() < 0.5:
-        made.event.append(event_of(rng, day, kinds))
+def _mutate(rng: random.Random, scenario: pb.Day, kinds: tuple[int, ...]) -> pb.Day:
+    """A copy of the scenario with one fault added, removed or replaced."""
+    mutant = pb.Day()
+    mutant.CopyFrom(scenario)
+    if len(mutant.event) > 1 and rng.random() < 0.3:
+        del mutant.event[rng.randrange(len(mutant.event))]
+    elif len(mutant.event) < MAX_FAULTS and rng.random() < 0.5:
+        mutant.event.append(random_fault(rng, scenario, kinds))
     else:
-        made.event[rng.randrange(len(made.event))].CopyFrom(event_of(rng, day, kinds))
-    return made
+        mutant.event[rng.randrange(len(mutant.event))].CopyFrom(random_fault(rng, scenario, kinds))
+    return mutant
 
 
 def search(
@@ -98,59 +98,63 @@
     badness: Badness,
     runs: int,
     seed: int,
-    kinds: tuple[int, ...] = KINDS,
-    told: Told = lambda tried, worst: None,
+    kinds: tuple[int, ...] = FAULT_KINDS,
+    progress: Progress = lambda tried, worst: None,
 ) -> Found:
-    """The worst day of so many drawn ones."""
+    """The worst of `runs` generated scenarios; stops at the first violation of a rule."""
     rng = random.Random(seed)
-    held: list[tuple[float, int, pb.Day]] = []
+    population: list[tuple[float, int, pb.Day]] = []
     for number in range(runs):
-        fresh = len(held) < GENERATION or rng.random() < 0.4
-        day = _drawn(rng, base, kinds) if fresh else _mutant(rng, rng.choice(held[: GENERATION // 2])[2], kinds)
-        held.append((badness(day), -number, day))
-        held.sort(key=lambda one: one[:2], reverse=True)
-        del held[GENERATION:]
-        told(number + 1, held[0][0])
-        if held[0][0] == float("inf"):
-            return Found(held[0][2], held[0][0], number + 1)
-    return Found(held[0][2], held[0][0], runs)
-
-
-def _smaller(day: pb.Day) -> list[pb.Day]:
-    """Days a step smaller, the boldest first."""
-    made = []
+        fresh = len(population) < POPULATION_SIZE or rng.random() < 0.4
+        scenario = (
+            _random_scenario(rng, base, kinds)
+            if fresh
+            else _mutate(rng, rng.choice(population[: POPULATION_SIZE // 2])[2], kinds)
+        )
+        population.append((badness(scenario), -number, scenario))
+        population.sort(key=lambda entry: entry[:2], reverse=True)
+        del population[POPULATION_SIZE:]
+        progress(number + 1, population[0][0])
+        if population[0][0] == float("inf"):
+            return Found(population[0][2], population[0][0], number + 1)
+    return Found(population[0][2], population[0][0], runs)
+
+
+def _smaller_scenarios(scenario: pb.Day) -> list[pb.Day]:
+    """Scenarios that are one step smaller; for each fault, the largest reduction comes first."""
+    candidates = []
 
     def copy() -> pb.Day:
         other = pb.Day()
-        other.CopyFrom(day)
-        made.append(other)
+        other.CopyFrom(scenario)
+        candidates.append(other)
         return other
 
-    for number, event in enumerate(day.event):
-        if len(day.event) > 1:
+    for number, event in enumerate(scenario.event):
+        if len(scenario.event) > 1:
             del copy().event[number]
         if event.for_ms >= 400:
             copy().event[number].for_ms = round(event.for_ms / 2, -2)
         if event.HasField("count") and event.count > 1:
             copy().event[number].count = event.count // 2
-    for number, phase in enumerate(day.phase):
+    for number, phase in enumerate(scenario.phase):
         if phase.rate > 4:
             copy().phase[number].rate = round(phase.rate * 0.7, 1)
-    return made
+    return candidates
 
 
 def shrink(found: Found, badness: Badness, runs: int) -> Found:
-    """The smallest day, step by step, that stays nearly as bad."""
+    """Shrink a scenario step by step while it stays nearly as bad."""
     best, tried = found, 0
-    again = True
-    while again and tried < runs:
-        again = False
-        for day in _smaller(best.day):
+    improved = True
+    while improved and tried < runs:
+        improved = False
+        for scenario in _smaller_scenarios(best.scenario):
             tried += 1
-            value = badness(day)
-            if value >= KEEPS * found.badness:
-                best, again = Found(day, value, best.tried + 1), True
+            value = badness(scenario)
+            if value >= SHRINK_THRESHOLD * found.badness:
+                best, improved = Found(scenario, value, best.tried + 1), True
                 break
             if tried >= runs:
                 break
-    return Found(best.day, best.badness, found.tried + tried)
+    return Found(best.scenario, best.badness, found.tried + tried)
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -1,4 +1,4 @@
-"""The emulator: the same day gives the same lines, closed forms hold, and the judge finds what is broken on purpose."""
+"""The emulator: runs are deterministic, queueing formulas hold, and the checkers find deliberately broken rules."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import load_day, parse_day
-from martenstep.lab.emulate.core import START_MS, Draws, Sim, Streams
-from martenstep.lab.emulate.doors import Connection, Costs, EmuDoor
-from martenstep.lab.emulate.judged import emulate, judged, traffic_of
-from martenstep.lab.emulate.net import RESEND_MS, Network, Pipe, Place, Weather
-from martenstep.lab.emulate.servers import EmuServer, Job
-from martenstep.lab.emulate.world import NotEmulatedError, World
+from martenstep.lab.emulate.core import START_MS, RandomBuffer, RandomStreams, Sim
+from martenstep.lab.emulate.doors import EmulatedGateway, ProcessingCosts, UpstreamConnection
+from martenstep.lab.emulate.judged import check_traces, emulate, gather_traffic
+from martenstep.lab.emulate.net import RETRANSMIT_MS, Location, Network, NetworkConditions, Pipe
+from martenstep.lab.emulate.servers import EmulatedServer, Job
+from martenstep.lab.emulate.world import Emulation, NotEmulatedError
 from martenstep.proxy import engine_messages as ev
 from martenstep.standins.photo import PhotoConfig, WorkOf
 
@@ -38,15 +38,15 @@
 """
 
 
-def small(more: str = "") -> pb.Day:
-    """The small day, or with troubles."""
+def small_scenario(more: str = "") -> pb.Day:
+    """The small scenario, with additional settings or faults."""
     return parse_day(SMALL + more, "small.txtpb")
 
 
 # The clock and the network ------------------------------------------------------------------------------
 
 
-def test_things_happen_in_time_and_in_the_order_asked_for() -> None:
+def test_calls_run_in_order_of_time_and_then_of_scheduling() -> None:
     sim, seen = Sim(), list[str]()
     sim.after(2.0, seen.append, "c")
     sim.after(1.0, seen.append, "a")
@@ -59,23 +59,27 @@
     assert seen[-1] == "c" and sim.now == START_MS + 5 and sim.next_at is None
 
 
-def test_a_stream_is_its_names_alone() -> None:
-    one, two = Streams(7), Streams(7)
-    two.of("another").random(1000)
-    assert Draws(one.of("clients")).unit() == Draws(two.of("clients")).unit()
-    assert Draws(one.of("clients")).unit() != Draws(one.of("servers")).unit() != Draws(Streams(8).of("servers")).unit()
+def test_a_random_stream_depends_only_on_seed_and_name() -> None:
+    one, two = RandomStreams(7), RandomStreams(7)
+    two.stream("another").random(1000)
+    assert RandomBuffer(one.stream("clients")).random() == RandomBuffer(two.stream("clients")).random()
+    assert (
+        RandomBuffer(one.stream("clients")).random()
+        != RandomBuffer(one.stream("servers")).random()
+        != RandomBuffer(RandomStreams(8).stream("servers")).random()
+    )
 
 
-def pipes(weather: Weather) -> tuple[Sim, Network, Pipe, Pipe]:
-    """Two connections from one place to another."""
+def pipes(conditions: NetworkConditions) -> tuple[Sim, Network, Pipe, Pipe]:
+    """Two connections from one location to another."""
     sim = Sim()
-    net = Network(sim, weather, Draws(Streams(1).of("network")))
-    here, there = Place("door-1", "a"), Place("server-1", "b")
-    return sim, net, Pipe(net, here, there), Pipe(net, here, there)
+    net = Network(sim, conditions, RandomBuffer(RandomStreams(1).stream("network")))
+    gateway_location, server_location = Location("door-1", "a"), Location("server-1", "b")
+    return sim, net, Pipe(net, gateway_location, server_location), Pipe(net, gateway_location, server_location)
 
 
-def test_nothing_overtakes_in_a_connection_and_connections_overtake_one_another() -> None:
-    sim, _, one, other = pipes(Weather(loss=0.3))
+def test_messages_are_ordered_within_a_connection_but_not_between_connections() -> None:
+    sim, _, one, other = pipes(NetworkConditions(loss=0.3))
     seen: list[tuple[str, int, float]] = []
     for number in range(200):
         one.send(lambda n: seen.append(("one", n, sim.now)), number)
@@ -84,39 +88,39 @@
     for name in ("one", "other"):
         assert [number for which, number, _ in seen if which == name] == list(range(200))
     assert [number for _, number, _ in seen] != sorted(number for _, number, _ in seen)
-    assert max(at for _, _, at in seen) > START_MS + RESEND_MS
+    assert max(at for _, _, at in seen) > START_MS + RETRANSMIT_MS
 
 
-def test_a_cut_holds_one_direction_until_it_is_healed() -> None:
-    sim, net, one, _ = pipes(Weather())
-    back, seen = Pipe(net, Place("server-1", "b"), Place("door-1", "a")), list[str]()
-    net.cut("door-1", "server-*")
+def test_a_cut_delays_messages_of_one_direction_until_it_heals() -> None:
+    sim, net, one, _ = pipes(NetworkConditions())
+    back, seen = Pipe(net, Location("server-1", "b"), Location("door-1", "a")), list[str]()
+    net.set_cut("door-1", "server-*")
     one.send(seen.append, "forth")
     back.send(seen.append, "back")
     sim.run(START_MS + 10_000)
     assert seen == ["back"]
-    net.cut("door-1", "server-*", on=False)
-    sim.run(START_MS + 10_000 + RESEND_MS - 1)
+    net.set_cut("door-1", "server-*", on=False)
+    sim.run(START_MS + 10_000 + RETRANSMIT_MS - 1)
     assert seen == ["back"]
     sim.run(START_MS + 11_000)
     assert seen == ["back", "forth"]
 
 
-def test_a_reset_takes_back_what_was_lost_or_held_on_the_way() -> None:
-    sim, net, one, other = pipes(Weather())
+def test_a_reset_discards_messages_that_wait_for_retransmission_or_for_a_cut() -> None:
+    sim, net, one, other = pipes(NetworkConditions())
     seen = list[str]()
-    net.cut("door-1", "server-*")
+    net.set_cut("door-1", "server-*")
     one.send(seen.append, "given up")
     other.send(seen.append, "kept")
     one.reset()
     one.send(seen.append, "closed")
-    net.cut("door-1", "server-*", on=False)
+    net.set_cut("door-1", "server-*", on=False)
     sim.run(START_MS + 1e4)
     assert sorted(seen) == ["closed", "kept"]
 
 
-def test_bandwidth_and_zones_tell() -> None:
-    _, net, _, _ = pipes(Weather(jitter=0.0))
+def test_latency_depends_on_zones_and_bandwidth() -> None:
+    _, net, _, _ = pipes(NetworkConditions(jitter=0.0))
     assert net.latency("a", "a", 0) == 0.15 and net.latency("a", "b", 0) == 0.6
     assert net.latency("a", "a", 125_000_000) == pytest.approx(1000.15)
 
@@ -124,144 +128,153 @@
 # Against closed forms -----------------------------------------------------------------------------------
 
 
-class Line:
-    """Takes a server's answers; each job's time is drawn beforehand."""
+class ResponseTimes:
+    """Records the time that each job takes at a server."""
 
     def __init__(self, sim: Sim) -> None:
-        self.sim, self.begun, self.took = sim, dict[Any, float](), list[float]()
+        self.sim, self.started, self.durations = sim, dict[Any, float](), list[float]()
 
-    def answered(self, job: Job, how: str, size: int) -> None:
+    def job_ended(self, job: Job, how: str, size: int) -> None:
         assert how == "ok"
-        self.took.append(self.sim.now - self.begun.pop(job.told["rid"]))
+        self.durations.append(self.sim.now - self.started.pop(job.trace_fields["rid"]))
 
-    def dropped(self) -> None:
+    def server_closed(self) -> None:
         raise AssertionError("never")
 
 
 @pytest.mark.parametrize(("cores", "load"), [(1, 0.6), (4, 0.8), (8, 0.9)])
-def test_the_mean_time_at_a_server_is_that_of_m_m_c(cores: int, load: float) -> None:
+def test_the_mean_time_at_a_server_is_that_of_an_m_m_c_queue(cores: int, load: float) -> None:
     """Exponential work: the mean wait of M/M/c is C(c, a) / (c mu - lambda), by Erlang's C formula."""
-    sim, streams = Sim(), Streams(3)
-    line = Line(sim)
-    server = EmuServer(
+    sim, streams = Sim(), RandomStreams(3)
+    times = ResponseTimes(sim)
+    server = EmulatedServer(
         sim,
         PhotoConfig(cores=cores, queue=10**6, work={"x": WorkOf(10.0, 10.0)}),
-        Draws(streams.of("server")),
-        lambda *words, **more: None,
+        RandomBuffer(streams.stream("server")),
+        lambda *arguments, **fields: None,
     )
-    chance = streams.of("arrivals")
+    rng = streams.stream("arrivals")
     jobs, at = 60_000, START_MS
-    gaps, works = chance.exponential(10.0 / cores / load, jobs), chance.exponential(10.0, jobs)
+    gaps, works = rng.exponential(10.0 / cores / load, jobs), rng.exponential(10.0, jobs)
 
     def arrive(number: int) -> None:
-        line.begun[number] = sim.now
+        times.started[number] = sim.now
         server.config.work["x"] = WorkOf(works[number], works[number])
-        server.arrive(line, {"rid": number}, "x", "", "")
+        server.receive_request(times, {"rid": number}, "x", "", "")
 
     for number in range(jobs):
         at += gaps[number]
         sim.at(at, arrive, number)
     sim.run(at + 1e6)
     offered = cores * load
-    last = offered**cores / math.factorial(cores) / (1 - load)
-    waits = last / (sum(offered**k / math.factorial(k) for k in range(cores)) + last)
-    expected = waits * 10.0 / (cores * (1 - load)) + 10.0
-    assert sum(line.took) / jobs == pytest.approx(expected, rel=0.08)
+    all_busy = offered**cores / math.factorial(cores) / (1 - load)
+    wait_probability = all_busy / (sum(offered**k / math.factorial(k) for k in range(cores)) + all_busy)
+    expected = wait_probability * 10.0 / (cores * (1 - load)) + 10.0
+    assert sum(times.durations) / jobs == pytest.approx(expected, rel=0.08)
 
 
-def test_one_door_admits_what_gcra_admits() -> None:
-    """A customer that asks without end gets burst + rate x time, and no more."""
-    day = parse_day(
+def test_one_gateway_admits_the_burst_and_the_rate_over_time() -> None:
+    """A customer that exceeds its plan all the time gets burst + rate x time, and no more."""
+    scenario = parse_day(
         SMALL.replace("doors: 2", "doors: 1")
         .replace("number: 12", "number: 1")
         .replace("retries: 1", "retries: 0")
         .replace("leave_share: 0.05", ""),
         "one.txtpb",
     )
-    world = World(day)
-    traffic = traffic_of(world.play())
+    emulation = Emulation(scenario)
+    traffic = gather_traffic(emulation.play())
     served = sum(bool(tried.visits) for tried in traffic.tries.values())
     assert 8 + 4 * 5 - 2 <= served <= 8 + 4 * 5 + 1
 
 
-# Days ---------------------------------------------------------------------------------------------------
+# Scenarios ----------------------------------------------------------------------------------------------
 
 
-def test_the_same_day_and_seed_give_the_same_lines() -> None:
-    day = small(
+def test_the_same_scenario_and_seed_give_the_same_traces() -> None:
+    scenario = small_scenario(
         "event { at_ms: 1000 trouble: DOOR_KILLED for_ms: 500 } "
         "event { at_ms: 2000 trouble: SERVER_SILENT for_ms: 1000 }"
     )
-    one, two, other = World(day).play(), World(day).play(), World(day, seed=99).play()
+    one, two, other = Emulation(scenario).play(), Emulation(scenario).play(), Emulation(scenario, seed=99).play()
     assert one == two and one.clients != other.clients
     first = [line["rid"] for line in one.clients if line["what"] == "try" and line["number"] == 0]
     assert first == [line["rid"] for line in other.clients if line["what"] == "try" and line["number"] == 0]
 
 
 @pytest.mark.parametrize("name", sorted(path.stem for path in DAYS.glob("*.txtpb")))
-def test_every_day_of_the_repository_keeps_its_rules_or_says_that_it_is_not_modelled(name: str) -> None:
-    day = load_day(DAYS / f"{name}.txtpb")
+def test_every_scenario_of_the_repository_passes_the_checkers_or_is_refused_as_not_modelled(name: str) -> None:
+    scenario = load_day(DAYS / f"{name}.txtpb")
     try:
-        world = World(day)
+        emulation = Emulation(scenario)
     except NotEmulatedError:
-        moves = any(event.trouble == pb.STORE_SLOTS_MOVE for event in day.event)
-        assert day.own_counter or day.hooks or moves
+        moves = any(event.trouble == pb.STORE_SLOTS_MOVE for event in scenario.event)
+        assert scenario.own_counter or scenario.hooks or moves
         return
-    result = judged(day, world.play())
+    result = check_traces(scenario, emulation.play())
     assert result["kept"], result["rules"]
     assert result["figures"]["requests_served"] > 0.6 * result["figures"]["requests"]
-    assert ("verdicts" in result["rules"]) == day.HasField("auth_services")
-    for door in world.doors.values():  # all books are balanced once all is quiet
-        assert {name: door.engine.held_counts[name] for name in ("exchanges", "open")} == {"exchanges": 0, "open": 0}
-        assert not door._out and not door._callers
+    assert ("verdicts" in result["rules"]) == scenario.HasField("auth_services")
+    for gateway in emulation.gateways.values():  # nothing may stay open once all requests have ended
+        assert {name: gateway.engine.held_counts[name] for name in ("exchanges", "open")} == {"exchanges": 0, "open": 0}
+        assert not gateway._active_attempts and not gateway._client_connections
 
 
-def flawed(what: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Break an engine's rule on purpose."""
-    if what == "answered":
-        lost = [0]
-        reply = EmuDoor._reply
+def break_rule(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Patch the emulated gateway so that it violates one rule."""
+    if rule == "answered":
+        replies = [0]
+        reply = EmulatedGateway._send_local_reply
 
-        def forget(self: EmuDoor, action: ev.SendLocalReply) -> None:
-            lost[0] += 1
-            if lost[0] % 5:
+        def drop_every_fifth(self: EmulatedGateway, action: ev.SendLocalReply) -> None:
+            replies[0] += 1
+            if replies[0] % 5:
                 reply(self, action)
 
-        monkeypatch.setattr(EmuDoor, "_reply", forget)
-    elif what == "no effect twice":
-        came = Connection.came
-
-        def twice(self: Connection, told: dict[str, Any], cls: str, key: str, customer: str) -> None:
-            came(self, told, cls, key, customer)
-            self._door._sim.after(5.0, came, self, {**told, "attempt": told["attempt"] + 1}, cls, key, customer)
-
-        monkeypatch.setattr(Connection, "came", twice)
-    elif what == "drains":
-        told = EmuDoor.told
-        monkeypatch.setattr(EmuDoor, "told", lambda self, body: told(self, body.replace(b'"draining"', b'"up"')))
-    elif what == "ceilings":
-        monkeypatch.setattr(EmuDoor, "asked", _ungoverned(EmuDoor.asked))
-    elif what == "verdicts":
-        verdict = EmuDoor._verdict
+        monkeypatch.setattr(EmulatedGateway, "_send_local_reply", drop_every_fifth)
+    elif rule == "no effect twice":
+        request_arrived = UpstreamConnection.request_arrived
+
+        def deliver_twice(
+            self: UpstreamConnection, trace_fields: dict[str, Any], cls: str, key: str, customer: str
+        ) -> None:
+            request_arrived(self, trace_fields, cls, key, customer)
+            repeat = {**trace_fields, "attempt": trace_fields["attempt"] + 1}
+            self._gateway._sim.after(5.0, request_arrived, self, repeat, cls, key, customer)
+
+        monkeypatch.setattr(UpstreamConnection, "request_arrived", deliver_twice)
+    elif rule == "drains":
+        receive = EmulatedGateway.receive_endpoint_list
+        monkeypatch.setattr(
+            EmulatedGateway,
+            "receive_endpoint_list",
+            lambda self, body: receive(self, body.replace(b'"draining"', b'"up"')),
+        )
+    elif rule == "ceilings":
+        monkeypatch.setattr(EmulatedGateway, "receive_request", _with_new_customers(EmulatedGateway.receive_request))
+    elif rule == "verdicts":
+        verdict = EmulatedGateway._auth_check_replied
         monkeypatch.setattr(
-            EmuDoor,
-            "_verdict",
+            EmulatedGateway,
+            "_auth_check_replied",
             lambda self, action, status, headers, body: verdict(
                 self, action, 200, [(b"x-auth-customer", b"basic-0-0"), (b"x-auth-plan", b"basic")], b""
             ),
         )
     else:
-        raise AssertionError(what)
+        raise AssertionError(rule)
+
 
+def _with_new_customers(receive_request: Any) -> Any:
+    """Wrap `receive_request` so that every request comes from a new customer, which escapes its ceiling."""
 
-def _ungoverned(asked: Any) -> Any:
-    def other(self: EmuDoor, caller: Any, method: bytes, target: bytes, headers: ev.Headers) -> Any:
+    def wrapper(self: EmulatedGateway, client: Any, method: bytes, target: bytes, headers: ev.Headers) -> Any:
         spread = [
             (name, b"free-%d" % self._last_request_id if name == b"x-customer" else value) for name, value in headers
         ]
-        return asked(self, caller, method, target, spread)
+        return receive_request(self, client, method, target, spread)
 
-    return other
+    return wrapper
 
 
 CEILING = (
@@ -271,37 +284,37 @@
 
 
 @pytest.mark.parametrize("rule", ["answered", "no effect twice", "drains", "ceilings", "verdicts"])
-def test_the_judge_finds_a_rule_that_is_broken_on_purpose(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checkers_find_a_rule_that_is_broken_on_purpose(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
     more = "auth_services { bad_share: 0.1 } auth { cache_ms: 1000 }" if rule == "verdicts" else ""
-    day = small(CEILING + more + "event { at_ms: 500 trouble: SERVER_DRAINED for_ms: 4000 count: 2 }")
-    assert judged(day, World(day).play())["kept"]
-    flawed(rule, monkeypatch)
-    result = judged(day, World(day).play())
+    scenario = small_scenario(CEILING + more + "event { at_ms: 500 trouble: SERVER_DRAINED for_ms: 4000 count: 2 }")
+    assert check_traces(scenario, Emulation(scenario).play())["kept"]
+    break_rule(rule, monkeypatch)
+    result = check_traces(scenario, Emulation(scenario).play())
     assert not result["rules"][rule]["kept"]
 
 
-def test_a_cold_server_that_is_pushed_over_is_found() -> None:
-    day = small("event { at_ms: 500 trouble: SERVER_RESTARTED for_ms: 500 count: 3 }")
-    world = World(day)
-    for server in world.servers.values():
+def test_an_overloaded_cold_server_is_found() -> None:
+    scenario = small_scenario("event { at_ms: 500 trouble: SERVER_RESTARTED for_ms: 500 count: 3 }")
+    emulation = Emulation(scenario)
+    for server in emulation.servers.values():
         server.config.fall_multiple = 0.01
-    traces = world.play()
+    traces = emulation.play()
     assert any(line["what"] == "fell" for line in traces.servers)
 
 
-def test_days_that_are_not_modelled_are_refused() -> None:
+def test_scenarios_without_a_model_are_refused() -> None:
     with pytest.raises(NotEmulatedError, match="STORE_SLOTS_MOVE"):
-        World(small("store_topology: CLUSTER event { at_ms: 1 trouble: STORE_SLOTS_MOVE for_ms: 1 }"))
-    assert emulate(small())["kept"]
+        Emulation(small_scenario("store_topology: CLUSTER event { at_ms: 1 trouble: STORE_SLOTS_MOVE for_ms: 1 }"))
+    assert emulate(small_scenario())["kept"]
 
 
-def test_the_command_tells_figures_and_rules(tmp_path: Path) -> None:
+def test_the_command_prints_figures_and_rules(tmp_path: Path) -> None:
     file = tmp_path / "small.txtpb"
     file.write_text(SMALL)
-    done = CliRunner().invoke(cli, ["lab", "emulate", str(file)])
-    assert done.exit_code == 0 and "rule: answered" in done.output and "emulated in" in done.output
-    told = CliRunner().invoke(cli, ["lab", "emulate", str(file), "--json"])
-    assert '"kept":true' in told.output
+    result = CliRunner().invoke(cli, ["lab", "emulate", str(file)])
+    assert result.exit_code == 0 and "rule: answered" in result.output and "emulated in" in result.output
+    as_json = CliRunner().invoke(cli, ["lab", "emulate", str(file), "--json"])
+    assert '"kept":true' in as_json.output
     file.write_text("nonsense")
     assert CliRunner().invoke(cli, ["lab", "emulate", str(file)]).exit_code == 2
 
@@ -309,54 +322,56 @@
 # Cuts and other limiters --------------------------------------------------------------------------------
 
 
-def test_a_day_with_a_cut_keeps_its_rules_and_heals() -> None:
+def test_a_scenario_with_a_network_cut_passes_the_checkers_and_heals() -> None:
     for source, sink in (("door-1", "server-*"), ("server-*", "door-1"), ("store", "door-*"), ("zone-a", "zone-b")):
-        day = small(f"event {{ at_ms: 1000 for_ms: 1500 trouble: NET_CUT source: '{source}' sink: '{sink}' }}")
-        world = World(day)
-        result = judged(day, world.play())
+        scenario = small_scenario(
+            f"event {{ at_ms: 1000 for_ms: 1500 trouble: NET_CUT source: '{source}' sink: '{sink}' }}"
+        )
+        emulation = Emulation(scenario)
+        result = check_traces(scenario, emulation.play())
         assert result["kept"], (source, sink, result["rules"])
-        late = [line for line in world.traces.clients if line["what"] == "answer" and line["t"] > START_MS + 5500]
-        assert any(line["status"] == 200 for line in late) and not world.net.cuts
+        late = [line for line in emulation.traces.clients if line["what"] == "answer" and line["t"] > START_MS + 5500]
+        assert any(line["status"] == 200 for line in late) and not emulation.net.cuts
 
 
-def test_troubles_of_one_door_may_overlap() -> None:
-    day = small(
+def test_faults_of_one_gateway_may_overlap() -> None:
+    scenario = small_scenario(
         "event { at_ms: 1000 for_ms: 2000 trouble: DOOR_KILLED } "
         "event { at_ms: 1500 for_ms: 500 trouble: DOOR_KILLED } "
         "event { at_ms: 2500 for_ms: 1000 trouble: DOOR_ROLLED } "
         "event { at_ms: 3900 for_ms: 300 trouble: DOOR_ROLLED } "
         "event { at_ms: 3910 for_ms: 700 trouble: DOOR_KILLED }"
     )
-    world = World(day)
-    assert judged(day, world.play())["kept"]
-    told = [
+    emulation = Emulation(scenario)
+    assert check_traces(scenario, emulation.play())["kept"]
+    changes = [
         (line["what"], round(line["t"] - START_MS))
-        for line in world.traces.events
+        for line in emulation.traces.events
         if line["what"] != "trouble" and line.get("door") == 0
     ]
-    assert [what for what, _ in told if what == "door up"] == ["door up", "door up"]
+    assert [what for what, _ in changes if what == "door up"] == ["door up", "door up"]
 
 
-def test_a_door_that_leaves_answers_what_it_had_taken() -> None:
-    """A request that waits for its turn in the process is the door's, not the network's."""
-    day = small("event { at_ms: 1000 for_ms: 500 trouble: DOOR_ROLLED count: 2 }")
-    world = World(day, costs=Costs(request_ms=40.0))
-    assert judged(day, world.play())["kept"]
+def test_a_gateway_that_shuts_down_answers_the_requests_that_it_accepted() -> None:
+    """A request that waits for processor time has been accepted and must be answered before the gateway ends."""
+    scenario = small_scenario("event { at_ms: 1000 for_ms: 500 trouble: DOOR_ROLLED count: 2 }")
+    emulation = Emulation(scenario, costs=ProcessingCosts(request_ms=40.0))
+    assert check_traces(scenario, emulation.play())["kept"]
 
 
-def test_what_a_killed_door_had_sent_into_a_cut_reaches_nobody() -> None:
-    """A sweep found it: what the kernel held was delivered after the cut, long after the clients' connections broke."""
-    day = small(
+def test_requests_that_a_killed_gateway_sent_into_a_cut_are_never_delivered() -> None:
+    """A sweep found this: bytes held by the kernel were delivered after the cut, long after the clients had left."""
+    scenario = small_scenario(
         "event { at_ms: 1000 for_ms: 2500 trouble: NET_CUT source: 'door-*' sink: 'server-*' } "
         "event { at_ms: 1500 for_ms: 500 trouble: DOOR_KILLED count: 2 }"
     )
-    assert judged(day, World(day).play())["kept"]
+    assert check_traces(scenario, Emulation(scenario).play())["kept"]
 
 
-def test_a_keyed_repeat_that_a_cut_holds_past_its_window_reaches_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A sweep found it: servers had forgotten the key by then, and would have run it a second time."""
+def test_a_keyed_retry_that_a_cut_holds_past_its_window_is_never_delivered(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A sweep found this: by then, servers no longer held the key and would have executed the request a second time."""
 
-    def day() -> pb.Day:
+    def scenario() -> pb.Day:
         keyed = SMALL.replace("effect: UNSAFE", "effect: KEYED window_ms: 250").replace("share: 0.2", "share: 2")
         cuts = "".join(
             f"event {{ at_ms: {at} for_ms: 300 trouble: NET_CUT source: 'door-*' sink: 'server-*' }} "
@@ -364,38 +379,41 @@
         )
         return parse_day(keyed + cuts + "event { at_ms: 500 trouble: SERVER_RESETS count: 4 share: 0.7 }", "day")
 
-    assert judged(day(), World(day()).play())["kept"]
-    monkeypatch.setattr(EmuDoor, "_undelivered", lambda self, connection, action: None)
-    assert not judged(day(), World(day()).play())["rules"]["no effect twice"]["kept"]
+    assert check_traces(scenario(), Emulation(scenario()).play())["kept"]
+    monkeypatch.setattr(EmulatedGateway, "_delivery_timed_out", lambda self, connection, action: None)
+    assert not check_traces(scenario(), Emulation(scenario()).play())["rules"]["no effect twice"]["kept"]
 
 
-def test_the_request_that_pushes_a_server_over_ends_there() -> None:
-    """Else its next attempt elsewhere would look like a second one at once."""
-    day = small("event { at_ms: 500 trouble: SERVER_RESTARTED for_ms: 500 count: 3 }")
-    world = World(day)
-    for server in world.servers.values():
+def test_the_request_that_overloads_a_cold_server_ends_at_that_server() -> None:
+    """Otherwise its next attempt at another server would look like two attempts at the same time."""
+    scenario = small_scenario("event { at_ms: 500 trouble: SERVER_RESTARTED for_ms: 500 count: 3 }")
+    emulation = Emulation(scenario)
+    for server in emulation.servers.values():
         server.config.fall_multiple = 0.01
-    result = judged(day, world.play())
+    result = check_traces(scenario, emulation.play())
     assert result["rules"]["no effect twice"]["kept"] and not result["rules"]["cold servers"]["kept"]
 
 
-def test_a_cut_is_refused_on_sockets_and_where_it_names_nobody() -> None:
+def test_a_cut_without_a_source_and_an_unknown_limiter_are_refused() -> None:
     with pytest.raises(SettingsError, match="source: missing"):
-        small("event { at_ms: 1000 for_ms: 1500 trouble: NET_CUT sink: 'a' }")
+        small_scenario("event { at_ms: 1000 for_ms: 1500 trouble: NET_CUT sink: 'a' }")
     with pytest.raises(SettingsError, match="limiter: expected one of"):
-        small("limiter: 'best'")
+        small_scenario("limiter: 'best'")
 
 
-def sent_units(day: pb.Day) -> float:
-    """Units that reached servers."""
-    traffic = traffic_of(World(day).play())
+def sent_units(scenario: pb.Day) -> float:
+    """Run a scenario and sum the units that reached servers."""
+    traffic = gather_traffic(Emulation(scenario).play())
     return sum(tried.units for tried in traffic.tries.values() if tried.visits)
 
 
-def test_other_limiters_do_what_they_say() -> None:
-    """One customer through two doors that asks without end: each door's own bucket gives it twice its plan, halves and
-    a central one once; a central one without its store lets all pass, or nothing."""
-    one = (
+def test_alternative_limiters_admit_what_their_design_allows() -> None:
+    """One customer exceeds its plan all the time through two gateways.
+
+    A full bucket in each gateway admits twice its plan; half a bucket in each, or a central bucket, admits it once.
+    Without its store, a central limiter admits everything or nothing.
+    """
+    one_customer = (
         SMALL.replace("number: 12", "number: 1")
         .replace("retries: 1", "retries: 0")
         .replace("rate: 40", "rate: 80")
@@ -403,13 +421,13 @@
     )
     plan = 8 + 4 * 5
 
-    def made(more: str) -> float:
-        return sent_units(parse_day(one + more, "one.txtpb"))
+    def admitted(more: str) -> float:
+        return sent_units(parse_day(one_customer + more, "one.txtpb"))
 
-    assert made("limiter: 'each door'") == pytest.approx(2 * plan, abs=4)
-    assert made("limiter: 'split'") == pytest.approx(plan, abs=4)
-    assert made("limiter: 'central, closed'") == pytest.approx(plan, abs=2)
+    assert admitted("limiter: 'each door'") == pytest.approx(2 * plan, abs=4)
+    assert admitted("limiter: 'split'") == pytest.approx(plan, abs=4)
+    assert admitted("limiter: 'central, closed'") == pytest.approx(plan, abs=2)
     down = "event { at_ms: 0 trouble: STORE_DOWN }"
-    assert made("limiter: 'central, closed'" + down) == 0
-    assert made("limiter: 'central, open'" + down) > 5 * plan
-    assert made("") == pytest.approx(plan, abs=6)
+    assert admitted("limiter: 'central, closed'" + down) == 0
+    assert admitted("limiter: 'central, open'" + down) > 5 * plan
+    assert admitted("") == pytest.approx(plan, abs=6)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: plans and faults, common chance over arms, resuming after a kill, intervals, charts, the search."""
+"""Experiments: plans and their errors, common random numbers, resumed runs, intervals, charts and searches."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import load_day, parse_day, schedule
 from martenstep.lab.experiment import run as running
-from martenstep.lab.experiment.compare import arms, difference, interval, metrics, table
+from martenstep.lab.experiment.compare import arms, bootstrap_interval, metrics, paired_difference, table
 from martenstep.lab.experiment.plan import arms_of, load_plan, parse_plan, runs_of
-from martenstep.lab.experiment.report import write
+from martenstep.lab.experiment.report import write_report
 from martenstep.lab.experiment.search import Found, search, shrink
 from martenstep.lab.measures import quota_use
 from martenstep.lab.rules import Traffic, Try, Visit
@@ -36,64 +36,70 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A plan and its day."""
+    """A folder with a plan and its scenario."""
     (tmp_path / "day.txtpb").write_text(TINY)
     (tmp_path / "plan.txtpb").write_text(PLAN)
     return tmp_path
 
 
-def test_every_plan_of_the_repository_makes_days() -> None:
+def test_every_plan_of_the_repository_gives_valid_scenarios() -> None:
     for path in sorted(PLANS.glob("*.txtpb")):
-        if path.stem not in ("base", "sweep"):  # a day, and a plan of another kind (tests/test_sweep.py)
+        if path.stem not in ("base", "sweep"):  # a scenario, and a plan of a sweep (tests/test_sweep.py)
             plan = load_plan(path)
             assert plan.name == path.stem and len(runs_of(plan, PLANS)) >= 10
             assert plan.baseline in {arm.name for arm in arms_of(plan)}
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ("repetitions: 2", "repetitions: 0", "repetitions: expected from 1 to 1000, got 0"),
-        ('level { name: "none" }', 'level { name: "a/b" }', "factor[1].level[0].name: may not hold '/'"),
+        ('level { name: "none" }', 'level { name: "a/b" }', "factor[1].level[0].name: must not contain '/'"),
         ('set: "fleet { doors: 4 }"', 'set: "fleet { dors: 4 }"', "factor[0].level[1].set"),
         ("rate_times: 2", "rate_times: 0", "rate_times: expected above 0"),
-        ("repetitions: 2", "repetitions: 1000 factor { name: 'x' level { name: '1' } level { name: '2' } }", "at most"),
+        (
+            "repetitions: 2",
+            "repetitions: 1000 factor { name: 'x' level { name: '1' } level { name: '2' } }",
+            "at most 200 arms",
+        ),
     ],
 )
-def test_a_plan_with_a_fault_is_told_by_its_field(old: str, new: str, told: str) -> None:
+def test_the_error_of_an_invalid_plan_names_the_field(old: str, new: str, message: str) -> None:
     assert old in PLAN
     with pytest.raises(SettingsError) as error:
         parse_plan(PLAN.replace(old, new), "plan.txtpb")
-    assert told in str(error.value)
+    assert message in str(error.value)
 
 
-def test_levels_that_make_a_day_that_cannot_be_are_told(folder: Path) -> None:
+def test_levels_that_make_a_scenario_invalid_are_refused(folder: Path) -> None:
     plan = parse_plan(PLAN.replace("doors: 4", "doors: 0"), "plan.txtpb")
     with pytest.raises(SettingsError, match=r"arm 4/none.*fleet\.doors"):
         runs_of(plan, folder)
 
 
-def test_arms_share_their_chance_and_levels_their_meaning(folder: Path) -> None:
+def test_arms_share_random_numbers_and_apply_their_levels(folder: Path) -> None:
     runs = runs_of(load_plan(folder / "plan.txtpb"), folder)
     assert [run.arm.name for run in runs[:4]] == ["2/none", "2/silent", "4/none", "4/silent"] and len(runs) == 8
-    days = []
+    scenarios = []
     for run in runs:
-        day = pb.Day()
-        day.ParseFromString(run.day)
-        days.append(day)
-    assert [planned.at_ms for planned in schedule(days[0])] == [planned.at_ms for planned in schedule(days[1])]
-    assert days[0].seed == days[3].seed != days[4].seed
-    assert (days[2].phase[0].rate, days[2].customers[0].number) == (60, 24) and len(days[1].event) == 1
-    assert days[3].customers[0].doors == 4
-
-
-def test_a_plan_is_run_kept_resumed_and_drawn(folder: Path) -> None:
+        scenario = pb.Day()
+        scenario.ParseFromString(run.scenario)
+        scenarios.append(scenario)
+    assert [planned.at_ms for planned in schedule(scenarios[0])] == [
+        planned.at_ms for planned in schedule(scenarios[1])
+    ]
+    assert scenarios[0].seed == scenarios[3].seed != scenarios[4].seed
+    assert (scenarios[2].phase[0].rate, scenarios[2].customers[0].number) == (60, 24) and len(scenarios[1].event) == 1
+    assert scenarios[3].customers[0].doors == 4
+
+
+def test_a_plan_is_run_resumed_compared_and_reported(folder: Path) -> None:
     call = ["lab", "run", str(folder / "plan.txtpb"), "--out", str(folder / "out"), "--workers", "2"]
     done = CliRunner().invoke(cli, call)
     assert done.exit_code == 0 and "8 runs, 0 of them" in done.output, done.output
-    rows, held = running.load_result(folder / "out")
-    assert held["name"] == "tiny" and held["plan"] == PLAN and arms(rows)[0] == "2/none" and len(rows) == 8
-    # A kill in the middle of a line: what is whole is not run again, the rest is, to the same figures.
+    rows, metadata = running.load_result(folder / "out")
+    assert metadata["name"] == "tiny" and metadata["plan"] == PLAN and arms(rows)[0] == "2/none" and len(rows) == 8
+    # After a kill in the middle of a line, complete runs are kept and the others give the same figures again.
     journal = folder / "out" / running.JOURNAL
     lines = journal.read_bytes().splitlines(keepends=True)
     journal.write_bytes(b"".join(lines[:5]) + lines[5][:40])
@@ -115,55 +121,55 @@
     }
     page = (folder / "drawn" / "report.html").read_text()
     assert "data:image/png;base64," in page and "http" not in page.replace("http://www.w3.org", "")
-    words = ["lab", "compare", str(folder / "out"), "--baseline", "2/none", "--metric", "p99_ms"]
-    told = CliRunner().invoke(cli, words)
-    assert told.exit_code == 0 and "| 4/silent |" in told.output
-    for odd in (["--baseline", "nope"], ["--metric", "nope"]):
-        assert CliRunner().invoke(cli, ["lab", "compare", str(folder / "out"), *odd]).exit_code == 2
+    compare = ["lab", "compare", str(folder / "out"), "--baseline", "2/none", "--metric", "p99_ms"]
+    compared = CliRunner().invoke(cli, compare)
+    assert compared.exit_code == 0 and "| 4/silent |" in compared.output
+    for unknown in (["--baseline", "nope"], ["--metric", "nope"]):
+        assert CliRunner().invoke(cli, ["lab", "compare", str(folder / "out"), *unknown]).exit_code == 2
     assert CliRunner().invoke(cli, ["lab", "compare", str(folder / "nowhere")]).exit_code == 2
 
 
 def rows_of(arm: str, values: list[float]) -> list[dict[str, object]]:
-    """Rows as a run leaves them."""
+    """Rows in the form that a run writes."""
     return [{"arm": arm, "repetition": number, "broken": [], "figure": value} for number, value in enumerate(values)]
 
 
-def test_an_interval_holds_the_mean_in_about_95_of_100_cases() -> None:
+def test_an_interval_contains_the_true_mean_in_about_95_of_100_cases() -> None:
     rng = np.random.default_rng(1)
-    held = sum(
+    covered = sum(
         found.low <= 10 <= found.high
-        for found in (interval(rng.normal(10, 3, 30).tolist(), str(number)) for number in range(300))
+        for found in (bootstrap_interval(rng.normal(10, 3, 30).tolist(), str(number)) for number in range(300))
     )
-    assert 0.89 <= held / 300 <= 0.98
+    assert 0.89 <= covered / 300 <= 0.98
 
 
-def test_a_paired_difference_sees_what_the_means_hide() -> None:
-    """Seeds differ by 10, arms by 0.5: only run by run it shows."""
+def test_a_paired_difference_shows_an_effect_that_the_means_hide() -> None:
+    """Seeds differ by 10 and arms by 0.5, so that only the difference of runs with one seed shows the effect."""
     seeds = [float(number * 10) for number in range(10)]
     rows = rows_of("a", seeds) + rows_of("b", [seed + 0.5 for seed in seeds])
-    one, other = interval(seeds, "f"), interval([seed + 0.5 for seed in seeds], "f")
+    one, other = bootstrap_interval(seeds, "f"), bootstrap_interval([seed + 0.5 for seed in seeds], "f")
     assert one.low < other.mean < one.high
-    less = difference(rows, "b", "a", "figure")
-    assert less.differs and less.mean == pytest.approx(0.5) and less.runs == 10
-    assert not difference(rows, "a", "a", "figure").differs
+    paired = paired_difference(rows, "b", "a", "figure")
+    assert paired.excludes_zero and paired.mean == pytest.approx(0.5) and paired.runs == 10
+    assert not paired_difference(rows, "a", "a", "figure").excludes_zero
     assert metrics(rows) == ["figure"] and "(+0.5*)" in table(rows, ["figure"], "a")
 
 
-def test_a_broken_rule_stands_in_the_table_and_the_page(tmp_path: Path) -> None:
+def test_a_violated_rule_is_named_in_the_table(tmp_path: Path) -> None:
     rows = rows_of("a", [1.0, 2.0])
     rows[1]["broken"] = ["ceilings"]
     assert "BROKEN: ceilings" in table(rows, ["figure"])
-    assert write(rows, {"name": "n"}, ["figure"], "", tmp_path)[-1].name == "report.html"
+    assert write_report(rows, {"name": "n"}, ["figure"], "", tmp_path)[-1].name == "report.html"
 
 
 # Measures and search ------------------------------------------------------------------------------------
 
 
-def test_units_beyond_one_bucket_are_counted_once() -> None:
-    day = parse_day(SMALL.replace("rate: 4 burst: 8", "rate: 1 burst: 2"), "day.txtpb")
+def test_units_over_the_quota_are_counted_once() -> None:
+    scenario = parse_day(SMALL.replace("rate: 4 burst: 8", "rate: 1 burst: 2"), "day.txtpb")
     traffic = Traffic()
 
-    def tried(rid: str, at: float, sent: bool) -> None:
+    def add_try(rid: str, at: float, sent: bool) -> None:
         made = traffic.tries[rid] = Try(rid, 0, "basic-0-1", "read", 1.0, at, 1000.0)
         if sent:
             made.visits.append(Visit(rid, 0, 1, "door-0", "", at))
@@ -171,42 +177,42 @@
             made.ends.append({"what": "answer", "t": at, "status": 429, "reason": "quota"})
 
     for number in range(4):
-        tried(f"a{number}", 1000.0, True)  # two in the bucket, two beyond
-    tried("b", 1500.0, False)  # half a unit is there: no room
-    tried("c", 4000.0, False)  # full again
-    use = quota_use(day, traffic)
+        add_try(f"a{number}", 1000.0, True)  # two within the burst, two over it
+    add_try("b", 1500.0, False)  # half a unit is available: no room
+    add_try("c", 4000.0, False)  # the bucket is full again
+    use = quota_use(scenario, traffic)
     assert (use.sent, use.over, use.refused, use.with_room) == (4.0, 2.0, 2.0, 1.0)
 
 
-def test_the_search_finds_the_worst_and_shrinks_it_to_what_matters() -> None:
+def test_the_search_finds_the_worst_scenario_and_shrinks_it_to_the_faults_that_matter() -> None:
     base = parse_day(SMALL, "day.txtpb")
 
-    def badness(day: pb.Day) -> float:
-        down = sum(event.for_ms >= 200 for event in day.event if event.trouble == pb.STORE_DOWN)
-        return down + 0.001 * len(day.event)
+    def badness(scenario: pb.Day) -> float:
+        down = sum(event.for_ms >= 200 for event in scenario.event if event.trouble == pb.STORE_DOWN)
+        return down + 0.001 * len(scenario.event)
 
-    def breaks(day: pb.Day) -> float:
-        return float("inf") if len(day.event) > 1 else 0.0
+    def rule_violation(scenario: pb.Day) -> float:
+        return float("inf") if len(scenario.event) > 1 else 0.0
 
     found = search(base, badness, 60, 1)
     assert found.badness >= 1 and found.tried == 60
     small = shrink(found, badness, 400)
-    assert small.badness >= 0.9 * found.badness and sum(e.for_ms for e in small.day.event) < sum(
-        e.for_ms for e in found.day.event
+    assert small.badness >= 0.9 * found.badness and sum(e.for_ms for e in small.scenario.event) < sum(
+        e.for_ms for e in found.scenario.event
     )
-    assert {event.trouble for event in small.day.event} == {pb.STORE_DOWN}
-    broken = search(base, breaks, 60, 1)
-    assert broken.badness == float("inf") and len(shrink(broken, breaks, 100).day.event) == 2
+    assert {event.trouble for event in small.scenario.event} == {pb.STORE_DOWN}
+    broken = search(base, rule_violation, 60, 1)
+    assert broken.badness == float("inf") and len(shrink(broken, rule_violation, 100).scenario.event) == 2
     assert isinstance(small, Found)
 
 
-def test_a_day_that_is_found_replays(tmp_path: Path) -> None:
+def test_a_scenario_found_by_a_search_reproduces_its_figure(tmp_path: Path) -> None:
     (tmp_path / "day.txtpb").write_text(TINY)
     out = tmp_path / "worst.txtpb"
     words = ["lab", "search", str(tmp_path / "day.txtpb"), "--runs", "6", "--shrink-runs", "4", "--out", str(out)]
     done = CliRunner().invoke(cli, words)
     assert done.exit_code == 0 and "over_share" in done.output, done.output
-    told = float(done.output.split("over_share ")[1].split(",")[0])
-    day = load_day(out)
-    assert day.name == "worst" and running.measure(day)["over_share"] == pytest.approx(told, rel=1e-3)
+    over_share = float(done.output.split("over_share ")[1].split(",")[0])
+    scenario = load_day(out)
+    assert scenario.name == "worst" and running.measure(scenario)["over_share"] == pytest.approx(over_share, rel=1e-3)
     assert CliRunner().invoke(cli, [*words, "--metric", "nope"]).exit_code == 2
