--- a/martenstep/lab/emulate/auth.py
+++ b/martenstep/lab/emulate/auth.py
@@ -31,14 +31,14 @@
             "broken": 0.0,
             "drips": 0.0,
         }
-        self.checks = 0
+        self.checks_received = 0
 
     def check(self, credential: str, rid: str, reply: Reply, failed: Callable[[], None]) -> None:
-        """Handle a check: schedules its response or the end of its connection, or does nothing while silent."""
+        """Handle a check: its response or the end of its connection follows, or nothing while the service is silent."""
         if self.down:
             failed()
             return
-        self.checks += 1
+        self.checks_received += 1
         if not self.silent:
             self._sim.after(
                 self.delay_ms * self._random.uniform(0.8, 1.2), self._respond, credential, rid, reply, failed
--- a/martenstep/lab/emulate/clients.py
+++ b/martenstep/lab/emulate/clients.py
@@ -37,7 +37,7 @@
         self.active_requests = 0
         self.schedule_ended = False
 
-    def play(self, schedule: Iterator[Planned], start: float) -> None:
+    def start_schedule(self, schedule: Iterator[Planned], start: float) -> None:
         """Schedule every request at its planned time, counted from `start`."""
         self._schedule = schedule
         self._schedule_next(start)
@@ -56,7 +56,7 @@
         self._schedule_next(start)
 
     def schedule_retry(self, client_try: _ClientTry, allowed: bool, retry_after_ms: float) -> None:
-        """Schedule the client's next try, or end the request if it may not or need not be retried."""
+        """Schedule the client's next try, or end the request if no try is allowed or left."""
         manners, planned = self._manners, client_try.planned
         max_tries = ABUSE_TRIES if planned.abuse else manners.retries + 1
         pause = retry_after_ms if manners.honour and retry_after_ms else manners.wait_ms
--- a/martenstep/lab/emulate/doors.py
+++ b/martenstep/lab/emulate/doors.py
@@ -270,11 +270,11 @@
             if connection.established:
                 self._write_request(connection, action)
                 return
-        held = self._connection_counts.get(action.endpoint, 0)
-        if held >= self.settings.upstream.connections:
+        open_connections = self._connection_counts.get(action.endpoint, 0)
+        if open_connections >= self.settings.upstream.connections:
             self.handle_event(ev.AttemptFailed(action.request_id, action.attempt, AttemptFailure.CONNECTION_LIMIT))
             return
-        self._connection_counts[action.endpoint] = held + 1
+        self._connection_counts[action.endpoint] = open_connections + 1
         server_location = Location(f"server-{action.endpoint}", self._server_zone(action.endpoint))
         connection = UpstreamConnection(
             self,
--- a/martenstep/lab/emulate/judged.py
+++ b/martenstep/lab/emulate/judged.py
@@ -28,6 +28,6 @@
 def emulate(scenario: pb.Day, seed: int | None = None) -> dict[str, Any]:
     """Run a scenario in virtual time and check its invariants; raises NotEmulatedError."""
     emulation = Emulation(scenario, seed)
-    result = check_traces(scenario, emulation.play())
+    result = check_traces(scenario, emulation.run())
     result["events"] = emulation.sim.events
     return result
--- a/martenstep/lab/emulate/limited.py
+++ b/martenstep/lab/emulate/limited.py
@@ -19,7 +19,7 @@
     """Asks the limiter first; the engine then handles an admitted request as of a plan without a quota."""
 
     def __init__(self, scenario: pb.Day, central: CustomerBuckets, *arguments: Any) -> None:
-        self._kind, self._timeout_ms, self._call_ms = (
+        self._limiter, self._timeout_ms, self._call_ms = (
             scenario.limiter,
             scenario.store_timeout_ms,
             scenario.store_call_ms,
@@ -30,25 +30,25 @@
             customer.key: (customer.plan, len(customer.doors)) for group in customers_of(scenario) for customer in group
         }
         self._units = {getattr(work, "class"): work.units for work in scenario.work}
-        self._default = scenario.customers[0].plan
+        self._default_plan = scenario.customers[0].plan
         super().__init__(*arguments)
 
     def _process_request(self, request_id: int, method: bytes, target: bytes, headers: ev.Headers) -> None:
         if request_id not in self._client_connections or not self.alive:
             return
         customer = (get_header(headers, b"x-customer") or b"").decode()
-        plan_name, gateways = self._customers.get(customer, (self._default, self.settings.instances))
+        plan_name, gateways = self._customers.get(customer, (self._default_plan, self.settings.instances))
         plan = self._plans[plan_name]
         units = self._units[target.decode().split("/")[1]]
         event = ev.RequestReceived(request_id, method, target, headers, "127.0.0.1")
         if plan.rate <= 0:
             self.handle_event(event)
-        elif self._kind.startswith("central"):
+        elif self._limiter.startswith("central"):
             self._ask_central(event, customer, plan, units)
         else:
-            part = bucket_share(self._kind, gateways)
+            share = bucket_share(self._limiter, gateways)
             wait = self._own_buckets.take(
-                self._sim.now, customer, plan.rate * part, max(plan.burst * part, units), units
+                self._sim.now, customer, plan.rate * share, max(plan.burst * share, units), units
             )
             self._apply_decision(event, wait)
 
@@ -66,7 +66,7 @@
             Pipe(self._net, self._store_location, self.location),
         )
         to_store.send(self._central_received, customer, plan, units, to_gateway, answer, size=120)
-        timeout_wait_ms = 0.0 if self._kind.endswith("open") else CLOSED_WAIT_MS
+        timeout_wait_ms = 0.0 if self._limiter.endswith("open") else CLOSED_WAIT_MS
         self._sim.after(self._timeout_ms, answer, timeout_wait_ms)
 
     def _central_received(self, customer: str, plan: Any, units: float, to_gateway: Pipe, answer: Any) -> None:
--- a/martenstep/lab/emulate/limiters.py
+++ b/martenstep/lab/emulate/limiters.py
@@ -47,6 +47,6 @@
         self._buckets.clear()
 
 
-def bucket_share(kind: str, gateways: int) -> float:
+def bucket_share(limiter: str, gateways: int) -> float:
     """The part of a customer's rate and burst that the bucket of one gateway has."""
-    return 1.0 / gateways if kind == "split" else 1.0
+    return 1.0 / gateways if limiter == "split" else 1.0
--- a/martenstep/lab/emulate/match.py
+++ b/martenstep/lab/emulate/match.py
@@ -53,6 +53,6 @@
     scenario = load_day(folder / "day.txtpb")
     played_traffic, _ = judged_traffic(folder, scenario)
     played = summary(scenario, played_traffic, figures(scenario, played_traffic))
-    emulated_traffic = gather_traffic(Emulation(scenario).play())
+    emulated_traffic = gather_traffic(Emulation(scenario).run())
     emulated = summary(scenario, emulated_traffic, figures(scenario, emulated_traffic))
     return [Pair(name, played[name], emulated[name]) for name in TOLERANCES]
--- a/martenstep/lab/emulate/net.py
+++ b/martenstep/lab/emulate/net.py
@@ -116,7 +116,7 @@
         ms = net.latency(self._source.zone, self._target.zone, size)
         arrival = net.sim.now + extra_ms + ms
         self._last = arrival = max(arrival, self._last)
-        # A message that waits for its retransmission is lost if the connection is reset meanwhile.
+        # A reset drops only messages that wait for their retransmission; -1 marks the others.
         resets = self._resets if ms >= RETRANSMIT_MS or extra_ms else -1
         net.sim.at(arrival, self._arrive, call, args, resets)
 
--- a/martenstep/lab/emulate/servers.py
+++ b/martenstep/lab/emulate/servers.py
@@ -32,10 +32,10 @@
     key: str
     connection: ServerConnection
     work: WorkOf
-    ms: float
+    work_ms: float
     on_core: bool = False
     timer: Timer | None = None
-    over: bool = False
+    ended: bool = False
 
 
 class EmulatedServer:
@@ -43,7 +43,7 @@
 
     def __init__(self, sim: Sim, config: PhotoConfig, random_numbers: RandomBuffer, write: Write) -> None:
         self._sim, self.config, self._random, self._write = sim, config, random_numbers, write
-        self._free = config.cores
+        self._free_cores = config.cores
         self._queue: deque[Job] = deque()
         self.connections: dict[ServerConnection, None] = {}
         self._jobs: dict[Job, None] = {}
@@ -86,15 +86,15 @@
         """Handle a complete request; returns its job unless the request overloads the cold server."""
         sim, config = self._sim, self.config
         work = config.work.get(cls) or WorkOf()
-        ms = self._random.uniform(work.least_ms, work.most_ms)
+        work_ms = self._random.uniform(work.least_ms, work.most_ms)
         self._write("arrive", **trace_fields, cls=cls, key=key, customer=customer)
-        if self._cold_overload.offer(sim.now, ms / config.speed, sim.now - self._started):
+        if self._cold_overload.offer(sim.now, work_ms / config.speed, sim.now - self._started):
             self.overloaded = True
             self._write("fell", server=config.id)
             self._write("closed", **trace_fields)
             self.close_connections()
             return None
-        job = Job(trace_fields, cls, key, connection, work, ms)
+        job = Job(trace_fields, cls, key, connection, work, work_ms)
         self._jobs[job] = None
         if self.silent or cls == self.class_fails:
             return job  # unanswered until its connection closes
@@ -102,7 +102,7 @@
             self._finish_job(job, "refused")
         elif key and work.key_window_ms and sim.now - self._keys.get(key, -1e12) < work.key_window_ms:
             self._finish_job(job, "repeat")
-        elif self._free > 0:
+        elif self._free_cores > 0:
             self._record_key(job)
             self._run_job(job)
         elif len(self._queue) < config.queue:
@@ -118,16 +118,16 @@
 
     def cancel_job(self, job: Job) -> None:
         """End a job whose connection has closed."""
-        if job.over:
+        if job.ended:
             return
         self._write("closed", **job.trace_fields)
         self._remove_job(job)
 
     def _run_job(self, job: Job) -> None:
-        self._free -= 1
+        self._free_cores -= 1
         job.on_core = True
         share = self._cold_overload.capacity(self._sim.now - self._started)
-        job.timer = self._sim.after(job.ms * self.factor / self.config.speed / share, self._work_done, job)
+        job.timer = self._sim.after(job.work_ms * self.factor / self.config.speed / share, self._work_done, job)
 
     def _work_done(self, job: Job) -> None:
         draw = self._random.random()
@@ -147,7 +147,7 @@
         job.connection.job_ended(job, how, job.work.answer_bytes if how in ("ok", "repeat", "cut") else 100)
 
     def _remove_job(self, job: Job) -> None:
-        job.over = True
+        job.ended = True
         self._jobs.pop(job, None)
         if job.timer is not None:
             job.timer.cancel()
@@ -159,6 +159,6 @@
     def _release_core(self, job: Job) -> None:
         if job.on_core:
             job.on_core = False
-            self._free += 1
+            self._free_cores += 1
             if self._queue:
                 self._run_job(self._queue.popleft())
--- a/martenstep/lab/emulate/world.py
+++ b/martenstep/lab/emulate/world.py
@@ -59,7 +59,7 @@
         self._pollers: dict[EmulatedGateway, Pipe] = {}
         self.stale = self.down = False
         self._partial = 0.0
-        self._cut_off: set[str] = set()
+        self._blocked: set[str] = set()
 
     def update(self, servers: list[dict[str, Any]], now: bool = False) -> None:
         """Apply changed entries after the feed's lag, or at once."""
@@ -88,7 +88,7 @@
 
     def cut_off(self, gateways: set[str]) -> None:
         """Drop the polls of these gateways, and accept none from them."""
-        self._cut_off = gateways
+        self._blocked = gateways
         for gateway in list(self._pollers):
             if gateway.name in gateways or self.down:
                 del self._pollers[gateway]
@@ -105,7 +105,7 @@
     def _poll(self, gateway: EmulatedGateway) -> None:
         if not gateway.alive:
             return
-        if self.down or gateway.name in self._cut_off:
+        if self.down or gateway.name in self._blocked:
             self._retry_poll(gateway)
             return
         self._pollers[gateway] = Pipe(self._net, self._location, gateway.location)
@@ -125,7 +125,7 @@
             self._send_list(gateway, messages[index])
 
     def _message(self, index: int) -> tuple[bytes, str, list[dict[str, Any]]]:
-        scope, servers = self._since(index)
+        scope, servers = self._changes_since(index)
         return (
             json.dumps(
                 {"index": self._index, "scope": scope, "now_unix_ms": self._sim.now, "servers": servers}
@@ -134,7 +134,7 @@
             servers,
         )
 
-    def _since(self, index: int) -> tuple[str, list[dict[str, Any]]]:
+    def _changes_since(self, index: int) -> tuple[str, list[dict[str, Any]]]:
         if self._partial or not index or index > self._index or not self._changes or (index < self._changes[0][0] - 1):
             servers = list(self._servers.values())
             if self._partial:
@@ -151,7 +151,8 @@
                 door=gateway.name,
                 scope=scope,
                 servers=[
-                    {"id": one["id"], "state": one["state"], "started": one["started_unix_ms"]} for one in servers
+                    {"id": server["id"], "state": server["state"], "started": server["started_unix_ms"]}
+                    for server in servers
                 ],
             )
             self._pollers[gateway].send(gateway.receive_endpoint_list, body, size=len(body))
@@ -193,7 +194,7 @@
         )
         self.servers: dict[int, EmulatedServer] = {}
         self._zones: dict[int, str] = {}
-        self._started = [0.0] * fleet.servers
+        self._server_starts = [0.0] * fleet.servers
         for number in range(fleet.servers):
             config = server_settings(scenario, number, False, 0)
             self.servers[number + 1] = EmulatedServer(
@@ -216,7 +217,7 @@
             for number in range(scenario.auth_services.number if scenario.HasField("auth_services") else 0)
         }
         self.gateways: dict[int, EmulatedGateway] = {}
-        self._starts = [0] * fleet.doors
+        self._start_counts = [0] * fleet.doors
         self._outages: Counter[int] = Counter()  # faults that keep a gateway down
         self._settings = door_settings_at(scenario, 0)
         self._central_buckets = CustomerBuckets()
@@ -249,7 +250,7 @@
         self.traces.events.append({"t": self.sim.now, "what": what, **fields})
 
     def _feed_entry(self, number: int, state: str) -> dict[str, Any]:
-        return entry_of(self.scenario, number, 10_000 + number, state, self._started[number])
+        return entry_of(self.scenario, number, 10_000 + number, state, self._server_starts[number])
 
     def _start_gateway(self, number: int) -> None:
         """Start a gateway's process with the endpoint list that its previous process cached."""
@@ -258,8 +259,8 @@
         settings.CopyFrom(self._settings)
         settings.name, settings.instance = f"door-{number}", number
         settings.zone = zone_name(number % self.scenario.fleet.zones)
-        self._starts[number] += 1
-        seed = self._seed * 1_000_003 + number * 101 + self._starts[number]
+        self._start_counts[number] += 1
+        seed = self._seed * 1_000_003 + number * 101 + self._start_counts[number]
         arguments = (
             self.sim,
             self.net,
@@ -283,19 +284,19 @@
 
     # Run ------------------------------------------------------------------------------------------------
 
-    def play(self, planned: Iterator[Any] | None = None, watch: Callable[[float], None] | None = None) -> Traces:
-        """Run the whole scenario and return its traces; `watch` is called after each virtual second."""
+    def run(self, planned: Iterator[Any] | None = None, on_second: Callable[[float], None] | None = None) -> Traces:
+        """Run the whole scenario and return its traces; `on_second` is called after each virtual second."""
         start = self.sim.now + START_DELAY_MS
         for event in self.scenario.event:
             self.sim.at(start + event.at_ms, self._inject_fault, event)
         if any(event.trouble == pb.STORE_FAILOVER for event in self.scenario.event):
             self._copy_store()
-        self.clients.play(planned if planned is not None else schedule(self.scenario), start)
+        self.clients.start_schedule(planned if planned is not None else schedule(self.scenario), start)
         end = start + length_ms(self.scenario) + CLIENTS_TIMEOUT_MS
         while not (self.clients.schedule_ended and not self.clients.active_requests) and self.sim.now < end:
             self.sim.run(self.sim.now + 1000.0)
-            if watch is not None:
-                watch(self.sim.now - start)
+            if on_second is not None:
+                on_second(self.sim.now - start)
         self.sim.run(self.sim.now + 500.0)
         return self.traces
 
@@ -304,6 +305,7 @@
         self.sim.after(REPLICA_COPY_MS, self._copy_store)
 
     def _inject_fault(self, event: pb.Event) -> None:
+        """Start a fault by the method that has its name in lower case, and schedule its end by what that returns."""
         name, targets = pb.Trouble.Name(event.trouble), targets_of(self.scenario, event)
         directions = {"ways": self._cut_directions(event)} if event.trouble == pb.NET_CUT else {}
         self._trace_event("trouble", name=name, targets=targets, on=True, **directions)
@@ -320,7 +322,7 @@
     def _servers_of(self, targets: list[int]) -> list[EmulatedServer]:
         return [self.servers[number + 1] for number in targets]
 
-    # Doors
+    # Gateways
 
     def _door_killed(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
         for number in targets:
@@ -346,11 +348,11 @@
                 continue
             self._trace_event("door stopping", door=number)
 
-            def left(number: int = number) -> None:
+            def shutdown_complete(number: int = number) -> None:
                 self._trace_event("door left", door=number, code=0)
                 self.sim.after(event.for_ms, self._end_outage, [number])
 
-            self.gateways[number].shut_down(left)
+            self.gateways[number].shut_down(shutdown_complete)
 
     def _door_cut_from_feed(self, event: pb.Event, targets: list[int]) -> Callable[[], None]:
         self.feed.cut_off({f"door-{number}" for number in targets})
@@ -360,7 +362,7 @@
 
     def _restart_cold(self, targets: list[int]) -> None:
         for number in targets:
-            self._started[number] = self.sim.now
+            self._server_starts[number] = self.sim.now
             self.servers[number + 1].restart()
             self.servers[number + 1].down = False
         self._list_as(targets, "up")
@@ -542,7 +544,7 @@
         self.feed.down = True
         self.feed.cut_off(set())
 
-        def back() -> None:
+        def recover() -> None:
             self.feed.down = False
 
-        return back
+        return recover
--- a/martenstep/lab/experiment/run.py
+++ b/martenstep/lab/experiment/run.py
@@ -53,7 +53,7 @@
     """Emulate one scenario; returns its metrics."""
     begin = time.perf_counter()
     emulation = Emulation(scenario, seed)
-    traffic = gather_traffic(emulation.play())
+    traffic = gather_traffic(emulation.run())
     metrics = summary(scenario, traffic, figures(scenario, traffic))
     violations = Judge(scenario, traffic).all()
     tries = max(len(traffic.tries), 1)
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -93,10 +93,10 @@
 
 def test_a_cut_delays_messages_of_one_direction_until_it_heals() -> None:
     sim, net, one, _ = pipes(NetworkConditions())
-    back, seen = Pipe(net, Location("server-1", "b"), Location("door-1", "a")), list[str]()
+    to_gateway, seen = Pipe(net, Location("server-1", "b"), Location("door-1", "a")), list[str]()
     net.set_cut("door-1", "server-*")
     one.send(seen.append, "forth")
-    back.send(seen.append, "back")
+    to_gateway.send(seen.append, "back")
     sim.run(START_MS + 10_000)
     assert seen == ["back"]
     net.set_cut("door-1", "server-*", on=False)
@@ -183,7 +183,7 @@
         "one.txtpb",
     )
     emulation = Emulation(scenario)
-    traffic = gather_traffic(emulation.play())
+    traffic = gather_traffic(emulation.run())
     served = sum(bool(tried.visits) for tried in traffic.tries.values())
     assert 8 + 4 * 5 - 2 <= served <= 8 + 4 * 5 + 1
 
@@ -196,7 +196,7 @@
         "event { at_ms: 1000 trouble: DOOR_KILLED for_ms: 500 } "
         "event { at_ms: 2000 trouble: SERVER_SILENT for_ms: 1000 }"
     )
-    one, two, other = Emulation(scenario).play(), Emulation(scenario).play(), Emulation(scenario, seed=99).play()
+    one, two, other = Emulation(scenario).run(), Emulation(scenario).run(), Emulation(scenario, seed=99).run()
     assert one == two and one.clients != other.clients
     first = [line["rid"] for line in one.clients if line["what"] == "try" and line["number"] == 0]
     assert first == [line["rid"] for line in other.clients if line["what"] == "try" and line["number"] == 0]
@@ -211,7 +211,7 @@
         moves = any(event.trouble == pb.STORE_SLOTS_MOVE for event in scenario.event)
         assert scenario.own_counter or scenario.hooks or moves
         return
-    result = check_traces(scenario, emulation.play())
+    result = check_traces(scenario, emulation.run())
     assert result["kept"], result["rules"]
     assert result["figures"]["requests_served"] > 0.6 * result["figures"]["requests"]
     assert ("verdicts" in result["rules"]) == scenario.HasField("auth_services")
@@ -287,9 +287,9 @@
 def test_the_checkers_find_a_rule_that_is_broken_on_purpose(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
     more = "auth_services { bad_share: 0.1 } auth { cache_ms: 1000 }" if rule == "verdicts" else ""
     scenario = small_scenario(CEILING + more + "event { at_ms: 500 trouble: SERVER_DRAINED for_ms: 4000 count: 2 }")
-    assert check_traces(scenario, Emulation(scenario).play())["kept"]
+    assert check_traces(scenario, Emulation(scenario).run())["kept"]
     break_rule(rule, monkeypatch)
-    result = check_traces(scenario, Emulation(scenario).play())
+    result = check_traces(scenario, Emulation(scenario).run())
     assert not result["rules"][rule]["kept"]
 
 
@@ -298,7 +298,7 @@
     emulation = Emulation(scenario)
     for server in emulation.servers.values():
         server.config.fall_multiple = 0.01
-    traces = emulation.play()
+    traces = emulation.run()
     assert any(line["what"] == "fell" for line in traces.servers)
 
 
@@ -328,7 +328,7 @@
             f"event {{ at_ms: 1000 for_ms: 1500 trouble: NET_CUT source: '{source}' sink: '{sink}' }}"
         )
         emulation = Emulation(scenario)
-        result = check_traces(scenario, emulation.play())
+        result = check_traces(scenario, emulation.run())
         assert result["kept"], (source, sink, result["rules"])
         late = [line for line in emulation.traces.clients if line["what"] == "answer" and line["t"] > START_MS + 5500]
         assert any(line["status"] == 200 for line in late) and not emulation.net.cuts
@@ -343,7 +343,7 @@
         "event { at_ms: 3910 for_ms: 700 trouble: DOOR_KILLED }"
     )
     emulation = Emulation(scenario)
-    assert check_traces(scenario, emulation.play())["kept"]
+    assert check_traces(scenario, emulation.run())["kept"]
     changes = [
         (line["what"], round(line["t"] - START_MS))
         for line in emulation.traces.events
@@ -356,7 +356,7 @@
     """A request that waits for processor time has been accepted and must be answered before the gateway ends."""
     scenario = small_scenario("event { at_ms: 1000 for_ms: 500 trouble: DOOR_ROLLED count: 2 }")
     emulation = Emulation(scenario, costs=ProcessingCosts(request_ms=40.0))
-    assert check_traces(scenario, emulation.play())["kept"]
+    assert check_traces(scenario, emulation.run())["kept"]
 
 
 def test_requests_that_a_killed_gateway_sent_into_a_cut_are_never_delivered() -> None:
@@ -365,7 +365,7 @@
         "event { at_ms: 1000 for_ms: 2500 trouble: NET_CUT source: 'door-*' sink: 'server-*' } "
         "event { at_ms: 1500 for_ms: 500 trouble: DOOR_KILLED count: 2 }"
     )
-    assert check_traces(scenario, Emulation(scenario).play())["kept"]
+    assert check_traces(scenario, Emulation(scenario).run())["kept"]
 
 
 def test_a_keyed_retry_that_a_cut_holds_past_its_window_is_never_delivered(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -379,9 +379,9 @@
         )
         return parse_day(keyed + cuts + "event { at_ms: 500 trouble: SERVER_RESETS count: 4 share: 0.7 }", "day")
 
-    assert check_traces(scenario(), Emulation(scenario()).play())["kept"]
+    assert check_traces(scenario(), Emulation(scenario()).run())["kept"]
     monkeypatch.setattr(EmulatedGateway, "_delivery_timed_out", lambda self, connection, action: None)
-    assert not check_traces(scenario(), Emulation(scenario()).play())["rules"]["no effect twice"]["kept"]
+    assert not check_traces(scenario(), Emulation(scenario()).run())["rules"]["no effect twice"]["kept"]
 
 
 def test_the_request_that_overloads_a_cold_server_ends_at_that_server() -> None:
@@ -390,7 +390,7 @@
     emulation = Emulation(scenario)
     for server in emulation.servers.values():
         server.config.fall_multiple = 0.01
-    result = check_traces(scenario, emulation.play())
+    result = check_traces(scenario, emulation.run())
     assert result["rules"]["no effect twice"]["kept"] and not result["rules"]["cold servers"]["kept"]
 
 
@@ -403,7 +403,7 @@
 
 def sent_units(scenario: pb.Day) -> float:
     """Run a scenario and sum the units that reached servers."""
-    traffic = gather_traffic(Emulation(scenario).play())
+    traffic = gather_traffic(Emulation(scenario).run())
     return sum(tried.units for tried in traffic.tries.values() if tried.visits)
 
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -94,23 +94,23 @@
 
 
 def test_a_plan_is_run_resumed_compared_and_reported(folder: Path) -> None:
-    call = ["lab", "run", str(folder / "plan.txtpb"), "--out", str(folder / "out"), "--workers", "2"]
-    done = CliRunner().invoke(cli, call)
-    assert done.exit_code == 0 and "8 runs, 0 of them" in done.output, done.output
+    arguments = ["lab", "run", str(folder / "plan.txtpb"), "--out", str(folder / "out"), "--workers", "2"]
+    result = CliRunner().invoke(cli, arguments)
+    assert result.exit_code == 0 and "8 runs, 0 of them" in result.output, result.output
     rows, metadata = running.load_result(folder / "out")
     assert metadata["name"] == "tiny" and metadata["plan"] == PLAN and arms(rows)[0] == "2/none" and len(rows) == 8
     # After a kill in the middle of a line, complete runs are kept and the others give the same figures again.
     journal = folder / "out" / running.JOURNAL
     lines = journal.read_bytes().splitlines(keepends=True)
     journal.write_bytes(b"".join(lines[:5]) + lines[5][:40])
-    assert CliRunner().invoke(cli, call).exit_code == 0
-    again, _ = running.load_result(folder / "out")
+    assert CliRunner().invoke(cli, arguments).exit_code == 0
+    resumed_rows, _ = running.load_result(folder / "out")
     kept = {json.loads(line)["seconds"] for line in lines[1:5]}
-    assert kept <= {row["seconds"] for row in again}
-    for one, other in zip(rows, again, strict=True):
+    assert kept <= {row["seconds"] for row in resumed_rows}
+    for one, other in zip(rows, resumed_rows, strict=True):
         assert {**one, "seconds": 0} == {**other, "seconds": 0}
     (folder / "plan.txtpb").write_text(PLAN.replace("repetitions: 2", "repetitions: 3"))
-    changed = CliRunner().invoke(cli, call)
+    changed = CliRunner().invoke(cli, arguments)
     assert changed.exit_code == 2 and "another plan or revision" in changed.output
     report = CliRunner().invoke(cli, ["lab", "report", str(folder / "out"), "--out", str(folder / "drawn")])
     assert report.exit_code == 0 and {path.name for path in (folder / "drawn").iterdir()} == {
@@ -170,11 +170,11 @@
     traffic = Traffic()
 
     def add_try(rid: str, at: float, sent: bool) -> None:
-        made = traffic.tries[rid] = Try(rid, 0, "basic-0-1", "read", 1.0, at, 1000.0)
+        client_try = traffic.tries[rid] = Try(rid, 0, "basic-0-1", "read", 1.0, at, 1000.0)
         if sent:
-            made.visits.append(Visit(rid, 0, 1, "door-0", "", at))
+            client_try.visits.append(Visit(rid, 0, 1, "door-0", "", at))
         else:
-            made.ends.append({"what": "answer", "t": at, "status": 429, "reason": "quota"})
+            client_try.ends.append({"what": "answer", "t": at, "status": 429, "reason": "quota"})
 
     for number in range(4):
         add_try(f"a{number}", 1000.0, True)  # two within the burst, two over it
@@ -196,23 +196,23 @@
 
     found = search(base, badness, 60, 1)
     assert found.badness >= 1 and found.tried == 60
-    small = shrink(found, badness, 400)
-    assert small.badness >= 0.9 * found.badness and sum(e.for_ms for e in small.scenario.event) < sum(
+    shrunk = shrink(found, badness, 400)
+    assert shrunk.badness >= 0.9 * found.badness and sum(e.for_ms for e in shrunk.scenario.event) < sum(
         e.for_ms for e in found.scenario.event
     )
-    assert {event.trouble for event in small.scenario.event} == {pb.STORE_DOWN}
+    assert {event.trouble for event in shrunk.scenario.event} == {pb.STORE_DOWN}
     broken = search(base, rule_violation, 60, 1)
     assert broken.badness == float("inf") and len(shrink(broken, rule_violation, 100).scenario.event) == 2
-    assert isinstance(small, Found)
+    assert isinstance(shrunk, Found)
 
 
 def test_a_scenario_found_by_a_search_reproduces_its_figure(tmp_path: Path) -> None:
     (tmp_path / "day.txtpb").write_text(TINY)
     out = tmp_path / "worst.txtpb"
-    words = ["lab", "search", str(tmp_path / "day.txtpb"), "--runs", "6", "--shrink-runs", "4", "--out", str(out)]
-    done = CliRunner().invoke(cli, words)
-    assert done.exit_code == 0 and "over_share" in done.output, done.output
-    over_share = float(done.output.split("over_share ")[1].split(",")[0])
+    arguments = ["lab", "search", str(tmp_path / "day.txtpb"), "--runs", "6", "--shrink-runs", "4", "--out", str(out)]
+    result = CliRunner().invoke(cli, arguments)
+    assert result.exit_code == 0 and "over_share" in result.output, result.output
+    over_share = float(result.output.split("over_share ")[1].split(",")[0])
     scenario = load_day(out)
     assert scenario.name == "worst" and running.measure(scenario)["over_share"] == pytest.approx(over_share, rel=1e-3)
-    assert CliRunner().invoke(cli, [*words, "--metric", "nope"]).exit_code == 2
+    assert CliRunner().invoke(cli, [*arguments, "--metric", "nope"]).exit_code == 2
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -58,16 +58,16 @@
 def test_an_interrupted_sweep_resumes_and_prints_the_same_summary(tmp_path: Path) -> None:
     file, out = tmp_path / "sweep.txtpb", tmp_path / "out"
     file.write_text(SMALL)
-    words = ["lab", "sweep", str(file), "--out", str(out), "--workers", "2"]
-    first = CliRunner().invoke(cli, words)
+    arguments = ["lab", "sweep", str(file), "--out", str(out), "--workers", "2"]
+    first = CliRunner().invoke(cli, arguments)
     assert first.exit_code == 0 and "6 days drawn from seed 1, 0 of them broke a rule." in first.output, first.output
     lines = (out / sweep.JOURNAL).read_text().splitlines()
     assert sorted(json.loads(line)["number"] for line in lines[1:]) == list(range(6))
     (out / sweep.JOURNAL).write_text("\n".join([*lines[:4], lines[4][:20]]))  # as if killed during a write
-    again = CliRunner().invoke(cli, words)
-    assert again.exit_code == 0 and again.output == first.output
+    resumed = CliRunner().invoke(cli, arguments)
+    assert resumed.exit_code == 0 and resumed.output == first.output
     file.write_text(SMALL + " seed: 2")
-    other = CliRunner().invoke(cli, words)
+    other = CliRunner().invoke(cli, arguments)
     assert other.exit_code == 2 and "another plan or revision" in other.output
 
 
@@ -151,8 +151,8 @@
 
 def test_workers_end_with_a_killed_sweep(tmp_path: Path) -> None:
     (tmp_path / "sweep.txtpb").write_text('name: "long" days: 100000 tries_most: 300')
-    words = ["lab", "sweep", str(tmp_path / "sweep.txtpb"), "--out", str(tmp_path / "out"), "--workers", "2"]
-    sweeper = subprocess.Popen([sys.executable, "-m", "martenstep", *words], stdout=subprocess.DEVNULL)
+    arguments = ["lab", "sweep", str(tmp_path / "sweep.txtpb"), "--out", str(tmp_path / "out"), "--workers", "2"]
+    sweeper = subprocess.Popen([sys.executable, "-m", "martenstep", *arguments], stdout=subprocess.DEVNULL)
     try:
         while (
             not (tmp_path / "out" / sweep.JOURNAL).exists()
