--- a/martenstep/cli/lab.py
+++ b/martenstep/cli/lab.py
@@ -151,12 +151,12 @@
 def report_(result: Path, out: Path, baseline: str, names: tuple[str, ...]) -> None:
     """Write a report of RESULT: charts as SVG and PNG, a table, and an HTML page that contains them."""
     from martenstep.lab.experiment.plan import parse_plan
-    from martenstep.lab.experiment.report import write
+    from martenstep.lab.experiment.report import write_report
 
     rows, stored, _ = _load_rows(result, names)
     plan = parse_plan(stored["plan"], str(result))
     _, _, figures = _load_rows(result, names or tuple(plan.metric))
-    files = write(rows, stored, figures, _check_baseline(rows, baseline or plan.baseline), out)
+    files = write_report(rows, stored, figures, _check_baseline(rows, baseline or plan.baseline), out)
     click.echo(f"{files[-1]}: {len(files)} files")
 
 
@@ -191,14 +191,14 @@
             raise click.UsageError(f"no metric {metric!r} (there are: {', '.join(figures)})")
         return float("inf") if figures["broken"] else -figures[metric] if low else figures[metric]
 
-    found = searching.search(base, badness, runs, seed, told=lambda count, worst: _Progress()(count, runs, 0.0))
+    found = searching.search(base, badness, runs, seed, progress=lambda count, worst: _Progress()(count, runs, 0.0))
     minimized = searching.shrink(found, badness, shrink_runs)
-    minimized.day.name = out.stem
-    out.write_text(text_format.MessageToString(minimized.day), encoding="utf-8")
+    minimized.scenario.name = out.stem
+    out.write_text(text_format.MessageToString(minimized.scenario), encoding="utf-8")
     breaks_rule = minimized.badness == float("inf")
     click.echo(
         f"{out}: {'a rule breaks' if breaks_rule else f'{metric} {abs(minimized.badness):.4g}'}, "
-        f"{len(minimized.day.event)} troubles; {minimized.tried} days tried"
+        f"{len(minimized.scenario.event)} troubles; {minimized.tried} days tried"
     )
     sys.exit(EXIT_VIOLATION if breaks_rule else 0)
 
