--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -109,9 +109,9 @@
         ]
         import asyncio
 
-        from martenstep.standins.base import steer
+        from martenstep.standins.base import send_command
 
-        asyncio.run(steer(told["ready"]["control"], "update", servers=entries, now=True))
+        asyncio.run(send_command(told["ready"]["control"], "update", servers=entries, now=True))
         yield ports + services, told["ready"]["port"], store["ready"]["port"]
     finally:
         for process in made:
--- a/martenstep/cli/fakes.py
+++ b/martenstep/cli/fakes.py
@@ -93,5 +93,5 @@
     """Clients that play a schedule, open loop."""
     from martenstep.standins import clients as stand_in
 
-    made = _decode_option(behaviour, stand_in.Manners, "--manners")
+    made = _decode_option(behaviour, stand_in.ClientBehavior, "--manners")
     asyncio.run(stand_in.run(schedule, made, trace))
--- a/martenstep/lab/day.py
+++ b/martenstep/lab/day.py
@@ -20,8 +20,8 @@
 from martenstep.hooks.source import HookSourceError
 from martenstep.lab import day_pb2 as pb
 from martenstep.redis_counter.slots import SLOTS
-from martenstep.standins.clients import Planned
-from martenstep.standins.photo import PhotoConfig, WorkOf
+from martenstep.standins.clients import ScheduledRequest
+from martenstep.standins.photo import ClassWork, PhotoConfig
 from martenstep.standins.redis.fleet import MASTER
 
 DOOR_TROUBLES = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_LOST, pb.DOOR_CUT_FROM_FEED)
@@ -324,7 +324,7 @@
     work = {}
     for entry in day.work:
         name = getattr(entry, "class")
-        work[name] = WorkOf(
+        work[name] = ClassWork(
             entry.least_ms,
             entry.most_ms,
             entry.answer_bytes,
@@ -400,7 +400,7 @@
         return self._rng.random() * self.peak < now
 
 
-def schedule(day: pb.Day) -> Iterator[Planned]:
+def schedule(day: pb.Day) -> Iterator[ScheduledRequest]:
     """Every request of the day, in order of time: a Poisson stream whose rate follows the phases."""
     rng = random.Random(f"{day.seed}/schedule")
     groups = customers_of(day)
@@ -449,7 +449,7 @@
             if day.HasField("auth_services"):
                 bad = rng.random() < day.auth_services.bad_share
                 credential = f"Basic guess-{number}" if bad else f"Bearer {customer.key}"
-            yield Planned(
+            yield ScheduledRequest(
                 at_ms=round(at, 3),
                 rid=f"r{number}",
                 customer=customer.key,
--- a/martenstep/lab/emulate/auth.py
+++ b/martenstep/lab/emulate/auth.py
@@ -7,7 +7,7 @@
 from martenstep.lab.emulate.core import Draws, Sim
 from martenstep.lab.emulate.net import Place
 from martenstep.proxy.engine_messages import Headers
-from martenstep.standins.auth import DRIP_MS, GOOD
+from martenstep.standins.auth import CREDENTIAL_PREFIX, DRIP_MS
 
 Reply = Callable[[int, Headers, bytes], None]
 ANSWER_BYTES = 120  # about, of a verdict: a dripping one takes so many drips
@@ -44,15 +44,21 @@
         if chance() < shares["broken"]:
             failed()
             return
-        self._write("verdict", rid=rid, customer=credential.removeprefix(GOOD), status=status, max_age=self._max_age)
+        self._write(
+            "verdict",
+            rid=rid,
+            customer=credential.removeprefix(CREDENTIAL_PREFIX),
+            status=status,
+            max_age=self._max_age,
+        )
         late = ANSWER_BYTES * DRIP_MS if chance() < shares["drips"] else 0.0
         self._sim.after(late, reply, status, headers, body)
         if chance() < shares["twice"]:
             self._sim.after(late, reply, status, headers, body)
 
     def _verdict(self, credential: str) -> tuple[int, Headers, bytes]:
-        customer = credential.removeprefix(GOOD)
-        if not credential.startswith(GOOD) or not customer:
+        customer = credential.removeprefix(CREDENTIAL_PREFIX)
+        if not credential.startswith(CREDENTIAL_PREFIX) or not customer:
             return 401, [(b"www-authenticate", b"Bearer")], b"who are you?\n"
         if self._draws.unit() < self.shares["contradicts"]:
             return 403, [], b"no longer\n"
--- a/martenstep/lab/emulate/clients.py
+++ b/martenstep/lab/emulate/clients.py
@@ -11,7 +11,7 @@
 from martenstep.lab.emulate.net import Network, Pipe, Place
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.headers import get_header
-from martenstep.standins.clients import ABUSE_PAUSE_MS, ABUSE_TRIES, Manners, Planned
+from martenstep.standins.clients import ABUSE_ATTEMPTS, ABUSE_PAUSE_MS, ClientBehavior, ScheduledRequest
 
 LATE_MS = 1000.0  # beyond its patience a client waits no longer, whatever the door does
 
@@ -24,17 +24,17 @@
         sim: Sim,
         net: Network,
         doors: dict[int, EmuDoor],
-        manners: Manners,
+        manners: ClientBehavior,
         draws: Draws,
         write: Callable[..., None],
     ) -> None:
         self._sim, self._net, self._doors, self._manners = sim, net, doors, manners
         self._draws, self._write = draws, write
-        self._schedule: Iterator[Planned] = iter(())
+        self._schedule: Iterator[ScheduledRequest] = iter(())
         self.out = 0
         self.done = False
 
-    def play(self, schedule: Iterator[Planned], start: float) -> None:
+    def play(self, schedule: Iterator[ScheduledRequest], start: float) -> None:
         """Send everything at its time."""
         self._schedule = schedule
         self._next(start)
@@ -46,7 +46,7 @@
             return
         self._sim.at(start + planned.at_ms, self._due, planned, start)
 
-    def _due(self, planned: Planned, start: float) -> None:
+    def _due(self, planned: ScheduledRequest, start: float) -> None:
         self.out += 1
         until = self._sim.now + planned.patience_ms * (1 + self._manners.retries)
         _Try(self, planned, 0, until).begin()
@@ -55,7 +55,7 @@
     def again(self, tried: _Try, may: bool, advice: float) -> None:
         """What a client does after a try."""
         manners, planned = self._manners, tried.planned
-        tries = ABUSE_TRIES if planned.abuse else manners.retries + 1
+        tries = ABUSE_ATTEMPTS if planned.abuse else manners.retries + 1
         pause = advice if manners.honour and advice else manners.wait_ms
         pause = min(pause, manners.advice_most_ms) * self._draws.between(1.0, 1.2)
         if planned.abuse:
@@ -83,7 +83,7 @@
         "until",
     )
 
-    def __init__(self, crowd: EmuCrowd, planned: Planned, number: int, until: float) -> None:
+    def __init__(self, crowd: EmuCrowd, planned: ScheduledRequest, number: int, until: float) -> None:
         self._crowd, self.planned, self.number, self.until = crowd, planned, number, until
         self.rid = f"{planned.rid}.{number}"
         self._over = False
@@ -181,10 +181,10 @@
             self._crowd.again(self, self._safe and status in (502, 504), 0.0)
 
 
-def manners_of(day: pb.Day) -> Manners:
+def manners_of(day: pb.Day) -> ClientBehavior:
     """How a day's clients behave."""
     told = day.clients
     safe = [entry.name for entry in getattr(day, "class") if entry.effect == cfg.SAFE]
-    return Manners(
+    return ClientBehavior(
         [], told.retries, told.wait_ms, told.advice == pb.Clients.HONOUR, told.advice_most_ms, safe, day.seed
     )
--- a/martenstep/lab/emulate/servers.py
+++ b/martenstep/lab/emulate/servers.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from martenstep.lab.emulate.core import Draws, Sim, Timer
-from martenstep.standins.photo import Fall, PhotoConfig, WorkOf
+from martenstep.standins.photo import ClassWork, OverloadDetector, PhotoConfig
 
 Write = Callable[..., None]
 
@@ -31,7 +31,7 @@
     cls: str
     key: str
     caller: Caller
-    work: WorkOf
+    work: ClassWork
     ms: float
     on_core: bool = False
     timer: Timer | None = None
@@ -57,7 +57,7 @@
         self._started = self._sim.now if cold else -1e12
         self.fallen = self.silent = self.draining = False
         self._keys: dict[str, float] = {}
-        self._fall = Fall(self.config)
+        self._fall = OverloadDetector(self.config)
 
     def restart(self) -> None:
         """Cold again, every connection gone."""
@@ -83,7 +83,7 @@
     def arrive(self, caller: Caller, told: dict[str, Any], cls: str, key: str, customer: str) -> Job | None:
         """A whole request has come; gives the job, where there is one."""
         sim, config = self._sim, self.config
-        work = config.work.get(cls) or WorkOf()
+        work = config.work.get(cls) or ClassWork()
         ms = self._draws.between(work.least_ms, work.most_ms)
         self._write("arrive", **told, cls=cls, key=key, customer=customer)
         if self._fall.offer(sim.now, ms / config.speed, sim.now - self._started):
--- a/martenstep/lab/play.py
+++ b/martenstep/lab/play.py
@@ -33,7 +33,7 @@
 )
 from martenstep.lab.held import FOLDER, HeldFleet
 from martenstep.lab.ports import held_ports
-from martenstep.standins.base import Trace, now_ms, steer
+from martenstep.standins.base import Trace, now_ms, send_command
 
 MOST_DOORS, MOST_SERVERS = 64, 200  # a process each
 READY_S = 30.0  # a process that is not ready by then has failed
@@ -342,7 +342,7 @@
         assert self._clients is not None
         await asyncio.sleep(LEAD_MS / 1000)
         start = now_ms() + 200.0
-        await steer(self._clients.ready["control"], "begin", at=start)
+        await send_command(self._clients.ready["control"], "begin", at=start)
         for event in self._day.event:
             self._tasks.append(asyncio.create_task(self._trouble(start, event)))
         for number, release in enumerate(self._day.hooks):
@@ -354,7 +354,7 @@
             self._progress(min(max(now_ms() - start, 0.0) / length, 1.0), "playing")
             self._failures()
         until = time.monotonic() + AFTER_S
-        while not (await steer(self._clients.ready["control"], "state"))["done"]:
+        while not (await send_command(self._clients.ready["control"], "state"))["done"]:
             if time.monotonic() > until:
                 raise PlayError("clients: not done a minute after the last arrival")
             await asyncio.sleep(0.1)
@@ -399,7 +399,7 @@
             fleet = self._servers if whom == "servers" else self._auth
             processes = [fleet[number] for number in targets]
         for process in processes:
-            await steer(process.ready["control"], do, **words)
+            await send_command(process.ready["control"], do, **words)
 
     # Doors ----------------------------------------------------------------------------------------------
 
--- a/martenstep/standins/__init__.py
+++ b/martenstep/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Outside systems as the project writes them itself, from their public specifications: photo servers, Redis, the
-members feed, clients.  Each is a process of its own, steered over a control port, and writes a trace of what it saw
-with the monotonic clock.
+"""Fakes of outside systems, written from their public specifications: photo servers, Redis, the authentication
+service, the endpoint feed, clients.  Each runs as a process of its own, takes commands over a control port, and writes
+a trace of what it observed, with times of the monotonic clock.
 
-May live here: what plays an outside system.  May not: anything that a door needs to run.
+Only fakes belong into this package.  Nothing that a gateway needs at run time does.
 """
--- a/martenstep/standins/base.py
+++ b/martenstep/standins/base.py
@@ -1,4 +1,4 @@
-"""What every stand-in has: a trace, a control port, a ready line; and what those that serve have in common."""
+"""The parts that fakes share: a trace, a control port, a ready line, and a base class for the servers among them."""
 
 from __future__ import annotations
 
@@ -18,54 +18,52 @@
 
 from martenstep.lifetime import until_stopped
 
-Control = Callable[[str, dict[str, Any]], dict[str, Any]]
-LINE_BYTES = 1 << 20
+CommandHandler = Callable[[str, dict[str, Any]], dict[str, Any]]
+MAX_LINE_BYTES = 1 << 20
 READ_BYTES = 65536
-BACKLOG = 512  # connections that wait to be accepted: a whole fleet of doors starts at once
+BACKLOG = 512  # connections not yet accepted: a whole fleet of gateways connects at once when it starts
 
 
 def now_ms() -> float:
-    """The monotonic clock that all processes of a machine share."""
+    """Return the time of the monotonic clock, which all processes of a machine share."""
     return time.monotonic() * 1000.0
 
 
 class Trace:
-    """JSON lines, written through so that a kill loses at most the last."""
+    """A file of JSON lines, written without a buffer: if the process is killed, at most the last line is lost."""
 
     def __init__(self, path: Path | None) -> None:
         self._file = path.open("ab", buffering=0) if path else None
         self._encoder = msgspec.json.Encoder()
 
     def write(self, what: str, **fields: Any) -> None:
-        """One line, with the time."""
         if self._file is not None:
             self._file.write(self._encoder.encode({"t": round(now_ms(), 3), "what": what, **fields}) + b"\n")
 
     def close(self) -> None:
-        """Close the file."""
         if self._file is not None:
             self._file.close()
             self._file = None
 
 
 class ControlPort:
-    """One JSON command a line, one JSON answer each: `{"do": "silent", "on": true}`."""
+    """Reads one JSON command a line, such as `{"do": "silent", "on": true}`, and answers each with a line of JSON."""
 
-    def __init__(self, control: Control) -> None:
-        self._control = control
+    def __init__(self, handler: CommandHandler) -> None:
+        self._handler = handler
         self._server: asyncio.Server | None = None
 
     async def start(self) -> int:
-        """Bind to a free port of the loopback."""
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=LINE_BYTES)
+        """Listen on a free port of the loopback address and return it."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=MAX_LINE_BYTES)
         return int(self._server.sockets[0].getsockname()[1])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while line := await reader.readline():
                 try:
-                    words = json.loads(line)
-                    answer = self._control(words.pop("do"), words)
+                    arguments = json.loads(line)
+                    answer = self._handler(arguments.pop("do"), arguments)
                 except (ValueError, KeyError, TypeError, AttributeError) as error:
                     answer = {"error": f"{type(error).__name__}: {error}"}
                 writer.write(json.dumps(answer).encode() + b"\n")
@@ -77,48 +75,49 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Break a connection with a reset on the wire; a plain close would look like half a close."""
+    """End a connection with a TCP reset; an ordinary close would look like a half-close to the peer."""
     sock = writer.get_extra_info("socket")
     if sock is not None and not writer.transport.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-async def steer(port: int, do: str, **words: Any) -> dict[str, Any]:
-    """Give one command to a control port; raises RuntimeError on a command that it does not take."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=LINE_BYTES)
+async def send_command(port: int, command: str, /, **arguments: Any) -> dict[str, Any]:
+    """Send a command to a control port; raises RuntimeError if the fake rejects it."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=MAX_LINE_BYTES)
     try:
-        writer.write(json.dumps({"do": do, **words}).encode() + b"\n")
+        writer.write(json.dumps({"do": command, **arguments}).encode() + b"\n")
         await writer.drain()
         answer: dict[str, Any] = json.loads(await reader.readline())
     finally:
         writer.close()
     if "error" in answer:
-        raise RuntimeError(f"control: {do}: {answer['error']}")
+        raise RuntimeError(f"control command {command!r} was rejected: {answer['error']}")
     return answer
 
 
-class StandIn(ABC):
-    """A server: its port, its connections, and the commands that all servers take."""
+class FakeServer(ABC):
+    """A server: its port, its connections, and the commands that all fake servers take."""
 
-    ends_with: ClassVar[tuple[type[Exception], ...]] = (OSError, h11.ProtocolError)  # a connection, and no fault
+    # Errors that end a connection and are no fault of the fake.
+    connection_errors: ClassVar[tuple[type[Exception], ...]] = (OSError, h11.ProtocolError)
 
     def __init__(self, trace: Trace, port: int = 0) -> None:
         self._trace, self._port = trace, port
         self._server: asyncio.Server | None = None
-        self._writers: dict[asyncio.StreamWriter, str] = {}  # and who is behind each, where that is told
+        self._writers: dict[asyncio.StreamWriter, str] = {}  # the peer's name, empty where the peer sends none
         self._down = False
         self.tls: ssl.SSLContext | None = None
-        self._shares: dict[str, float] = {}  # of its answers, by the way that they go wrong
+        self._fault_shares: dict[str, float] = {}  # share of responses that are faulty, by the kind of fault
 
     async def start(self) -> int:
-        """Bind; gives the port."""
+        """Listen and return the port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", self._port, backlog=BACKLOG, ssl=self.tls)
         self._port = int(self._server.sockets[0].getsockname()[1])
         return self._port
 
     async def stop(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
@@ -128,42 +127,42 @@
         await until_stopped({"port": port, "control": await ControlPort(self.control).start()}, self.stop)
         self._trace.close()
 
-    def control(self, do: str, words: dict[str, Any]) -> dict[str, Any]:
-        """What can be steered while it runs."""
-        self._trace.write("control", do=do, **{key: value for key, value in words.items() if key != "servers"})
-        told = self._steered(do, words)
-        return {"ok": True} if told is None else told
-
-    def _steered(self, do: str, words: dict[str, Any]) -> dict[str, Any] | None:
-        """One command; None where there is nothing to tell but that it is done."""
-        if do == "down":
-            self._down = bool(words["on"])
+    def control(self, command: str, arguments: dict[str, Any]) -> dict[str, Any]:
+        """Trace a command from the control port, execute it and return the answer."""
+        traced = {key: value for key, value in arguments.items() if key != "servers"}
+        self._trace.write("control", do=command, **traced)
+        answer = self._execute_command(command, arguments)
+        return {"ok": True} if answer is None else answer
+
+    def _execute_command(self, command: str, arguments: dict[str, Any]) -> dict[str, Any] | None:
+        """Execute a command; None stands for the plain answer that it was done."""
+        if command == "down":
+            self._down = bool(arguments["on"])
             if self._down:
-                self._drop()
-        elif do in self._shares:
-            self._shares[do] = float(words["share"])
+                self._abort_connections()
+        elif command in self._fault_shares:
+            self._fault_shares[command] = float(arguments["share"])
         else:
-            return {"error": f"no such command: {do}"}
+            return {"error": f"no such command: {command}"}
         return None
 
-    def _takes(self) -> bool:
-        """Whether a new connection is taken."""
+    def _accepts_connections(self) -> bool:
         return not self._down
 
-    def _drop(self, name: str | None = None) -> None:
-        """Break all connections, or those of one peer."""
-        for writer, behind in list(self._writers.items()):
-            if name is None or behind == name:
+    def _abort_connections(self, peer: str | None = None) -> None:
+        """Abort all connections, or those of one peer."""
+        for writer, connected_peer in list(self._writers.items()):
+            if peer is None or connected_peer == peer:
                 writer.transport.abort()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if not self._takes():
+        if not self._accepts_connections():
             writer.transport.abort()
             return
         self._writers[writer] = ""
         try:
             await self._serve(reader, writer)
-        except self.ends_with:
+        except self.connection_errors:
             pass
         finally:
             del self._writers[writer]
@@ -171,24 +170,24 @@
 
     @abstractmethod
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, to its end."""
+        """Serve one connection until it ends."""
 
 
-class HttpStandIn(StandIn):
-    """A server that speaks HTTP/1.1, one request after the other on a connection."""
+class FakeHttpServer(FakeServer):
+    """A server that speaks HTTP/1.1, without pipelining."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = h11.Connection(h11.SERVER)
         while True:
-            request, body = await self._request(connection, reader, writer)
-            if request is None or not await self._answer(connection, reader, writer, request, body):
+            request, body_bytes = await self._read_request(connection, reader, writer)
+            if request is None or not await self._respond(connection, reader, writer, request, body_bytes):
                 return
             if connection.our_state is h11.MUST_CLOSE:
                 return
             connection.start_next_cycle()
 
     @staticmethod
-    async def _request(
+    async def _read_request(
         connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> tuple[h11.Request | None, int]:
         request: h11.Request | None = None
@@ -209,21 +208,21 @@
                 return None, 0
 
     @abstractmethod
-    async def _answer(
+    async def _respond(
         self,
         connection: h11.Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         request: h11.Request,
-        body: int,
+        body_bytes: int,
     ) -> bool:
-        """Answer one request with so many bytes of body; False where the connection ends with it."""
+        """Respond to a request whose body had `body_bytes` bytes; False if the connection ends afterwards."""
 
 
 def response(
     connection: h11.Connection, status: int, headers: list[tuple[str, str]], body: bytes
 ) -> tuple[bytes, bytes]:
-    """The bytes of a whole answer: its head, and the rest."""
+    """Return the bytes of a complete response: its head, and the rest."""
     head = h11.Response(status_code=status, headers=[*headers, ("content-length", str(len(body)))])
     return (
         connection.send(head) or b"",
--- a/martenstep/standins/clients.py
+++ b/martenstep/standins/clients.py
@@ -1,7 +1,8 @@
-"""Clients: open loop by a schedule, with their own deadlines, retries through other doors, and bad manners.
+"""Clients that send requests on a schedule, with deadlines of their own, retries through other gateways, and some that
+misbehave.
 
-An arrival never waits for an answer.  The schedule is a file of JSON lines, made by the lab: the same file gives the
-same requests at the same times.
+The load is open-loop: no request waits for the response to another.  The schedule is a file of JSON lines, made by the
+lab: the same file gives the same requests at the same times.
 """
 
 from __future__ import annotations
@@ -18,11 +19,12 @@
 from martenstep.lifetime import until_stopped
 from martenstep.standins.base import READ_BYTES, ControlPort, Trace, now_ms, reset
 
-ABUSE_PAUSE_MS = 5.0  # a client that repeats without end still takes this long
-ABUSE_TRIES = 40
+ABUSE_PAUSE_MS = 5.0  # between two attempts of a client that retries regardless of the response
+ABUSE_ATTEMPTS = 40
+MAX_IDLE = 64  # connections kept for each gateway
 
 
-class Planned(msgspec.Struct):
+class ScheduledRequest(msgspec.Struct):
     """One request of the schedule."""
 
     at_ms: float
@@ -30,202 +32,205 @@
     customer: str
     cls: str
     units: float
-    doors: list[int]  # in the order in which its tries take them
+    doors: list[int]  # the gateways, in the order in which the attempts use them
     patience_ms: float
     body: int = 0
-    leave_ms: float = 0.0  # goes away after this; 0: waits
-    credential: str = ""  # given as it is; empty: none
+    leave_ms: float = 0.0  # the client disconnects after this; 0: it waits for the response
+    credential: str = ""  # sent unchanged; empty: none is sent
     abuse: bool = False
 
 
-class Manners(msgspec.Struct):
-    """How all clients behave."""
+class ClientBehavior(msgspec.Struct):
+    """How all clients behave, as JSON on the command line."""
 
     ports: list[int]
     retries: int = 1
     wait_ms: float = 200.0
     honour: bool = True
     advice_most_ms: float = 500.0
-    repeat_after_failure: list[str] = msgspec.field(default_factory=list)  # classes that are safe to repeat
+    repeat_after_failure: list[str] = msgspec.field(default_factory=list)  # request classes that are safe to retry
     seed: int = 1
 
 
-class _Wire:
+class _Connection:
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.h11 = h11.Connection(h11.CLIENT)
+        self.protocol = h11.Connection(h11.CLIENT)
 
 
-class Crowd:
-    """All clients of a day."""
+class ClientPool:
+    """All clients of a run, and their idle connections to each gateway."""
 
-    def __init__(self, manners: Manners, trace: Trace) -> None:
-        self._manners, self._trace = manners, trace
-        self._rng = random.Random(manners.seed)
-        self._idle: dict[int, list[_Wire]] = {}
+    def __init__(self, behavior: ClientBehavior, trace: Trace) -> None:
+        self._behavior, self._trace = behavior, trace
+        self._rng = random.Random(behavior.seed)
+        self._idle: dict[int, list[_Connection]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def play(self, schedule: list[Planned], start: float) -> None:
-        """Send everything at its time; returns when the last has ended."""
-        for planned in schedule:
-            pause = start + planned.at_ms - now_ms()
-            if pause > 0:
-                await asyncio.sleep(pause / 1000)
-            task = asyncio.create_task(self._request(planned))
+    async def play(self, schedule: list[ScheduledRequest], start_ms: float) -> None:
+        """Send each request at its time; returns when the last one has ended."""
+        for scheduled in schedule:
+            pause_ms = start_ms + scheduled.at_ms - now_ms()
+            if pause_ms > 0:
+                await asyncio.sleep(pause_ms / 1000)
+            task = asyncio.create_task(self._request(scheduled))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
-    async def _request(self, planned: Planned) -> None:
-        """One request through all its tries."""
-        manners = self._manners
-        tries = ABUSE_TRIES if planned.abuse else manners.retries + 1
-        until = now_ms() + planned.patience_ms * (1 + manners.retries)
-        for number in range(tries):
-            door = planned.doors[number % len(planned.doors)]
-            again, advice = await self._try(planned, f"{planned.rid}.{number}", door, number)
-            if not again:
+    async def _request(self, scheduled: ScheduledRequest) -> None:
+        """Send a request, and retry it as its client would."""
+        behavior = self._behavior
+        max_attempts = ABUSE_ATTEMPTS if scheduled.abuse else behavior.retries + 1
+        until_ms = now_ms() + scheduled.patience_ms * (1 + behavior.retries)
+        for number in range(max_attempts):
+            gateway = scheduled.doors[number % len(scheduled.doors)]
+            retry, advice_ms = await self._attempt(scheduled, f"{scheduled.rid}.{number}", gateway, number)
+            if not retry:
                 return
-            pause = advice if manners.honour and advice else manners.wait_ms
-            pause = min(pause, manners.advice_most_ms) * self._rng.uniform(1.0, 1.2)
-            if planned.abuse:
-                pause = ABUSE_PAUSE_MS
-            if now_ms() + pause >= until:
+            pause_ms = advice_ms if behavior.honour and advice_ms else behavior.wait_ms
+            pause_ms = min(pause_ms, behavior.advice_most_ms) * self._rng.uniform(1.0, 1.2)
+            if scheduled.abuse:
+                pause_ms = ABUSE_PAUSE_MS
+            if now_ms() + pause_ms >= until_ms:
                 return
-            await asyncio.sleep(pause / 1000)
+            await asyncio.sleep(pause_ms / 1000)
 
-    async def _try(self, planned: Planned, rid: str, door: int, number: int) -> tuple[bool, float]:
-        """One try; gives whether the client may repeat it, and the advice it got."""
-        patience = planned.patience_ms
+    async def _attempt(self, scheduled: ScheduledRequest, rid: str, gateway: int, number: int) -> tuple[bool, float]:
+        """Make one attempt; returns whether the client may retry, and the advised delay in milliseconds."""
+        patience_ms = scheduled.patience_ms
         self._trace.write(
             "try",
             rid=rid,
-            door=door,
-            customer=planned.customer,
-            cls=planned.cls,
-            units=planned.units,
-            deadline_ms=patience,
-            first=planned.rid,
+            door=gateway,
+            customer=scheduled.customer,
+            cls=scheduled.cls,
+            units=scheduled.units,
+            deadline_ms=patience_ms,
+            first=scheduled.rid,
             number=number,
-            bad=bool(planned.credential) and not planned.credential.endswith(planned.customer),
+            bad=bool(scheduled.credential) and not scheduled.credential.endswith(scheduled.customer),
         )
-        wire: _Wire | None = None
-        seen: list[int] = []  # the status, as soon as the head has come
-        safe = planned.cls in self._manners.repeat_after_failure
-        leave = planned.leave_ms if planned.leave_ms and planned.leave_ms < patience else 0.0
+        connection: _Connection | None = None
+        received: list[int] = []  # the status, as soon as the head of the response was received
+        safe = scheduled.cls in self._behavior.repeat_after_failure
+        leave_ms = scheduled.leave_ms if scheduled.leave_ms and scheduled.leave_ms < patience_ms else 0.0
         try:
-            async with asyncio.timeout((leave or patience + 1000.0) / 1000):
-                wire = await self._wire(door)
-                if wire is None:
+            async with asyncio.timeout((leave_ms or patience_ms + 1000.0) / 1000):
+                connection = await self._connection(gateway)
+                if connection is None:
                     self._trace.write("unreached", rid=rid)
                     return True, 0.0
-                status, headers, whole = await self._exchange(wire, planned, rid, patience, seen)
+                status, headers, complete = await self._exchange(connection, scheduled, rid, received)
         except TimeoutError:
-            if wire is not None:
-                reset(wire.writer)
-            self._trace.write("left" if leave else "no answer", rid=rid)
-            return safe and not leave, 0.0
+            if connection is not None:
+                reset(connection.writer)
+            self._trace.write("left" if leave_ms else "no answer", rid=rid)
+            return safe and not leave_ms, 0.0
         except (OSError, h11.ProtocolError) as error:
-            if wire is not None:
-                wire.writer.transport.abort()
-            self._trace.write("broken", rid=rid, how=type(error).__name__, status=seen[0] if seen else 0)
+            if connection is not None:
+                connection.writer.transport.abort()
+            self._trace.write("broken", rid=rid, how=type(error).__name__, status=received[0] if received else 0)
             return safe, 0.0
-        advice = float(headers.get(b"retry-after-ms", b"0"))
+        advice_ms = float(headers.get(b"retry-after-ms", b"0"))
         self._trace.write(
             "answer",
             rid=rid,
             status=status,
-            whole=whole,
-            advice=advice,
+            whole=complete,
+            advice=advice_ms,
             reason=headers.get(b"x-reason", b"").decode("latin-1"),
         )
         if status in (429, 503):
-            return True, advice
+            return True, advice_ms
         return safe and status in (502, 504), 0.0
 
-    async def _wire(self, door: int) -> _Wire | None:
-        idle = self._idle.setdefault(door, [])
+    async def _connection(self, gateway: int) -> _Connection | None:
+        idle = self._idle.setdefault(gateway, [])
         while idle:
-            wire = idle.pop()
-            if not wire.writer.transport.is_closing() and not wire.reader.at_eof():
-                return wire
-            wire.writer.close()
+            connection = idle.pop()
+            if not connection.writer.transport.is_closing() and not connection.reader.at_eof():
+                return connection
+            connection.writer.close()
         try:
-            return _Wire(*await asyncio.open_connection("127.0.0.1", self._manners.ports[door]))
+            return _Connection(*await asyncio.open_connection("127.0.0.1", self._behavior.ports[gateway]))
         except OSError:
             return None
 
     async def _exchange(
-        self, wire: _Wire, planned: Planned, rid: str, patience: float, seen: list[int]
+        self, connection: _Connection, scheduled: ScheduledRequest, rid: str, received: list[int]
     ) -> tuple[int, dict[bytes, bytes], bool]:
-        door = wire
+        """Send a request and read its response: status, headers, and whether it is complete."""
+        protocol = connection.protocol
         headers = [
             ("host", "door"),
             ("x-request-id", rid),
-            ("x-customer", planned.customer),
-            ("x-deadline-ms", f"{patience:.3f}"),
+            ("x-customer", scheduled.customer),
+            ("x-deadline-ms", f"{scheduled.patience_ms:.3f}"),
         ]
-        if planned.credential:
-            headers.append(("authorization", planned.credential))
-        if planned.body:
-            headers.append(("content-length", str(planned.body)))
-        method = "POST" if planned.body else "GET"
-        out = [door.h11.send(h11.Request(method=method, target=f"/{planned.cls}/{rid}", headers=headers)) or b""]
-        if planned.body:
-            out.append(door.h11.send(h11.Data(data=b"b" * planned.body)) or b"")
-        out.append(door.h11.send(h11.EndOfMessage()) or b"")
-        wire.writer.write(b"".join(out))
-        status, told, size = 0, {}, 0
+        if scheduled.credential:
+            headers.append(("authorization", scheduled.credential))
+        if scheduled.body:
+            headers.append(("content-length", str(scheduled.body)))
+        method = "POST" if scheduled.body else "GET"
+        out = [protocol.send(h11.Request(method=method, target=f"/{scheduled.cls}/{rid}", headers=headers)) or b""]
+        if scheduled.body:
+            out.append(protocol.send(h11.Data(data=b"b" * scheduled.body)) or b"")
+        out.append(protocol.send(h11.EndOfMessage()) or b"")
+        connection.writer.write(b"".join(out))
+        status, response_headers, size = 0, {}, 0
         while True:
-            event = wire.h11.next_event()
+            event = protocol.next_event()
             if event is h11.NEED_DATA:
-                wire.h11.receive_data(await wire.reader.read(READ_BYTES))
+                protocol.receive_data(await connection.reader.read(READ_BYTES))
             elif isinstance(event, h11.Response):
-                status, told = event.status_code, dict(event.headers)
-                seen.append(status)
+                status, response_headers = event.status_code, dict(event.headers)
+                received.append(status)
             elif isinstance(event, h11.Data):
                 size += len(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionResetError("closed before the answer")
-        if wire.h11.our_state is h11.DONE and wire.h11.their_state is h11.DONE:
-            wire.h11.start_next_cycle()
+                raise ConnectionResetError("the gateway closed the connection before the response was complete")
+        if protocol.our_state is h11.DONE and protocol.their_state is h11.DONE:
+            protocol.start_next_cycle()
             for idle in self._idle.values():
-                del idle[64:]
-            self._idle[planned.doors[int(rid.rpartition(".")[2]) % len(planned.doors)]].append(wire)
+                del idle[MAX_IDLE:]
+            self._idle[scheduled.doors[int(rid.rpartition(".")[2]) % len(scheduled.doors)]].append(connection)
         else:
-            wire.writer.close()
-        return status, told, True
+            connection.writer.close()
+        return status, response_headers, True
 
 
-async def run(schedule: Path, manners: Manners, trace: Path | None) -> None:
-    """Clients that begin when they are told to, and tell when all is done."""
-    seen = Trace(trace)
-    planned = [msgspec.json.decode(line, type=Planned) for line in schedule.read_bytes().splitlines() if line]
-    crowd = Crowd(manners, seen)
+async def run(schedule: Path, behavior: ClientBehavior, trace: Path | None) -> None:
+    """Run the clients: the command `begin` starts the schedule, `state` reports whether it is done."""
+    trace_file = Trace(trace)
+    scheduled = [
+        msgspec.json.decode(line, type=ScheduledRequest) for line in schedule.read_bytes().splitlines() if line
+    ]
+    pool = ClientPool(behavior, trace_file)
     state: dict[str, Any] = {"done": False, "task": None}
 
-    async def play(start: float) -> None:
-        await crowd.play(planned, start)
+    async def play(start_ms: float) -> None:
+        await pool.play(scheduled, start_ms)
         state["done"] = True
 
-    def control(do: str, words: dict[str, Any]) -> dict[str, Any]:
-        if do == "begin":
-            state["task"] = asyncio.get_running_loop().create_task(play(float(words["at"])))
+    def handle_command(command: str, arguments: dict[str, Any]) -> dict[str, Any]:
+        if command == "begin":
+            state["task"] = asyncio.get_running_loop().create_task(play(float(arguments["at"])))
             return {"ok": True}
-        if do == "state":
-            return {"done": state["done"], "out": len(crowd._tasks)}
-        if do == "ports":
-            manners.ports[:] = words["ports"]
+        if command == "state":
+            return {"done": state["done"], "out": len(pool._tasks)}
+        if command == "ports":
+            behavior.ports[:] = arguments["ports"]
             return {"ok": True}
-        return {"error": f"no such command: {do}"}
+        return {"error": f"no such command: {command}"}
 
-    port = ControlPort(control)
-    await until_stopped({"control": await port.start()})
+    control_port = ControlPort(handle_command)
+    await until_stopped({"control": await control_port.start()})
     if state["task"] is not None:
         state["task"].cancel()
         with suppress(asyncio.CancelledError):
             await state["task"]
-    seen.close()
+    trace_file.close()
--- a/martenstep/standins/redis/server.py
+++ b/martenstep/standins/redis/server.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from martenstep.standins.base import READ_BYTES, StandIn, Trace, now_ms
+from martenstep.standins.base import READ_BYTES, FakeServer, Trace, now_ms
 from martenstep.standins.redis.keyspace import WRITES, Keyspace, Session, key_of
 from martenstep.standins.resp import Commands, ErrorReply, Push, Reply, RespError, encode
 
@@ -27,7 +27,7 @@
 Outside = Callable[[Session, list[bytes]], Reply | None]
 
 
-class RedisServer(StandIn):
+class RedisServer(FakeServer):
     """The keyspace on a socket."""
 
     def __init__(self, trace: Trace, port: int = 0, name: str = "") -> None:
@@ -56,7 +56,7 @@
     async def stop(self) -> None:
         """Accept no more, drop what there is."""
         await super().stop()
-        self._drop()
+        self._abort_connections()
 
     def publish(self, channel: bytes, message: bytes) -> None:
         """A message to all that subscribed."""
@@ -66,7 +66,7 @@
 
     def drop(self) -> None:
         """Break all connections."""
-        self._drop()
+        self._abort_connections()
 
     def _added(self, key: bytes, amount: bytes, total: bytes) -> None:
         self._trace.write("add", key=key.decode("latin-1"), amount=float(amount), total=float(total), node=self.name)
@@ -94,7 +94,7 @@
                     fields={name.decode("latin-1"): held.decode("latin-1") for name, held in value.items()},
                 )
 
-    def _steered(self, do: str, words: dict[str, Any]) -> dict[str, Any] | None:
+    def _execute_command(self, do: str, words: dict[str, Any]) -> dict[str, Any] | None:
         keys = self.keyspace
         if do == "pause":
             self._paused_until = now_ms() + float(words["ms"])
@@ -105,12 +105,12 @@
         elif do == "empty":
             keys.empty()
         elif do == "drop":
-            self._drop()
+            self._abort_connections()
         elif do == "restart":
             keys.empty()
             keys.scripts.clear()
             keys.run_id = secrets.token_hex(20)
-            self._drop()
+            self._abort_connections()
         elif do == "error":
             if words["code"] not in ("", *ERRORS):
                 return {"error": f"no such error: {words['code']}"}
@@ -130,7 +130,7 @@
         elif do == "state":
             return {"commands": keys.commands, "connections": len(self._writers)}
         else:
-            return super()._steered(do, words)
+            return super()._execute_command(do, words)
         return None
 
     def _run(self, session: Session, words: list[bytes], writer: asyncio.StreamWriter) -> Reply:
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -20,7 +20,7 @@
 from martenstep.lab.emulate.servers import EmuServer, Job
 from martenstep.lab.emulate.world import NotEmulatedError, World
 from martenstep.proxy import engine_messages as ev
-from martenstep.standins.photo import PhotoConfig, WorkOf
+from martenstep.standins.photo import ClassWork, PhotoConfig
 
 DAYS = Path(__file__).resolve().parent.parent / "days"
 SMALL = """
@@ -145,7 +145,7 @@
     line = Line(sim)
     server = EmuServer(
         sim,
-        PhotoConfig(cores=cores, queue=10**6, work={"x": WorkOf(10.0, 10.0)}),
+        PhotoConfig(cores=cores, queue=10**6, work={"x": ClassWork(10.0, 10.0)}),
         Draws(streams.of("server")),
         lambda *words, **more: None,
     )
@@ -155,7 +155,7 @@
 
     def arrive(number: int) -> None:
         line.begun[number] = sim.now
-        server.config.work["x"] = WorkOf(works[number], works[number])
+        server.config.work["x"] = ClassWork(works[number], works[number])
         server.arrive(line, {"rid": number}, "x", "", "")
 
     for number in range(jobs):
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -24,7 +24,7 @@
 from martenstep.policy import request_lifecycle
 from martenstep.policy.ceiling import CeilingLimiter
 from martenstep.policy.gcra import Gcra
-from martenstep.standins.photo import Fall
+from martenstep.standins.photo import OverloadDetector
 
 ROOT = Path(__file__).resolve().parent.parent
 SMALL = 'name: "small" days: 6 doors_most: 4 tries_most: 60 troubles_most: 2'
@@ -97,8 +97,8 @@
         patch.setattr(EmuDoor, "told", lambda self, body: told(self, body.replace(b'"draining"', b'"up"')))
         return "trouble: SERVER_DRAINED"
     if rule == COLD:
-        offer = Fall.offer
-        patch.setattr(Fall, "offer", lambda self, now, ms, age: offer(self, now, ms * 100, age))
+        offer = OverloadDetector.offer
+        patch.setattr(OverloadDetector, "offer", lambda self, now, ms, age: offer(self, now, ms * 100, age))
         return "trouble: SERVER_RESTARTED"
     if rule == INVENTED:
         came = Connection.came
