--- a/martenstep/lab/soak/__init__.py
+++ b/martenstep/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized fault soak: real front doors, backends, discovery and counter on loopback, under overlapping faults."""
+"""Randomized fault soak: real gateways with fake backends, discovery and counter under overlapping faults."""
--- a/martenstep/lab/soak/clients.py
+++ b/martenstep/lab/soak/clients.py
@@ -1,4 +1,5 @@
-"""Clients of the soak: usual ones, and such that leave, stop in the middle of a request, write slowly or pipeline."""
+"""Clients of the soak: well-behaved ones, and some that disconnect, stop in the middle of a request, write slowly or
+pipeline."""
 
 from __future__ import annotations
 
@@ -8,45 +9,44 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from martenstep.lab.soak.oracle import LATE_ANSWER_S, Oracle, SentRequest
-from martenstep.lab.soak.parties import BROKEN, HEAD_END, reset
+from martenstep.lab.soak.oracle import LATE_RESPONSE_S, Oracle, SentRequest
+from martenstep.lab.soak.parties import CONNECTION_ERRORS, HEAD_END, reset
 
 CLASSES = {"read": ("GET", "safe"), "book": ("POST", "keyed"), "pay": ("POST", "unsafe")}
-WINDOW_S = 1.5  # of the keyed class
-CUSTOMERS, HOT, HOT_SHARE = 40, 4, 0.4  # in all, those that send most, and their share of the requests
-MAX_IDLE = 4  # connections that a client pool keeps
+DEDUPLICATION_WINDOW_S = 1.5  # of the requests with an idempotency key
+CUSTOMERS = 40
+HOT_CUSTOMERS, HOT_SHARE = 4, 0.4  # those that send most, and their share of all requests
+MAX_IDLE = 4  # connections kept for one gateway
 
 
-class Closed(Exception):
-    """The gateway ended the connection before an answer began; `reused` if it had answered on it before."""
+class ClosedBeforeResponse(Exception):
+    """The gateway ended the connection before the first byte of a response."""
 
 
 @dataclass(slots=True)
 class Connection:
-    """One connection to a gateway."""
-
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    life: int  # of the gateway, when it was made
-    answered: int = 0
+    kills: int  # how often the gateway had been killed when the connection was made
+    responses: int = 0
 
 
 @dataclass(slots=True)
 class Target:
-    """A gateway as clients see it."""
+    """The address of a gateway, and its condition as far as clients take it into account."""
 
     name: str
     port: int
-    accepts: bool = False  # new connections come
-    lives: int = 0  # one is over with each kill
-    crowded: bool = False  # idle clients fill its descriptors: new connections may be shut unread
+    accepts: bool = False  # clients make new connections
+    kills: int = 0
+    flooded: bool = False  # idle connections use up its descriptors: it may close new ones without reading
 
 
 class Clients:
-    """All clients of one gateway."""
+    """Sends the requests of all clients of one gateway, and checks the responses with the oracle."""
 
     def __init__(self, target: Target, oracle: Oracle, rng: random.Random, spread: int) -> None:
-        """`spread` is through how many gateways each customer comes."""
+        """`spread` is the number of gateways through which each customer sends."""
         self._spread = spread
         self.target, self._oracle, self._rng = target, oracle, rng
         self._idle: list[Connection] = []
@@ -54,32 +54,37 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, rate: float, until: float) -> None:
-        """Requests at random, so many a second."""
+        """Send `rate` requests a second, at random times."""
         while time.monotonic() < until:
             await asyncio.sleep(self._rng.expovariate(rate))
-            kind = self._rng.choices(
-                (self._usual, self._leaves, self._stops, self._pipelines), (0.85, 0.08, 0.02, 0.05)
+            send = self._rng.choices(
+                (self._send_normally, self._send_and_close, self._send_partially, self._send_pipelined),
+                (0.85, 0.08, 0.02, 0.05),
             )[0]
-            task = asyncio.create_task(kind())
+            task = asyncio.create_task(send())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def finish(self) -> None:
-        """Wait for all that is under way."""
+        """Wait for all requests in progress, and close the idle connections."""
         while self._tasks:
             await asyncio.gather(*list(self._tasks))
         for connection in self._idle:
             connection.writer.close()
 
     def _request(self) -> tuple[str, bytes, SentRequest]:
-        """An id, the bytes of a request, and what is owed for it from the moment it is written."""
+        """Make a request: its id, its bytes, and the record by which the oracle checks it once it is written."""
         self._serial += 1
         request_id = f"{self.target.name}-{self._serial}"
         name = self._rng.choices(tuple(CLASSES), (0.6, 0.25, 0.15))[0]
         method, effect = CLASSES[name]
         left_ms = self._rng.randrange(150, 1500)
-        # A few customers press against their ceilings through all gateways.
-        customer = self._rng.randrange(HOT) if self._rng.random() < HOT_SHARE else self._rng.randrange(HOT, CUSTOMERS)
+        # A few customers reach their ceilings, through all gateways together.
+        customer = (
+            self._rng.randrange(HOT_CUSTOMERS)
+            if self._rng.random() < HOT_SHARE
+            else self._rng.randrange(HOT_CUSTOMERS, CUSTOMERS)
+        )
         plan = "small" if customer % 2 == 0 else "free"
         lines = [
             f"{method} /{name}/{customer:016x} HTTP/1.1",
@@ -103,7 +108,7 @@
                 self.target.name,
                 time.monotonic() + left_ms / 1000,
                 effect,
-                WINDOW_S,
+                DEDUPLICATION_WINDOW_S,
                 str(customer) if plan == "small" else "",
             ),
         )
@@ -111,142 +116,148 @@
     async def _connect(self) -> Connection | None:
         if not self.target.accepts:
             return None
-        life = self.target.lives
+        kills = self.target.kills
         try:
-            return Connection(*await asyncio.open_connection("127.0.0.1", self.target.port), life)
+            return Connection(*await asyncio.open_connection("127.0.0.1", self.target.port), kills)
         except OSError:
             return None
 
-    async def _connection(self) -> Connection | None:
+    async def _acquire(self) -> Connection | None:
         while self._idle:
-            found = self._idle.pop()
-            if not found.reader.at_eof() and not found.writer.is_closing():
-                return found
+            connection = self._idle.pop()
+            if not connection.reader.at_eof() and not connection.writer.is_closing():
+                return connection
         return await self._connect()
 
-    def _rest(self, connection: Connection) -> None:
+    def _release(self, connection: Connection) -> None:
         if len(self._idle) < MAX_IDLE and not connection.reader.at_eof():
             self._idle.append(connection)
         else:
             connection.writer.close()
 
-    async def _usual(self) -> None:
-        connection = await self._connection()
+    async def _send_normally(self) -> None:
+        connection = await self._acquire()
         if connection is None:
             return
         request_id, data, request = self._request()
-        if self._rng.random() < 0.05 and len(data) > 10:  # slowly
+        if self._rng.random() < 0.05 and len(data) > 10:  # a slow client
             connection.writer.write(data[: len(data) // 2])
             pause_s = self._rng.uniform(0.01, 0.3)
             await asyncio.sleep(pause_s)
-            request.deadline += pause_s  # counted from its last byte
+            request.deadline += pause_s  # the deadline counts from the last byte of the request
             connection.writer.write(data[len(data) // 2 :])
         else:
             connection.writer.write(data)
-        self._oracle.sent(request_id, request)
-        await self._await_answer(connection, request_id, data)
+        self._oracle.request_sent(request_id, request)
+        await self._await_response(connection, request_id, data)
 
-    async def _await_answer(self, connection: Connection, request_id: str, data: bytes, again: bool = True) -> None:
+    async def _await_response(
+        self, connection: Connection, request_id: str, data: bytes, may_resend: bool = True
+    ) -> None:
         request = self._oracle.requests[request_id]
         try:
-            async with asyncio.timeout(max(request.deadline - time.monotonic(), 0) + LATE_ANSWER_S + 0.3):
-                status, body, closes = await self._answer(connection)
-        except Closed:
+            async with asyncio.timeout(max(request.deadline - time.monotonic(), 0) + LATE_RESPONSE_S + 0.3):
+                status, body, closes = await self._read_response(connection)
+        except ClosedBeforeResponse:
             connection.writer.close()
-            if self.target.lives != connection.life:
-                request.excused = "gateway killed"
-            elif self.target.crowded and not connection.answered and not request.attempts:
-                request.excused = "shut unread"
-            elif connection.answered and not request.attempts and again:
-                fresh = await self._connect()  # it crossed the end of a connection
+            if self.target.kills != connection.kills:
+                request.excuse = "gateway killed"
+            elif self.target.flooded and not connection.responses and not request.attempts:
+                request.excuse = "closed without reading"
+            elif connection.responses and not request.attempts and may_resend:
+                fresh = await self._connect()  # the request crossed with the close of an idle connection
                 if fresh is not None:
                     fresh.writer.write(data)
-                    await self._await_answer(fresh, request_id, data, again=False)
+                    await self._await_response(fresh, request_id, data, may_resend=False)
                     return
-                request.excused = "nobody to send it to again"
-            self._oracle.unanswered(request_id, time.monotonic(), "closed with no answer")
-        except (TimeoutError, *BROKEN) as error:
+                request.excuse = "no connection to send it again"
+            self._oracle.response_missing(request_id, time.monotonic(), "the connection was closed before a response")
+        except (TimeoutError, *CONNECTION_ERRORS) as error:
             connection.writer.close()
-            if self.target.lives != connection.life:
-                request.excused = "gateway killed"
-            self._oracle.unanswered(request_id, time.monotonic(), f"no whole answer: {error!r}")
+            if self.target.kills != connection.kills:
+                request.excuse = "gateway killed"
+            self._oracle.response_missing(request_id, time.monotonic(), f"no complete response: {error!r}")
         else:
-            connection.answered += 1
-            self._oracle.answered(request_id, time.monotonic(), status, body)
+            connection.responses += 1
+            self._oracle.response_received(request_id, time.monotonic(), status, body)
             if closes:
                 connection.writer.close()
             else:
-                self._rest(connection)
+                self._release(connection)
 
     @staticmethod
-    async def _answer(connection: Connection) -> tuple[int, str, bool]:
-        """Status, body, and whether the connection ends; raises Closed, TimeoutError or one of BROKEN."""
+    async def _read_response(connection: Connection) -> tuple[int, str, bool]:
+        """Return status, body, and whether the connection ends; also raises ClosedBeforeResponse."""
         try:
             head = (await connection.reader.readuntil(HEAD_END)).decode("latin-1").lower()
         except asyncio.IncompleteReadError as error:
             if error.partial:
                 raise
-            raise Closed from None
+            raise ClosedBeforeResponse from None
         except ConnectionError:
-            raise Closed from None
+            raise ClosedBeforeResponse from None
         lines = head.split("\r\n")
         length = next((int(line.partition(":")[2]) for line in lines if line.startswith("content-length")), None)
         if length is None:
-            raise ConnectionError("an answer with no length")
+            raise ConnectionError("the response has no Content-Length")
         body = await connection.reader.readexactly(length)
         return int(lines[0].split()[1]), body.decode("latin-1"), "connection: close" in head
 
-    async def _leaves(self) -> None:
-        """Closes while its request is out."""
+    async def _send_and_close(self) -> None:
+        """Send a request and close the connection before the response."""
         connection = await self._connect()
         if connection is None:
             return
         request_id, data, request = self._request()
         connection.writer.write(data)
-        self._oracle.sent(request_id, request)
+        self._oracle.request_sent(request_id, request)
         await asyncio.sleep(self._rng.choice((0.0, 0.005, 0.03, 0.2)))
-        self._oracle.closed(request_id, time.monotonic())
+        self._oracle.client_closed(request_id, time.monotonic())
         if self._rng.random() < 0.5:
             reset(connection.writer)
         connection.writer.close()
 
-    async def _stops(self) -> None:
-        """Stops in the middle of a request and stays, for a while."""
+    async def _send_partially(self) -> None:
+        """Send half of a request and keep the connection open for a while."""
         connection = await self._connect()
         if connection is None:
             return
         _, data, _ = self._request()
         connection.writer.write(data[: len(data) // 2])
-        with suppress(TimeoutError, *BROKEN):
+        with suppress(TimeoutError, *CONNECTION_ERRORS):
             async with asyncio.timeout(3.0):
                 await connection.reader.read()
         connection.writer.close()
 
-    async def _pipelines(self) -> None:
-        """Sends several requests at once; what follows an answer that ends the connection is sent nowhere again."""
+    async def _send_pipelined(self) -> None:
+        """Send several requests at once; those behind a response that ends the connection are not sent again."""
         connection = await self._connect()
         if connection is None:
             return
-        made = [self._request() for _ in range(4)]
-        connection.writer.write(b"".join(data for _, data, _ in made))
-        for request_id, _, request in made:
-            self._oracle.sent(request_id, request)
-        for place, (request_id, _, request) in enumerate(made):
+        requests = [self._request() for _ in range(4)]
+        connection.writer.write(b"".join(data for _, data, _ in requests))
+        for request_id, _, request in requests:
+            self._oracle.request_sent(request_id, request)
+        for position, (request_id, _, request) in enumerate(requests):
             try:
-                async with asyncio.timeout(max(request.deadline - time.monotonic(), 0) + LATE_ANSWER_S + 0.3):
-                    status, body, closes = await self._answer(connection)
-            except (Closed, TimeoutError, *BROKEN) as error:
-                if self.target.lives != connection.life:
-                    request.excused = "gateway killed"
-                self._oracle.unanswered(request_id, time.monotonic(), f"pipelined, place {place}: {error!r}")
-                for later, _, other in made[place + 1 :]:
-                    other.excused = "behind one without an answer"
-                    self._oracle.unanswered(later, time.monotonic(), "pipelined")
+                async with asyncio.timeout(max(request.deadline - time.monotonic(), 0) + LATE_RESPONSE_S + 0.3):
+                    status, body, closes = await self._read_response(connection)
+            except (ClosedBeforeResponse, TimeoutError, *CONNECTION_ERRORS) as error:
+                if self.target.kills != connection.kills:
+                    request.excuse = "gateway killed"
+                self._oracle.response_missing(
+                    request_id, time.monotonic(), f"pipelined, position {position}: {error!r}"
+                )
+                for later_id, _, later in requests[position + 1 :]:
+                    later.excuse = "behind a request without a response"
+                    self._oracle.response_missing(later_id, time.monotonic(), "pipelined")
                 break
-            self._oracle.answered(request_id, time.monotonic(), status, body)
+            self._oracle.response_received(request_id, time.monotonic(), status, body)
             if closes:
-                for later, _, other in made[place + 1 :]:
-                    other.excused = "" if other.attempts else "the connection was said to end"
-                    self._oracle.unanswered(later, time.monotonic(), "forwarded behind an end")
+                for later_id, _, later in requests[position + 1 :]:
+                    later.excuse = "" if later.attempts else "the response before it ends the connection"
+                    self._oracle.response_missing(
+                        later_id, time.monotonic(), "forwarded behind a response that ends the connection"
+                    )
                 break
         connection.writer.close()
--- a/martenstep/lab/soak/faults.c
+++ b/martenstep/lab/soak/faults.c
@@ -1,8 +1,8 @@
 /* Fault injection for one process, loaded with LD_PRELOAD.
  *
  * The file named by MARTENSTEP_FAULTS is mapped shared; the test writes into it while the process runs (faults.py has
- * the same layout).  Two kinds of fault: the wall clock is shifted, the monotonic one never; and a system call fails,
- * or does only part of its work, a number of times or with a probability.
+ * the same layout).  There are two kinds of fault.  The wall clock can be shifted; the monotonic clock is never shifted.
+ * A system call can fail, or do only part of its work, a number of times or with a probability.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -25,9 +25,9 @@
 
 struct fault {
     int32_t error;      /* errno, or SHORT_COUNT */
-    int32_t left;       /* so many calls more are hit; -1: no bound */
-    uint32_t per_million; /* probability that a call is hit */
-    uint32_t hits;      /* calls that were hit */
+    int32_t left;       /* number of calls still to fail; -1: no limit */
+    uint32_t per_million; /* probability that a call fails */
+    uint32_t hits;      /* calls that failed or were cut short */
 };
 
 struct control {
@@ -56,14 +56,14 @@
     draws = (uint64_t)now.tv_nsec * 2654435761u + (uint64_t)getpid();
 }
 
-static uint32_t draw(void) { /* splitmix64, to below a million */
+static uint32_t draw(void) { /* splitmix64, reduced to a number below a million */
     uint64_t z = (draws += 0x9E3779B97F4A7C15ull);
     z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9ull;
     z = (z ^ (z >> 27)) * 0x94D049BB133111EBull;
     return (uint32_t)((z ^ (z >> 31)) % 1000000u);
 }
 
-/* 0: the call goes through; else what it is hit by. */
+/* Returns 0 if the call is to succeed, else the errno or SHORT_COUNT with which it fails. */
 static int hit(enum call which) {
     if (!control)
         return 0;
@@ -113,7 +113,7 @@
     return told.tv_sec;
 }
 
-/* The connection that was accepted is lost with the error only where accept(2) says so. */
+/* The error takes the accepted connection with it only for those errors for which accept(2) says so. */
 static int accept_fault(int number) {
     int error = hit(ACCEPT);
     if (error == ECONNABORTED || error == EPROTO) {
@@ -173,7 +173,7 @@
     return REAL(send)(number, data, error == SHORT_COUNT ? part_of(size) : size, flags);
 }
 
-/* A disk that fills: half of the first write still fits. */
+/* Imitates a disk that fills up: half of the first write still fits, and the next write fails. */
 ssize_t write(int number, const void *data, size_t size) {
     static __thread int partial;
     if (!is_file(number))
