--- a/martenstep/cli/fakes.py
+++ b/martenstep/cli/fakes.py
@@ -111,5 +111,5 @@
     """Run clients that send the requests of SCHEDULE at their times, whether or not earlier ones were answered."""
     from martenstep.standins import clients as fake
 
-    manners = _decode_option(behaviour, fake.Manners, "--manners")
+    manners = _decode_option(behaviour, fake.ClientBehavior, "--manners")
     asyncio.run(fake.run(schedule, manners, trace))
--- a/martenstep/lab/emulate/auth.py
+++ b/martenstep/lab/emulate/auth.py
@@ -7,7 +7,7 @@
 from martenstep.lab.emulate.core import RandomBuffer, Sim
 from martenstep.lab.emulate.net import Location
 from martenstep.proxy.engine_messages import Headers
-from martenstep.standins.auth import DRIP_MS, GOOD
+from martenstep.standins.auth import CREDENTIAL_PREFIX, DRIP_MS
 
 Reply = Callable[[int, Headers, bytes], None]
 VERDICT_BYTES = 120  # approximate size; a dripping response sends its bytes one by one
@@ -55,15 +55,21 @@
         if random() < fault_shares["broken"]:
             failed()
             return
-        self._write("verdict", rid=rid, customer=credential.removeprefix(GOOD), status=status, max_age=self._max_age)
+        self._write(
+            "verdict",
+            rid=rid,
+            customer=credential.removeprefix(CREDENTIAL_PREFIX),
+            status=status,
+            max_age=self._max_age,
+        )
         drip_ms = VERDICT_BYTES * DRIP_MS if random() < fault_shares["drips"] else 0.0
         self._sim.after(drip_ms, reply, status, headers, body)
         if random() < fault_shares["twice"]:
             self._sim.after(drip_ms, reply, status, headers, body)
 
     def _verdict(self, credential: str) -> tuple[int, Headers, bytes]:
-        customer = credential.removeprefix(GOOD)
-        if not credential.startswith(GOOD) or not customer:
+        customer = credential.removeprefix(CREDENTIAL_PREFIX)
+        if not credential.startswith(CREDENTIAL_PREFIX) or not customer:
             return 401, [(b"www-authenticate", b"Bearer")], b"who are you?\n"
         if self._random.random() < self.fault_shares["contradicts"]:
             return 403, [], b"no longer\n"
--- a/martenstep/lab/emulate/clients.py
+++ b/martenstep/lab/emulate/clients.py
@@ -14,7 +14,7 @@
 from martenstep.lab.emulate.net import Location, Network, Pipe
 from martenstep.proxy import engine_messages as ev
 from martenstep.proxy.headers import get_header
-from martenstep.standins.clients import ABUSE_PAUSE_MS, ABUSE_TRIES, Manners, Planned
+from martenstep.standins.clients import ABUSE_ATTEMPTS, ABUSE_PAUSE_MS, ClientBehavior, ScheduledRequest
 
 EXTRA_WAIT_MS = 1000.0  # a client closes its connection this long after its deadline if the gateway sends nothing
 
@@ -27,17 +27,17 @@
         sim: Sim,
         net: Network,
         gateways: dict[int, EmulatedGateway],
-        manners: Manners,
+        manners: ClientBehavior,
         random_numbers: RandomBuffer,
         write: Callable[..., None],
     ) -> None:
         self._sim, self._net, self._gateways, self._manners = sim, net, gateways, manners
         self._random, self._write = random_numbers, write
-        self._schedule: Iterator[Planned] = iter(())
+        self._schedule: Iterator[ScheduledRequest] = iter(())
         self.active_requests = 0
         self.schedule_ended = False
 
-    def start_schedule(self, schedule: Iterator[Planned], start: float) -> None:
+    def start_schedule(self, schedule: Iterator[ScheduledRequest], start: float) -> None:
         """Schedule every request at its planned time, counted from `start`."""
         self._schedule = schedule
         self._schedule_next(start)
@@ -49,7 +49,7 @@
             return
         self._sim.at(start + planned.at_ms, self._start_request, planned, start)
 
-    def _start_request(self, planned: Planned, start: float) -> None:
+    def _start_request(self, planned: ScheduledRequest, start: float) -> None:
         self.active_requests += 1
         retry_until = self._sim.now + planned.patience_ms * (1 + self._manners.retries)
         _ClientTry(self, planned, 0, retry_until).start_try()
@@ -58,7 +58,7 @@
     def schedule_retry(self, client_try: _ClientTry, allowed: bool, retry_after_ms: float) -> None:
         """Schedule the client's next try, or end the request if no try is allowed or left."""
         manners, planned = self._manners, client_try.planned
-        max_tries = ABUSE_TRIES if planned.abuse else manners.retries + 1
+        max_tries = ABUSE_ATTEMPTS if planned.abuse else manners.retries + 1
         pause = retry_after_ms if manners.honour and retry_after_ms else manners.wait_ms
         pause = min(pause, manners.advice_most_ms) * self._random.uniform(1.0, 1.2)
         if planned.abuse:
@@ -86,7 +86,7 @@
         "rid",
     )
 
-    def __init__(self, clients: EmulatedClients, planned: Planned, number: int, retry_until: float) -> None:
+    def __init__(self, clients: EmulatedClients, planned: ScheduledRequest, number: int, retry_until: float) -> None:
         self._clients, self.planned, self.number, self.retry_until = clients, planned, number, retry_until
         self.rid = f"{planned.rid}.{number}"
         self._finished = False
@@ -186,11 +186,11 @@
             self._clients.schedule_retry(self, self._may_repeat and status in (502, 504), 0.0)
 
 
-def client_manners(scenario: pb.Day) -> Manners:
+def client_manners(scenario: pb.Day) -> ClientBehavior:
     """How the clients of a scenario behave."""
     clients = scenario.clients
     safe = [entry.name for entry in getattr(scenario, "class") if entry.effect == cfg.SAFE]
-    return Manners(
+    return ClientBehavior(
         [],
         clients.retries,
         clients.wait_ms,
--- a/martenstep/lab/emulate/servers.py
+++ b/martenstep/lab/emulate/servers.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from martenstep.lab.emulate.core import RandomBuffer, Sim, Timer
-from martenstep.standins.photo import Fall, PhotoConfig, WorkOf
+from martenstep.standins.photo import ClassWork, OverloadDetector, PhotoConfig
 
 Write = Callable[..., None]
 
@@ -31,7 +31,7 @@
     cls: str
     key: str
     connection: ServerConnection
-    work: WorkOf
+    work: ClassWork
     work_ms: float
     on_core: bool = False
     timer: Timer | None = None
@@ -57,7 +57,7 @@
         self._started = self._sim.now if cold else -1e12
         self.overloaded = self.silent = self.draining = False
         self._keys: dict[str, float] = {}
-        self._cold_overload = Fall(self.config)
+        self._cold_overload = OverloadDetector(self.config)
 
     def restart(self) -> None:
         """Start again as a cold server without connections."""
@@ -85,7 +85,7 @@
     ) -> Job | None:
         """Handle a complete request; returns its job unless the request overloads the cold server."""
         sim, config = self._sim, self.config
-        work = config.work.get(cls) or WorkOf()
+        work = config.work.get(cls) or ClassWork()
         work_ms = self._random.uniform(work.least_ms, work.most_ms)
         self._write("arrive", **trace_fields, cls=cls, key=key, customer=customer)
         if self._cold_overload.offer(sim.now, work_ms / config.speed, sim.now - self._started):
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -20,7 +20,7 @@
 from martenstep.lab.emulate.servers import EmulatedServer, Job
 from martenstep.lab.emulate.world import Emulation, NotEmulatedError
 from martenstep.proxy import engine_messages as ev
-from martenstep.standins.photo import PhotoConfig, WorkOf
+from martenstep.standins.photo import ClassWork, PhotoConfig
 
 DAYS = Path(__file__).resolve().parent.parent / "days"
 SMALL = """
@@ -149,7 +149,7 @@
     times = ResponseTimes(sim)
     server = EmulatedServer(
         sim,
-        PhotoConfig(cores=cores, queue=10**6, work={"x": WorkOf(10.0, 10.0)}),
+        PhotoConfig(cores=cores, queue=10**6, work={"x": ClassWork(10.0, 10.0)}),
         RandomBuffer(streams.stream("server")),
         lambda *arguments, **fields: None,
     )
@@ -159,7 +159,7 @@
 
     def arrive(number: int) -> None:
         times.started[number] = sim.now
-        server.config.work["x"] = WorkOf(works[number], works[number])
+        server.config.work["x"] = ClassWork(works[number], works[number])
         server.receive_request(times, {"rid": number}, "x", "", "")
 
     for number in range(jobs):
