--- a/bench/copies.py
+++ b/bench/copies.py
@@ -13,16 +13,16 @@
 
 import click
 
-from martenstep.lab.fleet.groups import BrokenError, Group, Plan
+from martenstep.lab.fleet.groups import FaultPlan, GroupSimulation, InvariantError
 
 
 def one(work: tuple[int, int, int]) -> tuple[int, str, Counter[str]]:
     """One play: its seed, what broke, and its counts."""
     seed, copies, faults = work
-    group = Group(Plan(copies=copies, lost_disks=copies // 2, faults=faults), seed)
+    group = GroupSimulation(FaultPlan(replicas=copies, lost_disks=copies // 2, faults=faults), seed)
     try:
-        return seed, "", group.play()
-    except (BrokenError, AssertionError) as error:
+        return seed, "", group.run()
+    except (InvariantError, AssertionError) as error:
         return seed, str(error), group.counts
 
 
--- a/bench/copies_promises.py
+++ b/bench/copies_promises.py
@@ -24,7 +24,7 @@
 import click
 
 from martenstep.lab.fleet import fleet_pb2 as pb
-from martenstep.lab.fleet.promises import Promises
+from martenstep.lab.fleet.promises import CounterWorkload
 from martenstep.lab.fleet.rig import Rig
 from martenstep.lab.fleet.schedule import Step, parse_schedule
 
@@ -67,12 +67,12 @@
         self.whole_s: list[float] = []
         self.gaps: dict[str, list[float]] = {}
         self.notes: list[str] = []
-        self.promises = Promises(out / "askers", [], slots, seed=seed)
+        self.promises = CounterWorkload(out / "askers", [], slots, seed=seed)
 
     async def _groups(self) -> dict[str, dict[str, Any]]:
         """Each slot as its latest leader has it."""
         groups: dict[str, dict[str, Any]] = {}
-        for view in await asyncio.gather(*(self.rig.held(name) for name in self.names)):
+        for view in await asyncio.gather(*(self.rig.fetch_replicas(name) for name in self.names)):
             for group in view["groups"] if view is not None else []:
                 if group["role"] == "leader" and group["term"] > groups.get(group["group"], {"term": -1})["term"]:
                     groups[group["group"]] = group
@@ -100,11 +100,11 @@
         self.whole_s.append(time.monotonic() - begin)
 
     def _step(self, entry: pb.Break, on: bool, who: str = "") -> None:
-        self.rig.apply(Step(0.0, on, 0, entry, (who,) if who else ()))
+        self.rig.apply_step(Step(0.0, on, 0, entry, (who,) if who else ()))
 
     async def _leads(self) -> str:
         """A door that leads something, mostly."""
-        views = await asyncio.gather(*(self.rig.held(name) for name in self.names))
+        views = await asyncio.gather(*(self.rig.fetch_replicas(name) for name in self.names))
         leading = [
             name
             for name, view in zip(self.names, views, strict=True)
@@ -116,7 +116,7 @@
         """Kill doors, and start them again."""
         disk = {"wiped": pb.WIPED, "old": pb.OLD}.get(kind, pb.KEPT)
         for name in who if kind == "wiped" else []:
-            view = await self.rig.held(name)
+            view = await self.rig.fetch_replicas(name)
             self._lost |= {group["copy"] for group in (view["groups"] if view is not None else [])}
         entries = [pb.Break(what=pb.KILL, who=name, disk=disk) for name in who]
         for entry in entries:
@@ -186,13 +186,13 @@
         await asyncio.sleep(0.5)
         await self.until_whole()
         if kind in KILLS:
-            self.gaps.setdefault(kind, []).append(self.promises.without_answers_s(before))
+            self.gaps.setdefault(kind, []).append(self.promises.longest_answer_gap_s(before))
 
     async def play(self, kills: int) -> None:
         """So many kills, with what else is drawn between them."""
         await self.rig.open()
         await self.until_whole()
-        self.promises = Promises(self.rig._out / "askers", self.rig.counter_addresses(), self.slots, seed=1)
+        self.promises = CounterWorkload(self.rig._out / "askers", self.rig.counter_addresses(), self.slots, seed=1)
         self.promises.start(self._per_s)
         await asyncio.sleep(1.0)
         while self.counts["kept"] + self.counts["wiped"] < kills:
@@ -213,16 +213,16 @@
             await made.rig.close()
 
     asyncio.run(run())
-    breaches = made.promises.judge(made.rig.copies_folders())
+    breaches = made.promises.find_violations(made.rig.replica_folders())
     return {
         "seed": seed,
         "breaches": breaches,
-        "notes": made.notes + made.rig._faults,
+        "notes": made.notes + made.rig._errors,
         "counts": dict(made.counts),
         "whole_s": made.whole_s,
         "gaps": made.gaps,
-        "told": made.promises.told,
-        "tries": sum(len(asker.tries) for asker in made.promises.askers),
+        "told": made.promises.acknowledged_count,
+        "tries": sum(len(caller.attempts) for caller in made.promises.callers),
         **made.promises.summary(),
     }
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -15,7 +15,7 @@
 import click
 import msgspec
 
-from martenstep.lab.fleet.plays import Played, play_all
+from martenstep.lab.fleet.plays import RunResult, run_schedules
 
 SIZES = (3, 6, 12, 24, 48, 96, 190, 380)
 LOSSES = (0.0, 0.05, 0.2, 0.4)
@@ -71,17 +71,17 @@
     )
 
 
-def _most(plays: Iterable[Played], figure: str, part: str = "most") -> float | None:
+def _most(plays: Iterable[RunResult], figure: str, part: str = "most") -> float | None:
     told = [play.figures[figure][part] for play in plays if figure in play.figures]
     return max(told) if told else None
 
 
-def _median(plays: Iterable[Played], figure: str) -> float | None:
+def _median(plays: Iterable[RunResult], figure: str) -> float | None:
     told = sorted(play.figures[figure]["median"] for play in plays if figure in play.figures)
     return told[len(told) // 2] if told else None
 
 
-def row(arm: str, members: int, plain: bool, plays: list[Played]) -> dict[str, Any]:
+def row(arm: str, members: int, plain: bool, plays: list[RunResult]) -> dict[str, Any]:
     """One line of the table."""
     hours = sum(play.figures["member_hours"] for play in plays)
     false = sum(play.figures["false_deaths"] for play in plays)
@@ -90,7 +90,7 @@
         "members": members,
         "way": "heartbeats" if plain else "membership",
         "plays": len(plays),
-        "breaches": sum(len(play.breaches) for play in plays),
+        "breaches": sum(len(play.violations) for play in plays),
         "first_suspicion_ms": _median(plays, "first_suspicion_ms"),
         "first_dead_ms": _median(plays, "first_detection_ms"),
         "known_to_all_ms": _median(plays, "known_to_all_ms"),
@@ -179,7 +179,7 @@
         if (arm, members, way) in done or (only and not arm.startswith(only)):
             continue
         begin = time.perf_counter()
-        plays = list(play_all([(text, arm)], range(1, seeds + 1), workers))
+        plays = list(run_schedules([(text, arm)], range(1, seeds + 1), workers))
         rows.append(row(arm, members, plain, plays))
         kept.write_bytes(msgspec.json.encode(rows))
         sys.stderr.write(f"{arm} {members} {way}: {time.perf_counter() - begin:.0f} s\n")
--- a/martenstep/cli/fleet.py
+++ b/martenstep/cli/fleet.py
@@ -15,7 +15,7 @@
 from martenstep.config.text_format import SettingsError
 
 if TYPE_CHECKING:
-    from martenstep.lab.fleet.plays import Played
+    from martenstep.lab.fleet.plays import RunResult
 
 FILE = click.Path(path_type=Path)
 MAX_PRINTED_VIOLATIONS = 10  # of one run
@@ -55,7 +55,7 @@
 def run(file: Path, out: Path, seed: int) -> None:
     """Run the schedule in FILE between real gateways on loopback; exit 3 where an invariant is violated."""
     from martenstep.lab.fleet.judge import judge
-    from martenstep.lab.fleet.rig import play_rig
+    from martenstep.lab.fleet.rig import run_rig
     from martenstep.lab.fleet.schedule import load_schedule
     from martenstep.lab.play import PlayError
 
@@ -66,7 +66,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, signal.default_int_handler)
     try:
-        records, ready_s = asyncio.run(play_rig(schedule, seed, out))
+        records, ready_s = asyncio.run(run_rig(schedule, seed, out))
     except (PlayError, OSError) as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(1)
@@ -74,7 +74,7 @@
         click.echo(f"{file}: interrupted; all processes are ended", err=True)
         sys.exit(1)
     verdict = judge(schedule, records)
-    _exit_with_result(out, schedule.name, verdict.breaches, {**verdict.figures, "ready_s": round(ready_s, 2)})
+    _exit_with_result(out, schedule.name, verdict.violations, {**verdict.figures, "ready_s": round(ready_s, 2)})
 
 
 @fleet.command("check", epilog=example("martenstep lab fleet check out/halves"))
@@ -93,7 +93,7 @@
     except RecordError as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_USAGE)
-    _exit_with_result(folder, schedule.name, verdict.breaches, verdict.figures)
+    _exit_with_result(folder, schedule.name, verdict.violations, verdict.figures)
 
 
 @fleet.command("emulate", epilog=example("martenstep lab fleet emulate days/fleet/*.txtpb --seeds 20"))
@@ -107,13 +107,13 @@
     files: tuple[Path, ...], seeds: int, first: int, members: int | None, workers: int | None, as_json: bool
 ) -> None:
     """Run the schedules of FILES in virtual time, each with several seeds; exit 3 where an invariant is violated."""
-    from martenstep.lab.fleet.plays import play_all
+    from martenstep.lab.fleet.plays import run_schedules
 
     texts = [(_schedule_text(file, members), str(file)) for file in files]
     all_hold = True
     try:
-        for played in play_all(texts, range(first, first + seeds), workers or 0):
-            all_hold = all_hold and not played.breaches
+        for played in run_schedules(texts, range(first, first + seeds), workers or 0):
+            all_hold = all_hold and not played.violations
             click.echo(_to_json(played) if as_json else _describe(played))
     except SettingsError as error:
         exit_with_problems(error)
@@ -136,18 +136,18 @@
     return text_format.MessageToString(schedule)
 
 
-def _to_json(played: Played) -> bytes:
+def _to_json(played: RunResult) -> bytes:
     return msgspec.json.encode(
         {
             "name": played.name,
             "members": played.members,
             "seed": played.seed,
-            "breaches": played.breaches,
+            "breaches": played.violations,
             "figures": played.figures,
         }
     )
 
 
-def _describe(played: Played) -> str:
+def _describe(played: RunResult) -> str:
     title = f"{played.name} ({played.members} doors, seed {played.seed})"
-    return _summary(title, played.breaches, played.figures)
+    return _summary(title, played.violations, played.figures)
--- a/martenstep/lab/fleet/__init__.py
+++ b/martenstep/lab/fleet/__init__.py
@@ -1,9 +1,9 @@
-"""Fleets of doors broken on purpose: schedules of faults, played between real processes and in virtual time alike.
+"""Fault injection for fleets of gateways: schedules of faults, run between real processes and in virtual time.
 
-A schedule is a text; `virtual` plays it with the doors' own cores and a clock of its own, `rig` with real processes
-whose every datagram and stream between two doors passes through a relay.  Both write what each door believed and when,
-on one clock, and `judge` reads that alone.
+A schedule is a text.  `virtual` runs it with the gateways' own membership cores and a simulated clock; `rig` runs it
+with real processes whose datagrams and streams between two gateways pass through relays.  Both record what each member
+believed and when, on one clock, and `judge` checks the invariants from these records alone.
 
-May live here: schedules, the emulated wire, the rig with its relays, the judge.  May not: anything that a door needs to
-run, and decisions of a door.
+This package holds schedules, link faults, the rig with its relays, the virtual network and the checkers.  It holds
+nothing that a gateway needs to run, and makes none of a gateway's decisions.
 """
--- a/martenstep/lab/fleet/baseline.py
+++ b/martenstep/lab/fleet/baseline.py
@@ -1,7 +1,7 @@
-"""The plain way, to compare with: every door sends a heartbeat to every other in each period, and who was not heard for
-the least suspicion is dead to who did not hear it.  No news is passed on, nothing is refuted but by being heard again.
+"""A plain heartbeat protocol as the baseline: every member sends a heartbeat to every other one in each period.
 
-It stands in the place of the core in virtual time only.
+A member declares another one dead after it has received no heartbeat from it for the minimum suspicion time.  No
+records are passed on, and a death is revoked only when a heartbeat arrives again.  This core runs in virtual time only.
 """
 
 from __future__ import annotations
@@ -27,89 +27,91 @@
 from martenstep.membership.settings import MembershipSettings, Stage
 
 
-class Heartbeats:
-    """One door that tells all that it is there."""
+class HeartbeatCore:
+    """The core of one member, with the interface of `MembershipCore`."""
 
     def __init__(
-        self, settings: MembershipSettings, me: MemberRecord, keys: Keyring, rng: random.Random, now: float
+        self, settings: MembershipSettings, own_record: MemberRecord, keys: Keyring, rng: random.Random, now: float
     ) -> None:
-        """The seeds are all doors."""
-        self.settings, self.keys, self.record, self._rng = settings, keys, me, rng
+        """The seeds must be the addresses of all members."""
+        self.settings, self.keys, self.record, self._rng = settings, keys, own_record, rng
         self.stage = Stage.JOINED
         self.table, self.counters = MemberTable(), Counter[str]()
         self._actions: list[Action] = []
         self.next_due_ms = now + rng.uniform(0, settings.probe_interval_ms)
-        self._heard: dict[str, float] = {}
-        self._windows: dict[int, ReplayWindow] = {}
-        self._number = 0
+        self._last_received_ms: dict[str, float] = {}
+        self._replay_windows: dict[int, ReplayWindow] = {}
+        self._sequence_number = 0
         self._cluster = cluster_hash(settings.cluster)
-        self.table.put(now, me)
+        self.table.put(now, own_record)
 
     def take_actions(self) -> list[Action]:
-        """What is to be done since this was last called."""
+        """Return the actions since the last call."""
         actions, self._actions = self._actions, []
         return actions
 
     def wake(self, now: float) -> None:
-        """One period: tell all, and count who was not heard as dead."""
+        """Run one period: send all heartbeats, and declare members dead whose heartbeats are missing."""
         while self.next_due_ms <= now:
             self.next_due_ms += self.settings.probe_interval_ms
         message = Gossip(Sender(self.record.name, self.record.host, self.record.port), None, 0, [self.record])
-        self._number += 1
-        for to in self.settings.seeds:
-            if to != self.record.address:
+        self._sequence_number += 1
+        for address in self.settings.seeds:
+            if address != self.record.address:
                 data = encode_datagram(
-                    self.keys, self._cluster, DatagramHeader(self.record.boot_id, 0, self._number), message
+                    self.keys, self._cluster, DatagramHeader(self.record.boot_id, 0, self._sequence_number), message
                 )
                 self.counters["sent"] += 1
                 self.counters["sent_bytes"] += len(data)
-                self._actions.append(SendDatagram(to, data))
-        for fact in list(self.table):
+                self._actions.append(SendDatagram(address, data))
+        for record in list(self.table):
             if (
-                fact.present
-                and fact.name != self.record.name
-                and now - self._heard.get(fact.name, now) > self.settings.min_suspicion_ms
+                record.present
+                and record.name != self.record.name
+                and now - self._last_received_ms.get(record.name, now) > self.settings.min_suspicion_ms
             ):
-                self._put(now, fact.with_state(MemberState.DEAD, self.record.name), EventKind.MEMBER_DEAD)
+                self._update_member(now, record.with_state(MemberState.DEAD, self.record.name), EventKind.MEMBER_DEAD)
 
-    def _put(self, now: float, fact: MemberRecord, kind: EventKind) -> None:
-        self.table.put(now, fact)
+    def _update_member(self, now: float, record: MemberRecord, kind: EventKind) -> None:
+        self.table.put(now, record)
         self._actions.append(
-            MemberEvent(kind, fact.name, {"reported_by": fact.reported_by, "incarnation": fact.incarnation})
+            MemberEvent(kind, record.name, {"reported_by": record.reported_by, "incarnation": record.incarnation})
         )
 
     def receive(self, now: float, data: bytes) -> None:
-        """Hear one."""
+        """Handle a datagram."""
         try:
             opened = open_datagram(self.keys, self._cluster, data)
             message = decode_message(opened.body)
         except ProtocolError as error:
             self.counters[f"dropped_{error.reason}"] += 1
             return
-        window = self._windows.setdefault(opened.header.source_boot_id, ReplayWindow())
+        window = self._replay_windows.setdefault(opened.header.source_boot_id, ReplayWindow())
         if not window.accept(opened.header.number) or not isinstance(message, Gossip):
             return
-        for fact in message.records:
-            if fact.name == self.record.name:
+        for record in message.records:
+            if record.name == self.record.name:
                 continue
-            self._heard[fact.name] = now
-            before = self.table.get(fact.name)
-            if before is None or not before.present or before.boot_id != fact.boot_id:
-                self._put(now, fact, EventKind.MEMBER_JOINED if before is None else EventKind.MEMBER_RECOVERED)
+            self._last_received_ms[record.name] = now
+            before = self.table.get(record.name)
+            if before is None or not before.present or before.boot_id != record.boot_id:
+                self._update_member(
+                    now, record, EventKind.MEMBER_JOINED if before is None else EventKind.MEMBER_RECOVERED
+                )
 
     def leave(self, now: float) -> None:
-        """It has no way to say so."""
+        """Stop; the protocol has no message for a leave."""
         self.stage = Stage.LEFT
         self._actions.append(MemberEvent(EventKind.LEFT_CLUSTER, self.record.name, {}))
 
     def open_exchange(self) -> bytes:
-        """It opens none."""
+        """Not supported: the protocol has no exchanges."""
         raise NotImplementedError
 
     def serve_exchange(self, now: float, body: bytes) -> bytes:
-        """It serves none."""
+        """Reject the frame: the protocol has no exchanges."""
         raise ProtocolError(DropReason.UNEXPECTED_FRAME)
 
     def continue_exchange(self, now: float, token: int, body: bytes | None) -> bytes | None:
-        """It opens none."""
+        """Do nothing: the protocol has no exchanges."""
         return None
--- a/martenstep/lab/fleet/judge.py
+++ b/martenstep/lab/fleet/judge.py
@@ -1,13 +1,13 @@
-"""Judges a played schedule from its records alone: what each door believed against what was done to the fleet.
+"""Checks the invariants of a run from its records alone: what each member believed against what really happened.
 
-Rules, in plain words; each breach is told as a sentence with its moment:
+The invariants are listed here; each violation is reported as a sentence with its moment:
 
-- *alive*: nobody is called dead who ran through, stood for less than the bound, and was cut off from nobody.  Where
-  more than 5% of the datagrams are lost, deaths are only counted.
-- *witness*: a door that stood still, or that a cut kept from hearing or from being heard, accuses nobody who was well.
-- *agree*: at the end, every running member holds exactly the running members present, each in its present life.
-- *forget*: at the end nobody holds a member that has been gone for longer than the dead are remembered.
-- *one holder*: no name is held by two processes that both take themselves for members.
+- *alive*: no member is declared dead that ran throughout, was paused for less than the bound, and was on no link that
+  was cut.  Where more than 5% of the datagrams are lost, false deaths are only counted.
+- *witness*: a member that was paused, or that a cut kept from receiving or sending, suspects no healthy member.
+- *agree*: at the end, the table of every running member has exactly the running members, each with its present boot id.
+- *forget*: at the end, no table has a member that has been gone for longer than dead members are remembered.
+- *one holder*: no name is used by two processes that both consider themselves members.
 """
 
 from __future__ import annotations
@@ -19,283 +19,309 @@
 
 from martenstep.lab.fleet import fleet_pb2 as pb
 from martenstep.lab.fleet.records import Belief, Record, Truth, View
-from martenstep.lab.fleet.schedule import fitting, members_of
+from martenstep.lab.fleet.schedule import matching_members, members_of
 
-WINDOW_MS = 60_000.0  # a death is the end of a suspicion that took up to half of this: what went before it counts
-AFTER_MS = 3000.0  # so long after standing, or a cut, an accusation may still come from it
-BORNE_LOSS = 0.05  # share of the datagrams that no death may follow from
+SUSPICION_WINDOW_MS = 60_000.0  # a suspicion lasts up to half of this, and a fault before it may have caused the death
+RECOVERY_MS = 3000.0  # after the end of a pause or a cut, a suspicion may still result from it
+MAX_LOSS_WITHOUT_DEATHS = 0.05  # share of lost datagrams that must not cause a false death
 
 
 @dataclass(slots=True)
-class Span:
-    """From one moment to another."""
+class Interval:
+    """The time from one moment to another."""
 
     begin: float
     end: float = float("inf")
 
-    def meets(self, begin: float, end: float) -> bool:
-        """Whether it overlaps."""
+    def overlaps(self, begin: float, end: float) -> bool:
+        """Whether the two intervals overlap."""
         return self.begin <= end and self.end >= begin
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What the judge found."""
+    """The violations that the checker found, and the figures of the run."""
 
-    breaches: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     figures: dict[str, Any] = field(default_factory=dict)
 
     @property
-    def kept(self) -> bool:
-        """No rule was broken."""
-        return not self.breaches
+    def invariants_hold(self) -> bool:
+        """Whether no invariant was violated."""
+        return not self.violations
 
 
-class _Story:
-    """The truths, put in order."""
+class _Timeline:
+    """What really happened, by place and in order of time."""
 
     def __init__(self, schedule: pb.Schedule, records: list[Record]) -> None:
         self.begins = next((r.at_ms for r in records if isinstance(r, Truth) and r.kind == "begins"), 0.0)
         self.ends = max((r.at_ms for r in records), default=0.0)
-        self.runs: defaultdict[str, list[Span]] = defaultdict(list)  # of places
-        self.stood: defaultdict[str, list[Span]] = defaultdict(list)
-        self.lives: dict[str, int] = {}  # of places, the present one
+        self.runs: defaultdict[str, list[Interval]] = defaultdict(list)  # by place
+        self.pauses: defaultdict[str, list[Interval]] = defaultdict(list)
+        self.boot_ids: dict[str, int] = {}  # by place, of the running process
         self.name_of: dict[str, str] = {}
         self.kills: list[Truth] = []
-        self.agreed: list[tuple[float, bool]] = []
-        self.cuts: list[tuple[Span, pb.Break]] = []
-        faults: dict[int, Span] = {}
+        self.agreement: list[tuple[float, bool]] = []
+        self.cuts: list[tuple[Interval, pb.Break]] = []
+        faults: dict[int, Interval] = {}
         for record in records:
             if not isinstance(record, Truth):
                 continue
             place, kind, at = record.place, record.kind, record.at_ms
             if kind == "started":
-                self.runs[place].append(Span(at))
-                self.lives[place] = record.fields["life"]
+                self.runs[place].append(Interval(at))
+                self.boot_ids[place] = record.fields["life"]
                 self.name_of[place] = record.who
             elif kind in ("killed", "left"):
                 if not self.runs[place] or self.runs[place][-1].end < at:
-                    continue  # it was ended before it had begun to take part
+                    continue  # it was stopped before its start was recorded
                 self.runs[place][-1].end = at
-                self.lives.pop(place, None)
-                if self.stood[place] and self.stood[place][-1].end == float("inf"):
-                    self.stood[place][-1].end = at
+                self.boot_ids.pop(place, None)
+                if self.pauses[place] and self.pauses[place][-1].end == float("inf"):
+                    self.pauses[place][-1].end = at
                 if kind == "killed" and at >= self.begins:
                     self.kills.append(record)
             elif kind == "paused":
-                self.stood[place].append(Span(at))
+                self.pauses[place].append(Interval(at))
             elif kind == "resumed":
-                self.stood[place][-1].end = at
+                self.pauses[place][-1].end = at
             elif kind.startswith("views"):
-                self.agreed.append((at, kind == "views agree"))
+                self.agreement.append((at, kind == "views agree"))
             elif kind.startswith("fault"):
                 number = int(record.fields["number"]) if "number" in record.fields else -1
                 if kind == "fault begins":
-                    faults[number] = Span(at)
+                    faults[number] = Interval(at)
                     entry = schedule.trouble[number]
                     if entry.what in (pb.CUT, pb.BANDWIDTH):
                         self.cuts.append((faults[number], entry))
                 elif kind == "fault ends" and number in faults:
                     faults[number].end = at
         members = members_of(schedule)
-        self._touched = [
-            (span, frozenset(fitting(entry.source, members)), frozenset(fitting(entry.sink, members)))
-            for span, entry in self.cuts
+        self._cut_members = [
+            (
+                interval,
+                frozenset(matching_members(entry.source, members)),
+                frozenset(matching_members(entry.sink, members)),
+            )
+            for interval, entry in self.cuts
         ]
-        self._bound = schedule.suspect_least_ms - 1500.0
+        self._max_pause_ms = schedule.suspect_least_ms - 1500.0
 
-    def cut(self, name: str, begin: float, end: float) -> bool:
-        """Whether some wire from or to a member was cut."""
+    def was_cut(self, name: str, begin: float, end: float) -> bool:
+        """Whether a link from or to a member was cut."""
         return any(
-            span.meets(begin, end) and (name in sources or name in sinks) for span, sources, sinks in self._touched
+            interval.overlaps(begin, end) and (name in sources or name in sinks)
+            for interval, sources, sinks in self._cut_members
         )
 
-    def stood_within(self, place: str, begin: float, end: float, longer_than: float = 0.0) -> bool:
-        """Whether a process stood for longer than so long."""
+    def was_paused(self, place: str, begin: float, end: float, longer_than: float = 0.0) -> bool:
+        """Whether a process was paused for longer than a given time."""
         return any(
-            span.meets(begin, end) and min(span.end, end) - span.begin > longer_than
-            for span in self.stood.get(place, [])
+            interval.overlaps(begin, end) and min(interval.end, end) - interval.begin > longer_than
+            for interval in self.pauses.get(place, [])
         )
 
-    def ran_through(self, place: str, begin: float, end: float) -> bool:
-        """Whether one process of it ran from one moment, or from its begin well before the other, to the other."""
-        return any(span.begin <= max(begin, self.begins) and span.end >= end for span in self.runs.get(place, []))
+    def ran_throughout(self, place: str, begin: float, end: float) -> bool:
+        """Whether a process ran without a restart from `begin`, or from the later begin of the faults, to `end`."""
+        return any(
+            interval.begin <= max(begin, self.begins) and interval.end >= end for interval in self.runs.get(place, [])
+        )
 
-    def well(self, name: str, at: float) -> bool:
-        """Nothing was done to a member, in the window before a moment, that it may be called dead for."""
-        begin = at - WINDOW_MS
+    def was_healthy(self, name: str, at: float) -> bool:
+        """Whether no fault in the window before a moment justifies that a member is declared dead."""
+        begin = at - SUSPICION_WINDOW_MS
         return (
-            self.ran_through(name, begin, at)
-            and not self.cut(name, begin, at)
-            and not self.stood_within(name, begin, at, self._bound)
+            self.ran_throughout(name, begin, at)
+            and not self.was_cut(name, begin, at)
+            and not self.was_paused(name, begin, at, self._max_pause_ms)
         )
 
 
 def judge(schedule: pb.Schedule, records: Iterable[Record]) -> Verdict:
-    """The rules and the figures of one play."""
-    every = sorted(records, key=lambda record: record.at_ms)
-    story, verdict = _Story(schedule, every), Verdict()
-    lossy = any(entry.what == pb.LOSS and entry.share > BORNE_LOSS for entry in schedule.trouble)
-    beliefs = [r for r in every if isinstance(r, Belief) and r.at_ms >= story.begins]
-    _alive(story, beliefs, verdict, lossy)
+    """Check the invariants of one run, and compute its figures."""
+    ordered = sorted(records, key=lambda record: record.at_ms)
+    timeline, verdict = _Timeline(schedule, ordered), Verdict()
+    lossy = any(entry.what == pb.LOSS and entry.share > MAX_LOSS_WITHOUT_DEATHS for entry in schedule.trouble)
+    beliefs = [r for r in ordered if isinstance(r, Belief) and r.at_ms >= timeline.begins]
+    _check_alive(timeline, beliefs, verdict, lossy)
     if not lossy:
-        _witness(story, beliefs, verdict)
-    over = next((r.at_ms for r in every if isinstance(r, Truth) and r.kind == "faults over"), story.begins)
-    views = [r for r in every if isinstance(r, View) and r.at_ms >= over]
-    _agree(story, views, verdict)
-    _forget(schedule, story, views, verdict)
-    _figures(schedule, story, every, beliefs, verdict)
+        _check_witness(timeline, beliefs, verdict)
+    faults_over = next((r.at_ms for r in ordered if isinstance(r, Truth) and r.kind == "faults over"), timeline.begins)
+    views = [r for r in ordered if isinstance(r, View) and r.at_ms >= faults_over]
+    _check_agree(timeline, views, verdict)
+    _check_forget(schedule, timeline, views, verdict)
+    _add_figures(schedule, timeline, ordered, beliefs, verdict)
     return verdict
 
 
-def _seconds(story: _Story, at: float) -> str:
-    return f"at {(at - story.begins) / 1000:.2f} s"
+def _seconds(timeline: _Timeline, at: float) -> str:
+    return f"at {(at - timeline.begins) / 1000:.2f} s"
 
 
-def _alive(story: _Story, beliefs: list[Belief], verdict: Verdict, lossy: bool) -> None:
-    false: set[tuple[str, Any]] = set()
+def _check_alive(timeline: _Timeline, beliefs: list[Belief], verdict: Verdict, lossy: bool) -> None:
+    false_deaths: set[tuple[str, Any]] = set()
     for belief in beliefs:
-        if belief.kind == "dead" and story.well(belief.about, belief.at_ms):
+        if belief.kind == "dead" and timeline.was_healthy(belief.about, belief.at_ms):
             death = belief.about, belief.fields.get("incarnation")
-            if death not in false and not lossy:
-                verdict.breaches.append(
-                    f"alive: {belief.about} is dead to {belief.place} {_seconds(story, belief.at_ms)}, by "
-                    f"{belief.fields.get('by')}, and was well"
+            if death not in false_deaths and not lossy:
+                verdict.violations.append(
+                    f"alive: {belief.place} declared {belief.about} dead {_seconds(timeline, belief.at_ms)}, "
+                    f"as reported by {belief.fields.get('by')}, but it was healthy"
                 )
-            false.add(death)
-    verdict.figures["false_deaths"] = len(false)
+            false_deaths.add(death)
+    verdict.figures["false_deaths"] = len(false_deaths)
 
 
-def _witness(story: _Story, beliefs: list[Belief], verdict: Verdict) -> None:
+def _check_witness(timeline: _Timeline, beliefs: list[Belief], verdict: Verdict) -> None:
     for belief in beliefs:
-        if belief.kind != "suspect" or belief.fields.get("by") != story.name_of.get(belief.place, ""):
+        if belief.kind != "suspect" or belief.fields.get("by") != timeline.name_of.get(belief.place, ""):
             continue
-        begin = belief.at_ms - AFTER_MS
-        faulty = story.stood_within(belief.place, begin, belief.at_ms) or story.cut(
-            story.name_of.get(belief.place, ""), begin, belief.at_ms
+        begin = belief.at_ms - RECOVERY_MS
+        reporter_faulty = timeline.was_paused(belief.place, begin, belief.at_ms) or timeline.was_cut(
+            timeline.name_of.get(belief.place, ""), begin, belief.at_ms
         )
-        well = (
-            story.ran_through(belief.about, begin - AFTER_MS, belief.at_ms)
-            and not story.cut(belief.about, begin, belief.at_ms)
-            and not story.stood_within(belief.about, begin - AFTER_MS, belief.at_ms)
+        target_healthy = (
+            timeline.ran_throughout(belief.about, begin - RECOVERY_MS, belief.at_ms)
+            and not timeline.was_cut(belief.about, begin, belief.at_ms)
+            and not timeline.was_paused(belief.about, begin - RECOVERY_MS, belief.at_ms)
         )
-        if faulty and well:
-            verdict.breaches.append(
-                f"witness: {belief.place}, at fault itself, accuses {belief.about} {_seconds(story, belief.at_ms)}"
+        if reporter_faulty and target_healthy:
+            verdict.violations.append(
+                f"witness: {belief.place}, which was paused or cut off, suspects {belief.about} "
+                f"{_seconds(timeline, belief.at_ms)}"
             )
 
 
-def _agree(story: _Story, views: list[View], verdict: Verdict) -> None:
-    members = {view.place: view for view in views if view.stage == "joined" and view.place in story.lives}
+def _check_agree(timeline: _Timeline, views: list[View], verdict: Verdict) -> None:
+    members = {view.place: view for view in views if view.stage == "joined" and view.place in timeline.boot_ids}
     running: dict[str, int] = {}
     for place in members:
-        name = story.name_of[place]
+        name = timeline.name_of[place]
         if name in running:
-            verdict.breaches.append(f"one holder: two processes of {name} take themselves for members at the end")
-        running[name] = story.lives[place]
+            verdict.violations.append(f"one holder: two processes of {name} consider themselves members at the end")
+        running[name] = timeline.boot_ids[place]
     refused = {view.place for view in views if view.stage == "refused"}
-    for place in story.lives:
+    for place in timeline.boot_ids:
         if place not in members and place not in refused:
-            verdict.breaches.append(f"agree: {place} runs and is no member at the end")
+            verdict.violations.append(f"agree: {place} runs but is not a member at the end")
     for place, view in members.items():
-        held = {one.name: one.life for one in view.held if one.state in ("alive", "suspect")}
+        held = {entry.name: entry.boot_id for entry in view.held if entry.state in ("alive", "suspect")}
         missing, extra = sorted(running.keys() - held.keys()), sorted(held.keys() - running.keys())
         other = sorted(name for name in held.keys() & running.keys() if held[name] != running[name])
-        for what, names in (("lacks", missing), ("holds", extra), ("holds an old life of", other)):
+        for what, names in (("lacks", missing), ("still has", extra), ("has an earlier boot id of", other)):
             if names:
-                verdict.breaches.append(
+                verdict.violations.append(
                     f"agree: {place} {what} {', '.join(names[:5])} at the end"
                     + (f" and {len(names) - 5} more" if len(names) > 5 else "")
                 )
 
 
-def _forget(schedule: pb.Schedule, story: _Story, views: list[View], verdict: Verdict) -> None:
-    gone = {story.name_of[place]: spans[-1].end for place, spans in story.runs.items() if place not in story.lives}
-    until = story.ends - schedule.reclaim_ms - WINDOW_MS
+def _check_forget(schedule: pb.Schedule, timeline: _Timeline, views: list[View], verdict: Verdict) -> None:
+    gone = {
+        timeline.name_of[place]: intervals[-1].end
+        for place, intervals in timeline.runs.items()
+        if place not in timeline.boot_ids
+    }
+    until = timeline.ends - schedule.reclaim_ms - SUSPICION_WINDOW_MS
     for view in views:
-        for one in view.held:
-            if gone.get(one.name, story.ends) < until:
-                verdict.breaches.append(f"forget: {view.place} holds {one.name} at the end, gone for long")
+        for entry in view.held:
+            if gone.get(entry.name, timeline.ends) < until:
+                verdict.violations.append(
+                    f"forget: {view.place} still has {entry.name} at the end, which has been gone too long"
+                )
 
 
-def _middle(values: list[float]) -> dict[str, float]:
+def _distribution(values: list[float]) -> dict[str, float]:
     ordered = sorted(values)
     return {"least": ordered[0], "median": ordered[len(ordered) // 2], "most": ordered[-1], "of": len(ordered)}
 
 
-def _figures(
-    schedule: pb.Schedule, story: _Story, every: list[Record], beliefs: list[Belief], verdict: Verdict
+def _add_figures(
+    schedule: pb.Schedule, timeline: _Timeline, ordered: list[Record], beliefs: list[Belief], verdict: Verdict
 ) -> None:
     figures = verdict.figures
     hours = (
         sum(
-            min(span.end, story.ends) - max(span.begin, story.begins)
-            for spans in story.runs.values()
-            for span in spans
-            if span.end > story.begins
+            min(interval.end, timeline.ends) - max(interval.begin, timeline.begins)
+            for intervals in timeline.runs.values()
+            for interval in intervals
+            if interval.end > timeline.begins
         )
         / 3_600_000
     )
     figures["member_hours"] = hours
     figures["false_deaths_a_member_hour"] = figures["false_deaths"] / hours if hours else 0.0
-    first, told_all, suspected = [], [], []
+    first_detections, detected_by_all, first_suspicions = [], [], []
     dead: defaultdict[str, list[Belief]] = defaultdict(list)
     for belief in beliefs:
         if belief.kind == "dead":
             dead[belief.about].append(belief)
-    for kill in story.kills:
-        again = min((span.begin for span in story.runs[kill.place] if span.begin > kill.at_ms), default=story.ends)
-        early = [
+    for kill in timeline.kills:
+        restarted_at = min(
+            (interval.begin for interval in timeline.runs[kill.place] if interval.begin > kill.at_ms),
+            default=timeline.ends,
+        )
+        suspicion_delays = [
             belief.at_ms - kill.at_ms
             for belief in beliefs
-            if belief.kind == "suspect" and belief.about == kill.who and kill.at_ms <= belief.at_ms < again
+            if belief.kind == "suspect" and belief.about == kill.who and kill.at_ms <= belief.at_ms < restarted_at
         ]
-        if early:
-            suspected.append(min(early))
-        told = {
+        if suspicion_delays:
+            first_suspicions.append(min(suspicion_delays))
+        detected = {
             belief.place: belief.at_ms - kill.at_ms
             for belief in reversed(dead[kill.who])
-            if kill.at_ms <= belief.at_ms < again
+            if kill.at_ms <= belief.at_ms < restarted_at
         }
-        still = {
+        observers = {
             place
-            for place, spans in story.runs.items()
-            if place != kill.place and any(span.begin < kill.at_ms and span.end >= again for span in spans)
+            for place, intervals in timeline.runs.items()
+            if place != kill.place
+            and any(interval.begin < kill.at_ms and interval.end >= restarted_at for interval in intervals)
         }
-        if told:
-            first.append(min(told.values()))
-            if still <= told.keys():
-                told_all.append(max(told[place] for place in still))
-    if suspected:
-        figures["first_suspicion_ms"] = _middle(suspected)
-    if first:
-        figures["first_detection_ms"] = _middle(first)
-    if told_all:
-        figures["known_to_all_ms"] = _middle(told_all)
-    figures["kills"], figures["kills_known_to_all"] = len(story.kills), len(told_all)
-    heals = []
-    for span, _ in story.cuts:
-        if span.end < story.ends:
-            state = [(at, agree) for at, agree in story.agreed if at <= span.end]
+        if detected:
+            first_detections.append(min(detected.values()))
+            if observers <= detected.keys():
+                detected_by_all.append(max(detected[place] for place in observers))
+    if first_suspicions:
+        figures["first_suspicion_ms"] = _distribution(first_suspicions)
+    if first_detections:
+        figures["first_detection_ms"] = _distribution(first_detections)
+    if detected_by_all:
+        figures["known_to_all_ms"] = _distribution(detected_by_all)
+    figures["kills"], figures["kills_known_to_all"] = len(timeline.kills), len(detected_by_all)
+    heal_delays = []
+    for interval, _ in timeline.cuts:
+        if interval.end < timeline.ends:
+            state = [(at, agree) for at, agree in timeline.agreement if at <= interval.end]
             if state and state[-1][1]:
-                heals.append(0.0)
+                heal_delays.append(0.0)
                 continue
-            after = [at for at, agree in story.agreed if agree and at >= span.end]
+            after = [at for at, agree in timeline.agreement if agree and at >= interval.end]
             if after:
-                heals.append(after[0] - span.end)
-    if heals:
-        figures["healed_ms"] = _middle(heals)
+                heal_delays.append(after[0] - interval.end)
+    if heal_delays:
+        figures["healed_ms"] = _distribution(heal_delays)
     figures["suspicions"] = sum(
-        1 for b in beliefs if b.kind == "suspect" and b.fields.get("by") == story.name_of.get(b.place)
+        1 for b in beliefs if b.kind == "suspect" and b.fields.get("by") == timeline.name_of.get(b.place)
     )
     figures["events"] = len(beliefs)
-    at_begin = {r.place: r.counts for r in every if isinstance(r, View) and r.at_ms <= story.begins}
-    at_end = {r.place: r.counts for r in every if isinstance(r, View) and r.at_ms > story.begins}
-    # Of those that ran through, from the begin on: how they came together is not what it costs to stay so.
-    through = [place for place in at_end if place in at_begin and story.runs[place][-1].begin <= story.begins]
-    if through and story.ends > story.begins:
-        seconds = (story.ends - story.begins) / 1000 * len(through)
+    counts_at_begin = {r.place: r.counts for r in ordered if isinstance(r, View) and r.at_ms <= timeline.begins}
+    counts_at_end = {r.place: r.counts for r in ordered if isinstance(r, View) and r.at_ms > timeline.begins}
+    # Only members that ran throughout, and only from the begin of the faults: the cost of joining is not included.
+    stable_places = [
+        place
+        for place in counts_at_end
+        if place in counts_at_begin and timeline.runs[place][-1].begin <= timeline.begins
+    ]
+    if stable_places and timeline.ends > timeline.begins:
+        seconds = (timeline.ends - timeline.begins) / 1000 * len(stable_places)
         for count in ("sent", "sent_bytes", "exchanges"):
             figures[f"{count}_a_second"] = (
-                sum(at_end[place].get(count, 0.0) - at_begin[place].get(count, 0.0) for place in through) / seconds
+                sum(
+                    counts_at_end[place].get(count, 0.0) - counts_at_begin[place].get(count, 0.0)
+                    for place in stable_places
+                )
+                / seconds
             )
--- a/martenstep/lab/fleet/plays.py
+++ b/martenstep/lab/fleet/plays.py
@@ -1,4 +1,4 @@
-"""Plays schedules over seeds, several at once, and puts their figures together."""
+"""Runs schedules in virtual time with several seeds, in several processes."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
 from martenstep.lab.fleet.judge import judge
 from martenstep.lab.fleet.records import write_records
 from martenstep.lab.fleet.schedule import parse_schedule
-from martenstep.lab.fleet.virtual import World
+from martenstep.lab.fleet.virtual import VirtualFleet
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
-    """One play."""
+class RunResult:
+    """The result of one schedule with one seed."""
 
     name: str
     members: int
     seed: int
-    breaches: list[str]
+    violations: list[str]
     figures: dict[str, Any]
 
 
-def play(text: str, file: str, seed: int, out: Path | None = None) -> Played:
-    """One schedule with one seed, in virtual time."""
+def run_schedule(text: str, file: str, seed: int, out: Path | None = None) -> RunResult:
+    """Run one schedule with one seed in virtual time, and write its records where a folder is given."""
     schedule = parse_schedule(text, file)
-    records = World(schedule, seed).play()
+    records = VirtualFleet(schedule, seed).run()
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
         write_records(out / "records.jsonl", records)
         (out / "schedule.txtpb").write_text(text, encoding="utf-8")
     verdict = judge(schedule, records)
-    return Played(schedule.name, schedule.members, seed, verdict.breaches, verdict.figures)
+    return RunResult(schedule.name, schedule.members, seed, verdict.violations, verdict.figures)
 
 
-def _one(work: tuple[str, str, int]) -> Played:
-    return play(*work)
+def _run_task(task: tuple[str, str, int]) -> RunResult:
+    return run_schedule(*task)
 
 
-def play_all(texts: Iterable[tuple[str, str]], seeds: Iterable[int], workers: int = 0) -> Iterator[Played]:
-    """(text, file) each with each seed; in order, each as soon as it and those before it are done."""
-    works = [(text, file, seed) for text, file in texts for seed in seeds]
+def run_schedules(texts: Iterable[tuple[str, str]], seeds: Iterable[int], workers: int = 0) -> Iterator[RunResult]:
+    """Run each schedule, given as text and file name, with each seed; yield the results in order as they complete."""
+    tasks = [(text, file, seed) for text, file in texts for seed in seeds]
     with ProcessPoolExecutor(workers or os.cpu_count()) as pool:
-        yield from pool.map(_one, works)
+        yield from pool.map(_run_task, tasks)
--- a/martenstep/lab/fleet/promises.py
+++ b/martenstep/lab/fleet/promises.py
@@ -1,9 +1,9 @@
-"""Doors' commands to a counter that the doors of a fleet hold, and whether what they were told holds.
+"""A workload of calls to the counter that a fleet of gateways replicates, and a check of what was acknowledged.
 
-Each asking door is a `counter.client.CounterClient` of this process, as a real door has it: a command once written is
-asked again until it is answered.  So, once all are answered, every add that may have left counts exactly once, every
-promised try is recorded exactly once, and a total that was told was never less than what had been acknowledged before.
-What the counter holds is read from the copies' disks when no door runs any more.
+Each caller is a `counter.client.CounterClient` of this process, as a gateway has one: it repeats a journaled command
+until that is answered.  So, once all calls are answered, every increment that may have been sent counts exactly once,
+every acknowledged attempt is recorded exactly once, and a returned total was never below the increments acknowledged
+before it.  The counter's state is read from the replicas' disks after all gateways have ended.
 """
 
 from __future__ import annotations
@@ -27,38 +27,43 @@
 from martenstep.policy.messages import CallResult
 from martenstep.replication.verify import StoredReplica, find_differences, find_latest, read_folder
 
-EXPIRE_MS = 3_600_000.0
-TIMEOUT_MS = 1000.0
+COUNTER_EXPIRY_MS = 3_600_000.0
+CALL_TIMEOUT_MS = 1000.0
 
 
-class Asker:
-    """One door that asks."""
+class CounterCaller:
+    """A client of the counter, as one gateway has it, with the results of its calls."""
 
     def __init__(self, name: str, folder: Path, addresses: Sequence[Address], slots: int, rng: random.Random) -> None:
         self.name, self._rng = name, rng
-        self.calls: dict[int, tuple[int, float]] = {}  # call: name that it adds to, and when it was asked
-        self.sent: Counter[int] = Counter()  # adds that may have left, by name
+        self.calls: dict[int, tuple[int, float]] = {}  # by call: the counter that it increments, and when it was sent
+        self.sent: Counter[int] = Counter()  # increments that may have been sent, by counter
         self.acknowledged: Counter[int] = Counter()
-        self.tries: set[str] = set()
-        self.verdicts: Counter[str] = Counter()
-        self.took = HdrHistogram(1, 60_000_000, 3)  # microseconds of an add that was told
-        self.answers: defaultdict[str, list[float]] = defaultdict(list)  # by slot: monotonic seconds of its totals
-        self.breaches: list[str] = []
+        self.attempts: set[str] = set()
+        self.results: Counter[str] = Counter()
+        self.latency_us = HdrHistogram(1, 60_000_000, 3)  # of acknowledged increments
+        # By slot: the monotonic time of each answer, in seconds.
+        self.answer_times: defaultdict[str, list[float]] = defaultdict(list)
+        self.violations: list[str] = []
         self._call = 0
 
-        def likely() -> list[Address]:
+        def list_addresses() -> list[Address]:
             return list(addresses)
 
         self._slots = [f"counter-{slot}" for slot in range(slots)]
         self.shards = ShardedClient(
             {
                 f"counter-{slot}": CounterClient(
-                    likely,
+                    list_addresses,
                     AttemptJournal(folder / f"counter-{slot}", 1_000_000),
-                    self._answered,
+                    self._record_result,
                     self._log_event,
                     ClientOptions(
-                        name, timeout_ms=TIMEOUT_MS, max_pending=100_000, map_version=slots, group=f"counter-{slot}"
+                        name,
+                        timeout_ms=CALL_TIMEOUT_MS,
+                        max_pending=100_000,
+                        map_version=slots,
+                        group=f"counter-{slot}",
                     ),
                 )
                 for slot in range(slots)
@@ -67,124 +72,126 @@
 
     @staticmethod
     def _log_event(event: str, fields: dict[str, object]) -> None:
-        """What a client says of its connection is not judged."""
+        """Ignore the client's connection events."""
 
-    def ask(self, names: int) -> None:
-        """One add and one try."""
+    def send(self, names: int) -> None:
+        """Send one increment, and record one attempt."""
         self._call += 1
         name = self._rng.randrange(names)
         self.calls[self._call] = name, time.monotonic()
         self.sent[name] += 1
-        self.shards.add(self._call, name, 1.0, EXPIRE_MS)
+        self.shards.add(self._call, name, 1.0, COUNTER_EXPIRY_MS)
         request = f"{self.name}-{self._call}"
         if self.shards.record(
             AttemptRecord(request, time.time() * 1000, 1.0, False, f"c{self._call % 50}", "p", "read")
         ):
-            self.tries.add(request)
+            self.attempts.add(request)
 
-    def _answered(self, call: int, verdict: CallResult, total: float, kept_ms: float) -> None:
-        name, asked = self.calls.pop(call)
+    def _record_result(self, call: int, result: CallResult, total: float, kept_ms: float) -> None:
+        name, sent_at_s = self.calls.pop(call)
         now = time.monotonic()
-        self.verdicts[verdict.name] += 1
-        if verdict is CallResult.CONNECT_FAILED or verdict is CallResult.OVERLOADED:
-            self.sent[name] -= 1  # it never left
-        if verdict is CallResult.OK:
+        self.results[result.name] += 1
+        if result is CallResult.CONNECT_FAILED or result is CallResult.OVERLOADED:
+            self.sent[name] -= 1  # it was not sent
+        if result is CallResult.OK:
             if total <= self.acknowledged[name]:
-                self.breaches.append(
-                    f"{self.name} was told {total} of name {name} after {self.acknowledged[name]} of "
-                    "its own adds were acknowledged"
+                self.violations.append(
+                    f"{self.name} received total {total} of counter {name} after {self.acknowledged[name]} of "
+                    "its own increments had been acknowledged"
                 )
             self.acknowledged[name] += 1
-            self.took.record_value(int((now - asked) * 1e6))
-            self.answers[owning_service(self._slots, f"n{name:x}")].append(now)
+            self.latency_us.record_value(int((now - sent_at_s) * 1e6))
+            self.answer_times[owning_service(self._slots, f"n{name:x}")].append(now)
 
 
-class Promises:
-    """Several doors that ask, at an even rate."""
+class CounterWorkload:
+    """Several callers that send at an even rate."""
 
     def __init__(
-        self, folder: Path, addresses: Sequence[Address], slots: int, askers: int = 4, names: int = 40, seed: int = 1
+        self, folder: Path, addresses: Sequence[Address], slots: int, callers: int = 4, names: int = 40, seed: int = 1
     ) -> None:
         self._names = names
-        self.askers = [
-            Asker(f"asker-{number}", folder / f"asker-{number}", addresses, slots, random.Random(f"{seed} {number}"))
-            for number in range(askers)
+        self.callers = [
+            CounterCaller(
+                f"asker-{number}", folder / f"asker-{number}", addresses, slots, random.Random(f"{seed} {number}")
+            )
+            for number in range(callers)
         ]
-        self._asking: asyncio.Task[None] | None = None
+        self._sending: asyncio.Task[None] | None = None
 
     def start(self, per_s: float) -> None:
-        """Ask from now on."""
-        for asker in self.askers:
-            asker.shards.start()
-        self._asking = asyncio.get_running_loop().create_task(self._ask(per_s))
+        """Start to send."""
+        for caller in self.callers:
+            caller.shards.start()
+        self._sending = asyncio.get_running_loop().create_task(self._send_at_rate(per_s))
 
-    async def _ask(self, per_s: float) -> None:
-        begin, made = time.monotonic(), 0
+    async def _send_at_rate(self, per_s: float) -> None:
+        begin, sent_count = time.monotonic(), 0
         while True:
             due = int((time.monotonic() - begin) * per_s)
-            for number in range(made, due):
-                self.askers[number % len(self.askers)].ask(self._names)
-            made = due
+            for number in range(sent_count, due):
+                self.callers[number % len(self.callers)].send(self._names)
+            sent_count = due
             await asyncio.sleep(0.005)
 
     async def settle(self, within_s: float) -> bool:
-        """Ask nothing more, and wait until all is answered; False where it was not in time."""
-        if self._asking is not None:
-            self._asking.cancel()
-        done = await asyncio.gather(*(asker.shards.flush(within_s * 1000) for asker in self.askers))
-        await asyncio.gather(*(asker.shards.stop() for asker in self.askers))
+        """Stop sending, and wait for all answers; False where some are missing after `within_s`."""
+        if self._sending is not None:
+            self._sending.cancel()
+        done = await asyncio.gather(*(caller.shards.flush(within_s * 1000) for caller in self.callers))
+        await asyncio.gather(*(caller.shards.stop() for caller in self.callers))
         return all(done)
 
     @property
-    def told(self) -> int:
-        """Adds that were acknowledged so far."""
-        return sum(asker.acknowledged.total() for asker in self.askers)
+    def acknowledged_count(self) -> int:
+        """Return the number of increments acknowledged so far."""
+        return sum(caller.acknowledged.total() for caller in self.callers)
 
-    def without_answers_s(self, since: float = 0.0) -> float:
-        """The longest time between two answers of one slot, from a moment on."""
+    def longest_answer_gap_s(self, since: float = 0.0) -> float:
+        """Return the longest time between two answers of one slot since a moment."""
         longest = 0.0
-        for slot in {slot for asker in self.askers for slot in asker.answers}:
-            times = sorted(at for asker in self.askers for at in asker.answers[slot] if at >= since)
+        for slot in {slot for caller in self.callers for slot in caller.answer_times}:
+            times = sorted(at for caller in self.callers for at in caller.answer_times[slot] if at >= since)
             longest = max([longest, *(after - before for before, after in itertools.pairwise(times))])
         return longest
 
-    def judge(self, folders: Sequence[Path]) -> list[str]:
-        """What was promised and does not hold, a line each; the doors must have ended."""
-        found = [one for folder in folders if (folder / "groups").exists() for one in read_folder(folder)]
-        breaches = [line for asker in self.askers for line in asker.breaches] + find_differences(found)
-        totals, tries = _held(found, self._names)
+    def find_violations(self, folders: Sequence[Path]) -> list[str]:
+        """Return each violation of what was acknowledged, from the replicas on disk; all gateways must have ended."""
+        replicas = [replica for folder in folders if (folder / "groups").exists() for replica in read_folder(folder)]
+        violations = [line for caller in self.callers for line in caller.violations] + find_differences(replicas)
+        totals, attempts = _stored_totals(replicas, self._names)
         sent: Counter[int] = Counter()
-        for asker in self.askers:
-            sent.update(asker.sent)
+        for caller in self.callers:
+            sent.update(caller.sent)
         for name in sorted(sent):
             if totals[name] != sent[name]:
-                breaches.append(f"name {name}: {totals[name]:g} are held of {sent[name]} that were sent")
-        promised = sum(len(asker.tries) for asker in self.askers)
-        if tries != promised:
-            breaches.append(f"{tries} tries are recorded of {promised} that were promised")
-        return breaches
+                violations.append(f"counter {name}: the total is {totals[name]:g} after {sent[name]} increments")
+        accepted_attempts = sum(len(caller.attempts) for caller in self.callers)
+        if attempts != accepted_attempts:
+            violations.append(f"{attempts} attempts are recorded, and {accepted_attempts} were accepted")
+        return violations
 
     def summary(self) -> dict[str, Any]:
-        """Figures of the asking doors."""
-        verdicts: Counter[str] = Counter()
-        took = HdrHistogram(1, 60_000_000, 3)
-        for asker in self.askers:
-            verdicts.update(asker.verdicts)
-            took.add(asker.took)
+        """Return the figures of all callers together."""
+        results: Counter[str] = Counter()
+        latency_us = HdrHistogram(1, 60_000_000, 3)
+        for caller in self.callers:
+            results.update(caller.results)
+            latency_us.add(caller.latency_us)
         return {
-            "verdicts": dict(verdicts),
-            "p50_ms": took.get_value_at_percentile(50) / 1000,
-            "p99_ms": took.get_value_at_percentile(99) / 1000,
-            "longest_without_s": round(self.without_answers_s(), 3),
+            "verdicts": dict(results),
+            "p50_ms": latency_us.get_value_at_percentile(50) / 1000,
+            "p99_ms": latency_us.get_value_at_percentile(99) / 1000,
+            "longest_without_s": round(self.longest_answer_gap_s(), 3),
         }
 
 
-def _held(found: list[StoredReplica], names: int) -> tuple[Counter[int], int]:
-    """Totals by name and the number of tries, from the furthest copy of each group."""
+def _stored_totals(replicas: list[StoredReplica], names: int) -> tuple[Counter[int], int]:
+    """Return totals by counter and the number of attempts, from the most advanced replica of each group."""
     totals: Counter[int] = Counter()
-    tries = 0
-    for one in find_latest(found).values():
-        machine = ReplicatedCounter.from_stored(one.state)
-        totals.update({name: int(machine.total(name)) for name in range(names)})
-        tries += sum(use.attempts for use in machine.state.usage().values())
-    return totals, tries
+    attempts = 0
+    for replica in find_latest(replicas).values():
+        counter = ReplicatedCounter.from_stored(replica.state)
+        totals.update({name: int(counter.total(name)) for name in range(names)})
+        attempts += sum(use.attempts for use in counter.state.usage().values())
+    return totals, attempts
--- a/martenstep/lab/fleet/records.py
+++ b/martenstep/lab/fleet/records.py
@@ -1,8 +1,8 @@
-"""What the players write and the judge reads: truths and beliefs on one clock, as JSON lines.
+"""Records of a run, written by the rig or the virtual fleet and read by the invariant checker: JSON lines on one clock.
 
-A truth is what the player did to a member, or let it do: `started`, `killed`, `paused`, `resumed`, `leaving`, and each
-fault that begins or ends.  A belief is what a member told of: an event of its membership core.  A view is what a member
-held at a moment.
+A truth is what really happened to a member: `started`, `killed`, `paused`, `resumed`, `leaving`, and the begin and end
+of each fault.  A belief is an event that a member's membership core reported, right or wrong.  A view is the member
+table of one member at one moment.  A place is one process on its machine: a fault can run two processes of one name.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Truth(msgspec.Struct, tag="truth", frozen=True):
-    """What happened to a member; `who` is its name, and `place` tells two processes of one name apart."""
+    """What happened to a member; `who` is its name, and `place` distinguishes two processes of one name."""
 
     at_ms: float
     kind: str
@@ -25,31 +25,31 @@
 
 
 class Belief(msgspec.Struct, tag="belief", frozen=True):
-    """What a member told, as it told it."""
+    """An event as a member reported it."""
 
     at_ms: float
-    place: str  # of the process that told it
+    place: str  # of the process that reported it
     kind: str
     about: str
     fields: dict[str, Any] = {}
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True):
-    """One line of a view."""
+class ViewEntry(msgspec.Struct, array_like=True, frozen=True):
+    """One member in a view."""
 
     name: str
     state: str
-    life: int
-    says: int
+    boot_id: int
+    self_report: int
 
 
 class View(msgspec.Struct, tag="view", frozen=True):
-    """What a member held at a moment, with what its membership had cost it by then."""
+    """The member table of a member at one moment, with its counters of messages and bytes until then."""
 
     at_ms: float
     place: str
     stage: str
-    held: list[Held]
+    held: list[ViewEntry]
     counts: dict[str, float] = {}
 
 
@@ -59,18 +59,18 @@
 
 
 class RecordError(Exception):
-    """A file of records that cannot be read."""
+    """A file of records cannot be read."""
 
 
 def write_records(path: Path, records: Iterable[Record]) -> None:
-    """Write them as JSON lines."""
+    """Write records as JSON lines."""
     with path.open("wb") as file:
         for record in records:
             file.write(_encoder.encode(record) + b"\n")
 
 
 def read_records(path: Path) -> Iterator[Record]:
-    """Read them; raises RecordError with the line."""
+    """Read records from JSON lines; raises RecordError with the number of a malformed line."""
     try:
         with path.open("rb") as file:
             for number, line in enumerate(file, 1):
--- a/martenstep/lab/fleet/relay.py
+++ b/martenstep/lab/fleet/relay.py
@@ -1,7 +1,7 @@
-"""The wires between real doors: a relay for each ordered pair, for datagrams and streams, steered while it runs.
+"""Relays between real gateways: one for each ordered pair, for datagrams and streams, with faults injected at run time.
 
-A door is told, for each other door's address, to send to the relay of that pair; the relay sends on what the wires let
-through.  Nothing else knows where the others are.
+Each gateway is configured to send to the relay of a pair in place of the other gateway's address.  The relay forwards
+what the faults of that link let through; only relays send to a gateway's real address.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 import random
 from collections.abc import Callable
 
-from martenstep.lab.fleet.wires import Wires
+from martenstep.lab.fleet.wires import Links
 from martenstep.membership.member import Address
 from martenstep.membership.transport import DatagramReceiver
 
 READ_BYTES = 65_536
-LOOK_S = 0.02  # how often a stream that a fault holds up looks whether that is over
-TRIES = 50  # of finding a port that is free for both kinds
+STALL_POLL_S = 0.02  # between two checks whether the fault that holds a stream has ended
+PORT_ATTEMPTS = 50  # to find a port that is free for both TCP and UDP
 
 
 class Relay:
-    """One ordered pair: what the source sends to the sink."""
+    """Forwards what one member, the source, sends to another one, the sink, and the responses on those streams."""
 
-    def __init__(self, wires: Wires, source: str, sink: str, to: Address, now: Callable[[], float]) -> None:
-        self._wires, self._source, self._sink, self._to, self._now = wires, source, sink, to, now
+    def __init__(self, links: Links, source: str, sink: str, to: Address, now: Callable[[], float]) -> None:
+        self._links, self._source, self._sink, self._to, self._now = links, source, sink, to, now
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._streams: set[asyncio.Task[None]] = set()
-        self.last = b""  # datagram that passed
+        self.last_datagram = b""  # that the source sent
 
     async def start(self, datagrams: bool = True) -> Address:
-        """Bind one port for both, or for streams alone; gives its address."""
+        """Listen on one port for datagrams and streams, or for streams alone; return the address."""
         loop = asyncio.get_running_loop()
-        for _ in range(TRIES):
+        for _ in range(PORT_ATTEMPTS):
             server = await asyncio.start_server(self._stream, "127.0.0.1", 0)
             port = int(server.sockets[0].getsockname()[1])
             if not datagrams:
@@ -41,26 +41,26 @@
                 return "127.0.0.1", port
             try:
                 self._transport, _ = await loop.create_datagram_endpoint(
-                    lambda: DatagramReceiver(self._arrived), local_addr=("127.0.0.1", port)
+                    lambda: DatagramReceiver(self._receive_datagram), local_addr=("127.0.0.1", port)
                 )
             except OSError:
                 server.close()
                 continue
             self._server = server
             return "127.0.0.1", port
-        raise OSError("no port is free for datagrams and streams")
+        raise OSError(f"no port was free for both datagrams and streams in {PORT_ATTEMPTS} attempts")
 
-    def _arrived(self, data: bytes) -> None:
-        self.last = data
+    def _receive_datagram(self, data: bytes) -> None:
+        self.last_datagram = data
         loop = asyncio.get_running_loop()
-        for arrival in self._wires.pass_on(self._now(), self._source, self._sink, data):
-            if arrival.after_ms > 0:
-                loop.call_later(arrival.after_ms / 1000, self.send, arrival.data)
+        for arrival in self._links.transmit(self._now(), self._source, self._sink, data):
+            if arrival.delay_ms > 0:
+                loop.call_later(arrival.delay_ms / 1000, self.send, arrival.data)
             else:
                 self.send(arrival.data)
 
     def send(self, data: bytes) -> None:
-        """Straight to the sink."""
+        """Send a datagram to the sink at once, without the faults of the link."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(data, self._to)
 
@@ -68,38 +68,39 @@
         task = asyncio.current_task()
         assert task is not None
         self._streams.add(task)
-        back: asyncio.StreamWriter | None = None
+        to_sink: asyncio.StreamWriter | None = None
         try:
-            await self._held(self._source, self._sink)  # nothing of a connection's begin passes a cut either
-            there, back = await asyncio.open_connection(*self._to)
+            await self._wait_while_stalled(self._source, self._sink)  # a cut also holds back a new connection
+            from_sink, to_sink = await asyncio.open_connection(*self._to)
             await asyncio.gather(
-                self._pump(reader, back, self._source, self._sink), self._pump(there, writer, self._sink, self._source)
+                self._pump(reader, to_sink, self._source, self._sink),
+                self._pump(from_sink, writer, self._sink, self._source),
             )
         except OSError:
             pass
         finally:
             self._streams.discard(task)
-            for each in (writer, back):
-                if each is not None:
-                    each.close()
+            for stream in (writer, to_sink):
+                if stream is not None:
+                    stream.close()
 
-    async def _held(self, source: str, sink: str) -> None:
-        while self._wires.is_stalled(source, sink):
-            await asyncio.sleep(LOOK_S)
+    async def _wait_while_stalled(self, source: str, sink: str) -> None:
+        while self._links.is_stalled(source, sink):
+            await asyncio.sleep(STALL_POLL_S)
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, source: str, sink: str) -> None:
         while data := await reader.read(READ_BYTES):
-            await self._held(source, sink)
-            late = self._wires.stream_ms(source, sink, len(data))
-            if late:
-                await asyncio.sleep(late / 1000)
+            await self._wait_while_stalled(source, sink)
+            delay_ms = self._links.stream_delay_ms(source, sink, len(data))
+            if delay_ms:
+                await asyncio.sleep(delay_ms / 1000)
             writer.write(data)
             await writer.drain()
         with contextlib.suppress(OSError):
             writer.write_eof()
 
     def close(self) -> None:
-        """Let go of all."""
+        """Close the sockets and cancel all streams."""
         if self._transport is not None:
             self._transport.close()
         if self._server is not None:
@@ -108,14 +109,17 @@
             task.cancel()
 
 
-class Forger:
-    """Noise, old datagrams cut short or made longer, and old ones to others; straight to doors, past the wires."""
+class DatagramForger:
+    """Makes forged datagrams: noise, and earlier datagrams that are truncated, extended or sent to another member.
+
+    They are delivered directly, without the faults of links.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def made(self, old: list[bytes]) -> bytes:
-        """One forged datagram."""
+    def forge(self, old: list[bytes]) -> bytes:
+        """Return one forged datagram, made from earlier ones where there are any."""
         rng, kind = self._rng, self._rng.randrange(4)
         if kind == 0 or not old:
             return rng.randbytes(rng.randrange(1, 1500))
--- a/martenstep/lab/fleet/virtual.py
+++ b/martenstep/lab/fleet/virtual.py
@@ -1,8 +1,9 @@
-"""Plays a schedule in virtual time on the doors' own membership cores, from 2 to 400 members.
+"""Runs a schedule in virtual time on the gateways' own membership cores, with 2 to 400 members.
 
-Bytes pass as they do on sockets, seals and all.  A member that stands still gets nothing and does nothing; what comes
-meanwhile waits in its socket up to a bound, and once it goes on either its timers or its socket come first, by chance.
-Streams between members are asked and answered in whole frames.
+The virtual network carries the same authenticated bytes as real sockets.  A paused member receives and does nothing;
+datagrams that arrive meanwhile wait in its socket buffer up to a limit, and after the pause either the due timers or
+the buffered datagrams are handled first, at random.  Streams between members carry whole frames: a request and its
+response.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 
 from martenstep.lab.emulate.core import START_MS, Sim, Timer
 from martenstep.lab.fleet import fleet_pb2 as pb
-from martenstep.lab.fleet.baseline import Heartbeats
-from martenstep.lab.fleet.records import Belief, Held, Record, Truth, View
-from martenstep.lab.fleet.relay import Forger
+from martenstep.lab.fleet.baseline import HeartbeatCore
+from martenstep.lab.fleet.records import Belief, Record, Truth, View, ViewEntry
+from martenstep.lab.fleet.relay import DatagramForger
 from martenstep.lab.fleet.schedule import Member, Step, members_of, steps_of
-from martenstep.lab.fleet.wires import Wires
+from martenstep.lab.fleet.wires import Links
 from martenstep.membership.actions import EventKind, MemberEvent, OpenExchange, SendDatagram
 from martenstep.membership.core import MembershipCore
 from martenstep.membership.errors import ProtocolError
@@ -26,21 +27,20 @@
 from martenstep.membership.member import Address, MemberRecord, MemberState
 from martenstep.membership.settings import MembershipSettings, Stage
 
-Core = MembershipCore | Heartbeats
+Core = MembershipCore | HeartbeatCore
 KEY = b"a key for the emulated fleet only"
 PORT = 7946
-LATENCY_MS, JITTER_MS = 0.3, 0.3  # one way, within a room or between rooms
-LOOP_MS = 0.2  # until a loop that has nothing else to do gets to a datagram
-SOCKET_DATAGRAMS = 150  # wait in a socket: Linux's default of 212,992 bytes, with what it counts for each
-STREAM_MS = 2000.0  # an exchange that is not done by then is given up
-SAMPLE_MS = 250.0  # between two looks at whether all views agree
-START_TRIES_MS = 60_000.0  # all must have joined within this
-MOST_OLD = 200  # datagrams kept to be played again as forged ones
+LATENCY_MS, JITTER_MS = 0.3, 0.3  # in one direction, the same within a machine room and between machine rooms
+SOCKET_BUFFER_DATAGRAMS = 150  # of Linux's default of 212,992 bytes, with the overhead that it counts for each datagram
+EXCHANGE_TIMEOUT_MS = 2000.0  # an exchange that takes longer fails
+SAMPLE_MS = 250.0  # between two checks whether all views agree
+JOIN_TIMEOUT_MS = 60_000.0  # for all members to join
+MAX_REPLAYABLE_DATAGRAMS = 200  # the datagrams from which forged ones are made
 
 
 @dataclass(slots=True)
 class Disk:
-    """What a member keeps: who it is, and how often it was started."""
+    """The durable state of a member: its identity and its number of starts."""
 
     identity: int
     starts: int = 0
@@ -49,54 +49,55 @@
 
 @dataclass(slots=True)
 class Place:
-    """One process, and the machine it runs on."""
+    """One process and the machine that it runs on."""
 
-    name: str  # of the place: the member's, or another for a twin
+    name: str  # of the place: the member's name, or another one for a twin
     member: Member
     address: Address
     disk: Disk
-    old: Disk | None = None
+    disk_at_begin: Disk | None = None
     core: Core | None = None
     paused: bool = False
-    offset: float = 0.0  # of its clock: monotonic clocks of two machines have nothing in common
+    clock_offset_ms: float = 0.0  # monotonic clocks of two machines are unrelated
     inbox: list[bytes] = field(default_factory=list)
     timer: Timer | None = None
-    late_ms: float = 0.0
-    disk_broken: bool = False
+    loop_delay_ms: float = 0.0
+    disk_faulty: bool = False
     starts: int = 0
 
 
-class World:
-    """A fleet in virtual time."""
+class VirtualFleet:
+    """A fleet of membership cores in virtual time."""
 
-    def __init__(self, schedule: pb.Schedule, seed: int, make: Callable[..., Core] | None = None) -> None:
+    def __init__(self, schedule: pb.Schedule, seed: int, make_core: Callable[..., Core] | None = None) -> None:
         self.schedule, self.seed = schedule, seed
-        self._make: Callable[..., Core] = make or (Heartbeats if schedule.heartbeats else MembershipCore)
+        self._make_core: Callable[..., Core] = make_core or (HeartbeatCore if schedule.heartbeats else MembershipCore)
         self.sim = Sim()
         self.rng = random.Random(f"{schedule.name} {seed}")
         self.members = members_of(schedule)
-        self.wires = Wires(self.members, random.Random(f"wires {seed}"))
+        self.links = Links(self.members, random.Random(f"wires {seed}"))
         self.records: list[Record] = []
         self.started_ms = 0.0
         self._keys = Keyring([KEY])
         self.places: dict[str, Place] = {}
-        self._at: dict[Address, Place] = {}
-        self._old: list[bytes] = []
-        self._forger = Forger(self.rng)
-        self._present: dict[int, tuple[int, frozenset[tuple[str, int]]]] = {}  # of a life and a version of its view
-        self._agreed: bool | None = None
+        self._place_by_address: dict[Address, Place] = {}
+        self._recent_datagrams: list[bytes] = []
+        self._forger = DatagramForger(self.rng)
+        # By boot id: the version of a view, and its present members.
+        self._present_cache: dict[int, tuple[int, frozenset[tuple[str, int]]]] = {}
+        self._last_agreement: bool | None = None
         for number, member in enumerate(self.members):
-            self._place(member.name, member, (f"10.0.{number >> 8}.{(number & 255) + 1}", PORT))
+            self._add_place(member.name, member, (f"10.0.{number >> 8}.{(number & 255) + 1}", PORT))
 
-    def _place(self, name: str, member: Member, address: Address) -> Place:
-        place = Place(name, member, address, Disk(self.rng.getrandbits(60)), offset=self.rng.uniform(0, 1e7))
+    def _add_place(self, name: str, member: Member, address: Address) -> Place:
+        place = Place(name, member, address, Disk(self.rng.getrandbits(60)), clock_offset_ms=self.rng.uniform(0, 1e7))
         self.places[name] = place
         return place
 
     # Processes.
 
     def settings(self) -> MembershipSettings:
-        """Of every member."""
+        """Return the settings that every member has."""
         schedule = self.schedule
         number = schedule.members if schedule.heartbeats else schedule.seeds
         seeds = tuple(self.places[member.name].address for member in self.members[:number])
@@ -109,12 +110,12 @@
         )
 
     def start(self, place: Place) -> None:
-        """Its process begins."""
+        """Start the process of a place."""
         place.starts += 1
         starts = place.disk.starts + 1
-        if not place.disk_broken:  # else this start is not kept, and the next begins as low
+        if not place.disk_faulty:  # otherwise the start is not stored, and the next one has the same number
             place.disk.starts = starts
-        me = MemberRecord(
+        own_record = MemberRecord(
             place.member.name,
             0,
             place.disk.identity,
@@ -124,17 +125,21 @@
             *place.address,
             place.member.zone,
         )
-        place.core = self._make(
-            self.settings(), me, self._keys, random.Random(self.rng.getrandbits(62)), self.sim.now + place.offset
+        place.core = self._make_core(
+            self.settings(),
+            own_record,
+            self._keys,
+            random.Random(self.rng.getrandbits(62)),
+            self.sim.now + place.clock_offset_ms,
         )
         place.paused = False
         place.inbox.clear()
-        self._at[place.address] = place
-        self._truth("started", place, life=me.boot_id)
-        self._after(place)
+        self._place_by_address[place.address] = place
+        self._truth("started", place, life=own_record.boot_id)
+        self._execute_actions(place)
 
-    def end(self, place: Place, kind: str = "killed") -> None:
-        """Its process ends at once."""
+    def stop(self, place: Place, kind: str = "killed") -> None:
+        """End the process of a place at once."""
         if place.core is None:
             return
         self._truth(kind, place)
@@ -142,15 +147,15 @@
         if place.timer is not None:
             place.timer.cancel()
         place.inbox.clear()
-        if self._at.get(place.address) is place:
-            del self._at[place.address]
+        if self._place_by_address.get(place.address) is place:
+            del self._place_by_address[place.address]
 
     def _truth(self, kind: str, place: Place | None = None, **fields: Any) -> None:
         who = place.member.name if place is not None else ""
         self.records.append(Truth(self.sim.now, kind, who, place.name if place is not None else "", fields))
 
-    def _after(self, place: Place) -> None:
-        """Carry out what a core asked for, and wake it when it is due."""
+    def _execute_actions(self, place: Place) -> None:
+        """Execute the actions of a core, and set the timer for its next due time."""
         core = place.core
         if core is None:
             return
@@ -158,48 +163,49 @@
             if isinstance(action, SendDatagram):
                 self._send(place, action.to, action.data)
             elif isinstance(action, OpenExchange):
-                self._dial(place, core, action)
+                self._start_exchange(place, core, action)
             elif isinstance(action, MemberEvent):
                 self.records.append(
                     Belief(self.sim.now, place.name, action.kind.value, action.member, dict(action.recorded_fields))
                 )
                 if action.kind is EventKind.LEFT_CLUSTER:
-                    self.end(place, "left")
+                    self.stop(place, "left")
                     return
         if place.timer is not None:
             place.timer.cancel()
-        late = self.rng.uniform(0, place.late_ms) if place.late_ms else 0.0
-        # A millionth of a millisecond late: sums with an offset are not exact, and too early would wake for ever.
-        place.timer = self.sim.at(core.next_due_ms - place.offset + late + 1e-6, self._wake, place, core)
+        delay_ms = self.rng.uniform(0, place.loop_delay_ms) if place.loop_delay_ms else 0.0
+        # A millionth of a millisecond late: sums with the offset are inexact, and a core that is woken too early would
+        # set the same timer again without end.
+        place.timer = self.sim.at(core.next_due_ms - place.clock_offset_ms + delay_ms + 1e-6, self._wake, place, core)
 
     def _wake(self, place: Place, core: Core) -> None:
         if place.core is core and not place.paused:
-            core.wake(self.sim.now + place.offset)
-            self._after(place)
+            core.wake(self.sim.now + place.clock_offset_ms)
+            self._execute_actions(place)
 
-    # Wires.
+    # Network.
 
     def _send(self, place: Place, to: Address, data: bytes) -> None:
-        target = self._at.get(to)
+        target = self._place_by_address.get(to)
         if target is None:
             return
-        if len(self._old) < MOST_OLD or self.rng.random() < 0.01:
-            self._old.append(data)
-            del self._old[:-MOST_OLD]
+        if len(self._recent_datagrams) < MAX_REPLAYABLE_DATAGRAMS or self.rng.random() < 0.01:
+            self._recent_datagrams.append(data)
+            del self._recent_datagrams[:-MAX_REPLAYABLE_DATAGRAMS]
         now = self.sim.now
-        for arrival in self.wires.pass_on(now, place.member.name, target.member.name, data):
-            way = LATENCY_MS + self.rng.uniform(0, JITTER_MS) + arrival.after_ms
-            self.sim.after(way, self._arrive, to, arrival.data)
+        for arrival in self.links.transmit(now, place.member.name, target.member.name, data):
+            delay_ms = LATENCY_MS + self.rng.uniform(0, JITTER_MS) + arrival.delay_ms
+            self.sim.after(delay_ms, self._arrive, to, arrival.data)
 
     def _arrive(self, to: Address, data: bytes) -> None:
-        place = self._at.get(to)
+        place = self._place_by_address.get(to)
         if place is None or place.core is None:
             return
         if place.paused:
-            if len(place.inbox) < SOCKET_DATAGRAMS:
+            if len(place.inbox) < SOCKET_BUFFER_DATAGRAMS:
                 place.inbox.append(data)
-        elif place.late_ms:
-            self.sim.after(self.rng.uniform(0, place.late_ms), self._deliver, place, place.core, data)
+        elif place.loop_delay_ms:
+            self.sim.after(self.rng.uniform(0, place.loop_delay_ms), self._deliver, place, place.core, data)
         else:
             self._deliver(place, place.core, data)
 
@@ -209,59 +215,62 @@
         if place.paused:
             place.inbox.append(data)
             return
-        core.receive(self.sim.now + place.offset, data)
-        self._after(place)
+        core.receive(self.sim.now + place.clock_offset_ms, data)
+        self._execute_actions(place)
 
-    def _dial(self, place: Place, core: Core, dial: OpenExchange) -> None:
-        """An exchange over a stream."""
-        give_up = self.sim.after(STREAM_MS, self._answered, place, core, dial, None, None)
+    def _start_exchange(self, place: Place, core: Core, exchange: OpenExchange) -> None:
+        """Start an exchange over a stream, with its timeout."""
+        timeout = self.sim.after(EXCHANGE_TIMEOUT_MS, self._exchange_answered, place, core, exchange, None, None)
         body = core.open_exchange()
-        self._carry(place, core, dial, body, give_up)
+        self._send_exchange(place, core, exchange, body, timeout)
 
-    def _carry(self, place: Place, core: Core, dial: OpenExchange, body: bytes, give_up: Timer) -> None:
-        target = self._at.get(dial.to)
+    def _send_exchange(self, place: Place, core: Core, exchange: OpenExchange, body: bytes, timeout: Timer) -> None:
+        target = self._place_by_address.get(exchange.to)
         if target is None:
-            self.sim.after(LATENCY_MS * 2, self._answered, place, core, dial, None, give_up)  # refused
+            # The connection is refused.
+            self.sim.after(LATENCY_MS * 2, self._exchange_answered, place, core, exchange, None, timeout)
             return
         source, sink = place.member.name, target.member.name
-        if self.wires.is_stalled(source, sink) or self.wires.is_stalled(sink, source):
-            return  # given up in time
-        way = LATENCY_MS * 3 + self.wires.stream_ms(source, sink, len(body))
-        self.sim.after(way, self._serve, place, core, dial, target, body, give_up)
+        if self.links.is_stalled(source, sink) or self.links.is_stalled(sink, source):
+            return  # the timeout ends the exchange
+        delay_ms = LATENCY_MS * 3 + self.links.stream_delay_ms(source, sink, len(body))
+        self.sim.after(delay_ms, self._serve_exchange, place, core, exchange, target, body, timeout)
 
-    def _serve(self, place: Place, core: Core, dial: OpenExchange, target: Place, body: bytes, give_up: Timer) -> None:
+    def _serve_exchange(
+        self, place: Place, core: Core, exchange: OpenExchange, target: Place, body: bytes, timeout: Timer
+    ) -> None:
         if target.core is None or target.paused:
-            return  # the kernel takes the connection, and nobody answers
+            return  # the kernel accepts the connection, but no process answers
         try:
-            answer: bytes | None = target.core.serve_exchange(self.sim.now + target.offset, body)
+            answer: bytes | None = target.core.serve_exchange(self.sim.now + target.clock_offset_ms, body)
         except ProtocolError:
             answer = None
-        self._after(target)
+        self._execute_actions(target)
         source, sink = target.member.name, place.member.name
-        if self.wires.is_stalled(source, sink):
+        if self.links.is_stalled(source, sink):
             return
-        way = LATENCY_MS + (self.wires.stream_ms(source, sink, len(answer)) if answer is not None else 0.0)
-        self.sim.after(way, self._answered, place, core, dial, answer, give_up)
+        delay_ms = LATENCY_MS + (self.links.stream_delay_ms(source, sink, len(answer)) if answer is not None else 0.0)
+        self.sim.after(delay_ms, self._exchange_answered, place, core, exchange, answer, timeout)
 
-    def _answered(
-        self, place: Place, core: Core, dial: OpenExchange, body: bytes | None, give_up: Timer | None
+    def _exchange_answered(
+        self, place: Place, core: Core, exchange: OpenExchange, body: bytes | None, timeout: Timer | None
     ) -> None:
         if place.core is not core:
             return
         if place.paused:
-            if give_up is not None:
-                give_up.cancel()
-            self.sim.after(50.0, self._answered, place, core, dial, body, None)
+            if timeout is not None:
+                timeout.cancel()
+            self.sim.after(50.0, self._exchange_answered, place, core, exchange, body, None)
             return
-        further = core.continue_exchange(self.sim.now + place.offset, dial.token, body)
-        self._after(place)
-        if give_up is not None:
-            give_up.cancel()
+        further = core.continue_exchange(self.sim.now + place.clock_offset_ms, exchange.token, body)
+        self._execute_actions(place)
+        if timeout is not None:
+            timeout.cancel()
         if further is not None:
-            again = self.sim.after(STREAM_MS, self._answered, place, core, dial, None, None)
-            self._carry(place, core, dial, further, again)
+            timeout = self.sim.after(EXCHANGE_TIMEOUT_MS, self._exchange_answered, place, core, exchange, None, None)
+            self._send_exchange(place, core, exchange, further, timeout)
 
-    # SettingsError.
+    # Faults.
 
     def _pause(self, place: Place, on: bool) -> None:
         if place.core is None or place.paused == on:
@@ -271,145 +280,148 @@
         if on:
             return
         waiting, place.inbox = place.inbox, []
-        core, now = place.core, self.sim.now + place.offset
+        core, now = place.core, self.sim.now + place.clock_offset_ms
         if self.rng.random() < 0.5:
             core.wake(now)
         for data in waiting:
             core.receive(now, data)
-        self._after(place)
+        self._execute_actions(place)
 
-    def _step(self, step: Step) -> None:
+    def _apply_step(self, step: Step) -> None:
         entry, what = step.entry, step.entry.what
         self._truth(
-            "fault begins" if step.on else "fault ends",
+            "fault begins" if step.begins else "fault ends",
             number=step.number,
             what=pb.Breaks.Name(what),
-            who=list(step.who),
+            who=list(step.members),
         )
-        self.wires.step(step)
-        places = [self.places[name] for name in step.who]
+        self.links.apply_step(step)
+        places = [self.places[name] for name in step.members]
         if what == pb.PAUSE:
             for place in places:
-                self._pause(place, step.on)
+                self._pause(place, step.begins)
         elif what in (pb.KILL, pb.LEAVE):
             for place in places:
-                self._kill_or_leave(place, entry, step.on)
+                self._kill_or_leave(place, entry, step.begins)
         elif what == pb.LATE:
             for place in places:
-                place.late_ms = entry.ms if step.on else 0.0
+                place.loop_delay_ms = entry.ms if step.begins else 0.0
         elif what in (pb.DISK_FULL, pb.SYNC_FAILS):
             for place in places:
-                place.disk_broken = step.on
+                place.disk_faulty = step.begins
         elif what == pb.TWIN:
-            self._twin(places[0], step.on)
+            self._twin(places[0], step.begins)
         elif what == pb.SQUAT:
-            self._squat(places, step.on)
-        elif what == pb.FORGE and step.on:
+            self._squat(places, step.begins)
+        elif what == pb.FORGE and step.begins:
             self._forge(entry, self.sim.now + (entry.for_ms or self.schedule.length_ms))
 
     def _kill_or_leave(self, place: Place, entry: pb.Break, on: bool) -> None:
         if not on:
             if entry.disk == pb.WIPED:
                 place.disk = Disk(self.rng.getrandbits(60))
-            elif entry.disk == pb.OLD and place.old is not None:
-                place.disk = Disk(place.old.identity, place.old.starts)
+            elif entry.disk == pb.OLD and place.disk_at_begin is not None:
+                place.disk = Disk(place.disk_at_begin.identity, place.disk_at_begin.starts)
             if place.core is None:
                 self.start(place)
         elif entry.what == pb.KILL:
-            self.end(place)
+            self.stop(place)
         elif place.core is not None and not place.paused:
             self._truth("leaving", place)
-            place.core.leave(self.sim.now + place.offset)
-            self._after(place)
+            place.core.leave(self.sim.now + place.clock_offset_ms)
+            self._execute_actions(place)
 
     def _twin(self, place: Place, on: bool) -> None:
         name = f"{place.name}-twin"
         if on:
-            self.start(self._place(name, place.member, (f"10.9.0.{len(self.places) & 255}", PORT)))
+            self.start(self._add_place(name, place.member, (f"10.9.0.{len(self.places) & 255}", PORT)))
         else:
-            self.end(self.places[name])
+            self.stop(self.places[name])
 
     def _squat(self, places: list[Place], on: bool) -> None:
         name = f"{places[0].name}-squatter"
         if on:
             for place in places:
-                self.end(place)
-            self.start(self._place(name, Member(name, places[0].member.zone), places[0].address))
+                self.stop(place)
+            self.start(self._add_place(name, Member(name, places[0].member.zone), places[0].address))
         else:
-            self.end(self.places[name])
+            self.stop(self.places[name])
             for place in places:
                 self.start(place)
 
     def _forge(self, entry: pb.Break, until: float) -> None:
-        """Noise, old datagrams cut short or made longer, and old ones to others."""
+        """Deliver forged datagrams to randomly chosen places until a moment."""
         if self.sim.now >= until:
             return
         self.sim.after(1000 / entry.per_s, self._forge, entry, until)
         target = self.rng.choice(list(self.places.values()))
-        self._arrive(target.address, self._forger.made(self._old))
+        self._arrive(target.address, self._forger.forge(self._recent_datagrams))
 
-    # The play.
+    # The run.
 
-    def play(self) -> list[Record]:
-        """All of it; gives what was done and believed."""
+    def run(self) -> list[Record]:
+        """Run the whole schedule; return the records of what happened and of what the members reported."""
         schedule, sim = self.schedule, self.sim
         for place in self.places.values():
-            place.old = Disk(place.disk.identity, 1)
+            place.disk_at_begin = Disk(place.disk.identity, 1)
             sim.at(START_MS + self.rng.uniform(0, 200.0), self.start, place)
-        until = START_MS + START_TRIES_MS
-        while sim.now < until and not self._all_in():
+        until = START_MS + JOIN_TIMEOUT_MS
+        while sim.now < until and not self._all_joined():
             sim.run(sim.now + 100.0)
         self.started_ms = sim.now
-        self._views()
+        self._record_views()
         self._truth("begins")
         for place in self.places.values():
-            place.old = Disk(place.disk.identity, place.disk.starts)
+            place.disk_at_begin = Disk(place.disk.identity, place.disk.starts)
         for step in steps_of(schedule, self.seed):
-            sim.at(sim.now + step.at_ms, self._step, step)
-        self._sample(sim.now + schedule.length_ms + schedule.settle_ms)
+            sim.at(sim.now + step.at_ms, self._apply_step, step)
+        self._sample_agreement(sim.now + schedule.length_ms + schedule.settle_ms)
         sim.run(sim.now + schedule.length_ms)
         self._truth("faults over")
         sim.run(sim.now + schedule.settle_ms)
-        self._views()
+        self._record_views()
         self._truth("ends")
         return self.records
 
-    def _all_in(self) -> bool:
+    def _all_joined(self) -> bool:
         number = len(self.members)
         return all(
             place.core is not None and place.core.stage is Stage.JOINED and place.core.table.present_count == number
             for place in self.places.values()
         )
 
-    def _sample(self, until: float) -> None:
-        """Whether all views agree with what is: told when that changes."""
-        agree = self._agree()
-        if agree != self._agreed:
-            self._agreed = agree
+    def _sample_agreement(self, until: float) -> None:
+        """Record each change of whether all views agree with the running members."""
+        agree = self._views_agree()
+        if agree != self._last_agreement:
+            self._last_agreement = agree
             self._truth("views agree" if agree else "views differ")
         if self.sim.now + SAMPLE_MS <= until:
-            self.sim.after(SAMPLE_MS, self._sample, until)
+            self.sim.after(SAMPLE_MS, self._sample_agreement, until)
 
-    def _agree(self) -> bool:
-        """All running members that are not refused hold each other alive, and nobody else."""
+    def _views_agree(self) -> bool:
+        """Whether every running member that is not refused has exactly those members as present in its table."""
         members = [
             place.core for place in self.places.values() if place.core is not None and place.core.stage is Stage.JOINED
         ]
         running = frozenset((core.record.name, core.record.boot_id) for core in members)
         for core in members:
-            version, present = self._present.get(core.record.boot_id, (-1, frozenset()))
+            version, present = self._present_cache.get(core.record.boot_id, (-1, frozenset()))
             if version != core.table.version:
-                present = frozenset((fact.name, fact.boot_id) for fact in core.table if fact.present)
-                self._present[core.record.boot_id] = core.table.version, present
-            if hash(present) != hash(running):  # of a frozen set it is reckoned once
+                present = frozenset((record.name, record.boot_id) for record in core.table if record.present)
+                self._present_cache[core.record.boot_id] = core.table.version, present
+            if hash(present) != hash(running):  # a frozenset caches its hash
                 return False
         return True
 
-    def _views(self) -> None:
+    def _record_views(self) -> None:
         for place in self.places.values():
             core = place.core
             if core is not None:
-                held = [Held(fact.name, fact.state.name.lower(), fact.boot_id, fact.self_report) for fact in core.table]
+                held = [
+                    ViewEntry(record.name, record.state.name.lower(), record.boot_id, record.self_report)
+                    for record in core.table
+                ]
                 self.records.append(
                     View(
                         self.sim.now,
--- a/tests/test_copies_rig.py
+++ b/tests/test_copies_rig.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.lab.fleet.promises import Promises
+from martenstep.lab.fleet.promises import CounterWorkload
 from martenstep.lab.fleet.rig import Rig
 from martenstep.lab.fleet.schedule import Step, parse_schedule
 
@@ -35,18 +35,18 @@
     def __init__(self, out: Path) -> None:
         self.schedule = parse_schedule(TEXT, "held")
         self.rig = Rig(self.schedule, 1, out, lambda part, what: None)
-        self.promises: Promises | None = None
+        self.promises: CounterWorkload | None = None
 
     def step(self, number: int, on: bool) -> None:
         entry = self.schedule.trouble[number]
-        self.rig.apply(Step(0.0, on, number, entry, (entry.who,) if entry.who else ()))
+        self.rig.apply_step(Step(0.0, on, number, entry, (entry.who,) if entry.who else ()))
 
     async def leading(self) -> dict[str, tuple[str, View]]:
         """Each slot's latest leader, and the group as it has it."""
         found: dict[str, tuple[str, View]] = {}
         for number in range(self.schedule.members):
             name = f"d{number:03d}"
-            view = await self.rig.held(name)
+            view = await self.rig.fetch_replicas(name)
             for group in view["groups"] if view is not None else []:
                 before = found.get(group["group"])
                 if group["role"] == "leader" and (before is None or group["term"] > before[1]["term"]):
@@ -61,8 +61,8 @@
     async def more(self, adds: int) -> None:
         """Wait until so many more have been told."""
         assert self.promises is not None
-        wanted = self.promises.told + adds
-        while self.promises.told < wanted:
+        wanted = self.promises.acknowledged_count + adds
+        while self.promises.acknowledged_count < wanted:
             await asyncio.sleep(0.02)
 
 
@@ -79,7 +79,7 @@
     rig = play.rig
     await rig.open()
     await play.until(whole)
-    promises = play.promises = Promises(rig._out / "askers", rig.counter_addresses(), SLOTS)
+    promises = play.promises = CounterWorkload(rig._out / "askers", rig.counter_addresses(), SLOTS)
     promises.start(per_s=200)
     await play.more(200)
     play.step(0, True)  # a machine is lost with its disk, for good: its copies are made elsewhere
@@ -122,13 +122,13 @@
         finally:
             await play.rig.close()
         assert play.promises is not None
-        folders = play.rig.copies_folders()
-        assert play.promises.judge(folders) == [], play.promises.summary()
+        folders = play.rig.replica_folders()
+        assert play.promises.find_violations(folders) == [], play.promises.summary()
         told = CliRunner().invoke(cli, ["copies", "verify", *map(str, folders)])
         assert told.exit_code == 0, told.output
-        asker = play.promises.askers[0]
-        asker.sent[next(iter(asker.sent))] += 1  # what would be lost is seen
-        asker.tries.pop()  # and what would be doubled
-        assert len(play.promises.judge(folders)) == 2
+        caller = play.promises.callers[0]
+        caller.sent[next(iter(caller.sent))] += 1  # what would be lost is seen
+        caller.attempts.pop()  # and what would be doubled
+        assert len(play.promises.find_violations(folders)) == 2
 
     asyncio.run(test())
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from martenstep.cli.main import cli
-from martenstep.lab.fleet.rig import Rig, play_rig
+from martenstep.lab.fleet.rig import Rig, run_rig
 from martenstep.lab.fleet.schedule import Step, parse_schedule
 from martenstep.lab.play import PlayError
 
@@ -44,13 +44,15 @@
 
     def set_active(self, number: int, active: bool) -> None:
         entry = self.schedule.trouble[number]
-        self.rig.apply(Step(0.0, active, number, entry, (entry.who,) if entry.who else ()))
+        self.rig.apply_step(Step(0.0, active, number, entry, (entry.who,) if entry.who else ()))
 
     async def wait_until(
         self, condition: Callable[[dict[str, Status]], bool], names: str = "d000 d001 d002 d003"
     ) -> None:
         while True:
-            statuses = {name: status for name in names.split() if (status := await self.rig.view(name)) is not None}
+            statuses = {
+                name: status for name in names.split() if (status := await self.rig.fetch_members(name)) is not None
+            }
             if len(statuses) == len(names.split()) and condition(statuses):
                 return
             await asyncio.sleep(0.05)
@@ -93,28 +95,28 @@
     )
     faults.set_active(1, False)
     await faults.wait_until(_all_alive)
-    before_kill = await faults.rig.view("d001")
+    before_kill = await faults.rig.fetch_members("d001")
     faults.set_active(2, True)  # d001 is killed, and restarted with an empty disk
     await faults.wait_until(
         lambda statuses: all(_state(status, "d001") == "dead" for status in statuses.values()), "d000 d002 d003"
     )
     faults.set_active(2, False)
     await faults.wait_until(_all_alive)
-    after_restart = await faults.rig.view("d001")
+    after_restart = await faults.rig.fetch_members("d001")
     assert before_kill is not None and after_restart is not None
     identities = [
         next(member["identity"] for member in status["members"] if member["name"] == "d001")
         for status in (before_kill, after_restart)
     ]
     assert identities[0] != identities[1]
-    before_pause = await faults.rig.view("d002")
+    before_pause = await faults.rig.fetch_members("d002")
     faults.set_active(3, True)  # d002 is paused until the others declare it dead, and resumed
     await faults.wait_until(
         lambda statuses: all(_state(status, "d002") == "dead" for status in statuses.values()), "d000 d001 d003"
     )
     faults.set_active(3, False)
     await faults.wait_until(_all_alive)
-    after_pause = await faults.rig.view("d002")
+    after_pause = await faults.rig.fetch_members("d002")
     assert before_pause is not None and after_pause is not None and after_pause["life"] == before_pause["life"]
     faults.set_active(4, True)  # d003 leaves after SIGTERM
     await faults.wait_until(
@@ -138,7 +140,7 @@
 
 def test_a_finished_run_is_checked_again_from_its_output_folder(tmp_path: Path) -> None:
     schedule = parse_schedule('name: "calm" members: 2 seeds: 1 length_ms: 300 settle_ms: 0', "x")
-    asyncio.run(play_rig(schedule, 1, tmp_path / "out"))
+    asyncio.run(run_rig(schedule, 1, tmp_path / "out"))
     result = CliRunner().invoke(cli, ["lab", "fleet", "check", str(tmp_path / "out")])
     assert result.exit_code == 0 and result.output.startswith("calm: kept")
     (tmp_path / "out" / "records.jsonl").write_bytes(b"{}\n")
@@ -152,11 +154,11 @@
         ('name: "x" trouble { what: LATE who: "d000" ms: 5 }', "emulated only"),
     ):
         with pytest.raises(PlayError, match=reason):
-            asyncio.run(play_rig(parse_schedule(text, "x"), 1, tmp_path / "out"))
+            asyncio.run(run_rig(parse_schedule(text, "x"), 1, tmp_path / "out"))
     (tmp_path / "other").mkdir()
     (tmp_path / "other" / "file").write_text("kept")
     with pytest.raises(PlayError, match="something else"):
-        asyncio.run(play_rig(parse_schedule('name: "x"', "x"), 1, tmp_path / "other"))
+        asyncio.run(run_rig(parse_schedule('name: "x"', "x"), 1, tmp_path / "other"))
     assert (tmp_path / "other" / "file").read_text() == "kept"
 
 
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -10,10 +10,10 @@
 
 from martenstep.config.text_format import SettingsError
 from martenstep.lab.fleet.judge import Verdict, judge
-from martenstep.lab.fleet.plays import play
-from martenstep.lab.fleet.records import Belief, Held, Truth, View, read_records, write_records
+from martenstep.lab.fleet.plays import run_schedule
+from martenstep.lab.fleet.records import Belief, Truth, View, ViewEntry, read_records, write_records
 from martenstep.lab.fleet.schedule import parse_schedule, steps_of
-from martenstep.lab.fleet.virtual import World
+from martenstep.lab.fleet.virtual import VirtualFleet
 from martenstep.membership.core import MembershipCore
 from martenstep.membership.keyring import Keyring
 from martenstep.membership.member import MemberRecord, MemberState
@@ -59,8 +59,8 @@
 
 @pytest.mark.parametrize("name", SHORT_SCHEDULES)
 def test_the_core_keeps_every_rule_under_a_fault_schedule(name: str) -> None:
-    played = play((FOLDER / f"{name}.txtpb").read_text(), name, seed=11)
-    assert played.breaches == []
+    played = run_schedule((FOLDER / f"{name}.txtpb").read_text(), name, seed=11)
+    assert played.violations == []
     assert played.figures["false_deaths"] == 0
 
 
@@ -74,7 +74,7 @@
 def _breaches(text: str, seeds: range = range(3)) -> list[str]:
     """Play a schedule with several seeds, and return the breaches of rules."""
     schedule = parse_schedule(text, "x")
-    return [breach for seed in seeds for breach in judge(schedule, World(schedule, seed).play()).breaches]
+    return [breach for seed in seeds for breach in judge(schedule, VirtualFleet(schedule, seed).run()).violations]
 
 
 def _ignore_pause(core: MembershipCore, now: float) -> None:
@@ -147,7 +147,7 @@
 def test_a_run_is_identical_for_the_same_seed(tmp_path: Path) -> None:
     text = (FOLDER / "halves.txtpb").read_text()
     for name in ("a", "b"):
-        play(text, "x", 5, tmp_path / name)
+        run_schedule(text, "x", 5, tmp_path / name)
     assert (tmp_path / "a" / "records.jsonl").read_bytes() == (tmp_path / "b" / "records.jsonl").read_bytes()
     assert len(list(read_records(tmp_path / "a" / "records.jsonl"))) > 100
 
@@ -160,17 +160,17 @@
 
 
 def test_the_checker_needs_only_the_records(tmp_path: Path) -> None:
-    all_members = [Held("d000", "alive", 0, 0), Held("d001", "alive", 1, 0)]
+    all_members = [ViewEntry("d000", "alive", 0, 0), ViewEntry("d001", "alive", 1, 0)]
     views = [View(90_000, name, "joined", all_members) for name in ("d000", "d001")]
-    assert _check_records(*views).kept
+    assert _check_records(*views).invariants_hold
     dead = Belief(80_000, "d000", "dead", "d001", {"by": "d000", "incarnation": 1})
-    assert [breach[:5] for breach in _check_records(dead, *views).breaches] == ["alive"]
+    assert [breach[:5] for breach in _check_records(dead, *views).violations] == ["alive"]
     pause = [Truth(70_000, "paused", "d001", "d001"), Truth(75_000, "resumed", "d001", "d001")]
-    assert _check_records(*pause, dead, *views).kept
+    assert _check_records(*pause, dead, *views).invariants_hold
     suspicion = Belief(75_500, "d001", "suspect", "d000", {"by": "d001"})
-    assert [breach[:7] for breach in _check_records(*pause, suspicion, *views).breaches] == ["witness"]
+    assert [breach[:7] for breach in _check_records(*pause, suspicion, *views).violations] == ["witness"]
     incomplete = View(90_000, "d001", "joined", all_members[1:])
-    assert _check_records(views[0], incomplete).breaches == ["agree: d001 lacks d000 at the end"]
+    assert _check_records(views[0], incomplete).violations == ["agree: d001 lacks d000 at the end"]
     write_records(tmp_path / "r", [dead, *views])
     assert list(read_records(tmp_path / "r")) == [dead, *views]
 
@@ -185,4 +185,4 @@
 def test_random_choices_of_a_schedule_depend_only_on_the_seed() -> None:
     schedule = parse_schedule((FOLDER / "third-lost.txtpb").read_text(), "x")
     assert steps_of(schedule, 3) == steps_of(schedule, 3) != steps_of(schedule, 4)
-    assert len({name for step in steps_of(schedule, 3) for name in step.who}) == 8
+    assert len({name for step in steps_of(schedule, 3) for name in step.members}) == 8
--- a/tests/test_maintenance_queue.py
+++ b/tests/test_maintenance_queue.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from martenstep.lab.fleet.orders import BrokenError, Play
+from martenstep.lab.fleet.orders import InvariantError, MaintenanceSimulation
 from martenstep.maintenance import admission_rules
 from martenstep.maintenance.commands import (
     AbandonRequest,
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_simulated_run_keeps_every_invariant(seed: int) -> None:
-    counts = Play(seed, length_ms=120_000.0).play()
+    counts = MaintenanceSimulation(seed, length_ms=120_000.0).run()
     assert counts["granted"] >= counts["left"]
 
 
@@ -414,16 +414,16 @@
     ],
 )
 def test_the_checker_finds_each_flaw(flaw: Any) -> None:
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         for seed in range(60):
             if issubclass(flaw, MaintenanceQueue):
-                Play(seed, length_ms=120_000.0, book=flaw).play()
+                MaintenanceSimulation(seed, length_ms=120_000.0, make_queue=flaw).run()
             else:
-                Play(seed, length_ms=120_000.0, agent=flaw).play()
+                MaintenanceSimulation(seed, length_ms=120_000.0, make_lease_holder=flaw).run()
 
 
 def test_the_checker_finds_that_unhealthy_machines_are_not_counted_as_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admission_rules, "out_machines", admission_rules.granted_machines)
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         for seed in range(60):
-            Play(seed, length_ms=120_000.0).play()
+            MaintenanceSimulation(seed, length_ms=120_000.0).run()
--- a/tests/test_maintenance_rig.py
+++ b/tests/test_maintenance_rig.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner, Result
 
 from martenstep.cli.main import cli
-from martenstep.lab.fleet.promises import Promises
+from martenstep.lab.fleet.promises import CounterWorkload
 from martenstep.lab.fleet.rig import Rig
 from martenstep.lab.fleet.schedule import parse_schedule
 from martenstep.lab.play import Process
@@ -77,12 +77,12 @@
             await asyncio.sleep(0.1)
 
 
-async def _maintain_each_gateway(maintenance: RollingMaintenance, promises: list[Promises]) -> None:
+async def _maintain_each_gateway(maintenance: RollingMaintenance, promises: list[CounterWorkload]) -> None:
     rig = maintenance.rig
     await rig.open()
     queue = await maintenance.wait_until_ended()
     assert sum(machine["leads"] for machine in queue["machines"]) == 1
-    promises.append(Promises(rig._out / "askers", rig.counter_addresses(), COUNTER_SHARDS, askers=2))
+    promises.append(CounterWorkload(rig._out / "askers", rig.counter_addresses(), COUNTER_SHARDS, callers=2))
     promises[0].start(per_s=50)
     for _ in range(2):  # a repeated command under the same id adds no requests
         result = await maintenance.run_command("ask", "--all", "--for", "5m", "--reason", "kernel", "--id", "kernel")
@@ -114,13 +114,13 @@
 
 def test_gateways_are_taken_out_one_at_a_time_and_no_acknowledged_update_is_lost(tmp_path: Path) -> None:
     async def test() -> None:
-        maintenance, promises = RollingMaintenance(tmp_path / "out"), list[Promises]()
+        maintenance, promises = RollingMaintenance(tmp_path / "out"), list[CounterWorkload]()
         try:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await _maintain_each_gateway(maintenance, promises)
         finally:
             await maintenance.rig.close()
-        assert promises[0].told > 0
-        assert promises[0].judge(maintenance.rig.copies_folders()) == []
+        assert promises[0].acknowledged_count > 0
+        assert promises[0].find_violations(maintenance.rig.replica_folders()) == []
 
     asyncio.run(test())
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -16,7 +16,7 @@
 from martenstep.config import door_pb2 as pb
 from martenstep.config.loading import parse_door
 from martenstep.config.text_format import SettingsError
-from martenstep.lab.fleet.rig import ask
+from martenstep.lab.fleet.rig import fetch_admin_json
 from martenstep.membership import identity
 from martenstep.membership.keyring import KeyFileError, read_keyring
 from martenstep.membership.member import MemberState
@@ -190,8 +190,8 @@
         assert (
             result.exit_code == 0 and "d0 is joined; 2 of 2 present" in result.output and "d1    alive" in result.output
         )
-        status = await ask(port, "/members")
-        waiting = asyncio.create_task(ask(port, f"/members?after={status['version']}&wait_ms=4000"))
+        status = await fetch_admin_json(port, "/members")
+        waiting = asyncio.create_task(fetch_admin_json(port, f"/members?after={status['version']}&wait_ms=4000"))
         left = await asyncio.to_thread(CliRunner().invoke, cli, ["members", "leave", "--admin", address])
         assert left.output == "d0 is gone\n"
         assert (await waiting)["version"] > status["version"]
@@ -207,7 +207,7 @@
             ("/members/leave", 405),
         ):
             with pytest.raises(ValueError, match=str(code)):
-                await ask(port, path)
+                await fetch_admin_json(port, path)
         admin.stop()
         await cluster.stop()
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from martenstep.lab.fleet.groups import BrokenError, Group, Plan
+from martenstep.lab.fleet.groups import FaultPlan, GroupSimulation, InvariantError
 from martenstep.replication.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -323,7 +323,7 @@
 @pytest.mark.parametrize("replicas", [3, 5])
 @pytest.mark.parametrize("seed", range(6))
 def test_simulation_with_all_faults_breaks_no_rule(replicas: int, seed: int) -> None:
-    counts = Group(Plan(replicas, lost_disks=replicas // 2), seed).play()
+    counts = GroupSimulation(FaultPlan(replicas, lost_disks=replicas // 2), seed).run()
     assert counts["told"] > 20 and counts["reads"]
 
 
@@ -334,10 +334,10 @@
 def test_checker_detects_flaws_in_simulations(flaw: NodeFactory, seeds: range) -> None:
     found = []
     for seed in seeds:
-        Group(Plan(faults=25), seed).play()
+        GroupSimulation(FaultPlan(faults=25), seed).run()
         try:
-            Group(Plan(faults=25), seed, flaw).play()
-        except (BrokenError, AssertionError) as error:
+            GroupSimulation(FaultPlan(faults=25), seed, flaw).run()
+        except (InvariantError, AssertionError) as error:
             found.append(str(error))
             break
     assert found
