--- a/martenstep/lab/fleet/rig.py
+++ b/martenstep/lab/fleet/rig.py
@@ -85,20 +85,20 @@
     schedule: pb.Schedule, place: Place, number: int, seeds: list[Address], key_file: Path, feed_port: int, record: Path
 ) -> cfg.Door:
     """Return the settings of one gateway: the required ones, and its membership."""
-    door = cfg.Door(
+    gateway = cfg.Door(
         name=place.member.name,
         instance=number,
         instances=max(schedule.members, number + 1),
         zone=place.member.zone,
         default_plan="open",
     )
-    door.listener.port = door.admin.port = 0
-    door.members.port = feed_port
-    getattr(door, "class").add(name="read", aim_ms=1000, deadline_ms=4000)
-    door.plan.add(name="open")
-    route = door.route.add(name="all", path_prefix="/", customer_header="x-customer")
+    gateway.listener.port = gateway.admin.port = 0
+    gateway.members.port = feed_port
+    getattr(gateway, "class").add(name="read", aim_ms=1000, deadline_ms=4000)
+    gateway.plan.add(name="open")
+    route = gateway.route.add(name="all", path_prefix="/", customer_header="x-customer")
     setattr(route, "class", "read")
-    fleet = door.fleet
+    fleet = gateway.fleet
     fleet.cluster, fleet.key_file, fleet.record = "rig", str(key_file), str(record)
     fleet.host, fleet.port = place.address
     fleet.directory = str(place.disk)
@@ -110,23 +110,23 @@
         way = fleet.way.add()
         way.to.host, way.to.port = target
         way.through.host, way.through.port = relay
-    return door
+    return gateway
 
 
 def configure_replication(
-    door: cfg.Door, schedule: pb.Schedule, place: Place, ports: tuple[int, int], founders: dict[str, int]
+    gateway: cfg.Door, schedule: pb.Schedule, place: Place, ports: tuple[int, int], founders: dict[str, int]
 ) -> None:
     """Add to the settings of a gateway that it holds replicas and serves the counter."""
-    copies = door.copies
+    copies = gateway.copies
     copies.directory, copies.witness = str(place.replicas), str(place.witness)
     copies.port, copies.counter_port = ports
     copies.slots, copies.count, copies.final_ms = schedule.slots, schedule.copies, schedule.final_ms
     for name, disk in founders.items():
         copies.founder.add(door=name, disk=disk)
     if schedule.maintenance:
-        door.maintenance.capacity = 1.0
-    door.counter.held_by_doors = True
-    door.counter.journal = str(place.disk / "journal")
+        gateway.maintenance.capacity = 1.0
+    gateway.counter.held_by_doors = True
+    gateway.counter.journal = str(place.disk / "journal")
 
 
 async def fetch_admin_json(port: int, path: str, method: str = "GET") -> dict[str, Any]:
