--- a/martenstep/cli/lab.py
+++ b/martenstep/cli/lab.py
@@ -48,7 +48,7 @@
         if as_json:
             click.echo(msgspec.json.encode(result))
         else:
-            click.echo(report.table(result))
+            click.echo(report.format_table(result))
             click.echo(f"emulated in {time.perf_counter() - begin:.1f} s, {result['events']} events\n")
     sys.exit(0 if kept else EXIT_VIOLATION)
 
--- a/martenstep/cli/scenarios.py
+++ b/martenstep/cli/scenarios.py
@@ -25,12 +25,12 @@
     from martenstep.lab import report
 
     try:
-        result = report.judge_folder(folder)
+        result = report.check_folder(folder)
     except report.TraceError as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_USAGE)
     report.write_result(folder, result)
-    click.echo(report.table(result))
+    click.echo(report.format_table(result))
     sys.exit(0 if result["kept"] else EXIT_VIOLATION)
 
 
--- a/martenstep/lab/emulate/match.py
+++ b/martenstep/lab/emulate/match.py
@@ -8,8 +8,8 @@
 from martenstep.lab.day import load_day
 from martenstep.lab.emulate.judged import traffic_of
 from martenstep.lab.emulate.world import World
-from martenstep.lab.measures import summary
-from martenstep.lab.report import figures, judged_traffic
+from martenstep.lab.measures import comparable_figures
+from martenstep.lab.report import check_traces, figures
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,8 +51,8 @@
 def match(folder: Path) -> list[Pair]:
     """A played day's figures beside those of its emulation; raises SettingsError, TraceError, NotEmulatedError."""
     day = load_day(folder / "day.txtpb")
-    traffic, _ = judged_traffic(folder, day)
-    played = summary(day, traffic, figures(day, traffic))
+    traffic, _ = check_traces(folder, day)
+    played = comparable_figures(day, traffic, figures(day, traffic))
     made = traffic_of(World(day).play())
-    emulated = summary(day, made, figures(day, made))
+    emulated = comparable_figures(day, made, figures(day, made))
     return [Pair(name, played[name], emulated[name]) for name in TOLERANCES]
--- a/martenstep/lab/experiment/run.py
+++ b/martenstep/lab/experiment/run.py
@@ -23,10 +23,10 @@
 from martenstep.lab.emulate.world import World
 from martenstep.lab.experiment.plan import runs_of
 from martenstep.lab.experiment.pool import workers as made_workers
-from martenstep.lab.measures import summary
+from martenstep.lab.measures import comparable_figures
 from martenstep.lab.play import play_day
-from martenstep.lab.report import figures, judged_traffic
-from martenstep.lab.rules import Judge
+from martenstep.lab.report import check_traces, figures
+from martenstep.lab.rules import InvariantChecker
 
 JOURNAL, RESULT, PLAN = "rows.jsonl", "result.parquet", "plan.txtpb"
 ROOT = Path(__file__).resolve().parents[3]
@@ -54,8 +54,8 @@
     begin = time.perf_counter()
     world = World(day, seed)
     traffic = traffic_of(world.play())
-    told = summary(day, traffic, figures(day, traffic))
-    breaches = Judge(day, traffic).all()
+    told = comparable_figures(day, traffic, figures(day, traffic))
+    breaches = InvariantChecker(day, traffic).violations()
     tries = max(len(traffic.tries), 1)
     return {
         **told,
@@ -72,8 +72,8 @@
     """Play one day on loopback sockets; gives the same figures.  Raises PlayError."""
     begin = time.perf_counter()
     asyncio.run(play_day(day, folder, lambda part, what: None))
-    traffic, breaches = judged_traffic(folder, day)
-    told = summary(day, traffic, figures(day, traffic))
+    traffic, breaches = check_traces(folder, day)
+    told = comparable_figures(day, traffic, figures(day, traffic))
     return {
         **told,
         "breaches": float(len(breaches)),
--- a/martenstep/lab/held.py
+++ b/martenstep/lab/held.py
@@ -68,7 +68,7 @@
         shutil.rmtree(self._out / f"witness-{number}", ignore_errors=True)
 
 
-def recorded_tries(out: Path) -> list[tuple[str, str, float]]:
+def recorded_client_tries(out: Path) -> list[tuple[str, str, float]]:
     """Request, customer and units of each try that the doors' counter recorded, from the furthest copy of each slot.
     Raises LockedError where a door still runs, OSError."""
     found = [
--- a/martenstep/lab/measures.py
+++ b/martenstep/lab/measures.py
@@ -1,4 +1,5 @@
-"""Figures of a day beyond its counts: how well the fleet kept each customer to its plan, as one bucket would have."""
+"""Compares a scenario's traffic with an ideal limiter: how far the fleet kept each customer to its plan, as a single
+token bucket would have done."""
 
 from __future__ import annotations
 
@@ -6,66 +7,73 @@
 from dataclasses import dataclass
 
 from martenstep.lab import day_pb2 as pb
-from martenstep.lab.rules import Traffic, Try
+from martenstep.lab.rules import ClientTry, Traffic
 
-ROOM_SHARE = 0.1  # of the burst, that must be free besides: at the edge a millisecond decides
+# Share of the burst that the bucket must hold beyond the request to count as headroom: without this margin, a
+# millisecond more or less would decide.
+HEADROOM_MARGIN = 0.1
 QUOTA_REASONS = ("quota", "unheard")
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaUse:
-    """Units against one bucket for each customer, fed with all that was sent on for it."""
+    """Units of all customers, measured against one token bucket for each of them."""
 
-    sent: float
-    over: float  # units sent on while the one bucket was empty
+    forwarded: float
+    excess: float  # units forwarded while the bucket was empty
     refused: float  # units refused for the quota
-    with_room: float  # of those, while the one bucket had room
+    refused_with_headroom: float  # units refused for the quota while the bucket had headroom
 
 
 def quota_use(day: pb.Day, traffic: Traffic) -> QuotaUse:
-    """Replays each customer's bucket: filled at its plan's rate up to its burst, drained by each try as it reaches its
-    first server.  What it lacks for a try is over; it is not paid back, so that one excess is counted once."""
+    """Replay each customer's bucket: it is filled at the plan's rate up to the burst, and drained by each try when its
+    first attempt reaches a server.  What it lacks for a try is excess; it is not carried over as a debt, so that each
+    excess is counted once."""
     plans = {plan.name: plan for plan in day.plan}
-    by_customer: dict[str, list[tuple[float, bool, Try]]] = defaultdict(list)
-    for tried in traffic.tries.values():
-        if tried.visits:
-            by_customer[tried.customer].append((min(visit.at for visit in tried.visits), True, tried))
-        elif tried.ends and tried.ends[0].get("reason") in QUOTA_REASONS:
-            by_customer[tried.customer].append((tried.ends[0]["t"], False, tried))
-    sent = over = refused = with_room = 0.0
+    by_customer: dict[str, list[tuple[float, bool, ClientTry]]] = defaultdict(list)
+    for client_try in traffic.tries.values():
+        if client_try.attempts:
+            by_customer[client_try.customer].append(
+                (min(attempt.at for attempt in client_try.attempts), True, client_try)
+            )
+        elif client_try.ends and client_try.ends[0].get("reason") in QUOTA_REASONS:
+            by_customer[client_try.customer].append((client_try.ends[0]["t"], False, client_try))
+    forwarded = excess = refused = refused_with_headroom = 0.0
     for customer, events in by_customer.items():
         plan = plans[customer.rpartition("-")[0].rpartition("-")[0]]
         if plan.rate <= 0:
             continue
         level, at = plan.burst, -1e18
-        for when, went, tried in sorted(events, key=lambda event: event[0]):
+        for when, was_forwarded, client_try in sorted(events, key=lambda event: event[0]):
             level, at = min(level + (when - at) * plan.rate / 1000.0, plan.burst), when
-            if went:
-                sent += tried.units
-                over += max(tried.units - level, 0.0)
-                level = max(level - tried.units, 0.0)
+            if was_forwarded:
+                forwarded += client_try.units
+                excess += max(client_try.units - level, 0.0)
+                level = max(level - client_try.units, 0.0)
             else:
-                refused += tried.units
-                with_room += tried.units if level >= tried.units + ROOM_SHARE * plan.burst else 0.0
-    return QuotaUse(sent, over, refused, with_room)
+                refused += client_try.units
+                refused_with_headroom += (
+                    client_try.units if level >= client_try.units + HEADROOM_MARGIN * plan.burst else 0.0
+                )
+    return QuotaUse(forwarded, excess, refused, refused_with_headroom)
 
 
-def summary(day: pb.Day, traffic: Traffic, figures: dict[str, object]) -> dict[str, float]:
-    """The figures that two runs of one day are compared by, as shares where that makes them comparable."""
-    told: dict[str, float] = {}
+def comparable_figures(day: pb.Day, traffic: Traffic, figures: dict[str, object]) -> dict[str, float]:
+    """The figures by which two runs of one scenario are compared, as shares where that makes them comparable."""
+    comparable: dict[str, float] = {}
     tries = max(int(str(figures["tries"])), 1)
     requests = max(int(str(figures["requests"])), 1)
     use = quota_use(day, traffic)
     refused = figures["refused"]
     otherwise = figures["otherwise"]
     assert isinstance(refused, dict) and isinstance(otherwise, dict)
-    told["requests_served"] = int(str(figures["requests_served"])) / requests
-    told["tries_a_request"] = tries / requests
-    told["tries_refused"] = sum(refused.values()) / tries
-    told["tries_otherwise"] = sum(otherwise.values()) / tries
-    told["attempts_a_sent"] = float(str(figures["attempts"])) / max(float(str(figures["sent_on"])), 1.0)
+    comparable["requests_served"] = int(str(figures["requests_served"])) / requests
+    comparable["tries_a_request"] = tries / requests
+    comparable["tries_refused"] = sum(refused.values()) / tries
+    comparable["tries_otherwise"] = sum(otherwise.values()) / tries
+    comparable["attempts_a_sent"] = float(str(figures["attempts"])) / max(float(str(figures["sent_on"])), 1.0)
     for name in ("p50_ms", "p99_ms"):
-        told[name] = float(str(figures[name] or 0.0))
-    told["over_share"] = use.over / use.sent if use.sent else 0.0
-    told["with_room_share"] = use.with_room / use.refused if use.refused else 0.0
-    return told
+        comparable[name] = float(str(figures[name] or 0.0))
+    comparable["over_share"] = use.excess / use.forwarded if use.forwarded else 0.0
+    comparable["with_room_share"] = use.refused_with_headroom / use.refused if use.refused else 0.0
+    return comparable
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -180,7 +180,7 @@
     )
     world = World(day)
     traffic = traffic_of(world.play())
-    served = sum(bool(tried.visits) for tried in traffic.tries.values())
+    served = sum(bool(tried.attempts) for tried in traffic.tries.values())
     assert 8 + 4 * 5 - 2 <= served <= 8 + 4 * 5 + 1
 
 
@@ -389,7 +389,7 @@
 def sent_units(day: pb.Day) -> float:
     """Units that reached servers."""
     traffic = traffic_of(World(day).play())
-    return sum(tried.units for tried in traffic.tries.values() if tried.visits)
+    return sum(tried.units for tried in traffic.tries.values() if tried.attempts)
 
 
 def test_other_limiters_do_what_they_say() -> None:
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -19,7 +19,7 @@
 from martenstep.lab.experiment.report import write
 from martenstep.lab.experiment.search import Found, search, shrink
 from martenstep.lab.measures import quota_use
-from martenstep.lab.rules import Traffic, Try, Visit
+from martenstep.lab.rules import ClientTry, ServerAttempt, Traffic
 from tests.test_emulate import SMALL
 
 PLANS = Path(__file__).resolve().parent.parent / "plans"
@@ -164,9 +164,9 @@
     traffic = Traffic()
 
     def tried(rid: str, at: float, sent: bool) -> None:
-        made = traffic.tries[rid] = Try(rid, 0, "basic-0-1", "read", 1.0, at, 1000.0)
+        made = traffic.tries[rid] = ClientTry(rid, 0, "basic-0-1", "read", 1.0, at, 1000.0)
         if sent:
-            made.visits.append(Visit(rid, 0, 1, "door-0", "", at))
+            made.attempts.append(ServerAttempt(rid, 0, 1, "door-0", "", at))
         else:
             made.ends.append({"what": "answer", "t": at, "status": 429, "reason": "quota"})
 
@@ -175,7 +175,7 @@
     tried("b", 1500.0, False)  # half a unit is there: no room
     tried("c", 4000.0, False)  # full again
     use = quota_use(day, traffic)
-    assert (use.sent, use.over, use.refused, use.with_room) == (4.0, 2.0, 2.0, 1.0)
+    assert (use.forwarded, use.excess, use.refused, use.refused_with_headroom) == (4.0, 2.0, 2.0, 1.0)
 
 
 def test_the_search_finds_the_worst_and_shrinks_it_to_what_matters() -> None:
--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -275,6 +275,6 @@
 
 
 def test_the_fields_of_a_breach_in_a_result() -> None:
-    breach = rules.Breach("a", "b", "c", (1,), (2.0,))
+    breach = rules.Violation("a", "b", "c", (1,), (2.0,))
     written = json.dumps(msgspec.to_builtins(breach))
     assert written == '{"rule": "a", "text": "b", "rid": "c", "servers": [1], "times": [2.0]}'
--- a/tests/test_rule_counted.py
+++ b/tests/test_rule_counted.py
@@ -1,4 +1,4 @@
-"""The rule on the store's counts, on made traces: kept where it is, and found on each seeded breach."""
+"""The checker of the store's totals reports each seeded violation and reports nothing on traces without one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from martenstep.lab.rules import COUNTED, Traffic, counted
+from martenstep.lab.rules import COUNTED, Traffic, check_counted
 
 Line = dict[str, Any]
 
@@ -16,7 +16,7 @@
     t: float,
     door: str,
     version: int,
-    own: float,
+    gateway_sum: float,
     total: float,
     key: str = "k",
     until: float = 90_000.0,
@@ -28,7 +28,7 @@
         "key": key,
         "door": f"{door}:1",
         "version": version,
-        "sum": own,
+        "sum": gateway_sum,
         "total": total,
         "until": until,
         "node": node,
@@ -45,7 +45,7 @@
     }
 
 
-def good() -> list[Line]:
+def valid_lines() -> list[Line]:
     return [
         stated(1, "door-0", 1, 2.0, 2.0),
         stated(2, "door-1", 1, 3.0, 5.0),
@@ -55,27 +55,27 @@
 
 
 def texts(lines: list[Line], traffic: Traffic | None = None) -> list[str]:
-    found = list(counted(traffic or Traffic(), lines, 60.0))
-    assert all(breach.rule == COUNTED for breach in found)
-    return [breach.text for breach in found]
+    found = list(check_counted(traffic or Traffic(), lines, 60.0))
+    assert all(violation.rule == COUNTED for violation in found)
+    return [violation.text for violation in found]
 
 
-def test_sums_that_add_up_are_no_breach() -> None:
-    assert texts(good()) == []
+def test_totals_that_match_the_sums_are_accepted() -> None:
+    assert texts(valid_lines()) == []
 
 
-def test_a_store_that_was_emptied_and_told_again_is_no_breach() -> None:
+def test_a_store_that_was_emptied_and_refilled_is_accepted() -> None:
     lines = [
-        *good()[:3],
+        *valid_lines()[:3],
         {"t": 4, "what": "control", "do": "restart"},
         stated(5, "door-0", 2, 4.0, 4.0),
         stated(6, "door-1", 1, 3.0, 7.0),
-        good()[3],
+        valid_lines()[3],
     ]
     assert texts(lines) == []
 
 
-def test_a_name_that_expired_begins_anew() -> None:
+def test_a_key_that_expired_starts_at_zero() -> None:
     assert (
         texts(
             [
@@ -88,52 +88,52 @@
     )
 
 
-def test_what_a_killed_door_had_added_may_be_lost() -> None:
+def test_units_added_by_a_killed_gateway_may_be_lost() -> None:
     traffic = Traffic()
-    traffic.down[1].append((2.0, 9.0))
-    lines = [*good()[:3], held("4", door_0="2 4")]
+    traffic.kills[1].append((2.0, 9.0))
+    lines = [*valid_lines()[:3], held("4", door_0="2 4")]
     assert texts(lines, traffic) == [] and len(texts(lines)) == 1
 
 
-def _twice(lines: list[Line]) -> None:
+def _total_counts_twice(lines: list[Line]) -> None:
     lines[2]["total"] = 9.0
 
 
-def _wrong_end(lines: list[Line]) -> None:
+def _wrong_final_total(lines: list[Line]) -> None:
     lines[3]["fields"]["t"] = "9"
 
 
-def _lost(lines: list[Line]) -> None:
+def _sum_missing(lines: list[Line]) -> None:
     del lines[3]["fields"]["door-1:1"]
     lines[3]["fields"]["t"] = "4"
 
 
-def _older(lines: list[Line]) -> None:
+def _older_version(lines: list[Line]) -> None:
     lines[3]["fields"] |= {"door-0:1": "1 2", "t": "5"}
 
 
-def _gone(lines: list[Line]) -> None:
+def _key_missing(lines: list[Line]) -> None:
     del lines[3]
     lines.append({"t": 1000, "what": "control", "do": "state"})
 
 
 @pytest.mark.parametrize(
-    ("breach", "told"),
+    ("seed_violation", "expected"),
     [
-        (_twice, ["k holds 9, and its doors stated 7"]),
-        (_wrong_end, ["at the end k holds 9, and its doors' sums are 7"]),
-        (_lost, ["door-1:1 stated 3 for k, and at the end it holds 0"]),
-        (_older, ["door-0:1 stated 4 for k, and at the end it holds 2"]),
+        (_total_counts_twice, ["k holds 9, and its gateways wrote 7"]),
+        (_wrong_final_total, ["at the end k holds 9, and its gateways' sums are 7"]),
+        (_sum_missing, ["door-1:1 wrote 3 for k, and at the end it holds 0"]),
+        (_older_version, ["door-0:1 wrote 4 for k, and at the end it holds 2"]),
         (
-            _gone,
+            _key_missing,
             [
-                "door-0:1 stated 4 for k, and at the end it holds 0",
-                "door-1:1 stated 3 for k, and at the end it holds 0",
+                "door-0:1 wrote 4 for k, and at the end it holds 0",
+                "door-1:1 wrote 3 for k, and at the end it holds 0",
             ],
         ),
     ],
 )
-def test_each_breach_is_found(breach: Callable[[list[Line]], None], told: list[str]) -> None:
-    lines = good()
-    breach(lines)
-    assert sorted(texts(lines)) == told
+def test_each_violation_is_reported(seed_violation: Callable[[list[Line]], None], expected: list[str]) -> None:
+    lines = valid_lines()
+    seed_violation(lines)
+    assert sorted(texts(lines)) == expected
--- a/tests/test_usage_recording.py
+++ b/tests/test_usage_recording.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martenstep.lab.rules import Traffic, Try, Visit, recorded
+from martenstep.lab.rules import ClientTry, ServerAttempt, Traffic, check_recorded
 from martenstep.proxy import engine_messages as ev
 from tests.socket_rig import Peer, request_head, run, running_gateway
 from tests.test_proxy_sockets import echo_target
@@ -80,9 +80,9 @@
 
 
 def test_the_checker_requires_records_of_requests_answered_before_their_gateway_was_lost() -> None:
-    def forwarded(rid: str, answered_at: float | None) -> Try:
-        request = Try(rid, 0, "ada", "read", 1.0, 100.0, 4000.0)
-        request.visits.append(Visit(rid, 0, 1, "door-0", "", 110.0))
+    def forwarded(rid: str, answered_at: float | None) -> ClientTry:
+        request = ClientTry(rid, 0, "ada", "read", 1.0, 100.0, 4000.0)
+        request.attempts.append(ServerAttempt(rid, 0, 1, "door-0", "", 110.0))
         if answered_at is not None:
             request.ends.append({"what": "answer", "status": 200, "t": answered_at})
         return request
@@ -90,7 +90,7 @@
     traffic = Traffic(
         tries={one.rid: one for one in (forwarded("r1", 150.0), forwarded("r2", None), forwarded("r3", 250.0))}
     )
-    assert [breach.text for breach in recorded(traffic, [])] == ["reached a server, and is not recorded"] * 3
-    traffic.lost[0].append(200.0)
-    assert len(list(recorded(traffic, []))) == 1  # only r1 was answered before its gateway was lost
-    assert list(recorded(traffic, [("r1", "ada", 1.0)])) == []
+    assert [breach.text for breach in check_recorded(traffic, [])] == ["reached a server, and is not recorded"] * 3
+    traffic.disk_losses[0].append(200.0)
+    assert len(list(check_recorded(traffic, []))) == 1  # only r1 was answered before its gateway was lost
+    assert list(check_recorded(traffic, [("r1", "ada", 1.0)])) == []
