--- a/bench/copies_explore.py
+++ b/bench/copies_explore.py
@@ -13,9 +13,9 @@
 
 import click
 
-from martenstep.lab.explore import BreachError, Budget, Explorer
+from martenstep.lab.explore import Budget, Explorer, InvariantError
 
-NONE = {"beats": 0, "commands": 0, "crashes": 0, "cuts": 0}
+NONE = {"heartbeats": 0, "commands": 0, "crashes": 0, "cuts": 0}
 WORLDS = [
     Budget(**{**NONE, **told})
     for told in (
@@ -23,14 +23,14 @@
         {"timeouts": 1, "commands": 2, "crashes": 1},
         {"timeouts": 1, "commands": 2, "lost": 1},
         {"timeouts": 1, "commands": 2, "cuts": 1},
-        {"timeouts": 1, "commands": 2, "beats": 1},
+        {"timeouts": 1, "commands": 2, "heartbeats": 1},
         {"timeouts": 2, "commands": 1},
         {"timeouts": 2, "crashes": 1},
-        {"timeouts": 2, "old": 1},
+        {"timeouts": 2, "reverted": 1},
         {"timeouts": 2, "cuts": 1},
         {"timeouts": 2, "commands": 1, "lost": 1},
         {"timeouts": 2, "commands": 1, "crashes": 1},
-        {"timeouts": 2, "commands": 1, "old": 1},
+        {"timeouts": 2, "commands": 1, "reverted": 1},
         {"timeouts": 2, "commands": 1, "cuts": 1},
         {"timeouts": 2, "commands": 2},
         {"timeouts": 2, "commands": 2, "lost": 1, "cuts": 1},
@@ -44,7 +44,7 @@
     explorer, begin, breach, whole = Explorer(budget), time.perf_counter(), "", False
     try:
         whole = explorer.run(most)
-    except BreachError as error:
+    except InvariantError as error:
         breach = str(error)
     return budget, whole, breach, explorer.states, explorer.events, time.perf_counter() - begin
 
--- a/bench/copies_rate.py
+++ b/bench/copies_rate.py
@@ -20,8 +20,8 @@
 import numpy as np
 
 from martenstep.counter.protocol import Add, FrameDecoder, Hello, Status, TotalReply, decode, encode
-from martenstep.lab.copies import Copies, started
-from martenstep.lab.ports import held_ports
+from martenstep.lab.copies import CounterReplicas, start_counter
+from martenstep.lab.ports import reserve_ports
 
 MEMORY = "/dev/shm" if Path("/dev/shm").is_dir() else None  # for witnesses, as in service
 ASKERS = 4  # processes that ask, so that what is measured is not theirs
@@ -73,10 +73,10 @@
 
 @contextlib.asynccontextmanager
 async def _single(folder: Path) -> AsyncIterator[int]:
-    [port] = held_ports(1)
+    [port] = reserve_ports(1)
     file = folder / "single.txtpb"
     file.write_text(f'name: "c" port: {port} log {{ directory: "{folder}/log" }}')
-    process, _ = await started(file)
+    process, _ = await start_counter(file)
     try:
         yield port
     finally:
@@ -90,40 +90,40 @@
             click.echo(f"one service, {ASKERS} x {out} out: {await _load(port, out, seconds)}")
     for count in (1, 3, 5):
         with tempfile.TemporaryDirectory() as folder, tempfile.TemporaryDirectory(dir=MEMORY) as memory:
-            copies = Copies(Path(folder), count, Path(memory))
+            copies = CounterReplicas(Path(folder), count, Path(memory))
             await copies.start_all()
             try:
-                leader, _ = await copies.leader()
+                leader, _ = await copies.wait_for_leader()
                 told = await _load(copies.ports[leader], out, seconds)
                 click.echo(f"{count} copies,    {ASKERS} x {out} out: {told}")
             finally:
                 await copies.stop()
 
 
-async def _one_add(copies: Copies, sequence: int, epoch: int) -> None:
+async def _one_add(copies: CounterReplicas, sequence: int, epoch: int) -> None:
     """Return once an add is acknowledged, by whichever copy."""
     while True:
         for number in list(copies.running):
-            if await copies.ask(number, Hello("asker", epoch), Add(sequence, 7, 1.0, 3.6e6), 0.5) is not None:
+            if await copies.read_total(number, Hello("asker", epoch), Add(sequence, 7, 1.0, 3.6e6), 0.5) is not None:
                 return
         await asyncio.sleep(0.01)
 
 
 async def _failovers(times: int) -> None:
     with tempfile.TemporaryDirectory() as folder, tempfile.TemporaryDirectory(dir=MEMORY) as memory:
-        copies = Copies(Path(folder), 3, Path(memory))
+        copies = CounterReplicas(Path(folder), 3, Path(memory))
         await copies.start_all()
         away, epoch = [], int(time.time() * 1000)
         try:
             for number in range(1, times + 1):
-                leader, _ = await copies.leader()
+                leader, _ = await copies.wait_for_leader()
                 begin = time.perf_counter()
                 await copies.kill(leader)
                 await _one_add(copies, number, epoch)
                 away.append((time.perf_counter() - begin) * 1000)
                 await copies.start(leader)
                 await asyncio.sleep(0.5)  # it is caught up
-            _, total = await copies.leader()
+            _, total = await copies.wait_for_leader()
         finally:
             await copies.stop()
     p50, p99 = np.percentile(away, [50, 99])
--- a/bench/rolling_upgrade.py
+++ b/bench/rolling_upgrade.py
@@ -23,7 +23,7 @@
 from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.protocol import FrameDecoder, Hello, Read, TotalReply, decode, encode
-from martenstep.lab.copies import Copies
+from martenstep.lab.copies import CounterReplicas
 from martenstep.policy.messages import CallResult
 
 REPLICAS = 3
@@ -59,7 +59,7 @@
     return done.stdout
 
 
-class Replicas(Copies):
+class Replicas(CounterReplicas):
     """Replicas whose processes each run the text of a stated checkout."""
 
     def __init__(self, folder: Path, checkout: Path) -> None:
--- a/martenstep/cli/fleet.py
+++ b/martenstep/cli/fleet.py
@@ -57,7 +57,7 @@
     from martenstep.lab.fleet.judge import judge
     from martenstep.lab.fleet.rig import play_rig
     from martenstep.lab.fleet.schedule import load_schedule
-    from martenstep.lab.play import PlayError
+    from martenstep.lab.play import ScenarioRunError
 
     try:
         schedule = load_schedule(file)
@@ -67,7 +67,7 @@
         signal.signal(number, signal.default_int_handler)
     try:
         records, ready_s = asyncio.run(play_rig(schedule, seed, out))
-    except (PlayError, OSError) as error:
+    except (ScenarioRunError, OSError) as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(1)
     except KeyboardInterrupt:
--- a/martenstep/cli/lab.py
+++ b/martenstep/cli/lab.py
@@ -30,7 +30,7 @@
 def emulate(files: tuple[Path, ...], seed: int | None, as_json: bool) -> None:
     """Run the scenarios of FILES in virtual time and check them; exit 3 where an invariant is violated."""
     from martenstep.lab import report
-    from martenstep.lab.day import load_day
+    from martenstep.lab.day import load_scenario
     from martenstep.lab.emulate import judged
     from martenstep.lab.emulate.world import NotEmulatedError
 
@@ -38,7 +38,7 @@
     for file in files:
         begin = time.perf_counter()
         try:
-            result = judged.emulate(load_day(file), seed)
+            result = judged.emulate(load_scenario(file), seed)
         except SettingsError as error:
             exit_with_problems(error)
         except NotEmulatedError as error:
@@ -74,7 +74,7 @@
     from martenstep.config.loading import read_text
     from martenstep.lab.experiment.plan import load_plan
     from martenstep.lab.experiment.run import RunError, load_result, run_plan
-    from martenstep.lab.play import PlayError
+    from martenstep.lab.play import ScenarioRunError
 
     try:
         made = load_plan(plan)
@@ -84,7 +84,7 @@
         rows, _ = load_result(file)
     except SettingsError as error:
         exit_with_problems(error)
-    except (RunError, PlayError, OSError) as error:
+    except (RunError, ScenarioRunError, OSError) as error:
         raise click.UsageError(str(error)) from None
     broken = [row for row in rows if row["broken"]]
     click.echo(f"{file}: {len(rows)} runs, {len(broken)} of them broke a rule")
@@ -163,12 +163,12 @@
     from google.protobuf import text_format
 
     from martenstep.lab import day_pb2
-    from martenstep.lab.day import load_day
+    from martenstep.lab.day import load_scenario
     from martenstep.lab.experiment import search as searching
     from martenstep.lab.experiment.run import measure
 
     try:
-        base = load_day(day)
+        base = load_scenario(day)
     except SettingsError as error:
         exit_with_problems(error)
 
--- a/martenstep/cli/load.py
+++ b/martenstep/cli/load.py
@@ -11,7 +11,7 @@
 from martenstep.cli.common import example
 
 if TYPE_CHECKING:
-    from martenstep.lab.load import Result
+    from martenstep.lab.load import LoadResult
 
 
 @click.command("load", epilog=example("martenstep load 8080 --path /read/1 --rate 500 --seconds 10"))
@@ -58,14 +58,14 @@
     """Load the gateway at PORT and tell times from each request's own moment.  Exit 1 where a request failed."""
     from martenstep.lab import load as loading
 
-    target = loading.Aim(host, port, paths, _parse_headers(headers), customers)
+    target = loading.LoadTarget(host, port, paths, _parse_headers(headers), customers)
     try:
-        loading.allowed(host, anywhere)
-        loading.bounded(max_rate if until_p99 else rate, seconds)
+        loading.check_host(host, anywhere)
+        loading.check_bounds(max_rate if until_p99 else rate, seconds)
         if until_p99 is None:
             steps = [(rate, True, loading.load(target, rate, seconds, processes))]
         else:
-            steps = loading.highest(
+            steps = loading.find_highest_rate(
                 lambda at: loading.load(target, at, seconds, processes), rate, max_rate, until_p99, failures, 20
             )
     except loading.LoadError as error:
@@ -76,7 +76,7 @@
         click.echo(f"\nhighest with p99 below {until_p99:g} ms: {best:.0f} a second")
         sys.exit(0 if best else 1)
     result = steps[0][2]
-    sys.exit(0 if result.good == sum(result.answers.values()) else 1)
+    sys.exit(0 if result.successes == sum(result.answers.values()) else 1)
 
 
 def _parse_headers(headers: tuple[str, ...]) -> tuple[tuple[str, str], ...]:
@@ -90,7 +90,7 @@
     return tuple(pairs)
 
 
-def _print_steps(steps: Sequence[tuple[float, bool, Result]]) -> None:
+def _print_steps(steps: Sequence[tuple[float, bool, LoadResult]]) -> None:
     """Print a table with a row for each rate: the rate, whether it was sustained, and its figures."""
     click.echo(
         "| requests a second | p50 | p90 | p99 | p99.9 | longest | sent late by | answers |\n"
@@ -98,5 +98,5 @@
     )
     for at, held, result in steps:
         answers = ", ".join(f"{what} {count}" for what, count in sorted(result.answers.items()))
-        cells = " | ".join(f"{result.ms(part):.1f}" for part in (50, 90, 99, 99.9, 100))
+        cells = " | ".join(f"{result.percentile_ms(part):.1f}" for part in (50, 90, 99, 99.9, 100))
         click.echo(f"| {at:.0f}{'' if held else ' (too much)'} | {cells} | {result.late_ms:.1f} | {answers} |")
--- a/martenstep/cli/scenarios.py
+++ b/martenstep/cli/scenarios.py
@@ -39,11 +39,11 @@
 @click.option("--out", type=FILE, required=True, help="Folder for traces, logs and result.json.")
 def run(file: Path, out: Path) -> None:
     """Run the scenario in FILE and check it; exit 3 where an invariant is violated."""
-    from martenstep.lab.day import load_day
-    from martenstep.lab.play import PlayError, play_day
+    from martenstep.lab.day import load_scenario
+    from martenstep.lab.play import ScenarioRunError, run_scenario
 
     try:
-        loaded = load_day(file)
+        loaded = load_scenario(file)
     except SettingsError as error:
         exit_with_problems(error)
     bar = _ProgressBar(loaded.name)
@@ -51,8 +51,8 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, signal.default_int_handler)
     try:
-        asyncio.run(play_day(loaded, out, bar.move))
-    except (PlayError, OSError) as error:
+        asyncio.run(run_scenario(loaded, out, bar.move))
+    except (ScenarioRunError, OSError) as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(1)
     except KeyboardInterrupt:
@@ -79,11 +79,11 @@
     """Turn a bench run's tap into a day of the same kinds of trouble, scaled down; writes it to standard output."""
     from google.protobuf import text_format
 
-    from martenstep.lab.tap import TapError, day_from
+    from martenstep.lab.tap import TapError, scenario_from_tap
 
     try:
         with tap.open(encoding="utf-8") as lines:
-            made = day_from(lines, tap.stem, rate, servers, gateways)
+            made = scenario_from_tap(lines, tap.stem, rate, servers, gateways)
     except (OSError, TapError, UnicodeDecodeError) as error:
         click.echo(f"{tap}: {error}", err=True)
         sys.exit(EXIT_USAGE)
--- a/martenstep/lab/__init__.py
+++ b/martenstep/lab/__init__.py
@@ -1,5 +1,5 @@
-"""Days, load, traces, the rule checker and reports.
+"""Scripted failure scenarios: fleets of gateways with fakes of all outside systems, traces, checkers and reports.
 
-May live here: what plays a day against real processes, what judges it from the traffic alone, and its tables.
-May not: decisions of the door.
+May live here: what runs a scenario with real processes, what checks invariants from the traffic alone, and its tables.
+May not: decisions of the gateway.
 """
--- a/martenstep/lab/day.py
+++ b/martenstep/lab/day.py
@@ -1,5 +1,9 @@
-"""Loads a day, tells all that is wrong with it, and makes from it what the processes need: settings of each door
-and server, and the schedule of requests."""
+"""Loads a scenario, reports all errors in it, and derives from it what the processes need: the settings of each
+gateway and server, and the schedule of requests.
+
+A scenario is a message `Day` of the schema day.proto: a fleet, its request classes, plans and customers, the phases of
+its load, and events that inject faults (`Trouble` in the schema).
+"""
 
 from __future__ import annotations
 
@@ -24,8 +28,8 @@
 from martenstep.standins.photo import PhotoConfig, WorkOf
 from martenstep.standins.redis.fleet import MASTER
 
-DOOR_TROUBLES = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_LOST, pb.DOOR_CUT_FROM_FEED)
-STORE_TROUBLES = (
+DOOR_FAULTS = (pb.DOOR_KILLED, pb.DOOR_ROLLED, pb.DOOR_LOST, pb.DOOR_CUT_FROM_FEED)
+STORE_FAULTS = (
     pb.STORE_PAUSED,
     pb.STORE_EMPTIED,
     pb.STORE_SLOW,
@@ -38,7 +42,7 @@
     pb.STORE_SLOTS_MOVE,
     pb.COUNTER_KILLED,
 )
-AUTH_TROUBLES = (
+AUTH_FAULTS = (
     pb.AUTH_SLOW,
     pb.AUTH_SILENT,
     pb.AUTH_ERRORS,
@@ -49,59 +53,61 @@
     pb.AUTH_DOWN,
     pb.AUTH_DRIPS,
 )
-FEED_TROUBLES = (pb.FEED_STALE, pb.FEED_PARTIAL, pb.FEED_DOWN)
-LEAVES_BY = 0.1  # parts of the aim: a client that leaves does so while its request is on its way
-KINDS = ("standard", "slow")
+FEED_FAULTS = (pb.FEED_STALE, pb.FEED_PARTIAL, pb.FEED_DOWN)
+MAX_LEAVE_SHARE = 0.1  # of the latency objective: a client that leaves does so while its request is under way
+SERVER_KINDS = ("standard", "slow")
 LIMITERS = ("", "each door", "split", "central, open", "central, closed")
-LONGEST_MS = 30 * 60_000.0
+MAX_LENGTH_MS = 30 * 60_000.0
 
 
 def zone_name(number: int) -> str:
-    """Zones by number."""
+    """The name of a zone by its number."""
     return f"zone-{chr(ord('a') + number % 26)}"
 
 
-def _check_event(check: SettingsChecker, event: pb.Event, node: FieldPosition, day: pb.Day) -> None:
-    length = sum(phase.for_ms for phase in day.phase)
+def _check_event(check: SettingsChecker, event: pb.Event, node: FieldPosition, scenario: pb.Day) -> None:
+    length = sum(phase.for_ms for phase in scenario.phase)
     if event.trouble == pb.NONE:
         check.report(node.at("trouble"), "missing")
     check.require_range(event, node, "at_ms", 0, length)
-    check.require_range(event, node, "for_ms", 0, LONGEST_MS)
+    check.require_range(event, node, "for_ms", 0, MAX_LENGTH_MS)
     check.require_range(event, node, "share", 0, 1)
     check.require_range(event, node, "factor", 0, 1e6)
-    number = day.fleet.doors if event.trouble in DOOR_TROUBLES else day.fleet.servers
-    if event.trouble in AUTH_TROUBLES:
-        number = day.auth_services.number if day.HasField("auth_services") else 0
+    number = scenario.fleet.doors if event.trouble in DOOR_FAULTS else scenario.fleet.servers
+    if event.trouble in AUTH_FAULTS:
+        number = scenario.auth_services.number if scenario.HasField("auth_services") else 0
         if not number:
-            check.report(node.at("trouble"), "fits only a day with auth_services")
+            check.report(node.at("trouble"), "fits only a scenario with auth_services")
             return
-    if event.trouble in STORE_TROUBLES + FEED_TROUBLES + (pb.NET_CUT,):
+    if event.trouble in STORE_FAULTS + FEED_FAULTS + (pb.NET_CUT,):
         if event.trouble in (pb.COUNTER_KILLED, pb.STORE_SLOTS_MOVE):
             check.require_range(event, node, "count", 1, 10_000)
         if event.target:
-            check.report(node.at("target"), "is of use only for doors and servers")
+            check.report(node.at("target"), "must be empty: this trouble has no doors or servers as targets")
     elif any(target >= number for target in event.target):
         check.report(node.at("target"), f"expected below {number}")
     elif event.count > number:
         check.report(node.at("count"), f"expected no more than {number}")
-    if event.trouble in STORE_TROUBLES and (event.trouble == pb.COUNTER_KILLED) != day.own_counter:
+    if event.trouble in STORE_FAULTS and (event.trouble == pb.COUNTER_KILLED) != scenario.own_counter:
         check.report(
             node.at("trouble"),
-            "fits only a day with own_counter" if not day.own_counter else "fits only a day without own_counter",
+            "fits only a scenario with own_counter"
+            if not scenario.own_counter
+            else "fits only a scenario without own_counter",
         )
-    if (event.trouble == pb.COUNTER_KILLED and day.HasField("held_by_doors")) or (
-        event.trouble == pb.DOOR_LOST and not day.HasField("held_by_doors")
+    if (event.trouble == pb.COUNTER_KILLED and scenario.HasField("held_by_doors")) or (
+        event.trouble == pb.DOOR_LOST and not scenario.HasField("held_by_doors")
     ):
         check.report(
             node.at("trouble"),
-            "fits only a day with held_by_doors"
+            "fits only a scenario with held_by_doors"
             if event.trouble == pb.DOOR_LOST
-            else "there is no counter process on a day with held_by_doors",
+            else "fits only a scenario with a counter process, thus without held_by_doors",
         )
-    if event.trouble == pb.STORE_FAILOVER and day.store_topology == cfg.Store.ALONE:
+    if event.trouble == pb.STORE_FAILOVER and scenario.store_topology == cfg.Store.ALONE:
         check.report(node.at("trouble"), "fits only a store with replicas: set store_topology")
     if event.trouble == pb.STORE_SLOTS_MOVE:
-        if day.store_topology != cfg.Store.CLUSTER:
+        if scenario.store_topology != cfg.Store.CLUSTER:
             check.report(node.at("trouble"), "fits only a cluster: set store_topology")
         check.require_range(event, node, "count", 1, SLOTS)
     if event.trouble == pb.NET_CUT:
@@ -112,37 +118,37 @@
         check.report(node.at("for_ms"), "missing, expected above 0")
 
 
-def check_day(check: SettingsChecker, day: pb.Day, root: FieldPosition) -> None:
-    """All of a day."""
-    check.require_present(day, root, "name")
+def check_scenario(check: SettingsChecker, scenario: pb.Day, root: FieldPosition) -> None:
+    """Check all settings of a scenario."""
+    check.require_present(scenario, root, "name")
     node = root.at("fleet")
     for name, most in (("doors", 2000), ("servers", 5000), ("zones", 26), ("cells", 200), ("cores", 64)):
-        check.require_range(day.fleet, node, name, 1, most)
-    check.require_range(day.fleet, node, "slow_share", 0, 1)
-    check.require_range(day.fleet, node, "feed_lag_ms", 0, 60_000)
-    classes = list(getattr(day, "class"))
+        check.require_range(scenario.fleet, node, name, 1, most)
+    check.require_range(scenario.fleet, node, "slow_share", 0, 1)
+    check.require_range(scenario.fleet, node, "feed_lag_ms", 0, 60_000)
+    classes = list(getattr(scenario, "class"))
     for entry, at in zip(classes, root.all("class"), strict=True):
         check_class(check, entry, at)
     check.require_unique(root.all("class"), classes, "name")
-    for plan, at in zip(day.plan, root.all("plan"), strict=True):
+    for plan, at in zip(scenario.plan, root.all("plan"), strict=True):
         check_plan(check, plan, at)
-    check.require_unique(root.all("plan"), day.plan, "name")
+    check.require_unique(root.all("plan"), scenario.plan, "name")
     for name in ("class", "plan", "work", "customers", "phase"):
         if not root.all(name):
             check.report(root.at(name), "missing: at least one is needed")
-    class_names, plan_names = {entry.name for entry in classes}, {plan.name for plan in day.plan}
-    for work, at in zip(day.work, root.all("work"), strict=True):
+    class_names, plan_names = {entry.name for entry in classes}, {plan.name for plan in scenario.plan}
+    for work, at in zip(scenario.work, root.all("work"), strict=True):
         check.require_reference(work, at, "class", class_names, "class")
         check.require_positive(work, at, "share", "least_ms", "units")
         check.require_range(work, at, "most_ms", work.least_ms, 60_000)
-    for group, at in zip(day.customers, root.all("customers"), strict=True):
+    for group, at in zip(scenario.customers, root.all("customers"), strict=True):
         check.require_reference(group, at, "plan", plan_names, "plan")
         check.require_range(group, at, "number", 1, 1_000_000)
         check.require_positive(group, at, "share")
-        check.require_range(group, at, "doors", 1, max(day.fleet.doors, 1))
+        check.require_range(group, at, "doors", 1, max(scenario.fleet.doors, 1))
         check.require_range(group, at, "once_share", 0, 1)
         check.require_range(group, at, "skew", 0, 10)
-    for phase, at in zip(day.phase, root.all("phase"), strict=True):
+    for phase, at in zip(scenario.phase, root.all("phase"), strict=True):
         check.require_positive(phase, at, "for_ms")
         check.require_range(phase, at, "rate", 0, 100_000)
         check.require_range(phase, at, "burst_times", 1, 1000)
@@ -152,153 +158,156 @@
         if phase.only_plan:
             check.require_reference(phase, at, "only_plan", plan_names, "plan")
         if phase.hot_share and not phase.only_plan:
-            check.report(at.at("only_plan"), "missing: of which plan is the one hot customer?")
-    if sum(phase.for_ms for phase in day.phase) > LONGEST_MS:
-        check.report(root.at("phase"), f"expected no more than {LONGEST_MS:g} ms in all")
+            check.report(at.at("only_plan"), "missing: hot_share needs the plan of its one hot customer")
+    if sum(phase.for_ms for phase in scenario.phase) > MAX_LENGTH_MS:
+        check.report(root.at("phase"), f"expected no more than {MAX_LENGTH_MS:g} ms in all")
     node = root.at("clients")
-    check.require_range(day.clients, node, "retries", 0, 20)
-    check.require_range(day.clients, node, "leave_share", 0, 1)
-    check.require_range(day.clients, node, "least_patience", 0.01, 1)
-    check.require_range(day.clients, node, "most_patience", day.clients.least_patience, 1)
-    if day.clients.abuse_plan:
-        check.require_reference(day.clients, node, "abuse_plan", plan_names, "plan")
-    for event, at in zip(day.event, root.all("event"), strict=True):
-        _check_event(check, event, at, day)
-    for release, at in zip(day.hooks, root.all("hooks"), strict=True):
-        check.require_range(release, at, "at_ms", 0, LONGEST_MS)
+    check.require_range(scenario.clients, node, "retries", 0, 20)
+    check.require_range(scenario.clients, node, "leave_share", 0, 1)
+    check.require_range(scenario.clients, node, "least_patience", 0.01, 1)
+    check.require_range(scenario.clients, node, "most_patience", scenario.clients.least_patience, 1)
+    if scenario.clients.abuse_plan:
+        check.require_reference(scenario.clients, node, "abuse_plan", plan_names, "plan")
+    for event, at in zip(scenario.event, root.all("event"), strict=True):
+        _check_event(check, event, at, scenario)
+    for release, at in zip(scenario.hooks, root.all("hooks"), strict=True):
+        check.require_range(release, at, "at_ms", 0, MAX_LENGTH_MS)
         if not 0 < release.share <= 1:
             check.report(at.at("share"), f"expected above 0, to 1, got {release.share:g}")
         try:
             compile_source(release.source)
-        except HookSourceError as fault:
-            check.report(at.at("source"), str(fault))
-    if day.HasField("held_by_doors"):
+        except HookSourceError as error:
+            check.report(at.at("source"), str(error))
+    if scenario.HasField("held_by_doors"):
         node = root.at("held_by_doors")
-        if not day.own_counter:
+        if not scenario.own_counter:
             check.report(node, "needs own_counter")
-        check.require_range(day.held_by_doors, node, "slots", 1, 64)
-        check.require_range(day.held_by_doors, node, "final_ms", 1000)
-        if day.held_by_doors.copies not in REPLICA_COUNTS:
+        check.require_range(scenario.held_by_doors, node, "slots", 1, 64)
+        check.require_range(scenario.held_by_doors, node, "final_ms", 1000)
+        if scenario.held_by_doors.copies not in REPLICA_COUNTS:
             check.report(
-                node.at("copies"), f"expected {', '.join(map(str, REPLICA_COUNTS))}, got {day.held_by_doors.copies}"
+                node.at("copies"),
+                f"expected {', '.join(map(str, REPLICA_COUNTS))}, got {scenario.held_by_doors.copies}",
             )
-    if day.limiter not in LIMITERS:
+    if scenario.limiter not in LIMITERS:
         check.report(root.at("limiter"), f"expected one of {', '.join(LIMITERS[1:])}")
-    check_rules(check, day.rules, root.at("rules"))
-    check.require_positive(day, root, "store_timeout_ms", "judge_slack_ms", "store_call_ms")
+    check_rules(check, scenario.rules, root.at("rules"))
+    check.require_positive(scenario, root, "store_timeout_ms", "judge_slack_ms", "store_call_ms")
 
 
-def parse_day(text: str, file: str) -> pb.Day:
-    """A day from text; raises SettingsError with all that is wrong."""
-    return parse_checked(text, pb.Day(), file, check_day)
+def parse_scenario(text: str, file: str) -> pb.Day:
+    """Parse a scenario; raises SettingsError with all that is wrong."""
+    return parse_checked(text, pb.Day(), file, check_scenario)
 
 
-def load_day(path: Path) -> pb.Day:
-    """A day from a file; raises SettingsError with all that is wrong."""
-    return parse_day(read_text(path), str(path))
+def load_scenario(path: Path) -> pb.Day:
+    """Read a scenario from a file; raises SettingsError with all that is wrong."""
+    return parse_scenario(read_text(path), str(path))
 
 
-# What the processes need ------------------------------------------------------------------------------
+# Settings of the processes ----------------------------------------------------------------------------
 
 
-def targets_of(day: pb.Day, event: pb.Event) -> list[int]:
-    """Numbers of the doors, servers or authentication services that a trouble is for; none for store and feed."""
-    if event.trouble in (*STORE_TROUBLES, *FEED_TROUBLES, pb.NET_CUT):
+def targets_of(scenario: pb.Day, event: pb.Event) -> list[int]:
+    """Numbers of the gateways, servers or authentication services that a fault affects; none for store and feed."""
+    if event.trouble in (*STORE_FAULTS, *FEED_FAULTS, pb.NET_CUT):
         return []
     if event.target:
         return list(event.target)
-    if event.trouble in AUTH_TROUBLES:
-        return list(range(day.auth_services.number))
-    return list(range(min(event.count, day.fleet.doors if event.trouble in DOOR_TROUBLES else day.fleet.servers)))
+    if event.trouble in AUTH_FAULTS:
+        return list(range(scenario.auth_services.number))
+    return list(
+        range(min(event.count, scenario.fleet.doors if event.trouble in DOOR_FAULTS else scenario.fleet.servers))
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """One customer of a day and the doors it comes through."""
+    """One customer of a scenario and the gateways that it uses."""
 
     key: str
     plan: str
-    first: int
-    doors: tuple[int, ...]
+    first_gateway: int
+    gateways: tuple[int, ...]
 
 
-def customers_of(day: pb.Day) -> list[list[Customer]]:
+def customers_of(scenario: pb.Day) -> list[list[Customer]]:
     """The customers of each group."""
-    total = day.fleet.doors
+    total = scenario.fleet.doors
     groups = []
-    for number, group in enumerate(day.customers):
-        rng = random.Random(f"{day.seed}/customers/{number}")
-        made = []
+    for number, group in enumerate(scenario.customers):
+        rng = random.Random(f"{scenario.seed}/customers/{number}")
+        customers = []
         for index in range(group.number):
             first = rng.randrange(total)
-            doors = tuple((first + step) % total for step in range(group.doors))
-            made.append(Customer(f"{group.plan}-{number}-{index}", group.plan, first, doors))
-        groups.append(made)
+            gateways = tuple((first + step) % total for step in range(group.doors))
+            customers.append(Customer(f"{group.plan}-{number}-{index}", group.plan, first, gateways))
+        groups.append(customers)
     return groups
 
 
-def max_units(day: pb.Day) -> float:
-    """The most units that one request counts."""
-    return float(max(work.units for work in day.work))
+def max_units(scenario: pb.Day) -> float:
+    """The largest number of units that one request costs."""
+    return float(max(work.units for work in scenario.work))
 
 
-def door_settings(day: pb.Day, number: int, ports: dict[str, int], warm_copy: Path) -> cfg.Door:
-    """The settings of one door; ports: listener, admin, store, feed."""
-    door = cfg.Door(
+def gateway_settings(scenario: pb.Day, number: int, ports: dict[str, int], warm_copy: Path) -> cfg.Door:
+    """The settings of one gateway; ports: listener, admin, store, feed."""
+    gateway = cfg.Door(
         name=f"door-{number}",
         instance=number,
-        instances=day.fleet.doors,
-        zone=zone_name(number % day.fleet.zones),
-        max_units=max_units(day),
-        default_plan=day.customers[0].plan,
+        instances=scenario.fleet.doors,
+        zone=zone_name(number % scenario.fleet.zones),
+        max_units=max_units(scenario),
+        default_plan=scenario.customers[0].plan,
     )
-    door.listener.port = ports["listener"]
-    door.admin.port = ports["admin"]
-    if day.own_counter:
-        door.counter.port, door.counter.timeout_ms = ports["store"], day.store_timeout_ms
-        door.counter.journal = str(warm_copy.with_name(f"door-{number}.journal"))
+    gateway.listener.port = ports["listener"]
+    gateway.admin.port = ports["admin"]
+    if scenario.own_counter:
+        gateway.counter.port, gateway.counter.timeout_ms = ports["store"], scenario.store_timeout_ms
+        gateway.counter.journal = str(warm_copy.with_name(f"door-{number}.journal"))
     else:
-        door.store.timeout_ms = day.store_timeout_ms
-        if day.store_topology == cfg.Store.ALONE:
-            door.store.port = ports["store"]
+        gateway.store.timeout_ms = scenario.store_timeout_ms
+        if scenario.store_topology == cfg.Store.ALONE:
+            gateway.store.port = ports["store"]
         else:
-            door.store.topology, door.store.primary_name = day.store_topology, MASTER.decode()
+            gateway.store.topology, gateway.store.primary_name = scenario.store_topology, MASTER.decode()
             for name in sorted(name for name in ports if name.startswith("store-")):
-                door.store.node.add(port=ports[name])
-    door.members.port, door.members.warm_copy = ports["feed"], str(warm_copy)
-    door.upstream.CopyFrom(day.upstream)
-    door.rules.CopyFrom(day.rules)
-    door.plan.extend(day.plan)
-    getattr(door, "class").extend(getattr(day, "class"))
-    if day.hooks:
-        door.hooks.directory = str(warm_copy.with_name("hooks"))
-        door.hooks.history = str(warm_copy.with_name(f"hooks-{number}.jsonl"))
-    guarded = day.HasField("auth_services")
-    if guarded:
-        door.auth.CopyFrom(day.auth)
-        door.auth.copy_header.append("x-auth-customer")
-        for service in range(day.auth_services.number):
-            door.auth.service.add(port=ports[f"auth-{service}"])
-    for work in day.work:
+                gateway.store.node.add(port=ports[name])
+    gateway.members.port, gateway.members.warm_copy = ports["feed"], str(warm_copy)
+    gateway.upstream.CopyFrom(scenario.upstream)
+    gateway.rules.CopyFrom(scenario.rules)
+    gateway.plan.extend(scenario.plan)
+    getattr(gateway, "class").extend(getattr(scenario, "class"))
+    if scenario.hooks:
+        gateway.hooks.directory = str(warm_copy.with_name("hooks"))
+        gateway.hooks.history = str(warm_copy.with_name(f"hooks-{number}.jsonl"))
+    authenticated = scenario.HasField("auth_services")
+    if authenticated:
+        gateway.auth.CopyFrom(scenario.auth)
+        gateway.auth.copy_header.append("x-auth-customer")
+        for service in range(scenario.auth_services.number):
+            gateway.auth.service.add(port=ports[f"auth-{service}"])
+    for work in scenario.work:
         name = getattr(work, "class")
-        route = door.route.add(name=name, path_prefix=f"/{name}/", units=work.units)
-        if guarded:
+        route = gateway.route.add(name=name, path_prefix=f"/{name}/", units=work.units)
+        if authenticated:
             route.authenticate = True
         else:
             route.customer_header = "x-customer"
         setattr(route, "class", name)
-    for group in customers_of(day):
+    for group in customers_of(scenario):
         for customer in group:
-            door.customer.add(
-                key=customer.key, plan=customer.plan, first_door=customer.first, doors=len(customer.doors)
+            gateway.customer.add(
+                key=customer.key, plan=customer.plan, first_door=customer.first_gateway, doors=len(customer.gateways)
             )
-    return door
+    return gateway
 
 
-def door_settings_at(day: pb.Day, number: int) -> cfg.Door:
-    """The settings of a door without a machine: its ports are numbers that nobody binds."""
-    return door_settings(
-        day,
+def offline_gateway_settings(scenario: pb.Day, number: int) -> cfg.Door:
+    """The settings of a gateway that is only emulated: no process binds its ports."""
+    return gateway_settings(
+        scenario,
         number,
         {
             "listener": 0,
@@ -306,23 +315,23 @@
             "store": 1,
             "feed": 1,
             "store-0": 1,
-            **{f"auth-{service}": service + 1 for service in range(day.auth_services.number)},
+            **{f"auth-{service}": service + 1 for service in range(scenario.auth_services.number)},
         },
         Path(),
     )
 
 
-def written(door: cfg.Door) -> str:
-    """A door's settings as the file that an operator would write."""
-    return text_format.MessageToString(door)
+def format_settings(gateway: cfg.Door) -> str:
+    """A gateway's settings in the text format of a settings file."""
+    return text_format.MessageToString(gateway)
 
 
-def server_settings(day: pb.Day, number: int, cold: bool, port: int) -> PhotoConfig:
+def server_settings(scenario: pb.Day, number: int, cold: bool, port: int) -> PhotoConfig:
     """The settings of one photo server."""
-    slow = number < round(day.fleet.slow_share * day.fleet.servers)
-    classes = {entry.name: entry for entry in getattr(day, "class")}
+    slow = number < round(scenario.fleet.slow_share * scenario.fleet.servers)
+    classes = {entry.name: entry for entry in getattr(scenario, "class")}
     work = {}
-    for entry in day.work:
+    for entry in scenario.work:
         name = getattr(entry, "class")
         work[name] = WorkOf(
             entry.least_ms,
@@ -330,44 +339,44 @@
             entry.answer_bytes,
             classes[name].window_ms if classes[name].effect == cfg.KEYED else 0.0,
         )
-    rules = day.rules
+    rules = scenario.rules
     return PhotoConfig(
         id=number + 1,
         port=port,
-        cores=day.fleet.cores,
-        speed=1 / day.fleet.slow_factor if slow else 1.0,
-        queue=day.fleet.queue,
-        connections=day.fleet.connections,
+        cores=scenario.fleet.cores,
+        speed=1 / scenario.fleet.slow_factor if slow else 1.0,
+        queue=scenario.fleet.queue,
+        connections=scenario.fleet.connections,
         cold_from=rules.cold_from,
         warm_ms=rules.warm_within_ms,
         fall_multiple=rules.fall_multiple if rules.warm_within_ms else 0.0,
         fall_window_ms=rules.fall_window_ms or 1000.0,
         cold=cold,
-        seed=day.seed * 1000 + number,
-        refusal_status=day.upstream.refusal_status,
-        refusal_header=day.upstream.refusal_header,
+        seed=scenario.seed * 1000 + number,
+        refusal_status=scenario.upstream.refusal_status,
+        refusal_header=scenario.upstream.refusal_header,
         work=work,
     )
 
 
-def entry_of(day: pb.Day, number: int, port: int, state: str, started_unix_ms: float) -> dict[str, object]:
-    """One server as the feed lists it."""
-    slow = number < round(day.fleet.slow_share * day.fleet.servers)
+def endpoint_entry(scenario: pb.Day, number: int, port: int, state: str, started_unix_ms: float) -> dict[str, object]:
+    """One server as an entry of the endpoint list."""
+    slow = number < round(scenario.fleet.slow_share * scenario.fleet.servers)
     return {
         "id": number + 1,
         "host": "127.0.0.1",
         "port": port,
-        "zone": zone_name(number % day.fleet.zones),
-        "kind": KINDS[slow],
-        "cell": number % day.fleet.cells,
+        "zone": zone_name(number % scenario.fleet.zones),
+        "kind": SERVER_KINDS[slow],
+        "cell": number % scenario.fleet.cells,
         "state": state,
-        "size": round(1 / day.fleet.slow_factor, 3) if slow else 1.0,
+        "size": round(1 / scenario.fleet.slow_factor, 3) if slow else 1.0,
         "started_unix_ms": started_unix_ms,
     }
 
 
-class _Draw:
-    """Draws a customer of a group, by Zipf's law where it has a skew."""
+class _CustomerSampler:
+    """Draws a customer of a group, with Zipf's law of the given skew."""
 
     def __init__(self, customers: list[Customer], skew: float) -> None:
         self._customers = customers
@@ -376,20 +385,21 @@
             weight += (rank + 1) ** -skew
             self._cumulative.append(weight)
 
-    def one(self, rng: random.Random) -> Customer:
+    def draw(self, rng: random.Random) -> Customer:
         return rng.choices(self._customers, cum_weights=self._cumulative)[0]
 
 
 class Modulation:
-    """How a phase's rate moves: two states that change by chance, and a swing; the usual rate is 1."""
+    """Modulates a phase's rate, 1 being the usual rate: it alternates at random between calm and burst, as in a
+    two-state Markov-modulated Poisson process, and swings with a sine."""
 
     def __init__(self, phase: pb.Phase, rng: random.Random) -> None:
         self._phase, self._rng = phase, rng
         self.peak = phase.burst_times * (1 + phase.swing)
         self._burst, self._until = False, rng.expovariate(1 / phase.calm_ms)
 
-    def keeps(self, ms: float) -> bool:
-        """Whether an arrival at this moment of the phase, drawn at the peak's rate, is one; moments only grow."""
+    def accepts(self, ms: float) -> bool:
+        """Whether to keep an arrival that was drawn at the peak rate (thinning); `ms` must not decrease."""
         phase = self._phase
         while ms >= self._until:
             self._burst = not self._burst
@@ -400,54 +410,56 @@
         return self._rng.random() * self.peak < now
 
 
-def schedule(day: pb.Day) -> Iterator[Planned]:
-    """Every request of the day, in order of time: a Poisson stream whose rate follows the phases."""
-    rng = random.Random(f"{day.seed}/schedule")
-    groups = customers_of(day)
-    draws = [_Draw(customers, group.skew) for customers, group in zip(groups, day.customers, strict=True)]
-    shares = [group.share for group in day.customers]
-    works = list(day.work)
-    classes = {entry.name: entry for entry in getattr(day, "class")}
-    start, number, usual = 0.0, 0, day.phase[0].rate
-    for place, phase in enumerate(day.phase):
+def schedule(scenario: pb.Day) -> Iterator[Planned]:
+    """Every request of the scenario, in order of time: a Poisson process whose rate follows the phases."""
+    rng = random.Random(f"{scenario.seed}/schedule")
+    groups = customers_of(scenario)
+    samplers = [
+        _CustomerSampler(customers, group.skew) for customers, group in zip(groups, scenario.customers, strict=True)
+    ]
+    shares = [group.share for group in scenario.customers]
+    works = list(scenario.work)
+    classes = {entry.name: entry for entry in getattr(scenario, "class")}
+    start, number, usual = 0.0, 0, scenario.phase[0].rate
+    for phase_number, phase in enumerate(scenario.phase):
         at = start
-        moved = Modulation(phase, random.Random(f"{day.seed}/modulation/{place}"))
+        modulation = Modulation(phase, random.Random(f"{scenario.seed}/modulation/{phase_number}"))
         while phase.rate > 0:
-            at += rng.expovariate(phase.rate * moved.peak) * 1000.0
+            at += rng.expovariate(phase.rate * modulation.peak) * 1000.0
             if at >= start + phase.for_ms:
                 break
-            if moved.peak > 1 and not moved.keeps(at - start):
+            if modulation.peak > 1 and not modulation.accepts(at - start):
                 continue
-            only = [index for index, group in enumerate(day.customers) if group.plan == phase.only_plan]
+            only = [index for index, group in enumerate(scenario.customers) if group.plan == phase.only_plan]
             hot = bool(only) and rng.random() < phase.hot_share
             extra = bool(only) and not phase.hot_share and rng.random() * phase.rate > usual
             if hot:
                 index, customer = only[0], groups[only[0]][0]
             else:
                 index = rng.choice(only) if extra else rng.choices(range(len(shares)), shares)[0]
-                customer = draws[index].one(rng)
-            group = day.customers[index]
+                customer = samplers[index].draw(rng)
+            group = scenario.customers[index]
             if not hot and rng.random() < group.once_share:
-                first = rng.randrange(day.fleet.doors)
+                first = rng.randrange(scenario.fleet.doors)
                 customer = Customer(
                     f"{group.plan}-once-{number}",
                     group.plan,
                     first,
-                    tuple((first + step) % day.fleet.doors for step in range(day.fleet.doors)),
+                    tuple((first + step) % scenario.fleet.doors for step in range(scenario.fleet.doors)),
                 )
             work = rng.choices(works, [entry.share for entry in works])[0]
             cls = classes[getattr(work, "class")]
-            doors = list(customer.doors)
+            gateways = list(customer.gateways)
             if random.Random(customer.key).random() < phase.shift_share:
-                doors = doors[1:] + doors[:1]
+                gateways = gateways[1:] + gateways[:1]
             if rng.random() >= phase.first_door_share:
-                rng.shuffle(doors)
-            clients = day.clients
+                rng.shuffle(gateways)
+            clients = scenario.clients
             patience = cls.deadline_ms * rng.uniform(clients.least_patience, clients.most_patience)
-            leave = rng.uniform(1.0, LEAVES_BY * cls.aim_ms) if rng.random() < clients.leave_share else 0.0
+            leave = rng.uniform(1.0, MAX_LEAVE_SHARE * cls.aim_ms) if rng.random() < clients.leave_share else 0.0
             credential = ""
-            if day.HasField("auth_services"):
-                bad = rng.random() < day.auth_services.bad_share
+            if scenario.HasField("auth_services"):
+                bad = rng.random() < scenario.auth_services.bad_share
                 credential = f"Basic guess-{number}" if bad else f"Bearer {customer.key}"
             yield Planned(
                 at_ms=round(at, 3),
@@ -455,7 +467,7 @@
                 customer=customer.key,
                 cls=cls.name,
                 units=work.units,
-                doors=doors,
+                doors=gateways,
                 patience_ms=round(patience, 3),
                 body=work.body_bytes,
                 leave_ms=round(leave, 3),
@@ -468,6 +480,6 @@
             usual = phase.rate
 
 
-def length_ms(day: pb.Day) -> float:
-    """How long the day's arrivals last."""
-    return math.fsum(phase.for_ms for phase in day.phase)
+def length_ms(scenario: pb.Day) -> float:
+    """The time from the first phase's start to the last one's end, in which requests arrive."""
+    return math.fsum(phase.for_ms for phase in scenario.phase)
--- a/martenstep/lab/emulate/limited.py
+++ b/martenstep/lab/emulate/limited.py
@@ -23,7 +23,7 @@
         self._own, self._central = Buckets(), central
         self._plans = {plan.name: plan for plan in day.plan}
         self._known = {
-            customer.key: (customer.plan, len(customer.doors)) for group in customers_of(day) for customer in group
+            customer.key: (customer.plan, len(customer.gateways)) for group in customers_of(day) for customer in group
         }
         self._units = {getattr(work, "class"): work.units for work in day.work}
         self._default = day.customers[0].plan
--- a/martenstep/lab/emulate/match.py
+++ b/martenstep/lab/emulate/match.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from martenstep.lab.day import load_day
+from martenstep.lab.day import load_scenario
 from martenstep.lab.emulate.judged import traffic_of
 from martenstep.lab.emulate.world import World
 from martenstep.lab.measures import comparable_figures
@@ -50,7 +50,7 @@
 
 def match(folder: Path) -> list[Pair]:
     """A played day's figures beside those of its emulation; raises SettingsError, TraceError, NotEmulatedError."""
-    day = load_day(folder / "day.txtpb")
+    day = load_scenario(folder / "day.txtpb")
     traffic, _ = check_traces(folder, day)
     played = comparable_figures(day, traffic, figures(day, traffic))
     made = traffic_of(World(day).play())
--- a/martenstep/lab/emulate/world.py
+++ b/martenstep/lab/emulate/world.py
@@ -10,7 +10,15 @@
 
 from martenstep.config import door_pb2 as cfg
 from martenstep.lab import day_pb2 as pb
-from martenstep.lab.day import door_settings_at, entry_of, length_ms, schedule, server_settings, targets_of, zone_name
+from martenstep.lab.day import (
+    endpoint_entry,
+    length_ms,
+    offline_gateway_settings,
+    schedule,
+    server_settings,
+    targets_of,
+    zone_name,
+)
 from martenstep.lab.emulate.auth import EmuAuth
 from martenstep.lab.emulate.clients import EmuCrowd, manners_of
 from martenstep.lab.emulate.core import Draws, Sim, Streams
@@ -205,7 +213,7 @@
         self.doors: dict[int, EmuDoor] = {}
         self._lives = [0] * fleet.doors
         self._away: Counter[int] = Counter()  # troubles that a door is down for
-        self._settings = door_settings_at(day, 0)
+        self._settings = offline_gateway_settings(day, 0)
         self._central = Buckets()
         if day.limiter:  # the doors' own quota is out of the way; their ceilings are what it must keep as well
             for plan in self._settings.plan:
@@ -235,7 +243,7 @@
         self.traces.events.append({"t": self.sim.now, "what": what, **words})
 
     def _entry(self, number: int, state: str) -> dict[str, Any]:
-        return entry_of(self.day, number, 10_000 + number, state, self._started[number])
+        return endpoint_entry(self.day, number, 10_000 + number, state, self._started[number])
 
     def _door(self, number: int) -> None:
         """A door's process starts, with the list that the one before had kept."""
--- a/martenstep/lab/experiment/plan.py
+++ b/martenstep/lab/experiment/plan.py
@@ -12,7 +12,7 @@
 from martenstep.config.loading import parse_checked, read_text
 from martenstep.config.text_format import FieldPosition, SettingsError
 from martenstep.lab import day_pb2, plan_pb2
-from martenstep.lab.day import check_day, load_day
+from martenstep.lab.day import check_scenario, load_scenario
 
 MOST_ARMS, MOST_RUNS = 200, 5000
 
@@ -96,7 +96,7 @@
     checked, root = SettingsChecker(), FieldPosition("", "", 1, 1)
     # The merged day stands in no file: faults are told by their fields.
     nodes = _nodes(day, root)
-    check_day(checked, day, nodes)
+    check_scenario(checked, day, nodes)
     if checked.problems:
         raise SettingsError(f"arm {arm.name}", checked.problems)
     return day
@@ -113,7 +113,7 @@
 
 def runs_of(plan: plan_pb2.Plan, folder: Path) -> list[Run]:
     """All runs, repetition by repetition, so that what is there early tells of all arms; raises SettingsError."""
-    base = load_day(folder / plan.day)
+    base = load_scenario(folder / plan.day)
     days = [(arm, day_of(plan, base, arm)) for arm in arms_of(plan)]
     made = []
     for repetition in range(plan.repetitions):
--- a/martenstep/lab/experiment/run.py
+++ b/martenstep/lab/experiment/run.py
@@ -24,7 +24,7 @@
 from martenstep.lab.experiment.plan import runs_of
 from martenstep.lab.experiment.pool import workers as made_workers
 from martenstep.lab.measures import comparable_figures
-from martenstep.lab.play import play_day
+from martenstep.lab.play import run_scenario
 from martenstep.lab.report import check_traces, figures
 from martenstep.lab.rules import InvariantChecker
 
@@ -69,9 +69,9 @@
 
 
 def measure_played(day: day_pb2.Day, folder: Path) -> Row:
-    """Play one day on loopback sockets; gives the same figures.  Raises PlayError."""
+    """Play one day on loopback sockets; gives the same figures.  Raises ScenarioRunError."""
     begin = time.perf_counter()
-    asyncio.run(play_day(day, folder, lambda part, what: None))
+    asyncio.run(run_scenario(day, folder, lambda part, what: None))
     traffic, breaches = check_traces(folder, day)
     told = comparable_figures(day, traffic, figures(day, traffic))
     return {
--- a/martenstep/lab/experiment/sweep.py
+++ b/martenstep/lab/experiment/sweep.py
@@ -26,7 +26,7 @@
 from martenstep.config.text_format import FieldPosition
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab import plan_pb2
-from martenstep.lab.day import AUTH_TROUBLES, length_ms
+from martenstep.lab.day import AUTH_FAULTS, length_ms
 from martenstep.lab.emulate.judged import emulate
 from martenstep.lab.emulate.world import NOT_HERE
 from martenstep.lab.experiment.pool import workers as made_workers
@@ -40,7 +40,7 @@
 KINDS = tuple(
     value
     for name, value in pb.Trouble.items()
-    if not name.startswith(NOT_HERE) and value not in (pb.NONE, pb.DOOR_LOST, *AUTH_TROUBLES)
+    if not name.startswith(NOT_HERE) and value not in (pb.NONE, pb.DOOR_LOST, *AUTH_FAULTS)
 )
 SIZES = (1, 2, 4, 8, 16, 32, 64, 128, 256, 512)  # of fleets, for the summary's rows
 CUTS = (
@@ -158,12 +158,12 @@
 def _events(rng: random.Random, day: pb.Day, plan: plan_pb2.Sweep) -> None:
     kinds = tuple(plan.trouble) or KINDS
     if day.HasField("auth_services") and not plan.trouble:
-        kinds += tuple(AUTH_TROUBLES)
+        kinds += tuple(AUTH_FAULTS)
     for _ in range(rng.randint(0, plan.troubles_most)):
         event = event_of(rng, day, kinds)
         if event.trouble == pb.STORE_FAILOVER:
             day.store_topology = cfg.Store.SENTINEL
-        elif event.trouble == pb.STORE_CUTS or event.trouble in AUTH_TROUBLES:
+        elif event.trouble == pb.STORE_CUTS or event.trouble in AUTH_FAULTS:
             event.share = round(rng.uniform(0.05, 1), 2)
         elif event.trouble == pb.SERVER_CLASS_FAILS:
             setattr(event, "class", rng.choice(CLASSES))
@@ -172,7 +172,7 @@
             event.both_ways = rng.random() < 0.5
         if event.trouble == pb.AUTH_SLOW:
             event.factor = round(rng.uniform(50, 1500), 0)
-        if event.trouble in (*AUTH_TROUBLES, pb.NET_CUT):
+        if event.trouble in (*AUTH_FAULTS, pb.NET_CUT):
             event.ClearField("count")
         day.event.append(event)
     if day.event and rng.random() < 0.4:  # troubles come together more than by chance
--- a/martenstep/lab/explore_orders.py
+++ b/martenstep/lab/explore_orders.py
@@ -1,16 +1,17 @@
-"""Every order of events of a small world with an order book: three machines, two requests, one crash, one cut.
+"""Model checker of the maintenance queue: tries every order of events in a world of three machines and two requests.
 
-The book is one here, as whatever its group agrees on has one order.  From each state every event is tried that can
-happen next: a machine looks into the book; what it asked arrives, or its answer; it has drained; its work is done and a
-new process began; its process ends; what is on its way is lost; the leader sees who is healthy; time passes; a person
-gives a machine up, or says that it is done.
+The queue is a single object here, as the replica group that holds it agrees on one order of commands.  From each state
+every event that can happen next is tried: a machine observes the queue; a command or its result arrives; a machine has
+drained; its work is done and a new process has started; its process crashes; a message in transit is lost; the leader
+observes which machines are healthy; time passes; an operator abandons a request, or declares it finished.
 
-Time passes in one way: by a whole lease.  Then the lease of every start that stands is over in the book, and so is
-every one that a machine had asked for before: its clock counts from earlier, and does not run slower than the book's by
-more than both allow for.  What passes only partly is the same as not at all: nothing in between is decided by time.
+Time passes only in steps of a whole lease.  After a step the lease of every granted start has expired in the queue, and
+so has every lease that a machine had requested before: the machine's clock counts from an earlier moment, and does not
+run slower than the queue's clock by more than both allow for.  Shorter steps are not needed, as no decision depends on
+a part of a lease.
 
-What must hold in every state: those that really left by grant and have not come back, and those that may go, are no
-more than the limits allow, nor two that hold copies of one group; who leaves has a request that stands.
+Invariants in every state: the machines that have left by a grant and have not come back, and those that may leave, are
+no more than the limits allow, and no two of them hold replicas of one group; a machine that leaves has a valid request.
 """
 
 from __future__ import annotations
@@ -39,81 +40,81 @@
 
 LEASE = 100.0
 NAMES = ("m0", "m1", "m2")
-On = tuple[
+MessageInTransit = tuple[
     str, int, Command | CommandResult, float, int
-]  # machine, which of its processes, what is on its way, asked at, kind
+]  # machine, number of its process, message, time of the request, 1 for a result and 0 for a command
 
 
-class BreachError(Exception):
-    """A rule does not hold: which, and the events that led there."""
+class InvariantError(Exception):
+    """An invariant is violated; the message names it and the events that led there."""
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What may still happen."""
+    """How many events of each kind may still happen, and the limit on machines in maintenance."""
 
-    laps: int = 2  # times that a whole lease passes
+    lease_steps: int = 2  # times that a whole lease passes
     crashes: int = 1
-    losses: int = 1  # messages
-    people: int = 1  # times that a person gives one up, or says that it is done
-    most_out: int = 1
+    losses: int = 1  # of messages
+    operator_commands: int = 1  # that abandon a request or declare it finished
+    max_out: int = 1
 
 
 @dataclass(slots=True)
 class World:
-    """One state."""
+    """One state of the queue, the machines and the messages in transit."""
 
-    book: bytes
+    queue: bytes
     agents: dict[str, tuple[str, str, int]]  # step, request, token
-    lives: dict[str, int]  # of a machine's processes; none runs where it is 0 or less
-    gone: dict[str, str]  # machines that left, and by which request
-    ill: frozenset[str]  # as the leader would see it
-    on: tuple[On, ...]
-    lap: int
+    processes: dict[str, int]  # number of a machine's current process; none runs if it is 0 or less
+    gone: dict[str, str]  # by machine that left: the request by which it did
+    unhealthy: frozenset[str]  # as the leader would observe them
+    in_transit: tuple[MessageInTransit, ...]
+    lease_step: int
     budget: Budget
 
     def key(self) -> int:
-        """The same for states from which the same can follow."""
-        told = (
-            self.book,
+        """A hash that is equal for states with the same possible continuations."""
+        fields = (
+            self.queue,
             sorted(self.agents.items()),
-            sorted(self.lives.items()),
+            sorted(self.processes.items()),
             sorted(self.gone.items()),
-            sorted(self.ill),
-            self.on,
-            self.lap,
-            (self.budget.laps, self.budget.crashes, self.budget.losses, self.budget.people),
+            sorted(self.unhealthy),
+            self.in_transit,
+            self.lease_step,
+            (self.budget.lease_steps, self.budget.crashes, self.budget.losses, self.budget.operator_commands),
         )
-        return xxhash.xxh3_128_intdigest(msgspec.msgpack.encode(told))
+        return xxhash.xxh3_128_intdigest(msgspec.msgpack.encode(fields))
 
 
 class Explorer:
-    """Of one small world."""
+    """Visits every state that is reachable within a budget."""
 
     def __init__(
         self,
         budget: Budget,
-        book: Callable[[], MaintenanceQueue] = MaintenanceQueue,
-        agent: Callable[[str, float], LeaseHolder] = LeaseHolder,
+        queue_type: Callable[[], MaintenanceQueue] = MaintenanceQueue,
+        agent_type: Callable[[str, float], LeaseHolder] = LeaseHolder,
     ) -> None:
-        self._budget, self._book, self._agent = budget, book, agent
+        self._budget, self._queue_type, self._agent_type = budget, queue_type, agent_type
         self.states = self.events = self.left = 0
 
-    def begin(self) -> World:
-        """Two have been asked for; the third holds a copy beside one of them."""
-        book = self._book()
+    def initial(self) -> World:
+        """The initial state: maintenance is requested for m0 and m1, which both hold replicas of group g."""
+        queue = self._queue_type()
         limits = MaintenanceLimits(
-            self._budget.most_out, 3, 1.0, lease_ms=LEASE, grace_ms=1e9, starvation_ms=1e9, overdue_blocks=False
+            self._budget.max_out, 3, 1.0, lease_ms=LEASE, grace_ms=1e9, starvation_ms=1e9, overdue_blocks=False
         )
-        for what in (
+        for command in (
             SetLimits(limits),
-            self._sight(frozenset()),
+            self._observation(frozenset()),
             SubmitRequest("r0", "m0", 5.0),
             SubmitRequest("r1", "m1", 5.0),
         ):
-            book.apply(encode_entry(0.0, what))
+            queue.apply(encode_entry(0.0, command))
         return World(
-            book.snapshot(),
+            queue.snapshot(),
             dict.fromkeys(NAMES, ("here", "", 0)),
             dict.fromkeys(NAMES, 1),
             {},
@@ -124,32 +125,32 @@
         )
 
     @staticmethod
-    def _sight(ill: frozenset[str]) -> Observation:
+    def _observation(unhealthy: frozenset[str]) -> Observation:
         return Observation(
-            tuple(Machine(name, "a", 1.0, name not in ill) for name in NAMES), (ReplicaGroup("g", ("m0", "m1")),)
+            tuple(Machine(name, "a", 1.0, name not in unhealthy) for name in NAMES), (ReplicaGroup("g", ("m0", "m1")),)
         )
 
-    # The parts.
+    # Parts of the world.
 
-    def _held(self, world: World) -> MaintenanceQueue:
-        book = self._book()
-        book.restore(world.book)
-        return book
+    def _queue_of(self, world: World) -> MaintenanceQueue:
+        queue = self._queue_type()
+        queue.restore(world.queue)
+        return queue
 
     @staticmethod
     def _now(world: World) -> float:
-        return world.lap * (LEASE + 1.0)
+        return world.lease_step * (LEASE + 1.0)
 
-    def _put(self, world: World, what: Command) -> tuple[World, CommandResult]:
-        book = self._held(world)
-        answer = book.apply(encode_entry(self._now(world), what))
-        after = replace(world, book=book.snapshot())
-        self._judge(after, book)
+    def _apply(self, world: World, message: Command) -> tuple[World, CommandResult]:
+        queue = self._queue_of(world)
+        answer = queue.apply(encode_entry(self._now(world), message))
+        after = replace(world, queue=queue.snapshot())
+        self._check(after, queue)
         return after, answer
 
     def _run(self, world: World, name: str, event: Callable[[LeaseHolder], None]) -> World:
-        """One event at a machine, and what it wants then."""
-        agent = self._agent(name, LEASE)
+        """One event at a machine, with the actions that follow from it."""
+        agent = self._agent_type(name, LEASE)
         step, agent.request_id, agent.token = world.agents[name]
         agent.phase = Phase(step)
         agent._retry_ms = 1e18
@@ -157,155 +158,165 @@
         after = replace(world, agents={**world.agents, name: (agent.phase.value, agent.request_id, agent.token)})
         for action in agent.actions:
             if isinstance(action, SendStart | SendFinish):
-                what: Command = action.command
-                told: On = (name, world.lives[name], what, self._now(world), 0)
-                if told not in after.on:
-                    after = replace(after, on=tuple(sorted((*after.on, told), key=repr)))
+                message: Command = action.command
+                sent: MessageInTransit = (name, world.processes[name], message, self._now(world), 0)
+                if sent not in after.in_transit:
+                    after = replace(after, in_transit=tuple(sorted((*after.in_transit, sent), key=repr)))
             elif isinstance(action, Drain):
                 self.left += 1
-                held = self._held(after).requests.get(action.request_id)
-                if held is None or held.state not in (RequestState.OUT, RequestState.RECOVERING):
-                    raise BreachError(
+                request = self._queue_of(after).requests.get(action.request_id)
+                if request is None or request.state not in (RequestState.OUT, RequestState.RECOVERING):
+                    raise InvariantError(
                         f"{name} leaves by {action.request_id}, which is "
-                        f"{held.state.value if held is not None else 'unknown'}"
+                        f"{request.state.value if request is not None else 'unknown'}"
                     )
-                # From now on it says of itself that it does not serve.
-                after = replace(after, gone={**after.gone, name: action.request_id}, ill=after.ill | {name})
-                self._judge(after, self._held(after))
+                # From now on the machine reports that it does not serve.
+                after = replace(after, gone={**after.gone, name: action.request_id}, unhealthy=after.unhealthy | {name})
+                self._check(after, self._queue_of(after))
             else:
                 assert isinstance(action, ReadyForWork)
         return after
 
-    def _judge(self, world: World, book: MaintenanceQueue) -> None:
-        may = {
-            held.machine
-            for held in book.requests.values()
-            if held.state in (RequestState.GRANTED, RequestState.OUT, RequestState.RECOVERING)
+    def _check(self, world: World, queue: MaintenanceQueue) -> None:
+        may_leave = {
+            request.machine
+            for request in queue.requests.values()
+            if request.state in (RequestState.GRANTED, RequestState.OUT, RequestState.RECOVERING)
         }
-        away = may | set(world.gone)
-        if len(away) > self._budget.most_out:
-            raise BreachError(f"{', '.join(sorted(away))} are away or may go, and {self._budget.most_out} may")
+        away = may_leave | set(world.gone)
+        if len(away) > self._budget.max_out:
+            raise InvariantError(f"{', '.join(sorted(away))} are away or may leave, limit {self._budget.max_out}")
         if {"m0", "m1"} <= away:
-            raise BreachError("both that hold copies of g are away or may go")
+            raise InvariantError("both machines with replicas of g are away or may leave")
 
-    # What can happen.
+    # Events.
 
     def next(self, world: World) -> Iterator[tuple[str, World]]:
-        """Every event, with the state after it."""
+        """Every event that can happen next, with the state after it."""
         budget, now = world.budget, self._now(world)
         for name in NAMES[:2]:
             step = world.agents[name][0]
-            if world.lives[name] > 0:
+            if world.processes[name] > 0:
 
-                def look(agent: LeaseHolder) -> None:
-                    agent.observe(now, list(self._held(world).requests.values()))
+                def observe(agent: LeaseHolder) -> None:
+                    agent.observe(now, list(self._queue_of(world).requests.values()))
 
-                yield f"{name} looks into the book", self._run(world, name, look)
+                yield f"{name} observes the queue", self._run(world, name, observe)
                 if step == "asking":
-                    yield f"{name} asks again", self._run(world, name, lambda agent: agent._ask_start(now))
+                    yield (
+                        f"{name} repeats its start request",
+                        self._run(world, name, lambda agent: agent._ask_start(now)),
+                    )
                 if step == "going":
                     yield f"{name} has drained", self._run(world, name, lambda agent: agent.drained())
                 if budget.crashes:
                     after = replace(
                         world,
                         budget=replace(budget, crashes=budget.crashes - 1),
-                        ill=world.ill | {name},
-                        lives={**world.lives, name: -world.lives[name]},
+                        unhealthy=world.unhealthy | {name},
+                        processes={**world.processes, name: -world.processes[name]},
                     )
-                    yield f"{name} ends", after
-            if step == "gone" or world.lives[name] <= 0:
+                    yield f"{name} crashes", after
+            if step == "gone" or world.processes[name] <= 0:
                 gone = {one: request for one, request in world.gone.items() if one != name}
                 after = replace(
                     world,
-                    lives={**world.lives, name: abs(world.lives[name]) + 1},
+                    processes={**world.processes, name: abs(world.processes[name]) + 1},
                     gone=gone,
-                    ill=world.ill - {name},
+                    unhealthy=world.unhealthy - {name},
                     agents={**world.agents, name: ("here", "", 0)},
                 )
                 yield f"{name} is back with a new process", after
-        for number, told in enumerate(world.on):
-            rest = replace(world, on=world.on[:number] + world.on[number + 1 :])
-            yield from self._arrives(rest, told)
+        for number, sent in enumerate(world.in_transit):
+            rest = replace(world, in_transit=world.in_transit[:number] + world.in_transit[number + 1 :])
+            yield from self._deliver(rest, sent)
             if budget.losses:
                 yield (
-                    f"what {told[0]} sent or was sent is lost",
+                    f"a message from or to {sent[0]} is lost",
                     replace(rest, budget=replace(budget, losses=budget.losses - 1)),
                 )
-        yield "the leader sees", self._put(world, self._sight(world.ill))[0]
-        if budget.laps:
-            after = replace(world, lap=world.lap + 1, budget=replace(budget, laps=budget.laps - 1))
-            yield "a lease passes", self._put(after, Tick())[0]
-        if budget.people:
-            spent = replace(world, budget=replace(budget, people=budget.people - 1))
-            for held in self._held(world).requests.values():
-                if held.state in (RequestState.OUT, RequestState.RECOVERING):
-                    yield f"{held.request_id} is given up", self._put(spent, AbandonRequest(held.request_id))[0]
+        yield "the leader observes health", self._apply(world, self._observation(world.unhealthy))[0]
+        if budget.lease_steps:
+            after = replace(
+                world, lease_step=world.lease_step + 1, budget=replace(budget, lease_steps=budget.lease_steps - 1)
+            )
+            yield "a lease passes", self._apply(after, Tick())[0]
+        if budget.operator_commands:
+            remaining = replace(world, budget=replace(budget, operator_commands=budget.operator_commands - 1))
+            for request in self._queue_of(world).requests.values():
+                if request.state in (RequestState.OUT, RequestState.RECOVERING):
+                    yield (
+                        f"{request.request_id} is abandoned",
+                        self._apply(remaining, AbandonRequest(request.request_id))[0],
+                    )
                     yield (
-                        f"a person says that {held.request_id} is done",
-                        self._put(spent, FinishMaintenance(held.request_id, held.token))[0],
+                        f"an operator declares {request.request_id} finished",
+                        self._apply(remaining, FinishMaintenance(request.request_id, request.token))[0],
                     )
 
-    def _arrives(self, world: World, told: On) -> Iterator[tuple[str, World]]:
-        name, life, what, asked, _ = told
-        if isinstance(what, CommandResult):
-            if world.lives[name] == life and what.request is not None:
-                start = StartMaintenance(what.request.request_id, what.request.token)
+    def _deliver(self, world: World, sent: MessageInTransit) -> Iterator[tuple[str, World]]:
+        name, process, message, requested_at, _ = sent
+        if isinstance(message, CommandResult):
+            if world.processes[name] == process and message.request is not None:
+                start = StartMaintenance(message.request.request_id, message.request.token)
                 now = self._now(world)
                 yield (
-                    f"{name} gets its answer",
-                    self._run(world, name, lambda agent: agent.start_answered(now, start, asked, what)),
+                    f"{name} gets its result",
+                    self._run(world, name, lambda agent: agent.start_answered(now, start, requested_at, message)),
                 )
             else:
-                yield f"{name} is not there for its answer", world
+                yield f"a result for {name} reaches no process", world
             return
-        after, answer = self._put(world, what)
-        if isinstance(what, StartMaintenance):
-            # Only what the machine reads of it: its request and token, and whether it may go.
+        after, answer = self._apply(world, message)
+        if isinstance(message, StartMaintenance):
+            # Keep only what the machine reads: the request, its token and whether it may leave.
             request = answer.request or None
             if request is not None:
                 request = msgspec.structs.replace(
-                    request, state_since_ms=0.0, lease_expires_ms=0.0, due_ms=0.0, token=what.token
+                    request, state_since_ms=0.0, lease_expires_ms=0.0, due_ms=0.0, token=message.token
                 )
-            reply: On = (name, life, CommandResult(answer.ok, "", request), asked, 1)
-            if reply not in after.on:
-                after = replace(after, on=tuple(sorted((*after.on, reply), key=repr)))
-        yield f"the book gets {type(what).__name__} of {name}", after
+            reply: MessageInTransit = (name, process, CommandResult(answer.ok, "", request), requested_at, 1)
+            if reply not in after.in_transit:
+                after = replace(after, in_transit=tuple(sorted((*after.in_transit, reply), key=repr)))
+        yield f"the queue gets {type(message).__name__} from {name}", after
 
     # The search.
 
-    def run(self, most: int = 1 << 62) -> bool:
-        """Visit every state, those that few events lead to first; False where `most` were not enough.  Raises
-        BreachError with the shortest story."""
-        begin = self.begin()
-        key = begin.key()
-        led: dict[int, tuple[int, str]] = {key: (0, "")}  # by state: the one before it, and the event
-        line = deque([(key, begin)])
-        while line:
-            before, world = line.popleft()
-            steps = self.next(world)
+    def run(self, max_states: int = 1 << 62) -> bool:
+        """Visit every state in breadth-first order; False if there are more than `max_states`.  Raises InvariantError
+        with the shortest sequence of events."""
+        initial = self.initial()
+        key = initial.key()
+        predecessors: dict[int, tuple[int, str]] = {key: (0, "")}  # by state: its predecessor, and the event
+        pending = deque([(key, initial)])
+        while pending:
+            before, world = pending.popleft()
+            events = self.next(world)
             while True:
                 try:
-                    step = next(steps, None)
-                except BreachError as error:
-                    raise BreachError(f"{error}, after: {'; '.join(self._story(led, before))}") from None
+                    step = next(events, None)
+                except InvariantError as error:
+                    raise InvariantError(
+                        f"{error}, after: {'; '.join(self._events_before(predecessors, before))}"
+                    ) from None
                 if step is None:
                     break
                 self.events += 1
                 name, after = step
                 key = after.key()
-                if key in led:
+                if key in predecessors:
                     continue
-                if len(led) >= most:
+                if len(predecessors) >= max_states:
                     return False
-                led[key] = before, name
-                self.states = len(led)
-                line.append((key, after))
+                predecessors[key] = before, name
+                self.states = len(predecessors)
+                pending.append((key, after))
         return True
 
     @staticmethod
-    def _story(led: dict[int, tuple[int, str]], key: int) -> list[str]:
-        told: list[str] = []
-        while led[key][1]:
-            key, name = led[key]
-            told.append(name)
-        return told[::-1]
+    def _events_before(predecessors: dict[int, tuple[int, str]], key: int) -> list[str]:
+        names: list[str] = []
+        while predecessors[key][1]:
+            key, name = predecessors[key]
+            names.append(name)
+        return names[::-1]
--- a/martenstep/lab/fleet/rig.py
+++ b/martenstep/lab/fleet/rig.py
@@ -28,8 +28,8 @@
 from martenstep.lab.fleet.relay import Forger, Relay
 from martenstep.lab.fleet.schedule import DISK, Member, Step, members_of, steps_of
 from martenstep.lab.fleet.wires import Wires
-from martenstep.lab.play import PlayError, Process
-from martenstep.lab.ports import held_ports
+from martenstep.lab.play import Process, ScenarioRunError
+from martenstep.lab.ports import reserve_ports
 from martenstep.membership.member import Address
 from martenstep.replication.node_disk import load_disk_identity
 from martenstep.standins.base import now_ms
@@ -181,7 +181,7 @@
 
     def _lay_out(self) -> None:
         """Who is where: each member at a loopback address of its own, and who comes later beside them."""
-        port, *others = held_ports(3)
+        port, *others = reserve_ports(3)
         self.ports = others[0], others[1]
         for number, member in enumerate(self._members):
             self._place(member.name, member, (f"127.0.1.{number + 1}", port))
@@ -208,7 +208,7 @@
         need = len(self._places) ** 2 * (FILES_A_PAIR + (FILES_OF_COPIES if self._schedule.slots else 0)) + 200
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY and need > hard:
-            raise PlayError(f"{need} open files are needed, {hard} are allowed")
+            raise ScenarioRunError(f"{need} open files are needed, {hard} are allowed")
         if soft < need:
             resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
 
@@ -242,12 +242,12 @@
         place.paused = place.ended = False
         try:
             await place.process.start()
-        except PlayError:
+        except ScenarioRunError:
             if place.ended:
                 return  # killed by the schedule before it was ready
             raise
         if "fleet" not in place.process.ready:
-            raise PlayError(f"{place.name}: has no fleet; see its log")
+            raise ScenarioRunError(f"{place.name}: has no fleet; see its log")
 
     def _running(self) -> list[Place]:
         return [place for place in self._places.values() if place.process is not None and place.process.running]
@@ -290,7 +290,7 @@
                         return
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
-            raise PlayError(f"not every door had joined after {JOIN_S:.0f} s; see the logs") from None
+            raise ScenarioRunError(f"not every door had joined after {JOIN_S:.0f} s; see the logs") from None
 
     # Truths.
 
@@ -325,7 +325,7 @@
         await self._until(begin + schedule.length_ms + schedule.settle_ms, "settling")
         await asyncio.gather(*list(self._tasks))
         if self._faults:
-            raise PlayError("; ".join(self._faults))
+            raise ScenarioRunError("; ".join(self._faults))
         for place in self._running():
             self._views(place, await self._view(place))
         self._truth("ends")
@@ -481,18 +481,18 @@
     schedule: pb.Schedule, seed: int, out: Path, progress: Callable[[float, str], None] = lambda part, what: None
 ) -> tuple[list[Record], float]:
     """Play a schedule into a folder, whose old play is removed; gives the records and how long the fleet took to be
-    ready.  Raises PlayError."""
+    ready.  Raises ScenarioRunError."""
     if schedule.members > MOST_DOORS:
-        raise PlayError(
+        raise ScenarioRunError(
             f"{schedule.name}: {schedule.members} doors are too many processes for one machine (at most "
             f"{MOST_DOORS}); without --sockets they are emulated"
         )
     for entry in schedule.trouble:
         if entry.what in VIRTUAL_ONLY:
-            raise PlayError(f"{schedule.name}: {pb.Breaks.Name(entry.what)} is emulated only")
+            raise ScenarioRunError(f"{schedule.name}: {pb.Breaks.Name(entry.what)} is emulated only")
     if out.exists():
         if any(out.iterdir()) and not (out / "schedule.txtpb").exists():
-            raise PlayError(f"{out}: holds something else than a play")
+            raise ScenarioRunError(f"{out}: holds something else than a play")
         shutil.rmtree(out)
     out.mkdir(parents=True)
     (out / "schedule.txtpb").write_text(text_format.MessageToString(schedule), encoding="utf-8")
--- a/martenstep/lab/report.py
+++ b/martenstep/lab/report.py
@@ -13,7 +13,7 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.counter.log_inspection import iterate_attempts
 from martenstep.lab import day_pb2 as pb
-from martenstep.lab.day import load_day
+from martenstep.lab.day import load_scenario
 from martenstep.lab.held import recorded_client_tries
 from martenstep.lab.rules import (
     CHECKED,
@@ -146,7 +146,7 @@
 def check_folder(folder: Path) -> dict[str, Any]:
     """Check the traces in a folder; raises TraceError where it holds no whole scenario."""
     try:
-        day = load_day(folder / "day.txtpb")
+        day = load_scenario(folder / "day.txtpb")
     except SettingsError as error:
         raise TraceError(str(error)) from None
     traffic, violations = check_traces(folder, day)
--- a/martenstep/lab/soak/run.py
+++ b/martenstep/lab/soak/run.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep.lab.ports import held_ports
+from martenstep.lab.ports import reserve_ports
 from martenstep.lab.soak.clients import WINDOW_S, Clients, Target
 from martenstep.lab.soak.faults import SHORT_COUNT, Call, FaultControl
 from martenstep.lab.soak.oracle import HELD_UP_S, Ceiling, Oracle, Rule, SlowStart
@@ -94,7 +94,7 @@
 
     def __init__(self, soak: Soak, place: int, folder: Path) -> None:
         self._soak, self._place, self._folder = soak, place, folder
-        self.target = Target(f"n{place}", held_ports(1)[0])
+        self.target = Target(f"n{place}", reserve_ports(1)[0])
         self.clients = Clients(self.target, soak.oracle, soak.rng, soak.count)
         self.agents = [Agent(soak.members, soak.rng) for _ in range(2)]  # the one in use, and where it may move
         self.control = FaultControl(folder / f"faults-{place}")
--- a/tests/test_copies_rig.py
+++ b/tests/test_copies_rig.py
@@ -1,6 +1,6 @@
-"""Real doors that hold a counter for each other, and what breaks between them: nothing told is lost or doubled.
+"""Gateway processes that hold the replicated counter themselves: no acknowledged add is lost or applied twice.
 
-Each step waits for what must come about; a bound only ends a fault.
+Each step waits for its expected state; the time limit only ends a test that fails.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from martenstep.lab.fleet.rig import Rig
 from martenstep.lab.fleet.schedule import Step, parse_schedule
 
-BOUND_S = 120.0
+TIME_LIMIT_S = 120.0
 SLOTS = 4
-TEXT = """
+SCHEDULE = """
 name: "held" members: 5 zones: 3 seeds: 2 period_ms: 100 suspect_least_ms: 2000 slots: 4 final_ms: 6000
 trouble { what: KILL who: "d000" disk: WIPED }
 trouble { what: CUT source: "d001" both: true }
@@ -29,20 +29,20 @@
 View = dict[str, Any]
 
 
-class Play:
-    """A rig whose faults begin and end by hand, and the doors that ask."""
+class ManualRig:
+    """A rig whose faults the test begins and ends itself, and the clients that add to the counter."""
 
     def __init__(self, out: Path) -> None:
-        self.schedule = parse_schedule(TEXT, "held")
+        self.schedule = parse_schedule(SCHEDULE, "held")
         self.rig = Rig(self.schedule, 1, out, lambda part, what: None)
         self.promises: Promises | None = None
 
-    def step(self, number: int, on: bool) -> None:
+    def set_fault(self, number: int, on: bool) -> None:
         entry = self.schedule.trouble[number]
         self.rig.apply(Step(0.0, on, number, entry, (entry.who,) if entry.who else ()))
 
-    async def leading(self) -> dict[str, tuple[str, View]]:
-        """Each slot's latest leader, and the group as it has it."""
+    async def leaders(self) -> dict[str, tuple[str, View]]:
+        """By replica group: the leader of the latest term, and its view of the group."""
         found: dict[str, tuple[str, View]] = {}
         for number in range(self.schedule.members):
             name = f"d{number:03d}"
@@ -53,54 +53,58 @@
                     found[group["group"]] = name, group
         return found
 
-    async def until(self, holds: Callable[[dict[str, tuple[str, View]]], bool]) -> dict[str, tuple[str, View]]:
-        while not holds(leading := await self.leading()):
+    async def wait_until(self, holds: Callable[[dict[str, tuple[str, View]]], bool]) -> dict[str, tuple[str, View]]:
+        while not holds(leaders := await self.leaders()):
             await asyncio.sleep(0.1)
-        return leading
+        return leaders
 
-    async def more(self, adds: int) -> None:
-        """Wait until so many more have been told."""
+    async def wait_for_acknowledged(self, adds: int) -> None:
+        """Wait until this many more adds have been acknowledged."""
         assert self.promises is not None
         wanted = self.promises.told + adds
         while self.promises.told < wanted:
             await asyncio.sleep(0.02)
 
 
-def whole(leading: dict[str, tuple[str, View]]) -> bool:
-    return len(leading) == SLOTS and all(
+def fully_replicated(leaders: dict[str, tuple[str, View]]) -> bool:
+    return len(leaders) == SLOTS and all(
         len(group["at"]) == 3
         and all(one["counts"] and one["present"] for one in group["at"])
         and sorted(one["place"] for one in group["at"]) == sorted(group["wanted"])
-        for _, group in leading.values()
+        for _, group in leaders.values()
     )
 
 
-async def _hard_cases(play: Play) -> None:
-    rig = play.rig
+async def _run_faults(manual_rig: ManualRig) -> None:
+    rig = manual_rig.rig
     await rig.open()
-    await play.until(whole)
-    promises = play.promises = Promises(rig._out / "askers", rig.counter_addresses(), SLOTS)
+    await manual_rig.wait_until(fully_replicated)
+    promises = manual_rig.promises = Promises(rig._out / "askers", rig.counter_addresses(), SLOTS)
     promises.start(per_s=200)
-    await play.more(200)
-    play.step(0, True)  # a machine is lost with its disk, for good: its copies are made elsewhere
-    await play.more(200)
-    await play.until(
-        lambda leading: whole(leading) and all("d000" not in group["wanted"] for _, group in leading.values())
+    await manual_rig.wait_for_acknowledged(200)
+    manual_rig.set_fault(0, True)  # a machine is lost with its disk; its replicas are created elsewhere
+    await manual_rig.wait_for_acknowledged(200)
+    await manual_rig.wait_until(
+        lambda leaders: (
+            fully_replicated(leaders) and all("d000" not in group["wanted"] for _, group in leaders.values())
+        )
     )
-    play.step(0, False)  # it comes back as another disk, and is filled
-    await play.until(lambda leading: whole(leading) and any("d000" in group["wanted"] for _, group in leading.values()))
-    play.step(1, True)  # cut off from the others, and reached by who asks
-    await play.more(300)
-    play.step(1, False)
-    play.step(2, True)  # stands, and resumes with what is in its buffers
-    await play.more(100)
-    play.step(2, False)
-    play.step(3, True)  # killed and started again with its disk
-    await play.more(100)
-    play.step(3, False)
-    await play.until(whole)
-    leading = await play.leading()
-    group, (door, held) = next(iter(leading.items()))
+    manual_rig.set_fault(0, False)  # it returns with another disk, and receives replicas
+    await manual_rig.wait_until(
+        lambda leaders: fully_replicated(leaders) and any("d000" in group["wanted"] for _, group in leaders.values())
+    )
+    manual_rig.set_fault(1, True)  # cut off from the other gateways, while clients still reach it
+    await manual_rig.wait_for_acknowledged(300)
+    manual_rig.set_fault(1, False)
+    manual_rig.set_fault(2, True)  # is paused, and resumes with the messages in its buffers
+    await manual_rig.wait_for_acknowledged(100)
+    manual_rig.set_fault(2, False)
+    manual_rig.set_fault(3, True)  # killed and restarted with its disk
+    await manual_rig.wait_for_acknowledged(100)
+    manual_rig.set_fault(3, False)
+    await manual_rig.wait_until(fully_replicated)
+    leaders = await manual_rig.leaders()
+    group, (door, held) = next(iter(leaders.items()))
     to = next(one["place"] for one in held["at"] if one["place"] != door)
     port = rig._places[door].process.ready["admin"]  # type: ignore[union-attr]
     told = await asyncio.to_thread(CliRunner().invoke, cli, ["copies", "show", "--admin", f"127.0.0.1:{port}"])
@@ -109,26 +113,26 @@
         CliRunner().invoke, cli, ["copies", "move", group, "--to", to, "--admin", f"127.0.0.1:{port}"]
     )
     assert told.exit_code == 0, told.output
-    await play.until(lambda leading: group in leading and leading[group][0] == to)
+    await manual_rig.wait_until(lambda leaders: group in leaders and leaders[group][0] == to)
     assert await promises.settle(60.0)
 
 
-def test_what_the_doors_promise_each_other_outlives_lost_machines_cuts_and_pauses(tmp_path: Path) -> None:
+def test_acknowledged_adds_survive_lost_machines_network_cuts_and_pauses(tmp_path: Path) -> None:
     async def test() -> None:
-        play = Play(tmp_path / "out")
+        manual_rig = ManualRig(tmp_path / "out")
         try:
-            async with asyncio.timeout(BOUND_S):
-                await _hard_cases(play)
+            async with asyncio.timeout(TIME_LIMIT_S):
+                await _run_faults(manual_rig)
         finally:
-            await play.rig.close()
-        assert play.promises is not None
-        folders = play.rig.copies_folders()
-        assert play.promises.judge(folders) == [], play.promises.summary()
+            await manual_rig.rig.close()
+        assert manual_rig.promises is not None
+        folders = manual_rig.rig.copies_folders()
+        assert manual_rig.promises.judge(folders) == [], manual_rig.promises.summary()
         told = CliRunner().invoke(cli, ["copies", "verify", *map(str, folders)])
         assert told.exit_code == 0, told.output
-        asker = play.promises.askers[0]
-        asker.sent[next(iter(asker.sent))] += 1  # what would be lost is seen
-        asker.tries.pop()  # and what would be doubled
-        assert len(play.promises.judge(folders)) == 2
+        asker = manual_rig.promises.askers[0]
+        asker.sent[next(iter(asker.sent))] += 1  # the checker must report a lost add
+        asker.tries.pop()  # and an add that was applied twice
+        assert len(manual_rig.promises.judge(folders)) == 2
 
     asyncio.run(test())
--- a/tests/test_counter_processes.py
+++ b/tests/test_counter_processes.py
@@ -14,12 +14,12 @@
 from martenstep.counter.client import ClientOptions, CounterClient
 from martenstep.counter.journal import AttemptJournal
 from martenstep.counter.pending_increments import AttemptRecord
-from martenstep.lab.copies import Copies
+from martenstep.lab.copies import CounterReplicas
 from martenstep.policy.messages import CallResult
 from tests.socket_rig import LONG_TEST_TIMEOUT_S, run
 
 
-def make_client(copies: Copies, results: list[CallResult]) -> CounterClient:
+def make_client(copies: CounterReplicas, results: list[CallResult]) -> CounterClient:
     return CounterClient(
         copies.addresses,
         AttemptJournal(copies.folder / "journal", 5000),
@@ -31,7 +31,7 @@
 
 def test_killed_and_paused_replicas_lose_nothing_and_count_nothing_twice(tmp_path: Path) -> None:
     async def test() -> None:
-        copies, results = Copies(tmp_path), list[CallResult]()
+        copies, results = CounterReplicas(tmp_path), list[CallResult]()
         await copies.start_all()
         client, stop, sent = make_client(copies, results), asyncio.Event(), 0
         client.start()
@@ -46,26 +46,26 @@
 
         loading = asyncio.create_task(load())
         try:
-            await copies.leader()
+            await copies.wait_for_leader()
             while CallResult.OK not in results:
                 await asyncio.sleep(0.02)
             for _ in range(2):
-                lost, before = await copies.leader()
+                lost, before = await copies.wait_for_leader()
                 await copies.kill(lost)
-                _, after = await copies.leader()
+                _, after = await copies.wait_for_leader()
                 assert after >= before  # the next leader lacks nothing that was acknowledged
                 await copies.start(lost)
-            paused, before = await copies.leader()
+            paused, before = await copies.wait_for_leader()
             copies.running[paused].send_signal(signal.SIGSTOP)
             process = copies.running.pop(paused)
-            _, after = await copies.leader()
+            _, after = await copies.wait_for_leader()
             process.send_signal(signal.SIGCONT)
             copies.running[paused] = process
             assert after >= before
             stop.set()
             await loading
             assert await client.flush(20_000)
-            _, total = await copies.leader()
+            _, total = await copies.wait_for_leader()
             assert len(results) == sent and set(results) <= {
                 CallResult.OK,
                 CallResult.TIMEOUT,
@@ -78,7 +78,7 @@
             await client.stop()
             await copies.stop()
         # On disk a majority of the replicas holds every attempt and every add, once.
-        counters = [copies.on_disk(number) for number in range(3)]
+        counters = [copies.load_state(number) for number in range(3)]
         assert sorted(counter.total(7) == total for counter in counters)[1:] == [True, True]
         attempt_counts = [sum(totals.attempts for totals in counter.usage().values()) for counter in counters]
         assert sorted(count == sent for count in attempt_counts)[1:] == [True, True]
@@ -88,8 +88,8 @@
 
 def test_a_single_replica_grows_to_three_without_a_stop_and_can_then_be_lost(tmp_path: Path) -> None:
     async def test() -> None:
-        copies, results = Copies(tmp_path), list[CallResult]()
-        copies.write([0], began=1)
+        copies, results = CounterReplicas(tmp_path), list[CallResult]()
+        copies.write_settings([0], bootstrap_count=1)
         await copies.start(0)
         client, sent = make_client(copies, results), 0
         client.start()
@@ -102,24 +102,24 @@
                 await asyncio.sleep(0.01)
 
         async def wait_for_voters(number: int, expected: set[int]) -> None:
-            while not any(set(event.get("voters", ())) == expected for event in copies.notes(number)):
+            while not any(set(event.get("voters", ())) == expected for event in copies.logged_events(number)):
                 await asyncio.sleep(0.02)
 
         loading = asyncio.create_task(load())
         try:
             while results.count(CallResult.OK) < 50:
                 await asyncio.sleep(0.02)
-            copies.write(range(3), began=1)
+            copies.write_settings(range(3), bootstrap_count=1)
             await asyncio.gather(copies.start(1), copies.start(2))  # these two must not form a group of their own
             copies.running[0].send_signal(signal.SIGHUP)
             await wait_for_voters(0, set(copies.ids))
-            _, before = await copies.leader()
+            _, before = await copies.wait_for_leader()
             await copies.kill(0)  # the only bootstrap member is lost
-            leader, after = await copies.leader()
+            leader, after = await copies.wait_for_leader()
             assert leader != 0 and after >= before
             loading.cancel()
             assert await client.flush(60_000)
-            _, total = await copies.leader()
+            _, total = await copies.wait_for_leader()
             assert total == sent - results.count(CallResult.CONNECT_FAILED) and len(results) == sent
         finally:
             loading.cancel()
@@ -130,7 +130,7 @@
 
 
 def test_a_disk_of_an_unlisted_replica_is_rejected(tmp_path: Path) -> None:
-    copies = Copies(tmp_path)
+    copies = CounterReplicas(tmp_path)
     for path in (tmp_path / "log-1").iterdir():
         path.unlink()
     result = CliRunner().invoke(cli, ["counter", "serve", str(copies.file(1))])
@@ -152,7 +152,7 @@
 def test_settings_that_no_replica_group_can_use_are_rejected(
     tmp_path: Path, change: tuple[str, str], error: str
 ) -> None:
-    copies = Copies(tmp_path)
+    copies = CounterReplicas(tmp_path)
     file = copies.file(0)
     file.write_text(file.read_text().replace(*change))
     result = CliRunner().invoke(cli, ["counter", "serve", str(file)])
--- a/tests/test_counter_service.py
+++ b/tests/test_counter_service.py
@@ -344,16 +344,16 @@
     """Each add and each attempt counts once although the process is killed repeatedly."""
 
     async def test() -> None:
-        from martenstep.lab.copies import started
-        from martenstep.lab.ports import held_ports
+        from martenstep.lab.copies import start_counter
+        from martenstep.lab.ports import reserve_ports
 
-        [port] = held_ports(1)
+        [port] = reserve_ports(1)
         file = tmp_path / "counter.txtpb"
         file.write_text(
             f'name: "c" port: {port} log {{ directory: "{tmp_path / "log"}" commit_ms: 1 '
             "segment_bytes: 20000 snapshot_records: 900 }"
         )
-        process, _ = await started(file)
+        process, _ = await start_counter(file)
         gateways = [GatewayClient(port, tmp_path / f"door-{n}", f"door-{n}", timeout_ms=200.0) for n in range(2)]
         sent: dict[int, float] = {}
         stop = asyncio.Event()
@@ -387,7 +387,7 @@
             assert max(rounds) < allowed_rounds  # the load goes on until the kill
             process.kill()
             await process.wait()
-            process, _ = await started(file)
+            process, _ = await start_counter(file)
             allowed_rounds += ROUNDS_PER_KILL
         stop.set()
         await asyncio.gather(*loads)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Days: their checks, what is made of them, taps turned into them; and a small one played for real."""
+"""Scenarios: their checks, the settings and schedules made from them, taps turned into them, and one real run."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.day import (
     customers_of,
-    door_settings,
+    format_settings,
+    gateway_settings,
     length_ms,
-    load_day,
-    parse_day,
+    load_scenario,
+    parse_scenario,
     schedule,
     server_settings,
     targets_of,
-    written,
 )
-from martenstep.lab.play import STEERED, Stage
-from martenstep.lab.tap import TapError, day_from
+from martenstep.lab.play import COMMANDED_FAULTS, ScenarioRunner
+from martenstep.lab.tap import TapError, scenario_from_tap
 
 ROOT = Path(__file__).resolve().parent.parent
-DAY = """
+SCENARIO = """
 name: "small" seed: 3 fleet { doors: 3 servers: 4 slow_share: 0.5 }
 class { name: "read" aim_ms: 500 deadline_ms: 2000 }
 class { name: "write" aim_ms: 500 deadline_ms: 2000 effect: KEYED window_ms: 1000 }
@@ -45,14 +45,14 @@
 """
 
 
-def test_every_day_of_the_repository_loads() -> None:
+def test_every_scenario_of_the_repository_loads() -> None:
     days = sorted((ROOT / "days").glob("*.txtpb"))
     assert days
-    assert all(load_day(path).name == path.stem for path in days)
+    assert all(load_scenario(path).name == path.stem for path in days)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "expected"),
     [
         ('class: "write"', 'class: "wriet"', "work[1].class: no class is named 'wriet'"),
         ("doors: 3 servers", "doors: 3000 servers", "fleet.doors: expected from 1 to 2000, got 3000"),
@@ -80,18 +80,18 @@
         ("clients {", 'clients { abuse_plan: "gold" ', "clients.abuse_plan: no plan is named 'gold'"),
     ],
 )
-def test_what_is_wrong_with_a_day_is_told(old: str, new: str, told: str) -> None:
+def test_each_error_in_a_scenario_is_reported(old: str, new: str, expected: str) -> None:
     with pytest.raises(SettingsError) as caught:
-        parse_day(DAY.replace(old, new, 1), "day")
-    assert told in str(caught.value)
+        parse_scenario(SCENARIO.replace(old, new, 1), "day")
+    assert expected in str(caught.value)
 
 
-def test_each_trouble_is_brought_in_one_way_to_its_own_targets() -> None:
+def test_each_fault_is_injected_in_one_way_and_affects_its_own_targets() -> None:
     for name, trouble in pb.Trouble.items():
-        if trouble not in (pb.NONE, pb.NET_CUT):  # cuts are emulated only
-            assert (trouble in STEERED) != hasattr(Stage, f"_{name.lower()}"), name
-    day = parse_day(DAY, "small")
-    day.auth_services.number = 3
+        if trouble not in (pb.NONE, pb.NET_CUT):  # network cuts are only emulated
+            assert (trouble in COMMANDED_FAULTS) != hasattr(ScenarioRunner, f"_{name.lower()}"), name
+    scenario = parse_scenario(SCENARIO, "small")
+    scenario.auth_services.number = 3
     for trouble, targets in (
         (pb.DOOR_KILLED, [0, 1]),
         (pb.SERVER_SLOW, [0, 1]),
@@ -100,24 +100,24 @@
         (pb.STORE_DOWN, []),
         (pb.FEED_DOWN, []),
     ):
-        assert targets_of(day, pb.Event(trouble=trouble, count=2)) == targets
-    assert targets_of(day, pb.Event(trouble=pb.AUTH_DOWN, target=[2])) == [2]
+        assert targets_of(scenario, pb.Event(trouble=trouble, count=2)) == targets
+    assert targets_of(scenario, pb.Event(trouble=pb.AUTH_DOWN, target=[2])) == [2]
 
 
-def test_the_schedule_is_the_same_each_time_and_follows_the_phases() -> None:
-    day = parse_day(DAY, "day")
-    planned = list(schedule(day))
-    assert planned == list(schedule(day))
-    day.seed = 4
-    assert planned != list(schedule(day))
+def test_the_schedule_is_reproducible_and_follows_the_phases() -> None:
+    scenario = parse_scenario(SCENARIO, "day")
+    planned = list(schedule(scenario))
+    assert planned == list(schedule(scenario))
+    scenario.seed = 4
+    assert planned != list(schedule(scenario))
     times = [p.at_ms for p in planned]
-    assert times == sorted(times) and times[-1] < length_ms(day) == 40_000
+    assert times == sorted(times) and times[-1] < length_ms(scenario) == 40_000
     first = [p for p in planned if p.at_ms < 20_000]
     burst = [p for p in planned if 20_000 <= p.at_ms < 30_000]
     hot = [p for p in planned if p.at_ms >= 30_000]
     assert 850 < len(first) < 1150 and 1350 < len(burst) < 1650
     assert 0.4 < sum(p.customer.startswith("studio") for p in first) / len(first) < 0.6
-    assert sum(p.customer.startswith("studio") for p in burst) / len(burst) > 0.75  # the rest of it is as before
+    assert sum(p.customer.startswith("studio") for p in burst) / len(burst) > 0.75  # the other requests are as before
     assert Counter(p.customer for p in hot)["studio-1-0"] / len(hot) > 0.5
     assert 0.2 < sum(p.cls == "write" for p in planned) / len(planned) < 0.3
     assert all(p.units == (2 if p.cls == "write" else 1) for p in planned)
@@ -125,21 +125,21 @@
     assert any(p.customer.startswith("basic-once-") for p in planned)
 
 
-def test_each_customer_comes_through_its_own_doors() -> None:
-    day = parse_day(DAY, "day")
-    own = {customer.key: set(customer.doors) for group in customers_of(day) for customer in group}
-    for planned in schedule(day):
+def test_each_customer_uses_its_own_gateways() -> None:
+    scenario = parse_scenario(SCENARIO, "day")
+    own = {customer.key: set(customer.gateways) for group in customers_of(scenario) for customer in group}
+    for planned in schedule(scenario):
         assert set(planned.doors) == own.get(planned.customer, {0, 1, 2})
     assert {len(doors) for key, doors in own.items() if key.startswith("basic")} == {2}
 
 
-def test_the_settings_of_doors_and_servers_are_good() -> None:
-    day = parse_day(DAY, "day")
-    door = door_settings(day, 2, {"listener": 1, "admin": 2, "store": 3, "feed": 4}, Path("/tmp/x"))
-    assert parse_door(written(door), "door") == door
+def test_the_settings_of_gateways_and_servers_are_valid() -> None:
+    scenario = parse_scenario(SCENARIO, "day")
+    door = gateway_settings(scenario, 2, {"listener": 1, "admin": 2, "store": 3, "feed": 4}, Path("/tmp/x"))
+    assert parse_door(format_settings(door), "door") == door
     assert (door.instance, door.instances, len(door.customer), door.max_units) == (2, 3, 23, 2.0)
-    assert [server_settings(day, n, False, 0).speed for n in range(4)] == [1 / 1.7, 1 / 1.7, 1.0, 1.0]
-    assert server_settings(day, 0, True, 0).work["write"].key_window_ms == 1000.0
+    assert [server_settings(scenario, n, False, 0).speed for n in range(4)] == [1 / 1.7, 1 / 1.7, 1.0, 1.0]
+    assert server_settings(scenario, 0, True, 0).work["write"].key_window_ms == 1000.0
 
 
 # Taps ---------------------------------------------------------------------------------------------------
@@ -184,7 +184,7 @@
 
 
 def tap() -> list[str]:
-    """Ten seconds by hand: a door dies, a server falls silent and comes back, one drains, the counter stands still."""
+    """Ten seconds: a gateway ends, a server is silent and comes back, one drains, and counter calls time out."""
     lines = [
         ">> process 0, 35 bytes",
         "BATCH t_ms=5000.0",
@@ -223,15 +223,15 @@
     return lines
 
 
-def test_a_tap_becomes_a_day_of_the_same_troubles() -> None:
-    day = day_from(tap(), "mine", rate=20.0, servers=10, doors=3)
-    parse_day(written_day(day), "day")  # it passes every check
-    assert (day.fleet.doors, day.fleet.servers) == (2, 2)
-    assert sum(phase.for_ms for phase in day.phase) == 10_000
-    assert all(abs(phase.rate - 20.0) < 1.0 for phase in day.phase)
-    assert [getattr(work, "class") for work in day.work] == ["get", "put"] and day.work[1].share == 0.25
-    assert day.plan[0].burst == 4.0 and day.upstream.max_attempts == 4 and day.store_timeout_ms == 70.0
-    found = {(event.trouble, event.at_ms, event.for_ms, tuple(event.target)) for event in day.event}
+def test_a_tap_becomes_a_scenario_with_the_same_faults() -> None:
+    scenario = scenario_from_tap(tap(), "mine", rate=20.0, servers=10, doors=3)
+    parse_scenario(scenario_text(scenario), "day")  # it passes every check
+    assert (scenario.fleet.doors, scenario.fleet.servers) == (2, 2)
+    assert sum(phase.for_ms for phase in scenario.phase) == 10_000
+    assert all(abs(phase.rate - 20.0) < 1.0 for phase in scenario.phase)
+    assert [getattr(work, "class") for work in scenario.work] == ["get", "put"] and scenario.work[1].share == 0.25
+    assert scenario.plan[0].burst == 4.0 and scenario.upstream.max_attempts == 4 and scenario.store_timeout_ms == 70.0
+    found = {(event.trouble, event.at_ms, event.for_ms, tuple(event.target)) for event in scenario.event}
     assert found == {
         (pb.DOOR_KILLED, 2000.0, 2000.0, (1,)),
         (pb.SERVER_SILENT, 3000.0, 2000.0, (0,)),
@@ -240,14 +240,14 @@
     }
 
 
-def written_day(day: pb.Day) -> str:
+def scenario_text(scenario: pb.Day) -> str:
     from google.protobuf import text_format
 
-    return text_format.MessageToString(day)
+    return text_format.MessageToString(scenario)
 
 
 @pytest.mark.parametrize(
-    ("lines", "told"),
+    ("lines", "expected"),
     [
         ([], "not a tap"),
         (["QUERY door=1"], "line 1: 'QUERY' before the first BATCH"),
@@ -256,16 +256,16 @@
         (["BATCH nonsense"], "line 1: expected name=value"),
     ],
 )
-def test_what_is_no_tap_is_told_with_its_line(lines: list[str], told: str) -> None:
-    with pytest.raises(TapError, match=told):
-        day_from(lines, "x", 10.0, 3, 3)
+def test_an_invalid_tap_is_reported_with_its_line(lines: list[str], expected: str) -> None:
+    with pytest.raises(TapError, match=expected):
+        scenario_from_tap(lines, "x", 10.0, 3, 3)
 
 
-# For real -----------------------------------------------------------------------------------------------
+# Real processes -----------------------------------------------------------------------------------------
 
 
-def test_a_small_day_is_played_and_judged(tmp_path: Path) -> None:
-    """Every process for real; the slack of the clocks is so wide that a busy machine changes no verdict."""
+def test_a_small_scenario_is_run_and_checked(tmp_path: Path) -> None:
+    """All processes are real; the clock slack is wide enough that a busy machine causes no violation."""
     file = tmp_path / "small.txtpb"
     file.write_text("""
 name: "small" fleet { doors: 2 servers: 3 feed_lag_ms: 50 }
@@ -280,16 +280,15 @@
 judge_slack_ms: 4000
 """)
     out = tmp_path / "out"
-    done = CliRunner().invoke(cli, ["day", "run", str(file), "--out", str(out)])
-    assert done.exit_code == 0, done.output
+    run = CliRunner().invoke(cli, ["day", "run", str(file), "--out", str(out)])
+    assert run.exit_code == 0, run.output
     result = json.loads((out / "result.json").read_text())
     assert result["kept"] and result["figures"]["requests"] > 20 and result["figures"]["served"] > 0
     events = [json.loads(line)["what"] for line in (out / "events.jsonl").read_text().splitlines()]
     assert events.count("door down") == events.count("door up") == 1
-    again = CliRunner().invoke(cli, ["day", "check", str(out)])
-    assert again.exit_code == 0 and again.output == done.output
-    # The same traces, doctored: an attempt after every answer.
-    # Of all servers: one alone may have served nothing.
+    checked_again = CliRunner().invoke(cli, ["day", "check", str(out)])
+    assert checked_again.exit_code == 0 and checked_again.output == run.output
+    # Add an attempt after every answer to the traces, for all servers, as a single one may have served nothing.
     visits = [json.loads(line) for path in sorted(out.glob("server-*.jsonl")) for line in path.read_text().splitlines()]
     with (out / "server-2.jsonl").open("a") as trace:
         for line in visits:
@@ -299,40 +298,40 @@
     assert broken.exit_code == 3 and "BROKEN" in broken.output
 
 
-def arrivals(more: str, rate: float = 200.0, for_ms: float = 120_000.0) -> list[float]:
-    """When requests come in one long phase."""
-    head, tail = DAY.split("phase {", 1)
-    text = f"{head}phase {{ for_ms: {for_ms} rate: {rate} {more} }} clients {{}}"
+def arrivals(phase_fields: str, rate: float = 200.0, for_ms: float = 120_000.0) -> list[float]:
+    """The times of the requests in one long phase."""
+    head, tail = SCENARIO.split("phase {", 1)
+    text = f"{head}phase {{ for_ms: {for_ms} rate: {rate} {phase_fields} }} clients {{}}"
     assert tail
-    return [planned.at_ms for planned in schedule(parse_day(text, "day"))]
+    return [planned.at_ms for planned in schedule(parse_scenario(text, "day"))]
 
 
-def counts(moments: list[float], width_ms: float) -> list[int]:
-    """How many come in each stretch."""
-    made = Counter(int(at / width_ms) for at in moments)
-    return [made[number] for number in range(int(moments[-1] / width_ms))]
+def counts(moments: list[float], interval_ms: float) -> list[int]:
+    """The number of requests in each interval."""
+    intervals = Counter(int(at / interval_ms) for at in moments)
+    return [intervals[number] for number in range(int(moments[-1] / interval_ms))]
 
 
 def dispersion(moments: list[float]) -> float:
-    """Variance of the counts a second, in parts of their mean: 1 for a Poisson stream."""
-    held = counts(moments, 1000.0)
-    mean = sum(held) / len(held)
-    return sum((count - mean) ** 2 for count in held) / len(held) / mean
+    """The variance of the counts per second divided by their mean: 1 for a Poisson process."""
+    per_second = counts(moments, 1000.0)
+    mean = sum(per_second) / len(per_second)
+    return sum((count - mean) ** 2 for count in per_second) / len(per_second) / mean
 
 
-def test_arrivals_are_poisson_modulated_or_swing_as_the_phase_says() -> None:
+def test_arrivals_are_poisson_modulated_or_swinging_as_the_phase_states() -> None:
     plain = arrivals("")
     assert len(plain) / 120 == pytest.approx(200, rel=0.03) and dispersion(plain) == pytest.approx(1, abs=0.4)
     bursts = arrivals("burst_times: 5 burst_ms: 500 calm_ms: 2000")
-    # The mean of the two states' rates by the time that each has: (2000 + 5 * 500) / 2500 = 1.8.
+    # The mean of the two states' rates weighted by their durations: (2000 + 5 * 500) / 2500 = 1.8.
     assert len(bursts) / 120 == pytest.approx(200 * 1.8, rel=0.12) and dispersion(bursts) > 20
-    day = arrivals("swing: 0.8 swing_ms: 60000")
-    assert len(day) / 120 == pytest.approx(200, rel=0.04)
-    quarters = counts(day, 15_000.0)
+    swinging = arrivals("swing: 0.8 swing_ms: 60000")
+    assert len(swinging) / 120 == pytest.approx(200, rel=0.04)
+    quarters = counts(swinging, 15_000.0)
     assert quarters[0] > 1.8 * quarters[2] and quarters[4] > 1.8 * quarters[6]  # sin is high, then low, in each minute
 
 
-def test_a_phase_that_moves_shifts_no_other_phases_draws() -> None:
-    later = [planned.customer for planned in schedule(parse_day(DAY, "day")) if planned.at_ms < 20_000]
-    same = parse_day(DAY.replace("rate: 150", "rate: 150 burst_times: 3"), "day")
-    assert later == [planned.customer for planned in schedule(same) if planned.at_ms < 20_000]
+def test_modulation_of_one_phase_leaves_the_draws_of_other_phases_unchanged() -> None:
+    expected = [planned.customer for planned in schedule(parse_scenario(SCENARIO, "day")) if planned.at_ms < 20_000]
+    modulated = parse_scenario(SCENARIO.replace("rate: 150", "rate: 150 burst_times: 3"), "day")
+    assert expected == [planned.customer for planned in schedule(modulated) if planned.at_ms < 20_000]
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -12,7 +12,7 @@
 from martenstep.cli.main import cli
 from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
-from martenstep.lab.day import load_day, parse_day
+from martenstep.lab.day import load_scenario, parse_scenario
 from martenstep.lab.emulate.core import START_MS, Draws, Sim, Streams
 from martenstep.lab.emulate.doors import Connection, Costs, EmuDoor
 from martenstep.lab.emulate.judged import emulate, judged, traffic_of
@@ -40,7 +40,7 @@
 
 def small(more: str = "") -> pb.Day:
     """The small day, or with troubles."""
-    return parse_day(SMALL + more, "small.txtpb")
+    return parse_scenario(SMALL + more, "small.txtpb")
 
 
 # The clock and the network ------------------------------------------------------------------------------
@@ -171,7 +171,7 @@
 
 def test_one_door_admits_what_gcra_admits() -> None:
     """A customer that asks without end gets burst + rate x time, and no more."""
-    day = parse_day(
+    day = parse_scenario(
         SMALL.replace("doors: 2", "doors: 1")
         .replace("number: 12", "number: 1")
         .replace("retries: 1", "retries: 0")
@@ -200,7 +200,7 @@
 
 @pytest.mark.parametrize("name", sorted(path.stem for path in DAYS.glob("*.txtpb")))
 def test_every_day_of_the_repository_keeps_its_rules_or_says_that_it_is_not_modelled(name: str) -> None:
-    day = load_day(DAYS / f"{name}.txtpb")
+    day = load_scenario(DAYS / f"{name}.txtpb")
     try:
         world = World(day)
     except NotEmulatedError:
@@ -362,7 +362,7 @@
             f"event {{ at_ms: {at} for_ms: 300 trouble: NET_CUT source: 'door-*' sink: 'server-*' }} "
             for at in range(600, 4800, 400)
         )
-        return parse_day(keyed + cuts + "event { at_ms: 500 trouble: SERVER_RESETS count: 4 share: 0.7 }", "day")
+        return parse_scenario(keyed + cuts + "event { at_ms: 500 trouble: SERVER_RESETS count: 4 share: 0.7 }", "day")
 
     assert judged(day(), World(day()).play())["kept"]
     monkeypatch.setattr(EmuDoor, "_undelivered", lambda self, connection, action: None)
@@ -404,7 +404,7 @@
     plan = 8 + 4 * 5
 
     def made(more: str) -> float:
-        return sent_units(parse_day(one + more, "one.txtpb"))
+        return sent_units(parse_scenario(one + more, "one.txtpb"))
 
     assert made("limiter: 'each door'") == pytest.approx(2 * plan, abs=4)
     assert made("limiter: 'split'") == pytest.approx(plan, abs=4)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -12,7 +12,7 @@
 from martenstep.cli.main import cli
 from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
-from martenstep.lab.day import load_day, parse_day, schedule
+from martenstep.lab.day import load_scenario, parse_scenario, schedule
 from martenstep.lab.experiment import run as running
 from martenstep.lab.experiment.compare import arms, difference, interval, metrics, table
 from martenstep.lab.experiment.plan import arms_of, load_plan, parse_plan, runs_of
@@ -160,7 +160,7 @@
 
 
 def test_units_beyond_one_bucket_are_counted_once() -> None:
-    day = parse_day(SMALL.replace("rate: 4 burst: 8", "rate: 1 burst: 2"), "day.txtpb")
+    day = parse_scenario(SMALL.replace("rate: 4 burst: 8", "rate: 1 burst: 2"), "day.txtpb")
     traffic = Traffic()
 
     def tried(rid: str, at: float, sent: bool) -> None:
@@ -179,7 +179,7 @@
 
 
 def test_the_search_finds_the_worst_and_shrinks_it_to_what_matters() -> None:
-    base = parse_day(SMALL, "day.txtpb")
+    base = parse_scenario(SMALL, "day.txtpb")
 
     def badness(day: pb.Day) -> float:
         down = sum(event.for_ms >= 200 for event in day.event if event.trouble == pb.STORE_DOWN)
@@ -207,6 +207,6 @@
     done = CliRunner().invoke(cli, words)
     assert done.exit_code == 0 and "over_share" in done.output, done.output
     told = float(done.output.split("over_share ")[1].split(",")[0])
-    day = load_day(out)
+    day = load_scenario(out)
     assert day.name == "worst" and running.measure(day)["over_share"] == pytest.approx(told, rel=1e-3)
     assert CliRunner().invoke(cli, [*words, "--metric", "nope"]).exit_code == 2
--- a/tests/test_explore_orders.py
+++ b/tests/test_explore_orders.py
@@ -1,4 +1,4 @@
-"""The maintenance queue in every order of events of small worlds, and flaws that some order shows."""
+"""The model checker accepts the maintenance queue and detects each seeded flaw in it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martenstep.lab.explore_orders import BreachError, Budget, Explorer
+from martenstep.lab.explore_orders import Budget, Explorer, InvariantError
 from martenstep.maintenance.commands import CommandResult
 from martenstep.maintenance.model import MaintenanceRequest, RequestState
 from martenstep.maintenance.queue import MaintenanceQueue
@@ -29,9 +29,13 @@
 
 
 @pytest.mark.parametrize(
-    "budget", [Budget(laps=1, crashes=0, losses=0, people=0), Budget(laps=0, crashes=1, losses=0, people=0, most_out=2)]
+    "budget",
+    [
+        Budget(lease_steps=1, crashes=0, losses=0, operator_commands=0),
+        Budget(lease_steps=0, crashes=1, losses=0, operator_commands=0, max_out=2),
+    ],
 )
-def test_a_small_world_is_explored_to_its_end(budget: Budget) -> None:
+def test_all_states_of_a_small_world_are_explored_without_a_violation(budget: Budget) -> None:
     explorer = Explorer(budget)
     assert explorer.run() and explorer.states > 400 and explorer.left > 0
 
@@ -39,14 +43,16 @@
 @pytest.mark.parametrize(
     ("flaw", "budget"),
     [
-        (AbandonedDuringLease, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (AbandonedUnobserved, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (FinishedByAnybody, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (LeaseFromAnswer, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (DrainsBeforeAnswer, Budget(laps=1, crashes=0, losses=0, people=0)),
+        (AbandonedDuringLease, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=1)),
+        (AbandonedUnobserved, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=1)),
+        (FinishedByAnybody, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=1)),
+        (LeaseFromAnswer, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=1)),
+        (DrainsBeforeAnswer, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=0)),
     ],
 )
-def test_some_order_of_events_shows_a_flaw(flaw: Any, budget: Budget) -> None:
-    explorer = Explorer(budget, book=flaw) if issubclass(flaw, MaintenanceQueue) else Explorer(budget, agent=flaw)
-    with pytest.raises(BreachError, match=r"(away|leaves by).*, after: "):
-        explorer.run(most=30_000)
+def test_some_order_of_events_shows_each_flaw(flaw: Any, budget: Budget) -> None:
+    explorer = (
+        Explorer(budget, queue_type=flaw) if issubclass(flaw, MaintenanceQueue) else Explorer(budget, agent_type=flaw)
+    )
+    with pytest.raises(InvariantError, match=r"(away|leaves by).*, after: "):
+        explorer.run(max_states=30_000)
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -17,7 +17,7 @@
 from martenstep.cli.main import cli
 from martenstep.lab.fleet.rig import Rig, play_rig
 from martenstep.lab.fleet.schedule import Step, parse_schedule
-from martenstep.lab.play import PlayError
+from martenstep.lab.play import ScenarioRunError
 
 TIMEOUT_S = 90.0
 SCHEDULE = """
@@ -151,11 +151,11 @@
         ('name: "x" members: 40', "too many processes"),
         ('name: "x" trouble { what: LATE who: "d000" ms: 5 }', "emulated only"),
     ):
-        with pytest.raises(PlayError, match=reason):
+        with pytest.raises(ScenarioRunError, match=reason):
             asyncio.run(play_rig(parse_schedule(text, "x"), 1, tmp_path / "out"))
     (tmp_path / "other").mkdir()
     (tmp_path / "other" / "file").write_text("kept")
-    with pytest.raises(PlayError, match="something else"):
+    with pytest.raises(ScenarioRunError, match="something else"):
         asyncio.run(play_rig(parse_schedule('name: "x"', "x"), 1, tmp_path / "other"))
     assert (tmp_path / "other" / "file").read_text() == "kept"
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -9,7 +9,7 @@
 import pytest
 
 from martenstep.lab import report
-from martenstep.lab.day import parse_day
+from martenstep.lab.day import parse_scenario
 from martenstep.lab.rules import (
     ANSWERED,
     CEILINGS,
@@ -27,7 +27,7 @@
     join_traces,
 )
 
-DAY = """
+SCENARIO = """
 name: "judged" fleet { doors: 2 servers: 4 }
 class { name: "read" aim_ms: 500 deadline_ms: 1000 }
 class { name: "write" aim_ms: 500 deadline_ms: 1000 effect: KEYED group: ZONE window_ms: 400 }
@@ -117,7 +117,7 @@
 
     def violations(self) -> list[Violation]:
         traffic = join_traces(self.clients, self.servers, self.feed, self.events)
-        return InvariantChecker(parse_day(DAY, "day"), traffic).violations()
+        return InvariantChecker(parse_scenario(SCENARIO, "day"), traffic).violations()
 
     def violated(self) -> set[str]:
         return {violation.rule for violation in self.violations()}
@@ -423,7 +423,7 @@
 def test_a_folder_of_traces_is_checked_and_its_result_is_written(tmp_path: Path) -> None:
     traces = valid_traces()
     traces.add_attempt(1100, 1105, attempt=1, server=2)
-    (tmp_path / "day.txtpb").write_text(DAY)
+    (tmp_path / "day.txtpb").write_text(SCENARIO)
     for name, lines in (
         ("clients", traces.clients),
         ("server-0", traces.servers),
@@ -445,7 +445,7 @@
 def test_a_folder_with_missing_traces_is_refused(tmp_path: Path) -> None:
     with pytest.raises(report.TraceError, match=r"day\.txtpb"):
         report.check_folder(tmp_path)
-    (tmp_path / "day.txtpb").write_text(DAY)
+    (tmp_path / "day.txtpb").write_text(SCENARIO)
     with pytest.raises(report.TraceError, match=r"clients\.jsonl"):
         report.check_folder(tmp_path)
     for name in ("clients", "feed", "events", "redis"):
--- a/tests/test_lab_ports.py
+++ b/tests/test_lab_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are told to processes which start later."""
+"""Reserved ports for processes that start later."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 import pytest
 
-from martenstep.lab.ports import held_ports
+from martenstep.lab.ports import reserve_ports
 
 
-def test_a_port_is_held_until_the_process_it_is_for_binds_it() -> None:
-    """`make test` failed by one that was let go: a connection that went out meanwhile had got it."""
-    for port in held_ports(3):
+def test_a_port_stays_reserved_until_its_process_binds_it() -> None:
+    """A port that was found free and closed again was assigned to an outgoing connection, and `make test` failed."""
+    for port in reserve_ports(3):
         with socket.socket() as other, pytest.raises(OSError):
             other.bind(("127.0.0.1", port))
-        for _ in range(2):  # it may end, and start again
+        for _ in range(2):  # the process may end and start again
             with socket.create_server(("127.0.0.1", port)) as listener, socket.socket() as client:
                 client.connect(listener.getsockname())
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -22,7 +22,7 @@
 
 import pytest
 
-from martenstep.lab.ports import held_ports
+from martenstep.lab.ports import reserve_ports
 from martenstep.node import daemon
 from martenstep.node.config import EMPTY_DRAIN_PLAN, load_config
 from martenstep.node.daemon import GatewayNode
@@ -128,7 +128,7 @@
     ports = [await back.start() for back in backs]
     gateways = []
     for number in range(count):
-        path, port = tmp_path / f"n{number}.json", held_ports(1)[0]
+        path, port = tmp_path / f"n{number}.json", reserve_ports(1)[0]
         path.write_text(
             json.dumps(
                 raw_config(
@@ -300,7 +300,7 @@
 
         servers = [ScriptedServer(answers_after_gate), ScriptedServer(backend("s-0")), ScriptedServer(backend("s-1"))]
         agent_port, *ports = [await back.start() for back in servers]
-        [port] = held_ports(1)
+        [port] = reserve_ports(1)
         path = tmp_path / "config.json"
         path.write_text(
             json.dumps(
@@ -403,8 +403,8 @@
             json.dumps(
                 raw_config(
                     listen=f"127.0.0.1:{port}",
-                    discovery=f"127.0.0.1:{held_ports(1)[0]}",
-                    counter=f"127.0.0.1:{held_ports(1)[0]}",
+                    discovery=f"127.0.0.1:{reserve_ports(1)[0]}",
+                    counter=f"127.0.0.1:{reserve_ports(1)[0]}",
                 )
             ),
             encoding="utf-8",
@@ -560,7 +560,7 @@
     served."""
 
     async def test() -> None:
-        [port], sockets = held_ports(1), 128
+        [port], sockets = reserve_ports(1), 128
         heads: list[str] = []
 
         async def records_head(peer: Peer) -> None:
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -17,7 +17,7 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab import plan_pb2
-from martenstep.lab.day import parse_day
+from martenstep.lab.day import parse_scenario
 from martenstep.lab.emulate.doors import Connection, EmuDoor
 from martenstep.lab.experiment import sweep
 from martenstep.lab.rules import ANSWERED, CEILINGS, CHECKED, COLD, DOUBLE, DRAINS, INVENTED
@@ -39,7 +39,7 @@
     seen: set[int] = set()
     for number in range(150):
         day = sweep.drawn(kept, number)
-        assert parse_day(text_format.MessageToString(day), "day.txtpb") == day == sweep.drawn(kept, number)
+        assert parse_scenario(text_format.MessageToString(day), "day.txtpb") == day == sweep.drawn(kept, number)
         seen |= {event.trouble for event in day.event}
     assert seen >= set(sweep.KINDS)  # each trouble is drawn
 
