--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -46,9 +46,9 @@
 
 
 def test_every_scenario_of_the_repository_loads() -> None:
-    days = sorted((ROOT / "days").glob("*.txtpb"))
-    assert days
-    assert all(load_scenario(path).name == path.stem for path in days)
+    scenarios = sorted((ROOT / "days").glob("*.txtpb"))
+    assert scenarios
+    assert all(load_scenario(path).name == path.stem for path in scenarios)
 
 
 @pytest.mark.parametrize(
@@ -289,13 +289,15 @@
     checked_again = CliRunner().invoke(cli, ["day", "check", str(out)])
     assert checked_again.exit_code == 0 and checked_again.output == run.output
     # Add an attempt after every answer to the traces, for all servers, as a single one may have served nothing.
-    visits = [json.loads(line) for path in sorted(out.glob("server-*.jsonl")) for line in path.read_text().splitlines()]
+    server_lines = [
+        json.loads(line) for path in sorted(out.glob("server-*.jsonl")) for line in path.read_text().splitlines()
+    ]
     with (out / "server-2.jsonl").open("a") as trace:
-        for line in visits:
+        for line in server_lines:
             if line["what"] == "arrive":
                 trace.write(json.dumps({**line, "server": 3, "attempt": 1, "t": line["t"] + 60_000}) + "\n")
-    broken = CliRunner().invoke(cli, ["day", "check", str(out)])
-    assert broken.exit_code == 3 and "BROKEN" in broken.output
+    violated = CliRunner().invoke(cli, ["day", "check", str(out)])
+    assert violated.exit_code == 3 and "BROKEN" in violated.output
 
 
 def arrivals(phase_fields: str, rate: float = 200.0, for_ms: float = 120_000.0) -> list[float]:
