--- a/martenstep/cli/scenarios.py
+++ b/martenstep/cli/scenarios.py
@@ -26,12 +26,12 @@
     from martenstep.lab import report
 
     try:
-        result = report.judge_folder(folder)
+        result = report.check_folder(folder)
     except report.TraceError as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_USAGE)
     report.write_result(folder, result)
-    click.echo(report.table(result))
+    click.echo(report.format_table(result))
     sys.exit(0 if result["kept"] else EXIT_VIOLATION)
 
 
@@ -40,11 +40,11 @@
 @click.option("--out", type=FILE, required=True, help="Folder for traces, logs and result.json.")
 def run(file: Path, out: Path) -> None:
     """Run the scenario in FILE and check it; exits with 3 if an invariant is violated."""
-    from martenstep.lab.day import load_day
-    from martenstep.lab.play import PlayError, play_day
+    from martenstep.lab.day import load_scenario
+    from martenstep.lab.play import ScenarioRunError, run_scenario
 
     try:
-        loaded = load_day(file)
+        loaded = load_scenario(file)
     except SettingsError as error:
         exit_with_problems(error)
     bar = _ProgressBar(loaded.name)
@@ -53,8 +53,8 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, signal.default_int_handler)
     try:
-        asyncio.run(play_day(loaded, out, bar.move))
-    except (PlayError, OSError) as error:
+        asyncio.run(run_scenario(loaded, out, bar.move))
+    except (ScenarioRunError, OSError) as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(1)
     except KeyboardInterrupt:
@@ -94,11 +94,11 @@
     """Convert TAP, the recording of a benchmark run, to a smaller scenario with the same kinds of faults; print it."""
     from google.protobuf import text_format
 
-    from martenstep.lab.tap import TapError, day_from
+    from martenstep.lab.tap import TapError, scenario_from_tap
 
     try:
         with tap.open(encoding="utf-8") as lines:
-            scenario = day_from(lines, tap.stem, rate, servers, gateways)
+            scenario = scenario_from_tap(lines, tap.stem, rate, servers, gateways)
     except (OSError, TapError, UnicodeDecodeError) as error:
         click.echo(f"{tap}: {error}", err=True)
         sys.exit(EXIT_USAGE)
--- a/martenstep/lab/emulate/judged.py
+++ b/martenstep/lab/emulate/judged.py
@@ -6,23 +6,23 @@
 
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab.emulate.world import Emulation, Traces
-from martenstep.lab.report import result_of
-from martenstep.lab.rules import CHECKED, RULES, Judge, Traffic, checked, gather
+from martenstep.lab.report import build_result
+from martenstep.lab.rules import CHECKED, RULES, InvariantChecker, Traffic, check_verdicts, join_traces
 
 
 def gather_traffic(traces: Traces) -> Traffic:
     """Combine the traces into the traffic that the checkers work on."""
-    return gather(traces.clients, traces.servers, traces.feed, traces.events)
+    return join_traces(traces.clients, traces.servers, traces.feed, traces.events)
 
 
 def check_traces(scenario: pb.Day, traces: Traces) -> dict[str, Any]:
     """Check an emulated scenario; the result has the same form as for a scenario on sockets."""
     traffic = gather_traffic(traces)
-    violations = Judge(scenario, traffic).all()
+    violations = InvariantChecker(scenario, traffic).violations()
     has_auth = scenario.HasField("auth_services")
     if has_auth:
-        violations += checked(traffic, traces.auth, scenario.judge_slack_ms)
-    return result_of(scenario, traffic, violations, (*RULES, *([CHECKED] if has_auth else [])))
+        violations += check_verdicts(traffic, traces.auth, scenario.judge_slack_ms)
+    return build_result(scenario, traffic, violations, (*RULES, *([CHECKED] if has_auth else [])))
 
 
 def emulate(scenario: pb.Day, seed: int | None = None) -> dict[str, Any]:
--- a/martenstep/lab/emulate/limited.py
+++ b/martenstep/lab/emulate/limited.py
@@ -27,7 +27,9 @@
         self._own_buckets, self._central_buckets = CustomerBuckets(), central
         self._plans = {plan.name: plan for plan in scenario.plan}
         self._customers = {
-            customer.key: (customer.plan, len(customer.doors)) for group in customers_of(scenario) for customer in group
+            customer.key: (customer.plan, len(customer.gateways))
+            for group in customers_of(scenario)
+            for customer in group
         }
         self._units = {getattr(work, "class"): work.units for work in scenario.work}
         self._default_plan = scenario.customers[0].plan
--- a/martenstep/lab/emulate/match.py
+++ b/martenstep/lab/emulate/match.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from martenstep.lab.day import load_day
+from martenstep.lab.day import load_scenario
 from martenstep.lab.emulate.judged import gather_traffic
 from martenstep.lab.emulate.world import Emulation
-from martenstep.lab.measures import summary
-from martenstep.lab.report import figures, judged_traffic
+from martenstep.lab.measures import comparable_figures
+from martenstep.lab.report import check_traces, figures
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,9 +50,9 @@
 
 def match(folder: Path) -> list[Pair]:
     """Compare a run on sockets with its emulation; raises SettingsError, TraceError, NotEmulatedError."""
-    scenario = load_day(folder / "day.txtpb")
-    played_traffic, _ = judged_traffic(folder, scenario)
-    played = summary(scenario, played_traffic, figures(scenario, played_traffic))
+    scenario = load_scenario(folder / "day.txtpb")
+    played_traffic, _ = check_traces(folder, scenario)
+    played = comparable_figures(scenario, played_traffic, figures(scenario, played_traffic))
     emulated_traffic = gather_traffic(Emulation(scenario).run())
-    emulated = summary(scenario, emulated_traffic, figures(scenario, emulated_traffic))
+    emulated = comparable_figures(scenario, emulated_traffic, figures(scenario, emulated_traffic))
     return [Pair(name, played[name], emulated[name]) for name in TOLERANCES]
--- a/martenstep/lab/emulate/world.py
+++ b/martenstep/lab/emulate/world.py
@@ -10,7 +10,15 @@
 
 from martenstep.config import door_pb2 as cfg
 from martenstep.lab import day_pb2 as pb
-from martenstep.lab.day import door_settings_at, entry_of, length_ms, schedule, server_settings, targets_of, zone_name
+from martenstep.lab.day import (
+    endpoint_entry,
+    length_ms,
+    offline_gateway_settings,
+    schedule,
+    server_settings,
+    targets_of,
+    zone_name,
+)
 from martenstep.lab.emulate.auth import EmulatedAuthService
 from martenstep.lab.emulate.clients import EmulatedClients, client_manners
 from martenstep.lab.emulate.core import RandomBuffer, RandomStreams, Sim
@@ -219,7 +227,7 @@
         self.gateways: dict[int, EmulatedGateway] = {}
         self._start_counts = [0] * fleet.doors
         self._outages: Counter[int] = Counter()  # faults that keep a gateway down
-        self._settings = door_settings_at(scenario, 0)
+        self._settings = offline_gateway_settings(scenario, 0)
         self._central_buckets = CustomerBuckets()
         # The alternative limiter alone must keep the plans' quotas and ceilings, so the gateways' own are cleared.
         if scenario.limiter:
@@ -250,7 +258,7 @@
         self.traces.events.append({"t": self.sim.now, "what": what, **fields})
 
     def _feed_entry(self, number: int, state: str) -> dict[str, Any]:
-        return entry_of(self.scenario, number, 10_000 + number, state, self._server_starts[number])
+        return endpoint_entry(self.scenario, number, 10_000 + number, state, self._server_starts[number])
 
     def _start_gateway(self, number: int) -> None:
         """Start a gateway's process with the endpoint list that its previous process cached."""
--- a/martenstep/lab/experiment/plan.py
+++ b/martenstep/lab/experiment/plan.py
@@ -12,7 +12,7 @@
 from martenstep.config.loading import parse_checked, read_text
 from martenstep.config.text_format import FieldPosition, SettingsError
 from martenstep.lab import day_pb2, plan_pb2
-from martenstep.lab.day import check_day, load_day
+from martenstep.lab.day import check_scenario, load_scenario
 
 MAX_ARMS, MAX_RUNS = 200, 5000
 
@@ -97,7 +97,7 @@
                 group.doors = min(level.customer_doors, scenario.fleet.doors)
     checker, root = SettingsChecker(), FieldPosition("", "", 1, 1)
     # The merged scenario is in no file, so problems are reported by field instead of by line.
-    check_day(checker, scenario, _field_positions(scenario, root))
+    check_scenario(checker, scenario, _field_positions(scenario, root))
     if checker.problems:
         raise SettingsError(f"arm {arm.name}", checker.problems)
     return scenario
@@ -114,7 +114,7 @@
 
 def runs_of(plan: plan_pb2.Plan, folder: Path) -> list[Run]:
     """All runs, ordered by repetition so that early results cover all arms; raises SettingsError."""
-    base = load_day(folder / plan.day)
+    base = load_scenario(folder / plan.day)
     scenarios = [(arm, scenario_of_arm(plan, base, arm)) for arm in arms_of(plan)]
     runs = []
     for repetition in range(plan.repetitions):
--- a/martenstep/lab/experiment/run.py
+++ b/martenstep/lab/experiment/run.py
@@ -23,10 +23,10 @@
 from martenstep.lab.emulate.world import Emulation
 from martenstep.lab.experiment.plan import runs_of
 from martenstep.lab.experiment.pool import worker_pool
-from martenstep.lab.measures import summary
-from martenstep.lab.play import play_day
-from martenstep.lab.report import figures, judged_traffic
-from martenstep.lab.rules import Judge
+from martenstep.lab.measures import comparable_figures
+from martenstep.lab.play import run_scenario
+from martenstep.lab.report import check_traces, figures
+from martenstep.lab.rules import InvariantChecker
 
 JOURNAL, RESULT, PLAN = "rows.jsonl", "result.parquet", "plan.txtpb"
 ROOT = Path(__file__).resolve().parents[3]
@@ -54,8 +54,8 @@
     begin = time.perf_counter()
     emulation = Emulation(scenario, seed)
     traffic = gather_traffic(emulation.run())
-    metrics = summary(scenario, traffic, figures(scenario, traffic))
-    violations = Judge(scenario, traffic).all()
+    metrics = comparable_figures(scenario, traffic, figures(scenario, traffic))
+    violations = InvariantChecker(scenario, traffic).violations()
     tries = max(len(traffic.tries), 1)
     return {
         **metrics,
@@ -69,11 +69,11 @@
 
 
 def measure_on_sockets(scenario: day_pb2.Day, folder: Path) -> Row:
-    """Run one scenario on loopback sockets; returns the same metrics.  Raises PlayError."""
+    """Run one scenario on loopback sockets; returns the same metrics.  Raises ScenarioRunError."""
     begin = time.perf_counter()
-    asyncio.run(play_day(scenario, folder, lambda part, what: None))
-    traffic, violations = judged_traffic(folder, scenario)
-    metrics = summary(scenario, traffic, figures(scenario, traffic))
+    asyncio.run(run_scenario(scenario, folder, lambda part, what: None))
+    traffic, violations = check_traces(folder, scenario)
+    metrics = comparable_figures(scenario, traffic, figures(scenario, traffic))
     return {
         **metrics,
         "breaches": float(len(violations)),
--- a/martenstep/lab/fleet/rig.py
+++ b/martenstep/lab/fleet/rig.py
@@ -28,8 +28,8 @@
 from martenstep.lab.fleet.relay import DatagramForger, Relay
 from martenstep.lab.fleet.schedule import DISK_FAULTS, Member, Step, members_of, steps_of
 from martenstep.lab.fleet.wires import Links
-from martenstep.lab.play import PlayError, Process
-from martenstep.lab.ports import held_ports
+from martenstep.lab.play import Process, ScenarioRunError
+from martenstep.lab.ports import reserve_ports
 from martenstep.membership.member import Address
 from martenstep.replication.node_disk import load_disk_identity
 from martenstep.standins.base import now_ms
@@ -183,7 +183,7 @@
 
     def _assign_addresses(self) -> None:
         """Give each member a loopback address of its own, and an address to each twin or squatter of the schedule."""
-        port, *others = held_ports(3)
+        port, *others = reserve_ports(3)
         self.ports = others[0], others[1]
         for number, member in enumerate(self._members):
             self._add_place(member.name, member, (f"127.0.1.{number + 1}", port))
@@ -214,7 +214,7 @@
         )
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY and needed > hard:
-            raise PlayError(f"the rig needs {needed} open files; the hard limit is {hard}")
+            raise ScenarioRunError(f"the rig needs {needed} open files; the hard limit is {hard}")
         if soft < needed:
             resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
@@ -250,12 +250,12 @@
         place.paused = place.stopped_by_schedule = False
         try:
             await place.process.start()
-        except PlayError:
+        except ScenarioRunError:
             if place.stopped_by_schedule:
                 return  # a fault of the schedule killed it before it was ready
             raise
         if "fleet" not in place.process.ready:
-            raise PlayError(f"{place.name}: reported no membership when it was ready; see its log")
+            raise ScenarioRunError(f"{place.name}: reported no membership when it was ready; see its log")
 
     def _running(self) -> list[Place]:
         return [place for place in self._places.values() if place.process is not None and place.process.running]
@@ -298,7 +298,9 @@
                         return
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
-            raise PlayError(f"not all gateways had joined after {JOIN_TIMEOUT_S:.0f} s; see their logs") from None
+            raise ScenarioRunError(
+                f"not all gateways had joined after {JOIN_TIMEOUT_S:.0f} s; see their logs"
+            ) from None
 
     # Records of what really happened.
 
@@ -333,7 +335,7 @@
         await self._wait_until(begin + schedule.length_ms + schedule.settle_ms, "settling")
         await asyncio.gather(*list(self._tasks))
         if self._errors:
-            raise PlayError("; ".join(self._errors))
+            raise ScenarioRunError("; ".join(self._errors))
         for place in self._running():
             self._record_view(place, await self._fetch(place))
         self._truth("ends")
@@ -488,21 +490,21 @@
 async def run_rig(
     schedule: pb.Schedule, seed: int, out: Path, progress: Callable[[float, str], None] = lambda part, phase: None
 ) -> tuple[list[Record], float]:
-    """Run a schedule, and write its output to a folder whose earlier run is removed; raises PlayError.
+    """Run a schedule, and write its output to a folder whose earlier run is removed; raises ScenarioRunError.
 
     Returns the records, and the seconds until all gateways had joined.
     """
     if schedule.members > MAX_GATEWAYS:
-        raise PlayError(
+        raise ScenarioRunError(
             f"{schedule.name}: {schedule.members} gateways are too many processes for one machine (at most "
             f"{MAX_GATEWAYS}); `lab fleet emulate` runs them in virtual time"
         )
     for entry in schedule.trouble:
         if entry.what in VIRTUAL_ONLY_FAULTS:
-            raise PlayError(f"{schedule.name}: {pb.Breaks.Name(entry.what)} is emulated only")
+            raise ScenarioRunError(f"{schedule.name}: {pb.Breaks.Name(entry.what)} is emulated only")
     if out.exists():
         if any(out.iterdir()) and not (out / "schedule.txtpb").exists():
-            raise PlayError(f"{out}: contains something else than an earlier run")
+            raise ScenarioRunError(f"{out}: contains something else than an earlier run")
         shutil.rmtree(out)
     out.mkdir(parents=True)
     (out / "schedule.txtpb").write_text(text_format.MessageToString(schedule), encoding="utf-8")
--- a/martenstep/lab/soak/run.py
+++ b/martenstep/lab/soak/run.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from martenstep.lab.ports import held_ports
+from martenstep.lab.ports import reserve_ports
 from martenstep.lab.soak.clients import DEDUPLICATION_WINDOW_S, Clients, Target
 from martenstep.lab.soak.faults import SHORT_COUNT, Call, FaultControl
 from martenstep.lab.soak.oracle import MAX_PAUSE_S, Ceiling, Oracle, Rule, SlowStart
@@ -94,7 +94,7 @@
 
     def __init__(self, soak: Soak, index: int, folder: Path) -> None:
         self._soak, self._index, self._folder = soak, index, folder
-        self.target = Target(f"n{index}", held_ports(1)[0])
+        self.target = Target(f"n{index}", reserve_ports(1)[0])
         self.clients = Clients(self.target, soak.oracle, soak.rng, soak.count)
         # The first is in use; the gateway may change to the other.
         self.agents = [Agent(soak.endpoint_list, soak.rng) for _ in range(2)]
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -12,7 +12,7 @@
 from martenstep.cli.main import cli
 from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
-from martenstep.lab.day import load_day, parse_day
+from martenstep.lab.day import load_scenario, parse_scenario
 from martenstep.lab.emulate.core import START_MS, RandomBuffer, RandomStreams, Sim
 from martenstep.lab.emulate.doors import EmulatedGateway, ProcessingCosts, UpstreamConnection
 from martenstep.lab.emulate.judged import check_traces, emulate, gather_traffic
@@ -40,7 +40,7 @@
 
 def small_scenario(more: str = "") -> pb.Day:
     """The small scenario, with additional settings or faults."""
-    return parse_day(SMALL + more, "small.txtpb")
+    return parse_scenario(SMALL + more, "small.txtpb")
 
 
 # The clock and the network ------------------------------------------------------------------------------
@@ -175,7 +175,7 @@
 
 def test_one_gateway_admits_the_burst_and_the_rate_over_time() -> None:
     """A customer that exceeds its plan all the time gets burst + rate x time, and no more."""
-    scenario = parse_day(
+    scenario = parse_scenario(
         SMALL.replace("doors: 2", "doors: 1")
         .replace("number: 12", "number: 1")
         .replace("retries: 1", "retries: 0")
@@ -184,7 +184,7 @@
     )
     emulation = Emulation(scenario)
     traffic = gather_traffic(emulation.run())
-    served = sum(bool(tried.visits) for tried in traffic.tries.values())
+    served = sum(bool(tried.attempts) for tried in traffic.tries.values())
     assert 8 + 4 * 5 - 2 <= served <= 8 + 4 * 5 + 1
 
 
@@ -204,7 +204,7 @@
 
 @pytest.mark.parametrize("name", sorted(path.stem for path in DAYS.glob("*.txtpb")))
 def test_every_scenario_of_the_repository_passes_the_checkers_or_is_refused_as_not_modelled(name: str) -> None:
-    scenario = load_day(DAYS / f"{name}.txtpb")
+    scenario = load_scenario(DAYS / f"{name}.txtpb")
     try:
         emulation = Emulation(scenario)
     except NotEmulatedError:
@@ -377,7 +377,7 @@
             f"event {{ at_ms: {at} for_ms: 300 trouble: NET_CUT source: 'door-*' sink: 'server-*' }} "
             for at in range(600, 4800, 400)
         )
-        return parse_day(keyed + cuts + "event { at_ms: 500 trouble: SERVER_RESETS count: 4 share: 0.7 }", "day")
+        return parse_scenario(keyed + cuts + "event { at_ms: 500 trouble: SERVER_RESETS count: 4 share: 0.7 }", "day")
 
     assert check_traces(scenario(), Emulation(scenario()).run())["kept"]
     monkeypatch.setattr(EmulatedGateway, "_delivery_timed_out", lambda self, connection, action: None)
@@ -404,7 +404,7 @@
 def sent_units(scenario: pb.Day) -> float:
     """Run a scenario and sum the units that reached servers."""
     traffic = gather_traffic(Emulation(scenario).run())
-    return sum(tried.units for tried in traffic.tries.values() if tried.visits)
+    return sum(tried.units for tried in traffic.tries.values() if tried.attempts)
 
 
 def test_alternative_limiters_admit_what_their_design_allows() -> None:
@@ -422,7 +422,7 @@
     plan = 8 + 4 * 5
 
     def admitted(more: str) -> float:
-        return sent_units(parse_day(one_customer + more, "one.txtpb"))
+        return sent_units(parse_scenario(one_customer + more, "one.txtpb"))
 
     assert admitted("limiter: 'each door'") == pytest.approx(2 * plan, abs=4)
     assert admitted("limiter: 'split'") == pytest.approx(plan, abs=4)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -12,14 +12,14 @@
 from martenstep.cli.main import cli
 from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
-from martenstep.lab.day import load_day, parse_day, schedule
+from martenstep.lab.day import load_scenario, parse_scenario, schedule
 from martenstep.lab.experiment import run as running
 from martenstep.lab.experiment.compare import arms, bootstrap_interval, metrics, paired_difference, table
 from martenstep.lab.experiment.plan import arms_of, load_plan, parse_plan, runs_of
 from martenstep.lab.experiment.report import write_report
 from martenstep.lab.experiment.search import Found, search, shrink
 from martenstep.lab.measures import quota_use
-from martenstep.lab.rules import Traffic, Try, Visit
+from martenstep.lab.rules import ClientTry, ServerAttempt, Traffic
 from tests.test_emulate import SMALL
 
 PLANS = Path(__file__).resolve().parent.parent / "plans"
@@ -166,13 +166,13 @@
 
 
 def test_units_over_the_quota_are_counted_once() -> None:
-    scenario = parse_day(SMALL.replace("rate: 4 burst: 8", "rate: 1 burst: 2"), "day.txtpb")
+    scenario = parse_scenario(SMALL.replace("rate: 4 burst: 8", "rate: 1 burst: 2"), "day.txtpb")
     traffic = Traffic()
 
     def add_try(rid: str, at: float, sent: bool) -> None:
-        client_try = traffic.tries[rid] = Try(rid, 0, "basic-0-1", "read", 1.0, at, 1000.0)
+        client_try = traffic.tries[rid] = ClientTry(rid, 0, "basic-0-1", "read", 1.0, at, 1000.0)
         if sent:
-            client_try.visits.append(Visit(rid, 0, 1, "door-0", "", at))
+            client_try.attempts.append(ServerAttempt(rid, 0, 1, "door-0", "", at))
         else:
             client_try.ends.append({"what": "answer", "t": at, "status": 429, "reason": "quota"})
 
@@ -181,11 +181,11 @@
     add_try("b", 1500.0, False)  # half a unit is available: no room
     add_try("c", 4000.0, False)  # the bucket is full again
     use = quota_use(scenario, traffic)
-    assert (use.sent, use.over, use.refused, use.with_room) == (4.0, 2.0, 2.0, 1.0)
+    assert (use.forwarded, use.excess, use.refused, use.refused_with_headroom) == (4.0, 2.0, 2.0, 1.0)
 
 
 def test_the_search_finds_the_worst_scenario_and_shrinks_it_to_the_faults_that_matter() -> None:
-    base = parse_day(SMALL, "day.txtpb")
+    base = parse_scenario(SMALL, "day.txtpb")
 
     def badness(scenario: pb.Day) -> float:
         down = sum(event.for_ms >= 200 for event in scenario.event if event.trouble == pb.STORE_DOWN)
@@ -213,6 +213,6 @@
     result = CliRunner().invoke(cli, arguments)
     assert result.exit_code == 0 and "over_share" in result.output, result.output
     over_share = float(result.output.split("over_share ")[1].split(",")[0])
-    scenario = load_day(out)
+    scenario = load_scenario(out)
     assert scenario.name == "worst" and running.measure(scenario)["over_share"] == pytest.approx(over_share, rel=1e-3)
     assert CliRunner().invoke(cli, [*arguments, "--metric", "nope"]).exit_code == 2
--- a/tests/test_explore_orders.py
+++ b/tests/test_explore_orders.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from martenstep.lab.explore_orders import BreachError, Budget, Explorer
+from martenstep.lab.explore_orders import Budget, Explorer, InvariantError
 from martenstep.maintenance.commands import CommandResult
 from martenstep.maintenance.model import MaintenanceRequest, RequestState
 from martenstep.maintenance.queue import MaintenanceQueue
@@ -29,7 +29,11 @@
 
 
 @pytest.mark.parametrize(
-    "budget", [Budget(laps=1, crashes=0, losses=0, people=0), Budget(laps=0, crashes=1, losses=0, people=0, most_out=2)]
+    "budget",
+    [
+        Budget(lease_steps=1, crashes=0, losses=0, operator_commands=0),
+        Budget(lease_steps=0, crashes=1, losses=0, operator_commands=0, max_out=2),
+    ],
 )
 def test_a_small_configuration_is_explored_completely(budget: Budget) -> None:
     explorer = Explorer(budget)
@@ -39,14 +43,16 @@
 @pytest.mark.parametrize(
     ("flaw", "budget"),
     [
-        (AbandonedDuringLease, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (AbandonedUnobserved, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (FinishedWhileDraining, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (LeaseCountedFromAnswer, Budget(laps=1, crashes=0, losses=0, people=1)),
-        (DrainsBeforeAnswer, Budget(laps=1, crashes=0, losses=0, people=0)),
+        (AbandonedDuringLease, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=1)),
+        (AbandonedUnobserved, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=1)),
+        (FinishedWhileDraining, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=1)),
+        (LeaseCountedFromAnswer, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=1)),
+        (DrainsBeforeAnswer, Budget(lease_steps=1, crashes=0, losses=0, operator_commands=0)),
     ],
 )
 def test_exploration_finds_an_order_of_events_that_exposes_each_flaw(flaw: Any, budget: Budget) -> None:
-    explorer = Explorer(budget, book=flaw) if issubclass(flaw, MaintenanceQueue) else Explorer(budget, agent=flaw)
-    with pytest.raises(BreachError, match=r"(away|leaves by).*, after: "):
-        explorer.run(most=30_000)
+    explorer = (
+        Explorer(budget, queue_type=flaw) if issubclass(flaw, MaintenanceQueue) else Explorer(budget, agent_type=flaw)
+    )
+    with pytest.raises(InvariantError, match=r"(away|leaves by).*, after: "):
+        explorer.run(max_states=30_000)
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -17,7 +17,7 @@
 from martenstep.config.text_format import SettingsError
 from martenstep.lab import day_pb2 as pb
 from martenstep.lab import plan_pb2
-from martenstep.lab.day import parse_day
+from martenstep.lab.day import parse_scenario
 from martenstep.lab.emulate.doors import EmulatedGateway, UpstreamConnection
 from martenstep.lab.experiment import sweep
 from martenstep.lab.rules import ANSWERED, CEILINGS, CHECKED, COLD, DOUBLE, DRAINS, INVENTED
@@ -40,7 +40,7 @@
     for number in range(150):
         scenario = sweep.generate_scenario(repository_plan, number)
         assert (
-            parse_day(text_format.MessageToString(scenario), "day.txtpb")
+            parse_scenario(text_format.MessageToString(scenario), "day.txtpb")
             == scenario
             == sweep.generate_scenario(repository_plan, number)
         )
