--- a/bench/rolling_upgrade.py
+++ b/bench/rolling_upgrade.py
@@ -141,7 +141,7 @@
 async def upgrade(replicas: Replicas, old: Path, new: Path, load: Load, between: int) -> None:
     """Start all from the old text, then replace each, `between` acknowledged adds apart."""
     await asyncio.gather(*(replicas.start_from(old, number) for number in range(REPLICAS)))
-    leader, _ = await replicas.leader()
+    leader, _ = await replicas.wait_for_leader()
     first, last = (number for number in range(REPLICAS) if number != leader)
     await load.progress(between)
     for number in (first, leader, last):
@@ -149,13 +149,13 @@
         await load.progress(between)  # the two others go on alone
         await replicas.start_from(new, number)
         await load.progress(between)
-        leading, _ = await replicas.leader()
+        leading, _ = await replicas.wait_for_leader()
         click.echo(f"replica {number} replaced; {load.acknowledged} adds acknowledged; {leading} leads")
 
 
 async def served_totals(replicas: Replicas, names: range) -> dict[int, float]:
     """Each name's total as the leader answers it."""
-    leader, _ = await replicas.leader()
+    leader, _ = await replicas.wait_for_leader()
     reader, writer = await asyncio.open_connection("127.0.0.1", replicas.ports[leader])
     frames, totals = FrameDecoder(), dict[int, float]()
     writer.write(encode(Hello("verifier", 1)))
@@ -192,7 +192,7 @@
     """Hold the folders against what the client was told; raises UpgradeError."""
     expected, complete = expected_totals(load), 0
     for number in range(REPLICAS):
-        state = replicas.on_disk(number)
+        state = replicas.load_state(number)
         totals = {call: state.total(call) for call in expected}
         doubled = [call for call, total in totals.items() if total > expected[call]]
         if doubled:
